--- /dev/null
+++ b/crates/loomflow-protocol/tests/wire_bytes.rs
@@ -0,0 +1,80 @@
+//! The bytes that a server writes, as they were first released: a name in the code may change freely, these may not.
+
+use loomflow_protocol::TryId;
+use loomflow_protocol::control::report;
+use loomflow_protocol::engine::Command;
+use loomflow_protocol::gateway::{Advice, Word, answer, bye};
+use loomflow_protocol::ledger::{abandon, post};
+
+const ID: TryId = TryId(0x9b1f_03aa_5c7e_2d41);
+
+fn written(write: impl FnOnce(&mut Vec<u8>)) -> String {
+    let mut out = Vec::new();
+    write(&mut out);
+    String::from_utf8(out).expect("text")
+}
+
+#[test]
+fn answers_to_gateways() {
+    let plain = Advice::default();
+    let all = [
+        (Word::Ok, "*4\r\n$1\r\n7\r\n$2\r\nOK\r\n$0\r\n\r\n$2\r\nhi\r\n"),
+        (Word::Busy, "*4\r\n$1\r\n7\r\n$4\r\nBUSY\r\n$0\r\n\r\n$2\r\nhi\r\n"),
+        (Word::Failed, "*4\r\n$1\r\n7\r\n$6\r\nFAILED\r\n$0\r\n\r\n$2\r\nhi\r\n"),
+        (Word::Up, "*4\r\n$1\r\n7\r\n$2\r\nUP\r\n$0\r\n\r\n$2\r\nhi\r\n"),
+        (Word::Down, "*4\r\n$1\r\n7\r\n$4\r\nDOWN\r\n$0\r\n\r\n$2\r\nhi\r\n"),
+    ];
+    for (word, bytes) in all {
+        assert_eq!(written(|out| answer(out, 7, word, plain, b"hi")), bytes);
+    }
+    assert_eq!(written(bye), "*2\r\n$1\r\n0\r\n$3\r\nBYE\r\n");
+}
+
+#[test]
+fn the_fields_of_an_answer() {
+    let fields = |advice| written(|out| answer(out, 1, Word::Busy, advice, b""));
+    let with =
+        |listed: &str| format!("*4\r\n$1\r\n1\r\n$4\r\nBUSY\r\n${}\r\n{listed}\r\n$0\r\n\r\n", listed.len());
+    let advice = |signal, stay_away, last| Advice { signal, stay_away, last };
+    assert_eq!(fields(advice(Some(0.0), 0.0, false)), with("signal=0.0000"));
+    assert_eq!(fields(advice(Some(0.123_45), 0.0, false)), with("signal=0.1235"));
+    assert_eq!(fields(advice(None, 1500.0, false)), with("holdoff=1500.000"));
+    assert_eq!(fields(advice(None, 0.0, true)), with("nomore=1"));
+    assert_eq!(fields(advice(Some(1.0), 0.5, true)), with("signal=1.0000,holdoff=0.500,nomore=1"));
+}
+
+#[test]
+fn commands_to_the_engine() {
+    let id = ID;
+    let all = [
+        (Command::Attach { last: 12 }, "ATTACH 12\r\n"),
+        (Command::Run { id, class: "read", body: b"abc" }, "RUN 9b1f03aa5c7e2d41 read 3\r\nabc\r\n"),
+        (Command::Feed { id, reply: b"xy" }, "FEED 9b1f03aa5c7e2d41 2\r\nxy\r\n"),
+        (Command::Halt { id }, "HALT 9b1f03aa5c7e2d41\r\n"),
+        (Command::Resume { id }, "RESUME 9b1f03aa5c7e2d41\r\n"),
+        (Command::Skip { id }, "SKIP 9b1f03aa5c7e2d41\r\n"),
+        (Command::Stat { tag: 3 }, "STAT 3\r\n"),
+        (Command::Test { tag: 4 }, "TEST 4\r\n"),
+    ];
+    for (command, bytes) in all {
+        assert_eq!(written(|out| command.write(out)), bytes);
+    }
+}
+
+#[test]
+fn calls_to_the_ledger() {
+    assert_eq!(written(|out| post(out, ID, 250, b"abc")), "post 9b1f03aa5c7e2d41 250 3\r\nabc\r\n");
+    assert_eq!(written(|out| abandon(out, ID)), "abandon 9b1f03aa5c7e2d41\r\n");
+}
+
+#[test]
+fn reports_to_the_control_plane() {
+    let bytes = |length: usize, condition: &str| {
+        format!(
+            "PUT /v2/endpoints/n3 HTTP/1.1\r\nHost: control\r\nContent-Type: application/json\r\n\
+             Content-Length: {length}\r\n\r\n{{\"condition\":\"{condition}\"}}"
+        )
+    };
+    assert_eq!(written(|out| report(out, "n3", true)), bytes(21, "Ready"));
+    assert_eq!(written(|out| report(out, "n3", false)), bytes(24, "NotReady"));
+}
