--- a/crates/loomflow-standins/src/fleet.rs
+++ b/crates/loomflow-standins/src/fleet.rs
@@ -69,10 +69,16 @@
 
     /// All members serve; no fleet is founded yet. The first three vote, or the first five of at least five.
     pub fn start_with(plan: Plan, program: &Path) -> Fleet {
+        Fleet::start_from(plan, program, |_| ())
+    }
+
+    /// As [`Fleet::start_with`]; `restore` puts stored data into the fleet's folder before any member starts.
+    pub fn start_from(plan: Plan, program: &Path, restore: impl FnOnce(&Path)) -> Fleet {
         let addresses: Vec<SocketAddr> = (0..plan.members).map(|_| free_address()).collect();
         let folder = std::env::temp_dir()
             .join(format!("loomflow-fleet-{}", addresses[0].to_string().replace([':', '.'], "-")));
         std::fs::create_dir_all(&folder).expect("a folder");
+        restore(&folder);
         let relay = |from: usize, to: usize| {
             let seed = plan.seed.wrapping_mul(0x9E37_79B9).wrapping_add((from * 64 + to) as u64);
             (from != to).then(|| Relay::start(addresses[to], seed))
@@ -367,7 +373,6 @@
     }
 }
 
-/// The processes that one started and that run.
 /// The processes that a process started and that run.
 fn children(parent: u32) -> Vec<u32> {
     let entries = std::fs::read_dir("/proc").expect("processes");
