--- a/crates/loomflow-amqp/tests/common/mod.rs
+++ b/crates/loomflow-amqp/tests/common/mod.rs
@@ -38,6 +38,7 @@
 }
 
 /// The whole frames among bytes on their way to a broker.
+#[allow(dead_code, reason = "not every test reads frames")]
 pub fn decode(bytes: &mut VecDeque<u8>) -> Vec<Frame> {
     use loomflow_protocol::Decoder;
     let mut frames = frames::Frames::default();
--- /dev/null
+++ b/crates/loomflow-amqp/tests/message_bytes.rs
@@ -0,0 +1,131 @@
+//! Headers and properties of what is published, as they were first released: callers and operators read them, and an
+//! earlier build's messages come back with them.
+
+mod common;
+
+use amq_protocol::protocol::basic::AMQPProperties;
+use amq_protocol::types::{AMQPValue, FieldTable};
+use loomflow_amqp::delivery::{Move, Status};
+use loomflow_amqp::identity::Final;
+use loomflow_amqp::message::{moved, publish_id, reply, rounds};
+use loomflow_amqp::publisher::Publish;
+
+fn text(text: &str) -> AMQPValue {
+    AMQPValue::LongString(text.into())
+}
+
+fn number(number: i64) -> AMQPValue {
+    AMQPValue::LongLongInt(number)
+}
+
+fn table(headers: &[(&str, AMQPValue)]) -> FieldTable {
+    let mut table = FieldTable::default();
+    for (name, value) in headers {
+        table.insert((*name).into(), value.clone());
+    }
+    table
+}
+
+/// A message with every property.
+fn original() -> AMQPProperties {
+    AMQPProperties::default()
+        .with_headers(table(&[("mine", text("kept")), ("CC", text("elsewhere")), ("BCC", text("elsewhere"))]))
+        .with_content_type("text/plain".into())
+        .with_content_encoding("gzip".into())
+        .with_delivery_mode(1)
+        .with_priority(3)
+        .with_correlation_id("correlation".into())
+        .with_reply_to("replies".into())
+        .with_expiration("1000".into())
+        .with_message_id("message".into())
+        .with_timestamp(77)
+        .with_type("job".into())
+        .with_user_id("guest".into())
+        .with_app_id("app".into())
+}
+
+fn replied(status: &Status) -> Publish {
+    reply(&common::settings(true), &original(), status, 9).expect("a reply")
+}
+
+#[test]
+fn replies_have_a_type_and_headers_for_each_status() {
+    let failed = |may_have_run, holdoff| Status::Failed { reason: "why", may_have_run, holdoff };
+    let all = [
+        (Status::Served(Final::Served(b"ok"[..].into())), "served", &b"ok"[..], vec![]),
+        (Status::Refused(12.5), "refused", b"", vec![("x-loomflow-holdoff", number(13))]),
+        (
+            failed(true, None),
+            "failed",
+            b"",
+            vec![("x-loomflow-reason", text("why")), ("x-loomflow-ran", text("perhaps"))],
+        ),
+        (
+            failed(false, Some(7.0)),
+            "failed",
+            b"",
+            vec![
+                ("x-loomflow-holdoff", number(7)),
+                ("x-loomflow-reason", text("why")),
+                ("x-loomflow-ran", text("no")),
+            ],
+        ),
+    ];
+    for (status, kind, body, headers) in all {
+        let publish = replied(&status);
+        assert_eq!((publish.exchange.as_str(), publish.routing_key.as_str()), ("", "replies"));
+        assert_eq!(publish.body, body);
+        let headers = [vec![("x-loomflow-publish", number(9))], headers].concat();
+        let expected = AMQPProperties::default()
+            .with_headers(table(&headers))
+            .with_type(kind.into())
+            .with_correlation_id("correlation".into())
+            .with_delivery_mode(1);
+        assert_eq!(publish.properties, expected);
+    }
+}
+
+#[test]
+fn a_message_put_back_keeps_its_properties_and_counts_its_rounds() {
+    let publish = moved(&common::settings(true), "jobs", &original(), b"body", Move::Back { rounds: 2 }, 5);
+    assert_eq!((publish.exchange.as_str(), publish.routing_key.as_str()), ("", "jobs"));
+    let headers = table(&[
+        ("mine", text("kept")),
+        ("x-loomflow-publish", number(5)),
+        ("x-loomflow-user-id", text("guest")),
+        ("x-loomflow-rounds", number(2)),
+    ]);
+    assert_eq!(publish.properties, without_user().with_headers(headers));
+    assert_eq!((publish_id(&publish.properties), rounds(&publish.properties)), (Some(5), 2));
+    assert_eq!(publish.body, b"body");
+}
+
+#[test]
+fn a_dead_letter_tells_its_reason_and_queue() {
+    let publish = moved(&common::settings(true), "jobs", &original(), b"body", Move::Dead("not-run"), 5);
+    assert_eq!((publish.exchange.as_str(), publish.routing_key.as_str()), ("", "dead"));
+    let headers = table(&[
+        ("mine", text("kept")),
+        ("x-loomflow-publish", number(5)),
+        ("x-loomflow-user-id", text("guest")),
+        ("x-loomflow-reason", text("not-run")),
+        ("x-loomflow-queue", text("jobs")),
+    ]);
+    assert_eq!(publish.properties, without_user().with_delivery_mode(2).with_headers(headers));
+}
+
+/// The properties of the original but its user.
+fn without_user() -> AMQPProperties {
+    AMQPProperties::default()
+        .with_content_type("text/plain".into())
+        .with_content_encoding("gzip".into())
+        .with_delivery_mode(1)
+        .with_priority(3)
+        .with_correlation_id("correlation".into())
+        .with_reply_to("replies".into())
+        .with_expiration("1000".into())
+        .with_message_id("message".into())
+        .with_timestamp(77)
+        .with_type("job".into())
+        .with_app_id("app".into())
+}
