--- a/crates/loomflow-server/src/owner/requests.rs
+++ b/crates/loomflow-server/src/owner/requests.rs
@@ -1,174 +1,222 @@
-//! Requests, from what a front offers to the answer that it is given.
+//! Requests, from the submission by a front to their response.
 
 use loomflow::interface::{Arrival, Effect, Event, Outcome, RequestId};
+use loomflow::time::Millis;
 
-use super::{Owner, TEST_LIMIT, Test};
-use crate::front::seam::{Answer, Ask, Failure, Offer, Ticket};
-use crate::keys::{Arrived, Keyed, Over};
+use super::{Owner, PendingHealthCheck};
+use crate::engine::{Delivery, PendingCommand, SentCommand};
+use crate::front::interface::{Failure, FrontRequest, ReplyHandle, Response, Submission};
+use crate::idempotency::{Completion, KeyedRequest, Registration};
 use crate::log;
-use crate::run::{Fate, Pending, Sent};
-use crate::table::{Entry, Work};
+use crate::request_table::{Progress, RequestEntry};
+
+/// A deep health check that the engine has not answered by then has failed.
+const HEALTH_CHECK_TIMEOUT_MS: Millis = 1000.0;
+
+/// Why a request is not accepted, and the response to it.
+struct Rejection {
+    why: &'static str,
+    response: Response<'static>,
+}
+
+impl Rejection {
+    fn invalid(why: &'static str) -> Rejection {
+        Rejection { why, response: Response::Failed(Failure::Invalid) }
+    }
+
+    fn shed(why: &'static str) -> Rejection {
+        Rejection { why, response: Response::REJECTED }
+    }
+}
+
+/// A request that is accepted.
+struct Admission {
+    id: RequestId,
+    /// The request that it repeats.
+    original: Option<RequestId>,
+}
 
 impl Owner {
-    /// What the fronts want, in order.
-    pub(super) fn asked(&mut self, mut asks: Vec<Ask>) {
-        for ask in asks.drain(..) {
-            match ask {
-                Ask::Take(offer) => self.arrived(*offer),
-                Ask::Unfit(ticket, why) => {
-                    if !self.turned_away(ticket) {
-                        log!(why, "a request was not taken");
-                        self.fronts.answer(ticket, Answer::Failed(Failure::Unfit), self.now.ms);
-                    }
+    /// Handles what the fronts ask for, in order.
+    pub(super) fn handle_front_requests(&mut self, mut requests: Vec<FrontRequest>) {
+        for request in requests.drain(..) {
+            match request {
+                FrontRequest::Submit(submission) => self.submit(*submission),
+                FrontRequest::Invalid(reply_handle, why) => self.reject_invalid(reply_handle, why),
+                FrontRequest::Cancel(reply_handle) => self.cancel(reply_handle),
+                FrontRequest::HealthCheck { reply_handle, is_deep } => {
+                    self.check_health(reply_handle, is_deep);
                 }
-                Ask::Gone(ticket) => self.gone(ticket),
-                Ask::Check(ticket, real) => self.check(ticket, real),
             }
         }
-        self.asks = asks;
+        self.front_requests = requests;
+    }
+
+    fn reject_invalid(&mut self, reply_handle: ReplyHandle, why: &'static str) {
+        let rejection = self.unavailability().unwrap_or_else(|| Rejection::invalid(why));
+        self.reject(reply_handle, rejection);
     }
 
-    /// Nobody hears the answer to this ticket any more.
-    fn gone(&mut self, ticket: Ticket) {
-        let Some(id) = self.table.owed(ticket) else { return };
-        self.table.answer(id, self.now.ms);
-        self.events.push_back(Event::CallerGone(id));
-        self.settle(id);
+    fn reject(&mut self, reply_handle: ReplyHandle, rejection: Rejection) {
+        log!(why = rejection.why, "a request was not accepted");
+        self.fronts.respond(reply_handle, rejection.response, self.now.ms);
+    }
+
+    /// Why no request can be accepted at all, if there is a reason.
+    fn unavailability(&self) -> Option<Rejection> {
+        match self.controller {
+            None => Some(Rejection::shed("the engine is not up")),
+            Some(_) if self.requests.len() >= self.max_requests => {
+                Some(Rejection::shed("too many are in hand"))
+            }
+            Some(_) => None,
+        }
     }
 
-    /// Refuses what there is no module or no room for yet.
-    fn turned_away(&mut self, ticket: Ticket) -> bool {
-        let why = match self.choice {
-            None => "the engine is not up",
-            Some(_) if self.table.len() >= self.most_requests => "too many are in hand",
-            Some(_) => return false,
+    /// Nobody reads the response to this request any more.
+    fn cancel(&mut self, reply_handle: ReplyHandle) {
+        let Some(id) = self.requests.find_unanswered(reply_handle) else { return };
+        self.requests.mark_answered(id, self.now.ms);
+        self.controller_events.push_back(Event::CallerGone(id));
+        self.release(id);
+    }
+
+    fn submit(&mut self, submission: Submission) {
+        let Admission { id, original } = match self.admit(&submission) {
+            Ok(admission) => admission,
+            Err(rejection) => return self.reject(submission.reply_handle, rejection),
         };
-        log!(why, "a request was not taken");
-        self.fronts.answer(ticket, Answer::Refused { pause: 0.0, last: false }, self.now.ms);
-        true
+        if let Some(original) = original {
+            self.originals.insert(id, original);
+        }
+        self.controller_events.push_back(Event::Arrived(arrival(id, original, &submission)));
+        let Submission { reply_handle, attempt_id, class, body, .. } = submission;
+        let effect = self.site.settings.classes[class].effect;
+        self.requests.insert(id, RequestEntry::queued(reply_handle, attempt_id, class, effect, body));
     }
 
-    fn arrived(&mut self, offer: Offer) {
-        if self.turned_away(offer.ticket) {
-            return;
+    /// Decides whether there is a place for a submission, and registers its key.
+    fn admit(&mut self, submission: &Submission) -> Result<Admission, Rejection> {
+        if let Some(rejection) = self.unavailability() {
+            return Err(rejection);
         }
-        if self.table.find(offer.try_id).is_some() {
-            log!(why = "its req is in use", "a request was not taken");
-            return self.fronts.answer(offer.ticket, Answer::Failed(Failure::Unfit), self.now.ms);
+        if self.requests.find_attempt(submission.attempt_id).is_some() {
+            return Err(Rejection::invalid("its req is in use"));
         }
-        let id = self.table.next_id();
-        let class = &self.site.settings.classes[offer.class];
-        let (effect, unread) = (class.effect, class.give_up);
-        let now = self.now.ms;
-        let keyed = |key| {
-            let safe = effect == Effect::Safe;
-            Keyed { key, safe, body: &offer.body, reached: now - offer.age, unread }
-        };
-        let found = offer.key.map(|key| self.keys.arrived(id, keyed(key), now));
-        let repeats = match found {
-            None | Some(Arrived::First) => None,
-            Some(Arrived::Repeats(original)) => Some(original),
-            Some(Arrived::OtherBody) => {
-                log!(why = "its key is that of another request", "a request was not taken");
-                return self.fronts.answer(offer.ticket, Answer::Failed(Failure::Unfit), now);
-            }
-            Some(Arrived::Full) => {
-                log!(why = "too many are remembered", "a request was not taken");
-                return self.fronts.answer(offer.ticket, Answer::Refused { pause: 0.0, last: false }, now);
-            }
+        let id = self.requests.next_id();
+        let Some(key) = submission.key.clone() else { return Ok(Admission { id, original: None }) };
+        let class = &self.site.settings.classes[submission.class];
+        let request = KeyedRequest {
+            key,
+            is_idempotent: class.effect == Effect::Safe,
+            body: &submission.body,
+            arrived_at: self.now.ms - submission.age,
+            max_read_delay: class.give_up,
         };
-        if let Some(original) = repeats {
-            self.repeats.insert(id, original);
+        match self.idempotency.register(id, request, self.now.ms) {
+            Registration::New => Ok(Admission { id, original: None }),
+            Registration::Duplicate(original) => Ok(Admission { id, original: Some(original) }),
+            Registration::BodyMismatch => Err(Rejection::invalid("its key is that of another request")),
+            Registration::CacheFull => Err(Rejection::shed("too many are remembered")),
         }
-        self.table.add(id, Entry::held(offer.ticket, offer.try_id, offer.class, effect, offer.body));
-        self.events.push_back(Event::Arrived(Arrival {
-            id,
-            class: offer.class,
-            tenant: offer.tenant,
-            wait_left: offer.wait_left,
-            work: offer.work,
-            kb: offer.kb,
-            rank: offer.rank,
-            retry: offer.retry,
-            caller: offer.caller,
-            age: offer.age,
-            spent: offer.spent,
-            repeats,
-        }));
-    }
-
-    fn check(&mut self, ticket: Ticket, real: bool) {
-        let test = Test { ticket, until: self.now.ms + TEST_LIMIT };
-        if !real || self.stored || !self.site.deep_checks {
-            self.checked(&test, true);
-        } else if let Some(number) = self.engine.test() {
-            self.tests.insert(number, test);
+    }
+
+    fn check_health(&mut self, reply_handle: ReplyHandle, is_deep: bool) {
+        if !is_deep || self.is_health_cached || !self.site.deep_checks {
+            self.respond_to_health_check(reply_handle, true);
+        } else if let Some(tag) = self.engine.send_health_check() {
+            let deadline = self.now.ms + HEALTH_CHECK_TIMEOUT_MS;
+            self.health_checks.insert(tag, PendingHealthCheck { reply_handle, deadline });
         } else {
-            self.checked(&test, false);
+            self.respond_to_health_check(reply_handle, false);
         }
     }
 
-    pub(super) fn checked(&mut self, test: &Test, fine: bool) {
-        self.fronts.answer(test.ticket, Answer::Well(fine && self.good), self.now.ms);
+    pub(super) fn respond_to_health_check(&mut self, reply_handle: ReplyHandle, has_passed: bool) {
+        let response = Response::Health(has_passed && self.is_healthy);
+        self.fronts.respond(reply_handle, response, self.now.ms);
     }
 
-    /// The final answer, and an end to what is done for the request.
-    pub(super) fn answer(&mut self, id: RequestId, answer: Answer) {
-        let Some(entry) = self.table.answer(id, self.now.ms) else { return };
-        self.fronts.answer(entry.ticket, answer, self.now.ms);
-        self.settle(id);
+    /// Sends the final response, and ends what is done for the request.
+    pub(super) fn respond(&mut self, id: RequestId, response: Response) {
+        let Some(entry) = self.requests.mark_answered(id, self.now.ms) else { return };
+        self.fronts.respond(entry.reply_handle, response, self.now.ms);
+        self.release(id);
     }
 
-    /// A request has failed; what is known of its run is told with that.
+    /// Responds that the request has failed, with what is known of its run.
     pub(super) fn fail(&mut self, id: RequestId) {
-        let began = self.table.get(id).is_some_and(|entry| entry.may_have_begun());
-        let failure = if began { Failure::MayHaveRun } else { Failure::NeverRan };
-        self.answer(id, Answer::Failed(failure));
+        let has_started = self.requests.get_mut(id).is_some_and(|entry| entry.may_have_started());
+        let failure = if has_started { Failure::MayHaveRun } else { Failure::NotRun };
+        self.respond(id, Response::Failed(failure));
     }
 
-    /// Nothing more is owed to a request: an end to what is done for it.
-    pub(super) fn settle(&mut self, id: RequestId) {
-        let Some(entry) = self.table.get(id) else { return };
-        let work = entry.work;
+    /// Ends what is done for a request that has been answered.
+    pub(super) fn release(&mut self, id: RequestId) {
+        let Some(entry) = self.requests.get_mut(id) else { return };
         entry.body = Vec::new();
-        // A run whose command never arrived, or is not known to, would be waited for in vain.
-        let lost = match &entry.pending {
-            Some(Pending { fate: Fate::Unsent, what: Sent::Run, .. }) => Some(Outcome::Moot),
-            Some(Pending { fate: Fate::Unsent | Fate::Unknown, .. }) => Some(Outcome::Cancelled),
-            _ => None,
-        };
-        match work {
-            Work::Held | Work::Reusing => self.remove(id, Over::NeverRan),
-            Work::Running | Work::AtCall => {
-                self.ledger.give_up(id, self.now.ms);
+        match entry.progress {
+            Progress::Queued | Progress::AwaitingResult => self.remove(id, Completion::NotRun),
+            Progress::Running | Progress::AwaitingCall => {
+                let lost = entry.pending_command.as_ref().and_then(lost_run_outcome);
+                self.ledger.cancel(id, self.now.ms);
                 if let Some(outcome) = lost {
-                    self.events.push_back(Event::RunEnded { id, outcome, took: 0.0 });
-                    self.remove(id, if outcome == Outcome::Moot { Over::NeverRan } else { Over::Failed });
+                    self.controller_events.push_back(Event::RunEnded { id, outcome, took: 0.0 });
+                    let has_run = outcome != Outcome::Moot;
+                    self.remove(id, if has_run { Completion::Failed } else { Completion::NotRun });
                 }
             }
         }
     }
 
-    /// Takes a request out of the table. Those that waited for its result get it, or fail with it.
-    pub(super) fn remove(&mut self, id: RequestId, over: Over) {
-        self.table.remove(id);
-        if let Some(original) = self.repeats.remove(&id) {
-            self.keys.gone(id, Some(original));
+    /// Removes a request from the table. Duplicates that waited for its result get it, or fail with it.
+    pub(super) fn remove(&mut self, id: RequestId, completion: Completion) {
+        self.requests.remove(id);
+        if let Some(original) = self.originals.remove(&id) {
+            self.idempotency.leave(id, original);
         }
-        for waiting in self.keys.over(id, over) {
-            self.reused(waiting, over);
+        for waiter in self.idempotency.complete(id, completion) {
+            self.respond_with_result(waiter, completion);
         }
     }
 
-    pub(super) fn reused(&mut self, id: RequestId, over: Over) {
-        let (answer, outcome) = match over {
-            Over::Served(result) => (Answer::Served(result), Outcome::Ok),
-            // The one that it repeats has failed, or may have run and left no result.
-            Over::Failed => (Answer::Failed(Failure::MayHaveRun), Outcome::Error),
-            // Neither ran, so this one may be tried again.
-            Over::NeverRan => (Answer::Refused { pause: 0.0, last: false }, Outcome::Moot),
+    /// Responds to a duplicate as its original has finished.
+    pub(super) fn respond_with_result(&mut self, id: RequestId, completion: Completion) {
+        let (response, outcome) = match completion {
+            Completion::Served(result) => (Response::Served(result), Outcome::Ok),
+            // The original has failed, or may have run and left no result.
+            Completion::Failed => (Response::Failed(Failure::MayHaveRun), Outcome::Error),
+            // Neither ran, so the duplicate may be retried.
+            Completion::NotRun => (Response::REJECTED, Outcome::Moot),
         };
-        self.answer(id, answer);
-        self.events.push_back(Event::RunEnded { id, outcome, took: 0.0 });
+        self.respond(id, response);
+        self.controller_events.push_back(Event::RunEnded { id, outcome, took: 0.0 });
+    }
+}
+
+/// A submission as the controller gets it.
+fn arrival(id: RequestId, original: Option<RequestId>, submission: &Submission) -> Arrival {
+    Arrival {
+        id,
+        class: submission.class,
+        tenant: submission.tenant,
+        wait_left: submission.remaining_wait,
+        work: submission.estimated_work,
+        kb: submission.memory_kb,
+        rank: submission.rank,
+        retry: submission.is_retry,
+        caller: submission.caller,
+        age: submission.age,
+        spent: submission.upstream_time,
+        repeats: original,
+    }
+}
+
+/// The outcome of an answered run whose command never arrived, or is not known to have: the engine will not report it.
+fn lost_run_outcome(pending: &PendingCommand) -> Option<Outcome> {
+    match (pending.delivery, &pending.command) {
+        (Delivery::NotSent, SentCommand::Run) => Some(Outcome::Moot),
+        (Delivery::NotSent | Delivery::Uncertain, _) => Some(Outcome::Cancelled),
+        (Delivery::InFlight { .. } | Delivery::Delivered, _) => None,
     }
 }
--- /dev/null
+++ b/crates/loomflow-server/src/request_table.rs
@@ -0,0 +1,189 @@
+//! The request table: every request that has not been answered yet, or whose run has not ended.
+
+use std::collections::BTreeMap;
+
+use loomflow::interface::{Effect, RequestId};
+use loomflow::time::Millis;
+use loomflow_protocol::AttemptId;
+
+use crate::engine::{Delivery, PendingCommand, SentCommand};
+use crate::front::interface::ReplyHandle;
+
+#[cfg(test)]
+mod tests;
+
+/// How far a request has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Progress {
+    /// Nothing has been started.
+    Queued,
+    /// It repeats another request and waits for its result.
+    AwaitingResult,
+    /// The engine runs it, or is about to.
+    Running,
+    /// The engine waits for the reply to its call.
+    AwaitingCall,
+}
+
+/// The engine reports the end of every run. One whose request was answered so long ago is taken to have ended without a
+/// report, so that its entry does not stay for good.
+const RUN_END_TIMEOUT_MS: Millis = 60_000.0;
+
+/// One request.
+#[derive(Debug)]
+pub struct RequestEntry {
+    /// Where its response goes.
+    pub reply_handle: ReplyHandle,
+    /// Its name towards engine and ledger.
+    pub attempt_id: AttemptId,
+    /// Index of its class in the settings.
+    pub class: usize,
+    /// What a run of it leaves behind.
+    pub effect: Effect,
+    /// The body as received; dropped once the engine is known to have it.
+    pub body: Vec<u8>,
+    /// It has had its response.
+    pub is_answered: bool,
+    /// When it had its response.
+    pub answered_at: Millis,
+    /// How far it has come.
+    pub progress: Progress,
+    /// The last command to the engine, until a notice confirms that it arrived.
+    pub pending_command: Option<PendingCommand>,
+    /// The last reply to its call was sent a second time, right behind this fence.
+    pub resent_reply_fence: Option<u64>,
+    /// The body of its call.
+    pub call_body: Vec<u8>,
+}
+
+impl RequestEntry {
+    /// A request as it is received.
+    pub fn queued(
+        reply_handle: ReplyHandle,
+        attempt_id: AttemptId,
+        class: usize,
+        effect: Effect,
+        body: Vec<u8>,
+    ) -> RequestEntry {
+        RequestEntry {
+            reply_handle,
+            attempt_id,
+            class,
+            effect,
+            body,
+            is_answered: false,
+            answered_at: 0.0,
+            progress: Progress::Queued,
+            pending_command: None,
+            resent_reply_fence: None,
+            call_body: Vec::new(),
+        }
+    }
+
+    /// Whether the engine was sent the run and has reported nothing of it yet.
+    pub fn is_run_unconfirmed(&self) -> bool {
+        self.pending_command.as_ref().is_some_and(|pending| pending.command == SentCommand::Run)
+    }
+
+    /// Whether the engine may have started to run it.
+    pub fn may_have_started(&self) -> bool {
+        let is_run_not_sent = |pending: &PendingCommand| {
+            pending.command == SentCommand::Run && pending.delivery == Delivery::NotSent
+        };
+        matches!(self.progress, Progress::Running | Progress::AwaitingCall)
+            && !self.pending_command.as_ref().is_some_and(is_run_not_sent)
+    }
+}
+
+/// All requests, by id, by attempt and by reply handle.
+#[derive(Default)]
+pub struct RequestTable {
+    entries: BTreeMap<RequestId, RequestEntry>,
+    by_attempt: BTreeMap<AttemptId, RequestId>,
+    /// Unanswered requests only.
+    by_reply_handle: BTreeMap<ReplyHandle, RequestId>,
+    last_id: RequestId,
+    unanswered_count: usize,
+}
+
+impl RequestTable {
+    /// A new id; none is used again while its request is in the table.
+    pub fn next_id(&mut self) -> RequestId {
+        loop {
+            self.last_id = self.last_id.wrapping_add(1);
+            if self.last_id != 0 && !self.entries.contains_key(&self.last_id) {
+                return self.last_id;
+            }
+        }
+    }
+
+    /// Adds a request.
+    pub fn insert(&mut self, id: RequestId, entry: RequestEntry) {
+        self.by_attempt.insert(entry.attempt_id, id);
+        self.by_reply_handle.insert(entry.reply_handle, id);
+        self.unanswered_count += 1;
+        self.entries.insert(id, entry);
+    }
+
+    /// The entry of a request.
+    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestEntry> {
+        self.entries.get_mut(&id)
+    }
+
+    /// The request of an attempt.
+    pub fn find_attempt(&self, attempt_id: AttemptId) -> Option<RequestId> {
+        self.by_attempt.get(&attempt_id).copied()
+    }
+
+    /// The request whose response to this handle is still due.
+    pub fn find_unanswered(&self, reply_handle: ReplyHandle) -> Option<RequestId> {
+        self.by_reply_handle.get(&reply_handle).copied()
+    }
+
+    /// Marks a request as answered; returns its entry unless it was answered before.
+    pub fn mark_answered(&mut self, id: RequestId, now: Millis) -> Option<&mut RequestEntry> {
+        let entry = self.entries.get_mut(&id).filter(|entry| !entry.is_answered)?;
+        entry.is_answered = true;
+        entry.answered_at = now;
+        self.unanswered_count -= 1;
+        self.by_reply_handle.remove(&entry.reply_handle);
+        Some(entry)
+    }
+
+    /// Removes a request.
+    pub fn remove(&mut self, id: RequestId) {
+        let Some(entry) = self.entries.remove(&id) else { return };
+        self.by_attempt.remove(&entry.attempt_id);
+        if !entry.is_answered {
+            self.by_reply_handle.remove(&entry.reply_handle);
+            self.unanswered_count -= 1;
+        }
+    }
+
+    /// Requests that were answered so long ago that the end of their run is not to be expected any more.
+    pub fn lost_runs(&self, now: Millis) -> Vec<RequestId> {
+        let is_overdue =
+            |entry: &RequestEntry| entry.is_answered && now - entry.answered_at >= RUN_END_TIMEOUT_MS;
+        self.entries.iter().filter(|(_, entry)| is_overdue(entry)).map(|(id, _)| *id).collect()
+    }
+
+    /// The number of requests.
+    pub fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// The number of requests that have not been answered.
+    pub fn unanswered_count(&self) -> usize {
+        self.unanswered_count
+    }
+
+    /// Whether a request of this class is in the table.
+    pub fn has_class(&self, class: usize) -> bool {
+        self.entries.values().any(|entry| entry.class == class)
+    }
+
+    /// All requests.
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = (RequestId, &mut RequestEntry)> {
+        self.entries.iter_mut().map(|(id, entry)| (*id, entry))
+    }
+}
--- /dev/null
+++ b/crates/loomflow-server/src/signals.rs
@@ -0,0 +1,81 @@
+//! Signals: SIGTERM requests a graceful shutdown, SIGHUP a reload of the configuration. Both handlers are installed before
+//! anything else starts, and their signals are handed over once the owner's mailbox exists.
+//!
+//! A handler sets a flag and writes a byte to a pipe, which one thread reads. It is a pipe and not a pair of Unix sockets
+//! because the platform's bench intercepts sockets and supports only TCP and UDP over IPv4.
+
+use std::io::{self, ErrorKind, PipeReader, Read};
+use std::path::PathBuf;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+
+use loomflow_settings::Config;
+use signal_hook::consts::{SIGHUP, SIGTERM};
+use signal_hook::{flag, low_level::pipe};
+
+use crate::log;
+use crate::mailbox::{Mailbox, OwnerEvent};
+
+/// Parsing a deeply nested configuration needs some of it.
+const STACK_BYTES: usize = 512 * 1024;
+
+/// Signals cannot be handled.
+#[derive(Debug, thiserror::Error)]
+#[error("signals: {0}")]
+pub struct SignalError(#[from] io::Error);
+
+/// The signals that were received and not handed over yet.
+pub struct Signals {
+    wake: PipeReader,
+    reload_requested: Arc<AtomicBool>,
+    shutdown_requested: Arc<AtomicBool>,
+}
+
+impl Signals {
+    /// Installs the handlers.
+    pub fn install() -> Result<Signals, SignalError> {
+        let (wake, writer) = io::pipe()?;
+        let reload_requested = Arc::new(AtomicBool::new(false));
+        let shutdown_requested = Arc::new(AtomicBool::new(false));
+        for (signal, requested) in [(SIGHUP, &reload_requested), (SIGTERM, &shutdown_requested)] {
+            // Actions run in the order of their registration: the flag is set before the byte wakes the reader.
+            flag::register(signal, requested.clone())?;
+            pipe::register(signal, writer.try_clone()?)?;
+        }
+        Ok(Signals { wake, reload_requested, shutdown_requested })
+    }
+
+    /// Whether SIGTERM was received and not handed over yet.
+    pub fn is_shutdown_requested(&self) -> bool {
+        self.shutdown_requested.load(Ordering::SeqCst)
+    }
+
+    /// Starts the thread that hands signals over. It reads the configuration, so that the owner never waits for the file.
+    pub fn spawn_watcher(self, file: PathBuf, mailbox: Arc<Mailbox>) -> Result<(), SignalError> {
+        let thread = std::thread::Builder::new().name("signals".into()).stack_size(STACK_BYTES);
+        thread.spawn(move || self.watch(&file, &mailbox))?;
+        Ok(())
+    }
+
+    fn watch(mut self, file: &std::path::Path, mailbox: &Mailbox) {
+        let mut bytes = [0; 64];
+        loop {
+            // Several signals may have written a byte each; one read takes them all, and the flags tell them apart.
+            match self.wake.read(&mut bytes) {
+                Ok(0) => return,
+                Err(error) if error.kind() != ErrorKind::Interrupted => {
+                    log!(part = "signals", why = error.to_string(), "signals are no longer handled");
+                    return;
+                }
+                _ => {}
+            }
+            // The shutdown first: reading the file may take its time, and the time until the kill runs.
+            if self.shutdown_requested.swap(false, Ordering::SeqCst) {
+                mailbox.send(OwnerEvent::ShutdownRequested);
+            }
+            if self.reload_requested.swap(false, Ordering::SeqCst) {
+                mailbox.send(OwnerEvent::ConfigReloaded(Config::load_again(file).map(Box::new)));
+            }
+        }
+    }
+}
--- a/crates/loomflow-server/tests/amqp.rs
+++ b/crates/loomflow-server/tests/amqp.rs
@@ -483,7 +483,7 @@
     world.write(&new.to_string());
     world.signal("HUP");
     let until = std::time::Instant::now() + PATIENCE;
-    while !world.log().contains("read again") {
+    while !world.log().contains("reloaded") {
         assert!(std::time::Instant::now() < until, "{}", world.log());
         std::thread::sleep(Duration::from_millis(5));
     }
--- a/crates/loomflow-server/tests/leaving.rs
+++ b/crates/loomflow-server/tests/leaving.rs
@@ -145,7 +145,7 @@
     gateway.send(&health(1, true));
     assert_eq!(gateway.answer().tag, 1);
     world.terminate();
-    world.wait_for_log("told to leave");
+    world.wait_for_log("shutdown requested");
     engine.hello("ATTACH 0");
     engine.is_quiet();
     gateway.call(2, "pay", b"x");
--- a/crates/loomflow-server/tests/reload.rs
+++ b/crates/loomflow-server/tests/reload.rs
@@ -84,7 +84,7 @@
     other["limits"]["sockets"] = 99.into();
     world.write(&other.to_string());
     world.signal("HUP");
-    world.wait_for_log("these keys count from the next start on keys=\"limits.sockets, seed\"");
+    world.wait_for_log("these keys take effect at the next start keys=\"limits.sockets, seed\"");
     engine.is_quiet();
     assert!(world.is_running());
 }
--- a/crates/loomflow-server/tests/short_days.rs
+++ b/crates/loomflow-server/tests/short_days.rs
@@ -20,9 +20,9 @@
     call.expect("post");
     let _old = world.moved();
     world.signal("HUP");
-    world.wait_for_log("the configuration was read again");
+    world.wait_for_log("the configuration was reloaded");
     world.terminate();
-    world.wait_for_log("told to leave");
+    world.wait_for_log("shutdown requested");
     let moved = world.engine.link();
     moved.hello("ATTACH 1");
     call.say_body(&format!("{first} posted"), b"ok");
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,3 +8,4 @@
 pub mod estimate;
 pub mod interface;
 pub mod key_table;
+pub mod time;
