--- a/crates/loomflow-adapter/src/wire.rs
+++ b/crates/loomflow-adapter/src/wire.rs
@@ -27,17 +27,17 @@
     pub fn batch(&mut self, line: &str) -> Read<String> {
         let value: Value = serde_json::from_str(line).map_err(|error| format!("batch: not JSON: {error}"))?;
         let batch = Node::new("", &value).map_err(|error| format!("batch: {error}"))?;
-        let number = batch.whole("batch")?;
+        let number = batch.integer("batch")?;
         let outbox = self.play(&batch).map_err(|error| format!("batch {number}: {error}"))?;
         Ok(json!({"batch": number, "outbox": outbox}).to_string())
     }
 
     /// Passes on the events of a batch, and lets each instance that had one decide, in the order of their first events.
     fn play(&mut self, batch: &Node) -> Read<Vec<Value>> {
-        let now = batch.needed("Ts")?;
+        let now = batch.required_number("Ts")?;
         let mut order = Vec::new();
         for item in batch.children("items")? {
-            let message = item.needed_word("msg")?;
+            let message = item.required_text("msg")?;
             self.handle(now, message, &item, &mut order).map_err(|error| format!("{message}: {error}"))?;
         }
         let mut outbox = Vec::new();
@@ -57,13 +57,13 @@
     fn handle(&mut self, now: f64, message: &str, item: &Node, order: &mut Vec<u64>) -> Read<()> {
         match message {
             "BOOT" => {
-                let id = item.whole("ServerId")?;
+                let id = item.integer("ServerId")?;
                 self.instances.insert(id, boot(now, item)?);
                 order.push(id);
                 Ok(())
             }
             "TEARDOWN" => {
-                self.instances.remove(&item.whole("ServerId")?);
+                self.instances.remove(&item.integer("ServerId")?);
                 Ok(())
             }
             "WORK_ITEM" | "WITHDRAWN" | "ALARM" | "BLOCKED" | "TERMINATE_SOON" | "CAME_BACK" | "FINISHED" => {
@@ -75,7 +75,7 @@
 
     /// Passes an event on to its instance.
     fn pass_on(&mut self, now: f64, message: &str, item: &Node, order: &mut Vec<u64>) -> Read<()> {
-        let id = item.whole("ServerId")?;
+        let id = item.integer("ServerId")?;
         let instance =
             self.instances.get_mut(&id).ok_or_else(|| format!("ServerId: instance {id} is unknown"))?;
         let event = instance.event(message, item)?;
@@ -89,7 +89,7 @@
 }
 
 fn boot(now: f64, item: &Node) -> Read<Instance> {
-    let seed = item.whole("Seed")?;
+    let seed = item.integer("Seed")?;
     let Site { settings, gauges, .. } = Site::read(&item.child("Settings")?)?;
     let class_count = settings.classes.len();
     let controller = Controller::new(settings, seed, now);
@@ -103,7 +103,7 @@
             "WITHDRAWN" => Event::RequestCancelled(request(item, "Ref")?),
             "ALARM" => Event::TimerFired(gauges(item, &self.gauges)?),
             "BLOCKED" => Event::CallNeeded(request(item, "Ref")?),
-            "TERMINATE_SOON" => Event::ShutdownRequested { time_left: item.needed("Remaining")? },
+            "TERMINATE_SOON" => Event::ShutdownRequested { time_left: item.required_number("Remaining")? },
             "CAME_BACK" => Event::CallEnded {
                 id: request(item, "Ref")?,
                 outcome: outcome(item)?,
@@ -118,11 +118,11 @@
     }
 
     fn arrival(&self, item: &Node) -> Read<Arrival> {
-        let class = item.whole("Service")? as usize;
+        let class = item.integer("Service")? as usize;
         if class >= self.class_count {
             return Err(format!("Service: class {class} is unknown"));
         }
-        let tenant = item.whole_or("Account", 0)? as usize;
+        let tenant = item.integer_or("Account", 0)? as usize;
         Ok(Arrival {
             id: request(item, "Ref")?,
             class,
@@ -131,8 +131,8 @@
             estimated_work: Some(item.number("WeightHint")?).filter(|work| *work > 0.0),
             memory_kb: item.number("Kb")?,
             rank: item.number("Prio")?,
-            is_retry: item.flag("Resent")?,
-            caller: item.whole_or("From", 0)?,
+            is_retry: item.boolean("Resent")?,
+            caller: item.integer_or("From", 0)?,
             age: item.number("Age")?,
             upstream_time: 0.0,
             original: original(item)?,
@@ -149,7 +149,7 @@
 }
 
 fn request(item: &Node, key: &str) -> Read<RequestId> {
-    RequestId::try_from(item.whole(key)?).or_else(|_| item.error(key, "not a request's number"))
+    RequestId::try_from(item.integer(key)?).or_else(|_| item.error(key, "not a request's number"))
 }
 
 fn gauges(item: &Node, names: &[String]) -> Read<Gauges> {
@@ -157,7 +157,7 @@
 }
 
 fn outcome(item: &Node) -> Read<Outcome> {
-    Ok(match item.whole("Disposition")? {
+    Ok(match item.integer("Disposition")? {
         10 => Outcome::Ok,
         20 => Outcome::Error,
         30 => Outcome::Rejected,
--- /dev/null
+++ b/crates/loomflow-amqp/src/backoff/tests.rs
@@ -0,0 +1,21 @@
+use super::*;
+
+#[test]
+fn pauses_grow_to_a_bound_differ_between_servers_and_start_anew_after_one_that_lasted() {
+    let pauses = |seed| {
+        let mut backoff = Backoff::new(3, seed);
+        let all: Vec<f64> = (0..40).map(|_| backoff.disconnected(0.0)).collect();
+        let tried: std::collections::BTreeSet<usize> =
+            (0..3).map(|_| (backoff.disconnected(0.0), backoff.broker()).1).collect();
+        assert_eq!(tried.len(), 3);
+        backoff.connected(1_000.0);
+        assert!(backoff.disconnected(2_000.0) <= MAX_BOUND_MS);
+        backoff.connected(3_000.0);
+        assert!(backoff.disconnected(3_000.0 + STABLE_AFTER_MS) <= INITIAL_BOUND_MS);
+        all
+    };
+    let (one, other) = (pauses(1), pauses(2));
+    assert_ne!(one, other);
+    assert!(one.iter().all(|p| *p <= MAX_BOUND_MS) && one[0] <= INITIAL_BOUND_MS);
+    assert!(one[8..].iter().copied().fold(0.0, f64::max) > MAX_BOUND_MS / 2.0);
+}
--- a/crates/loomflow-amqp/src/consumer/taking.rs
+++ b/crates/loomflow-amqp/src/consumer/flow_control.rs
@@ -3,30 +3,30 @@
 use amq_protocol::protocol::basic::{self, AMQPMethod};
 use amq_protocol::types::FieldTable;
 
-use super::{Consumer, PUBLISHING, Source};
-use crate::lanes::{self, Step};
+use super::{Consumer, PUBLISH_CHANNEL, QueueState};
+use crate::consumer_pool::{self, ConsumerCommand};
 use crate::message;
 use crate::settings::{Class, Queue};
-use crate::window::divide;
+use crate::window::divide_by_weight;
 
 impl Consumer {
     /// There is somebody to offer to from now on.
-    pub fn open(&mut self) {
-        self.open = true;
+    pub fn start_accepting(&mut self) {
+        self.is_accepting = true;
     }
 
     /// The send share that callers are told.
-    pub fn tell(&mut self, share: f64) {
+    pub fn set_share(&mut self, share: f64) {
         self.share = share;
     }
 
     /// Unix ms at the beginning of our clock: the stamps of senders are read by it.
     pub fn set_epoch(&mut self, epoch: f64) {
-        self.epoch = epoch;
+        self.clock_epoch = epoch;
     }
 
     /// The tenants there are from now on, and the same classes and queues with their figures.
-    pub fn set_terms(&mut self, tenants: Vec<String>, classes: Vec<Class>, queues: Vec<Queue>) {
+    pub fn set_settings(&mut self, tenants: Vec<String>, classes: Vec<Class>, queues: Vec<Queue>) {
         (self.settings.tenants, self.settings.classes, self.settings.queues) = (tenants, classes, queues);
     }
 
@@ -36,46 +36,52 @@
 
     /// Windows, lanes and publishes follow what has happened.
     pub(super) fn flush(&mut self, now: f64) {
-        self.stirred = false;
+        self.is_dirty = false;
         let Some(connection) = &mut self.connection else { return };
-        if !connection.is_up() {
+        if !connection.is_ready() {
             return;
         }
         if self.reopen_at.take_if(|at| now >= *at).is_some() {
-            connection.open_channel(PUBLISHING);
+            connection.open_channel(PUBLISH_CHANNEL);
         }
         // Before it is asked whether publishes hold back: what is written here holds back nothing, and lanes that
         // were cancelled for it would leave the engine idle until the next round.
         while let Some(publish) = self.publisher.write_next(now) {
             let method = basic::Publish {
-                exchange: message::short(&publish.exchange),
-                routing_key: message::short(&publish.routing_key),
+                exchange: message::short_string(&publish.exchange),
+                routing_key: message::short_string(&publish.routing_key),
                 mandatory: true,
                 immediate: false,
             };
-            connection.publish(PUBLISHING, method, publish.properties, &publish.body);
+            connection.publish(PUBLISH_CHANNEL, method, publish.properties, &publish.body);
         }
-        let stopped =
-            !self.open || self.leaving.is_some() || self.publisher.holds_back() || self.identities.is_full();
-        let most = self.settings.most_in_hand;
-        let wanted = |source: &mut Source| {
-            source.window.bound(most.min(lanes::MOST) as f64);
-            source.window.wanted(self.share)
+        let stopped = !self.is_accepting
+            || self.drain_deadline.is_some()
+            || self.publisher.has_backpressure()
+            || self.records.is_full();
+        let most = self.settings.max_in_flight;
+        let wanted = |source: &mut QueueState| {
+            source.window.limit(most.min(consumer_pool::MAX_PREFETCH) as f64);
+            source.window.target(self.share)
         };
-        let wants: Vec<(f64, f64)> =
-            self.sources.iter_mut().zip(&self.settings.queues).map(|(s, q)| (wanted(s), q.worth)).collect();
-        let parts = divide(if stopped { 0 } else { most }, &wants);
+        let wants: Vec<(f64, f64)> = self
+            .queues
+            .iter_mut()
+            .zip(&self.settings.queues)
+            .map(|(s, q)| (wanted(s), q.priority_weight))
+            .collect();
+        let parts = divide_by_weight(if stopped { 0 } else { most }, &wants);
         for (queue, part) in parts.into_iter().enumerate() {
-            for (lane, step) in self.sources[queue].lanes.aim(part, now) {
+            for (lane, step) in self.queues[queue].pool.resize(part, now) {
                 let channel = Consumer::channel_of(queue, lane);
                 let consumer_tag = format!("loomflow.{queue}.{lane}").into();
                 match step {
-                    Step::Open => connection.open_channel(channel),
-                    Step::Consume(prefetch_count) => {
+                    ConsumerCommand::OpenChannel => connection.open_channel(channel),
+                    ConsumerCommand::Consume(prefetch_count) => {
                         let qos = basic::Qos { prefetch_count, global: false };
                         connection.basic(channel, AMQPMethod::Qos(qos));
                         let consume = basic::Consume {
-                            queue: message::short(&self.settings.queues[queue].name),
+                            queue: message::short_string(&self.settings.queues[queue].name),
                             consumer_tag,
                             no_local: false,
                             no_ack: false,
@@ -85,15 +91,15 @@
                         };
                         connection.basic(channel, AMQPMethod::Consume(consume));
                     }
-                    Step::Cancel => {
+                    ConsumerCommand::Cancel => {
                         let cancel = basic::Cancel { consumer_tag, nowait: false };
                         connection.basic(channel, AMQPMethod::Cancel(cancel));
                     }
                 }
             }
         }
-        let done = self.leaving.is_some() && self.deliveries.is_empty() && self.publisher.is_empty();
-        if done && self.sources.iter().all(|source| source.lanes.is_quiet()) {
+        let done = self.drain_deadline.is_some() && self.deliveries.is_empty() && self.publisher.is_empty();
+        if done && self.queues.iter().all(|source| source.pool.is_idle()) {
             connection.close();
         }
     }
--- a/crates/loomflow-amqp/src/consumer/inbound.rs
+++ b/crates/loomflow-amqp/src/consumer/inbound.rs
@@ -3,26 +3,26 @@
 use amq_protocol::protocol::basic::AMQPProperties;
 use loomflow_protocol::Malformed;
 
-use super::{Ask, Consumer, Delivery, For, Offer, Phase};
+use super::{Consumer, ConsumerRequest, Delivery, Phase, PublishPurpose, SubmittedMessage};
 use crate::connection::Channel;
 use crate::content::{Content, Envelope};
-use crate::delivery::Ended;
-use crate::identity::{DeliveryId, Hints, Verdict};
+use crate::idempotency::{DeliveryId, DuplicateDecision, MessageInfo};
 use crate::message;
+use crate::settlement::MessageOutcome;
 
 impl Consumer {
     /// A lane's channel is gone, and with it all that could have been settled there.
-    pub(super) fn channel_gone(&mut self, channel: Channel, now: f64) {
-        let Some((queue, lane)) = self.lane_of(channel) else { return };
-        self.sources[queue].lanes.closed(lane, now);
-        let on_it = |d: &Delivery| (d.queue, d.lane) == (queue, lane);
+    pub(super) fn channel_closed(&mut self, channel: Channel, now: f64) {
+        let Some((queue, lane)) = self.consumer_of(channel) else { return };
+        self.queues[queue].pool.channel_closed(lane, now);
+        let on_it = |d: &Delivery| (d.queue, d.consumer) == (queue, lane);
         let gone: Vec<DeliveryId> =
             self.deliveries.iter().filter(|(_, d)| on_it(d)).map(|(id, _)| *id).collect();
         let waiting: Vec<DeliveryId> =
             gone.into_iter().filter_map(|id| self.abandon(id, now)).flatten().collect();
         // Those that waited on other channels are looked at anew: one of them is the first now.
         for id in waiting {
-            self.take(id, now);
+            self.process(id, now);
         }
     }
 
@@ -31,35 +31,42 @@
     pub(super) fn abandon(&mut self, id: DeliveryId, now: f64) -> Option<Vec<DeliveryId>> {
         let delivery = self.deliveries.remove(&id)?;
         match (delivery.phase, delivery.key) {
-            (Phase::Offered, key) if delivery.began.is_some() => {
-                self.orphans.insert(id, key);
+            (Phase::Submitted, key) if delivery.run_started_at.is_some() => {
+                self.orphaned_runs.insert(id, key);
                 None
             }
-            (Phase::Offered, key) => {
-                self.asks.push(Ask::Gone(id));
+            (Phase::Submitted, key) => {
+                self.requests.push(ConsumerRequest::Cancel(id));
                 let instance = message::publish_id(&delivery.properties);
-                key.map(|key| self.identities.unbegun(&key, instance, now))
+                key.map(|key| self.records.not_started(&key, instance, now))
             }
-            (Phase::Joined, key) => {
+            (Phase::AwaitingOriginal, key) => {
                 if let Some(key) = key {
-                    self.identities.left(&key, id);
+                    self.records.leave(&key, id);
                 }
                 None
             }
-            (Phase::Exit(exit), Some(key)) if exit.waits_for_reply() => {
-                let mark = message::mark(&delivery.properties);
-                let reply =
-                    self.publishes.values_mut().find(|what| matches!(what, For::Reply(of) if *of == id));
+            (Phase::Settling(exit), Some(key)) if exit.awaits_reply_confirm() => {
+                let mark = message::caller_digest(&delivery.properties);
+                let reply = self
+                    .pending_publishes
+                    .values_mut()
+                    .find(|what| matches!(what, PublishPurpose::Reply(of) if *of == id));
                 if let Some(what) = reply {
-                    *what = For::Told(key, mark);
+                    *what = PublishPurpose::LateReply(key, mark);
                 }
                 None
             }
-            (Phase::Exit(_), _) => None,
+            (Phase::Settling(_), _) => None,
         }
     }
 
-    pub(super) fn content(&mut self, channel: Channel, content: Content, now: f64) -> Result<(), Malformed> {
+    pub(super) fn handle_content(
+        &mut self,
+        channel: Channel,
+        content: Content,
+        now: f64,
+    ) -> Result<(), Malformed> {
         let deliver = match content.envelope {
             Envelope::Return(_) => {
                 if let Some(id) = message::publish_id(&content.properties) {
@@ -69,10 +76,10 @@
             }
             Envelope::Deliver(deliver) => deliver,
         };
-        let Some((queue, lane)) = self.lane_of(channel) else {
+        let Some((queue, lane)) = self.consumer_of(channel) else {
             return Err(Malformed("a message on a channel without a consumer"));
         };
-        if !self.sources[queue].lanes.delivered(lane) {
+        if !self.queues[queue].pool.delivered(lane) {
             return Err(Malformed("far more messages than were asked for"));
         }
         self.last_delivery += 1;
@@ -81,70 +88,85 @@
         self.counts.redelivered += u64::from(deliver.redelivered);
         let delivery = Delivery {
             queue,
-            lane,
+            consumer: lane,
             tag: deliver.delivery_tag,
-            place: None,
+            classification: None,
             key: None,
-            sent: self.sent(queue, &content.properties, now),
+            sent_at: self.sent_at(queue, &content.properties, now),
             properties: content.properties,
             body: content.body,
             redelivered: deliver.redelivered,
-            came: now,
-            began: None,
-            phase: Phase::Joined,
+            received_at: now,
+            run_started_at: None,
+            phase: Phase::AwaitingOriginal,
         };
         self.deliveries.insert(id, delivery);
-        if content.too_large {
-            self.end(id, &Ended::Unfit("too-large"), now);
+        if content.is_too_large {
+            self.finish(id, &MessageOutcome::Invalid("too-large"), now);
         } else {
-            self.take(id, now);
+            self.process(id, now);
         }
         Ok(())
     }
 
     /// When a message was sent, on our clock, ms; never later than now, whatever the sender's clock says.
-    fn sent(&self, queue: usize, properties: &AMQPProperties, now: f64) -> Option<f64> {
-        let from = self.settings.queues[queue].sent.as_ref()?;
-        message::sent(from, properties).map(|at| (at - self.epoch).min(now))
+    fn sent_at(&self, queue: usize, properties: &AMQPProperties, now: f64) -> Option<f64> {
+        let from = self.settings.queues[queue].sent_from.as_ref()?;
+        message::sent_at(from, properties).map(|at| (at - self.clock_epoch).min(now))
     }
 
     /// Looks at a message in hand, and offers it, lets it wait or ends it.
-    pub(super) fn take(&mut self, id: DeliveryId, now: f64) {
+    pub(super) fn process(&mut self, id: DeliveryId, now: f64) {
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
         let queue = &self.settings.queues[delivery.queue];
-        let read = message::place(&self.settings, queue, &delivery.properties)
-            .and_then(|place| Ok((place, message::key(&queue.key, place, &delivery.properties)?)));
+        let read = message::classify(&self.settings, queue, &delivery.properties).and_then(|place| {
+            Ok((place, message::idempotency_key(&queue.key, place, &delivery.properties)?))
+        });
         let (place, key) = match read {
             Ok(read) => read,
-            Err(why) => return self.end(id, &Ended::Unfit(why), now),
+            Err(why) => return self.finish(id, &MessageOutcome::Invalid(why), now),
         };
-        delivery.place = Some(place);
+        delivery.classification = Some(place);
         delivery.key = key.clone();
         let redelivered = delivery.redelivered;
-        let spent = delivery.sent.map_or(0.0, |sent| now - sent);
-        let hints = Hints {
-            effect: place.effect,
+        let spent = delivery.sent_at.map_or(0.0, |sent| now - sent);
+        let hints = MessageInfo {
+            has_effect: place.has_effect,
             redelivered,
-            instance: message::publish_id(&delivery.properties),
-            mark: message::mark(&delivery.properties),
-            body: self.identities.digest(&delivery.body),
+            copy: message::publish_id(&delivery.properties),
+            caller_digest: message::caller_digest(&delivery.properties),
+            body_digest: self.records.digest(&delivery.body),
         };
-        match self.identities.judge(id, key.as_ref(), hints, now) {
-            Verdict::Run if self.closed || !self.open => self.end_all(id, &Ended::Leaving, now),
-            Verdict::Run => {
-                delivery.phase = Phase::Offered;
+        match self.records.decide(id, key.as_ref(), hints, now) {
+            DuplicateDecision::Run if self.is_intake_stopped || !self.is_accepting => {
+                self.finish_with_waiters(id, &MessageOutcome::Returned, now)
+            }
+            DuplicateDecision::Run => {
+                delivery.phase = Phase::Submitted;
                 let (queue, body) = (delivery.queue, delivery.body.clone());
                 let key = key.map(|key| key.text);
-                self.asks.push(Ask::Take(Offer { id, queue, place, key, body, redelivered, spent }));
+                self.requests.push(ConsumerRequest::Submit(SubmittedMessage {
+                    id,
+                    queue,
+                    classification: place,
+                    key,
+                    body,
+                    redelivered,
+                    upstream_time: spent,
+                }));
+            }
+            DuplicateDecision::AwaitOriginal => delivery.phase = Phase::AwaitingOriginal,
+            DuplicateDecision::Superseded | DuplicateDecision::AnswerFromRecord { is_answered: true, .. } => {
+                self.finish(id, &MessageOutcome::AlreadyAnswered, now)
+            }
+            DuplicateDecision::AnswerFromRecord { result: ended, .. } => {
+                self.finish(id, &MessageOutcome::Finished(ended), now)
             }
-            Verdict::Join => delivery.phase = Phase::Joined,
-            Verdict::Moved | Verdict::Repeat { told: true, .. } => self.end(id, &Ended::Told, now),
-            Verdict::Repeat { ended, .. } => self.end(id, &Ended::Done(ended), now),
-            Verdict::RunUnknown => self.end(id, &Ended::RunUnknown, now),
-            Verdict::OtherBody => {
+            DuplicateDecision::MayHaveRun => self.finish(id, &MessageOutcome::MayHaveRun, now),
+            DuplicateDecision::BodyMismatch => {
                 // What becomes of it is nothing to the one whose key it bears.
                 delivery.key = None;
-                self.end(id, &Ended::Unfit("key-of-another"), now);
+                self.finish(id, &MessageOutcome::Invalid("key-of-another"), now);
             }
         }
     }
--- a/crates/loomflow-amqp/src/consumer/mod.rs
+++ b/crates/loomflow-amqp/src/consumer/mod.rs
@@ -1,9 +1,9 @@
 //! The front's side of a broker: which messages are taken, what each is offered as, how each is settled. It ties the
 //! parts together and owns every message in hand; what it decides itself is only the order of things.
 
+mod flow_control;
 mod inbound;
 mod outbound;
-mod taking;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,93 +13,93 @@
 use loomflow_protocol::Malformed;
 
 use crate::backoff::Backoff;
-use crate::connection::{Channel, Connection, Login, Told};
-use crate::delivery::{Ended, Exit, Move};
-use crate::identity::{DeliveryId, Identities, Key, Past};
-use crate::lanes::{self, Lanes};
-use crate::message::Place;
+use crate::connection::{Channel, Connection, ConnectionEvent, Login};
+use crate::consumer_pool::{self, ConsumerPool};
+use crate::idempotency::{DeliveryId, IdempotencyKey, IdempotencyRecords, IdempotencyStore};
+use crate::message::Classification;
 use crate::publisher::{PublishId, Publisher};
 use crate::settings::Settings;
+use crate::settlement::{MessageOutcome, Republish, Settling};
 use crate::window::Window;
 
 /// The channel that everything is published on; those of the lanes follow.
-const PUBLISHING: Channel = 1;
-const FIRST_LANE: Channel = 2;
+const PUBLISH_CHANNEL: Channel = 1;
+const FIRST_CONSUMER_CHANNEL: Channel = 2;
 /// A publishing channel that the broker closed is opened again after this, ms.
-const REOPEN: f64 = 1_000.0;
+const REOPEN_BACKOFF_MS: f64 = 1_000.0;
 
 /// A message to be decided upon.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Offer {
+pub struct SubmittedMessage {
     pub id: DeliveryId,
     /// Its place among the queues of the settings.
     pub queue: usize,
-    pub place: Place,
+    pub classification: Classification,
     pub key: Option<String>,
     pub body: Vec<u8>,
     /// The broker gave it to somebody before.
     pub redelivered: bool,
     /// How long ago it was sent, ms; 0 where it does not say.
-    pub spent: f64,
+    pub upstream_time: f64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ask {
-    Take(Offer),
+pub enum ConsumerRequest {
+    Submit(SubmittedMessage),
     /// Nobody waits for the answer to this any more, and its run has not begun.
-    Gone(DeliveryId),
+    Cancel(DeliveryId),
     /// For the log.
-    Note(String),
+    Log(String),
 }
 
 /// The one answer to an offer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ending<'a> {
+pub enum MessageResponse<'a> {
     Served(&'a [u8]),
     /// Turned away, never begun; to come again after so many ms, or nowhere any more (`last`).
-    Refused {
-        pause: f64,
-        last: bool,
+    Rejected {
+        retry_after: f64,
+        is_final: bool,
     },
-    NeverRan,
+    NotRun,
     MayHaveRun,
 }
 
 struct Delivery {
     queue: usize,
-    lane: usize,
+    consumer: usize,
     tag: u64,
     properties: AMQPProperties,
     body: Vec<u8>,
     redelivered: bool,
-    place: Option<Place>,
-    key: Option<Key>,
+    classification: Option<Classification>,
+    key: Option<IdempotencyKey>,
     /// When it was sent, where it says so, and when it came, on our clock, ms.
-    sent: Option<f64>,
-    came: f64,
-    began: Option<f64>,
+    sent_at: Option<f64>,
+    received_at: f64,
+    run_started_at: Option<f64>,
     phase: Phase,
 }
 
 enum Phase {
     /// Offered, and perhaps running.
-    Offered,
+    Submitted,
     /// Waits for another of its key.
-    Joined,
-    Exit(Exit),
+    AwaitingOriginal,
+    Settling(Settling),
 }
 
 /// What a publish is for.
 #[derive(Clone)]
-enum For {
+enum PublishPurpose {
     Reply(DeliveryId),
-    Move(DeliveryId, Move),
+    Republish(DeliveryId, Republish),
     /// The reply to a delivery that is gone meanwhile: once it is confirmed, this caller of the key has heard.
-    Told(Key, u64),
+    LateReply(IdempotencyKey, u64),
 }
 
-struct Source {
-    lanes: Lanes,
+struct QueueState {
+    pool: ConsumerPool,
     window: Window,
 }
 
@@ -120,65 +120,67 @@
     settings: Settings,
     connection: Option<Connection>,
     backoff: Backoff,
-    sources: Vec<Source>,
+    queues: Vec<QueueState>,
     publisher: Publisher,
     /// The publishing channel is to be opened again then.
     reopen_at: Option<f64>,
-    identities: Identities,
+    records: IdempotencyRecords,
     deliveries: BTreeMap<DeliveryId, Delivery>,
     /// Runs that go on although their delivery is gone, for the redelivery that will come.
-    orphans: BTreeMap<DeliveryId, Option<Key>>,
+    orphaned_runs: BTreeMap<DeliveryId, Option<IdempotencyKey>>,
     /// When exits have something to do, us.
-    due: BTreeSet<(i64, DeliveryId)>,
-    publishes: BTreeMap<PublishId, For>,
+    deadlines: BTreeSet<(i64, DeliveryId)>,
+    pending_publishes: BTreeMap<PublishId, PublishPurpose>,
     last_delivery: DeliveryId,
     last_publish: PublishId,
     /// Unix ms at the beginning of our clock.
-    epoch: f64,
+    clock_epoch: f64,
     /// Whether there is somebody to offer to, and the send share that callers are told.
-    open: bool,
+    is_accepting: bool,
     share: f64,
     /// Leaving, with this as the time by which all must be over.
-    leaving: Option<f64>,
+    drain_deadline: Option<f64>,
     /// Nothing that has not begun will be.
-    closed: bool,
-    asks: Vec<Ask>,
+    is_intake_stopped: bool,
+    requests: Vec<ConsumerRequest>,
     /// Something has happened that windows, lanes or publishes have not followed yet.
-    stirred: bool,
+    is_dirty: bool,
     pub counts: Counts,
 }
 
-fn us(ms: f64) -> i64 {
+fn micros(ms: f64) -> i64 {
     (ms * 1000.0) as i64
 }
 
 impl Consumer {
     /// `past`: what is known of keys beyond this process. Nothing is connected yet.
-    pub fn new(settings: Settings, past: Box<dyn Past + Send>, seed: u64) -> Consumer {
+    pub fn new(settings: Settings, past: Box<dyn IdempotencyStore + Send>, seed: u64) -> Consumer {
         let sources = settings.queues.iter();
-        let sources =
-            sources.map(|_| Source { lanes: Lanes::new(lanes::SIZES.len()), window: Window::default() });
+        let sources = sources.map(|_| QueueState {
+            pool: ConsumerPool::new(consumer_pool::PREFETCH_COUNTS.len()),
+            window: Window::default(),
+        });
         Consumer {
             connection: None,
             backoff: Backoff::new(settings.brokers.len(), seed),
-            sources: sources.collect(),
-            publisher: Publisher::new(settings.most_unconfirmed),
+            queues: sources.collect(),
+            publisher: Publisher::new(settings.max_unconfirmed),
             reopen_at: None,
-            identities: Identities::new(settings.remember, settings.room, past),
+            records: IdempotencyRecords::new(settings.retention, settings.capacity, past),
             deliveries: BTreeMap::new(),
-            orphans: BTreeMap::new(),
-            due: BTreeSet::new(),
-            publishes: BTreeMap::new(),
+            orphaned_runs: BTreeMap::new(),
+            deadlines: BTreeSet::new(),
+            pending_publishes: BTreeMap::new(),
             last_delivery: 0,
             // Messages that we publish are told apart among those of all servers.
             last_publish: fastrand::Rng::with_seed(seed).u64(..) >> 8,
-            epoch: 0.0,
-            open: false,
+            clock_epoch: 0.0,
+            is_accepting: false,
             share: 1.0,
-            leaving: None,
-            closed: false,
-            asks: Vec::new(),
-            stirred: false,
+            drain_deadline: None,
+            is_intake_stopped: false,
+            requests: Vec::new(),
+            is_dirty: false,
             counts: Counts::default(),
             settings,
         }
@@ -193,7 +195,7 @@
 
     /// A connection has been opened.
     pub fn connected(&mut self, now: f64) {
-        if self.leaving.is_some() {
+        if self.drain_deadline.is_some() {
             return;
         }
         let login = Login {
@@ -202,140 +204,142 @@
             password: self.settings.password.clone(),
             heartbeat: self.settings.heartbeat,
         };
-        self.connection = Some(Connection::open(login, self.settings.most_body, now));
+        self.connection = Some(Connection::open(login, self.settings.max_body_bytes, now));
     }
 
     /// The connection is over, or could not be opened: when to open the next, ms from now; none once there is no need
     /// of one.
-    pub fn lost(&mut self, now: f64) -> Option<f64> {
+    pub fn disconnected(&mut self, now: f64) -> Option<f64> {
         self.connection = None;
-        self.publisher.lost();
-        self.publishes.clear();
+        self.publisher.connection_lost();
+        self.pending_publishes.clear();
         self.reopen_at = None;
-        for source in &mut self.sources {
-            source.lanes = Lanes::new(lanes::SIZES.len());
+        for source in &mut self.queues {
+            source.pool = ConsumerPool::new(consumer_pool::PREFETCH_COUNTS.len());
         }
         // Whoever waited for one of them goes with it.
         for id in self.deliveries.keys().copied().collect::<Vec<_>>() {
             self.abandon(id, now);
         }
-        self.due.clear();
-        let pause = self.backoff.lost(now);
-        self.leaving.is_none().then_some(pause)
+        self.deadlines.clear();
+        let pause = self.backoff.disconnected(now);
+        self.drain_deadline.is_none().then_some(pause)
     }
 
     /// What is to be written to the connection.
-    pub fn take_out(&mut self, now: f64) -> Vec<u8> {
-        self.connection.as_mut().map(|c| c.take_out(now)).unwrap_or_default()
+    pub fn take_output(&mut self, now: f64) -> Vec<u8> {
+        self.connection.as_mut().map(|c| c.take_output(now)).unwrap_or_default()
     }
 
-    pub fn take_asks(&mut self) -> Vec<Ask> {
-        std::mem::take(&mut self.asks)
+    pub fn take_requests(&mut self) -> Vec<ConsumerRequest> {
+        std::mem::take(&mut self.requests)
     }
 
     /// Takes in a frame. Errors: the connection cannot go on, and is to be broken off.
-    pub fn frame(&mut self, frame: AMQPFrame, now: f64) -> Result<(), Malformed> {
+    pub fn handle_frame(&mut self, frame: AMQPFrame, now: f64) -> Result<(), Malformed> {
         let Some(connection) = &mut self.connection else { return Ok(()) };
-        let Some(told) = connection.frame(frame, now)? else { return Ok(()) };
+        let Some(told) = connection.handle_frame(frame, now)? else { return Ok(()) };
         match told {
-            Told::Up => {
-                self.backoff.up(now);
-                connection.open_channel(PUBLISHING);
+            ConnectionEvent::Ready => {
+                self.backoff.connected(now);
+                connection.open_channel(PUBLISH_CHANNEL);
                 // Channels that the broker allows, shared by the queues.
                 let lanes =
-                    usize::from(connection.channel_max().saturating_sub(1)) / self.sources.len().max(1);
-                for source in &mut self.sources {
-                    source.lanes = Lanes::new(lanes.min(lanes::SIZES.len()));
+                    usize::from(connection.channel_max().saturating_sub(1)) / self.queues.len().max(1);
+                for source in &mut self.queues {
+                    source.pool = ConsumerPool::new(lanes.min(consumer_pool::PREFETCH_COUNTS.len()));
                 }
                 if lanes == 0 {
-                    self.note("the broker allows too few channels for these queues");
+                    self.log("the broker allows too few channels for these queues");
                 }
-                self.note("connected to the broker");
+                self.log("connected to the broker");
             }
-            Told::Opened(PUBLISHING) => connection.confirm(PUBLISHING),
-            Told::Confirming(PUBLISHING) => self.publisher.opened(),
-            Told::Confirming(_) => return Err(Malformed("a method out of order")),
-            Told::Opened(channel) => self.lane(channel, |lanes, at| lanes.opened(at)),
-            Told::ChannelClosed(PUBLISHING, why) => {
-                self.note(&format!("the publishing channel was closed: {why}"));
-                self.reopen_at = Some(now + REOPEN);
-                let fates = self.publisher.closed();
-                self.fates(fates, now);
+            ConnectionEvent::ChannelOpened(PUBLISH_CHANNEL) => connection.enable_confirms(PUBLISH_CHANNEL),
+            ConnectionEvent::ConfirmsEnabled(PUBLISH_CHANNEL) => self.publisher.channel_opened(),
+            ConnectionEvent::ConfirmsEnabled(_) => return Err(Malformed("a method out of order")),
+            ConnectionEvent::ChannelOpened(channel) => {
+                self.with_consumer(channel, |lanes, at| lanes.channel_opened(at))
             }
-            Told::ChannelClosed(channel, why) => {
-                self.note(&format!("a consumer's channel was closed: {why}"));
-                self.channel_gone(channel, now);
+            ConnectionEvent::ChannelClosed(PUBLISH_CHANNEL, why) => {
+                self.log(&format!("the publishing channel was closed: {why}"));
+                self.reopen_at = Some(now + REOPEN_BACKOFF_MS);
+                let fates = self.publisher.channel_closed();
+                self.publishes_finished(fates, now);
             }
-            Told::Flow(PUBLISHING, on) => self.publisher.flow(on),
-            Told::Flow(..) => {}
-            Told::Blocked(is) => {
-                self.note(if is {
+            ConnectionEvent::ChannelClosed(channel, why) => {
+                self.log(&format!("a consumer's channel was closed: {why}"));
+                self.channel_closed(channel, now);
+            }
+            ConnectionEvent::Flow(PUBLISH_CHANNEL, on) => self.publisher.set_flow(on),
+            ConnectionEvent::Flow(..) => {}
+            ConnectionEvent::Blocked(is) => {
+                self.log(if is {
                     "the broker takes no publishes"
                 } else {
                     "the broker takes publishes again"
                 });
-                self.publisher.blocked(is);
+                self.publisher.set_blocked(is);
             }
-            Told::Closed(why) => {
-                self.note(&format!("the broker closed the connection: {why}"));
+            ConnectionEvent::ClosedByBroker(why) => {
+                self.log(&format!("the broker closed the connection: {why}"));
                 return Err(Malformed("the broker closed the connection"));
             }
-            Told::Over => {}
-            Told::Method(channel, method) => self.method(channel, method, now)?,
-            Told::Content(channel, content) => self.content(channel, *content, now)?,
+            ConnectionEvent::Closed => {}
+            ConnectionEvent::Method(channel, method) => self.handle_method(channel, method, now)?,
+            ConnectionEvent::Content(channel, content) => self.handle_content(channel, *content, now)?,
         }
-        self.stirred = true;
+        self.is_dirty = true;
         Ok(())
     }
 
-    fn note(&mut self, text: &str) {
-        self.asks.push(Ask::Note(text.to_owned()));
+    fn log(&mut self, text: &str) {
+        self.requests.push(ConsumerRequest::Log(text.to_owned()));
     }
 
     /// The queue and the lane of a channel.
-    fn lane_of(&self, channel: Channel) -> Option<(usize, usize)> {
-        let at = usize::from(channel.checked_sub(FIRST_LANE)?);
-        let place = (at / lanes::SIZES.len(), at % lanes::SIZES.len());
-        (place.0 < self.sources.len()).then_some(place)
+    fn consumer_of(&self, channel: Channel) -> Option<(usize, usize)> {
+        let at = usize::from(channel.checked_sub(FIRST_CONSUMER_CHANNEL)?);
+        let place = (at / consumer_pool::PREFETCH_COUNTS.len(), at % consumer_pool::PREFETCH_COUNTS.len());
+        (place.0 < self.queues.len()).then_some(place)
     }
 
     fn channel_of(queue: usize, lane: usize) -> Channel {
-        FIRST_LANE + (queue * lanes::SIZES.len() + lane) as Channel
+        FIRST_CONSUMER_CHANNEL + (queue * consumer_pool::PREFETCH_COUNTS.len() + lane) as Channel
     }
 
-    fn lane(&mut self, channel: Channel, does: impl FnOnce(&mut Lanes, usize)) {
-        if let Some((queue, lane)) = self.lane_of(channel) {
-            does(&mut self.sources[queue].lanes, lane);
+    fn with_consumer(&mut self, channel: Channel, does: impl FnOnce(&mut ConsumerPool, usize)) {
+        if let Some((queue, lane)) = self.consumer_of(channel) {
+            does(&mut self.queues[queue].pool, lane);
         }
     }
 
-    fn method(&mut self, channel: Channel, method: AMQPMethod, now: f64) -> Result<(), Malformed> {
+    fn handle_method(&mut self, channel: Channel, method: AMQPMethod, now: f64) -> Result<(), Malformed> {
         match method {
             AMQPMethod::QosOk(_) => {}
-            AMQPMethod::ConsumeOk(_) => self.lane(channel, |lanes, at| lanes.started(at)),
-            AMQPMethod::CancelOk(_) => self.lane(channel, |lanes, at| lanes.cancelled(at)),
+            AMQPMethod::ConsumeOk(_) => self.with_consumer(channel, |lanes, at| lanes.consumer_started(at)),
+            AMQPMethod::CancelOk(_) => self.with_consumer(channel, |lanes, at| lanes.consumer_cancelled(at)),
             AMQPMethod::Cancel(cancel) => {
-                self.note("the broker cancelled a consumer");
-                self.lane(channel, |lanes, at| lanes.cancelled_by_broker(at, now));
+                self.log("the broker cancelled a consumer");
+                self.with_consumer(channel, |lanes, at| lanes.cancelled_by_broker(at, now));
                 if !cancel.nowait {
                     let consumer_tag = cancel.consumer_tag;
-                    self.say(channel, AMQPMethod::CancelOk(basic::CancelOk { consumer_tag }));
+                    self.send(channel, AMQPMethod::CancelOk(basic::CancelOk { consumer_tag }));
                 }
             }
-            AMQPMethod::Ack(ack) if channel == PUBLISHING => {
-                let fates = self.publisher.settled(ack.delivery_tag, ack.multiple, true, now);
-                self.fates(fates, now);
+            AMQPMethod::Ack(ack) if channel == PUBLISH_CHANNEL => {
+                let fates = self.publisher.confirmed(ack.delivery_tag, ack.multiple, true, now);
+                self.publishes_finished(fates, now);
             }
-            AMQPMethod::Nack(nack) if channel == PUBLISHING => {
-                let fates = self.publisher.settled(nack.delivery_tag, nack.multiple, false, now);
-                self.fates(fates, now);
+            AMQPMethod::Nack(nack) if channel == PUBLISH_CHANNEL => {
+                let fates = self.publisher.confirmed(nack.delivery_tag, nack.multiple, false, now);
+                self.publishes_finished(fates, now);
             }
             _ => return Err(Malformed("a method out of order")),
         }
         Ok(())
     }
 
-    fn say(&mut self, channel: Channel, method: AMQPMethod) {
+    fn send(&mut self, channel: Channel, method: AMQPMethod) {
         if let Some(connection) = &mut self.connection {
             connection.basic(channel, method);
         }
@@ -345,15 +349,15 @@
 
     /// Looks at times, and does what has followed from frames and answers since the last. Errors: the connection cannot go on, and is to be broken off.
     pub fn tick(&mut self, now: f64) -> Result<(), Malformed> {
-        self.identities.expire(now);
-        while let Some((at, id)) = self.due.first().copied().filter(|(at, _)| *at <= us(now)) {
-            self.due.remove(&(at, id));
-            self.drive(id, now);
+        self.records.expire(now);
+        while let Some((at, id)) = self.deadlines.first().copied().filter(|(at, _)| *at <= micros(now)) {
+            self.deadlines.remove(&(at, id));
+            self.advance(id, now);
         }
         if let Some(connection) = &mut self.connection {
             connection.tick(now)?;
         }
-        if self.publisher.is_stuck(now) {
+        if self.publisher.has_timed_out(now) {
             return Err(Malformed("publishes are not confirmed"));
         }
         self.flush(now);
@@ -361,63 +365,64 @@
     }
 
     /// When there is something to do without a word from anybody; besides, `tick` is due a few times a second.
-    pub fn wake(&self) -> f64 {
-        if self.stirred {
+    pub fn next_deadline(&self) -> f64 {
+        if self.is_dirty {
             return 0.0;
         }
-        self.due.first().map_or(f64::INFINITY, |(at, _)| *at as f64 / 1000.0)
+        self.deadlines.first().map_or(f64::INFINITY, |(at, _)| *at as f64 / 1000.0)
     }
 
     /// The notice to leave: nothing more is taken, and what waits for the end of its pause goes back. All must be over
     /// `by` then.
-    pub fn leave(&mut self, by: f64, now: f64) {
-        if self.leaving.is_some() {
+    pub fn begin_drain(&mut self, by: f64, now: f64) {
+        if self.drain_deadline.is_some() {
             return;
         }
-        self.leaving = Some(by);
+        self.drain_deadline = Some(by);
         // One that is not up yet carries nothing that would have to be settled.
-        if let Some(connection) = self.connection.as_mut().filter(|connection| !connection.is_up()) {
+        if let Some(connection) = self.connection.as_mut().filter(|connection| !connection.is_ready()) {
             connection.close();
         }
-        let exits = self.deliveries.iter().filter(|(_, d)| matches!(d.phase, Phase::Exit(_)));
+        let exits = self.deliveries.iter().filter(|(_, d)| matches!(d.phase, Phase::Settling(_)));
         let exits: Vec<DeliveryId> = exits.map(|(id, _)| *id).collect();
-        exits.into_iter().for_each(|id| self.drive(id, now));
+        exits.into_iter().for_each(|id| self.advance(id, now));
         self.flush(now);
     }
 
     /// The grace is over: what has not begun goes back.
-    pub fn close(&mut self, now: f64) {
-        self.closed = true;
-        let unbegun = |d: &Delivery| matches!(d.phase, Phase::Offered) && d.began.is_none();
+    pub fn stop_intake(&mut self, now: f64) {
+        self.is_intake_stopped = true;
+        let unbegun = |d: &Delivery| matches!(d.phase, Phase::Submitted) && d.run_started_at.is_none();
         let back: Vec<DeliveryId> =
             self.deliveries.iter().filter(|(_, d)| unbegun(d)).map(|(id, _)| *id).collect();
         for id in back {
-            self.asks.push(Ask::Gone(id));
-            self.end_all(id, &Ended::Leaving, now);
+            self.requests.push(ConsumerRequest::Cancel(id));
+            self.finish_with_waiters(id, &MessageOutcome::Returned, now);
         }
         self.flush(now);
     }
 
     /// Whether nothing is owed to the broker any more, or there is no more time for it.
-    pub fn is_over(&self, now: f64) -> bool {
-        self.leaving.is_some_and(|by| now >= by || self.connection.as_ref().is_none_or(Connection::is_over))
+    pub fn is_drained(&self, now: f64) -> bool {
+        self.drain_deadline
+            .is_some_and(|by| now >= by || self.connection.as_ref().is_none_or(Connection::is_closed))
     }
 
     // ---- For those who look ----
 
     /// Messages in hand that the broker has not heard the end of.
     pub fn unsettled(&self) -> usize {
-        self.sources.iter().map(|source| source.lanes.unsettled()).sum()
+        self.queues.iter().map(|source| source.pool.unsettled()).sum()
     }
 
     /// Each queue's window at a send share of 1.
     pub fn windows(&self) -> impl Iterator<Item = f64> + '_ {
-        self.sources.iter().map(|source| source.window.wanted(1.0))
+        self.queues.iter().map(|source| source.window.target(1.0))
     }
 
     /// How long each queue's messages stood at the broker of late, ms, by what they say.
-    pub fn stood(&self) -> impl Iterator<Item = f64> + '_ {
-        self.sources.iter().map(|source| source.window.stood())
+    pub fn broker_times(&self) -> impl Iterator<Item = f64> + '_ {
+        self.queues.iter().map(|source| source.window.broker_time())
     }
 
     /// The send share that scales them.
@@ -426,6 +431,6 @@
     }
 
     pub fn remembered(&self) -> usize {
-        self.identities.len()
+        self.records.len()
     }
 }
--- a/crates/loomflow-amqp/src/consumer/outbound.rs
+++ b/crates/loomflow-amqp/src/consumer/outbound.rs
@@ -4,205 +4,216 @@
 
 use amq_protocol::protocol::basic::{self, AMQPMethod};
 
-use super::{Ask, Consumer, Delivery, Ending, For, Phase, us};
-use crate::delivery::{Do, Ended, Exit, Move, Settle, Status, Terms};
-use crate::identity::{DeliveryId, Final, Instance, Key};
+use super::{Consumer, ConsumerRequest, Delivery, MessageResponse, Phase, PublishPurpose, micros};
+use crate::idempotency::{CopyId, DeliveryId, IdempotencyKey, RunResult};
 use crate::message;
-use crate::publisher::{Fate, PublishId};
-use crate::window::{self, Seen};
+use crate::publisher::{PublishId, PublishResult};
+use crate::settlement::{
+    MessageOutcome, ReplyStatus, Republish, Settlement, SettlementAction, SettlementContext, Settling,
+};
+use crate::window::{self, Observation};
 
 impl Consumer {
     /// Its run may begin from now on.
-    pub fn began(&mut self, id: DeliveryId, now: f64) {
-        let offered = |d: &&mut Delivery| matches!(d.phase, Phase::Offered);
+    pub fn run_started(&mut self, id: DeliveryId, now: f64) {
+        let offered = |d: &&mut Delivery| matches!(d.phase, Phase::Submitted);
         let Some(delivery) = self.deliveries.get_mut(&id).filter(offered) else { return };
-        delivery.began = Some(now);
+        delivery.run_started_at = Some(now);
         if let Some(key) = &delivery.key {
-            self.identities.begun(key);
+            self.records.run_started(key);
         }
     }
 
     /// The answer to an offer.
-    pub fn answer(&mut self, id: DeliveryId, ending: Ending, now: f64) {
+    pub fn respond(&mut self, id: DeliveryId, ending: MessageResponse, now: f64) {
         let ended = match ending {
-            Ending::Served(body) => Ended::Done(Final::Served(Arc::from(body))),
-            Ending::MayHaveRun => Ended::Done(Final::Failed),
-            Ending::Refused { .. } if self.closed => Ended::Leaving,
-            Ending::Refused { pause, last } => Ended::Refused { pause, last },
-            Ending::NeverRan => Ended::NeverRan,
+            MessageResponse::Served(body) => MessageOutcome::Finished(RunResult::Served(Arc::from(body))),
+            MessageResponse::MayHaveRun => MessageOutcome::Finished(RunResult::Failed),
+            MessageResponse::Rejected { .. } if self.is_intake_stopped => MessageOutcome::Returned,
+            MessageResponse::Rejected { retry_after: pause, is_final: last } => {
+                MessageOutcome::Rejected { retry_after: pause, is_final: last }
+            }
+            MessageResponse::NotRun => MessageOutcome::NotRun,
         };
-        if let Some(key) = self.orphans.remove(&id) {
-            let waiting = key.map(|key| self.known(&key, None, &ended, now)).unwrap_or_default();
-            waiting.into_iter().for_each(|id| self.end(id, &ended, now));
-        } else if self.deliveries.get(&id).is_some_and(|d| matches!(d.phase, Phase::Offered)) {
+        if let Some(key) = self.orphaned_runs.remove(&id) {
+            let waiting = key.map(|key| self.finish_key(&key, None, &ended, now)).unwrap_or_default();
+            waiting.into_iter().for_each(|id| self.finish(id, &ended, now));
+        } else if self.deliveries.get(&id).is_some_and(|d| matches!(d.phase, Phase::Submitted)) {
             self.observe(id, &ended, now);
-            self.end_all(id, &ended, now);
+            self.finish_with_waiters(id, &ended, now);
         }
-        self.stirred = true;
+        self.is_dirty = true;
     }
 
     /// What an ending tells of a key; who waited for it is the answer.
-    fn known(&mut self, key: &Key, instance: Option<Instance>, ended: &Ended, now: f64) -> Vec<DeliveryId> {
+    fn finish_key(
+        &mut self,
+        key: &IdempotencyKey,
+        instance: Option<CopyId>,
+        ended: &MessageOutcome,
+        now: f64,
+    ) -> Vec<DeliveryId> {
         match ended {
-            Ended::Done(done) => self.identities.ended(key, done.clone(), now),
-            _ => self.identities.unbegun(key, instance, now),
+            MessageOutcome::Finished(done) => self.records.run_finished(key, done.clone(), now),
+            _ => self.records.not_started(key, instance, now),
         }
     }
 
-    fn observe(&mut self, id: DeliveryId, ended: &Ended, now: f64) {
+    fn observe(&mut self, id: DeliveryId, ended: &MessageOutcome, now: f64) {
         let Some(delivery) = self.deliveries.get(&id) else { return };
-        let source = &mut self.sources[delivery.queue];
+        let source = &mut self.queues[delivery.queue];
         let how = match ended {
-            Ended::Done(Final::Served(_)) => window::Ended::Served,
-            Ended::Refused { .. } => window::Ended::Refused,
-            _ => window::Ended::Otherwise,
+            MessageOutcome::Finished(RunResult::Served(_)) => window::Outcome::Served,
+            MessageOutcome::Rejected { .. } => window::Outcome::Rejected,
+            _ => window::Outcome::Other,
         };
-        source.window.answered(
-            Seen {
-                ended: how,
-                stood: delivery.sent.map(|at| delivery.came - at),
-                waited: delivery.began.map(|at| at - delivery.came),
-                took: now - delivery.came,
-                limited: source.lanes.is_full(),
+        source.window.observe(
+            Observation {
+                outcome: how,
+                broker_time: delivery.sent_at.map(|at| delivery.received_at - at),
+                queue_time: delivery.run_started_at.map(|at| at - delivery.received_at),
+                total_time: now - delivery.received_at,
+                is_limited: source.pool.is_full(),
             },
             now,
         );
     }
 
     /// A message has ended, and all that waited for it with it.
-    pub(super) fn end_all(&mut self, id: DeliveryId, ended: &Ended, now: f64) {
+    pub(super) fn finish_with_waiters(&mut self, id: DeliveryId, ended: &MessageOutcome, now: f64) {
         let of = self.deliveries.get(&id).map(|d| (d.key.clone(), message::publish_id(&d.properties)));
         let waiting = match of {
-            Some((Some(key), instance)) => self.known(&key, instance, ended, now),
+            Some((Some(key), instance)) => self.finish_key(&key, instance, ended, now),
             _ => Vec::new(),
         };
-        self.end(id, ended, now);
-        waiting.into_iter().for_each(|id| self.end(id, ended, now));
+        self.finish(id, ended, now);
+        waiting.into_iter().for_each(|id| self.finish(id, ended, now));
     }
 
-    pub(super) fn end(&mut self, id: DeliveryId, ended: &Ended, now: f64) {
+    pub(super) fn finish(&mut self, id: DeliveryId, ended: &MessageOutcome, now: f64) {
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
-        let terms = Terms {
-            replies: message::reply_to(&self.settings, &delivery.properties).is_some(),
-            dead_letter: self.settings.dead_letter.is_some(),
-            rounds: message::rounds(&delivery.properties),
-            most_rounds: self.settings.rounds,
-            effect: delivery.place.is_none_or(|place| place.effect),
-            left: delivery
-                .place
-                .zip(delivery.sent)
-                .map(|(place, sent)| sent + self.settings.classes[place.class].give_up - now),
+        let terms = SettlementContext {
+            has_reply_to: message::reply_to(&self.settings, &delivery.properties).is_some(),
+            has_dead_letter: self.settings.dead_letter.is_some(),
+            retry_count: message::retry_count(&delivery.properties),
+            max_retries: self.settings.max_retries,
+            has_effect: delivery.classification.is_none_or(|place| place.has_effect),
+            time_left: delivery
+                .classification
+                .zip(delivery.sent_at)
+                .map(|(place, sent)| sent + self.settings.classes[place.class].timeout - now),
         };
-        delivery.phase = Phase::Exit(Exit::new(ended, terms, now));
-        self.drive(id, now);
+        delivery.phase = Phase::Settling(Settling::new(ended, terms, now));
+        self.advance(id, now);
     }
 
     /// Does what an exit wants done.
-    pub(super) fn drive(&mut self, id: DeliveryId, now: f64) {
+    pub(super) fn advance(&mut self, id: DeliveryId, now: f64) {
         loop {
             let Some(delivery) = self.deliveries.get_mut(&id) else { return };
-            let Phase::Exit(exit) = &mut delivery.phase else { return };
-            if self.leaving.is_some() {
-                exit.hurry(now);
+            let Phase::Settling(exit) = &mut delivery.phase else { return };
+            if self.drain_deadline.is_some() {
+                exit.skip_backoff(now);
             }
-            let Some(what) = exit.next(now) else {
-                if let Some(at) = exit.due() {
-                    self.due.insert((us(at), id));
+            let Some(what) = exit.next_action(now) else {
+                if let Some(at) = exit.next_deadline() {
+                    self.deadlines.insert((micros(at), id));
                 }
                 return;
             };
             match what {
-                Do::Reply(status) => self.reply(id, &status),
-                Do::Move(to) => self.move_on(id, to),
-                Do::Settle(how) => return self.settle(id, how),
+                SettlementAction::Reply(status) => self.publish_reply(id, &status),
+                SettlementAction::Republish(to) => self.republish(id, to),
+                SettlementAction::Settle(how) => return self.settle(id, how),
             }
         }
     }
 
-    fn publish_id(&mut self, what: For) -> PublishId {
+    fn publish_id(&mut self, what: PublishPurpose) -> PublishId {
         self.last_publish += 1;
-        self.publishes.insert(self.last_publish, what);
+        self.pending_publishes.insert(self.last_publish, what);
         self.last_publish
     }
 
-    fn reply(&mut self, id: DeliveryId, status: &Status) {
-        let number = self.publish_id(For::Reply(id));
+    fn publish_reply(&mut self, id: DeliveryId, status: &ReplyStatus) {
+        let number = self.publish_id(PublishPurpose::Reply(id));
         let Some(delivery) = self.deliveries.get(&id) else { return };
         if let Some(publish) = message::reply(&self.settings, &delivery.properties, status, number) {
-            self.publisher.put(number, publish);
+            self.publisher.enqueue(number, publish);
         }
     }
 
-    fn move_on(&mut self, id: DeliveryId, to: Move) {
-        let number = self.publish_id(For::Move(id, to));
+    fn republish(&mut self, id: DeliveryId, to: Republish) {
+        let number = self.publish_id(PublishPurpose::Republish(id, to));
         let Some(delivery) = self.deliveries.get(&id) else { return };
         let queue = &self.settings.queues[delivery.queue].name;
         if let Some(key) = &delivery.key {
-            self.identities.moving(key, message::publish_id(&delivery.properties), number);
+            self.records.republishing(key, message::publish_id(&delivery.properties), number);
         }
-        let publish = message::moved(&self.settings, queue, &delivery.properties, &delivery.body, to, number);
-        if let Move::Dead(reason) = to {
-            self.asks.push(Ask::Note(format!("a message was given up: {reason}")));
+        let publish =
+            message::republished(&self.settings, queue, &delivery.properties, &delivery.body, to, number);
+        if let Republish::DeadLetter(reason) = to {
+            self.requests.push(ConsumerRequest::Log(format!("a message was given up: {reason}")));
         }
-        self.publisher.put(number, publish);
+        self.publisher.enqueue(number, publish);
     }
 
-    fn settle(&mut self, id: DeliveryId, how: Settle) {
+    fn settle(&mut self, id: DeliveryId, how: Settlement) {
         let Some(delivery) = self.deliveries.remove(&id) else { return };
-        self.sources[delivery.queue].lanes.settled(delivery.lane);
+        self.queues[delivery.queue].pool.settled(delivery.consumer);
         let delivery_tag = delivery.tag;
         let (method, count) = match how {
-            Settle::Ack => {
+            Settlement::Ack => {
                 (AMQPMethod::Ack(basic::Ack { delivery_tag, multiple: false }), &mut self.counts.acked)
             }
-            Settle::Requeue => {
+            Settlement::Requeue => {
                 let nack = basic::Nack { delivery_tag, multiple: false, requeue: true };
                 (AMQPMethod::Nack(nack), &mut self.counts.requeued)
             }
-            Settle::Reject => {
+            Settlement::Reject => {
                 let reject = basic::Reject { delivery_tag, requeue: false };
                 (AMQPMethod::Reject(reject), &mut self.counts.rejected)
             }
         };
         *count += 1;
-        self.say(Consumer::channel_of(delivery.queue, delivery.lane), method);
+        self.send(Consumer::channel_of(delivery.queue, delivery.consumer), method);
     }
 
     /// What became of publishes.
-    pub(super) fn fates(&mut self, fates: Vec<(PublishId, Fate)>, now: f64) {
+    pub(super) fn publishes_finished(&mut self, fates: Vec<(PublishId, PublishResult)>, now: f64) {
         for (number, fate) in fates {
-            let Some(what) = self.publishes.remove(&number) else { continue };
+            let Some(what) = self.pending_publishes.remove(&number) else { continue };
             let (id, to) = match what {
-                For::Reply(id) => (id, None),
-                For::Move(id, to) => (id, Some(to)),
-                For::Told(key, mark) => {
-                    if fate == Fate::Confirmed {
-                        self.identities.told(&key, mark);
+                PublishPurpose::Reply(id) => (id, None),
+                PublishPurpose::Republish(id, to) => (id, Some(to)),
+                PublishPurpose::LateReply(key, mark) => {
+                    if fate == PublishResult::Confirmed {
+                        self.records.caller_answered(&key, mark);
                     }
                     continue;
                 }
             };
             let Some(delivery) = self.deliveries.get_mut(&id) else { continue };
-            let Phase::Exit(exit) = &mut delivery.phase else { continue };
+            let Phase::Settling(exit) = &mut delivery.phase else { continue };
             match to {
                 None => {
-                    exit.replied(fate, now);
-                    self.counts.replied += u64::from(fate == Fate::Confirmed);
+                    exit.reply_published(fate, now);
+                    self.counts.replied += u64::from(fate == PublishResult::Confirmed);
                 }
                 Some(to) => {
-                    exit.moved(fate, now);
-                    if let (Some(key), true) = (&delivery.key, fate != Fate::Lost) {
-                        self.identities.moved(key, number, fate == Fate::Confirmed);
+                    exit.republished(fate, now);
+                    if let (Some(key), true) = (&delivery.key, fate != PublishResult::Unknown) {
+                        self.records.republished(key, number, fate == PublishResult::Confirmed);
                     }
-                    let back = matches!(to, Move::Back { .. });
+                    let back = matches!(to, Republish::Requeue { .. });
                     let count = if back { &mut self.counts.put_back } else { &mut self.counts.dead };
-                    *count += u64::from(fate == Fate::Confirmed);
+                    *count += u64::from(fate == PublishResult::Confirmed);
                 }
             }
-            if let (Some(key), true) = (&delivery.key, exit.is_told()) {
-                self.identities.told(key, message::mark(&delivery.properties));
+            if let (Some(key), true) = (&delivery.key, exit.is_caller_answered()) {
+                self.records.caller_answered(key, message::caller_digest(&delivery.properties));
             }
-            self.drive(id, now);
+            self.advance(id, now);
         }
     }
 }
--- a/crates/loomflow-amqp/src/lib.rs
+++ b/crates/loomflow-amqp/src/lib.rs
@@ -11,17 +11,17 @@
 pub mod backoff;
 pub mod connection;
 pub mod consumer;
+pub mod consumer_pool;
 pub mod content;
-pub mod delivery;
 pub mod frames;
-pub mod identity;
-pub mod lanes;
+pub mod idempotency;
 pub mod message;
-pub mod old;
 pub mod publisher;
+pub mod retired_keys;
 pub mod settings;
+pub mod settlement;
 pub mod window;
 
 pub use amq_protocol::frame::AMQPFrame as Frame;
-pub use consumer::{Ask, Consumer, Ending, Offer};
+pub use consumer::{Consumer, ConsumerRequest, MessageResponse, SubmittedMessage};
 pub use settings::{Class, KeyFrom, NameFrom, Queue, SentFrom, Settings, Target};
--- a/crates/loomflow-amqp/src/message.rs
+++ b/crates/loomflow-amqp/src/message.rs
@@ -5,10 +5,10 @@
 use amq_protocol::protocol::basic::AMQPProperties;
 use amq_protocol::types::{AMQPValue, FieldTable, ShortString};
 
-use crate::delivery::{Move, Status};
-use crate::identity::{Final, Key};
+use crate::idempotency::{IdempotencyKey, RunResult};
 use crate::publisher::{Publish, PublishId};
 use crate::settings::{KeyFrom, NameFrom, Queue, SentFrom, Settings};
+use crate::settlement::{ReplyStatus, Republish};
 
 /// Header of everything we publish: its number, so that a returned one is known again.
 pub const PUBLISH: &str = "x-loomflow-publish";
@@ -26,7 +26,7 @@
 /// Headers by which a publisher routes copies elsewhere (extension); a message that is published anew has been there.
 const COPIES: [&str; 2] = ["CC", "BCC"];
 const PERSISTENT: u8 = 2;
-const MOST_KEY: usize = 512;
+const MAX_KEY_BYTES: usize = 512;
 
 fn header<'a>(properties: &'a AMQPProperties, name: &str) -> Option<&'a AMQPValue> {
     properties.headers().as_ref()?.inner().get(name)
@@ -60,21 +60,25 @@
     number(properties, PUBLISH)
 }
 
-pub fn rounds(properties: &AMQPProperties) -> u32 {
+pub fn retry_count(properties: &AMQPProperties) -> u32 {
     number(properties, ROUNDS).and_then(|n| u32::try_from(n).ok()).unwrap_or(0)
 }
 
 /// Who a message is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Classification {
     pub class: usize,
     pub tenant: usize,
     /// Running it twice is one time too many.
-    pub effect: bool,
+    pub has_effect: bool,
 }
 
 /// Class and tenant by the names that the queue or the message states. Errors: the reason to give it up.
-pub fn place(settings: &Settings, queue: &Queue, properties: &AMQPProperties) -> Result<Place, &'static str> {
+pub fn classify(
+    settings: &Settings,
+    queue: &Queue,
+    properties: &AMQPProperties,
+) -> Result<Classification, &'static str> {
     let name = |from: &NameFrom| match from {
         NameFrom::Fixed(name) => Some(name.clone()),
         NameFrom::Header(name) => text(properties, name),
@@ -88,11 +92,15 @@
             settings.tenants.iter().position(|one| *one == tenant).ok_or("unknown-tenant")?
         }
     };
-    Ok(Place { class, tenant, effect: settings.classes[class].effect })
+    Ok(Classification { class, tenant, has_effect: settings.classes[class].has_effect })
 }
 
 /// What makes a repeat of a message recognisable. Errors: the reason to give it up.
-pub fn key(from: &KeyFrom, place: Place, properties: &AMQPProperties) -> Result<Option<Key>, &'static str> {
+pub fn idempotency_key(
+    from: &KeyFrom,
+    place: Classification,
+    properties: &AMQPProperties,
+) -> Result<Option<IdempotencyKey>, &'static str> {
     let text = match from {
         KeyFrom::Header(name) => text(properties, name),
         KeyFrom::MessageId => properties.message_id().as_ref().map(|id| match properties.app_id() {
@@ -101,14 +109,14 @@
         }),
     };
     match text.filter(|text| !text.is_empty()) {
-        Some(text) if text.len() > MOST_KEY => Err("key-too-long"),
-        text => Ok(text.map(|text| Key { class: place.class, tenant: place.tenant, text })),
+        Some(text) if text.len() > MAX_KEY_BYTES => Err("key-too-long"),
+        text => Ok(text.map(|text| IdempotencyKey { class: place.class, tenant: place.tenant, text })),
     }
 }
 
 /// When a message was sent, Unix ms; none where it does not say. A stamp in whole seconds is read as the last moment
 /// of its second, so that nothing counts as older than it is.
-pub fn sent(from: &SentFrom, properties: &AMQPProperties) -> Option<f64> {
+pub fn sent_at(from: &SentFrom, properties: &AMQPProperties) -> Option<f64> {
     let header = match from {
         SentFrom::Header(name) => number(properties, name),
         SentFrom::Timestamp => None,
@@ -118,7 +126,7 @@
 }
 
 /// Names the caller of a message among those of the same key.
-pub fn mark(properties: &AMQPProperties) -> u64 {
+pub fn caller_digest(properties: &AMQPProperties) -> u64 {
     let mut hasher = DefaultHasher::new();
     (properties.reply_to(), properties.correlation_id()).hash(&mut hasher);
     hasher.finish()
@@ -134,7 +142,12 @@
 }
 
 /// The reply to a message; none where nobody is to be told.
-pub fn reply(settings: &Settings, of: &AMQPProperties, status: &Status, id: PublishId) -> Option<Publish> {
+pub fn reply(
+    settings: &Settings,
+    of: &AMQPProperties,
+    status: &ReplyStatus,
+    id: PublishId,
+) -> Option<Publish> {
     let (exchange, routing_key) = reply_to(settings, of)?;
     let mut headers = FieldTable::default();
     let mut set = |name: &str, value| {
@@ -143,13 +156,13 @@
     set(PUBLISH, AMQPValue::LongLongInt(id as i64));
     let said = |text: &str| AMQPValue::LongString(text.into());
     let (kind, body) = match status {
-        Status::Served(Final::Served(body)) => ("served", body.to_vec()),
-        Status::Served(_) => ("served", Vec::new()),
-        Status::Refused(pause) => {
+        ReplyStatus::Served(RunResult::Served(body)) => ("served", body.to_vec()),
+        ReplyStatus::Served(_) => ("served", Vec::new()),
+        ReplyStatus::Rejected(pause) => {
             set(HOLDOFF, AMQPValue::LongLongInt(pause.ceil() as i64));
             ("refused", Vec::new())
         }
-        Status::Failed { reason, may_have_run, holdoff } => {
+        ReplyStatus::Failed { reason, may_have_run, retry_after: holdoff } => {
             if let Some(pause) = holdoff {
                 set(HOLDOFF, AMQPValue::LongLongInt(pause.ceil() as i64));
             }
@@ -170,12 +183,12 @@
 }
 
 /// A message published anew: to its queue, or where dead letters go.
-pub fn moved(
+pub fn republished(
     settings: &Settings,
     queue: &str,
     of: &AMQPProperties,
     body: &[u8],
-    to: Move,
+    to: Republish,
     id: PublishId,
 ) -> Publish {
     let mut headers: FieldTable = FieldTable::default();
@@ -185,13 +198,13 @@
         }
     }
     headers.insert(PUBLISH.into(), AMQPValue::LongLongInt(id as i64));
-    let mut properties = unowned(of, &mut headers);
+    let mut properties = without_user(of, &mut headers);
     let (exchange, routing_key) = match (to, &settings.dead_letter) {
-        (Move::Back { rounds }, _) => {
+        (Republish::Requeue { retry_count: rounds }, _) => {
             headers.insert(ROUNDS.into(), AMQPValue::LongLongInt(i64::from(rounds)));
             (String::new(), queue.to_owned())
         }
-        (Move::Dead(reason), dead) => {
+        (Republish::DeadLetter(reason), dead) => {
             headers.insert(REASON.into(), AMQPValue::LongString(reason.into()));
             headers.insert(QUEUE.into(), AMQPValue::LongString(queue.into()));
             // Kept for people to look at, whatever its sender wished.
@@ -203,7 +216,7 @@
 }
 
 /// The properties of a message without its user: a broker refuses one that is not our own (extension).
-fn unowned(of: &AMQPProperties, headers: &mut FieldTable) -> AMQPProperties {
+fn without_user(of: &AMQPProperties, headers: &mut FieldTable) -> AMQPProperties {
     let Some(user) = of.user_id() else { return of.clone() };
     headers.insert(USER.into(), AMQPValue::LongString(user.as_str().into()));
     let mut kept = AMQPProperties::default();
@@ -220,30 +233,9 @@
 }
 
 /// A short string of a setting, which is checked for its length where it is read.
-pub fn short(text: &str) -> ShortString {
+pub fn short_string(text: &str) -> ShortString {
     ShortString::try_new(text).unwrap_or_default()
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_message_is_never_read_as_older_than_it_says() {
-        let from = SentFrom::Header("at".into());
-        let with = |value| {
-            let mut headers = FieldTable::default();
-            headers.insert("at".into(), value);
-            AMQPProperties::default().with_headers(headers).with_timestamp(5)
-        };
-        assert_eq!(sent(&from, &with(AMQPValue::LongLongInt(7_250))), Some(7_250.0));
-        assert_eq!(sent(&from, &with(AMQPValue::Timestamp(7_250))), Some(7_250.0));
-        // No number, a time before 1970, or no header: the property, at the end of its second.
-        for value in [AMQPValue::LongString("7250".into()), AMQPValue::LongLongInt(-1)] {
-            assert_eq!(sent(&from, &with(value)), Some(5_999.0));
-        }
-        let property = with(AMQPValue::LongLongInt(7_250));
-        assert_eq!(sent(&SentFrom::Timestamp, &property), Some(5_999.0));
-        assert_eq!(sent(&from, &AMQPProperties::default()), None);
-    }
-}
+mod tests;
--- a/crates/loomflow-amqp/src/old.rs
+++ b/crates/loomflow-amqp/src/retired_keys.rs
@@ -11,24 +11,24 @@
 const GENERATIONS: f64 = 8.0;
 
 struct Generation {
-    since: f64,
+    started_at: f64,
     /// Whether their callers have heard.
-    told: HashMap<u64, bool>,
+    answered: HashMap<u64, bool>,
 }
 
-pub struct Old {
+pub struct RetiredKeys {
     hasher: RandomState,
-    remember: f64,
-    most: usize,
+    retention: f64,
+    max_keys: usize,
     generations: VecDeque<Generation>,
     count: usize,
 }
 
-impl Old {
+impl RetiredKeys {
     /// At most so many keys, for `remember` ms after each was put here.
-    pub fn new(remember: f64, most: usize) -> Old {
+    pub fn new(retention: f64, max_keys: usize) -> RetiredKeys {
         let (hasher, generations) = (RandomState::new(), VecDeque::new());
-        Old { hasher, remember, most, generations, count: 0 }
+        RetiredKeys { hasher, retention, max_keys, generations, count: 0 }
     }
 
     pub fn len(&self) -> usize {
@@ -39,26 +39,26 @@
         self.count == 0
     }
 
-    pub fn put(&mut self, key: &impl Hash, told: bool, now: f64) {
-        let span = self.remember / GENERATIONS;
-        if self.generations.back().is_none_or(|last| now - last.since >= span) {
-            self.generations.push_back(Generation { since: now, told: HashMap::new() });
+    pub fn insert(&mut self, key: &impl Hash, told: bool, now: f64) {
+        let span = self.retention / GENERATIONS;
+        if self.generations.back().is_none_or(|last| now - last.started_at >= span) {
+            self.generations.push_back(Generation { started_at: now, answered: HashMap::new() });
         }
         let hash = self.hasher.hash_one(key);
         let last = self.generations.back_mut().expect("there is one");
-        self.count += usize::from(last.told.insert(hash, told).is_none());
-        while self.count > self.most && self.generations.len() > 1 {
-            self.drop_first();
+        self.count += usize::from(last.answered.insert(hash, told).is_none());
+        while self.count > self.max_keys && self.generations.len() > 1 {
+            self.drop_oldest();
         }
         // One generation alone that is too large: it is parted in time.
-        if self.count > self.most {
-            self.drop_first();
+        if self.count > self.max_keys {
+            self.drop_oldest();
         }
     }
 
-    fn drop_first(&mut self) {
+    fn drop_oldest(&mut self) {
         if let Some(first) = self.generations.pop_front() {
-            self.count -= first.told.len();
+            self.count -= first.answered.len();
         }
     }
 
@@ -68,35 +68,16 @@
             return None;
         }
         let hash = self.hasher.hash_one(key);
-        self.generations.iter().rev().find_map(|one| one.told.get(&hash).copied())
+        self.generations.iter().rev().find_map(|one| one.answered.get(&hash).copied())
     }
 
     pub fn expire(&mut self, now: f64) {
-        let longest = self.remember * (1.0 + 1.0 / GENERATIONS);
-        while self.generations.front().is_some_and(|one| now - one.since >= longest) {
-            self.drop_first();
+        let longest = self.retention * (1.0 + 1.0 / GENERATIONS);
+        while self.generations.front().is_some_and(|one| now - one.started_at >= longest) {
+            self.drop_oldest();
         }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn keys_are_known_for_their_time_and_the_oldest_make_room() {
-        let key = |number: usize| number.to_string();
-        let mut old = Old::new(800.0, 100);
-        for number in 0..100 {
-            old.put(&key(number), number % 2 == 0, number as f64 * 10.0);
-        }
-        assert!(old.len() <= 100);
-        assert!((20..100).all(|number| old.get(&key(number)) == Some(number % 2 == 0)));
-        old.expire(990.0 + 800.0 + 100.0);
-        assert_eq!((old.len(), old.get(&key(99))), (0, None));
-        for number in 0..1_000 {
-            old.put(&key(number), true, 5_000.0);
-            assert!(old.len() <= 100);
-        }
-    }
-}
+mod tests;
--- a/crates/loomflow-amqp/src/settings.rs
+++ b/crates/loomflow-amqp/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::identity::Room;
+use crate::idempotency::Capacity;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
@@ -14,16 +14,16 @@
     /// Time between heartbeats that is proposed, s; 0 is none.
     pub heartbeat: u16,
     /// A longer body is not taken, octets.
-    pub most_body: usize,
+    pub max_body_bytes: usize,
     /// How long what ran is remembered, ms, so that a redelivery is answered from it.
-    pub remember: f64,
-    pub room: Room,
+    pub retention: f64,
+    pub capacity: Capacity,
     /// Messages in hand at the same time, over all queues.
-    pub most_in_hand: usize,
+    pub max_in_flight: usize,
     /// Publishes that the broker may leave unconfirmed before no more is taken.
-    pub most_unconfirmed: usize,
+    pub max_unconfirmed: usize,
     /// A message is put back so often at the most after a refusal.
-    pub rounds: u32,
+    pub max_retries: u32,
     /// Where messages go that are given up, with the reason in a header.
     pub dead_letter: Option<Target>,
     /// Where results go of messages that name no `reply-to`.
@@ -38,9 +38,9 @@
 pub struct Class {
     pub name: String,
     /// Running a message of it twice is one time too many.
-    pub effect: bool,
+    pub has_effect: bool,
     /// Whoever sent one waits no longer than this, ms.
-    pub give_up: f64,
+    pub timeout: f64,
 }
 
 /// Never printed.
@@ -68,15 +68,15 @@
     pub tenant: Option<NameFrom>,
     pub key: KeyFrom,
     /// Where a message says when it was sent. None: its time begins with its delivery.
-    pub sent: Option<SentFrom>,
+    pub sent_from: Option<SentFrom>,
     /// Expected work of a message, ms on one core, where there is an estimate.
-    pub work: Option<f64>,
+    pub estimated_work: Option<f64>,
     /// Memory booked for a message while it is held, KB.
-    pub kb: f64,
+    pub memory_kb: f64,
     /// Its messages' place by worth among all requests, 0 to under 1.
     pub rank: f64,
     /// What a message is worth, for the share among queues: that of its class, or the least of several.
-    pub worth: f64,
+    pub priority_weight: f64,
 }
 
 /// Where a name is read: the same for a whole queue, or in a header.
--- a/crates/loomflow-amqp/tests/message_bytes.rs
+++ b/crates/loomflow-amqp/tests/message_bytes.rs
@@ -5,10 +5,10 @@
 
 use amq_protocol::protocol::basic::AMQPProperties;
 use amq_protocol::types::{AMQPValue, FieldTable};
-use loomflow_amqp::delivery::{Move, Status};
-use loomflow_amqp::identity::Final;
-use loomflow_amqp::message::{moved, publish_id, reply, rounds};
+use loomflow_amqp::idempotency::RunResult;
+use loomflow_amqp::message::{publish_id, reply, republished, retry_count};
 use loomflow_amqp::publisher::Publish;
+use loomflow_amqp::settlement::{ReplyStatus, Republish};
 
 fn text(text: &str) -> AMQPValue {
     AMQPValue::LongString(text.into())
@@ -44,16 +44,17 @@
         .with_app_id("app".into())
 }
 
-fn replied(status: &Status) -> Publish {
+fn replied(status: &ReplyStatus) -> Publish {
     reply(&common::settings(true), &original(), status, 9).expect("a reply")
 }
 
 #[test]
 fn replies_have_a_type_and_headers_for_each_status() {
-    let failed = |may_have_run, holdoff| Status::Failed { reason: "why", may_have_run, holdoff };
+    let failed =
+        |may_have_run, holdoff| ReplyStatus::Failed { reason: "why", may_have_run, retry_after: holdoff };
     let all = [
-        (Status::Served(Final::Served(b"ok"[..].into())), "served", &b"ok"[..], vec![]),
-        (Status::Refused(12.5), "refused", b"", vec![("x-loomflow-holdoff", number(13))]),
+        (ReplyStatus::Served(RunResult::Served(b"ok"[..].into())), "served", &b"ok"[..], vec![]),
+        (ReplyStatus::Rejected(12.5), "refused", b"", vec![("x-loomflow-holdoff", number(13))]),
         (
             failed(true, None),
             "failed",
@@ -87,7 +88,14 @@
 
 #[test]
 fn a_message_put_back_keeps_its_properties_and_counts_its_rounds() {
-    let publish = moved(&common::settings(true), "jobs", &original(), b"body", Move::Back { rounds: 2 }, 5);
+    let publish = republished(
+        &common::settings(true),
+        "jobs",
+        &original(),
+        b"body",
+        Republish::Requeue { retry_count: 2 },
+        5,
+    );
     assert_eq!((publish.exchange.as_str(), publish.routing_key.as_str()), ("", "jobs"));
     let headers = table(&[
         ("mine", text("kept")),
@@ -96,13 +104,20 @@
         ("x-loomflow-rounds", number(2)),
     ]);
     assert_eq!(publish.properties, without_user().with_headers(headers));
-    assert_eq!((publish_id(&publish.properties), rounds(&publish.properties)), (Some(5), 2));
+    assert_eq!((publish_id(&publish.properties), retry_count(&publish.properties)), (Some(5), 2));
     assert_eq!(publish.body, b"body");
 }
 
 #[test]
 fn a_dead_letter_tells_its_reason_and_queue() {
-    let publish = moved(&common::settings(true), "jobs", &original(), b"body", Move::Dead("not-run"), 5);
+    let publish = republished(
+        &common::settings(true),
+        "jobs",
+        &original(),
+        b"body",
+        Republish::DeadLetter("not-run"),
+        5,
+    );
     assert_eq!((publish.exchange.as_str(), publish.routing_key.as_str()), ("", "dead"));
     let headers = table(&[
         ("mine", text("kept")),
--- a/crates/loomflow-amqp/tests/model.rs
+++ b/crates/loomflow-amqp/tests/model.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use common::*;
-use loomflow_amqp::identity::Forgotten;
+use loomflow_amqp::idempotency::NoHistory;
 use loomflow_amqp::*;
 use loomflow_standins::broker::state::State;
 use loomflow_standins::broker::{Message, Settled, message};
@@ -23,8 +23,8 @@
     opens_at: Option<f64>,
     to_broker: VecDeque<u8>,
     to_server: VecDeque<Frame>,
-    held: Vec<Offer>,
-    running: Vec<Offer>,
+    held: Vec<SubmittedMessage>,
+    running: Vec<SubmittedMessage>,
     leaving: bool,
 }
 
@@ -65,8 +65,8 @@
     }
 
     fn server(&self, seed: u64) -> Server {
-        let mut consumer = Consumer::new(settings(self.effect), Box::new(Forgotten), seed);
-        consumer.open();
+        let mut consumer = Consumer::new(settings(self.effect), Box::new(NoHistory), seed);
+        consumer.start_accepting();
         Server {
             consumer,
             link: None,
@@ -99,18 +99,18 @@
             self.broken += 1;
             return self.cut(at);
         }
-        server.to_broker.extend(server.consumer.take_out(now));
-        for ask in server.consumer.take_asks() {
+        server.to_broker.extend(server.consumer.take_output(now));
+        for ask in server.consumer.take_requests() {
             match ask {
-                Ask::Take(offer) => server.held.push(offer),
-                Ask::Gone(id) => {
+                ConsumerRequest::Submit(offer) => server.held.push(offer),
+                ConsumerRequest::Cancel(id) => {
                     assert!(
                         server.running.iter().all(|one| one.id != id),
                         "a run that has begun is not gone"
                     );
                     server.held.retain(|one| one.id != id);
                 }
-                Ask::Note(_) => {}
+                ConsumerRequest::Log(_) => {}
             }
         }
     }
@@ -136,7 +136,7 @@
         let server = &mut self.servers[at];
         let mut broken = false;
         for frame in server.to_server.drain(..count.min(server.to_server.len())) {
-            broken |= server.consumer.frame(frame, now).is_err();
+            broken |= server.consumer.handle_frame(frame, now).is_err();
         }
         if broken || over.contains(&link) {
             return self.cut(at);
@@ -151,7 +151,7 @@
         let Some(link) = server.link.take() else { return };
         server.to_broker.clear();
         server.to_server.clear();
-        server.opens_at = server.consumer.lost(now).map(|pause| now + pause);
+        server.opens_at = server.consumer.disconnected(now).map(|pause| now + pause);
         self.broker.ended(link);
         self.pass(at);
     }
@@ -169,7 +169,7 @@
         let now = self.now;
         let server = &mut self.servers[at];
         let Some(offer) = server.held.pop() else { return };
-        server.consumer.began(offer.id, now);
+        server.consumer.run_started(offer.id, now);
         *self.runs.entry(String::from_utf8(offer.body.clone()).unwrap()).or_default() += 1;
         server.running.push(offer);
     }
@@ -178,23 +178,27 @@
         let now = self.now;
         let server = &mut self.servers[at];
         let Some(offer) = server.running.pop() else { return };
-        let ending = if fine { Ending::Served(&offer.body) } else { Ending::MayHaveRun };
-        server.consumer.answer(offer.id, ending, now);
+        let ending = if fine { MessageResponse::Served(&offer.body) } else { MessageResponse::MayHaveRun };
+        server.consumer.respond(offer.id, ending, now);
     }
 
     fn refuse(&mut self, at: usize, pause: f64) {
         let now = self.now;
         let server = &mut self.servers[at];
         let Some(offer) = server.held.pop() else { return };
-        server.consumer.answer(offer.id, Ending::Refused { pause, last: false }, now);
+        server.consumer.respond(
+            offer.id,
+            MessageResponse::Rejected { retry_after: pause, is_final: false },
+            now,
+        );
     }
 
     fn leave(&mut self, at: usize) {
         let now = self.now;
         let server = &mut self.servers[at];
         if !std::mem::replace(&mut server.leaving, true) {
-            server.consumer.leave(now + GRACE, now);
-            server.consumer.close(now);
+            server.consumer.begin_drain(now + GRACE, now);
+            server.consumer.stop_intake(now);
             self.pass(at);
         }
     }
@@ -215,7 +219,7 @@
             for at in 0..self.servers.len() {
                 let server = &self.servers[at];
                 let idle = server.held.is_empty() && server.running.is_empty();
-                if server.leaving && idle && server.consumer.is_over(self.now) {
+                if server.leaving && idle && server.consumer.is_drained(self.now) {
                     self.restart(at);
                 }
             }
@@ -318,8 +322,11 @@
         message("jobs", "a", b"x").reply_to("replies", "a").header("CC", "elsewhere").header("mine", "1");
     first.properties = first.properties.with_user_id("somebody".into()).with_expiration("60000".into());
     let (settings, of) = (settings(true), &first.properties);
-    for (to, queue) in [(delivery::Move::Back { rounds: 3 }, "jobs"), (delivery::Move::Dead("why"), "dead")] {
-        let anew = loomflow_amqp::message::moved(&settings, "jobs", of, b"x", to, 7);
+    for (to, queue) in [
+        (settlement::Republish::Requeue { retry_count: 3 }, "jobs"),
+        (settlement::Republish::DeadLetter("why"), "dead"),
+    ] {
+        let anew = loomflow_amqp::message::republished(&settings, "jobs", of, b"x", to, 7);
         assert_eq!(
             (anew.exchange.as_str(), anew.routing_key.as_str(), anew.body.as_slice()),
             ("", queue, &b"x"[..])
@@ -332,7 +339,7 @@
         let said = Message { properties: anew.properties, ..first.clone() };
         let words = ["mine", "x-loomflow-user-id", "CC", "x-loomflow-publish"].map(|name| said.says(name));
         assert_eq!(words, [Some("1".into()), Some("somebody".into()), None, Some("7".into())]);
-        let dead = matches!(to, delivery::Move::Dead(_));
+        let dead = matches!(to, settlement::Republish::DeadLetter(_));
         assert_eq!(said.says("x-loomflow-reason"), dead.then(|| "why".into()));
         assert_eq!(said.says("x-loomflow-rounds"), (!dead).then(|| "3".into()));
     }
@@ -357,7 +364,7 @@
     for _ in 0..20 {
         day.exchange(0, usize::MAX);
     }
-    assert!(day.servers[0].held.is_empty() && day.servers[0].consumer.is_over(day.now));
+    assert!(day.servers[0].held.is_empty() && day.servers[0].consumer.is_drained(day.now));
     let back = day.broker.take("jobs");
     assert_eq!((back.len(), back[0].redelivered, day.broker.unacked("jobs")), (1, false, 0));
 }
@@ -371,7 +378,7 @@
     let by = day.now + GRACE;
     // Nothing that is said arrives.
     let consumer = &mut day.servers[0].consumer;
-    assert!(consumer.tick(by - 1.0).is_ok() && !consumer.is_over(by - 1.0) && consumer.is_over(by));
+    assert!(consumer.tick(by - 1.0).is_ok() && !consumer.is_drained(by - 1.0) && consumer.is_drained(by));
 }
 
 #[test]
@@ -384,15 +391,15 @@
     let [one, other] = &mut day.servers[..] else { unreachable!("there are two") };
     let (one, other) = (&mut one.consumer, &mut other.consumer);
     // Long after the handshake, which has a limit of its own.
-    one.leave(1e9, 3_000.0);
-    other.leave(1e9, 6_000.0);
+    one.begin_drain(1e9, 3_000.0);
+    other.begin_drain(1e9, 6_000.0);
     one.connected(3_000.0);
-    assert!(one.is_over(3_000.0) && !other.is_over(6_000.0));
+    assert!(one.is_drained(3_000.0) && !other.is_drained(6_000.0));
     day.now = 6_000.0;
     for _ in 0..20 {
         day.exchange(1, usize::MAX);
     }
-    assert!(day.servers[1].consumer.is_over(6_000.0) && day.servers[1].opens_at.is_none());
+    assert!(day.servers[1].consumer.is_drained(6_000.0) && day.servers[1].opens_at.is_none());
     assert_eq!(day.broken, 0, "its end was heard of");
 }
 
--- a/crates/loomflow-amqp/tests/overload.rs
+++ b/crates/loomflow-amqp/tests/overload.rs
@@ -7,7 +7,7 @@
 use common::*;
 use loomflow::choice::Controller;
 use loomflow::interface::{Action, Arrival, Event, Gauges, Outcome, RequestId};
-use loomflow_amqp::identity::Forgotten;
+use loomflow_amqp::idempotency::NoHistory;
 use loomflow_amqp::*;
 use loomflow_settings::{Node, Site};
 use loomflow_standins::broker::message;
@@ -29,7 +29,7 @@
     consumer: Consumer,
     choice: Controller,
     /// Deliveries by the module's names.
-    held: BTreeMap<RequestId, Offer>,
+    held: BTreeMap<RequestId, SubmittedMessage>,
     last: RequestId,
     waiting: VecDeque<RequestId>,
     /// When each core is free, and what runs there.
@@ -46,12 +46,13 @@
         let site = loomflow_standins::site(GIVE_UP);
         let site = Site::read(&Node::new("", &site).unwrap()).unwrap();
         let mut amqp = settings(true);
-        (amqp.most_in_hand, amqp.most_unconfirmed) = (4_000, 256);
-        amqp.room = identity::Room { records: 10_000, replies: 1_000_000, hashes: 10_000 };
-        amqp.classes[0].give_up = GIVE_UP;
-        amqp.queues[0].sent = Some(SentFrom::Header("sent".into()));
-        let mut consumer = Consumer::new(amqp, Box::new(Forgotten), 7);
-        consumer.open();
+        (amqp.max_in_flight, amqp.max_unconfirmed) = (4_000, 256);
+        amqp.capacity =
+            idempotency::Capacity { records: 10_000, reply_bytes: 1_000_000, retired_keys: 10_000 };
+        amqp.classes[0].timeout = GIVE_UP;
+        amqp.queues[0].sent_from = Some(SentFrom::Header("sent".into()));
+        let mut consumer = Consumer::new(amqp, Box::new(NoHistory), 7);
+        consumer.start_accepting();
         consumer.connected(0.0);
         let mut broker = State::default();
         ["jobs", "dead", "replies"].into_iter().for_each(|queue| broker.declare(queue, None));
@@ -89,27 +90,27 @@
             let (ends, run) = self.cores[at];
             if let Some(id) = run.filter(|_| ends <= now) {
                 let offer = self.held.remove(&id).expect("it was offered");
-                self.consumer.answer(offer.id, Ending::Served(&offer.body), now);
+                self.consumer.respond(offer.id, MessageResponse::Served(&offer.body), now);
                 events.push(Event::RunEnded { id, outcome: Outcome::Ok, duration: WORK });
                 self.cores[at] = (ends, None);
             }
         }
         self.wire();
-        for ask in self.consumer.take_asks() {
-            let Ask::Take(offer) = ask else { continue };
+        for ask in self.consumer.take_requests() {
+            let ConsumerRequest::Submit(offer) = ask else { continue };
             self.last += 1;
             events.push(Event::RequestArrived(Arrival {
                 id: self.last,
                 class: 2,
                 tenant: 0,
-                remaining_wait: GIVE_UP - offer.spent,
+                remaining_wait: GIVE_UP - offer.upstream_time,
                 estimated_work: Some(WORK),
                 memory_kb: 1.0,
                 rank: 0.5,
                 is_retry: false,
                 caller: 0,
                 age: 0.0,
-                upstream_time: offer.spent,
+                upstream_time: offer.upstream_time,
                 original: None,
             }));
             self.held.insert(self.last, offer);
@@ -149,22 +150,26 @@
         match action {
             Action::Run(id) => {
                 let offer = &self.held[&id];
-                self.consumer.began(offer.id, now);
+                self.consumer.run_started(offer.id, now);
                 let number: usize = String::from_utf8(offer.body.clone()).unwrap().parse().unwrap();
                 self.run_late += usize::from(now - self.sent[number] > GIVE_UP);
                 self.waiting.push_back(id);
             }
             Action::Reject { id, retry_after: pause, is_final: last } => {
                 let offer = self.held.remove(&id).expect("it was offered");
-                self.consumer.answer(offer.id, Ending::Refused { pause, last }, now);
+                self.consumer.respond(
+                    offer.id,
+                    MessageResponse::Rejected { retry_after: pause, is_final: last },
+                    now,
+                );
             }
             Action::Fail(id) => {
                 // One that runs is told of when it ends.
                 if let Some(offer) = self.held.get(&id).filter(|_| !self.waiting.contains(&id)) {
-                    self.consumer.answer(offer.id, Ending::MayHaveRun, now);
+                    self.consumer.respond(offer.id, MessageResponse::MayHaveRun, now);
                 }
             }
-            Action::SetSignal(share) => self.consumer.tell(share),
+            Action::SetSignal(share) => self.consumer.set_share(share),
             Action::SetTimer(at) => self.wakes.push(at),
             _ => {}
         }
@@ -174,14 +179,14 @@
     fn wire(&mut self) {
         loop {
             self.consumer.tick(self.now).expect("the connection goes on");
-            let mut bytes: VecDeque<u8> = self.consumer.take_out(self.now).into();
+            let mut bytes: VecDeque<u8> = self.consumer.take_output(self.now).into();
             decode(&mut bytes).into_iter().for_each(|frame| self.broker.frame(LINK, frame));
             let out = self.broker.take_out();
             if out.is_empty() {
                 return;
             }
             for (_, frame) in out {
-                self.consumer.frame(frame.expect("the broker goes on"), self.now).expect("a frame");
+                self.consumer.handle_frame(frame.expect("the broker goes on"), self.now).expect("a frame");
             }
         }
     }
--- a/crates/loomflow-protocol/src/buffer.rs
+++ b/crates/loomflow-protocol/src/buffer.rs
@@ -1,20 +1,20 @@
 //! One buffer a connection: grows as it needs up to a bound, is compacted in place, and gives its room back.
 
 /// Room made for one read.
-const READ: usize = 4096;
+const READ_BYTES: usize = 4096;
 
 #[derive(Debug)]
 pub struct Buffer {
     bytes: Vec<u8>,
     start: usize,
     end: usize,
-    most: usize,
+    max_bytes: usize,
 }
 
 impl Buffer {
     /// `most`: the longest message that must fit; one read more is held at the most.
     pub fn new(most: usize) -> Buffer {
-        Buffer { bytes: Vec::new(), start: 0, end: 0, most: most + READ }
+        Buffer { bytes: Vec::new(), start: 0, end: 0, max_bytes: most + READ_BYTES }
     }
 
     pub fn unread(&self) -> &[u8] {
@@ -28,7 +28,7 @@
             self.end -= self.start;
             self.start = 0;
         }
-        let wanted = (self.end + READ).min(self.most);
+        let wanted = (self.end + READ_BYTES).min(self.max_bytes);
         if self.bytes.len() < wanted {
             self.bytes.resize(wanted, 0);
         }
@@ -133,14 +133,14 @@
     bytes: &[u8],
     most_line: usize,
     most_body: usize,
-    read: impl Fn(&[&[u8]]) -> Result<Head<T>, Malformed>,
+    read: impl Fn(&[&[u8]]) -> Result<LineHead<T>, Malformed>,
 ) -> Result<Option<(T, usize)>, Malformed> {
     let Some(text) = line(bytes, most_line)? else { return Ok(None) };
     let words: Vec<&[u8]> = text.split(|b| *b == b' ').collect();
     let after = text.len() + 2;
     match read(&words)? {
-        Head::Whole(message) => Ok(Some((message, after))),
-        Head::Body(length, finish) => {
+        LineHead::Complete(message) => Ok(Some((message, after))),
+        LineHead::WithBody(length, finish) => {
             let length = usize::try_from(length).unwrap_or(usize::MAX);
             if length > most_body {
                 return Err(Malformed("a body is too long"));
@@ -158,7 +158,7 @@
 
 type Finish<T> = Box<dyn FnOnce(Vec<u8>) -> T>;
 
-pub(crate) enum Head<T> {
-    Whole(T),
-    Body(u64, Finish<T>),
+pub(crate) enum LineHead<T> {
+    Complete(T),
+    WithBody(u64, Finish<T>),
 }
--- a/crates/loomflow-protocol/src/control.rs
+++ b/crates/loomflow-protocol/src/control.rs
@@ -2,39 +2,39 @@
 
 use crate::buffer::{Buffer, Decoder, Malformed};
 
-const MOST_HEAD: usize = 4096;
-const MOST_BODY: usize = 4096;
-const MOST_HEADERS: usize = 32;
+const MAX_HEAD_BYTES: usize = 4096;
+const MAX_BODY_BYTES: usize = 4096;
+const MAX_HEADERS: usize = 32;
 
 /// The status of an answer; its body means nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Status(pub u16);
+pub struct HttpStatus(pub u16);
 
 #[derive(Debug)]
-pub struct Statuses {
+pub struct HttpResponses {
     buffer: Buffer,
 }
 
-impl Default for Statuses {
-    fn default() -> Statuses {
-        Statuses { buffer: Buffer::new(MOST_HEAD + MOST_BODY) }
+impl Default for HttpResponses {
+    fn default() -> HttpResponses {
+        HttpResponses { buffer: Buffer::new(MAX_HEAD_BYTES + MAX_BODY_BYTES) }
     }
 }
 
-impl Decoder for Statuses {
-    type Message = Status;
+impl Decoder for HttpResponses {
+    type Message = HttpStatus;
 
     fn buffer(&mut self) -> &mut Buffer {
         &mut self.buffer
     }
 
-    fn next(&mut self) -> Result<Option<Status>, Malformed> {
-        let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    fn next(&mut self) -> Result<Option<HttpStatus>, Malformed> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
         let unread = self.buffer.unread();
         let head = match response.parse(unread) {
             Ok(httparse::Status::Complete(head)) => head,
-            Ok(httparse::Status::Partial) if unread.len() < MOST_HEAD => return Ok(None),
+            Ok(httparse::Status::Partial) if unread.len() < MAX_HEAD_BYTES => return Ok(None),
             Ok(httparse::Status::Partial) => return Err(Malformed("an answer's head is too long")),
             Err(_) => return Err(Malformed("an answer is not HTTP")),
         };
@@ -46,19 +46,19 @@
             None => 0,
             Some(header) => crate::buffer::digits(header.value.trim_ascii())
                 .and_then(|n| usize::try_from(n).ok())
-                .filter(|n| *n <= MOST_BODY)
+                .filter(|n| *n <= MAX_BODY_BYTES)
                 .ok_or(Malformed("an answer's length cannot be read or is too long"))?,
         };
         if unread.len() < head + length {
             return Ok(None);
         }
         self.buffer.consume(head + length);
-        Ok(Some(Status(status)))
+        Ok(Some(HttpStatus(status)))
     }
 }
 
 /// A report that `name` is ready, or is not.
-pub fn report(out: &mut Vec<u8>, name: &str, ready: bool) {
+pub fn write_report(out: &mut Vec<u8>, name: &str, ready: bool) {
     let condition = if ready { "Ready" } else { "NotReady" };
     let body = format!("{{\"condition\":\"{condition}\"}}");
     let head = format!(
--- a/crates/loomflow-protocol/src/engine.rs
+++ b/crates/loomflow-protocol/src/engine.rs
@@ -1,34 +1,34 @@
 //! The engine's link: lines of words, some followed by a body of stated length.
 
-use crate::buffer::{AttemptId, Buffer, Decoder, Head, Malformed, decimal, digits, line_and_body};
+use crate::buffer::{AttemptId, Buffer, Decoder, LineHead, Malformed, decimal, digits, line_and_body};
 
-const MOST_LINE: usize = 1024;
-const MOST_BODY: usize = 64 * 1024;
+const MAX_LINE_BYTES: usize = 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    Fine,
-    Fault,
+pub enum RunEnd {
+    Succeeded,
+    Failed,
     /// Stopped, or ended at a call as its request is over.
-    BrokenOff,
+    Stopped,
     /// Nothing was started, as the request is over.
-    Late,
+    NotStarted,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
     Hello {
         /// It was not warm when it started.
-        starting: bool,
+        is_starting: bool,
         /// How long ago it started, ms.
         age: f64,
     },
     Done {
         number: u64,
         id: AttemptId,
-        end: End,
-        took: f64,
+        end: RunEnd,
+        duration: f64,
         result: Vec<u8>,
     },
     Need {
@@ -40,12 +40,12 @@
         tag: String,
         values: Vec<f64>,
     },
-    Tested {
+    HealthChecked {
         tag: String,
-        fine: bool,
+        has_passed: bool,
     },
     /// A command was not carried out.
-    No {
+    CommandRejected {
         command: String,
         id: Option<AttemptId>,
     },
@@ -73,7 +73,7 @@
 
 impl Default for Notices {
     fn default() -> Notices {
-        Notices { buffer: Buffer::new(MOST_LINE + MOST_BODY) }
+        Notices { buffer: Buffer::new(MAX_LINE_BYTES + MAX_BODY_BYTES) }
     }
 }
 
@@ -85,14 +85,14 @@
     }
 
     fn next(&mut self) -> Result<Option<Notice>, Malformed> {
-        let read = line_and_body(self.buffer.unread(), MOST_LINE, MOST_BODY, notice)?;
+        let read = line_and_body(self.buffer.unread(), MAX_LINE_BYTES, MAX_BODY_BYTES, notice)?;
         let Some((notice, used)) = read else { return Ok(None) };
         self.buffer.consume(used);
         Ok(Some(notice))
     }
 }
 
-fn notice(words: &[&[u8]]) -> Result<Head<Notice>, Malformed> {
+fn notice(words: &[&[u8]]) -> Result<LineHead<Notice>, Malformed> {
     let wrong = Malformed("a notice cannot be read");
     let number = |at: usize| words.get(at).and_then(|w| digits(w)).ok_or(wrong.clone());
     let id = |at: usize| words.get(at).and_then(|w| AttemptId::parse(w)).ok_or(wrong.clone());
@@ -108,28 +108,31 @@
                 b"running" => false,
                 _ => return Err(wrong),
             };
-            Head::Whole(Notice::Hello { starting, age: ms(2)? })
+            LineHead::Complete(Notice::Hello { is_starting: starting, age: ms(2)? })
         }
         (b"DONE", 6) => {
             let (number, id, took) = (number(1)?, id(2)?, ms(4)?);
             let end = match words[3] {
-                b"fine" => End::Fine,
-                b"fault" => End::Fault,
-                b"broken_off" => End::BrokenOff,
-                b"late" => End::Late,
+                b"fine" => RunEnd::Succeeded,
+                b"fault" => RunEnd::Failed,
+                b"broken_off" => RunEnd::Stopped,
+                b"late" => RunEnd::NotStarted,
                 _ => return Err(wrong),
             };
             let length = digits(words[5]).ok_or(wrong)?;
-            Head::Body(length, Box::new(move |result| Notice::Done { number, id, end, took, result }))
+            LineHead::WithBody(
+                length,
+                Box::new(move |result| Notice::Done { number, id, end, duration: took, result }),
+            )
         }
         (b"NEED", 4) => {
             let (number, id) = (number(1)?, id(2)?);
             let length = digits(words[3]).ok_or(wrong)?;
-            Head::Body(length, Box::new(move |body| Notice::Need { number, id, body }))
+            LineHead::WithBody(length, Box::new(move |body| Notice::Need { number, id, body }))
         }
         (b"STATS", 2..) => {
             let values = words[2..].iter().map(|w| decimal(w)).collect::<Option<Vec<_>>>();
-            Head::Whole(Notice::Stats { tag: text(1)?, values: values.ok_or(wrong)? })
+            LineHead::Complete(Notice::Stats { tag: text(1)?, values: values.ok_or(wrong)? })
         }
         (b"TESTED", 3) => {
             let fine = match words[2] {
@@ -137,10 +140,10 @@
                 b"fault" => false,
                 _ => return Err(wrong),
             };
-            Head::Whole(Notice::Tested { tag: text(1)?, fine })
+            LineHead::Complete(Notice::HealthChecked { tag: text(1)?, has_passed: fine })
         }
-        (b"NO", 2..) => Head::Whole(Notice::No { command: text(1)?, id: id(2).ok() }),
-        (b"NOTE", 2..) => Head::Whole(Notice::Note { number: number(1)? }),
+        (b"NO", 2..) => LineHead::Complete(Notice::CommandRejected { command: text(1)?, id: id(2).ok() }),
+        (b"NOTE", 2..) => LineHead::Complete(Notice::Note { number: number(1)? }),
         _ => return Err(Malformed("a notice is not known")),
     })
 }
--- a/crates/loomflow-protocol/src/gateway.rs
+++ b/crates/loomflow-protocol/src/gateway.rs
@@ -3,14 +3,14 @@
 use crate::buffer::{AttemptId, Buffer, Decoder, Malformed, decimal, digits, line};
 
 /// Requests that a gateway may have open on one connection.
-pub const MOST_OPEN: usize = 32;
-const MOST_BODY: usize = 2048;
+pub const MAX_OPEN_REQUESTS: usize = 32;
+const MAX_BODY_BYTES: usize = 2048;
 /// Longest of the other words of an array.
-const MOST_WORD: usize = 1024;
-const MOST_WORDS: u64 = 16;
+const MAX_WORD_BYTES: usize = 1024;
+const MAX_WORDS: u64 = 16;
 /// Longest line that states a count or a length.
-const MOST_LINE: usize = 16;
-const MOST_ARRAY: usize = MOST_BODY + 8 * MOST_WORD;
+const MAX_LINE_BYTES: usize = 16;
+const MAX_ARRAY_BYTES: usize = MAX_BODY_BYTES + 8 * MAX_WORD_BYTES;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
@@ -18,10 +18,10 @@
     Health {
         tag: u64,
         /// Asks whether work gets done.
-        real: bool,
+        is_deep: bool,
     },
     /// Framed well, but not to be understood: a failed answer is owed.
-    Unreadable {
+    Invalid {
         tag: u64,
         why: &'static str,
     },
@@ -31,7 +31,7 @@
     pub fn tag(&self) -> u64 {
         match self {
             Request::Call(call) => call.tag,
-            Request::Health { tag, .. } | Request::Unreadable { tag, .. } => *tag,
+            Request::Health { tag, .. } | Request::Invalid { tag, .. } => *tag,
         }
     }
 }
@@ -42,19 +42,19 @@
     pub class: String,
     pub id: AttemptId,
     /// When the request came to the machine, Unix ms.
-    pub came_at: f64,
+    pub arrived_at: f64,
     pub gateway: u64,
-    pub owner: Option<String>,
+    pub tenant: Option<String>,
     /// Expected work, ms on one core.
-    pub work: Option<f64>,
-    pub kb: f64,
+    pub estimated_work: Option<f64>,
+    pub memory_kb: f64,
     pub rank: f64,
     pub subject: Option<String>,
     /// Where the site's gateways send them: the key of a keyed request, the time its caller still waits, ms,
     /// and the mark of a further try.
     pub key: Option<String>,
-    pub wait_left: Option<f64>,
-    pub again: bool,
+    pub remaining_wait: Option<f64>,
+    pub is_retry: bool,
     pub body: Vec<u8>,
 }
 
@@ -65,7 +65,7 @@
 
 impl Default for Requests {
     fn default() -> Requests {
-        Requests { buffer: Buffer::new(MOST_ARRAY) }
+        Requests { buffer: Buffer::new(MAX_ARRAY_BYTES) }
     }
 }
 
@@ -90,7 +90,7 @@
 /// The words of a whole array at the start of `bytes`, and how many bytes it takes.
 fn array(bytes: &[u8]) -> Result<Option<Array<'_>>, Malformed> {
     let Some((count, mut at)) = length(bytes, b'*', "no array where one is due")? else { return Ok(None) };
-    if count == 0 || count > MOST_WORDS {
+    if count == 0 || count > MAX_WORDS {
         return Err(Malformed("an array of no or too many words"));
     }
     let mut words = Vec::with_capacity(count as usize);
@@ -98,7 +98,7 @@
         let Some((size, used)) = length(&bytes[at..], b'$', "no bulk string where one is due")? else {
             return Ok(None);
         };
-        if size > MOST_BODY as u64 || (size > MOST_WORD as u64 && words.len() < 4) {
+        if size > MAX_BODY_BYTES as u64 || (size > MAX_WORD_BYTES as u64 && words.len() < 4) {
             return Err(Malformed("a bulk string is too long"));
         }
         at += used;
@@ -109,7 +109,7 @@
         }
         words.push(&rest[..size]);
         at += size + 2;
-        if at > MOST_ARRAY {
+        if at > MAX_ARRAY_BYTES {
             return Err(Malformed("an array is too long"));
         }
     }
@@ -123,7 +123,7 @@
         Some(first) if *first != mark => return Err(Malformed(missing)),
         Some(_) => {}
     }
-    let Some(text) = line(bytes, MOST_LINE)? else { return Ok(None) };
+    let Some(text) = line(bytes, MAX_LINE_BYTES)? else { return Ok(None) };
     let number = digits(&text[1..]).ok_or(Malformed("a length that is no number"))?;
     Ok(Some((number, text.len() + 2)))
 }
@@ -135,7 +135,7 @@
         b"RPC.HEALTH" => health(tag, words),
         _ => Err("the verb is not known"),
     };
-    Ok(read.unwrap_or_else(|why| Request::Unreadable { tag, why }))
+    Ok(read.unwrap_or_else(|why| Request::Invalid { tag, why }))
 }
 
 /// Fields are `name=value`, parted by commas; unknown ones are skipped.
@@ -152,7 +152,7 @@
 fn health(tag: u64, words: &[&[u8]]) -> Result<Request, &'static str> {
     let all = fields(words.get(2).copied().unwrap_or_default())?;
     let real = all.iter().any(|(name, value)| *name == b"real" && *value == b"1");
-    Ok(Request::Health { tag, real })
+    Ok(Request::Health { tag, is_deep: real })
 }
 
 fn call(tag: u64, words: &[&[u8]]) -> Result<Call, &'static str> {
@@ -179,23 +179,23 @@
         tag,
         class: String::from_utf8(class.to_vec()).map_err(|_| "the class cannot be read")?,
         id: field("req").and_then(AttemptId::parse).ok_or("req is missing or cannot be read")?,
-        came_at: number("ts", "ts cannot be read")?.ok_or("ts is missing")?,
+        arrived_at: number("ts", "ts cannot be read")?.ok_or("ts is missing")?,
         gateway: field("via").and_then(digits).ok_or("via is missing or cannot be read")?,
-        owner: text("owner", "owner cannot be read")?,
-        work: number("ms", "ms cannot be read")?,
-        kb,
+        tenant: text("owner", "owner cannot be read")?,
+        estimated_work: number("ms", "ms cannot be read")?,
+        memory_kb: kb,
         rank,
         subject: text("subject", "subject cannot be read")?,
         key: text("opkey", "opkey cannot be read")?,
-        wait_left: number("timeout", "timeout cannot be read")?,
-        again: field("resent") == Some(b"1"),
+        remaining_wait: number("timeout", "timeout cannot be read")?,
+        is_retry: field("resent") == Some(b"1"),
         body: rest.first().map(|b| b.to_vec()).unwrap_or_default(),
     })
 }
 
 /// The word of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum ResponseStatus {
     Ok,
     /// This try never ran.
     Busy,
@@ -204,38 +204,44 @@
     Down,
 }
 
-impl Word {
+impl ResponseStatus {
     fn text(self) -> &'static str {
         match self {
-            Word::Ok => "OK",
-            Word::Busy => "BUSY",
-            Word::Failed => "FAILED",
-            Word::Up => "UP",
-            Word::Down => "DOWN",
+            ResponseStatus::Ok => "OK",
+            ResponseStatus::Busy => "BUSY",
+            ResponseStatus::Failed => "FAILED",
+            ResponseStatus::Up => "UP",
+            ResponseStatus::Down => "DOWN",
         }
     }
 }
 
 /// What an answer carries beside its word and body.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Advice {
+pub struct ResponseFields {
     /// The free value.
     pub signal: Option<f64>,
     /// How long to stay away, ms.
-    pub stay_away: f64,
+    pub retry_after: f64,
     /// No other server should be tried.
-    pub last: bool,
+    pub is_final: bool,
 }
 
-pub fn answer(out: &mut Vec<u8>, tag: u64, word: Word, advice: Advice, body: &[u8]) {
+pub fn write_response(
+    out: &mut Vec<u8>,
+    tag: u64,
+    word: ResponseStatus,
+    advice: ResponseFields,
+    body: &[u8],
+) {
     let mut listed: Vec<String> = Vec::new();
     if let Some(signal) = advice.signal {
         listed.push(format!("signal={signal:.4}"));
     }
-    if advice.stay_away > 0.0 {
-        listed.push(format!("holdoff={:.3}", advice.stay_away));
+    if advice.retry_after > 0.0 {
+        listed.push(format!("holdoff={:.3}", advice.retry_after));
     }
-    if advice.last {
+    if advice.is_final {
         listed.push("nomore=1".to_owned());
     }
     write_array(
@@ -245,7 +251,7 @@
 }
 
 /// No new request is wanted on this connection.
-pub fn bye(out: &mut Vec<u8>) {
+pub fn write_goodbye(out: &mut Vec<u8>) {
     write_array(out, &[b"0", b"BYE"]);
 }
 
--- a/crates/loomflow-protocol/src/ledger.rs
+++ b/crates/loomflow-protocol/src/ledger.rs
@@ -1,12 +1,12 @@
 //! The ledger's connection: calls out, replies in any order.
 
-use crate::buffer::{AttemptId, Buffer, Decoder, Head, Malformed, digits, line_and_body};
+use crate::buffer::{AttemptId, Buffer, Decoder, LineHead, Malformed, digits, line_and_body};
 
-const MOST_LINE: usize = 256;
-const MOST_BODY: usize = 64 * 1024;
+const MAX_LINE_BYTES: usize = 256;
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum ReplyStatus {
     Posted(Vec<u8>),
     /// Turned away: never ran.
     QueueFull,
@@ -15,13 +15,13 @@
     /// Ran out of time; may have had its effect.
     Expired,
     /// No run waits for it: never ran.
-    Moot,
+    NotStarted,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
     pub id: AttemptId,
-    pub answer: Answer,
+    pub status: ReplyStatus,
 }
 
 #[derive(Debug)]
@@ -31,7 +31,7 @@
 
 impl Default for Replies {
     fn default() -> Replies {
-        Replies { buffer: Buffer::new(MOST_LINE + MOST_BODY) }
+        Replies { buffer: Buffer::new(MAX_LINE_BYTES + MAX_BODY_BYTES) }
     }
 }
 
@@ -43,38 +43,38 @@
     }
 
     fn next(&mut self) -> Result<Option<Reply>, Malformed> {
-        let read = line_and_body(self.buffer.unread(), MOST_LINE, MOST_BODY, reply)?;
+        let read = line_and_body(self.buffer.unread(), MAX_LINE_BYTES, MAX_BODY_BYTES, reply)?;
         let Some((reply, used)) = read else { return Ok(None) };
         self.buffer.consume(used);
         Ok(Some(reply))
     }
 }
 
-fn reply(words: &[&[u8]]) -> Result<Head<Reply>, Malformed> {
+fn reply(words: &[&[u8]]) -> Result<LineHead<Reply>, Malformed> {
     let wrong = Malformed("a reply cannot be read");
     let id = AttemptId::parse(words[0]).ok_or(wrong.clone())?;
-    let plain = |answer| Ok(Head::Whole(Reply { id, answer }));
+    let plain = |answer| Ok(LineHead::Complete(Reply { id, status: answer }));
     match words[1..] {
         [b"posted", length] => {
-            let finish = move |body| Reply { id, answer: Answer::Posted(body) };
-            Ok(Head::Body(digits(length).ok_or(wrong)?, Box::new(finish)))
+            let finish = move |body| Reply { id, status: ReplyStatus::Posted(body) };
+            Ok(LineHead::WithBody(digits(length).ok_or(wrong)?, Box::new(finish)))
         }
-        [b"queue_full"] => plain(Answer::QueueFull),
-        [b"error"] => plain(Answer::Error),
-        [b"expired"] => plain(Answer::Expired),
-        [b"moot"] => plain(Answer::Moot),
+        [b"queue_full"] => plain(ReplyStatus::QueueFull),
+        [b"error"] => plain(ReplyStatus::Error),
+        [b"expired"] => plain(ReplyStatus::Expired),
+        [b"moot"] => plain(ReplyStatus::NotStarted),
         _ => Err(wrong),
     }
 }
 
 /// A call that waits `wait` ms at the most.
-pub fn post(out: &mut Vec<u8>, id: AttemptId, wait: u64, body: &[u8]) {
+pub fn write_post(out: &mut Vec<u8>, id: AttemptId, wait: u64, body: &[u8]) {
     out.extend_from_slice(format!("post {id} {wait} {}\r\n", body.len()).as_bytes());
     out.extend_from_slice(body);
     out.extend_from_slice(b"\r\n");
 }
 
 /// Gives up a call; nothing is said to it.
-pub fn abandon(out: &mut Vec<u8>, id: AttemptId) {
+pub fn write_abandon(out: &mut Vec<u8>, id: AttemptId) {
     out.extend_from_slice(format!("abandon {id}\r\n").as_bytes());
 }
--- a/crates/loomflow-protocol/tests/codecs.rs
+++ b/crates/loomflow-protocol/tests/codecs.rs
@@ -1,9 +1,11 @@
 //! Every codec at every split of its bytes, and on what is malformed.
 
-use loomflow_protocol::control::{Status, Statuses, report};
-use loomflow_protocol::engine::{Command, End, Notice, Notices};
-use loomflow_protocol::gateway::{Advice, Request, Requests, Word, answer, bye};
-use loomflow_protocol::ledger::{Answer, Replies, Reply, abandon, post};
+use loomflow_protocol::control::{HttpResponses, HttpStatus, write_report};
+use loomflow_protocol::engine::{Command, Notice, Notices, RunEnd};
+use loomflow_protocol::gateway::{
+    Request, Requests, ResponseFields, ResponseStatus, write_goodbye, write_response,
+};
+use loomflow_protocol::ledger::{Replies, Reply, ReplyStatus, write_abandon, write_post};
 use loomflow_protocol::{AttemptId, Decoder, Malformed};
 use proptest::prelude::*;
 
@@ -56,7 +58,7 @@
 
 fn why(fields: &str) -> &'static str {
     match &decode::<Requests>(&[&call(fields, b"")]).expect("framed")[..] {
-        [Request::Unreadable { tag: 7, why }] => why,
+        [Request::Invalid { tag: 7, why }] => why,
         other => panic!("{fields}: {other:?}"),
     }
 }
@@ -70,15 +72,18 @@
     let read = same_at_every_split::<Requests>(&bytes);
     let Request::Call(call) = &read[0] else { panic!("{:?}", read[0]) };
     assert_eq!((call.tag, call.class.as_str(), call.id), (7, "checkout", AttemptId(0x9b1f_03aa_5c7e_2d41)));
-    assert_eq!((call.came_at, call.gateway, call.owner.as_deref()), (1_764_576_000_123.0, 4, Some("acme")));
-    assert_eq!((call.work, call.kb, call.rank), (Some(12.5), 24.5, 0.625));
+    assert_eq!(
+        (call.arrived_at, call.gateway, call.tenant.as_deref()),
+        (1_764_576_000_123.0, 4, Some("acme"))
+    );
+    assert_eq!((call.estimated_work, call.memory_kb, call.rank), (Some(12.5), 24.5, 0.625));
     assert_eq!(
         (call.subject.as_deref(), call.body.as_slice()),
         (Some("7f3a"), &b"any\r\n*1\r\n\0\xff bytes"[..])
     );
-    assert_eq!(read[1], Request::Health { tag: 8, real: true });
-    assert_eq!(read[2], Request::Health { tag: 9, real: false });
-    assert!(matches!(read[3], Request::Unreadable { tag: 10, .. }));
+    assert_eq!(read[1], Request::Health { tag: 8, is_deep: true });
+    assert_eq!(read[2], Request::Health { tag: 9, is_deep: false });
+    assert!(matches!(read[3], Request::Invalid { tag: 10, .. }));
 }
 
 #[test]
@@ -92,7 +97,7 @@
 fn unknown_fields_are_skipped_and_optional_ones_may_be_missing() {
     let fields = "req=9b1f03aa5c7e2d41,new=1,ts=1,via=0,need=1,level=0";
     let read = decode::<Requests>(&[&call(fields, b"")]).expect("framed");
-    assert!(matches!(&read[..], [Request::Call(c)] if c.owner.is_none() && c.work.is_none()));
+    assert!(matches!(&read[..], [Request::Call(c)] if c.tenant.is_none() && c.estimated_work.is_none()));
 }
 
 #[test]
@@ -151,14 +156,14 @@
 #[test]
 fn answers_are_arrays_with_the_tag_first() {
     let mut out = Vec::new();
-    let advice = Advice { signal: Some(0.25), stay_away: 12.5, last: true };
-    answer(&mut out, 7, Word::Busy, advice, b"");
+    let advice = ResponseFields { signal: Some(0.25), retry_after: 12.5, is_final: true };
+    write_response(&mut out, 7, ResponseStatus::Busy, advice, b"");
     assert_eq!(out, array(&[b"7", b"BUSY", b"signal=0.2500,holdoff=12.500,nomore=1", b""]));
     out.clear();
-    answer(&mut out, 8, Word::Ok, Advice::default(), b"\r\n\0");
+    write_response(&mut out, 8, ResponseStatus::Ok, ResponseFields::default(), b"\r\n\0");
     assert_eq!(out, array(&[b"8", b"OK", b"", b"\r\n\0"]));
     out.clear();
-    bye(&mut out);
+    write_goodbye(&mut out);
     assert_eq!(out, array(&[b"0", b"BYE"]));
 }
 
@@ -169,20 +174,25 @@
         DONE 4 9b1f03aa5c7e2d41 fault 1 0\r\n\r\nTESTED 5 fine\r\nNO RUN 9b1f03aa5c7e2d41\r\nNO FEED\r\n";
     let id = AttemptId(0x9b1f_03aa_5c7e_2d41);
     let read = same_at_every_split::<Notices>(bytes);
-    let done =
-        |number, end, took, result: &[u8]| Notice::Done { number, id, end, took, result: result.into() };
+    let done = |number, end, took, result: &[u8]| Notice::Done {
+        number,
+        id,
+        end,
+        duration: took,
+        result: result.into(),
+    };
     assert_eq!(
         read,
         [
-            Notice::Hello { starting: true, age: 120.5 },
+            Notice::Hello { is_starting: true, age: 120.5 },
             Notice::Note { number: 1 },
             Notice::Need { number: 2, id, body: b"a\r\nb\0".into() },
             Notice::Stats { tag: "4".into(), values: vec![0.62, 3.0, 0.41, 120.0] },
-            done(3, End::Fine, 18.5, b"\r\n\xff"),
-            done(4, End::Fault, 1.0, b""),
-            Notice::Tested { tag: "5".into(), fine: true },
-            Notice::No { command: "RUN".into(), id: Some(id) },
-            Notice::No { command: "FEED".into(), id: None },
+            done(3, RunEnd::Succeeded, 18.5, b"\r\n\xff"),
+            done(4, RunEnd::Failed, 1.0, b""),
+            Notice::HealthChecked { tag: "5".into(), has_passed: true },
+            Notice::CommandRejected { command: "RUN".into(), id: Some(id) },
+            Notice::CommandRejected { command: "FEED".into(), id: None },
         ]
     );
 }
@@ -234,9 +244,14 @@
     let bytes =
         b"9b1f03aa5c7e2d41 posted 4\r\n\r\n\r\n\r\n9b1f03aa5c7e2d41 queue_full\r\n9b1f03aa5c7e2d41 error\r\n\
         9b1f03aa5c7e2d41 expired\r\n9b1f03aa5c7e2d41 moot\r\n";
-    let answers =
-        [Answer::Posted(b"\r\n\r\n".into()), Answer::QueueFull, Answer::Error, Answer::Expired, Answer::Moot];
-    let expected: Vec<Reply> = answers.into_iter().map(|answer| Reply { id, answer }).collect();
+    let answers = [
+        ReplyStatus::Posted(b"\r\n\r\n".into()),
+        ReplyStatus::QueueFull,
+        ReplyStatus::Error,
+        ReplyStatus::Expired,
+        ReplyStatus::NotStarted,
+    ];
+    let expected: Vec<Reply> = answers.into_iter().map(|answer| Reply { id, status: answer }).collect();
     assert_eq!(same_at_every_split::<Replies>(bytes), expected);
 }
 
@@ -257,8 +272,8 @@
 #[test]
 fn calls_name_their_request_and_carry_the_body_unchanged() {
     let mut out = Vec::new();
-    post(&mut out, AttemptId(1), 250, b"a\r\n\0");
-    abandon(&mut out, AttemptId(1));
+    write_post(&mut out, AttemptId(1), 250, b"a\r\n\0");
+    write_abandon(&mut out, AttemptId(1));
     let expected = b"post 0000000000000001 250 4\r\na\r\n\0\r\nabandon 0000000000000001\r\n";
     assert_eq!(out, expected);
 }
@@ -267,16 +282,19 @@
 fn answers_to_reports_are_the_same_at_every_split() {
     let bytes = b"HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\nwaitHTTP/1.1 200 OK\r\n\
         content-length: 0\r\n\r\n";
-    assert_eq!(same_at_every_split::<Statuses>(bytes), [Status(204), Status(503), Status(200)]);
+    assert_eq!(
+        same_at_every_split::<HttpResponses>(bytes),
+        [HttpStatus(204), HttpStatus(503), HttpStatus(200)]
+    );
     for wrong in [&b"SSH-2.0\r\n"[..], b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"] {
-        assert!(decode::<Statuses>(&[wrong]).is_err());
+        assert!(decode::<HttpResponses>(&[wrong]).is_err());
     }
 }
 
 #[test]
 fn a_report_states_its_length() {
     let mut out = Vec::new();
-    report(&mut out, "n3", true);
+    write_report(&mut out, "n3", true);
     let text = String::from_utf8(out).expect("text");
     let (head, body) = text.split_once("\r\n\r\n").expect("a head");
     assert!(head.starts_with("PUT /v2/endpoints/n3 HTTP/1.1\r\n"));
@@ -293,6 +311,6 @@
         let _ = decode::<Requests>(&[&input]);
         let _ = decode::<Notices>(&[&input]);
         let _ = decode::<Replies>(&[&input]);
-        let _ = decode::<Statuses>(&[&input]);
+        let _ = decode::<HttpResponses>(&[&input]);
     }
 }
--- a/crates/loomflow-protocol/tests/wire_bytes.rs
+++ b/crates/loomflow-protocol/tests/wire_bytes.rs
@@ -1,10 +1,10 @@
 //! The bytes that a server writes, as they were first released: a name in the code may change freely, these may not.
 
 use loomflow_protocol::AttemptId;
-use loomflow_protocol::control::report;
+use loomflow_protocol::control::write_report;
 use loomflow_protocol::engine::Command;
-use loomflow_protocol::gateway::{Advice, Word, answer, bye};
-use loomflow_protocol::ledger::{abandon, post};
+use loomflow_protocol::gateway::{ResponseFields, ResponseStatus, write_goodbye, write_response};
+use loomflow_protocol::ledger::{write_abandon, write_post};
 
 const ID: AttemptId = AttemptId(0x9b1f_03aa_5c7e_2d41);
 
@@ -16,26 +16,26 @@
 
 #[test]
 fn answers_to_gateways() {
-    let plain = Advice::default();
+    let plain = ResponseFields::default();
     let all = [
-        (Word::Ok, "*4\r\n$1\r\n7\r\n$2\r\nOK\r\n$0\r\n\r\n$2\r\nhi\r\n"),
-        (Word::Busy, "*4\r\n$1\r\n7\r\n$4\r\nBUSY\r\n$0\r\n\r\n$2\r\nhi\r\n"),
-        (Word::Failed, "*4\r\n$1\r\n7\r\n$6\r\nFAILED\r\n$0\r\n\r\n$2\r\nhi\r\n"),
-        (Word::Up, "*4\r\n$1\r\n7\r\n$2\r\nUP\r\n$0\r\n\r\n$2\r\nhi\r\n"),
-        (Word::Down, "*4\r\n$1\r\n7\r\n$4\r\nDOWN\r\n$0\r\n\r\n$2\r\nhi\r\n"),
+        (ResponseStatus::Ok, "*4\r\n$1\r\n7\r\n$2\r\nOK\r\n$0\r\n\r\n$2\r\nhi\r\n"),
+        (ResponseStatus::Busy, "*4\r\n$1\r\n7\r\n$4\r\nBUSY\r\n$0\r\n\r\n$2\r\nhi\r\n"),
+        (ResponseStatus::Failed, "*4\r\n$1\r\n7\r\n$6\r\nFAILED\r\n$0\r\n\r\n$2\r\nhi\r\n"),
+        (ResponseStatus::Up, "*4\r\n$1\r\n7\r\n$2\r\nUP\r\n$0\r\n\r\n$2\r\nhi\r\n"),
+        (ResponseStatus::Down, "*4\r\n$1\r\n7\r\n$4\r\nDOWN\r\n$0\r\n\r\n$2\r\nhi\r\n"),
     ];
     for (word, bytes) in all {
-        assert_eq!(written(|out| answer(out, 7, word, plain, b"hi")), bytes);
+        assert_eq!(written(|out| write_response(out, 7, word, plain, b"hi")), bytes);
     }
-    assert_eq!(written(bye), "*2\r\n$1\r\n0\r\n$3\r\nBYE\r\n");
+    assert_eq!(written(write_goodbye), "*2\r\n$1\r\n0\r\n$3\r\nBYE\r\n");
 }
 
 #[test]
 fn the_fields_of_an_answer() {
-    let fields = |advice| written(|out| answer(out, 1, Word::Busy, advice, b""));
+    let fields = |advice| written(|out| write_response(out, 1, ResponseStatus::Busy, advice, b""));
     let with =
         |listed: &str| format!("*4\r\n$1\r\n1\r\n$4\r\nBUSY\r\n${}\r\n{listed}\r\n$0\r\n\r\n", listed.len());
-    let advice = |signal, stay_away, last| Advice { signal, stay_away, last };
+    let advice = |signal, stay_away, last| ResponseFields { signal, retry_after: stay_away, is_final: last };
     assert_eq!(fields(advice(Some(0.0), 0.0, false)), with("signal=0.0000"));
     assert_eq!(fields(advice(Some(0.123_45), 0.0, false)), with("signal=0.1235"));
     assert_eq!(fields(advice(None, 1500.0, false)), with("holdoff=1500.000"));
@@ -63,8 +63,8 @@
 
 #[test]
 fn calls_to_the_ledger() {
-    assert_eq!(written(|out| post(out, ID, 250, b"abc")), "post 9b1f03aa5c7e2d41 250 3\r\nabc\r\n");
-    assert_eq!(written(|out| abandon(out, ID)), "abandon 9b1f03aa5c7e2d41\r\n");
+    assert_eq!(written(|out| write_post(out, ID, 250, b"abc")), "post 9b1f03aa5c7e2d41 250 3\r\nabc\r\n");
+    assert_eq!(written(|out| write_abandon(out, ID)), "abandon 9b1f03aa5c7e2d41\r\n");
 }
 
 #[test]
@@ -75,6 +75,6 @@
              Content-Length: {length}\r\n\r\n{{\"condition\":\"{condition}\"}}"
         )
     };
-    assert_eq!(written(|out| report(out, "n3", true)), bytes(21, "Ready"));
-    assert_eq!(written(|out| report(out, "n3", false)), bytes(24, "NotReady"));
+    assert_eq!(written(|out| write_report(out, "n3", true)), bytes(21, "Ready"));
+    assert_eq!(written(|out| write_report(out, "n3", false)), bytes(24, "NotReady"));
 }
--- a/crates/loomflow-server/src/control_plane.rs
+++ b/crates/loomflow-server/src/control_plane.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc::RecvTimeoutError;
 use std::time::{Duration, Instant};
 
-use loomflow_protocol::control::{Status, Statuses, report};
+use loomflow_protocol::control::{HttpResponses, HttpStatus, write_report};
 use loomflow_protocol::{Decoder, Malformed};
 use may::net::TcpStream;
 use may::sync::mpsc::{Receiver, Sender, channel};
@@ -56,7 +56,7 @@
 
 struct Connection {
     stream: TcpStream,
-    statuses: Statuses,
+    statuses: HttpResponses,
 }
 
 struct Reporter {
@@ -108,12 +108,12 @@
             Some(open) => open,
             None => {
                 let stream = connection::connect(address).map_err(ReportError::Connect)?;
-                self.connection.insert(Connection { stream, statuses: Statuses::default() })
+                self.connection.insert(Connection { stream, statuses: HttpResponses::default() })
             }
         };
         let deadline = Instant::now() + REPORT_TIMEOUT;
         let mut request = Vec::new();
-        report(&mut request, &self.name, self.ready.load(Ordering::Acquire));
+        write_report(&mut request, &self.name, self.ready.load(Ordering::Acquire));
         connection.stream.set_write_timeout(Some(REPORT_TIMEOUT))?;
         connection.stream.write_all(&request)?;
         connection.read_response(deadline)
@@ -124,9 +124,9 @@
     fn read_response(&mut self, deadline: Instant) -> Result<(), ReportError> {
         loop {
             match self.statuses.next().map_err(|Malformed(violation)| ReportError::Malformed(violation))? {
-                Some(Status(100..=199)) => continue,
-                Some(Status(200..=299)) => return Ok(()),
-                Some(Status(other)) => return Err(ReportError::Status(other)),
+                Some(HttpStatus(100..=199)) => continue,
+                Some(HttpStatus(200..=299)) => return Ok(()),
+                Some(HttpStatus(other)) => return Err(ReportError::Status(other)),
                 None => self.read_more(deadline)?,
             }
         }
--- a/crates/loomflow-server/src/front/amqp/consumer_settings.rs
+++ b/crates/loomflow-server/src/front/amqp/consumer_settings.rs
@@ -1,7 +1,7 @@
 //! The settings of the AMQP consumer, from the options file and the server's settings.
 
 use loomflow::interface::{Class, Idempotency};
-use loomflow_amqp::identity::Room;
+use loomflow_amqp::idempotency::Capacity;
 use loomflow_amqp::settings::Password;
 use loomflow_amqp::{KeyFrom, NameFrom, Queue, SentFrom, Settings, Target};
 use loomflow_settings::options::{Amqp, Credentials};
@@ -23,12 +23,16 @@
         user: credentials.user,
         password: Password(credentials.password),
         heartbeat: amqp.heartbeat_s,
-        most_body: amqp.max_message_bytes,
-        remember: amqp.remember_ms,
-        room: Room { records: budget.records, replies: budget.reply_bytes, hashes: budget.retired_keys },
-        most_in_hand: budget.in_flight,
-        most_unconfirmed: amqp.max_unconfirmed,
-        rounds: amqp.rounds,
+        max_body_bytes: amqp.max_message_bytes,
+        retention: amqp.remember_ms,
+        capacity: Capacity {
+            records: budget.records,
+            reply_bytes: budget.reply_bytes,
+            retired_keys: budget.retired_keys,
+        },
+        max_in_flight: budget.in_flight,
+        max_unconfirmed: amqp.max_unconfirmed,
+        max_retries: amqp.rounds,
         dead_letter: amqp.dead_letter.as_ref().map(target),
         results: amqp.results.as_ref().map(target),
         queues: queues(amqp, site),
@@ -54,8 +58,8 @@
 fn class(name: &str, settings: &Class) -> loomflow_amqp::Class {
     loomflow_amqp::Class {
         name: name.to_owned(),
-        effect: settings.idempotency != Idempotency::Always,
-        give_up: settings.timeout,
+        has_effect: settings.idempotency != Idempotency::Always,
+        timeout: settings.timeout,
     }
 }
 
@@ -67,11 +71,11 @@
             .unwrap_or(NameFrom::Header(String::new())),
         tenant: name_from(options.tenant.as_ref().map(|name| &name.value), options.tenant_header.as_ref()),
         key: options.key_header.clone().map_or(KeyFrom::MessageId, KeyFrom::Header),
-        sent: options.sent_from.as_deref().map(sent_from),
-        work: options.work_ms,
-        kb: options.memory_kb,
+        sent_from: options.sent_from.as_deref().map(sent_from),
+        estimated_work: options.work_ms,
+        memory_kb: options.memory_kb,
         rank: options.rank,
-        worth: worth(options, site),
+        priority_weight: worth(options, site),
     }
 }
 
--- a/crates/loomflow-server/src/front/amqp/mod.rs
+++ b/crates/loomflow-server/src/front/amqp/mod.rs
@@ -9,8 +9,8 @@
 use loomflow::time::Millis;
 use loomflow_amqp::consumer::Counts;
 use loomflow_amqp::frames::{Frames, RawFrames};
-use loomflow_amqp::identity::Forgotten;
-use loomflow_amqp::{Ask, Consumer, Ending, Offer};
+use loomflow_amqp::idempotency::NoHistory;
+use loomflow_amqp::{Consumer, ConsumerRequest, MessageResponse, SubmittedMessage};
 use loomflow_protocol::AttemptId;
 use loomflow_settings::options;
 use loomflow_settings::{Config, Site};
@@ -59,7 +59,7 @@
         let mut amqp = AmqpFront {
             site: config.site.clone(),
             options: options.clone(),
-            consumer: Consumer::new(settings, Box::new(Forgotten), seed),
+            consumer: Consumer::new(settings, Box::new(NoHistory), seed),
             mailbox: mailbox.clone(),
             link: 0,
             handle: Arc::new(ConnectionHandle::new(None)),
@@ -118,7 +118,7 @@
 
     fn handle_frames(&mut self, raw: &RawFrames, now: Millis) {
         for frame in raw.iter() {
-            if let Err(malformed) = frame.and_then(|frame| self.consumer.frame(frame, now)) {
+            if let Err(malformed) = frame.and_then(|frame| self.consumer.handle_frame(frame, now)) {
                 return self.link_lost(CloseReason::ProtocolViolation(malformed.0), now);
             }
         }
@@ -133,7 +133,7 @@
         if let Some((handle, _)) = previous {
             handle.abort();
         }
-        match self.consumer.lost(now) {
+        match self.consumer.disconnected(now) {
             Some(backoff) => self.connect(backoff),
             // No further link is wanted.
             None => self.link += 1,
@@ -142,7 +142,7 @@
 
     /// Queues what the consumer sends to the broker, once in a batch.
     fn flush_output(&mut self, now: Millis) {
-        let output = self.consumer.take_out(now);
+        let output = self.consumer.take_output(now);
         if !output.is_empty() {
             self.handle.enqueue(|out| out.extend_from_slice(&output));
         }
@@ -150,19 +150,21 @@
 
     /// Passes on what the consumer asks of the owner, and its log lines.
     fn forward_requests(&mut self, requests: &mut Vec<FrontRequest>) {
-        for ask in self.consumer.take_asks() {
+        for ask in self.consumer.take_requests() {
             match ask {
-                Ask::Take(message) => requests.push(FrontRequest::Submit(Box::new(self.submission(message)))),
-                Ask::Gone(id) => requests.push(FrontRequest::Cancel(ReplyHandle::Delivery(id))),
-                Ask::Note(text) => log!(part = "amqp", "{text}"),
+                ConsumerRequest::Submit(message) => {
+                    requests.push(FrontRequest::Submit(Box::new(self.submission(message))))
+                }
+                ConsumerRequest::Cancel(id) => requests.push(FrontRequest::Cancel(ReplyHandle::Delivery(id))),
+                ConsumerRequest::Log(text) => log!(part = "amqp", "{text}"),
             }
         }
     }
 
-    fn submission(&mut self, message: Offer) -> Submission {
+    fn submission(&mut self, message: SubmittedMessage) -> Submission {
         let attempt_id = AttemptId(self.attempt_ids.u64(..));
         let queue = self.consumer.queue(message.queue);
-        let (class, tenant) = (message.place.class, message.place.tenant);
+        let (class, tenant) = (message.classification.class, message.classification.tenant);
         Submission {
             reply_handle: ReplyHandle::Delivery(message.id),
             attempt_id,
@@ -170,11 +172,11 @@
             tenant,
             key: message.key.map(|text| IdempotencyKey { class, tenant, text }),
             // Where nothing tells when it was sent its time begins here: how long it was queued was its sender's choice.
-            remaining_wait: self.site.settings.classes[class].timeout - message.spent,
+            remaining_wait: self.site.settings.classes[class].timeout - message.upstream_time,
             age: 0.0,
-            upstream_time: message.spent,
-            estimated_work: queue.work,
-            memory_kb: queue.kb,
+            upstream_time: message.upstream_time,
+            estimated_work: queue.estimated_work,
+            memory_kb: queue.memory_kb,
             rank: queue.rank,
             is_retry: message.redelivered,
             caller: u64::MAX - message.queue as u64,
@@ -184,20 +186,22 @@
 
     /// Takes a response; what follows from it is sent at the next check of deadlines, which is due at once.
     pub fn respond(&mut self, id: u64, response: Response, now: Millis) {
-        let ending = match response {
-            Response::Served(result) => Ending::Served(result),
+        let response = match response {
+            Response::Served(result) => MessageResponse::Served(result),
             Response::Rejected { retry_after, is_final } => {
-                Ending::Refused { pause: retry_after, last: is_final }
+                MessageResponse::Rejected { retry_after, is_final }
+            }
+            Response::Failed(Failure::MayHaveRun) => MessageResponse::MayHaveRun,
+            Response::Failed(Failure::Invalid | Failure::NotRun) | Response::Health(_) => {
+                MessageResponse::NotRun
             }
-            Response::Failed(Failure::MayHaveRun) => Ending::MayHaveRun,
-            Response::Failed(Failure::Invalid | Failure::NotRun) | Response::Health(_) => Ending::NeverRan,
         };
-        self.consumer.answer(id, ending, now);
+        self.consumer.respond(id, response, now);
     }
 
     /// The run of a message may have started.
     pub fn run_started(&mut self, id: u64, now: Millis) {
-        self.consumer.began(id, now);
+        self.consumer.run_started(id, now);
     }
 
     /// Handles the deadlines that have passed.
@@ -224,7 +228,7 @@
         }
         let Counts { delivered, redelivered, replied, put_back, dead, acked, requeued, rejected } = counts;
         let windows: Vec<String> = self.consumer.windows().map(|size| format!("{size:.0}")).collect();
-        let stood: Vec<String> = self.consumer.stood().map(|ms| format!("{ms:.0}")).collect();
+        let stood: Vec<String> = self.consumer.broker_times().map(|ms| format!("{ms:.0}")).collect();
         log!(
             part = "amqp",
             unsettled = self.consumer.unsettled(),
@@ -246,23 +250,23 @@
 
     /// The next deadline.
     pub fn next_deadline(&self) -> Millis {
-        self.consumer.wake()
+        self.consumer.next_deadline()
     }
 
     /// The controller exists, so that messages are worth consuming.
     pub fn controller_ready(&mut self) {
-        self.consumer.open();
+        self.consumer.start_accepting();
     }
 
     /// The share of traffic that is wanted from now on.
     pub fn set_signal(&mut self, share: f64) {
-        self.consumer.tell(share);
+        self.consumer.set_share(share);
     }
 
     /// The settings after a reload.
     pub fn apply_settings(&mut self, site: &Site) {
         self.site = site.clone();
-        self.consumer.set_terms(
+        self.consumer.set_settings(
             site.tenants.clone(),
             consumer_settings::classes(site),
             consumer_settings::queues(&self.options, site),
@@ -271,20 +275,20 @@
 
     /// A graceful shutdown begins, which has to end by `deadline`.
     pub fn begin_drain(&mut self, deadline: Millis, now: Millis, requests: &mut Vec<FrontRequest>) {
-        self.consumer.leave(deadline, now);
+        self.consumer.begin_drain(deadline, now);
         self.flush_output(now);
         self.forward_requests(requests);
     }
 
     /// No message is run any more that was not submitted before.
     pub fn stop_intake(&mut self, now: Millis, requests: &mut Vec<FrontRequest>) {
-        self.consumer.close(now);
+        self.consumer.stop_intake(now);
         self.flush_output(now);
         self.forward_requests(requests);
     }
 
     /// Whether every message is settled, or cannot be any more.
     pub fn is_drained(&self, now: Millis) -> bool {
-        self.consumer.is_over(now)
+        self.consumer.is_drained(now)
     }
 }
--- a/crates/loomflow-server/src/front/resp/classify.rs
+++ b/crates/loomflow-server/src/front/resp/classify.rs
@@ -29,7 +29,7 @@
 /// Finds a request's class and tenant, and checks its figures. The error is the reason why it is invalid.
 pub fn classify(site: &Site, call: &Call, now: Now) -> Result<Classification, &'static str> {
     let class = site.classes.iter().position(|name| *name == call.class).ok_or("the class is not known")?;
-    let tenant = match &call.owner {
+    let tenant = match &call.tenant {
         _ if site.tenants.is_empty() => 0,
         None => return Err("owner is missing"),
         Some(owner) => site.tenants.iter().position(|name| name == owner).ok_or("the owner is not known")?,
@@ -40,14 +40,14 @@
 
 fn check_figures(call: &Call, timeout: Millis, now: Now) -> Result<(), &'static str> {
     let oldest = now.unix - timeout - MAX_TIMESTAMP_AGE_MS;
-    if !(oldest..=now.unix + MAX_CLOCK_SKEW_MS).contains(&call.came_at) {
+    if !(oldest..=now.unix + MAX_CLOCK_SKEW_MS).contains(&call.arrived_at) {
         return Err("ts is out of range");
     }
     let max_estimate = timeout * MAX_ESTIMATE_FACTOR;
-    if call.work.is_some_and(|work| work <= 0.0 || work > max_estimate) {
+    if call.estimated_work.is_some_and(|work| work <= 0.0 || work > max_estimate) {
         return Err("ms is out of range");
     }
-    if call.wait_left.is_some_and(|wait| wait > max_estimate) {
+    if call.remaining_wait.is_some_and(|wait| wait > max_estimate) {
         return Err("timeout is out of range");
     }
     Ok(())
@@ -67,14 +67,14 @@
         attempt_id: call.id,
         class,
         tenant,
-        remaining_wait: call.wait_left.unwrap_or(0.0),
+        remaining_wait: call.remaining_wait.unwrap_or(0.0),
         upstream_time: 0.0,
-        estimated_work: call.work,
-        memory_kb: call.kb,
+        estimated_work: call.estimated_work,
+        memory_kb: call.memory_kb,
         rank: call.rank,
-        is_retry: call.again,
+        is_retry: call.is_retry,
         caller: call.gateway,
-        age: now.age(call.came_at),
+        age: now.age(call.arrived_at),
         key: idempotency_key(&call, classification, site.settings.classes[class].idempotency),
         body: call.body,
     }
--- a/crates/loomflow-server/src/front/resp/connections.rs
+++ b/crates/loomflow-server/src/front/resp/connections.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 use loomflow::time::Millis;
-use loomflow_protocol::gateway::{self, Advice, Word};
+use loomflow_protocol::gateway::{self, ResponseFields, ResponseStatus};
 
 use crate::close_reason::CloseReason;
 use crate::connection::{ConnectionHandle, LINGER_TIMEOUT};
@@ -172,8 +172,8 @@
         &mut self,
         id: ConnectionId,
         tag: u64,
-        word: Word,
-        advice: Advice,
+        word: ResponseStatus,
+        advice: ResponseFields,
         body: &[u8],
         now: Millis,
     ) {
@@ -182,8 +182,8 @@
             return;
         }
         connection.idle_since = now;
-        let advice = Advice { signal: self.signal, ..advice };
-        connection.handle.enqueue_response(|out| gateway::answer(out, tag, word, advice, body));
+        let advice = ResponseFields { signal: self.signal, ..advice };
+        connection.handle.enqueue_response(|out| gateway::write_response(out, tag, word, advice, body));
     }
 
     /// Handles the deadlines of all connections. Returns those on which a partial message has stalled.
--- a/crates/loomflow-server/src/front/resp/connections/connection.rs
+++ b/crates/loomflow-server/src/front/resp/connections/connection.rs
@@ -103,7 +103,7 @@
     pub(super) fn send_goodbye(&mut self, now: Millis) {
         if self.goodbye_sent_at.is_none() {
             self.goodbye_sent_at = Some(now);
-            self.handle.enqueue(gateway::bye);
+            self.handle.enqueue(gateway::write_goodbye);
         }
     }
 
--- a/crates/loomflow-server/src/front/resp/connections/interleavings.rs
+++ b/crates/loomflow-server/src/front/resp/connections/interleavings.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use loomflow_protocol::gateway::MOST_OPEN;
+use loomflow_protocol::gateway::MAX_OPEN_REQUESTS;
 use proptest::prelude::*;
 
 use super::connection::CLOSE_STALL_TIMEOUT_MS;
@@ -134,7 +134,7 @@
         }
         let id = self.peers.len() as u64 + 1;
         self.places.insert(place, id);
-        let outbox = Arc::new(ConnectionHandle::new(Some(MOST_OPEN)));
+        let outbox = Arc::new(ConnectionHandle::new(Some(MAX_OPEN_REQUESTS)));
         self.gateways.connected(id, outbox.clone(), self.now);
         let peer = Peer {
             outbox,
@@ -225,7 +225,14 @@
             }
             TagState::InputClosed => {
                 *self.known(id).owed.entry(tag).or_default() += 1;
-                self.gateways.respond(id, tag, Word::Busy, Advice::default(), &[], self.now);
+                self.gateways.respond(
+                    id,
+                    tag,
+                    ResponseStatus::Busy,
+                    ResponseFields::default(),
+                    &[],
+                    self.now,
+                );
             }
             TagState::Duplicate => self.stop(id, CloseReason::ProtocolViolation("reused")),
             TagState::Unreachable => {
@@ -242,7 +249,14 @@
         for tag in self.gateways.close_input(id, ending, self.now) {
             self.known(id).open.remove(&tag);
             if ending.is_reported_to_peer() {
-                self.gateways.respond(id, tag, Word::Failed, Advice::default(), &[], self.now);
+                self.gateways.respond(
+                    id,
+                    tag,
+                    ResponseStatus::Failed,
+                    ResponseFields::default(),
+                    &[],
+                    self.now,
+                );
             } else {
                 self.gateways.discard_tag(id, tag);
                 *self.known(id).owed.get_mut(&tag).expect("it is owed one") -= 1;
@@ -254,7 +268,14 @@
         let Some((id, peer)) = self.peer(place) else { return };
         let tag = if oldest { peer.open.pop_first() } else { peer.open.pop_last() };
         if let Some(tag) = tag {
-            self.gateways.respond(id, tag, Word::Ok, Advice::default(), b"result", self.now);
+            self.gateways.respond(
+                id,
+                tag,
+                ResponseStatus::Ok,
+                ResponseFields::default(),
+                b"result",
+                self.now,
+            );
         }
     }
 
--- a/crates/loomflow-server/src/front/resp/connections/tests.rs
+++ b/crates/loomflow-server/src/front/resp/connections/tests.rs
@@ -1,4 +1,4 @@
-use loomflow_protocol::gateway::MOST_OPEN;
+use loomflow_protocol::gateway::MAX_OPEN_REQUESTS;
 
 use super::connection::{CLOSE_STALL_TIMEOUT_MS, FIRST_MESSAGE_TIMEOUT_MS};
 use super::*;
@@ -7,7 +7,7 @@
     Limits { near_capacity: usize::MAX, max_connections: usize::MAX, max_unwritten_bytes: usize::MAX };
 
 fn connect(connections: &mut GatewayConnections) -> Arc<ConnectionHandle> {
-    let handle = Arc::new(ConnectionHandle::new(Some(MOST_OPEN)));
+    let handle = Arc::new(ConnectionHandle::new(Some(MAX_OPEN_REQUESTS)));
     connections.connected(1, handle.clone(), 0.0);
     handle
 }
@@ -27,7 +27,7 @@
     let mut connections = GatewayConnections::new(0.0, Limits { near_capacity: 2, ..UNLIMITED });
     let all: Vec<Arc<ConnectionHandle>> = (1..=5)
         .map(|id| {
-            let handle = Arc::new(ConnectionHandle::new(Some(MOST_OPEN)));
+            let handle = Arc::new(ConnectionHandle::new(Some(MAX_OPEN_REQUESTS)));
             connections.connected(id, handle.clone(), id as f64);
             handle
         })
@@ -55,7 +55,7 @@
         .into_iter()
         .zip(1..)
         .map(|(size, id)| {
-            let handle = Arc::new(ConnectionHandle::new(Some(MOST_OPEN)));
+            let handle = Arc::new(ConnectionHandle::new(Some(MAX_OPEN_REQUESTS)));
             connections.connected(id, handle.clone(), 0.0);
             connections.receive_message(id);
             handle.enqueue(|out| out.resize(size, 0));
@@ -78,7 +78,7 @@
     assert_eq!(connections.open_tag(1, 7), TagState::Opened);
     handle.message_received();
     assert_eq!(connections.close_input(1, CloseReason::ProtocolViolation("x"), 0.0), [7]);
-    connections.respond(1, 7, Word::Failed, Advice::default(), &[], 0.0);
+    connections.respond(1, 7, ResponseStatus::Failed, ResponseFields::default(), &[], 0.0);
     connections.check_timeouts(CLOSE_STALL_TIMEOUT_MS - 1.0);
     assert!(!handle.is_flushed());
     connections.check_timeouts(CLOSE_STALL_TIMEOUT_MS);
@@ -134,7 +134,7 @@
         let before = handle.bytes_queued();
         assert_eq!(connections.open_tag(1, tag), TagState::Opened);
         handle.message_received();
-        connections.respond(1, tag, Word::Up, Advice::default(), &[], 0.0);
+        connections.respond(1, tag, ResponseStatus::Up, ResponseFields::default(), &[], 0.0);
         handle.bytes_queued() - before
     };
     let without = respond(&mut connections, 1);
@@ -151,7 +151,7 @@
     handle.message_received();
     assert_eq!(connections.open_tag(1, 7), TagState::InputClosed);
     let before = handle.bytes_queued();
-    connections.respond(1, 7, Word::Busy, Advice::default(), &[], 0.0);
+    connections.respond(1, 7, ResponseStatus::Busy, ResponseFields::default(), &[], 0.0);
     assert!(handle.bytes_queued() > before);
     // A peer that has closed the connection reads no response.
     let mut connections = unlimited();
@@ -230,7 +230,7 @@
             GatewayConnections::new(0.0, Limits { near_capacity: 12, max_connections, ..UNLIMITED });
         let all: Vec<Arc<ConnectionHandle>> = (1..=16)
             .map(|id| {
-                let handle = Arc::new(ConnectionHandle::new(Some(MOST_OPEN)));
+                let handle = Arc::new(ConnectionHandle::new(Some(MAX_OPEN_REQUESTS)));
                 connections.connected(id, handle.clone(), id as f64);
                 connections.receive_message(id);
                 handle
--- a/crates/loomflow-server/src/front/resp/listener.rs
+++ b/crates/loomflow-server/src/front/resp/listener.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use loomflow::time::Millis;
-use loomflow_protocol::gateway::{MOST_OPEN, Requests};
+use loomflow_protocol::gateway::{MAX_OPEN_REQUESTS, Requests};
 use may::io::{WaitIo, WaitIoWaker};
 use may::net::{TcpListener, TcpStream};
 use socket2::{Domain, Socket, Type};
@@ -186,7 +186,7 @@
 ) {
     let _ = stream.set_nodelay(true);
     let stream: TcpStream = adopt(stream);
-    let handle = Arc::new(ConnectionHandle::new(Some(MOST_OPEN)));
+    let handle = Arc::new(ConnectionHandle::new(Some(MAX_OPEN_REQUESTS)));
     // Here and not in its coroutine, so that it is reported before the listening socket is reported as closed.
     mailbox.send_gateway_event(id, GatewayEvent::Connected(handle.clone()));
     may::go!(move || {
--- a/crates/loomflow-server/src/front/resp/mod.rs
+++ b/crates/loomflow-server/src/front/resp/mod.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use loomflow::time::Millis;
-use loomflow_protocol::gateway::{Advice, Call, Request, Word};
+use loomflow_protocol::gateway::{Call, Request, ResponseFields, ResponseStatus};
 use loomflow_settings::{Config, Site};
 
 use super::interface::{Failure, FrontRequest, ReplyHandle, Response};
@@ -94,9 +94,11 @@
         }
         let reply_handle = ReplyHandle::Tag(id, tag);
         requests.push(match request {
-            Request::Health { real, .. } => FrontRequest::HealthCheck { reply_handle, is_deep: real },
+            Request::Health { is_deep: real, .. } => {
+                FrontRequest::HealthCheck { reply_handle, is_deep: real }
+            }
             Request::Call(call) => self.submit(reply_handle, call, now),
-            Request::Unreadable { why, .. } => {
+            Request::Invalid { why, .. } => {
                 log!(why, "a request was not accepted");
                 return self.respond(id, tag, Response::Failed(Failure::Invalid), now.ms);
             }
@@ -128,7 +130,14 @@
         for tag in self.connections.close_input(id, reason, now) {
             requests.push(FrontRequest::Cancel(ReplyHandle::Tag(id, tag)));
             if reason.is_reported_to_peer() {
-                self.connections.respond(id, tag, Word::Failed, Advice::default(), &[], now);
+                self.connections.respond(
+                    id,
+                    tag,
+                    ResponseStatus::Failed,
+                    ResponseFields::default(),
+                    &[],
+                    now,
+                );
             } else {
                 self.connections.discard_tag(id, tag);
             }
@@ -149,15 +158,15 @@
 
     /// Sends a response.
     pub fn respond(&mut self, id: ConnectionId, tag: u64, response: Response, now: Millis) {
-        let none = Advice::default();
+        let none = ResponseFields::default();
         let (word, advice, body) = match response {
-            Response::Served(result) => (Word::Ok, none, result),
+            Response::Served(result) => (ResponseStatus::Ok, none, result),
             Response::Rejected { retry_after, is_final } => {
-                (Word::Busy, Advice { stay_away: retry_after, last: is_final, ..none }, &[][..])
+                (ResponseStatus::Busy, ResponseFields { retry_after, is_final, ..none }, &[][..])
             }
-            Response::Failed(_) => (Word::Failed, none, &[][..]),
-            Response::Health(true) => (Word::Up, none, &[][..]),
-            Response::Health(false) => (Word::Down, none, &[][..]),
+            Response::Failed(_) => (ResponseStatus::Failed, none, &[][..]),
+            Response::Health(true) => (ResponseStatus::Up, none, &[][..]),
+            Response::Health(false) => (ResponseStatus::Down, none, &[][..]),
         };
         if response == Response::Failed(Failure::Invalid) {
             self.connections.record_violation(id);
--- a/crates/loomflow-server/src/ledger.rs
+++ b/crates/loomflow-server/src/ledger.rs
@@ -8,7 +8,7 @@
 use loomflow::interface::{Outcome, RequestId};
 use loomflow::time::Millis;
 use loomflow_protocol::AttemptId;
-use loomflow_protocol::ledger::{self, Answer, Replies};
+use loomflow_protocol::ledger::{self, Replies, ReplyStatus};
 
 use crate::close_reason::CloseReason;
 use crate::connection::{self, ConnectionHandle};
@@ -170,7 +170,7 @@
         };
         let CallRequest { id, attempt_id, body, deadline, .. } = call;
         let max_wait = (deadline - now).ceil().max(1.0) as u64;
-        let end = connection.handle.enqueue(|out| ledger::post(out, attempt_id, max_wait, body));
+        let end = connection.handle.enqueue(|out| ledger::write_post(out, attempt_id, max_wait, body));
         connection.last_used_at = now;
         connection.calls_in_flight += 1;
         connection.carried_calls.push(id);
@@ -195,7 +195,7 @@
         let Some(connection) = self.connections.get_mut(&call.link) else { return };
         connection.calls_in_flight -= 1;
         if connection.calls_in_flight > 0 {
-            connection.handle.enqueue(|out| ledger::abandon(out, call.attempt_id));
+            connection.handle.enqueue(|out| ledger::write_abandon(out, call.attempt_id));
             connection.retire_at.get_or_insert(now + OLD_ADDRESS_DRAIN_MS);
         } else if let Some(connection) = self.connections.remove(&call.link) {
             // The close cancels the call as well.
@@ -208,7 +208,7 @@
         &mut self,
         link: LinkId,
         id: Option<RequestId>,
-        answer: Answer,
+        answer: ReplyStatus,
         now: Millis,
     ) -> Option<FinishedCall> {
         let id = id.filter(|id| self.calls.get(id).is_some_and(|call| call.link == link))?;
@@ -218,11 +218,11 @@
             connection.calls_in_flight -= 1;
         }
         let (outcome, reply) = match answer {
-            Answer::Posted(reply) => (Outcome::Ok, reply),
-            Answer::QueueFull => (Outcome::Rejected, Vec::new()),
-            Answer::Error => (Outcome::Error, Vec::new()),
-            Answer::Expired => (Outcome::TimedOut, Vec::new()),
-            Answer::Moot => (Outcome::NotStarted, Vec::new()),
+            ReplyStatus::Posted(reply) => (Outcome::Ok, reply),
+            ReplyStatus::QueueFull => (Outcome::Rejected, Vec::new()),
+            ReplyStatus::Error => (Outcome::Error, Vec::new()),
+            ReplyStatus::Expired => (Outcome::TimedOut, Vec::new()),
+            ReplyStatus::NotStarted => (Outcome::NotStarted, Vec::new()),
         };
         Some(FinishedCall { id, outcome, duration: now - call.started_at, reply })
     }
--- a/crates/loomflow-server/src/ledger/tests.rs
+++ b/crates/loomflow-server/src/ledger/tests.rs
@@ -15,7 +15,7 @@
 
 fn reply(ledger: &mut Ledger, id: RequestId, now: f64) {
     let link = ledger.calls[&id].link;
-    assert!(ledger.reply_received(link, Some(id), Answer::Posted(Vec::new()), now).is_some());
+    assert!(ledger.reply_received(link, Some(id), ReplyStatus::Posted(Vec::new()), now).is_some());
 }
 
 #[test]
@@ -88,9 +88,9 @@
 fn a_reply_on_another_connection_is_ignored() {
     let mut ledger = ledger(9);
     call(&mut ledger, 1, true, 0.0);
-    assert_eq!(ledger.reply_received(7, Some(1), Answer::Error, 1.0), None);
-    assert_eq!(ledger.reply_received(1, Some(1), Answer::Error, 1.0).unwrap().outcome, Outcome::Error);
-    assert_eq!(ledger.reply_received(1, Some(1), Answer::Error, 1.0), None);
+    assert_eq!(ledger.reply_received(7, Some(1), ReplyStatus::Error, 1.0), None);
+    assert_eq!(ledger.reply_received(1, Some(1), ReplyStatus::Error, 1.0).unwrap().outcome, Outcome::Error);
+    assert_eq!(ledger.reply_received(1, Some(1), ReplyStatus::Error, 1.0), None);
 }
 
 #[test]
--- a/crates/loomflow-server/src/main.rs
+++ b/crates/loomflow-server/src/main.rs
@@ -22,7 +22,7 @@
 use std::process::ExitCode;
 
 use lexopt::prelude::*;
-use loomflow_settings::guard::{self, Change, Pair, When};
+use loomflow_settings::guard::{self, Change, ReloadCheck, TakesEffect};
 use loomflow_settings::{Config, Options};
 
 const USAGE: &str = "\
@@ -128,12 +128,14 @@
     if let Some(file) = against {
         let old = Config::load(file)?;
         // Nothing is known here of what that server holds: all of it may be in use.
-        let changes = guard::judge(&Pair { old: &old, new: &new, in_use: &|_| true }).map_err(|faults| {
-            let lines = faults.iter().map(|fault| format!("{}: {fault}", files.config.display()));
-            lines.collect::<Vec<_>>().join("\n")
-        })?;
-        for Change { key, old, new, when } in changes {
-            let when = if when == When::Live { "at once" } else { "from the next start on" };
+        let changes =
+            guard::check_reload(&ReloadCheck { current: &old, new: &new, is_class_in_use: &|_| true })
+                .map_err(|faults| {
+                    let lines = faults.iter().map(|fault| format!("{}: {fault}", files.config.display()));
+                    lines.collect::<Vec<_>>().join("\n")
+                })?;
+        for Change { key, old, new, takes_effect: when } in changes {
+            let when = if when == TakesEffect::Immediately { "at once" } else { "from the next start on" };
             println!("{key}: {old} to {new}, {when}");
         }
     }
--- a/crates/loomflow-server/src/owner/engine_events.rs
+++ b/crates/loomflow-server/src/owner/engine_events.rs
@@ -4,7 +4,7 @@
 use loomflow::interface::{Event, Idempotency, Outcome, RequestId};
 use loomflow::time::Millis;
 use loomflow_protocol::AttemptId;
-use loomflow_protocol::engine::{Command, End, Notice};
+use loomflow_protocol::engine::{Command, Notice, RunEnd};
 
 use super::Owner;
 use crate::engine::{self, Delivery, LostLink, PendingCommand, SentCommand};
@@ -31,25 +31,25 @@
 impl Owner {
     pub(super) fn handle_notice(&mut self, notice: Notice) {
         match notice {
-            Notice::Hello { starting, age } => self.engine_attached(starting, age),
+            Notice::Hello { is_starting: starting, age } => self.engine_attached(starting, age),
             Notice::Stats { tag, values } => {
                 if self.engine.gauges_received(&tag, values, self.now.ms) {
                     self.resend_commands(true);
                 }
             }
-            Notice::Tested { tag, fine } => {
+            Notice::HealthChecked { tag, has_passed: fine } => {
                 let check = tag.parse().ok().and_then(|tag: u64| self.health_checks.remove(&tag));
                 if let Some(check) = check {
                     self.respond_to_health_check(check.reply_handle, fine);
                 }
             }
             Notice::Need { id, body, .. } => self.call_needed(id, body),
-            Notice::Done { id, end, took, result, .. } => {
+            Notice::Done { id, end, duration: took, result, .. } => {
                 if let Some(id) = self.requests.find_attempt(id) {
                     self.run_finished(id, end, took, &result);
                 }
             }
-            Notice::No { command, id } => self.command_rejected(&command, id),
+            Notice::CommandRejected { command, id } => self.command_rejected(&command, id),
             Notice::Note { .. } => {}
         }
     }
@@ -93,7 +93,7 @@
         };
         // It does not concern a run that has started: to let a duplicate run would repeat its effect.
         if self.requests.get_mut(id).is_some_and(|entry| entry.is_run_unconfirmed()) {
-            self.run_finished(id, End::Late, 0.0, &[]);
+            self.run_finished(id, RunEnd::NotStarted, 0.0, &[]);
         }
     }
 
@@ -107,13 +107,17 @@
         }
     }
 
-    fn run_finished(&mut self, id: RequestId, end: End, duration: Millis, result: &[u8]) {
+    fn run_finished(&mut self, id: RequestId, end: RunEnd, duration: Millis, result: &[u8]) {
         self.ledger.cancel(id, self.now.ms);
         let (response, outcome, completion) = match end {
-            End::Fine => (Response::Served(result), Outcome::Ok, Completion::Served(result)),
-            End::Fault => (Response::Failed(Failure::MayHaveRun), Outcome::Error, Completion::Failed),
-            End::BrokenOff => (Response::Failed(Failure::MayHaveRun), Outcome::Cancelled, Completion::Failed),
-            End::Late => (Response::Failed(Failure::NotRun), Outcome::NotStarted, Completion::NotRun),
+            RunEnd::Succeeded => (Response::Served(result), Outcome::Ok, Completion::Served(result)),
+            RunEnd::Failed => (Response::Failed(Failure::MayHaveRun), Outcome::Error, Completion::Failed),
+            RunEnd::Stopped => {
+                (Response::Failed(Failure::MayHaveRun), Outcome::Cancelled, Completion::Failed)
+            }
+            RunEnd::NotStarted => {
+                (Response::Failed(Failure::NotRun), Outcome::NotStarted, Completion::NotRun)
+            }
         };
         let Some(entry) = self.requests.get_mut(id) else { return };
         // The run has ended: the response does not have to end it.
--- a/crates/loomflow-server/src/owner/interleavings.rs
+++ b/crates/loomflow-server/src/owner/interleavings.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use loomflow_protocol::AttemptId;
-use loomflow_protocol::engine::{End, Notice};
-use loomflow_protocol::gateway::{Call, MOST_OPEN, Request};
-use loomflow_protocol::ledger::{Answer as LedgerAnswer, Reply};
+use loomflow_protocol::engine::{Notice, RunEnd};
+use loomflow_protocol::gateway::{Call, MAX_OPEN_REQUESTS, Request};
+use loomflow_protocol::ledger::{Reply, ReplyStatus as LedgerAnswer};
 use proptest::prelude::*;
 
 use super::*;
@@ -103,9 +103,9 @@
         self.kept.len() as u64 + 1
     }
 
-    fn done(&mut self, id: AttemptId, end: End) {
-        let result = if end == End::Fine { result_of(id) } else { Vec::new() };
-        self.tell(Notice::Done { number: self.number(), id, end, took: 5.0, result });
+    fn done(&mut self, id: AttemptId, end: RunEnd) {
+        let result = if end == RunEnd::Succeeded { result_of(id) } else { Vec::new() };
+        self.tell(Notice::Done { number: self.number(), id, end, duration: 5.0, result });
     }
 
     /// Carries out each whole command that has come.
@@ -123,7 +123,7 @@
             ("ATTACH", _) => {
                 let last: usize = words[1].parse().expect("a number");
                 self.attached = true;
-                self.going.push_back(Notice::Hello { starting: false, age: 60_000.0 });
+                self.going.push_back(Notice::Hello { is_starting: false, age: 60_000.0 });
                 self.going.extend(self.kept[last..].iter().cloned());
             }
             ("STAT", _) => {
@@ -131,12 +131,12 @@
                     .push_back(Notice::Stats { tag: words[1].into(), values: vec![0.1, 1.0, 0.1, 4.0] });
             }
             ("RUN", Some(id)) => match self.runs.get(&id) {
-                None if self.answered.contains(&id) => self.done(id, End::Late),
+                None if self.answered.contains(&id) => self.done(id, RunEnd::NotStarted),
                 None => {
                     let (class, calls) = (words[2].to_owned(), Vec::new());
                     self.runs.insert(id, Run { class, calls, waits: false, over: false });
                 }
-                Some(run) if run.over => self.done(id, End::Late),
+                Some(run) if run.over => self.done(id, RunEnd::NotStarted),
                 Some(_) => {}
             },
             ("FEED", Some(id)) => match self.runs.get_mut(&id) {
@@ -149,7 +149,7 @@
                     self.fed.insert(id);
                 }
                 // The run has gone on, or is over.
-                _ => self.going.push_back(Notice::No { command: "FEED".into(), id: Some(id) }),
+                _ => self.going.push_back(Notice::CommandRejected { command: "FEED".into(), id: Some(id) }),
             },
             (other, _) => panic!("{other} is not expected"),
         }
@@ -162,7 +162,7 @@
         for id in ending {
             let run = self.runs.get_mut(&id).expect("it waits");
             (run.waits, run.over) = (false, true);
-            self.done(id, End::BrokenOff);
+            self.done(id, RunEnd::Stopped);
         }
     }
 
@@ -180,7 +180,7 @@
             self.tell(Notice::Need { number: self.number(), id, body });
         } else {
             run.over = true;
-            self.done(id, End::Fine);
+            self.done(id, RunEnd::Succeeded);
         }
     }
 }
@@ -279,7 +279,7 @@
         let listen = ([127, 0, 0, 1], 0).into();
         let listener = Listener::bind(listen, 1_000.0, || false).expect("it is bound").expect("it listens");
         let owner = Owner::start(config(), &Options::default(), listener, &mailbox).expect("an owner");
-        let gateway = Arc::new(ConnectionHandle::new(Some(MOST_OPEN)));
+        let gateway = Arc::new(ConnectionHandle::new(Some(MAX_OPEN_REQUESTS)));
         let mut world = World {
             owner,
             engine: EngineModel::default(),
@@ -299,7 +299,7 @@
     }
 
     fn ask(&mut self, class: usize) {
-        if self.asked.len() >= MOST_OPEN {
+        if self.asked.len() >= MAX_OPEN_REQUESTS {
             return;
         }
         let tag = self.asked.len() as u64 + 1;
@@ -311,16 +311,16 @@
             tag,
             class: class.into(),
             id,
-            came_at: self.owner.clock.now().unix,
+            arrived_at: self.owner.clock.now().unix,
             gateway: 4,
-            owner: None,
-            work: Some(5.0),
-            kb: 10.0,
+            tenant: None,
+            estimated_work: Some(5.0),
+            memory_kb: 10.0,
             rank: 0.5,
             subject: None,
             key: (class == "book").then(|| format!("key {tag}")),
-            wait_left: None,
-            again: false,
+            remaining_wait: None,
+            is_retry: false,
             body: b"body".to_vec(),
         })));
     }
@@ -354,7 +354,7 @@
         let Some((id, link)) = calls.get(choice % calls.len().max(1)).copied() else { return };
         let number = self.owner.requests.find_attempt(id).expect("it is in hand");
         let call = self.owner.requests.get_mut(number).expect("it is in hand").call_body.clone();
-        let reply = Reply { id, answer: LedgerAnswer::Posted(call) };
+        let reply = Reply { id, status: LedgerAnswer::Posted(call) };
         self.owner.process_batch(vec![OwnerEvent::LedgerReply(link, reply)]);
     }
 
--- a/crates/loomflow-server/src/owner/mod.rs
+++ b/crates/loomflow-server/src/owner/mod.rs
@@ -294,7 +294,7 @@
             }
             OwnerEvent::LedgerReply(link, reply) => {
                 let id = self.requests.find_attempt(reply.id);
-                if let Some(finished) = self.ledger.reply_received(link, id, reply.answer, now) {
+                if let Some(finished) = self.ledger.reply_received(link, id, reply.status, now) {
                     self.call_finished(finished);
                 }
             }
--- a/crates/loomflow-server/src/owner/reload.rs
+++ b/crates/loomflow-server/src/owner/reload.rs
@@ -2,7 +2,7 @@
 
 use loomflow::interface::Event;
 use loomflow_settings::Config;
-use loomflow_settings::guard::{self, Change, Fault, Pair, When};
+use loomflow_settings::guard::{self, Change, ReloadCheck, RuleViolation, TakesEffect};
 
 use super::Owner;
 use crate::log;
@@ -11,11 +11,16 @@
     /// Takes up what may change while serving; the controller gets it before any other event of this batch.
     pub(super) fn reload(&mut self, new: Config) {
         let in_use = |class| self.requests.has_class(class) || self.idempotency.has_class(class);
-        let changes = match guard::judge(&Pair { old: &self.config, new: &new, in_use: &in_use }) {
+        let changes = match guard::check_reload(&ReloadCheck {
+            current: &self.config,
+            new: &new,
+            is_class_in_use: &in_use,
+        }) {
             Ok(changes) => changes,
             Err(faults) => return log_faults(faults),
         };
-        let (live, next_start) = (keys(&changes, When::Live), keys(&changes, When::NextStart));
+        let (live, next_start) =
+            (keys(&changes, TakesEffect::Immediately), keys(&changes, TakesEffect::AtNextStart));
         if !next_start.is_empty() {
             log!(keys = next_start.join(", "), "these keys take effect at the next start");
         }
@@ -27,22 +32,22 @@
             log!("reports to the control plane have stopped");
         }
         if live.iter().any(|key| key.starts_with("settings.")) {
-            let settings = self.site.take_up(&new.site);
+            let settings = self.site.reload(&new.site);
             self.fronts.apply_settings(&self.site);
             self.controller_events.push_back(Event::SettingsChanged(Box::new(settings)));
         }
         log!(live = live.join(", "), "the configuration was reloaded");
-        self.config = self.config.followed_by(new, self.site.clone());
+        self.config = self.config.reloaded(new, self.site.clone());
     }
 }
 
 /// The keys of the changes that count then.
-fn keys(changes: &[Change], when: When) -> Vec<&str> {
-    changes.iter().filter(|change| change.when == when).map(|change| change.key.as_str()).collect()
+fn keys(changes: &[Change], when: TakesEffect) -> Vec<&str> {
+    changes.iter().filter(|change| change.takes_effect == when).map(|change| change.key.as_str()).collect()
 }
 
-fn log_faults(faults: Vec<Fault>) {
-    for Fault { key, value, rule } in faults {
+fn log_faults(faults: Vec<RuleViolation>) {
+    for RuleViolation { key, value, rule } in faults {
         log!(key, value, rule, "the new configuration is rejected, and nothing has changed");
     }
 }
--- a/crates/loomflow-settings/src/campaign.rs
+++ b/crates/loomflow-settings/src/campaign.rs
@@ -77,29 +77,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_campaign_is_read_and_its_faults_are_named() {
-        let good = "tickets:\n  - {server: n1, reason: kernel, lasts: 20m, window: 30m..4h}\n";
-        let file = std::env::temp_dir().join(format!("loomflow-campaign-{}.yaml", std::process::id()));
-        let read = |text: &str| {
-            std::fs::write(&file, text).unwrap();
-            Campaign::load(&file)
-        };
-        let work = read(good).unwrap().tickets.remove(0);
-        assert_eq!(duration(&work.lasts), Ok(Duration::from_secs(1200)));
-        assert_eq!(span_of(&work.window.unwrap()).unwrap().1, Duration::from_secs(4 * 3600));
-        let faults = [
-            (good.replace("20m", "soon"), "lasts"),
-            (good.replace("..", "-"), "window"),
-            (good.replace("n1", "''"), "server"),
-        ];
-        for (text, key) in faults {
-            let error = read(&text).unwrap_err();
-            assert!(error.contains("line 2") && error.contains(key), "{key}: {error}");
-        }
-        let _ = std::fs::remove_file(&file);
-    }
-}
+mod tests;
--- a/crates/loomflow-settings/src/config.rs
+++ b/crates/loomflow-settings/src/config.rs
@@ -64,7 +64,7 @@
 
     fn from_document(document: Document) -> Read<Config> {
         let root = Node::new("", &document.tree)?;
-        let seed = root.needed_word("seed")?;
+        let seed = root.required_text("seed")?;
         Ok(Config {
             name: name(&root)?,
             listen: address(&root, "listen")?,
@@ -88,7 +88,7 @@
     }
 
     /// What a server goes on with after a later reading: all of that, with `site` as it has taken it up.
-    pub fn followed_by(&self, later: Config, site: Site) -> Config {
+    pub fn reloaded(&self, later: Config, site: Site) -> Config {
         Config {
             name: self.name.clone(),
             listen: self.listen,
@@ -117,7 +117,7 @@
 }
 
 fn at_least_one(limits: &Node, key: &str, default: u64) -> Read<usize> {
-    match limits.whole_or(key, default)? {
+    match limits.integer_or(key, default)? {
         0 => limits.error(key, "not above 0"),
         whole => Ok(usize::try_from(whole).unwrap_or(usize::MAX)),
     }
@@ -130,7 +130,7 @@
 
 /// The name stands in a URL's path, so it is held to what needs no escape there.
 fn name(root: &Node) -> Read<String> {
-    let name = root.needed_word("name")?;
+    let name = root.required_text("name")?;
     let plain = |c: char| c.is_ascii_alphanumeric() || "-._~".contains(c);
     if name.chars().all(plain) {
         Ok(name.to_owned())
@@ -140,9 +140,9 @@
 }
 
 fn address(root: &Node, key: &str) -> Read<SocketAddr> {
-    root.needed_word(key)?.parse().or_else(|_| root.error(key, "not an address with a port"))
+    root.required_text(key)?.parse().or_else(|_| root.error(key, "not an address with a port"))
 }
 
 fn optional(root: &Node, key: &str) -> Read<Option<SocketAddr>> {
-    if root.word(key)?.is_empty() { Ok(None) } else { address(root, key).map(Some) }
+    if root.text(key)?.is_empty() { Ok(None) } else { address(root, key).map(Some) }
 }
--- a/crates/loomflow-settings/src/config/tests.rs
+++ b/crates/loomflow-settings/src/config/tests.rs
@@ -70,7 +70,7 @@
     (changed["name"], changed["engine"], changed["stop_ms"]) = (json!("m"), json!("127.0.0.1:9"), json!(1));
     let later = Config::parse(&changed.to_string()).unwrap();
     let (engine, document) = (later.engine, later.document.clone());
-    let now = first.followed_by(later, first.site.clone());
+    let now = first.reloaded(later, first.site.clone());
     assert_eq!((now.name, now.stop_ms, now.engine), ("n".to_owned(), 3000.0, engine));
     assert!(now.site.tenants.is_empty() && now.document == document);
 }
--- /dev/null
+++ b/crates/loomflow-settings/src/fleet/tests.rs
@@ -0,0 +1,55 @@
+use crate::options::Options;
+
+const GOOD: &str = "
+fleet:
+  name: riga
+  listen: 127.0.0.1:7401
+  state: n1
+  voters:
+    - {name: n1, address: 127.0.0.1:7401}
+    - {name: n2, address: 127.0.0.1:7402}
+    - {name: n3, address: 127.0.0.1:7403}
+";
+
+/// Each text cannot be read, and the error names that part of it.
+pub(crate) fn are_refused(cases: &[(String, &str)]) {
+    for (text, key) in cases {
+        let error = Options::parse(text).unwrap_err();
+        assert!(error.contains(key), "{key}: {error}");
+    }
+}
+
+/// Each text can be read, and one of its faults names that part of it.
+pub(crate) fn are_faults(cases: &[(String, &str)]) {
+    for (text, part) in cases {
+        let faults = Options::parse(text).unwrap().fleet.unwrap().faults("n1");
+        assert!(faults.iter().any(|fault| fault.contains(part)), "{part}: {faults:?}");
+    }
+}
+
+#[test]
+fn a_fleet_needs_no_more_than_its_members() {
+    let fleet = Options::parse(GOOD).unwrap().fleet.unwrap();
+    assert!(fleet.faults("n1").is_empty() && fleet.faults("n9").is_empty());
+    assert_eq!(fleet.socket().to_str(), Some("n1.sock"));
+}
+
+#[test]
+fn each_fault_names_its_key() {
+    let parsed = [
+        (GOOD.replace("name: riga", "name: ''"), "fleet.name"),
+        (GOOD.replace("state: n1", "state: n1\n  out: {share: 2}"), "out"),
+        (GOOD.replace("state: n1", "state: n1\n  out: {count: 0}"), "out"),
+        (GOOD.replace("state: n1", "state: n1\n  begin_within_s: 0"), "begin_within_s"),
+        (GOOD.replace("  listen: 127.0.0.1:7401\n", ""), "listen"),
+        (GOOD.replace("listen:", "listens:"), "listens"),
+    ];
+    are_refused(&parsed);
+    let checked = [
+        (GOOD.replace("    - {name: n3, address: 127.0.0.1:7403}\n", ""), "3 or 5"),
+        (GOOD.replace("name: n3", "name: n2"), "each name"),
+        (GOOD.replace("listen: 127.0.0.1:7401", "listen: 127.0.0.1:7409"), "is this server"),
+        (GOOD.replace("listen: 127.0.0.1:7401", "listen: 0.0.0.0:7401"), "fleet.advertise"),
+    ];
+    are_faults(&checked);
+}
--- a/crates/loomflow-settings/src/guard/tests.rs
+++ b/crates/loomflow-settings/src/guard/tests.rs
@@ -12,12 +12,12 @@
             "Rules": {"FallMultiple": 5, "DrainGrace": 1000}}})
 }
 
-fn changed(change: impl FnOnce(&mut Value)) -> Result<Vec<Change>, Vec<Fault>> {
+fn changed(change: impl FnOnce(&mut Value)) -> Result<Vec<Change>, Vec<RuleViolation>> {
     let mut new = raw();
     change(&mut new);
     let (old, new) = (raw().to_string(), new.to_string());
     let (old, new) = (Config::parse(&old).unwrap(), Config::parse(&new).unwrap());
-    judge(&Pair { old: &old, new: &new, in_use: &|at| at == 0 })
+    check_reload(&ReloadCheck { current: &old, new: &new, is_class_in_use: &|at| at == 0 })
 }
 
 fn fault(change: impl FnOnce(&mut Value)) -> String {
@@ -38,9 +38,10 @@
         new["settings"]["Orgs"] = json!([{"Name": "new", "QuotaPerS": 1}, {"Name": "acme", "QuotaPerS": 20}]);
         new["settings"]["Domain"]["Cpus"] = json!(4);
     });
-    let named: Vec<(String, When)> = changes.unwrap().into_iter().map(|c| (c.key, c.when)).collect();
-    let live = |key: &str| (key.to_owned(), When::Live);
-    let later = |key: &str| (key.to_owned(), When::NextStart);
+    let named: Vec<(String, TakesEffect)> =
+        changes.unwrap().into_iter().map(|c| (c.key, c.takes_effect)).collect();
+    let live = |key: &str| (key.to_owned(), TakesEffect::Immediately);
+    let later = |key: &str| (key.to_owned(), TakesEffect::AtNextStart);
     assert_eq!(
         named,
         [
@@ -69,7 +70,8 @@
         json!([{"Name": "scan", "Effect": "safe", "HardLimit": 900, "OnTime": 300, "Points": 1}]);
     let (old, new) = (raw().to_string(), new.to_string());
     let (old, new) = (Config::parse(&old).unwrap(), Config::parse(&new).unwrap());
-    let faults = judge(&Pair { old: &old, new: &new, in_use: &|_| false }).expect_err("it is turned down");
+    let faults = check_reload(&ReloadCheck { current: &old, new: &new, is_class_in_use: &|_| false })
+        .expect_err("it is turned down");
     assert_eq!(faults.len(), 1, "{faults:?}");
     let text = faults[0].to_string();
     assert!(text.starts_with("settings.Classes: scan ") && text.contains("another site"), "{text}");
@@ -89,7 +91,7 @@
     let text = fault(|new| drop(new["settings"]["Classes"].as_array_mut().unwrap().remove(0)));
     assert!(text.contains("settings.Classes[book]") && text.contains("open or remembered"), "{text}");
     let unused = changed(|new| drop(new["settings"]["Classes"].as_array_mut().unwrap().remove(1)));
-    assert_eq!(unused.unwrap()[0].when, When::NextStart);
+    assert_eq!(unused.unwrap()[0].takes_effect, TakesEffect::AtNextStart);
 }
 
 #[test]
--- a/crates/loomflow-settings/src/read.rs
+++ b/crates/loomflow-settings/src/read.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    fn must<T>(&self, key: &str, found: Option<T>) -> Read<T> {
+    fn required<T>(&self, key: &str, found: Option<T>) -> Read<T> {
         found.map_or_else(|| self.error(key, "missing"), Ok)
     }
 
@@ -54,46 +54,46 @@
         Ok(self.typed(key, "not a number", Value::as_f64)?.unwrap_or(0.0))
     }
 
-    pub fn needed(&self, key: &str) -> Read<f64> {
-        self.must(key, self.typed(key, "not a number", Value::as_f64)?)
+    pub fn required_number(&self, key: &str) -> Read<f64> {
+        self.required(key, self.typed(key, "not a number", Value::as_f64)?)
     }
 
     /// A number that must be there and above 0.
     pub fn positive(&self, key: &str) -> Read<f64> {
-        let value = self.needed(key)?;
+        let value = self.required_number(key)?;
         if value > 0.0 { Ok(value) } else { self.error(key, "not above 0") }
     }
 
     /// A number that must not be below 0; absent reads as 0.
-    pub fn not_negative(&self, key: &str) -> Read<f64> {
+    pub fn non_negative(&self, key: &str) -> Read<f64> {
         let value = self.number(key)?;
         if value >= 0.0 { Ok(value) } else { self.error(key, "below 0") }
     }
 
-    pub fn whole(&self, key: &str) -> Read<u64> {
-        self.must(key, self.typed(key, "not a whole number", Value::as_u64)?)
+    pub fn integer(&self, key: &str) -> Read<u64> {
+        self.required(key, self.typed(key, "not a whole number", Value::as_u64)?)
     }
 
-    pub fn whole_or(&self, key: &str, default: u64) -> Read<u64> {
+    pub fn integer_or(&self, key: &str, default: u64) -> Read<u64> {
         Ok(self.typed(key, "not a whole number", Value::as_u64)?.unwrap_or(default))
     }
 
     /// True or false; absent reads as false.
-    pub fn flag(&self, key: &str) -> Read<bool> {
+    pub fn boolean(&self, key: &str) -> Read<bool> {
         Ok(self.typed(key, "not true or false", Value::as_bool)?.unwrap_or(false))
     }
 
     /// A text; absent reads as empty.
-    pub fn word(&self, key: &str) -> Read<&'a str> {
+    pub fn text(&self, key: &str) -> Read<&'a str> {
         Ok(self.typed(key, "not a text", Value::as_str)?.unwrap_or(""))
     }
 
-    pub fn needed_word(&self, key: &str) -> Read<&'a str> {
-        self.must(key, self.typed(key, "not a text", Value::as_str)?.filter(|text| !text.is_empty()))
+    pub fn required_text(&self, key: &str) -> Read<&'a str> {
+        self.required(key, self.typed(key, "not a text", Value::as_str)?.filter(|text| !text.is_empty()))
     }
 
     pub fn child(&self, key: &str) -> Read<Node<'a>> {
-        let value = self.must(key, self.get(key))?;
+        let value = self.required(key, self.get(key))?;
         Node::new(&self.name(key), value)
     }
 
@@ -117,7 +117,7 @@
         self.list(key)?.iter().enumerate().map(named).collect()
     }
 
-    pub fn words(&self, key: &str) -> Read<Vec<String>> {
+    pub fn texts(&self, key: &str) -> Read<Vec<String>> {
         let text = |v: &Value| v.as_str().map(str::to_owned);
         let all = self.list(key)?.iter().map(text).collect::<Option<Vec<_>>>();
         all.map_or_else(|| self.error(key, "not all texts"), Ok)
--- a/crates/loomflow-settings/src/site.rs
+++ b/crates/loomflow-settings/src/site.rs
@@ -34,14 +34,14 @@
             settings: settings(info, &domain, tenants)?,
             classes: names(info, "Classes")?,
             tenants: tenants.names(&info.name(TENANTS))?,
-            gauges: domain.words("Gauges")?,
-            deep_checks: domain.flag("DeepChecks")?,
+            gauges: domain.texts("Gauges")?,
+            deep_checks: domain.boolean("DeepChecks")?,
         })
     }
 
     /// Takes up from a later reading what may change while serving (`guard`). Classes and tenants keep their places,
     /// whatever their order there; new tenants come after them, and those that are gone stay until the next start.
-    pub fn take_up(&mut self, later: &Site) -> ReloadableSettings {
+    pub fn reload(&mut self, later: &Site) -> ReloadableSettings {
         let classes = Lookup::new(&later.classes[..]);
         for (name, class) in self.classes.iter().zip(&mut self.settings.classes) {
             let Some(at) = classes.find(name) else { continue };
@@ -51,7 +51,7 @@
             (class.priority_weight, class.late_weight, class.idempotency_window) =
                 (new.priority_weight, new.late_weight, new.idempotency_window);
         }
-        self.take_up_tenants(later);
+        self.reload_tenants(later);
         self.settings.drain_grace = later.settings.drain_grace;
         ReloadableSettings {
             classes: self.settings.classes.clone(),
@@ -60,7 +60,7 @@
         }
     }
 
-    fn take_up_tenants(&mut self, later: &Site) {
+    fn reload_tenants(&mut self, later: &Site) {
         // Where there were none, requests name none.
         if self.tenants.is_empty() {
             return;
@@ -96,7 +96,7 @@
 }
 
 fn names(info: &Node, key: &str) -> Read<Vec<String>> {
-    info.children(key)?.iter().map(|c| c.word("Name").map(str::to_owned)).collect()
+    info.children(key)?.iter().map(|c| c.text("Name").map(str::to_owned)).collect()
 }
 
 fn settings(info: &Node, domain: &Node, tenants: &Tenants) -> Read<Settings> {
@@ -108,18 +108,18 @@
     let mut classes = Vec::new();
     for (at, class) in info.children("Classes")?.iter().enumerate() {
         classes.push(Class {
-            idempotency: match class.word("Effect")? {
+            idempotency: match class.text("Effect")? {
                 "safe" => Idempotency::Always,
                 "keyed" => Idempotency::ByKey,
                 "unsafe" => Idempotency::Never,
                 other => return class.error("Effect", &format!("{other:?} is not known")),
             },
             latency_objective: class.positive("OnTime")?,
-            objective_per_work: class.not_negative("AimStretch")?,
+            objective_per_work: class.non_negative("AimStretch")?,
             timeout: class.positive("HardLimit")?,
-            priority_weight: class.needed("Points")?,
+            priority_weight: class.required_number("Points")?,
             late_weight: class.number("LateShare")?,
-            idempotency_window: class.not_negative("Window")?,
+            idempotency_window: class.non_negative("Window")?,
             makes_calls: calls.get(at).and_then(|v| v.as_bool()).unwrap_or(false),
             degraded_weight: skips.get(at).and_then(|v| v.as_f64()).unwrap_or(0.0),
         });
@@ -131,47 +131,51 @@
         classes,
         tenants: tenants.quotas(&info.name(TENANTS))?,
         over_quota_weight: info.number("OverShareWorth")?,
-        is_weight_per_work: info.word("ValueBy")? == "work",
-        server_count: info.not_negative("Servers")?,
-        caller_count: domain.not_negative("ClientsTotal")?,
-        tier: u32::try_from(info.whole_or("Stage", 0)?).or_else(|_| info.error("Stage", "too large"))?,
+        is_weight_per_work: info.text("ValueBy")? == "work",
+        server_count: info.non_negative("Servers")?,
+        caller_count: domain.non_negative("ClientsTotal")?,
+        tier: u32::try_from(info.integer_or("Stage", 0)?).or_else(|_| info.error("Stage", "too large"))?,
         cores: domain.positive("Cpus")?,
         memory_kb: domain.positive("HeapKb")?,
         run_memory_factor: domain.positive("RunMemFactor")?,
-        key_kb: domain.not_negative("KeyKb")?,
-        downstream: match domain.word("Downstream")? {
+        key_kb: domain.non_negative("KeyKb")?,
+        downstream: match domain.text("Downstream")? {
             "shared" => Downstream::Shared,
             "tier" => Downstream::Tier,
             _ => Downstream::None,
         },
-        call_quota: domain.not_negative("CallShare")?,
-        call_quota_window: domain.not_negative("CallsOver")?,
-        call_linger: domain.not_negative("StaysFor")?,
-        result_cache_ttl: domain.not_negative("Fresh")?,
-        preemption: match domain.word("Halt")? {
+        call_quota: domain.non_negative("CallShare")?,
+        call_quota_window: domain.non_negative("CallsOver")?,
+        call_linger: domain.non_negative("StaysFor")?,
+        result_cache_ttl: domain.non_negative("Fresh")?,
+        preemption: match domain.text("Halt")? {
             "drop" => Preemption::DiscardsProgress,
             "pause" => Preemption::KeepsProgress,
             _ => Preemption::Unsupported,
         },
-        feedback_signal: match domain.word("Say")? {
+        feedback_signal: match domain.text("Say")? {
             "level" => FeedbackSignal::LowestRank,
             "credit" => FeedbackSignal::Credit,
             "weight" => FeedbackSignal::SendShare,
             _ => FeedbackSignal::Unused,
         },
-        signal_ttl: domain.not_negative("Heeded")?,
-        idle_timeout: domain.not_negative("Idle")?,
+        signal_ttl: domain.non_negative("Heeded")?,
+        idle_timeout: domain.non_negative("Idle")?,
         handshake_price: prices.number("Handshake")?,
-        has_caller_deadlines: domain.flag("PassesDeadline")?,
-        has_cancellations: domain.flag("TellsGone")?,
-        is_slow_start: domain.flag("Cold")?,
+        has_caller_deadlines: domain.boolean("PassesDeadline")?,
+        has_cancellations: domain.boolean("TellsGone")?,
+        is_slow_start: domain.boolean("Cold")?,
         slow_start_share: rules.number("ColdShare")?,
-        slow_start_duration: rules.not_negative("Cold")?,
-        response_slack: rules.not_negative("AnswerSlack")?,
-        drain_grace: rules.not_negative("DrainGrace")?,
+        slow_start_duration: rules.non_negative("Cold")?,
+        response_slack: rules.non_negative("AnswerSlack")?,
+        drain_grace: rules.non_negative("DrainGrace")?,
         core_concurrency: rules.positive("FallMultiple")?,
-        concurrency_window: rules.not_negative("TipAfter")?,
-        max_retry_after: if limits.flag("RetryAfter")? { limits.not_negative("MaxRetryAfter")? } else { 0.0 },
-        batch_interval: info.not_negative("Period")?,
+        concurrency_window: rules.non_negative("TipAfter")?,
+        max_retry_after: if limits.boolean("RetryAfter")? {
+            limits.non_negative("MaxRetryAfter")?
+        } else {
+            0.0
+        },
+        batch_interval: info.non_negative("Period")?,
     })
 }
--- a/crates/loomflow-settings/src/site/tests.rs
+++ b/crates/loomflow-settings/src/site/tests.rs
@@ -21,7 +21,7 @@
         site(json!([{"Name": "a", "QuotaPerS": 1}, {"Name": "b", "QuotaPerS": 2}, {"Name": "c"}]));
     let later = site(json!([
         {"Name": "new", "QuotaPerS": 9}, {"Name": "c", "QuotaPerS": 3}, {"Name": "newer"}, {"Name": "a", "QuotaPerS": 4}]));
-    let terms = serving.take_up(&later);
+    let terms = serving.reload(&later);
     assert_eq!(named(&serving), [("a", 4.0), ("b", 2.0), ("c", 3.0), ("new", 9.0), ("newer", 0.0)]);
     let told: Vec<f64> = terms.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
     assert_eq!(told, [4.0, 2.0, 3.0, 9.0, 0.0]);
@@ -30,6 +30,6 @@
 #[test]
 fn where_there_were_no_tenants_none_are_taken_up() {
     let mut serving = site(json!([]));
-    serving.take_up(&site(json!([{"Name": "a", "QuotaPerS": 1}])));
+    serving.reload(&site(json!([{"Name": "a", "QuotaPerS": 1}])));
     assert!(named(&serving).is_empty());
 }
--- a/crates/loomflow-settings/src/tenants.rs
+++ b/crates/loomflow-settings/src/tenants.rs
@@ -128,7 +128,7 @@
 
     fn quota(&self, at: usize, path: &str) -> Read<f64> {
         if let Some(value) = self.unusual.get(&at) {
-            return Node::new(&member_path(path, at), value)?.not_negative(QUOTA);
+            return Node::new(&member_path(path, at), value)?.non_negative(QUOTA);
         }
         let quota = self.records[at].quota.as_ref().and_then(Number::as_f64).unwrap_or(0.0);
         if quota >= 0.0 { Ok(quota) } else { Err(format!("{}.{QUOTA}: below 0", member_path(path, at))) }
@@ -136,7 +136,7 @@
 
     fn read_name(&self, at: usize, path: &str) -> Read<String> {
         match self.unusual.get(&at) {
-            Some(value) => Node::new(&member_path(path, at), value)?.word(NAME).map(str::to_owned),
+            Some(value) => Node::new(&member_path(path, at), value)?.text(NAME).map(str::to_owned),
             None => Ok(self.text(at).to_owned()),
         }
     }
