--- a/crates/loomflow-amqp/src/backoff/tests.rs
+++ b/crates/loomflow-amqp/src/backoff/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn pauses_grow_to_a_bound_differ_between_servers_and_start_anew_after_one_that_lasted() {
-    let pauses = |seed| {
+fn delays_grow_to_a_bound_differ_by_seed_and_reset_after_a_stable_connection() {
+    let delays = |seed| {
         let mut backoff = Backoff::new(3, seed);
-        let all: Vec<f64> = (0..40).map(|_| backoff.disconnected(0.0)).collect();
+        let sequence: Vec<f64> = (0..40).map(|_| backoff.disconnected(0.0)).collect();
         let tried: std::collections::BTreeSet<usize> =
             (0..3).map(|_| (backoff.disconnected(0.0), backoff.broker()).1).collect();
         assert_eq!(tried.len(), 3);
@@ -12,10 +12,10 @@
         assert!(backoff.disconnected(2_000.0) <= MAX_BOUND_MS);
         backoff.connected(3_000.0);
         assert!(backoff.disconnected(3_000.0 + STABLE_AFTER_MS) <= INITIAL_BOUND_MS);
-        all
+        sequence
     };
-    let (one, other) = (pauses(1), pauses(2));
+    let (one, other) = (delays(1), delays(2));
     assert_ne!(one, other);
-    assert!(one.iter().all(|p| *p <= MAX_BOUND_MS) && one[0] <= INITIAL_BOUND_MS);
+    assert!(one.iter().all(|delay| *delay <= MAX_BOUND_MS) && one[0] <= INITIAL_BOUND_MS);
     assert!(one[8..].iter().copied().fold(0.0, f64::max) > MAX_BOUND_MS / 2.0);
 }
--- a/crates/loomflow-amqp/src/connection.rs
+++ b/crates/loomflow-amqp/src/connection.rs
@@ -1,4 +1,6 @@
-//! A connection: the handshake, heartbeats, channels and their end (spec 2.2.4, 4.2.7, 4.9). It words every frame.
+//! State machine of one broker connection: handshake, heartbeats, channels and closing (specification 2.2.4, 4.2.7,
+//! 4.9). It writes every frame that is sent and turns received frames into [`ConnectionEvent`]s. It owns no socket and
+//! reads no clock.
 
 use std::collections::BTreeMap;
 
@@ -8,39 +10,57 @@
 use amq_protocol::types::{AMQPValue, FieldTable, LongString, ShortString};
 use loomflow_protocol::Malformed;
 
+use crate::Millis;
 use crate::content::{Assembler, Content};
 use crate::frames::{self, FRAME_MAX, OVERHEAD};
 use crate::settings::Password;
 
-/// Frames must be allowed to be so long at the least (spec 4.2.3).
+/// Smallest frame size that a peer may negotiate, bytes (specification 4.2.3).
 const FRAME_MIN: u32 = 4096;
-/// A handshake that is not over by then never will be, ms.
-const HANDSHAKE_TIMEOUT_MS: f64 = 5_000.0;
-
-/// How the headers begin that we set ourselves.
+/// A handshake that takes longer than this is abandoned, ms.
+const HANDSHAKE_TIMEOUT_MS: Millis = 5_000.0;
+
+/// Class id of `basic`, carried by every content header.
+const BASIC_CLASS_ID: u16 = 60;
+/// Reply code of an orderly close.
+const REPLY_SUCCESS: u16 = 200;
+/// Client capabilities that are announced to the broker (extensions of the protocol).
+const CAPABILITIES: [&str; 5] = [
+    "publisher_confirms",
+    "consumer_cancel_notify",
+    "connection.blocked",
+    "basic.nack",
+    "authentication_failure_close",
+];
+
+/// Prefix of the message headers that this program sets.
 const OWN_HEADERS: &str = "x-loomflow-";
 
+/// Number of a channel within its connection.
 pub type Channel = u16;
 
-/// What a frame told.
+/// What a received frame means for the consumer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConnectionEvent {
-    /// Channels may be opened.
+    /// The handshake is complete; channels may be opened.
     Ready,
+    /// A channel is open.
     ChannelOpened(Channel),
-    /// The broker closed a channel; nothing on it can be settled any more.
+    /// The broker closed a channel, with its reason; deliveries on it can no longer be settled.
     ChannelClosed(Channel, String),
+    /// A `basic` method without content.
     Method(Channel, basic::AMQPMethod),
+    /// A complete message: method, header and body.
     Content(Channel, Box<Content>),
-    /// Publishes on it are confirmed from now on.
+    /// Publishes on a channel are confirmed from now on.
     ConfirmsEnabled(Channel),
-    /// The broker asks that content on a channel stop, or go on (spec 1.5.2.3).
+    /// The broker asks that content on a channel start (true) or stop (specification 1.5.2.3).
     Flow(Channel, bool),
-    /// The broker takes no publishes on this connection, or does again (extension).
+    /// The broker blocks (true) or unblocks publishing on this connection (extension).
     Blocked(bool),
-    /// The connection is over by the broker's word.
+    /// The broker closed the connection, with its reason.
     ClosedByBroker(String),
-    /// It is over by our own.
+    /// The connection closed at our request.
     Closed,
 }
 
@@ -60,14 +80,19 @@
     Open(Box<Assembler>),
 }
 
+/// Credentials and connection parameters.
 pub struct Login {
+    /// Virtual host.
     pub vhost: String,
+    /// User name.
     pub user: String,
+    /// Password of the user.
     pub password: Password,
-    /// Proposed time between heartbeats, s; 0 is none.
+    /// Proposed heartbeat interval, s; 0 disables heartbeats.
     pub heartbeat: u16,
 }
 
+/// One connection to a broker.
 pub struct Connection {
     login: Login,
     max_body_bytes: usize,
@@ -75,25 +100,25 @@
     channels: BTreeMap<Channel, ChannelState>,
     frame_max: u32,
     channel_max: Channel,
-    /// Agreed time between heartbeats, ms; none is infinite.
-    heartbeat: f64,
-    started_at: f64,
-    last_received_at: f64,
-    last_sent_at: f64,
+    /// Negotiated heartbeat interval, ms; infinite when heartbeats are disabled.
+    heartbeat_interval: Millis,
+    started_at: Millis,
+    last_received_at: Millis,
+    last_sent_at: Millis,
     output: Vec<u8>,
 }
 
 impl Connection {
-    /// A connection that has just been opened; it greets at once. `most_body`: octets of a message that are kept.
-    pub fn open(login: Login, most_body: usize, now: f64) -> Connection {
+    /// Starts the handshake on a newly opened transport. Message bodies are kept up to `max_body_bytes`.
+    pub fn open(login: Login, max_body_bytes: usize, now: Millis) -> Connection {
         let mut connection = Connection {
             login,
-            max_body_bytes: most_body,
+            max_body_bytes,
             state: ConnectionState::Greeting,
             channels: BTreeMap::new(),
             frame_max: FRAME_MIN,
             channel_max: 0,
-            heartbeat: f64::INFINITY,
+            heartbeat_interval: f64::INFINITY,
             started_at: now,
             last_received_at: now,
             last_sent_at: now,
@@ -103,22 +128,25 @@
         connection
     }
 
-    /// What is to be written.
-    pub fn take_output(&mut self, now: f64) -> Vec<u8> {
+    /// Takes the bytes to write to the socket.
+    pub fn take_output(&mut self, now: Millis) -> Vec<u8> {
         if !self.output.is_empty() {
             self.last_sent_at = now;
         }
         std::mem::take(&mut self.output)
     }
 
+    /// Highest channel number that was negotiated.
     pub fn channel_max(&self) -> Channel {
         self.channel_max
     }
 
+    /// Whether the handshake is complete and no close has begun.
     pub fn is_ready(&self) -> bool {
         self.state == ConnectionState::Ready
     }
 
+    /// Whether the connection has ended.
     pub fn is_closed(&self) -> bool {
         self.state == ConnectionState::Closed
     }
@@ -135,25 +163,27 @@
         self.send_method(0, AMQPClass::Connection(method));
     }
 
-    // ---- What is said ----
+    // ---- Sending ----
 
+    /// Asks the broker to open a channel.
     pub fn open_channel(&mut self, number: Channel) {
         self.channels.insert(number, ChannelState::Opening);
         self.send_method(number, AMQPClass::Channel(channel::AMQPMethod::Open(channel::Open {})));
     }
 
+    /// Sends a `basic` method without content.
     pub fn basic(&mut self, number: Channel, method: basic::AMQPMethod) {
         self.send_method(number, AMQPClass::Basic(method));
     }
 
-    /// Asks for confirms on a channel (extension).
+    /// Asks for publisher confirms on a channel (extension).
     pub fn enable_confirms(&mut self, number: Channel) {
-        let select = confirm::Select { nowait: false };
-        self.send_method(number, AMQPClass::Confirm(confirm::AMQPMethod::Select(select)));
+        let select = confirm::AMQPMethod::Select(confirm::Select { nowait: false });
+        self.send_method(number, AMQPClass::Confirm(select));
     }
 
-    /// A method with its header and bodies, each within the agreed frame size. A header cannot be parted: where it
-    /// would be longer, the headers that are not our own stay behind.
+    /// Publishes a message as method, header and body frames within the negotiated frame size. A header frame cannot be
+    /// split: if it would be too long, only the headers that this program sets are kept.
     pub fn publish(
         &mut self,
         number: Channel,
@@ -162,23 +192,23 @@
         body: &[u8],
     ) {
         self.basic(number, basic::AMQPMethod::Publish(publish));
-        let header =
-            |properties| AMQPContentHeader { class_id: 60, body_size: body.len() as u64, properties };
-        let before = self.output.len();
-        self.send_frame(&AMQPFrame::Header(number, header(properties.clone())));
-        if self.output.len() - before > self.frame_max as usize {
-            self.output.truncate(before);
-            let all = properties.headers().clone().unwrap_or_default();
-            let own = all.into_iter().filter(|(name, _)| name.as_str().starts_with(OWN_HEADERS));
-            let own: BTreeMap<_, _> = own.map(|(name, value)| (name.clone(), value.clone())).collect();
-            self.send_frame(&AMQPFrame::Header(number, header(properties.with_headers(own.into()))));
+        let header_start = self.output.len();
+        self.send_content_header(number, body.len(), properties.clone());
+        if self.output.len() - header_start > self.frame_max as usize {
+            self.output.truncate(header_start);
+            self.send_content_header(number, body.len(), with_own_headers_only(properties));
         }
-        for part in body.chunks(self.frame_max as usize - OVERHEAD) {
-            self.send_frame(&AMQPFrame::Body(number, part.to_vec()));
+        for chunk in body.chunks(self.frame_max as usize - OVERHEAD) {
+            self.send_frame(&AMQPFrame::Body(number, chunk.to_vec()));
         }
     }
 
-    /// An orderly end: nothing more is taken, and it is over when the broker has said so.
+    fn send_content_header(&mut self, number: Channel, body_len: usize, properties: AMQPProperties) {
+        let header = AMQPContentHeader { class_id: BASIC_CLASS_ID, body_size: body_len as u64, properties };
+        self.send_frame(&AMQPFrame::Header(number, header));
+    }
+
+    /// Closes in order: nothing more is accepted, and the connection ends once the broker confirms.
     pub fn close(&mut self) {
         if self.state != ConnectionState::Ready {
             self.state = ConnectionState::Closed;
@@ -186,26 +216,30 @@
         }
         self.state = ConnectionState::Closing;
         let reply_text = "leaving".into();
-        let close = connection::Close { reply_code: 200, reply_text, class_id: 0, method_id: 0 };
+        let close = connection::Close { reply_code: REPLY_SUCCESS, reply_text, class_id: 0, method_id: 0 };
         self.send_control(connection::AMQPMethod::Close(close));
     }
 
-    // ---- Times ----
+    // ---- Timers ----
 
-    /// Sends a heartbeat where one is due. Errors: nothing was heard for two heartbeats, or the handshake hangs.
-    pub fn tick(&mut self, now: f64) -> Result<(), Malformed> {
-        let shaking = matches!(
+    /// Sends a heartbeat if one is due.
+    ///
+    /// # Errors
+    ///
+    /// The handshake timed out, or nothing was received for two heartbeat intervals.
+    pub fn tick(&mut self, now: Millis) -> Result<(), Malformed> {
+        let in_handshake = matches!(
             self.state,
             ConnectionState::Greeting | ConnectionState::Tuning | ConnectionState::Opening
         );
-        if shaking && now - self.started_at >= HANDSHAKE_TIMEOUT_MS {
+        if in_handshake && now - self.started_at >= HANDSHAKE_TIMEOUT_MS {
             return Err(Malformed("the handshake takes too long"));
         }
         if self.state == ConnectionState::Ready {
-            if now - self.last_received_at >= 2.0 * self.heartbeat {
+            if now - self.last_received_at >= 2.0 * self.heartbeat_interval {
                 return Err(Malformed("no heartbeat has come"));
             }
-            if now - self.last_sent_at >= self.heartbeat / 2.0 {
+            if now - self.last_sent_at >= self.heartbeat_interval / 2.0 {
                 self.last_sent_at = now;
                 self.send_frame(&AMQPFrame::Heartbeat);
             }
@@ -213,10 +247,18 @@
         Ok(())
     }
 
-    // ---- What is heard ----
+    // ---- Receiving ----
 
-    /// Takes in a frame. Errors: what is out of order or unknown here; the connection cannot go on.
-    pub fn handle_frame(&mut self, frame: AMQPFrame, now: f64) -> Result<Option<ConnectionEvent>, Malformed> {
+    /// Handles a received frame.
+    ///
+    /// # Errors
+    ///
+    /// The frame is out of order or unknown in this state; the connection cannot go on.
+    pub fn handle_frame(
+        &mut self,
+        frame: AMQPFrame,
+        now: Millis,
+    ) -> Result<Option<ConnectionEvent>, Malformed> {
         self.last_received_at = now;
         match frame {
             AMQPFrame::Heartbeat => Ok(None),
@@ -224,11 +266,12 @@
             AMQPFrame::Method(0, _) => Err(Malformed("a method that is not for channel 0")),
             AMQPFrame::Method(number, class) => self.handle_channel_method(number, class),
             AMQPFrame::Header(number, header) => {
-                let content = self.assembler(number)?.map_or(Ok(None), |a| a.header(header))?;
+                let content =
+                    self.assembler(number)?.map_or(Ok(None), |assembler| assembler.header(header))?;
                 Ok(content.map(|content| ConnectionEvent::Content(number, Box::new(content))))
             }
             AMQPFrame::Body(number, bytes) => {
-                let content = self.assembler(number)?.map_or(Ok(None), |a| a.body(&bytes))?;
+                let content = self.assembler(number)?.map_or(Ok(None), |assembler| assembler.body(&bytes))?;
                 Ok(content.map(|content| ConnectionEvent::Content(number, Box::new(content))))
             }
             AMQPFrame::ProtocolHeader(_) | AMQPFrame::InvalidHeartbeat(_) => {
@@ -237,7 +280,7 @@
         }
     }
 
-    /// Where content on a channel is put together; none while we are closing, when all of it is left.
+    /// The content assembler of a channel; `None` while closing, when content is ignored.
     fn assembler(&mut self, number: Channel) -> Result<Option<&mut Assembler>, Malformed> {
         if self.state == ConnectionState::Closing {
             return Ok(None);
@@ -251,20 +294,14 @@
     fn handle_control(
         &mut self,
         method: connection::AMQPMethod,
-        now: f64,
+        now: Millis,
     ) -> Result<Option<ConnectionEvent>, Malformed> {
         use connection::AMQPMethod as M;
         match (self.state, method) {
             (ConnectionState::Greeting, M::Start(start)) => {
-                let offered = start.mechanisms.to_string();
-                if (start.version_major, start.version_minor) != (0, 9) {
-                    return Err(Malformed("the broker speaks another version of the protocol"));
-                }
-                if !offered.split(' ').any(|one| one == "PLAIN") {
-                    return Err(Malformed("the broker does not take a user and a password (PLAIN)"));
-                }
+                check_start(&start)?;
                 self.state = ConnectionState::Tuning;
-                self.start_ok();
+                self.send_start_ok();
                 Ok(None)
             }
             (ConnectionState::Greeting | ConnectionState::Tuning, M::Secure(_)) => {
@@ -285,10 +322,13 @@
             }
             (_, M::Close(close)) => {
                 self.send_control(M::CloseOk(connection::CloseOk {}));
-                let ours = self.state == ConnectionState::Closing;
+                let was_closing = self.state == ConnectionState::Closing;
                 self.state = ConnectionState::Closed;
-                let why = format!("{} {}", close.reply_code, close.reply_text);
-                Ok(Some(if ours { ConnectionEvent::Closed } else { ConnectionEvent::ClosedByBroker(why) }))
+                if was_closing {
+                    return Ok(Some(ConnectionEvent::Closed));
+                }
+                let reason = format!("{} {}", close.reply_code, close.reply_text);
+                Ok(Some(ConnectionEvent::ClosedByBroker(reason)))
             }
             (ConnectionState::Ready, M::Blocked(_)) => Ok(Some(ConnectionEvent::Blocked(true))),
             (ConnectionState::Ready, M::Unblocked(_)) => Ok(Some(ConnectionEvent::Blocked(false))),
@@ -297,17 +337,10 @@
         }
     }
 
-    fn start_ok(&mut self) {
-        let yes = AMQPValue::Boolean(true);
+    fn send_start_ok(&mut self) {
         let mut capabilities = FieldTable::default();
-        for name in [
-            "publisher_confirms",
-            "consumer_cancel_notify",
-            "connection.blocked",
-            "basic.nack",
-            "authentication_failure_close",
-        ] {
-            capabilities.insert(name.into(), yes.clone());
+        for name in CAPABILITIES {
+            capabilities.insert(name.into(), AMQPValue::Boolean(true));
         }
         let mut properties = FieldTable::default();
         properties.insert("product".into(), AMQPValue::LongString("loomflow".into()));
@@ -322,7 +355,7 @@
         }));
     }
 
-    /// Limits: 0 is "none" on either side (spec 1.4.2.5); the smaller counts.
+    /// Negotiates limits: the smaller value counts, and 0 means no limit on either side (specification 1.4.2.5).
     fn tune(&mut self, tune: &connection::Tune) -> Result<(), Malformed> {
         let smaller = |theirs: u32, ours: u32| if theirs == 0 { ours } else { theirs.min(ours) };
         self.frame_max = smaller(tune.frame_max, FRAME_MAX);
@@ -331,10 +364,10 @@
         }
         self.channel_max = smaller(tune.channel_max.into(), Channel::MAX.into()) as Channel;
         let heartbeat = match (tune.heartbeat, self.login.heartbeat) {
-            (0, one) | (one, 0) => one,
+            (0, only) | (only, 0) => only,
             (theirs, ours) => theirs.min(ours),
         };
-        self.heartbeat = if heartbeat == 0 { f64::INFINITY } else { f64::from(heartbeat) * 1000.0 };
+        self.heartbeat_interval = if heartbeat == 0 { f64::INFINITY } else { f64::from(heartbeat) * 1000.0 };
         let (channel_max, frame_max) = (self.channel_max, self.frame_max);
         self.send_control(connection::AMQPMethod::TuneOk(connection::TuneOk {
             channel_max,
@@ -361,10 +394,10 @@
         match (state, class) {
             (_, AMQPClass::Channel(channel::AMQPMethod::Close(close))) => {
                 self.channels.remove(&number);
-                let done = channel::AMQPMethod::CloseOk(channel::CloseOk {});
-                self.send_method(number, AMQPClass::Channel(done));
-                let why = format!("{} {}", close.reply_code, close.reply_text);
-                Ok(Some(ConnectionEvent::ChannelClosed(number, why)))
+                let close_ok = channel::AMQPMethod::CloseOk(channel::CloseOk {});
+                self.send_method(number, AMQPClass::Channel(close_ok));
+                let reason = format!("{} {}", close.reply_code, close.reply_text);
+                Ok(Some(ConnectionEvent::ChannelClosed(number, reason)))
             }
             (state @ ChannelState::Opening, AMQPClass::Channel(channel::AMQPMethod::OpenOk(_))) => {
                 *state = ChannelState::Open(Box::new(Assembler::new(self.max_body_bytes)));
@@ -381,11 +414,34 @@
                 Ok(Some(ConnectionEvent::ConfirmsEnabled(number)))
             }
             (_, AMQPClass::Channel(channel::AMQPMethod::Flow(flow))) => {
-                let done = channel::AMQPMethod::FlowOk(channel::FlowOk { active: flow.active });
-                self.send_method(number, AMQPClass::Channel(done));
+                let flow_ok = channel::AMQPMethod::FlowOk(channel::FlowOk { active: flow.active });
+                self.send_method(number, AMQPClass::Channel(flow_ok));
                 Ok(Some(ConnectionEvent::Flow(number, flow.active)))
             }
             _ => Err(Malformed("a method out of order")),
         }
     }
 }
+
+/// Checks that the broker speaks this version of the protocol and accepts a user name with a password.
+fn check_start(start: &connection::Start) -> Result<(), Malformed> {
+    if (start.version_major, start.version_minor) != (0, 9) {
+        return Err(Malformed("the broker speaks another version of the protocol"));
+    }
+    let mechanisms = start.mechanisms.to_string();
+    if !mechanisms.split(' ').any(|mechanism| mechanism == "PLAIN") {
+        return Err(Malformed("the broker does not take a user and a password (PLAIN)"));
+    }
+    Ok(())
+}
+
+/// Drops the message headers that this program did not set.
+fn with_own_headers_only(properties: AMQPProperties) -> AMQPProperties {
+    let all = properties.headers().clone().unwrap_or_default();
+    let own: BTreeMap<_, _> = all
+        .into_iter()
+        .filter(|(name, _)| name.as_str().starts_with(OWN_HEADERS))
+        .map(|(name, value)| (name.clone(), value.clone()))
+        .collect();
+    properties.with_headers(own.into())
+}
--- a/crates/loomflow-amqp/src/consumer/flow_control.rs
+++ b/crates/loomflow-amqp/src/consumer/flow_control.rs
@@ -1,51 +1,61 @@
-//! How much to take: windows follow what has happened, lanes follow windows, and what waits is published.
+//! How much is consumed: windows follow what has happened, consumers follow windows, and what is queued is published.
 
 use amq_protocol::protocol::basic::{self, AMQPMethod};
 use amq_protocol::types::FieldTable;
 
 use super::{Consumer, PUBLISH_CHANNEL, QueueState};
-use crate::consumer_pool::{self, ConsumerCommand};
+use crate::Millis;
+use crate::consumer_pool::{ConsumerCommand, MAX_PREFETCH};
 use crate::message;
 use crate::settings::{Class, Queue};
 use crate::window::divide_by_weight;
 
 impl Consumer {
-    /// There is somebody to offer to from now on.
+    /// Submitted messages are decided upon from now on.
     pub fn start_accepting(&mut self) {
         self.is_accepting = true;
     }
 
-    /// The send share that callers are told.
+    /// The send share that callers get from now on.
     pub fn set_share(&mut self, share: f64) {
         self.share = share;
     }
 
-    /// Unix ms at the beginning of our clock: the stamps of senders are read by it.
-    pub fn set_epoch(&mut self, epoch: f64) {
+    /// The wall clock's ms since 1970 at time 0, by which the timestamps of senders are read.
+    pub fn set_epoch(&mut self, epoch: Millis) {
         self.clock_epoch = epoch;
     }
 
-    /// The tenants there are from now on, and the same classes and queues with their figures.
+    /// The tenants from now on, and the same classes and queues with their present figures.
     pub fn set_settings(&mut self, tenants: Vec<String>, classes: Vec<Class>, queues: Vec<Queue>) {
-        (self.settings.tenants, self.settings.classes, self.settings.queues) = (tenants, classes, queues);
+        self.settings.tenants = tenants;
+        self.settings.classes = classes;
+        self.settings.queues = queues;
     }
 
-    pub fn queue(&self, at: usize) -> &Queue {
-        &self.settings.queues[at]
+    /// The settings of a queue.
+    pub fn queue(&self, index: usize) -> &Queue {
+        &self.settings.queues[index]
     }
 
-    /// Windows, lanes and publishes follow what has happened.
-    pub(super) fn flush(&mut self, now: f64) {
+    /// Lets windows, consumers and publishes follow what has happened.
+    pub(super) fn flush(&mut self, now: Millis) {
         self.is_dirty = false;
-        let Some(connection) = &mut self.connection else { return };
-        if !connection.is_ready() {
+        let Some(connection) = self.connection.as_mut().filter(|connection| connection.is_ready()) else {
             return;
-        }
+        };
         if self.reopen_at.take_if(|at| now >= *at).is_some() {
             connection.open_channel(PUBLISH_CHANNEL);
         }
-        // Before it is asked whether publishes hold back: what is written here holds back nothing, and lanes that
-        // were cancelled for it would leave the engine idle until the next round.
+        // Before the backpressure is checked: what is written here causes none, and consumers that were cancelled for it
+        // would leave the engine idle until the next round.
+        self.write_publishes(now);
+        self.resize_pools(now);
+        self.close_if_drained();
+    }
+
+    fn write_publishes(&mut self, now: Millis) {
+        let Some(connection) = &mut self.connection else { return };
         while let Some(publish) = self.publisher.write_next(now) {
             let method = basic::Publish {
                 exchange: message::short_string(&publish.exchange),
@@ -55,51 +65,65 @@
             };
             connection.publish(PUBLISH_CHANNEL, method, publish.properties, &publish.body);
         }
-        let stopped = !self.is_accepting
+    }
+
+    /// Divides the messages that may be in flight among the queues, and brings each pool towards its part.
+    fn resize_pools(&mut self, now: Millis) {
+        let has_stopped = !self.is_accepting
             || self.drain_deadline.is_some()
             || self.publisher.has_backpressure()
             || self.records.is_full();
-        let most = self.settings.max_in_flight;
-        let wanted = |source: &mut QueueState| {
-            source.window.limit(most.min(consumer_pool::MAX_PREFETCH) as f64);
-            source.window.target(self.share)
+        let max_in_flight = self.settings.max_in_flight;
+        let target = |queue: &mut QueueState| {
+            queue.window.limit(max_in_flight.min(MAX_PREFETCH) as f64);
+            queue.window.target(self.share)
         };
-        let wants: Vec<(f64, f64)> = self
-            .queues
-            .iter_mut()
-            .zip(&self.settings.queues)
-            .map(|(s, q)| (wanted(s), q.priority_weight))
-            .collect();
-        let parts = divide_by_weight(if stopped { 0 } else { most }, &wants);
+        let queues = self.queues.iter_mut().zip(&self.settings.queues);
+        let wants: Vec<(f64, f64)> =
+            queues.map(|(queue, settings)| (target(queue), settings.priority_weight)).collect();
+        let parts = divide_by_weight(if has_stopped { 0 } else { max_in_flight }, &wants);
         for (queue, part) in parts.into_iter().enumerate() {
-            for (lane, step) in self.queues[queue].pool.resize(part, now) {
-                let channel = Consumer::channel_of(queue, lane);
-                let consumer_tag = format!("loomflow.{queue}.{lane}").into();
-                match step {
-                    ConsumerCommand::OpenChannel => connection.open_channel(channel),
-                    ConsumerCommand::Consume(prefetch_count) => {
-                        let qos = basic::Qos { prefetch_count, global: false };
-                        connection.basic(channel, AMQPMethod::Qos(qos));
-                        let consume = basic::Consume {
-                            queue: message::short_string(&self.settings.queues[queue].name),
-                            consumer_tag,
-                            no_local: false,
-                            no_ack: false,
-                            exclusive: false,
-                            nowait: false,
-                            arguments: FieldTable::default(),
-                        };
-                        connection.basic(channel, AMQPMethod::Consume(consume));
-                    }
-                    ConsumerCommand::Cancel => {
-                        let cancel = basic::Cancel { consumer_tag, nowait: false };
-                        connection.basic(channel, AMQPMethod::Cancel(cancel));
-                    }
-                }
+            for (consumer, command) in self.queues[queue].pool.resize(part, now) {
+                self.carry_out(queue, consumer, command);
             }
         }
-        let done = self.drain_deadline.is_some() && self.deliveries.is_empty() && self.publisher.is_empty();
-        if done && self.queues.iter().all(|source| source.pool.is_idle()) {
+    }
+
+    fn carry_out(&mut self, queue: usize, consumer: usize, command: ConsumerCommand) {
+        let Some(connection) = &mut self.connection else { return };
+        let channel = Consumer::channel_of(queue, consumer);
+        let consumer_tag = format!("loomflow.{queue}.{consumer}").into();
+        match command {
+            ConsumerCommand::OpenChannel => connection.open_channel(channel),
+            ConsumerCommand::Consume(prefetch_count) => {
+                let qos = basic::Qos { prefetch_count, global: false };
+                connection.basic(channel, AMQPMethod::Qos(qos));
+                let consume = basic::Consume {
+                    queue: message::short_string(&self.settings.queues[queue].name),
+                    consumer_tag,
+                    no_local: false,
+                    no_ack: false,
+                    exclusive: false,
+                    nowait: false,
+                    arguments: FieldTable::default(),
+                };
+                connection.basic(channel, AMQPMethod::Consume(consume));
+            }
+            ConsumerCommand::Cancel => {
+                let cancel = basic::Cancel { consumer_tag, nowait: false };
+                connection.basic(channel, AMQPMethod::Cancel(cancel));
+            }
+        }
+    }
+
+    fn close_if_drained(&mut self) {
+        let is_drained =
+            self.drain_deadline.is_some() && self.deliveries.is_empty() && self.publisher.is_empty();
+        let is_idle = || self.queues.iter().all(|queue| queue.pool.is_idle());
+        if is_drained
+            && is_idle()
+            && let Some(connection) = &mut self.connection
+        {
             connection.close();
         }
     }
--- a/crates/loomflow-amqp/src/consumer/inbound.rs
+++ b/crates/loomflow-amqp/src/consumer/inbound.rs
@@ -1,71 +1,70 @@
-//! Messages in: what comes on a lane is read, judged and offered; what goes with its channel is let go.
+//! Messages in: what a consumer delivers is decided upon and submitted; what goes with its channel is abandoned.
 
 use amq_protocol::protocol::basic::AMQPProperties;
 use loomflow_protocol::Malformed;
 
-use super::{Consumer, ConsumerRequest, Delivery, Phase, PublishPurpose, SubmittedMessage};
+use super::delivery::{Delivery, Phase};
+use super::{Consumer, ConsumerRequest, PublishPurpose, SubmittedMessage};
+use crate::Millis;
 use crate::connection::Channel;
 use crate::content::{Content, Envelope};
-use crate::idempotency::{DeliveryId, DuplicateDecision, MessageInfo};
-use crate::message;
+use crate::idempotency::{DeliveryId, DuplicateDecision, IdempotencyKey, MessageInfo};
+use crate::message::{self, Classification};
 use crate::settlement::MessageOutcome;
 
 impl Consumer {
-    /// A lane's channel is gone, and with it all that could have been settled there.
-    pub(super) fn channel_closed(&mut self, channel: Channel, now: f64) {
-        let Some((queue, lane)) = self.consumer_of(channel) else { return };
-        self.queues[queue].pool.channel_closed(lane, now);
-        let on_it = |d: &Delivery| (d.queue, d.consumer) == (queue, lane);
-        let gone: Vec<DeliveryId> =
-            self.deliveries.iter().filter(|(_, d)| on_it(d)).map(|(id, _)| *id).collect();
-        let waiting: Vec<DeliveryId> =
-            gone.into_iter().filter_map(|id| self.abandon(id, now)).flatten().collect();
-        // Those that waited on other channels are looked at anew: one of them is the first now.
-        for id in waiting {
+    /// A consumer's channel is closed, and with it everything that could have been settled there.
+    pub(super) fn channel_closed(&mut self, channel: Channel, now: Millis) {
+        let Some((queue, consumer)) = self.consumer_of(channel) else { return };
+        self.queues[queue].pool.channel_closed(consumer, now);
+        let is_on_channel = |delivery: &Delivery| (delivery.queue, delivery.consumer) == (queue, consumer);
+        let mut waiters = Vec::new();
+        for id in self.deliveries_where(is_on_channel) {
+            waiters.extend(self.abandon(id, now));
+        }
+        // Those that waited on other channels are decided upon anew: one of them is the original now.
+        for id in waiters {
             self.process(id, now);
         }
     }
 
-    /// A delivery cannot be settled any more; the broker will deliver its message again. A run goes on, for the
-    /// redelivery; what has not begun is dropped. The answer is who waited for it.
-    pub(super) fn abandon(&mut self, id: DeliveryId, now: f64) -> Option<Vec<DeliveryId>> {
-        let delivery = self.deliveries.remove(&id)?;
+    /// A delivery cannot be settled any more; the broker will deliver its message again. A run goes on, for the redelivery;
+    /// what has not been started is dropped. Returns the deliveries that waited for it.
+    pub(super) fn abandon(&mut self, id: DeliveryId, now: Millis) -> Vec<DeliveryId> {
+        let Some(delivery) = self.deliveries.remove(&id) else { return Vec::new() };
+        let copy = delivery.copy();
         match (delivery.phase, delivery.key) {
             (Phase::Submitted, key) if delivery.run_started_at.is_some() => {
                 self.orphaned_runs.insert(id, key);
-                None
             }
             (Phase::Submitted, key) => {
                 self.requests.push(ConsumerRequest::Cancel(id));
-                let instance = message::publish_id(&delivery.properties);
-                key.map(|key| self.records.not_started(&key, instance, now))
-            }
-            (Phase::AwaitingOriginal, key) => {
-                if let Some(key) = key {
-                    self.records.leave(&key, id);
-                }
-                None
+                return key.map(|key| self.records.not_started(&key, copy, now)).unwrap_or_default();
             }
-            (Phase::Settling(exit), Some(key)) if exit.awaits_reply_confirm() => {
-                let mark = message::caller_digest(&delivery.properties);
-                let reply = self
-                    .pending_publishes
-                    .values_mut()
-                    .find(|what| matches!(what, PublishPurpose::Reply(of) if *of == id));
-                if let Some(what) = reply {
-                    *what = PublishPurpose::LateReply(key, mark);
-                }
-                None
+            (Phase::AwaitingOriginal, Some(key)) => self.records.leave(&key, id),
+            (Phase::Settling(settling), Some(key)) if settling.awaits_reply_confirm() => {
+                self.expect_late_reply(id, key, &delivery.properties);
             }
-            (Phase::Settling(_), _) => None,
+            (Phase::AwaitingOriginal | Phase::Settling(_), _) => {}
         }
+        Vec::new()
     }
 
+    /// The reply of an abandoned delivery may still be confirmed: its caller is answered then.
+    fn expect_late_reply(&mut self, id: DeliveryId, key: IdempotencyKey, properties: &AMQPProperties) {
+        let is_its_reply =
+            |purpose: &&mut PublishPurpose| matches!(purpose, PublishPurpose::Reply(of) if *of == id);
+        if let Some(purpose) = self.pending_publishes.values_mut().find(is_its_reply) {
+            *purpose = PublishPurpose::LateReply(key, message::caller_digest(properties));
+        }
+    }
+
+    /// Handles a message of the broker.
     pub(super) fn handle_content(
         &mut self,
         channel: Channel,
         content: Content,
-        now: f64,
+        now: Millis,
     ) -> Result<(), Malformed> {
         let deliver = match content.envelope {
             Envelope::Return(_) => {
@@ -76,10 +75,10 @@
             }
             Envelope::Deliver(deliver) => deliver,
         };
-        let Some((queue, lane)) = self.consumer_of(channel) else {
+        let Some((queue, consumer)) = self.consumer_of(channel) else {
             return Err(Malformed("a message on a channel without a consumer"));
         };
-        if !self.queues[queue].pool.delivered(lane) {
+        if !self.queues[queue].pool.delivered(consumer) {
             return Err(Malformed("far more messages than were asked for"));
         }
         self.last_delivery += 1;
@@ -88,7 +87,7 @@
         self.counts.redelivered += u64::from(deliver.redelivered);
         let delivery = Delivery {
             queue,
-            consumer: lane,
+            consumer,
             tag: deliver.delivery_tag,
             classification: None,
             key: None,
@@ -109,65 +108,73 @@
         Ok(())
     }
 
-    /// When a message was sent, on our clock, ms; never later than now, whatever the sender's clock says.
-    fn sent_at(&self, queue: usize, properties: &AMQPProperties, now: f64) -> Option<f64> {
+    /// When a message was sent; never later than now, whatever the sender's clock says.
+    fn sent_at(&self, queue: usize, properties: &AMQPProperties, now: Millis) -> Option<Millis> {
         let from = self.settings.queues[queue].sent_from.as_ref()?;
         message::sent_at(from, properties).map(|at| (at - self.clock_epoch).min(now))
     }
 
-    /// Looks at a message in hand, and offers it, lets it wait or ends it.
-    pub(super) fn process(&mut self, id: DeliveryId, now: f64) {
-        let Some(delivery) = self.deliveries.get_mut(&id) else { return };
+    /// Class, tenant and key of a message. The error is the reason why it is invalid.
+    fn classify(
+        &self,
+        delivery: &Delivery,
+    ) -> Result<(Classification, Option<IdempotencyKey>), &'static str> {
         let queue = &self.settings.queues[delivery.queue];
-        let read = message::classify(&self.settings, queue, &delivery.properties).and_then(|place| {
-            Ok((place, message::idempotency_key(&queue.key, place, &delivery.properties)?))
-        });
-        let (place, key) = match read {
-            Ok(read) => read,
+        let classification = message::classify(&self.settings, queue, &delivery.properties)?;
+        let key = message::idempotency_key(&queue.key, classification, &delivery.properties)?;
+        Ok((classification, key))
+    }
+
+    /// Decides about a delivery: submits it, lets it wait for its original, or ends it.
+    pub(super) fn process(&mut self, id: DeliveryId, now: Millis) {
+        let Some(delivery) = self.deliveries.get(&id) else { return };
+        let (classification, key) = match self.classify(delivery) {
+            Ok(classified) => classified,
             Err(why) => return self.finish(id, &MessageOutcome::Invalid(why), now),
         };
-        delivery.classification = Some(place);
-        delivery.key = key.clone();
-        let redelivered = delivery.redelivered;
-        let spent = delivery.sent_at.map_or(0.0, |sent| now - sent);
-        let hints = MessageInfo {
-            has_effect: place.has_effect,
-            redelivered,
-            copy: message::publish_id(&delivery.properties),
+        let info = MessageInfo {
+            has_effect: classification.has_effect,
+            redelivered: delivery.redelivered,
+            copy: delivery.copy(),
             caller_digest: message::caller_digest(&delivery.properties),
             body_digest: self.records.digest(&delivery.body),
         };
-        match self.records.decide(id, key.as_ref(), hints, now) {
+        let decision = self.records.decide(id, key.as_ref(), info, now);
+        let Some(delivery) = self.deliveries.get_mut(&id) else { return };
+        delivery.classification = Some(classification);
+        delivery.key = key;
+        match decision {
             DuplicateDecision::Run if self.is_intake_stopped || !self.is_accepting => {
-                self.finish_with_waiters(id, &MessageOutcome::Returned, now)
-            }
-            DuplicateDecision::Run => {
-                delivery.phase = Phase::Submitted;
-                let (queue, body) = (delivery.queue, delivery.body.clone());
-                let key = key.map(|key| key.text);
-                self.requests.push(ConsumerRequest::Submit(SubmittedMessage {
-                    id,
-                    queue,
-                    classification: place,
-                    key,
-                    body,
-                    redelivered,
-                    upstream_time: spent,
-                }));
+                self.finish_with_waiters(id, &MessageOutcome::Returned, now);
             }
+            DuplicateDecision::Run => self.submit(id, classification, now),
             DuplicateDecision::AwaitOriginal => delivery.phase = Phase::AwaitingOriginal,
             DuplicateDecision::Superseded | DuplicateDecision::AnswerFromRecord { is_answered: true, .. } => {
-                self.finish(id, &MessageOutcome::AlreadyAnswered, now)
+                self.finish(id, &MessageOutcome::AlreadyAnswered, now);
             }
-            DuplicateDecision::AnswerFromRecord { result: ended, .. } => {
-                self.finish(id, &MessageOutcome::Finished(ended), now)
+            DuplicateDecision::AnswerFromRecord { result, .. } => {
+                self.finish(id, &MessageOutcome::Finished(result), now);
             }
             DuplicateDecision::MayHaveRun => self.finish(id, &MessageOutcome::MayHaveRun, now),
             DuplicateDecision::BodyMismatch => {
-                // What becomes of it is nothing to the one whose key it bears.
+                // What becomes of it is nothing to the original of its key.
                 delivery.key = None;
                 self.finish(id, &MessageOutcome::Invalid("key-of-another"), now);
             }
         }
     }
+
+    fn submit(&mut self, id: DeliveryId, classification: Classification, now: Millis) {
+        let Some(delivery) = self.deliveries.get_mut(&id) else { return };
+        delivery.phase = Phase::Submitted;
+        self.requests.push(ConsumerRequest::Submit(SubmittedMessage {
+            id,
+            queue: delivery.queue,
+            classification,
+            key: delivery.key.as_ref().map(|key| key.text.clone()),
+            body: delivery.body.clone(),
+            redelivered: delivery.redelivered,
+            upstream_time: delivery.sent_at.map_or(0.0, |sent_at| now - sent_at),
+        }));
+    }
 }
--- a/crates/loomflow-amqp/src/consumer/outbound.rs
+++ b/crates/loomflow-amqp/src/consumer/outbound.rs
@@ -1,10 +1,11 @@
-//! Answers out: what an offer ended as, what is published for it, and the word that settles it.
+//! Messages out: how a submitted message ended, what is published for it, and the method that settles it.
 
 use std::sync::Arc;
 
 use amq_protocol::protocol::basic::{self, AMQPMethod};
 
-use super::{Consumer, ConsumerRequest, Delivery, MessageResponse, Phase, PublishPurpose, micros};
+use super::{Consumer, ConsumerRequest, MessageResponse, Phase, PublishPurpose, micros};
+use crate::Millis;
 use crate::idempotency::{CopyId, DeliveryId, IdempotencyKey, RunResult};
 use crate::message;
 use crate::publisher::{PublishId, PublishResult};
@@ -14,155 +15,156 @@
 use crate::window::{self, Observation};
 
 impl Consumer {
-    /// Its run may begin from now on.
-    pub fn run_started(&mut self, id: DeliveryId, now: f64) {
-        let offered = |d: &&mut Delivery| matches!(d.phase, Phase::Submitted);
-        let Some(delivery) = self.deliveries.get_mut(&id).filter(offered) else { return };
+    /// The run of a message may have started.
+    pub fn run_started(&mut self, id: DeliveryId, now: Millis) {
+        let Some(delivery) = self.deliveries.get_mut(&id).filter(|delivery| delivery.is_submitted()) else {
+            return;
+        };
         delivery.run_started_at = Some(now);
         if let Some(key) = &delivery.key {
             self.records.run_started(key);
         }
     }
 
-    /// The answer to an offer.
-    pub fn respond(&mut self, id: DeliveryId, ending: MessageResponse, now: f64) {
-        let ended = match ending {
+    /// The response to a submitted message.
+    pub fn respond(&mut self, id: DeliveryId, response: MessageResponse, now: Millis) {
+        let outcome = match response {
             MessageResponse::Served(body) => MessageOutcome::Finished(RunResult::Served(Arc::from(body))),
             MessageResponse::MayHaveRun => MessageOutcome::Finished(RunResult::Failed),
             MessageResponse::Rejected { .. } if self.is_intake_stopped => MessageOutcome::Returned,
-            MessageResponse::Rejected { retry_after: pause, is_final: last } => {
-                MessageOutcome::Rejected { retry_after: pause, is_final: last }
+            MessageResponse::Rejected { retry_after, is_final } => {
+                MessageOutcome::Rejected { retry_after, is_final }
             }
             MessageResponse::NotRun => MessageOutcome::NotRun,
         };
         if let Some(key) = self.orphaned_runs.remove(&id) {
-            let waiting = key.map(|key| self.finish_key(&key, None, &ended, now)).unwrap_or_default();
-            waiting.into_iter().for_each(|id| self.finish(id, &ended, now));
-        } else if self.deliveries.get(&id).is_some_and(|d| matches!(d.phase, Phase::Submitted)) {
-            self.observe(id, &ended, now);
-            self.finish_with_waiters(id, &ended, now);
+            let waiters = key.map(|key| self.finish_key(&key, None, &outcome, now)).unwrap_or_default();
+            waiters.into_iter().for_each(|id| self.finish(id, &outcome, now));
+        } else if self.deliveries.get(&id).is_some_and(|delivery| delivery.is_submitted()) {
+            self.observe(id, &outcome, now);
+            self.finish_with_waiters(id, &outcome, now);
         }
         self.is_dirty = true;
     }
 
-    /// What an ending tells of a key; who waited for it is the answer.
+    /// Records an outcome for a key; returns the deliveries that waited for it.
     fn finish_key(
         &mut self,
         key: &IdempotencyKey,
-        instance: Option<CopyId>,
-        ended: &MessageOutcome,
-        now: f64,
+        copy: Option<CopyId>,
+        outcome: &MessageOutcome,
+        now: Millis,
     ) -> Vec<DeliveryId> {
-        match ended {
-            MessageOutcome::Finished(done) => self.records.run_finished(key, done.clone(), now),
-            _ => self.records.not_started(key, instance, now),
+        match outcome {
+            MessageOutcome::Finished(result) => self.records.run_finished(key, result.clone(), now),
+            _ => self.records.not_started(key, copy, now),
         }
     }
 
-    fn observe(&mut self, id: DeliveryId, ended: &MessageOutcome, now: f64) {
+    /// Lets the window of its queue see how a message ended.
+    fn observe(&mut self, id: DeliveryId, outcome: &MessageOutcome, now: Millis) {
         let Some(delivery) = self.deliveries.get(&id) else { return };
-        let source = &mut self.queues[delivery.queue];
-        let how = match ended {
+        let queue = &mut self.queues[delivery.queue];
+        let outcome = match outcome {
             MessageOutcome::Finished(RunResult::Served(_)) => window::Outcome::Served,
             MessageOutcome::Rejected { .. } => window::Outcome::Rejected,
             _ => window::Outcome::Other,
         };
-        source.window.observe(
-            Observation {
-                outcome: how,
-                broker_time: delivery.sent_at.map(|at| delivery.received_at - at),
-                queue_time: delivery.run_started_at.map(|at| at - delivery.received_at),
-                total_time: now - delivery.received_at,
-                is_limited: source.pool.is_full(),
-            },
-            now,
-        );
+        let observation = Observation {
+            outcome,
+            broker_time: delivery.sent_at.map(|sent_at| delivery.received_at - sent_at),
+            queue_time: delivery.run_started_at.map(|started_at| started_at - delivery.received_at),
+            total_time: now - delivery.received_at,
+            is_limited: queue.pool.is_full(),
+        };
+        queue.window.observe(observation, now);
     }
 
     /// A message has ended, and all that waited for it with it.
-    pub(super) fn finish_with_waiters(&mut self, id: DeliveryId, ended: &MessageOutcome, now: f64) {
-        let of = self.deliveries.get(&id).map(|d| (d.key.clone(), message::publish_id(&d.properties)));
-        let waiting = match of {
-            Some((Some(key), instance)) => self.finish_key(&key, instance, ended, now),
-            _ => Vec::new(),
-        };
-        self.finish(id, ended, now);
-        waiting.into_iter().for_each(|id| self.finish(id, ended, now));
+    pub(super) fn finish_with_waiters(&mut self, id: DeliveryId, outcome: &MessageOutcome, now: Millis) {
+        let delivery = self.deliveries.get(&id);
+        let key = delivery.and_then(|delivery| Some((delivery.key.clone()?, delivery.copy())));
+        let waiters = key.map(|(key, copy)| self.finish_key(&key, copy, outcome, now)).unwrap_or_default();
+        self.finish(id, outcome, now);
+        waiters.into_iter().for_each(|id| self.finish(id, outcome, now));
     }
 
-    pub(super) fn finish(&mut self, id: DeliveryId, ended: &MessageOutcome, now: f64) {
+    /// A message has ended: begins to settle it.
+    pub(super) fn finish(&mut self, id: DeliveryId, outcome: &MessageOutcome, now: Millis) {
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
-        let terms = SettlementContext {
+        let classes = &self.settings.classes;
+        let deadline = delivery
+            .classification
+            .zip(delivery.sent_at)
+            .map(|(classification, sent_at)| sent_at + classes[classification.class].timeout);
+        let context = SettlementContext {
             has_reply_to: message::reply_to(&self.settings, &delivery.properties).is_some(),
             has_dead_letter: self.settings.dead_letter.is_some(),
             retry_count: message::retry_count(&delivery.properties),
             max_retries: self.settings.max_retries,
-            has_effect: delivery.classification.is_none_or(|place| place.has_effect),
-            time_left: delivery
-                .classification
-                .zip(delivery.sent_at)
-                .map(|(place, sent)| sent + self.settings.classes[place.class].timeout - now),
+            has_effect: delivery.classification.is_none_or(|classification| classification.has_effect),
+            time_left: deadline.map(|deadline| deadline - now),
         };
-        delivery.phase = Phase::Settling(Settling::new(ended, terms, now));
+        delivery.phase = Phase::Settling(Settling::new(outcome, context, now));
         self.advance(id, now);
     }
 
-    /// Does what an exit wants done.
-    pub(super) fn advance(&mut self, id: DeliveryId, now: f64) {
+    /// Does what is due for a message that is being settled.
+    pub(super) fn advance(&mut self, id: DeliveryId, now: Millis) {
         loop {
             let Some(delivery) = self.deliveries.get_mut(&id) else { return };
-            let Phase::Settling(exit) = &mut delivery.phase else { return };
+            let Phase::Settling(settling) = &mut delivery.phase else { return };
             if self.drain_deadline.is_some() {
-                exit.skip_backoff(now);
+                settling.skip_backoff(now);
             }
-            let Some(what) = exit.next_action(now) else {
-                if let Some(at) = exit.next_deadline() {
+            let Some(action) = settling.next_action(now) else {
+                if let Some(at) = settling.next_deadline() {
                     self.deadlines.insert((micros(at), id));
                 }
                 return;
             };
-            match what {
+            match action {
                 SettlementAction::Reply(status) => self.publish_reply(id, &status),
                 SettlementAction::Republish(to) => self.republish(id, to),
-                SettlementAction::Settle(how) => return self.settle(id, how),
+                SettlementAction::Settle(settlement) => return self.settle(id, settlement),
             }
         }
     }
 
-    fn publish_id(&mut self, what: PublishPurpose) -> PublishId {
+    fn publish_id(&mut self, purpose: PublishPurpose) -> PublishId {
         self.last_publish += 1;
-        self.pending_publishes.insert(self.last_publish, what);
+        self.pending_publishes.insert(self.last_publish, purpose);
         self.last_publish
     }
 
     fn publish_reply(&mut self, id: DeliveryId, status: &ReplyStatus) {
-        let number = self.publish_id(PublishPurpose::Reply(id));
+        let publish_id = self.publish_id(PublishPurpose::Reply(id));
         let Some(delivery) = self.deliveries.get(&id) else { return };
-        if let Some(publish) = message::reply(&self.settings, &delivery.properties, status, number) {
-            self.publisher.enqueue(number, publish);
+        if let Some(publish) = message::reply(&self.settings, &delivery.properties, status, publish_id) {
+            self.publisher.enqueue(publish_id, publish);
         }
     }
 
     fn republish(&mut self, id: DeliveryId, to: Republish) {
-        let number = self.publish_id(PublishPurpose::Republish(id, to));
+        let publish_id = self.publish_id(PublishPurpose::Republish(id, to));
         let Some(delivery) = self.deliveries.get(&id) else { return };
         let queue = &self.settings.queues[delivery.queue].name;
         if let Some(key) = &delivery.key {
-            self.records.republishing(key, message::publish_id(&delivery.properties), number);
+            self.records.republishing(key, delivery.copy(), publish_id);
         }
-        let publish =
-            message::republished(&self.settings, queue, &delivery.properties, &delivery.body, to, number);
+        let (properties, body) = (&delivery.properties, &delivery.body);
+        let publish = message::republished(&self.settings, queue, properties, body, to, publish_id);
         if let Republish::DeadLetter(reason) = to {
             self.requests.push(ConsumerRequest::Log(format!("a message was given up: {reason}")));
         }
-        self.publisher.enqueue(number, publish);
+        self.publisher.enqueue(publish_id, publish);
     }
 
-    fn settle(&mut self, id: DeliveryId, how: Settlement) {
+    fn settle(&mut self, id: DeliveryId, settlement: Settlement) {
         let Some(delivery) = self.deliveries.remove(&id) else { return };
         self.queues[delivery.queue].pool.settled(delivery.consumer);
         let delivery_tag = delivery.tag;
-        let (method, count) = match how {
+        let (method, count) = match settlement {
             Settlement::Ack => {
                 (AMQPMethod::Ack(basic::Ack { delivery_tag, multiple: false }), &mut self.counts.acked)
             }
@@ -180,40 +182,61 @@
     }
 
     /// What became of publishes.
-    pub(super) fn publishes_finished(&mut self, fates: Vec<(PublishId, PublishResult)>, now: f64) {
-        for (number, fate) in fates {
-            let Some(what) = self.pending_publishes.remove(&number) else { continue };
-            let (id, to) = match what {
-                PublishPurpose::Reply(id) => (id, None),
-                PublishPurpose::Republish(id, to) => (id, Some(to)),
-                PublishPurpose::LateReply(key, mark) => {
-                    if fate == PublishResult::Confirmed {
-                        self.records.caller_answered(&key, mark);
-                    }
-                    continue;
-                }
-            };
-            let Some(delivery) = self.deliveries.get_mut(&id) else { continue };
-            let Phase::Settling(exit) = &mut delivery.phase else { continue };
-            match to {
-                None => {
-                    exit.reply_published(fate, now);
-                    self.counts.replied += u64::from(fate == PublishResult::Confirmed);
+    pub(super) fn publishes_finished(&mut self, results: Vec<(PublishId, PublishResult)>, now: Millis) {
+        for (publish_id, result) in results {
+            match self.pending_publishes.remove(&publish_id) {
+                None => {}
+                Some(PublishPurpose::Reply(id)) => self.reply_finished(id, result, now),
+                Some(PublishPurpose::Republish(id, to)) => {
+                    self.republish_finished(id, to, publish_id, result, now);
                 }
-                Some(to) => {
-                    exit.republished(fate, now);
-                    if let (Some(key), true) = (&delivery.key, fate != PublishResult::Unknown) {
-                        self.records.republished(key, number, fate == PublishResult::Confirmed);
-                    }
-                    let back = matches!(to, Republish::Requeue { .. });
-                    let count = if back { &mut self.counts.put_back } else { &mut self.counts.dead };
-                    *count += u64::from(fate == PublishResult::Confirmed);
+                Some(PublishPurpose::LateReply(key, caller_digest)) if result == PublishResult::Confirmed => {
+                    self.records.caller_answered(&key, caller_digest);
                 }
+                Some(PublishPurpose::LateReply(..)) => {}
             }
-            if let (Some(key), true) = (&delivery.key, exit.is_caller_answered()) {
-                self.records.caller_answered(key, message::caller_digest(&delivery.properties));
-            }
-            self.advance(id, now);
         }
     }
+
+    fn reply_finished(&mut self, id: DeliveryId, result: PublishResult, now: Millis) {
+        let Some(delivery) = self.deliveries.get_mut(&id) else { return };
+        let Phase::Settling(settling) = &mut delivery.phase else { return };
+        settling.reply_published(result, now);
+        self.counts.replied += u64::from(result == PublishResult::Confirmed);
+        self.publish_finished(id, now);
+    }
+
+    fn republish_finished(
+        &mut self,
+        id: DeliveryId,
+        to: Republish,
+        publish_id: PublishId,
+        result: PublishResult,
+        now: Millis,
+    ) {
+        let is_confirmed = result == PublishResult::Confirmed;
+        let Some(delivery) = self.deliveries.get_mut(&id) else { return };
+        let Phase::Settling(settling) = &mut delivery.phase else { return };
+        settling.republished(result, now);
+        if let (Some(key), true) = (&delivery.key, result != PublishResult::Unknown) {
+            self.records.republished(key, publish_id, is_confirmed);
+        }
+        let count = match to {
+            Republish::Requeue { .. } => &mut self.counts.put_back,
+            Republish::DeadLetter(_) => &mut self.counts.dead,
+        };
+        *count += u64::from(is_confirmed);
+        self.publish_finished(id, now);
+    }
+
+    /// Records that the caller has its final reply, and goes on with the settlement.
+    fn publish_finished(&mut self, id: DeliveryId, now: Millis) {
+        let Some(delivery) = self.deliveries.get(&id) else { return };
+        let is_answered =
+            matches!(&delivery.phase, Phase::Settling(settling) if settling.is_caller_answered());
+        if let (Some(key), true) = (&delivery.key, is_answered) {
+            self.records.caller_answered(key, message::caller_digest(&delivery.properties));
+        }
+        self.advance(id, now);
+    }
 }
--- a/crates/loomflow-amqp/src/consumer_pool.rs
+++ b/crates/loomflow-amqp/src/consumer_pool.rs
@@ -1,14 +1,19 @@
-//! The consumers of one queue, as lanes of fixed sizes, each with a channel of its own.
+//! The consumers of one queue, with fixed prefetch counts, each on a channel of its own.
 //!
-//! `basic.qos` does not reach a consumer that runs (spec: "prefetch-window", applied by brokers to consumers that
-//! start later), so a window is changed by starting and cancelling lanes: a lane of size n is a consumer with a
-//! prefetch of n. On a channel of its own that holds for brokers that count by channel and those that count by
-//! consumer. A lane starts again only once all it held is settled, so that what is in hand never goes beyond the
-//! greater of the window and what was in hand when it shrank.
+//! `basic.qos` does not reach a consumer that runs (spec: "prefetch-window", applied by brokers to consumers that start
+//! later), so the window of a queue is changed by starting and cancelling consumers. On a channel of its own a prefetch
+//! count holds for brokers that count by channel and for those that count by consumer. A consumer is started again only
+//! once everything it had is settled, so that the messages in flight never exceed the greater of the window and what was
+//! in flight when it shrank.
 
-/// Two of each size, so that a window can grow by little without cancelling what runs.
+use crate::Millis;
+
+#[cfg(test)]
+mod tests;
+
+/// Two of each, so that a window can grow by little without cancelling consumers that run.
 pub const PREFETCH_COUNTS: [u16; 18] = [1, 1, 2, 2, 4, 4, 8, 8, 16, 16, 32, 32, 64, 64, 128, 128, 256, 256];
-/// All lanes together.
+/// All consumers together.
 pub const MAX_PREFETCH: usize = {
     let (mut sum, mut at) = (0, 0);
     while at < PREFETCH_COUNTS.len() {
@@ -17,17 +22,21 @@
     }
     sum
 };
-/// A lane whose channel was closed, or whose consumer the broker cancelled, begins again after this, ms, twice as long
-/// each time up to the longest, until a message on it is settled.
-const MIN_BACKOFF_MS: f64 = 250.0;
-const MAX_BACKOFF_MS: f64 = 30_000.0;
-
-/// What is to be said on a lane's channel.
+/// A consumer whose channel was closed, or that the broker cancelled, is started again after this, twice as long each time
+/// up to the maximum, until a message on it is settled.
+const MIN_BACKOFF_MS: Millis = 250.0;
+const MAX_BACKOFF_MS: Millis = 30_000.0;
+/// More unsettled messages than so many prefetch counts show a broker that ignores them.
+const MAX_OVERDELIVERY: usize = 2;
+
+/// What is to be sent on a consumer's channel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConsumerCommand {
+    /// `channel.open`.
     OpenChannel,
     /// `basic.qos` with this count, then `basic.consume`.
     Consume(u16),
+    /// `basic.cancel`.
     Cancel,
 }
 
@@ -48,13 +57,23 @@
     prefetch: u16,
     state: ConsumerState,
     unsettled: usize,
-    /// The next pause before its channel is opened, or its consumer started, again.
-    backoff: f64,
-    backoff_until: f64,
+    /// Before its channel is opened, or it is started, the next time.
+    backoff: Millis,
+    backoff_until: Millis,
 }
 
 impl PooledConsumer {
-    fn back_off(&mut self, now: f64) {
+    fn new(prefetch: u16) -> PooledConsumer {
+        PooledConsumer {
+            prefetch,
+            state: ConsumerState::Closed,
+            unsettled: 0,
+            backoff: MIN_BACKOFF_MS,
+            backoff_until: f64::NEG_INFINITY,
+        }
+    }
+
+    fn back_off(&mut self, now: Millis) {
         self.backoff_until = now + self.backoff;
         self.backoff = (self.backoff * 2.0).min(MAX_BACKOFF_MS);
     }
@@ -63,143 +82,155 @@
         matches!(self.state, ConsumerState::Starting | ConsumerState::Consuming)
     }
 
-    /// What it may come to hold without a further step.
+    /// Whether messages may come: until the broker has processed a cancel, they still do.
+    fn may_receive(&self) -> bool {
+        self.is_consuming() || self.state == ConsumerState::Cancelling
+    }
+
+    /// The unsettled messages that it may reach without a further command.
     fn max_unsettled(&self) -> usize {
-        // Until the broker has heard the cancel, more may come.
-        let open = self.is_consuming() || self.state == ConsumerState::Cancelling;
-        if open { usize::from(self.prefetch).max(self.unsettled) } else { self.unsettled }
+        if self.may_receive() { usize::from(self.prefetch).max(self.unsettled) } else { self.unsettled }
     }
 }
 
+/// The consumers of one queue.
 #[derive(Clone, Debug)]
 pub struct ConsumerPool {
     consumers: Vec<PooledConsumer>,
 }
 
 impl ConsumerPool {
-    /// `most`: channels there are for them.
-    pub fn new(most: usize) -> ConsumerPool {
-        let lane = |size| PooledConsumer {
-            prefetch: size,
-            state: ConsumerState::Closed,
-            unsettled: 0,
-            backoff: MIN_BACKOFF_MS,
-            backoff_until: f64::NEG_INFINITY,
-        };
-        ConsumerPool { consumers: PREFETCH_COUNTS.into_iter().take(most).map(lane).collect() }
+    /// A pool with so many channels.
+    pub fn new(channels: usize) -> ConsumerPool {
+        let prefetch_counts = PREFETCH_COUNTS.into_iter().take(channels);
+        ConsumerPool { consumers: prefetch_counts.map(PooledConsumer::new).collect() }
     }
 
-    /// The most that running lanes may hold.
+    /// The prefetch counts of running consumers, in all.
     pub fn prefetch(&self) -> usize {
-        self.consumers.iter().filter(|lane| lane.is_consuming()).map(|lane| usize::from(lane.prefetch)).sum()
+        let consuming = self.consumers.iter().filter(|consumer| consumer.is_consuming());
+        consuming.map(|consumer| usize::from(consumer.prefetch)).sum()
     }
 
+    /// Messages that are not settled.
     pub fn unsettled(&self) -> usize {
-        self.consumers.iter().map(|lane| lane.unsettled).sum()
+        self.consumers.iter().map(|consumer| consumer.unsettled).sum()
     }
 
-    /// As much is in hand as running lanes may hold.
+    /// Whether running consumers have as many unsettled messages as they may.
     pub fn is_full(&self) -> bool {
-        self.consumers.iter().filter(|l| l.is_consuming()).all(|l| l.unsettled >= usize::from(l.prefetch))
-            && self.prefetch() > 0
+        let mut consuming = self.consumers.iter().filter(|consumer| consumer.is_consuming());
+        consuming.all(|consumer| consumer.unsettled >= usize::from(consumer.prefetch)) && self.prefetch() > 0
     }
 
     /// Whether no consumer runs, is about to or is being cancelled.
     pub fn is_idle(&self) -> bool {
-        self.consumers.iter().all(|lane| {
-            matches!(lane.state, ConsumerState::Closed | ConsumerState::Opening | ConsumerState::Idle)
-        })
-    }
-
-    /// Steps towards a window.
-    pub fn resize(&mut self, window: usize, now: f64) -> Vec<(usize, ConsumerCommand)> {
-        let mut steps = Vec::new();
-        while let Some(over) = self.prefetch().checked_sub(window).filter(|over| *over > 0) {
-            let running =
-                (0..self.consumers.len()).filter(|at| self.consumers[*at].state == ConsumerState::Consuming);
-            // The smallest that is enough, else the largest.
-            let enough = |at: &usize| usize::from(self.consumers[*at].prefetch) >= over;
-            let Some(at) = running.clone().find(enough).or_else(|| running.clone().next_back()) else {
+        let is_idle =
+            |state| matches!(state, ConsumerState::Closed | ConsumerState::Opening | ConsumerState::Idle);
+        self.consumers.iter().all(|consumer| is_idle(consumer.state))
+    }
+
+    /// The commands, each with the index of its consumer, that bring the pool towards a window.
+    pub fn resize(&mut self, window: usize, now: Millis) -> Vec<(usize, ConsumerCommand)> {
+        let mut commands = self.shrink(window);
+        commands.extend(self.grow(window, now));
+        commands
+    }
+
+    /// Cancels consumers until the prefetch is within the window.
+    fn shrink(&mut self, window: usize) -> Vec<(usize, ConsumerCommand)> {
+        let mut commands = Vec::new();
+        while let Some(excess) = self.prefetch().checked_sub(window).filter(|excess| *excess > 0) {
+            let is_running = |index: &usize| self.consumers[*index].state == ConsumerState::Consuming;
+            let running = (0..self.consumers.len()).filter(is_running);
+            // The smallest that covers the excess, else the largest.
+            let covers = |index: &usize| usize::from(self.consumers[*index].prefetch) >= excess;
+            let Some(index) = running.clone().find(covers).or_else(|| running.clone().next_back()) else {
                 break;
             };
-            self.consumers[at].state = ConsumerState::Cancelling;
-            steps.push((at, ConsumerCommand::Cancel));
+            self.consumers[index].state = ConsumerState::Cancelling;
+            commands.push((index, ConsumerCommand::Cancel));
         }
-        for at in (0..self.consumers.len()).rev() {
-            let room = window.saturating_sub(self.consumers.iter().map(PooledConsumer::max_unsettled).sum());
-            let lane = &mut self.consumers[at];
-            if usize::from(lane.prefetch) > room || lane.unsettled > 0 || now < lane.backoff_until {
+        commands
+    }
+
+    /// Opens channels and starts consumers, the largest first, while they fit into the window.
+    fn grow(&mut self, window: usize, now: Millis) -> Vec<(usize, ConsumerCommand)> {
+        let mut commands = Vec::new();
+        for index in (0..self.consumers.len()).rev() {
+            let used: usize = self.consumers.iter().map(PooledConsumer::max_unsettled).sum();
+            let capacity = window.saturating_sub(used);
+            let consumer = &mut self.consumers[index];
+            let fits = usize::from(consumer.prefetch) <= capacity;
+            if !fits || consumer.unsettled > 0 || now < consumer.backoff_until {
                 continue;
             }
-            match lane.state {
+            match consumer.state {
                 ConsumerState::Closed => {
-                    lane.state = ConsumerState::Opening;
-                    steps.push((at, ConsumerCommand::OpenChannel));
+                    consumer.state = ConsumerState::Opening;
+                    commands.push((index, ConsumerCommand::OpenChannel));
                 }
                 ConsumerState::Idle => {
-                    lane.state = ConsumerState::Starting;
-                    steps.push((at, ConsumerCommand::Consume(lane.prefetch)));
+                    consumer.state = ConsumerState::Starting;
+                    commands.push((index, ConsumerCommand::Consume(consumer.prefetch)));
                 }
                 _ => {}
             }
         }
-        steps
+        commands
     }
 
-    pub fn channel_opened(&mut self, at: usize) {
-        if let Some(lane) = self.consumers.get_mut(at).filter(|lane| lane.state == ConsumerState::Opening) {
-            lane.state = ConsumerState::Idle;
-        }
+    /// Its channel is open.
+    pub fn channel_opened(&mut self, index: usize) {
+        self.transition(index, ConsumerState::Opening, ConsumerState::Idle);
     }
 
-    pub fn consumer_started(&mut self, at: usize) {
-        if let Some(lane) = self.consumers.get_mut(at).filter(|lane| lane.state == ConsumerState::Starting) {
-            lane.state = ConsumerState::Consuming;
-        }
+    /// The broker has started it.
+    pub fn consumer_started(&mut self, index: usize) {
+        self.transition(index, ConsumerState::Starting, ConsumerState::Consuming);
     }
 
-    /// Our word has ended its consumer.
-    pub fn consumer_cancelled(&mut self, at: usize) {
-        if let Some(lane) = self.consumers.get_mut(at).filter(|lane| lane.state == ConsumerState::Cancelling)
-        {
-            (lane.state, lane.backoff) = (ConsumerState::Idle, MIN_BACKOFF_MS);
+    /// The broker has cancelled it, as it was asked to.
+    pub fn consumer_cancelled(&mut self, index: usize) {
+        if self.transition(index, ConsumerState::Cancelling, ConsumerState::Idle) {
+            self.consumers[index].backoff = MIN_BACKOFF_MS;
         }
     }
 
-    /// The broker has ended its consumer: its queue is gone or moves.
-    pub fn cancelled_by_broker(&mut self, at: usize, now: f64) {
-        if let Some(lane) = self.consumers.get_mut(at) {
-            lane.state = ConsumerState::Idle;
-            lane.back_off(now);
+    fn transition(&mut self, index: usize, from: ConsumerState, to: ConsumerState) -> bool {
+        let consumer = self.consumers.get_mut(index).filter(|consumer| consumer.state == from);
+        consumer.map(|consumer| consumer.state = to).is_some()
+    }
+
+    /// The broker has cancelled it: its queue is deleted or moved.
+    pub fn cancelled_by_broker(&mut self, index: usize, now: Millis) {
+        if let Some(consumer) = self.consumers.get_mut(index) {
+            consumer.state = ConsumerState::Idle;
+            consumer.back_off(now);
         }
     }
 
     /// Its channel is closed: nothing on it can be settled any more.
-    pub fn channel_closed(&mut self, at: usize, now: f64) {
-        if let Some(lane) = self.consumers.get_mut(at) {
-            (lane.state, lane.unsettled) = (ConsumerState::Closed, 0);
-            lane.back_off(now);
+    pub fn channel_closed(&mut self, index: usize, now: Millis) {
+        if let Some(consumer) = self.consumers.get_mut(index) {
+            consumer.state = ConsumerState::Closed;
+            consumer.unsettled = 0;
+            consumer.back_off(now);
         }
     }
 
-    /// A message came on it. False where far more come than it may hold: the broker does not keep to it.
-    pub fn delivered(&mut self, at: usize) -> bool {
-        let Some(lane) = self.consumers.get_mut(at) else { return false };
-        lane.unsettled += 1;
-        let open = matches!(
-            lane.state,
-            ConsumerState::Starting | ConsumerState::Consuming | ConsumerState::Cancelling
-        );
-        open && lane.unsettled <= 2 * usize::from(lane.prefetch)
+    /// A message came on it. Returns false where far more come than its prefetch count allows.
+    pub fn delivered(&mut self, index: usize) -> bool {
+        let Some(consumer) = self.consumers.get_mut(index) else { return false };
+        consumer.unsettled += 1;
+        consumer.may_receive() && consumer.unsettled <= MAX_OVERDELIVERY * usize::from(consumer.prefetch)
     }
 
-    pub fn settled(&mut self, at: usize) {
-        if let Some(lane) = self.consumers.get_mut(at) {
-            lane.unsettled = lane.unsettled.saturating_sub(1);
-            lane.backoff = MIN_BACKOFF_MS;
+    /// A message on it was settled.
+    pub fn settled(&mut self, index: usize) {
+        if let Some(consumer) = self.consumers.get_mut(index) {
+            consumer.unsettled = consumer.unsettled.saturating_sub(1);
+            consumer.backoff = MIN_BACKOFF_MS;
         }
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/loomflow-amqp/src/consumer_pool/tests.rs
+++ b/crates/loomflow-amqp/src/consumer_pool/tests.rs
@@ -2,9 +2,9 @@
 use proptest::prelude::*;
 
 #[derive(Clone, Debug)]
-enum Move {
+enum Step {
     Aim(usize),
-    /// The broker does what it was told, so much of it.
+    /// The broker carries out this many commands.
     Answer(usize),
     Deliver(usize),
     Settle(usize),
@@ -12,85 +12,85 @@
     BrokerCancels(usize),
 }
 
-fn moves() -> impl Strategy<Value = Vec<Move>> {
-    let one = prop_oneof![
-        3 => (0usize..60).prop_map(Move::Aim),
-        4 => (1usize..6).prop_map(Move::Answer),
-        6 => (0usize..12).prop_map(Move::Deliver),
-        6 => (0usize..12).prop_map(Move::Settle),
-        1 => (0usize..12).prop_map(Move::Close),
-        1 => (0usize..12).prop_map(Move::BrokerCancels),
+fn steps() -> impl Strategy<Value = Vec<Step>> {
+    let step = prop_oneof![
+        3 => (0usize..60).prop_map(Step::Aim),
+        4 => (1usize..6).prop_map(Step::Answer),
+        6 => (0usize..12).prop_map(Step::Deliver),
+        6 => (0usize..12).prop_map(Step::Settle),
+        1 => (0usize..12).prop_map(Step::Close),
+        1 => (0usize..12).prop_map(Step::BrokerCancels),
     ];
-    proptest::collection::vec(one, 1..200)
+    proptest::collection::vec(step, 1..200)
 }
 
 proptest! {
-    /// Whatever happens, no more is in hand than the window or what was in hand when it shrank, and once all is
-    /// quiet more than two thirds of the window are taken.
+    /// The unsettled deliveries never exceed the window or their number when it shrank, and at rest more than two
+    /// thirds of the window are in use.
     #[test]
-    fn what_is_in_hand_keeps_to_the_window(moves in moves()) {
-        let mut lanes = ConsumerPool::new(12);
+    fn unsettled_deliveries_stay_within_the_window(steps in steps()) {
+        let mut pool = ConsumerPool::new(12);
         let (mut window, mut bound, mut now) = (0, 0, 0.0);
-        let mut told: std::collections::VecDeque<(usize, ConsumerCommand)> = Default::default();
-        let carry = |lanes: &mut ConsumerPool, told: &mut std::collections::VecDeque<(usize, ConsumerCommand)>, count: usize| {
-            for (at, step) in told.drain(..count.min(told.len())) {
+        let mut commands: std::collections::VecDeque<(usize, ConsumerCommand)> = Default::default();
+        let apply = |pool: &mut ConsumerPool, commands: &mut std::collections::VecDeque<(usize, ConsumerCommand)>, count: usize| {
+            for (at, step) in commands.drain(..count.min(commands.len())) {
                 match step {
-                    ConsumerCommand::OpenChannel => lanes.channel_opened(at),
-                    ConsumerCommand::Consume(_) => lanes.consumer_started(at),
-                    ConsumerCommand::Cancel => lanes.consumer_cancelled(at),
+                    ConsumerCommand::OpenChannel => pool.channel_opened(at),
+                    ConsumerCommand::Consume(_) => pool.consumer_started(at),
+                    ConsumerCommand::Cancel => pool.consumer_cancelled(at),
                 }
             }
         };
-        for one in moves {
+        for step in steps {
             now += 100.0;
-            match one {
-                Move::Aim(to) => {
-                    bound = to.max(lanes.consumers.iter().map(PooledConsumer::max_unsettled).sum());
+            match step {
+                Step::Aim(to) => {
+                    bound = to.max(pool.consumers.iter().map(PooledConsumer::max_unsettled).sum());
                     window = to;
                 }
-                Move::Answer(count) => carry(&mut lanes, &mut told, count),
-                Move::Deliver(at) => {
-                    let lane = &lanes.consumers[at];
-                    if matches!(lane.state, ConsumerState::Consuming | ConsumerState::Cancelling) && lane.unsettled < usize::from(lane.prefetch) {
-                        prop_assert!(lanes.delivered(at));
+                Step::Answer(count) => apply(&mut pool, &mut commands, count),
+                Step::Deliver(at) => {
+                    let consumer = &pool.consumers[at];
+                    if matches!(consumer.state, ConsumerState::Consuming | ConsumerState::Cancelling) && consumer.unsettled < usize::from(consumer.prefetch) {
+                        prop_assert!(pool.delivered(at));
                     }
                 }
-                Move::Settle(at) => lanes.settled(at),
-                Move::Close(at) => {
-                    told.retain(|(lane, _)| *lane != at);
-                    lanes.channel_closed(at, now);
+                Step::Settle(at) => pool.settled(at),
+                Step::Close(at) => {
+                    commands.retain(|(consumer, _)| *consumer != at);
+                    pool.channel_closed(at, now);
                 }
-                Move::BrokerCancels(at) => if lanes.consumers[at].state == ConsumerState::Consuming { lanes.cancelled_by_broker(at, now) },
+                Step::BrokerCancels(at) => if pool.consumers[at].state == ConsumerState::Consuming { pool.cancelled_by_broker(at, now) },
             }
-            told.extend(lanes.resize(window, now));
-            bound = bound.min(window.max(lanes.consumers.iter().map(PooledConsumer::max_unsettled).sum()));
-            prop_assert!(lanes.unsettled() <= bound.max(window), "{lanes:?}");
+            commands.extend(pool.resize(window, now));
+            bound = bound.min(window.max(pool.consumers.iter().map(PooledConsumer::max_unsettled).sum()));
+            prop_assert!(pool.unsettled() <= bound.max(window), "{pool:?}");
         }
         for _ in 0..60 {
             now += MAX_BACKOFF_MS;
-            (0..12).for_each(|at| while lanes.consumers[at].unsettled > 0 { lanes.settled(at) });
-            told.extend(lanes.resize(window, now));
-            carry(&mut lanes, &mut told, usize::MAX);
+            (0..12).for_each(|at| while pool.consumers[at].unsettled > 0 { pool.settled(at) });
+            commands.extend(pool.resize(window, now));
+            apply(&mut pool, &mut commands, usize::MAX);
         }
-        prop_assert!(lanes.prefetch() <= window && lanes.prefetch() * 3 >= window * 2, "{} of {window}", lanes.prefetch());
+        prop_assert!(pool.prefetch() <= window && pool.prefetch() * 3 >= window * 2, "{} of {window}", pool.prefetch());
     }
 }
 
 #[test]
-fn more_than_was_allowed_is_seen() {
-    let mut lanes = ConsumerPool::new(12);
-    assert!(!lanes.delivered(0));
-    lanes.settled(0);
+fn a_delivery_beyond_the_prefetch_is_detected() {
+    let mut pool = ConsumerPool::new(12);
+    assert!(!pool.delivered(0));
+    pool.settled(0);
     for _ in 0..3 {
-        for (at, step) in lanes.resize(1, 0.0) {
+        for (at, step) in pool.resize(1, 0.0) {
             match step {
-                ConsumerCommand::OpenChannel => lanes.channel_opened(at),
-                ConsumerCommand::Consume(_) => lanes.consumer_started(at),
-                ConsumerCommand::Cancel => lanes.consumer_cancelled(at),
+                ConsumerCommand::OpenChannel => pool.channel_opened(at),
+                ConsumerCommand::Consume(_) => pool.consumer_started(at),
+                ConsumerCommand::Cancel => pool.consumer_cancelled(at),
             }
         }
     }
-    let at = lanes.consumers.iter().position(|lane| lane.state == ConsumerState::Consuming).unwrap();
-    assert!(lanes.delivered(at) && lanes.is_full() && lanes.delivered(at));
-    assert!(!lanes.delivered(at));
+    let at = pool.consumers.iter().position(|consumer| consumer.state == ConsumerState::Consuming).unwrap();
+    assert!(pool.delivered(at) && pool.is_full() && pool.delivered(at));
+    assert!(!pool.delivered(at));
 }
--- a/crates/loomflow-amqp/src/content.rs
+++ b/crates/loomflow-amqp/src/content.rs
@@ -1,32 +1,39 @@
-//! Messages: a method that carries content, a header and as many bodies as it says (spec 4.2.6), put together on
-//! one channel.
+//! Messages: a method that carries content, a header and as many bodies as it states (spec 4.2.6), assembled on one
+//! channel.
 
 use amq_protocol::frame::AMQPContentHeader;
 use amq_protocol::protocol::basic::{AMQPMethod, AMQPProperties, Deliver, Return};
 use loomflow_protocol::Malformed;
 
+#[cfg(test)]
+mod tests;
+
 /// Class `basic`, the only one with content.
 const BASIC: u16 = 60;
 
-/// What a message came with.
+/// The method that a message came with.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Envelope {
+    /// A message for a consumer.
     Deliver(Deliver),
-    /// One of ours that could not be routed.
+    /// A message of our own that could not be routed.
     Return(Return),
 }
 
+/// A complete message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Content {
+    /// The method.
     pub envelope: Envelope,
+    /// The properties of its header.
     pub properties: AMQPProperties,
-    /// Empty where it is `too_large`.
+    /// Empty where it is too large.
     pub body: Vec<u8>,
-    /// Longer than is taken; its bytes were read and left.
+    /// Longer than is supported; its bytes were read and discarded.
     pub is_too_large: bool,
 }
 
-/// A channel's message while its frames come.
+/// Assembles the messages of a channel from their frames.
 #[derive(Debug)]
 pub struct Assembler {
     max_body_bytes: usize,
@@ -36,12 +43,12 @@
 #[derive(Debug)]
 struct PartialContent {
     content: Content,
-    /// Body octets that are still to come; unknown before the header.
+    /// Body octets that are still to come; not known before the header.
     remaining: Option<u64>,
 }
 
 impl Assembler {
-    /// `most`: octets of a body that are kept.
+    /// Longer bodies than this are discarded.
     pub fn new(max_body_bytes: usize) -> Assembler {
         Assembler { max_body_bytes, partial: None }
     }
@@ -51,14 +58,14 @@
         self.partial.is_some()
     }
 
-    /// A method came; one that carries content begins a message and gives nothing yet.
+    /// A method came; returns it unless it begins a message.
     pub fn method(&mut self, method: AMQPMethod) -> Result<Option<AMQPMethod>, Malformed> {
         if self.is_open() {
             return Err(Malformed("a method where the rest of a message is due"));
         }
         let envelope = match method {
             AMQPMethod::Deliver(deliver) => Envelope::Deliver(deliver),
-            AMQPMethod::Return(back) => Envelope::Return(back),
+            AMQPMethod::Return(returned) => Envelope::Return(returned),
             other => return Ok(Some(other)),
         };
         let properties = AMQPProperties::default();
@@ -67,34 +74,38 @@
         Ok(None)
     }
 
-    /// Errors: a header that no method announced, or a second one, or of another class.
+    /// A header came; returns the message where it is complete.
+    ///
+    /// # Errors
+    /// No method announced it, or it is a second one, or of another class.
     pub fn header(&mut self, header: AMQPContentHeader) -> Result<Option<Content>, Malformed> {
-        let half = self.partial.as_mut().ok_or(Malformed("content without its method"))?;
-        if half.remaining.is_some() || header.class_id != BASIC {
+        let partial = self.partial.as_mut().ok_or(Malformed("content without its method"))?;
+        if partial.remaining.is_some() || header.class_id != BASIC {
             return Err(Malformed("a header where none is due"));
         }
-        half.remaining = Some(header.body_size);
-        half.content.properties = header.properties;
-        half.content.is_too_large = header.body_size > self.max_body_bytes as u64;
+        partial.remaining = Some(header.body_size);
+        partial.content.properties = header.properties;
+        partial.content.is_too_large = header.body_size > self.max_body_bytes as u64;
         Ok(self.take_complete())
     }
 
-    /// Errors: a body before its header, or beyond the size stated there.
+    /// A body came; returns the message where it is complete.
+    ///
+    /// # Errors
+    /// It came before its header, or is longer than stated there.
     pub fn body(&mut self, bytes: &[u8]) -> Result<Option<Content>, Malformed> {
-        let half = self.partial.as_mut().ok_or(Malformed("content without its method"))?;
-        let left = half.remaining.ok_or(Malformed("content without its header"))?;
-        let left = left.checked_sub(bytes.len() as u64).ok_or(Malformed("more content than was stated"))?;
-        half.remaining = Some(left);
-        if !half.content.is_too_large {
-            half.content.body.extend_from_slice(bytes);
+        let partial = self.partial.as_mut().ok_or(Malformed("content without its method"))?;
+        let remaining = partial.remaining.ok_or(Malformed("content without its header"))?;
+        let remaining =
+            remaining.checked_sub(bytes.len() as u64).ok_or(Malformed("more content than was stated"))?;
+        partial.remaining = Some(remaining);
+        if !partial.content.is_too_large {
+            partial.content.body.extend_from_slice(bytes);
         }
         Ok(self.take_complete())
     }
 
     fn take_complete(&mut self) -> Option<Content> {
-        self.partial.take_if(|half| half.remaining == Some(0)).map(|half| half.content)
+        self.partial.take_if(|partial| partial.remaining == Some(0)).map(|partial| partial.content)
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/loomflow-amqp/src/frames.rs
+++ b/crates/loomflow-amqp/src/frames.rs
@@ -1,33 +1,44 @@
-//! Frames: cut from a stream of bytes, read and worded by `amq-protocol` (spec 2.3.5, 4.2.3).
+//! Framing: cuts a byte stream into frames, and parses and writes them with `amq-protocol` (specification 2.3.5,
+//! 4.2.3).
 
 use amq_protocol::frame::{AMQPFrame, WriteContext, gen_frame, parse_frame};
 use loomflow_protocol::{Buffer, Decoder, Malformed};
 
-/// The longest frame that is agreed upon, octets. Bodies longer than that come in several; headers must fit into one.
+/// Largest frame size that is negotiated, bytes. Longer bodies are split over several frames; a header must fit into
+/// one.
 pub const FRAME_MAX: u32 = 32 * 1024;
-/// Type, channel and size before a payload, and the end after it.
+/// Bytes of a frame around its payload: type, channel and size before it, the end marker after it.
 pub const OVERHEAD: usize = 8;
 const FRAME_END: u8 = 0xCE;
-/// Tables and arrays in each other. Reading them recurses: 4,000 levels fit into one frame and take 8 MB of stack
-/// (measured), and whoever may publish may send them.
+const METHOD_FRAME: u8 = 1;
+const HEADER_FRAME: u8 = 2;
+const BODY_FRAME: u8 = 3;
+const HEARTBEAT_FRAME: u8 = 8;
+/// Deepest nesting of tables and arrays that is parsed. The parser recurses: 4,000 levels fit into one frame and take
+/// 8 MB of stack (measured), and every publisher can send them.
 const MAX_NESTING: usize = 32;
 
-/// Whole frames as they came, cut and not yet read: that takes a stack of its own size, and drivers have little.
+/// Complete frames that are not parsed yet. Parsing needs a larger stack than the network coroutines have.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RawFrames(Vec<u8>);
 
 impl RawFrames {
-    /// Each frame, read. Errors: what is no frame of the protocol, or nests too deeply.
+    /// Parses the frames one by one.
+    ///
+    /// # Errors
+    ///
+    /// An item is an error if it is not a frame of the protocol or its tables are nested too deeply.
     pub fn iter(&self) -> impl Iterator<Item = Result<AMQPFrame, Malformed>> + '_ {
         let mut rest = &self.0[..];
         std::iter::from_fn(move || {
-            let (frame, later) = rest.split_at_checked(length(rest).ok()??)?;
-            rest = later;
+            let (frame, remaining) = rest.split_at_checked(frame_length(rest).ok()??)?;
+            rest = remaining;
             Some(parse(frame))
         })
     }
 }
 
+/// Decoder that cuts complete frames from the bytes received.
 #[derive(Debug)]
 pub struct Frames {
     buffer: Buffer,
@@ -46,18 +57,21 @@
         &mut self.buffer
     }
 
-    /// All frames that are whole. Errors: a peer that speaks another version, a frame of no known type, over the limit,
-    /// or without its end.
+    /// All frames that are complete.
+    ///
+    /// # Errors
+    ///
+    /// The peer speaks another version, or a frame has an unknown type, exceeds the limit or lacks its end marker.
     fn next(&mut self) -> Result<Option<RawFrames>, Malformed> {
         let bytes = self.buffer.unread();
         let mut end = 0;
         loop {
-            match length(&bytes[end..]) {
+            match frame_length(&bytes[end..]) {
                 Ok(Some(length)) => end += length,
                 Ok(None) => break,
-                // What came before it counts.
+                // The complete frames before it are returned first.
                 Err(_) if end > 0 => break,
-                Err(wrong) => return Err(wrong),
+                Err(error) => return Err(error),
             }
         }
         if end == 0 {
@@ -69,11 +83,11 @@
     }
 }
 
-/// The octets of the frame at the start of `bytes`, once it is whole.
-fn length(bytes: &[u8]) -> Result<Option<usize>, Malformed> {
+/// Length of the frame at the start of `bytes`, once it is complete.
+fn frame_length(bytes: &[u8]) -> Result<Option<usize>, Malformed> {
     match bytes.first() {
         None => return Ok(None),
-        Some(1 | 2 | 3 | 8) => {}
+        Some(&(METHOD_FRAME | HEADER_FRAME | BODY_FRAME | HEARTBEAT_FRAME)) => {}
         Some(b'A') => return Err(Malformed("the broker speaks another version of the protocol")),
         Some(_) => return Err(Malformed("a frame of no known type")),
     }
@@ -90,8 +104,8 @@
 }
 
 fn parse(raw: &[u8]) -> Result<AMQPFrame, Malformed> {
-    // Bodies are not looked into, whatever they hold.
-    if raw.first() != Some(&3) && nesting(raw) > MAX_NESTING {
+    // Body frames carry opaque bytes.
+    if raw.first() != Some(&BODY_FRAME) && nesting(raw) > MAX_NESTING {
         return Err(Malformed("tables nested too deeply"));
     }
     match parse_frame(raw) {
@@ -101,11 +115,11 @@
     }
 }
 
-/// No less than the levels of tables and arrays in each other: how many spans that could be one hold the same octet.
-/// Text may look like one (`F` or `A` and a length that fits), so it may be more.
+/// Upper bound on the nesting of tables and arrays: the largest number of byte ranges around one byte that could each
+/// be a table or an array. Text may look like one (`F` or `A` and a length that fits), so the bound may be too high.
 fn nesting(bytes: &[u8]) -> usize {
     let mut ends: Vec<usize> = Vec::new();
-    let mut most = 0;
+    let mut deepest = 0;
     for (at, window) in bytes.windows(5).enumerate() {
         if !matches!(window[0], b'F' | b'A') {
             continue;
@@ -116,15 +130,15 @@
         }
         ends.retain(|end| *end > at);
         ends.push(at + 5 + size);
-        most = most.max(ends.len());
-        if most > MAX_NESTING {
+        deepest = deepest.max(ends.len());
+        if deepest > MAX_NESTING {
             break;
         }
     }
-    most
+    deepest
 }
 
-/// Adds a frame to what is to be written. Everything that is worded here fits, so there is no error to tell.
+/// Appends a frame to `out`. Writing to memory cannot fail, so there is no error to return.
 pub fn write(out: &mut Vec<u8>, frame: &AMQPFrame) {
     let context = WriteContext::from(std::mem::take(out));
     match gen_frame(frame)(context) {
--- a/crates/loomflow-amqp/src/idempotency.rs
+++ b/crates/loomflow-amqp/src/idempotency.rs
@@ -1,53 +1,60 @@
-//! What makes two messages the same, and what a repeat is given: the decision that keeps archive from running twice.
+//! What makes two messages the same, and what a duplicate is answered with: the decision that keeps work with an effect from
+//! running twice.
 //!
-//! A broker says "redelivered" of a message that it gave to somebody before. That is a hint: it may have been us, in
-//! this connection or an earlier one, or another process, and it may never have been begun. What this process knows
-//! of the key counts first; where it knows nothing, work with an effect that may have been begun is not run.
+//! A broker marks a message as redelivered that it gave to a consumer before. That is a hint: it may have been this one, in
+//! this connection or an earlier one, or another process, and the message may never have been run. What this process
+//! knows of the key counts first; where it knows nothing, work with an effect that may have run is not run.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{BuildHasher, RandomState};
 use std::sync::Arc;
 
+use crate::Millis;
 use crate::retired_keys::RetiredKeys;
 
 #[cfg(test)]
 mod tests;
 
+/// Names a delivery for as long as the process lives.
 pub type DeliveryId = u64;
-/// Tells messages of one key apart that we have published anew; the sender's own has none.
+/// Tells messages with one key apart that were republished from here; the sender's own has none.
 pub type CopyId = u64;
 
-/// A class, whose message it is, and what its sender names it by. The same text of another tenant is another key, so that
-/// no result of one customer reaches another.
+/// What makes two messages the same. The same text of another tenant is another key, so that no result of one tenant
+/// reaches another.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct IdempotencyKey {
+    /// Index of the class in the settings.
     pub class: usize,
+    /// Index of the tenant in the settings.
     pub tenant: usize,
+    /// The key as the sender stated it.
     pub text: String,
 }
 
 /// How the run of a key ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunResult {
+    /// It was served with this reply.
     Served(Arc<[u8]>),
-    /// It was served; its reply is no longer kept.
+    /// It was served; its reply is no longer retained.
     ReplyDiscarded,
     /// It failed, perhaps after it took effect.
     Failed,
-    /// It may have been run where nobody here knows of.
+    /// It may have run elsewhere.
     Unknown,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum KeyState {
-    /// In hand, nothing begun; further deliveries of it wait with the first.
+    /// Submitted and not started; further deliveries wait with the first.
     Queued,
     Running,
     Finished(RunResult),
-    /// It was here, as this instance, and was never begun.
+    /// It was here, as this copy, and never started.
     NotStarted(Option<CopyId>),
-    /// It was never begun here and was published anew: back to its queue, or to where dead letters go. Until the broker
-    /// has confirmed that, there may be a second message or not.
+    /// It never started here and was republished: to its queue, or as a dead letter. Until the broker has confirmed that,
+    /// there may be a second message or not.
     Republished {
         from: Option<CopyId>,
         to: CopyId,
@@ -55,47 +62,50 @@
     },
 }
 
-/// What a message tells of itself beside its key.
+/// What a message tells beside its key.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MessageInfo {
-    /// Running it twice is one time too many.
+    /// It must not run twice.
     pub has_effect: bool,
-    /// The broker gave it to somebody before.
+    /// The broker delivered it before.
     pub redelivered: bool,
-    /// Which of those of its key it is, where we have published it.
+    /// Which copy it is, where it was republished from here.
     pub copy: Option<CopyId>,
-    /// Names its caller.
+    /// Tells its caller from others with the same key.
     pub caller_digest: u64,
-    /// Tells its body from others (`Identities::digest`).
+    /// Tells its body from others ([`IdempotencyRecords::digest`]).
     pub body_digest: u64,
 }
 
-/// What is to be done with a message that has come.
+/// What is to be done with a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DuplicateDecision {
+    /// It is run.
     Run,
-    /// It waits for the one that is in hand, and is answered with it.
+    /// It waits for its original, and is answered with that.
     AwaitOriginal,
-    /// It has run: it is answered from what is known, and `told` says whether its own caller has heard already.
+    /// Its original has run: it is answered from the record.
     AnswerFromRecord {
+        /// How the original ended.
         result: RunResult,
+        /// The reply to its own caller was confirmed before.
         is_answered: bool,
     },
-    /// Another message was published in its place, and confirmed: only the word to the broker is missing.
+    /// A copy was published in its place and confirmed: it only has to be settled.
     Superseded,
-    /// It may have run where nobody here knows of.
+    /// It may have run elsewhere.
     MayHaveRun,
-    /// Its key is that of another message, which runs or has run: neither is it run, nor is it given that one's result.
+    /// Its key belongs to another message, with another body: it is neither run nor given that one's result.
     BodyMismatch,
 }
 
-/// What is known of keys from before this process, or beside it. The seam for a store that outlasts a restart.
+/// What is known of keys from before this process, or elsewhere. A store that outlasts a restart would implement it.
 pub trait IdempotencyStore {
-    /// Whether a run of this key may have begun; none where that is not known.
+    /// Whether a run of this key may have started; none where that is not known.
     fn may_have_started(&self, key: &IdempotencyKey) -> Option<bool>;
 }
 
-/// Nothing is known of the past.
+/// A store that knows nothing.
 pub struct NoHistory;
 
 impl IdempotencyStore for NoHistory {
@@ -106,64 +116,70 @@
 
 struct Record {
     state: KeyState,
-    /// The digest of its body.
     body_digest: u64,
-    expires_at: f64,
+    expires_at: Millis,
+    /// Deliveries that wait for the original.
     waiters: Vec<DeliveryId>,
-    /// Marks of deliveries whose caller's reply has been confirmed, the newest last.
+    /// Callers whose reply was confirmed, the newest last.
     answered_callers: VecDeque<u64>,
 }
 
+impl Record {
+    fn is_unfinished(&self) -> bool {
+        matches!(self.state, KeyState::Queued | KeyState::Running)
+    }
+}
+
 /// How much is remembered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
-    /// Keys with all that is known of them.
+    /// Keys with their complete records.
     pub records: usize,
-    /// Bytes of their replies.
+    /// Bytes of replies.
     pub reply_bytes: usize,
     /// Keys of which only a hash is left.
     pub retired_keys: usize,
 }
 
-/// Callers of one key that are remembered as told.
+/// Callers of one key that are remembered as answered.
 const MAX_ANSWERED_CALLERS: usize = 4;
 
-/// All keys that were in hand of late. Where there is no room for more, the oldest that are not in hand are kept as a
-/// hash alone; where only those in hand are left, nothing more is to be taken (`is_full`).
+/// The keys of recent messages. Beyond the capacity the oldest that are finished are retired to a hash; where only
+/// unfinished ones are left, no more messages are to be consumed ([`IdempotencyRecords::is_full`]).
 pub struct IdempotencyRecords {
     store: Box<dyn IdempotencyStore + Send>,
-    retention: f64,
+    retention: Millis,
     max_records: usize,
     max_reply_bytes: usize,
     records: BTreeMap<IdempotencyKey, Record>,
-    /// How many of them are held or begun.
+    /// How many of the records are unfinished.
     unfinished: usize,
     retired_keys: RetiredKeys,
-    /// Keys by the time at which they may be forgotten. All are remembered for as long, so that this is in order; a
-    /// key whose time was put off since stands here with an older one.
-    expiries: VecDeque<(f64, IdempotencyKey)>,
-    /// Keys whose reply is kept, the oldest first, and its bytes.
+    /// Keys by their expiry. All are retained for as long, so this is in order; a key whose expiry was put off since is
+    /// here with an earlier one.
+    expiries: VecDeque<(Millis, IdempotencyKey)>,
+    /// Keys whose reply is retained, the oldest first.
     reply_order: VecDeque<IdempotencyKey>,
     reply_bytes: usize,
-    /// Its seed is new with each start, so that nobody can make two bodies look the same.
+    /// Randomly seeded at each start, so that nobody can craft two bodies with the same digest.
     hasher: RandomState,
 }
 
 impl IdempotencyRecords {
-    /// Keys are remembered for `remember` ms after their last change.
+    /// Keys are remembered for `retention` after their last change.
     pub fn new(
-        retention: f64,
-        room: Capacity,
+        retention: Millis,
+        capacity: Capacity,
         store: Box<dyn IdempotencyStore + Send>,
     ) -> IdempotencyRecords {
         IdempotencyRecords {
             store,
             retention,
-            max_records: room.records,
-            max_reply_bytes: room.reply_bytes,
+            max_records: capacity.records,
+            max_reply_bytes: capacity.reply_bytes,
             records: BTreeMap::new(),
             unfinished: 0,
-            retired_keys: RetiredKeys::new(retention, room.retired_keys),
+            retired_keys: RetiredKeys::new(retention, capacity.retired_keys),
             expiries: VecDeque::new(),
             reply_order: VecDeque::new(),
             reply_bytes: 0,
@@ -176,121 +192,118 @@
         self.hasher.hash_one(body)
     }
 
+    /// Whether there is no capacity for a further unfinished message.
     pub fn is_full(&self) -> bool {
         self.unfinished >= self.max_records
     }
 
+    /// The number of keys that are remembered.
     pub fn len(&self) -> usize {
         self.records.len() + self.retired_keys.len()
     }
 
+    /// Whether no key is remembered.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Bytes of kept replies.
+    /// Bytes of retained replies.
     pub fn reply_bytes(&self) -> usize {
         self.reply_bytes
     }
 
-    /// A message has come, to be waited with under `id` where it joins another.
+    /// Decides about a message; it waits under `id` where it has to await its original.
     pub fn decide(
         &mut self,
         id: DeliveryId,
         key: Option<&IdempotencyKey>,
-        hints: MessageInfo,
-        now: f64,
+        message: MessageInfo,
+        now: Millis,
     ) -> DuplicateDecision {
-        let MessageInfo {
-            has_effect: effect,
-            redelivered,
-            copy: instance,
-            caller_digest: mark,
-            body_digest: body,
-        } = hints;
+        let MessageInfo { has_effect, redelivered, copy, caller_digest, body_digest } = message;
         self.expire(now);
         let Some(key) = key else {
-            return if effect && redelivered {
-                DuplicateDecision::MayHaveRun
-            } else {
-                DuplicateDecision::Run
-            };
+            let may_have_run = has_effect && redelivered;
+            return if may_have_run { DuplicateDecision::MayHaveRun } else { DuplicateDecision::Run };
         };
-        // Another server may have had any message that is redelivered, except one that was last here.
-        let elsewhere = match self.records.get_mut(key).map(|record| (record.state.clone(), record)) {
-            Some((KeyState::Queued | KeyState::Running | KeyState::Finished(_), record))
-                if record.body_digest != body =>
-            {
-                return DuplicateDecision::BodyMismatch;
-            }
-            Some((KeyState::Queued | KeyState::Running, record)) => {
-                record.waiters.push(id);
-                return DuplicateDecision::AwaitOriginal;
-            }
-            Some((KeyState::Finished(ended), record)) if effect || matches!(ended, RunResult::Served(_)) => {
-                // A message that was here before may be one whose caller has heard; a new one asks anew.
-                let told = (redelivered || instance.is_some()) && record.answered_callers.contains(&mark);
-                return DuplicateDecision::AnswerFromRecord { result: ended, is_answered: told };
-            }
-            Some((KeyState::Finished(_), _)) => false,
-            Some((KeyState::Republished { from, is_confirmed: true, .. }, _))
-                if redelivered && instance == from =>
-            {
-                return DuplicateDecision::Superseded;
-            }
-            Some((KeyState::Republished { .. }, _)) => redelivered,
-            Some((KeyState::NotStarted(last), _)) => redelivered && instance != last,
-            None => match self.retired_keys.get(key).filter(|_| effect) {
-                Some(heard) => {
-                    let told = (redelivered || instance.is_some()) && heard;
-                    return DuplicateDecision::AnswerFromRecord {
-                        result: RunResult::ReplyDiscarded,
-                        is_answered: told,
-                    };
+        // Another server may have run any message that is redelivered, except one that was last here.
+        let may_have_run_elsewhere =
+            match self.records.get_mut(key).map(|record| (record.state.clone(), record)) {
+                Some((KeyState::Queued | KeyState::Running | KeyState::Finished(_), record))
+                    if record.body_digest != body_digest =>
+                {
+                    return DuplicateDecision::BodyMismatch;
                 }
-                None => redelivered && self.store.may_have_started(key) != Some(false),
-            },
-        };
-        if effect && elsewhere {
-            // Whoever asks again is told the same, unless a message of ours is still to come.
+                Some((KeyState::Queued | KeyState::Running, record)) => {
+                    record.waiters.push(id);
+                    return DuplicateDecision::AwaitOriginal;
+                }
+                Some((KeyState::Finished(result), record))
+                    if has_effect || matches!(result, RunResult::Served(_)) =>
+                {
+                    // The caller of a message that was here before may have its reply; a new message asks again.
+                    let was_here = redelivered || copy.is_some();
+                    let is_answered = was_here && record.answered_callers.contains(&caller_digest);
+                    return DuplicateDecision::AnswerFromRecord { result, is_answered };
+                }
+                Some((KeyState::Finished(_), _)) => false,
+                Some((KeyState::Republished { from, is_confirmed: true, .. }, _))
+                    if redelivered && copy == from =>
+                {
+                    return DuplicateDecision::Superseded;
+                }
+                Some((KeyState::Republished { .. }, _)) => redelivered,
+                Some((KeyState::NotStarted(last), _)) => redelivered && copy != last,
+                None => match self.retired_keys.get(key).filter(|_| has_effect) {
+                    Some(was_answered) => {
+                        let is_answered = (redelivered || copy.is_some()) && was_answered;
+                        return DuplicateDecision::AnswerFromRecord {
+                            result: RunResult::ReplyDiscarded,
+                            is_answered,
+                        };
+                    }
+                    None => redelivered && self.store.may_have_started(key) != Some(false),
+                },
+            };
+        if has_effect && may_have_run_elsewhere {
+            // Further duplicates are answered alike, unless a copy from here is still to come.
             if !self.records.contains_key(key) {
-                self.start_record(key, body);
+                self.start_record(key, body_digest);
                 self.finish(key, KeyState::Finished(RunResult::Unknown), now);
             }
             return DuplicateDecision::MayHaveRun;
         }
         self.discard_reply(key);
-        self.start_record(key, body);
+        self.start_record(key, body_digest);
         DuplicateDecision::Run
     }
 
-    fn start_record(&mut self, key: &IdempotencyKey, body: u64) {
-        let (waiting, told) = (Vec::new(), VecDeque::new());
+    fn start_record(&mut self, key: &IdempotencyKey, body_digest: u64) {
         self.unfinished += 1;
         let record = Record {
             state: KeyState::Queued,
-            body_digest: body,
+            body_digest,
             expires_at: f64::INFINITY,
-            waiters: waiting,
-            answered_callers: told,
+            waiters: Vec::new(),
+            answered_callers: VecDeque::new(),
         };
         self.records.insert(key.clone(), record);
     }
 
-    /// A message that was never begun is being published anew.
+    /// A message that was never started is being republished.
     pub fn republishing(&mut self, key: &IdempotencyKey, from: Option<CopyId>, to: CopyId) {
         self.update_republished(key, |state| {
-            *state = KeyState::Republished { from, to, is_confirmed: false }
+            *state = KeyState::Republished { from, to, is_confirmed: false };
         });
     }
 
-    /// What came of that: the new message is at the broker, or it certainly is not.
-    pub fn republished(&mut self, key: &IdempotencyKey, instance: CopyId, taken: bool) {
+    /// Whether the copy is at the broker, or certainly is not.
+    pub fn republished(&mut self, key: &IdempotencyKey, copy: CopyId, is_confirmed: bool) {
         self.update_republished(key, |state| {
             if let KeyState::Republished { from, to, .. } = *state
-                && to == instance
+                && to == copy
             {
-                *state = match taken {
+                *state = match is_confirmed {
                     true => KeyState::Republished { from, to, is_confirmed: true },
                     false => KeyState::NotStarted(from),
                 };
@@ -298,62 +311,63 @@
         });
     }
 
-    fn update_republished(&mut self, key: &IdempotencyKey, change: impl FnOnce(&mut KeyState)) {
-        let open = |record: &&mut Record| {
+    fn update_republished(&mut self, key: &IdempotencyKey, update: impl FnOnce(&mut KeyState)) {
+        let is_not_started = |record: &&mut Record| {
             matches!(record.state, KeyState::NotStarted(_) | KeyState::Republished { .. })
         };
-        if let Some(record) = self.records.get_mut(key).filter(open) {
-            change(&mut record.state);
+        if let Some(record) = self.records.get_mut(key).filter(is_not_started) {
+            update(&mut record.state);
         }
     }
 
-    /// Its run may have begun from now on.
+    /// The run of a key may have started.
     pub fn run_started(&mut self, key: &IdempotencyKey) {
         if let Some(record) = self.records.get_mut(key) {
             record.state = KeyState::Running;
         }
     }
 
-    /// It is not in hand any more and was never begun, as this instance. Those that waited for it are the answer.
+    /// A message is no longer here and was never started, as this copy. Returns the deliveries that waited for it.
     pub fn not_started(
         &mut self,
         key: &IdempotencyKey,
-        instance: Option<CopyId>,
-        now: f64,
+        copy: Option<CopyId>,
+        now: Millis,
     ) -> Vec<DeliveryId> {
-        self.finish(key, KeyState::NotStarted(instance), now)
+        self.finish(key, KeyState::NotStarted(copy), now)
     }
 
-    /// Its run is over. Those that waited for it are the answer.
-    pub fn run_finished(&mut self, key: &IdempotencyKey, ended: RunResult, now: f64) -> Vec<DeliveryId> {
-        if let RunResult::Served(reply) = &ended {
+    /// The run of a key has ended. Returns the deliveries that waited for it.
+    pub fn run_finished(&mut self, key: &IdempotencyKey, result: RunResult, now: Millis) -> Vec<DeliveryId> {
+        if let RunResult::Served(reply) = &result {
             self.reply_bytes += reply.len();
             self.reply_order.push_back(key.clone());
         }
-        let waiting = self.finish(key, KeyState::Finished(ended), now);
+        let waiters = self.finish(key, KeyState::Finished(result), now);
         while self.reply_bytes > self.max_reply_bytes {
             let Some(oldest) = self.reply_order.front().cloned() else { break };
             self.discard_reply(&oldest);
         }
-        waiting
+        waiters
     }
 
-    fn finish(&mut self, key: &IdempotencyKey, state: KeyState, now: f64) -> Vec<DeliveryId> {
+    fn finish(&mut self, key: &IdempotencyKey, state: KeyState, now: Millis) -> Vec<DeliveryId> {
         let Some(record) = self.records.get_mut(key) else { return Vec::new() };
-        self.unfinished -= usize::from(matches!(record.state, KeyState::Queued | KeyState::Running));
-        (record.state, record.expires_at) = (state, now + self.retention);
+        self.unfinished -= usize::from(record.is_unfinished());
+        record.state = state;
+        record.expires_at = now + self.retention;
         self.expiries.push_back((record.expires_at, key.clone()));
-        let waiting = std::mem::take(&mut record.waiters);
+        let waiters = std::mem::take(&mut record.waiters);
         self.retire_oldest(now);
-        waiting
+        waiters
     }
 
-    /// Of the oldest that are not in hand only that they have run is kept. One that has not is forgotten: should it
-    /// come again, it is marked so, and nobody knows of it.
-    fn retire_oldest(&mut self, now: f64) {
+    /// Retires the oldest finished keys: only that they have run is remembered. One that has not is forgotten: if it comes
+    /// again it is marked as redelivered, and nobody knows of it.
+    fn retire_oldest(&mut self, now: Millis) {
         while self.records.len() > self.max_records {
-            let Some((until, key)) = self.expiries.pop_front() else { return };
-            if self.records.get(&key).is_none_or(|record| record.expires_at != until) {
+            let Some((expires_at, key)) = self.expiries.pop_front() else { return };
+            if self.records.get(&key).is_none_or(|record| record.expires_at != expires_at) {
                 continue;
             }
             self.discard_reply(&key);
@@ -364,21 +378,20 @@
         }
     }
 
-    /// The reply to this caller has been confirmed.
-    pub fn caller_answered(&mut self, key: &IdempotencyKey, mark: u64) {
-        let Some(record) = self.records.get_mut(key).filter(|r| !r.answered_callers.contains(&mark)) else {
-            return;
-        };
+    /// The reply to this caller was confirmed.
+    pub fn caller_answered(&mut self, key: &IdempotencyKey, caller_digest: u64) {
+        let is_new = |record: &&mut Record| !record.answered_callers.contains(&caller_digest);
+        let Some(record) = self.records.get_mut(key).filter(is_new) else { return };
         if record.answered_callers.len() >= MAX_ANSWERED_CALLERS {
             record.answered_callers.pop_front();
         }
-        record.answered_callers.push_back(mark);
+        record.answered_callers.push_back(caller_digest);
     }
 
-    /// A delivery does not wait any more.
+    /// A delivery no longer waits.
     pub fn leave(&mut self, key: &IdempotencyKey, id: DeliveryId) {
         if let Some(record) = self.records.get_mut(key) {
-            record.waiters.retain(|other| *other != id);
+            record.waiters.retain(|waiter| *waiter != id);
         }
     }
 
@@ -393,15 +406,13 @@
         }
     }
 
-    /// Forgets what is past its time.
-    pub fn expire(&mut self, now: f64) {
+    /// Forgets what has expired.
+    pub fn expire(&mut self, now: Millis) {
         self.retired_keys.expire(now);
-        while self.expiries.front().is_some_and(|(until, _)| *until <= now) {
+        while self.expiries.front().is_some_and(|(expires_at, _)| *expires_at <= now) {
             let Some((_, key)) = self.expiries.pop_front() else { return };
-            let over = |record: &Record| {
-                record.expires_at <= now && !matches!(record.state, KeyState::Queued | KeyState::Running)
-            };
-            if self.records.get(&key).is_some_and(over) {
+            let has_expired = |record: &Record| record.expires_at <= now && !record.is_unfinished();
+            if self.records.get(&key).is_some_and(has_expired) {
                 self.discard_reply(&key);
                 self.records.remove(&key);
             }
--- a/crates/loomflow-amqp/src/lib.rs
+++ b/crates/loomflow-amqp/src/lib.rs
@@ -1,9 +1,10 @@
 //! AMQP 0-9-1, the consumer's and publisher's side, without I/O: state machines that are fed frames and times.
 //!
-//! Read from the bottom up: `frames` cuts and words frames, `content` puts messages together, `connection` speaks
-//! channel 0 and opens channels, `lanes` hold the consumers of one queue, `publisher` knows what the broker has
-//! confirmed. Beside them stand the decisions, each in a file without protocol: `window` how much to take, `identity`
-//! what a repeat is given, `delivery` how each message ends, `backoff` when to connect again. `consumer` ties them.
+//! Read from the bottom up: [`frames`] splits and encodes frames, [`content`] assembles messages, [`connection`] handles
+//! channel 0 and opens channels, [`consumer_pool`] has the consumers of one queue, [`publisher`] knows what the broker has
+//! confirmed. Beside them are the decisions, each in a file without protocol: [`window`] how much to consume,
+//! [`idempotency`] what a duplicate is answered with, [`settlement`] how each message ends, [`backoff`] when to connect
+//! again. [`consumer`] ties them together.
 //!
 //! Sections named in comments are those of the AMQP 0-9-1 specification; "extension" is what its brokers have agreed
 //! upon beside it (publisher confirms, `basic.nack`, `connection.blocked`, consumer cancel notification).
@@ -25,3 +26,6 @@
 pub use amq_protocol::frame::AMQPFrame as Frame;
 pub use consumer::{Consumer, ConsumerRequest, MessageResponse, SubmittedMessage};
 pub use settings::{Class, KeyFrom, NameFrom, Queue, SentFrom, Settings, Target};
+
+/// A duration, or a point in time since the start of the process, in milliseconds.
+pub type Millis = f64;
--- a/crates/loomflow-amqp/src/message.rs
+++ b/crates/loomflow-amqp/src/message.rs
@@ -1,31 +1,36 @@
-//! What a message says of itself, and the messages that we publish for it: replies, returns, dead letters.
+//! Message properties: classification, idempotency key and sending time of a consumed message, and the messages that
+//! are published for it (replies, requeued copies, dead letters).
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use amq_protocol::protocol::basic::AMQPProperties;
 use amq_protocol::types::{AMQPValue, FieldTable, ShortString};
 
+use crate::Millis;
 use crate::idempotency::{IdempotencyKey, RunResult};
 use crate::publisher::{Publish, PublishId};
 use crate::settings::{KeyFrom, NameFrom, Queue, SentFrom, Settings};
 use crate::settlement::{ReplyStatus, Republish};
 
-/// Header of everything we publish: its number, so that a returned one is known again.
-pub const PUBLISH: &str = "x-loomflow-publish";
-/// How often a message was put back after a refusal.
-pub const ROUNDS: &str = "x-loomflow-rounds";
-/// Why a message was given up, or a reply failed.
-pub const REASON: &str = "x-loomflow-reason";
-/// The queue that a dead letter was taken from, and its user, which only that user may set.
-pub const QUEUE: &str = "x-loomflow-queue";
-pub const USER: &str = "x-loomflow-user-id";
-/// On a refusal: when the message comes again, ms; on a failure out of time: how long to stay away.
-pub const HOLDOFF: &str = "x-loomflow-holdoff";
-/// On a failure: whether the work may have been done.
-pub const RAN: &str = "x-loomflow-ran";
-/// Headers by which a publisher routes copies elsewhere (extension); a message that is published anew has been there.
-const COPIES: [&str; 2] = ["CC", "BCC"];
+/// Header of every published message: its [`PublishId`], by which a returned message is recognised.
+pub const PUBLISH_ID_HEADER: &str = "x-loomflow-publish";
+/// How often a message was requeued after a rejection.
+pub const RETRY_COUNT_HEADER: &str = "x-loomflow-rounds";
+/// Why a message was dead-lettered, or failed.
+pub const REASON_HEADER: &str = "x-loomflow-reason";
+/// The queue that a dead letter was consumed from.
+pub const QUEUE_HEADER: &str = "x-loomflow-queue";
+/// The user id of a republished message: a broker accepts the property itself only from that user.
+pub const USER_ID_HEADER: &str = "x-loomflow-user-id";
+/// On a rejection: when the message is delivered again, ms; on a failure past its deadline: how long to back off, ms.
+pub const RETRY_AFTER_HEADER: &str = "x-loomflow-holdoff";
+/// On a failure: whether the message may have run.
+pub const MAY_HAVE_RUN_HEADER: &str = "x-loomflow-ran";
+/// Headers that route copies to further queues (extension). They are dropped when a message is republished, because the
+/// copies were routed the first time.
+const CARBON_COPY_HEADERS: [&str; 2] = ["CC", "BCC"];
 const PERSISTENT: u8 = 2;
+/// Longest idempotency key that is accepted, bytes.
 const MAX_KEY_BYTES: usize = 512;
 
 fn header<'a>(properties: &'a AMQPProperties, name: &str) -> Option<&'a AMQPValue> {
@@ -33,7 +38,7 @@
 }
 
 /// A header as text.
-fn text(properties: &AMQPProperties, name: &str) -> Option<String> {
+fn text_header(properties: &AMQPProperties, name: &str) -> Option<String> {
     match header(properties, name)? {
         AMQPValue::LongString(text) => String::from_utf8(text.as_bytes().to_vec()).ok(),
         AMQPValue::ShortString(text) => Some(text.to_string()),
@@ -41,8 +46,8 @@
     }
 }
 
-/// A header as a whole number, in whatever width its sender chose.
-fn number(properties: &AMQPProperties, name: &str) -> Option<u64> {
+/// A header as an unsigned number, whatever integer type its sender chose.
+fn number_header(properties: &AMQPProperties, name: &str) -> Option<u64> {
     match header(properties, name)? {
         AMQPValue::ShortShortUInt(n) => Some(u64::from(*n)),
         AMQPValue::ShortUInt(n) => Some(u64::from(*n)),
@@ -56,24 +61,32 @@
     }
 }
 
+/// The publish id of a message of ours that the broker returned.
 pub fn publish_id(properties: &AMQPProperties) -> Option<PublishId> {
-    number(properties, PUBLISH)
+    number_header(properties, PUBLISH_ID_HEADER)
 }
 
+/// How often a message was requeued after a rejection.
 pub fn retry_count(properties: &AMQPProperties) -> u32 {
-    number(properties, ROUNDS).and_then(|n| u32::try_from(n).ok()).unwrap_or(0)
+    number_header(properties, RETRY_COUNT_HEADER).and_then(|n| u32::try_from(n).ok()).unwrap_or(0)
 }
 
-/// Who a message is for.
+/// Class and tenant of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Classification {
+    /// Index into [`Settings::classes`].
     pub class: usize,
+    /// Index into [`Settings::tenants`].
     pub tenant: usize,
-    /// Running it twice is one time too many.
+    /// Whether the message has an external effect and therefore must not run twice.
     pub has_effect: bool,
 }
 
-/// Class and tenant by the names that the queue or the message states. Errors: the reason to give it up.
+/// Classifies a message by the names that its queue's settings or its headers state.
+///
+/// # Errors
+///
+/// The reason to dead-letter the message.
 pub fn classify(
     settings: &Settings,
     queue: &Queue,
@@ -81,28 +94,32 @@
 ) -> Result<Classification, &'static str> {
     let name = |from: &NameFrom| match from {
         NameFrom::Fixed(name) => Some(name.clone()),
-        NameFrom::Header(name) => text(properties, name),
+        NameFrom::Header(name) => text_header(properties, name),
     };
     let class = name(&queue.class).ok_or("no-class")?;
-    let class = settings.classes.iter().position(|one| one.name == class).ok_or("unknown-class")?;
+    let class = settings.classes.iter().position(|known| known.name == class).ok_or("unknown-class")?;
     let tenant = match &queue.tenant {
         None => 0,
         Some(from) => {
             let tenant = name(from).ok_or("no-tenant")?;
-            settings.tenants.iter().position(|one| *one == tenant).ok_or("unknown-tenant")?
+            settings.tenants.iter().position(|known| *known == tenant).ok_or("unknown-tenant")?
         }
     };
     Ok(Classification { class, tenant, has_effect: settings.classes[class].has_effect })
 }
 
-/// What makes a repeat of a message recognisable. Errors: the reason to give it up.
+/// The key by which a redelivery or a duplicate of a message is recognised; `None` if the message states none.
+///
+/// # Errors
+///
+/// The reason to dead-letter the message.
 pub fn idempotency_key(
     from: &KeyFrom,
-    place: Classification,
+    classification: Classification,
     properties: &AMQPProperties,
 ) -> Result<Option<IdempotencyKey>, &'static str> {
     let text = match from {
-        KeyFrom::Header(name) => text(properties, name),
+        KeyFrom::Header(name) => text_header(properties, name),
         KeyFrom::MessageId => properties.message_id().as_ref().map(|id| match properties.app_id() {
             Some(app) => format!("{app}/{id}"),
             None => id.to_string(),
@@ -110,29 +127,33 @@
     };
     match text.filter(|text| !text.is_empty()) {
         Some(text) if text.len() > MAX_KEY_BYTES => Err("key-too-long"),
-        text => Ok(text.map(|text| IdempotencyKey { class: place.class, tenant: place.tenant, text })),
+        text => Ok(text.map(|text| IdempotencyKey {
+            class: classification.class,
+            tenant: classification.tenant,
+            text,
+        })),
     }
 }
 
-/// When a message was sent, Unix ms; none where it does not say. A stamp in whole seconds is read as the last moment
-/// of its second, so that nothing counts as older than it is.
-pub fn sent_at(from: &SentFrom, properties: &AMQPProperties) -> Option<f64> {
-    let header = match from {
-        SentFrom::Header(name) => number(properties, name),
+/// When a message was sent, Unix ms; `None` if it does not state it. A timestamp in whole seconds is read as the end of
+/// that second, so that no message counts as older than it is.
+pub fn sent_at(from: &SentFrom, properties: &AMQPProperties) -> Option<Millis> {
+    let header_ms = match from {
+        SentFrom::Header(name) => number_header(properties, name),
         SentFrom::Timestamp => None,
     };
-    let second = || properties.timestamp().map(|at| at as f64 * 1000.0 + 999.0);
-    header.map(|ms| ms as f64).or_else(second)
+    let end_of_second = || properties.timestamp().map(|seconds| seconds as Millis * 1000.0 + 999.0);
+    header_ms.map(|ms| ms as Millis).or_else(end_of_second)
 }
 
-/// Names the caller of a message among those of the same key.
+/// Tells the callers of messages with the same key apart: a digest of the reply address and the correlation id.
 pub fn caller_digest(properties: &AMQPProperties) -> u64 {
     let mut hasher = DefaultHasher::new();
     (properties.reply_to(), properties.correlation_id()).hash(&mut hasher);
     hasher.finish()
 }
 
-/// Where the reply to a message goes: exchange and routing key.
+/// Exchange and routing key of the reply to a message; `None` if nobody expects one.
 pub fn reply_to(settings: &Settings, properties: &AMQPProperties) -> Option<(String, String)> {
     match (properties.reply_to(), &settings.results) {
         (Some(to), _) if !to.as_str().is_empty() => Some((String::new(), to.to_string())),
@@ -141,87 +162,90 @@
     }
 }
 
-/// The reply to a message; none where nobody is to be told.
+/// The reply to a message; `None` if nobody expects one.
 pub fn reply(
     settings: &Settings,
-    of: &AMQPProperties,
+    original: &AMQPProperties,
     status: &ReplyStatus,
     id: PublishId,
 ) -> Option<Publish> {
-    let (exchange, routing_key) = reply_to(settings, of)?;
+    let (exchange, routing_key) = reply_to(settings, original)?;
     let mut headers = FieldTable::default();
     let mut set = |name: &str, value| {
         headers.insert(name.into(), value);
     };
-    set(PUBLISH, AMQPValue::LongLongInt(id as i64));
-    let said = |text: &str| AMQPValue::LongString(text.into());
+    set(PUBLISH_ID_HEADER, AMQPValue::LongLongInt(id as i64));
+    let long_string = |text: &str| AMQPValue::LongString(text.into());
     let (kind, body) = match status {
         ReplyStatus::Served(RunResult::Served(body)) => ("served", body.to_vec()),
         ReplyStatus::Served(_) => ("served", Vec::new()),
-        ReplyStatus::Rejected(pause) => {
-            set(HOLDOFF, AMQPValue::LongLongInt(pause.ceil() as i64));
+        ReplyStatus::Rejected(retry_after) => {
+            set(RETRY_AFTER_HEADER, AMQPValue::LongLongInt(retry_after.ceil() as i64));
             ("refused", Vec::new())
         }
-        ReplyStatus::Failed { reason, may_have_run, retry_after: holdoff } => {
-            if let Some(pause) = holdoff {
-                set(HOLDOFF, AMQPValue::LongLongInt(pause.ceil() as i64));
+        ReplyStatus::Failed { reason, may_have_run, retry_after } => {
+            if let Some(retry_after) = retry_after {
+                set(RETRY_AFTER_HEADER, AMQPValue::LongLongInt(retry_after.ceil() as i64));
             }
-            set(REASON, said(reason));
-            set(RAN, said(if *may_have_run { "perhaps" } else { "no" }));
+            set(REASON_HEADER, long_string(reason));
+            set(MAY_HAVE_RUN_HEADER, long_string(if *may_have_run { "perhaps" } else { "no" }));
             ("failed", Vec::new())
         }
     };
     let mut properties = AMQPProperties::default().with_headers(headers).with_type(kind.into());
-    // Where no correlation is stated, the message's own name is the custom.
-    if let Some(name) = of.correlation_id().as_ref().or(of.message_id().as_ref()) {
-        properties = properties.with_correlation_id(name.clone());
+    // By convention, the message id serves where no correlation id is stated.
+    if let Some(id) = original.correlation_id().as_ref().or(original.message_id().as_ref()) {
+        properties = properties.with_correlation_id(id.clone());
     }
-    if let Some(mode) = of.delivery_mode() {
+    if let Some(mode) = original.delivery_mode() {
         properties = properties.with_delivery_mode(*mode);
     }
     Some(Publish { exchange, routing_key, properties, body })
 }
 
-/// A message published anew: to its queue, or where dead letters go.
+/// A copy of a consumed message, addressed to its own queue or to the dead-letter destination.
 pub fn republished(
     settings: &Settings,
     queue: &str,
-    of: &AMQPProperties,
+    original: &AMQPProperties,
     body: &[u8],
-    to: Republish,
+    destination: Republish,
     id: PublishId,
 ) -> Publish {
     let mut headers: FieldTable = FieldTable::default();
-    for (name, value) in of.headers().iter().flat_map(|table| table.inner()) {
-        if !COPIES.contains(&name.as_str()) {
+    for (name, value) in original.headers().iter().flat_map(|table| table.inner()) {
+        if !CARBON_COPY_HEADERS.contains(&name.as_str()) {
             headers.insert(name.clone(), value.clone());
         }
     }
-    headers.insert(PUBLISH.into(), AMQPValue::LongLongInt(id as i64));
-    let mut properties = without_user(of, &mut headers);
-    let (exchange, routing_key) = match (to, &settings.dead_letter) {
-        (Republish::Requeue { retry_count: rounds }, _) => {
-            headers.insert(ROUNDS.into(), AMQPValue::LongLongInt(i64::from(rounds)));
+    headers.insert(PUBLISH_ID_HEADER.into(), AMQPValue::LongLongInt(id as i64));
+    let mut properties = without_user_id(original, &mut headers);
+    let (exchange, routing_key) = match (destination, &settings.dead_letter) {
+        (Republish::Requeue { retry_count }, _) => {
+            headers.insert(RETRY_COUNT_HEADER.into(), AMQPValue::LongLongInt(i64::from(retry_count)));
             (String::new(), queue.to_owned())
         }
-        (Republish::DeadLetter(reason), dead) => {
-            headers.insert(REASON.into(), AMQPValue::LongString(reason.into()));
-            headers.insert(QUEUE.into(), AMQPValue::LongString(queue.into()));
-            // Kept for people to look at, whatever its sender wished.
+        (Republish::DeadLetter(reason), dead_letter) => {
+            headers.insert(REASON_HEADER.into(), AMQPValue::LongString(reason.into()));
+            headers.insert(QUEUE_HEADER.into(), AMQPValue::LongString(queue.into()));
+            // Dead letters are kept for inspection, whatever delivery mode the sender chose.
             properties = properties.with_delivery_mode(PERSISTENT);
-            dead.as_ref().map_or_else(Default::default, |d| (d.exchange.clone(), d.routing_key.clone()))
+            dead_letter.as_ref().map_or_else(Default::default, |destination| {
+                (destination.exchange.clone(), destination.routing_key.clone())
+            })
         }
     };
     Publish { exchange, routing_key, properties: properties.with_headers(headers), body: body.to_vec() }
 }
 
-/// The properties of a message without its user: a broker refuses one that is not our own (extension).
-fn without_user(of: &AMQPProperties, headers: &mut FieldTable) -> AMQPProperties {
-    let Some(user) = of.user_id() else { return of.clone() };
-    headers.insert(USER.into(), AMQPValue::LongString(user.as_str().into()));
+/// The properties of a message without its user id, which moves to a header: a broker rejects a user id other than that
+/// of the connection (extension).
+fn without_user_id(original: &AMQPProperties, headers: &mut FieldTable) -> AMQPProperties {
+    let Some(user) = original.user_id() else { return original.clone() };
+    headers.insert(USER_ID_HEADER.into(), AMQPValue::LongString(user.as_str().into()));
     let mut kept = AMQPProperties::default();
     macro_rules! keep {
-        ($($get:ident $with:ident),*) => { $(if let Some(value) = of.$get() { kept = kept.$with(value.clone()); })* };
+        ($($get:ident $with:ident),*) => { $(if let Some(value) = original.$get() { kept = kept.$with(value.clone()); })* };
     }
     keep!(
         content_type with_content_type, content_encoding with_content_encoding, delivery_mode with_delivery_mode,
@@ -232,7 +256,7 @@
     kept
 }
 
-/// A short string of a setting, which is checked for its length where it is read.
+/// A short string from a setting; its length was validated when the settings were read.
 pub fn short_string(text: &str) -> ShortString {
     ShortString::try_new(text).unwrap_or_default()
 }
--- a/crates/loomflow-amqp/src/message/tests.rs
+++ b/crates/loomflow-amqp/src/message/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_message_is_never_read_as_older_than_it_says() {
+fn a_message_never_counts_as_older_than_its_timestamp() {
     let from = SentFrom::Header("at".into());
     let with = |value| {
         let mut headers = FieldTable::default();
--- a/crates/loomflow-amqp/src/publisher/tests.rs
+++ b/crates/loomflow-amqp/src/publisher/tests.rs
@@ -6,18 +6,18 @@
 }
 
 proptest! {
-    /// Each publish has one fate at the most, and none is forgotten while its connection lives.
+    /// Each publish has at most one result, and none is lost while its connection is open.
     #[test]
-    fn every_publish_has_one_fate(moves in proptest::collection::vec((0u8..6, 0u64..12, any::<bool>(), any::<bool>()), 1..120)) {
+    fn every_publish_has_one_result(steps in proptest::collection::vec((0u8..6, 0u64..12, any::<bool>(), any::<bool>()), 1..120)) {
         let mut publisher = Publisher::new(4);
         publisher.channel_opened();
-        let (mut put, mut written) = (0u64, 0usize);
-        let mut fates: BTreeMap<PublishId, PublishResult> = BTreeMap::new();
-        for (kind, number, multiple, taken) in moves {
-            let told = match kind {
+        let (mut enqueued, mut written) = (0u64, 0usize);
+        let mut results: BTreeMap<PublishId, PublishResult> = BTreeMap::new();
+        for (kind, number, multiple, is_ack) in steps {
+            let finished = match kind {
                 0 | 1 => {
-                    publisher.enqueue(put, publish());
-                    put += 1;
+                    publisher.enqueue(enqueued, publish());
+                    enqueued += 1;
                     vec![]
                 }
                 2 => {
@@ -25,21 +25,21 @@
                     prop_assert!(publisher.unconfirmed.len() <= 4);
                     vec![]
                 }
-                3 => publisher.confirmed(number, multiple, taken, 0.0),
+                3 => publisher.confirmed(number, multiple, is_ack, 0.0),
                 4 => { publisher.returned(number); vec![] }
-                _ => { let told = publisher.channel_closed(); publisher.channel_opened(); told }
+                _ => { let finished = publisher.channel_closed(); publisher.channel_opened(); finished }
             };
-            for (id, fate) in told {
-                prop_assert!(fates.insert(id, fate).is_none(), "{} twice", id);
+            for (id, result) in finished {
+                prop_assert!(results.insert(id, result).is_none(), "{} twice", id);
             }
         }
-        prop_assert_eq!(written, fates.len() + publisher.unconfirmed.len());
-        prop_assert_eq!(put as usize, written + publisher.queue.len());
+        prop_assert_eq!(written, results.len() + publisher.unconfirmed.len());
+        prop_assert_eq!(enqueued as usize, written + publisher.queue.len());
     }
 }
 
 #[test]
-fn nothing_is_written_while_the_broker_blocks_or_stops_the_flow() {
+fn nothing_is_written_while_the_broker_blocks_publishing_or_stops_the_flow() {
     let mut publisher = Publisher::new(4);
     publisher.enqueue(1, publish());
     assert!(publisher.write_next(0.0).is_none() && publisher.has_backpressure());
--- a/crates/loomflow-amqp/src/settlement.rs
+++ b/crates/loomflow-amqp/src/settlement.rs
@@ -1,86 +1,102 @@
-//! How a message ends: what its caller hears, where the message goes, and the one word that settles it with the broker.
+//! How a message ends: what its caller gets, where the message goes, and the one method that settles it with the broker.
 //!
-//! Whatever is published for a message (its reply, the message itself put back or dead-lettered) is confirmed before
-//! the message is settled, so that nothing is lost wherever the connection breaks. What the broker does not take is
-//! published again after growing pauses, while the message stays unsettled and holds its place in the window.
+//! Whatever is published for a message (its reply, the message itself requeued or dead-lettered) is confirmed before the
+//! message is settled, so that nothing is lost wherever the connection breaks. What the broker does not accept is
+//! published again after a growing backoff, while the message stays unsettled and keeps its place in the window.
 
+use crate::Millis;
 use crate::idempotency::RunResult;
 use crate::publisher::PublishResult;
 
-/// Between two tries to publish, ms, the first and the longest.
-const MIN_PUBLISH_BACKOFF_MS: f64 = 100.0;
-const MAX_PUBLISH_BACKOFF_MS: f64 = 30_000.0;
-/// A refused message waits so long at least, ms, twice as long in each round up to the longest, so that it never turns
-/// in a hot loop, and overload that lasts does not use its rounds up.
-const MIN_RETRY_AFTER_MS: f64 = 100.0;
-const MAX_RETRY_AFTER_MS: f64 = 30_000.0;
-/// A reply that is refused so often is given up, lest a full queue of one caller hold up all others; its message goes to
-/// the dead letters then. One that cannot be routed is given up at once: its caller is gone.
+#[cfg(test)]
+mod tests;
+
+/// Between two attempts to publish.
+const MIN_PUBLISH_BACKOFF_MS: Millis = 100.0;
+const MAX_PUBLISH_BACKOFF_MS: Millis = 30_000.0;
+/// A rejected message is requeued after this at the earliest, twice as long for each retry up to the maximum, so that it
+/// never spins in a hot loop, and lasting overload does not use up its retries.
+const MIN_RETRY_AFTER_MS: Millis = 100.0;
+const MAX_RETRY_AFTER_MS: Millis = 30_000.0;
+/// A reply that the broker rejects so often is given up, lest a full queue of one caller hold up all others; its message is
+/// dead-lettered then. One that cannot be routed is given up at once: its caller is gone.
 const MAX_REPLY_ATTEMPTS: u32 = 8;
 
 /// What became of a message's work.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MessageOutcome {
+    /// Its run has ended.
     Finished(RunResult),
-    /// All that is due has been published and confirmed on an earlier delivery: only the acknowledgement is missing.
+    /// Everything was published and confirmed on an earlier delivery: it only has to be acknowledged.
     AlreadyAnswered,
-    /// Turned away, never begun; to come again after so many ms, or nowhere any more (`last`).
+    /// Load was shed, and nothing was started.
     Rejected {
-        retry_after: f64,
+        /// When it is to come again.
+        retry_after: Millis,
+        /// It is not to come again anywhere.
         is_final: bool,
     },
-    /// It failed, and nothing was begun for it.
+    /// It failed, and nothing was started for it.
     NotRun,
-    /// It cannot be taken: unknown names, too large.
+    /// It cannot be handled, for this reason: unknown names, too large.
     Invalid(&'static str),
-    /// It may have run, where nobody here knows of.
+    /// It may have run elsewhere.
     MayHaveRun,
-    /// Given back unbegun, since this server leaves.
+    /// It is returned without being started, since this server shuts down.
     Returned,
 }
 
 /// What is known of a message when it ends.
 #[derive(Clone, Copy, Debug)]
 pub struct SettlementContext {
-    /// Somebody is to be told.
+    /// It names where its reply goes.
     pub has_reply_to: bool,
-    /// It may be dead-lettered with a reason.
+    /// There is a place for dead letters with a reason.
     pub has_dead_letter: bool,
-    /// How often it was put back, and how often it may be.
+    /// How often it was requeued.
     pub retry_count: u32,
+    /// How often it may be.
     pub max_retries: u32,
-    /// Running it twice is one time too many, so that a mark "redelivered" would cost it its run.
+    /// It must not run twice, so that a mark "redelivered" would cost it its run.
     pub has_effect: bool,
-    /// How long its sender still waits, ms, where it says when it was sent.
-    pub time_left: Option<f64>,
+    /// How long its sender will still wait, where it tells when it was sent.
+    pub time_left: Option<Millis>,
 }
 
-/// What a caller hears.
+/// What a caller gets.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplyStatus {
+    /// The result.
     Served(RunResult),
-    Rejected(f64),
-    /// `holdoff`: ms to stay away before the next try.
+    /// Load was shed; the message comes again after this.
+    Rejected(Millis),
+    /// It failed.
     Failed {
+        /// Why.
         reason: &'static str,
+        /// It may have had its effect.
         may_have_run: bool,
-        retry_after: Option<f64>,
+        /// How long to stay away before a retry.
+        retry_after: Option<Millis>,
     },
 }
 
-/// The message itself, published anew.
+/// How a message itself is published again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Republish {
-    /// To the end of its queue, with its rounds counted.
+    /// To the end of its queue.
     Requeue {
+        /// The count that it carries.
         retry_count: u32,
     },
+    /// As a dead letter, for this reason.
     DeadLetter(&'static str),
 }
 
-/// The one word by which the broker hears that a delivery is over.
+/// The one method by which the broker is told that a delivery has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Settlement {
+    /// `basic.ack`.
     Ack,
     /// `basic.nack`, to be delivered again.
     Requeue,
@@ -88,21 +104,100 @@
     Reject,
 }
 
+/// What is to be done next for a message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SettlementAction {
+    /// Publish its reply.
     Reply(ReplyStatus),
+    /// Publish it again.
     Republish(Republish),
+    /// Settle it.
     Settle(Settlement),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum PublishState {
-    Due(f64),
+    /// To be published then.
+    Due(Millis),
+    /// Published and not confirmed.
     Published,
     Done,
 }
 
-/// A message that has ended, on its way out.
+/// What is to be published for a message that has ended, and how it is settled.
+struct Plan {
+    reply: Option<ReplyStatus>,
+    republish: Option<Republish>,
+    settlement: Settlement,
+    /// Before the message is published again.
+    delay: Millis,
+}
+
+impl Plan {
+    fn failed(reason: &'static str, may_have_run: bool, dead_letter: &'static str) -> Plan {
+        Plan {
+            reply: Some(ReplyStatus::Failed { reason, may_have_run, retry_after: None }),
+            republish: Some(Republish::DeadLetter(dead_letter)),
+            settlement: Settlement::Reject,
+            delay: 0.0,
+        }
+    }
+
+    fn acknowledged(reply: Option<ReplyStatus>) -> Plan {
+        Plan { reply, republish: None, settlement: Settlement::Ack, delay: 0.0 }
+    }
+
+    fn new(outcome: &MessageOutcome, context: &SettlementContext) -> Plan {
+        match outcome {
+            MessageOutcome::Finished(RunResult::Failed) => Plan::failed("failed", true, "may-have-run"),
+            MessageOutcome::Finished(RunResult::ReplyDiscarded) => {
+                Plan::failed("result-gone", true, "result-gone")
+            }
+            MessageOutcome::MayHaveRun | MessageOutcome::Finished(RunResult::Unknown) => {
+                Plan::failed("run-unknown", true, "run-unknown")
+            }
+            MessageOutcome::Finished(served) => Plan::acknowledged(Some(ReplyStatus::Served(served.clone()))),
+            MessageOutcome::AlreadyAnswered => Plan::acknowledged(None),
+            MessageOutcome::Rejected { retry_after, is_final } => {
+                Plan::rejected(*retry_after, *is_final, context)
+            }
+            MessageOutcome::NotRun => Plan::failed("not-run", false, "not-run"),
+            MessageOutcome::Invalid(reason) => Plan::failed(reason, false, reason),
+            MessageOutcome::Returned => Plan::returned(context),
+        }
+    }
+
+    fn rejected(retry_after: Millis, is_final: bool, context: &SettlementContext) -> Plan {
+        let min_delay = MIN_RETRY_AFTER_MS * 2.0_f64.powi(context.retry_count.min(30) as i32);
+        let delay = retry_after.max(min_delay.min(MAX_RETRY_AFTER_MS));
+        if context.time_left.is_some_and(|time_left| is_final || delay >= time_left) {
+            // It cannot come again in time: its sender gets a failure at once, and it is never run late.
+            let reason = "out-of-time";
+            let reply = ReplyStatus::Failed { reason, may_have_run: false, retry_after: Some(retry_after) };
+            return Plan { reply: Some(reply), ..Plan::failed(reason, false, reason) };
+        }
+        if context.retry_count >= context.max_retries {
+            return Plan::failed("refused-too-often", false, "refused-too-often");
+        }
+        Plan {
+            reply: Some(ReplyStatus::Rejected(delay)),
+            republish: Some(Republish::Requeue { retry_count: context.retry_count + 1 }),
+            settlement: Settlement::Ack,
+            delay,
+        }
+    }
+
+    /// Its caller gets its reply from whoever runs it. A mark "redelivered" would keep work with an effect from running.
+    fn returned(context: &SettlementContext) -> Plan {
+        if context.has_effect {
+            let republish = Some(Republish::Requeue { retry_count: context.retry_count });
+            return Plan { republish, ..Plan::acknowledged(None) };
+        }
+        Plan { settlement: Settlement::Requeue, ..Plan::acknowledged(None) }
+    }
+}
+
+/// A message that has ended, until it is settled.
 #[derive(Clone, Debug)]
 pub struct Settling {
     reply: Option<ReplyStatus>,
@@ -111,102 +206,42 @@
     republish_state: PublishState,
     settlement: Settlement,
     is_settled: bool,
-    /// The next pause, and tries to reply.
-    backoff: f64,
+    /// Before the next attempt to publish.
+    backoff: Millis,
     reply_attempts: u32,
-    /// Running it twice is one time too many.
     has_effect: bool,
     has_dead_letter: bool,
-    /// What its caller hears is the end of its key, and not of this try.
+    /// What its caller gets is the end of its key, and not of this attempt.
     is_final_reply: bool,
 }
 
 impl Settling {
-    pub fn new(ended: &MessageOutcome, terms: SettlementContext, now: f64) -> Settling {
-        let failed =
-            |reason, may_have_run| Some(ReplyStatus::Failed { reason, may_have_run, retry_after: None });
-        let least =
-            (MIN_RETRY_AFTER_MS * 2.0_f64.powi(terms.retry_count.min(30) as i32)).min(MAX_RETRY_AFTER_MS);
-        let (reply, moves, settle, pause) = match ended {
-            MessageOutcome::Finished(RunResult::Failed) => {
-                (failed("failed", true), Some(Republish::DeadLetter("may-have-run")), Settlement::Reject, 0.0)
-            }
-            MessageOutcome::Finished(RunResult::ReplyDiscarded) => (
-                failed("result-gone", true),
-                Some(Republish::DeadLetter("result-gone")),
-                Settlement::Reject,
-                0.0,
-            ),
-            MessageOutcome::MayHaveRun | MessageOutcome::Finished(RunResult::Unknown) => (
-                failed("run-unknown", true),
-                Some(Republish::DeadLetter("run-unknown")),
-                Settlement::Reject,
-                0.0,
-            ),
-            MessageOutcome::Finished(served) => {
-                (Some(ReplyStatus::Served(served.clone())), None, Settlement::Ack, 0.0)
-            }
-            MessageOutcome::AlreadyAnswered => (None, None, Settlement::Ack, 0.0),
-            // Back in time is not to be had: its sender hears at once, and it is never run late.
-            MessageOutcome::Rejected { retry_after: pause, is_final: last }
-                if terms.time_left.is_some_and(|left| *last || pause.max(least) >= left) =>
-            {
-                (
-                    Some(ReplyStatus::Failed {
-                        reason: "out-of-time",
-                        may_have_run: false,
-                        retry_after: Some(*pause),
-                    }),
-                    Some(Republish::DeadLetter("out-of-time")),
-                    Settlement::Reject,
-                    0.0,
-                )
-            }
-            MessageOutcome::Rejected { .. } if terms.retry_count >= terms.max_retries => (
-                failed("refused-too-often", false),
-                Some(Republish::DeadLetter("refused-too-often")),
-                Settlement::Reject,
-                0.0,
-            ),
-            MessageOutcome::Rejected { retry_after: pause, .. } => {
-                let back = Republish::Requeue { retry_count: terms.retry_count + 1 };
-                let pause = pause.max(least);
-                (Some(ReplyStatus::Rejected(pause)), Some(back), Settlement::Ack, pause)
-            }
-            MessageOutcome::NotRun => {
-                (failed("not-run", false), Some(Republish::DeadLetter("not-run")), Settlement::Reject, 0.0)
-            }
-            MessageOutcome::Invalid(why) => {
-                (failed(why, false), Some(Republish::DeadLetter(why)), Settlement::Reject, 0.0)
-            }
-            // Its caller hears from whoever runs it. A mark "redelivered" would keep what has an effect from running.
-            MessageOutcome::Returned if terms.has_effect => {
-                (None, Some(Republish::Requeue { retry_count: terms.retry_count }), Settlement::Ack, 0.0)
-            }
-            MessageOutcome::Returned => (None, None, Settlement::Requeue, 0.0),
-        };
-        let reply = reply.filter(|_| terms.has_reply_to);
+    /// A message that has ended at `now`.
+    pub fn new(outcome: &MessageOutcome, context: SettlementContext, now: Millis) -> Settling {
+        let Plan { reply, republish, settlement, delay } = Plan::new(outcome, &context);
+        let reply = reply.filter(|_| context.has_reply_to);
         // Without a place for dead letters of our own the queue's is used, which tells no reason.
-        let republish = moves.filter(|one| terms.has_dead_letter || matches!(one, Republish::Requeue { .. }));
-        let settlement = if republish.is_some() { Settlement::Ack } else { settle };
-        let due = |is: bool, at| if is { PublishState::Due(at) } else { PublishState::Done };
+        let republish =
+            republish.filter(|to| context.has_dead_letter || matches!(to, Republish::Requeue { .. }));
+        let settlement = if republish.is_some() { Settlement::Ack } else { settlement };
+        let due = |is_due: bool, at| if is_due { PublishState::Due(at) } else { PublishState::Done };
         Settling {
             reply_state: due(reply.is_some(), now),
-            republish_state: due(republish.is_some(), now + pause),
+            republish_state: due(republish.is_some(), now + delay),
             reply,
             republish,
             settlement,
             is_settled: false,
             backoff: MIN_PUBLISH_BACKOFF_MS,
             reply_attempts: 0,
-            has_effect: terms.has_effect,
-            has_dead_letter: terms.has_dead_letter,
-            is_final_reply: matches!(ended, MessageOutcome::Finished(_) | MessageOutcome::MayHaveRun),
+            has_effect: context.has_effect,
+            has_dead_letter: context.has_dead_letter,
+            is_final_reply: matches!(outcome, MessageOutcome::Finished(_) | MessageOutcome::MayHaveRun),
         }
     }
 
-    /// What is to be done now, one thing at a time, until there is none.
-    pub fn next_action(&mut self, now: f64) -> Option<SettlementAction> {
+    /// What is to be done now, one thing at a time, until there is nothing.
+    pub fn next_action(&mut self, now: Millis) -> Option<SettlementAction> {
         if let (PublishState::Due(at), Some(reply)) = (self.reply_state, &self.reply)
             && now >= at
         {
@@ -214,73 +249,71 @@
             self.reply_attempts += 1;
             return Some(SettlementAction::Reply(reply.clone()));
         }
-        if let (PublishState::Due(at), Some(moves)) = (self.republish_state, self.republish)
+        if let (PublishState::Due(at), Some(republish)) = (self.republish_state, self.republish)
             && now >= at
         {
             self.republish_state = PublishState::Published;
-            return Some(SettlementAction::Republish(moves));
+            return Some(SettlementAction::Republish(republish));
         }
-        if self.reply_state == PublishState::Done
-            && self.republish_state == PublishState::Done
-            && !self.is_settled
-        {
+        if self.is_everything_published() && !self.is_settled {
             self.is_settled = true;
             return Some(SettlementAction::Settle(self.settlement));
         }
         None
     }
 
-    /// Only its caller's reply, on its way, and one word to the broker are missing.
+    fn is_everything_published(&self) -> bool {
+        self.reply_state == PublishState::Done && self.republish_state == PublishState::Done
+    }
+
+    /// Whether only the confirm of its reply and its settlement are missing.
     pub fn awaits_reply_confirm(&self) -> bool {
         self.is_final_reply
             && self.reply_state == PublishState::Published
             && self.republish_state == PublishState::Done
     }
 
-    /// When there will be something to do without a word from the broker.
-    pub fn next_deadline(&self) -> Option<f64> {
-        let at = |step| if let PublishState::Due(at) = step { Some(at) } else { None };
-        [at(self.reply_state), at(self.republish_state)].into_iter().flatten().reduce(f64::min)
+    /// When there is something to do without a method of the broker.
+    pub fn next_deadline(&self) -> Option<Millis> {
+        let due_at = |state| if let PublishState::Due(at) = state { Some(at) } else { None };
+        [due_at(self.reply_state), due_at(self.republish_state)].into_iter().flatten().reduce(f64::min)
     }
 
-    /// Its caller has had the last word and all that was to be published is at the broker: what is missing is one
-    /// word to the broker.
+    /// Whether its caller has its final reply and everything is published, so that it only has to be settled.
     pub fn is_caller_answered(&self) -> bool {
-        self.is_final_reply
-            && self.reply_state == PublishState::Done
-            && self.republish_state == PublishState::Done
+        self.is_final_reply && self.is_everything_published()
     }
 
-    /// This server leaves: what waits for the end of its pause goes back now.
-    pub fn skip_backoff(&mut self, now: f64) {
+    /// This server shuts down: what waits for the end of its delay is published now.
+    pub fn skip_backoff(&mut self, now: Millis) {
         if let PublishState::Due(at) = &mut self.republish_state {
             *at = at.min(now);
         }
     }
 
-    pub fn reply_published(&mut self, fate: PublishResult, now: f64) {
+    /// What became of its reply.
+    pub fn reply_published(&mut self, result: PublishResult, now: Millis) {
         if self.reply_state != PublishState::Published {
             return;
         }
-        self.reply_state = match fate {
-            PublishResult::Nacked | PublishResult::Unknown if self.reply_attempts < MAX_REPLY_ATTEMPTS => {
-                PublishState::Due(now + self.next_backoff())
-            }
-            _ => PublishState::Done,
-        };
-        let given_up = self.reply_state == PublishState::Done
-            && matches!(fate, PublishResult::Nacked | PublishResult::Unknown);
-        if given_up && self.has_dead_letter && self.republish.is_none() {
-            (self.republish, self.republish_state) =
-                (Some(Republish::DeadLetter("reply-refused")), PublishState::Due(now));
+        let has_failed = matches!(result, PublishResult::Nacked | PublishResult::Unknown);
+        if has_failed && self.reply_attempts < MAX_REPLY_ATTEMPTS {
+            self.reply_state = PublishState::Due(now + self.next_backoff());
+            return;
+        }
+        self.reply_state = PublishState::Done;
+        if has_failed && self.has_dead_letter && self.republish.is_none() {
+            self.republish = Some(Republish::DeadLetter("reply-refused"));
+            self.republish_state = PublishState::Due(now);
         }
     }
 
-    pub fn republished(&mut self, fate: PublishResult, now: f64) {
+    /// What became of the message that was published again.
+    pub fn republished(&mut self, result: PublishResult, now: Millis) {
         if self.republish_state != PublishState::Published {
             return;
         }
-        self.republish_state = match (fate, self.republish) {
+        self.republish_state = match (result, self.republish) {
             (PublishResult::Confirmed, _) => PublishState::Done,
             (PublishResult::Unroutable, Some(Republish::Requeue { .. })) => {
                 // Its queue has another name, or none: the broker knows where it came from.
@@ -288,21 +321,18 @@
                 PublishState::Done
             }
             (PublishResult::Unknown, Some(Republish::Requeue { .. })) if self.has_effect => {
-                // There may be another in its queue by now, and both would be run.
+                // There may be a copy in its queue by now, and both would be run.
                 self.republish = Some(Republish::DeadLetter("run-unknown"));
                 PublishState::Due(now)
             }
-            // A place for dead letters that takes none loses nothing: it is tried for as long as it takes.
+            // A place for dead letters that accepts none loses nothing: it is tried for as long as it takes.
             _ => PublishState::Due(now + self.next_backoff()),
         };
     }
 
-    fn next_backoff(&mut self) -> f64 {
-        let pause = self.backoff;
-        self.backoff = (pause * 2.0).min(MAX_PUBLISH_BACKOFF_MS);
-        pause
+    fn next_backoff(&mut self) -> Millis {
+        let backoff = self.backoff;
+        self.backoff = (backoff * 2.0).min(MAX_PUBLISH_BACKOFF_MS);
+        backoff
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/loomflow-amqp/src/settlement/tests.rs
+++ b/crates/loomflow-amqp/src/settlement/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use proptest::prelude::*;
 
-fn terms() -> SettlementContext {
+fn context() -> SettlementContext {
     SettlementContext {
         has_reply_to: true,
         has_dead_letter: true,
@@ -12,167 +12,178 @@
     }
 }
 
-fn refused(pause: f64) -> MessageOutcome {
-    MessageOutcome::Rejected { retry_after: pause, is_final: false }
+fn rejected(retry_after: f64) -> MessageOutcome {
+    MessageOutcome::Rejected { retry_after, is_final: false }
 }
 
-/// All that is done where the broker takes everything.
-fn all(ended: MessageOutcome, terms: SettlementContext) -> Vec<SettlementAction> {
-    let mut exit = Settling::new(&ended, terms, 0.0);
-    let (mut now, mut done) = (0.0, Vec::new());
+/// All actions of a settlement when the broker confirms everything.
+fn play_all_actions(outcome: MessageOutcome, context: SettlementContext) -> Vec<SettlementAction> {
+    let mut settling = Settling::new(&outcome, context, 0.0);
+    let (mut now, mut actions) = (0.0, Vec::new());
     loop {
-        while let Some(one) = exit.next_action(now) {
-            match &one {
-                SettlementAction::Reply(_) => exit.reply_published(PublishResult::Confirmed, now),
-                SettlementAction::Republish(_) => exit.republished(PublishResult::Confirmed, now),
+        while let Some(action) = settling.next_action(now) {
+            match &action {
+                SettlementAction::Reply(_) => settling.reply_published(PublishResult::Confirmed, now),
+                SettlementAction::Republish(_) => settling.republished(PublishResult::Confirmed, now),
                 SettlementAction::Settle(_) => {}
             }
-            done.push(one);
+            actions.push(action);
         }
-        match exit.next_deadline() {
+        match settling.next_deadline() {
             Some(at) => now = at,
-            None => return done,
+            None => return actions,
         }
     }
 }
 
 #[test]
-fn each_ending_has_its_reply_its_way_and_its_word() {
+fn each_outcome_has_its_reply_destination_and_settlement() {
     let served = RunResult::Served(b"r"[..].into());
     let failed = |reason, may_have_run| {
         SettlementAction::Reply(ReplyStatus::Failed { reason, may_have_run, retry_after: None })
     };
-    let (ack, dead) = (SettlementAction::Settle(Settlement::Ack), |why| {
+    let (ack, dead_letter) = (SettlementAction::Settle(Settlement::Ack), |why| {
         SettlementAction::Republish(Republish::DeadLetter(why))
     });
-    let back = |rounds| SettlementAction::Republish(Republish::Requeue { retry_count: rounds });
+    let requeue = |retry_count| SettlementAction::Republish(Republish::Requeue { retry_count });
     let cases = [
         (
             MessageOutcome::Finished(served.clone()),
             vec![SettlementAction::Reply(ReplyStatus::Served(served)), ack.clone()],
         ),
         (MessageOutcome::AlreadyAnswered, vec![ack.clone()]),
-        (refused(300.0), vec![SettlementAction::Reply(ReplyStatus::Rejected(300.0)), back(1), ack.clone()]),
+        (
+            rejected(300.0),
+            vec![SettlementAction::Reply(ReplyStatus::Rejected(300.0)), requeue(1), ack.clone()],
+        ),
         (
             MessageOutcome::Finished(RunResult::Failed),
-            vec![failed("failed", true), dead("may-have-run"), ack.clone()],
+            vec![failed("failed", true), dead_letter("may-have-run"), ack.clone()],
         ),
-        (MessageOutcome::NotRun, vec![failed("not-run", false), dead("not-run"), ack.clone()]),
-        (MessageOutcome::MayHaveRun, vec![failed("run-unknown", true), dead("run-unknown"), ack.clone()]),
-        (MessageOutcome::Returned, vec![back(0), ack.clone()]),
+        (MessageOutcome::NotRun, vec![failed("not-run", false), dead_letter("not-run"), ack.clone()]),
+        (
+            MessageOutcome::MayHaveRun,
+            vec![failed("run-unknown", true), dead_letter("run-unknown"), ack.clone()],
+        ),
+        (MessageOutcome::Returned, vec![requeue(0), ack.clone()]),
     ];
-    for (ended, done) in cases {
-        assert_eq!(all(ended.clone(), terms()), done, "{ended:?}");
+    for (outcome, actions) in cases {
+        assert_eq!(play_all_actions(outcome.clone(), context()), actions, "{outcome:?}");
     }
-    let again = SettlementContext { retry_count: 2, ..terms() };
-    assert_eq!(all(refused(1.0), again)[1..], [dead("refused-too-often"), ack]);
+    let at_max_retries = SettlementContext { retry_count: 2, ..context() };
+    assert_eq!(play_all_actions(rejected(1.0), at_max_retries)[1..], [dead_letter("refused-too-often"), ack]);
     assert_eq!(
-        all(MessageOutcome::Returned, SettlementContext { has_effect: false, ..terms() }),
+        play_all_actions(MessageOutcome::Returned, SettlementContext { has_effect: false, ..context() }),
         [SettlementAction::Settle(Settlement::Requeue)]
     );
-    let bare = SettlementContext { has_reply_to: false, has_dead_letter: false, ..terms() };
+    let without_reply_or_dead_letter =
+        SettlementContext { has_reply_to: false, has_dead_letter: false, ..context() };
     assert_eq!(
-        all(MessageOutcome::Finished(RunResult::Failed), bare),
+        play_all_actions(MessageOutcome::Finished(RunResult::Failed), without_reply_or_dead_letter),
         [SettlementAction::Settle(Settlement::Reject)]
     );
 }
 
 #[test]
-fn a_refused_message_goes_back_after_its_pause_and_its_caller_hears_before() {
-    let mut exit = Settling::new(&refused(300.0), terms(), 0.0);
-    assert_eq!(exit.next_action(0.0), Some(SettlementAction::Reply(ReplyStatus::Rejected(300.0))));
-    exit.reply_published(PublishResult::Confirmed, 1.0);
-    assert_eq!((exit.next_action(299.0), exit.next_deadline()), (None, Some(300.0)));
+fn a_rejected_message_is_requeued_after_its_backoff_and_its_caller_is_answered_first() {
+    let mut settling = Settling::new(&rejected(300.0), context(), 0.0);
+    assert_eq!(settling.next_action(0.0), Some(SettlementAction::Reply(ReplyStatus::Rejected(300.0))));
+    settling.reply_published(PublishResult::Confirmed, 1.0);
+    assert_eq!((settling.next_action(299.0), settling.next_deadline()), (None, Some(300.0)));
     assert_eq!(
-        exit.next_action(300.0),
+        settling.next_action(300.0),
         Some(SettlementAction::Republish(Republish::Requeue { retry_count: 1 }))
     );
-    let mut leaving = Settling::new(&refused(300.0), terms(), 0.0);
+    let mut leaving = Settling::new(&rejected(300.0), context(), 0.0);
     leaving.skip_backoff(10.0);
     leaving.next_action(10.0);
     assert_eq!(
         leaving.next_action(10.0),
         Some(SettlementAction::Republish(Republish::Requeue { retry_count: 1 }))
     );
-    // Refused without a pause it still does not turn in a hot loop.
-    let pauses = [0, 1, 30].map(|rounds| {
-        let terms = SettlementContext { retry_count: rounds, max_retries: 99, ..terms() };
-        Settling::new(&refused(0.0), terms, 0.0).republish_state
+    // Rejected without a delay, it still backs off.
+    let backoffs = [0, 1, 30].map(|retry_count| {
+        let context = SettlementContext { retry_count, max_retries: 99, ..context() };
+        Settling::new(&rejected(0.0), context, 0.0).republish_state
     });
     assert_eq!(
-        pauses,
+        backoffs,
         [MIN_RETRY_AFTER_MS, 2.0 * MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS].map(PublishState::Due)
     );
 }
 
 #[test]
-fn what_cannot_be_back_in_time_ends_at_once_with_its_reason() {
-    let ends = |pause, last, left, rounds| {
-        let terms = SettlementContext { time_left: left, retry_count: rounds, max_retries: 9, ..terms() };
-        all(MessageOutcome::Rejected { retry_after: pause, is_final: last }, terms)[1]
+fn a_retry_that_would_come_too_late_is_dead_lettered_at_once() {
+    let is_dead_lettered = |retry_after, is_final, time_left, retry_count| {
+        let context = SettlementContext { time_left, retry_count, max_retries: 9, ..context() };
+        play_all_actions(MessageOutcome::Rejected { retry_after, is_final }, context)[1]
             == SettlementAction::Republish(Republish::DeadLetter("out-of-time"))
     };
-    // Its sender is gone by the end of the pause, or of the least one in this round; or the module's word is final.
-    assert!(ends(300.0, false, Some(300.0), 0) && !ends(300.0, false, Some(301.0), 0));
-    assert!(ends(0.0, false, Some(399.0), 2) && !ends(0.0, false, Some(401.0), 2));
-    assert!(ends(0.0, true, Some(5_000.0), 0));
-    // Where nobody says when it was sent it waits at the broker for as long as it takes.
-    assert!(!ends(1e9, true, None, 0));
-    let exit = Settling::new(
+    // The sender has given up by the end of the delay or of the minimum backoff, or the rejection is final.
+    assert!(
+        is_dead_lettered(300.0, false, Some(300.0), 0) && !is_dead_lettered(300.0, false, Some(301.0), 0)
+    );
+    assert!(is_dead_lettered(0.0, false, Some(399.0), 2) && !is_dead_lettered(0.0, false, Some(401.0), 2));
+    assert!(is_dead_lettered(0.0, true, Some(5_000.0), 0));
+    // Without a sending time there is no deadline, and the message waits at the broker.
+    assert!(!is_dead_lettered(1e9, true, None, 0));
+    let settling = Settling::new(
         &MessageOutcome::Rejected { retry_after: 40.0, is_final: true },
-        SettlementContext { time_left: Some(9.0), ..terms() },
+        SettlementContext { time_left: Some(9.0), ..context() },
         0.0,
     );
-    let told = ReplyStatus::Failed { reason: "out-of-time", may_have_run: false, retry_after: Some(40.0) };
-    assert_eq!((exit.reply, exit.reply_state), (Some(told), PublishState::Due(0.0)));
+    let expected =
+        ReplyStatus::Failed { reason: "out-of-time", may_have_run: false, retry_after: Some(40.0) };
+    assert_eq!((settling.reply, settling.reply_state), (Some(expected), PublishState::Due(0.0)));
 }
 
 #[test]
-fn a_copy_of_unknown_fate_is_not_published_again_where_both_would_run() {
-    for (effect, then) in
+fn an_unconfirmed_copy_is_not_republished_where_both_could_run() {
+    for (has_effect, expected) in
         [(true, Republish::DeadLetter("run-unknown")), (false, Republish::Requeue { retry_count: 1 })]
     {
-        let mut exit = Settling::new(
-            &refused(0.0),
-            SettlementContext { has_reply_to: false, has_effect: effect, ..terms() },
+        let mut settling = Settling::new(
+            &rejected(0.0),
+            SettlementContext { has_reply_to: false, has_effect, ..context() },
             0.0,
         );
         assert_eq!(
-            exit.next_action(MIN_RETRY_AFTER_MS),
+            settling.next_action(MIN_RETRY_AFTER_MS),
             Some(SettlementAction::Republish(Republish::Requeue { retry_count: 1 }))
         );
-        exit.republished(PublishResult::Unknown, MIN_RETRY_AFTER_MS);
-        assert_eq!(exit.next_action(1e6), Some(SettlementAction::Republish(then)));
+        settling.republished(PublishResult::Unknown, MIN_RETRY_AFTER_MS);
+        assert_eq!(settling.next_action(1e6), Some(SettlementAction::Republish(expected)));
     }
 }
 
 #[test]
-fn a_reply_that_is_refused_for_long_leaves_its_message_in_the_dead_letters() {
-    let mut exit = Settling::new(&MessageOutcome::Finished(RunResult::Served(b"r"[..].into())), terms(), 0.0);
+fn a_message_is_dead_lettered_after_too_many_nacked_replies() {
+    let mut settling =
+        Settling::new(&MessageOutcome::Finished(RunResult::Served(b"r"[..].into())), context(), 0.0);
     for _ in 0..MAX_REPLY_ATTEMPTS {
-        assert!(matches!(exit.next_action(1e9), Some(SettlementAction::Reply(_))));
-        exit.reply_published(PublishResult::Nacked, 0.0);
+        assert!(matches!(settling.next_action(1e9), Some(SettlementAction::Reply(_))));
+        settling.reply_published(PublishResult::Nacked, 0.0);
     }
     assert_eq!(
-        exit.next_action(1e9),
+        settling.next_action(1e9),
         Some(SettlementAction::Republish(Republish::DeadLetter("reply-refused")))
     );
-    exit.republished(PublishResult::Confirmed, 0.0);
-    assert_eq!(exit.next_action(1e9), Some(SettlementAction::Settle(Settlement::Ack)));
+    settling.republished(PublishResult::Confirmed, 0.0);
+    assert_eq!(settling.next_action(1e9), Some(SettlementAction::Settle(Settlement::Ack)));
 }
 
 #[test]
-fn only_the_last_word_on_a_key_counts_as_told() {
-    let told = |ended: MessageOutcome| {
-        let mut exit = Settling::new(&ended, terms(), 0.0);
-        exit.next_action(1e6);
-        exit.reply_published(PublishResult::Confirmed, 1e6);
-        exit.next_action(1e6);
-        exit.republished(PublishResult::Confirmed, 1e6);
-        exit.is_caller_answered()
+fn only_a_final_answer_marks_the_caller_as_answered() {
+    let expected = |outcome: MessageOutcome| {
+        let mut settling = Settling::new(&outcome, context(), 0.0);
+        settling.next_action(1e6);
+        settling.reply_published(PublishResult::Confirmed, 1e6);
+        settling.next_action(1e6);
+        settling.republished(PublishResult::Confirmed, 1e6);
+        settling.is_caller_answered()
     };
-    assert!(told(MessageOutcome::Finished(RunResult::Failed)) && told(MessageOutcome::MayHaveRun));
-    assert!(!told(refused(0.0)) && !told(MessageOutcome::NotRun));
+    assert!(expected(MessageOutcome::Finished(RunResult::Failed)) && expected(MessageOutcome::MayHaveRun));
+    assert!(!expected(rejected(0.0)) && !expected(MessageOutcome::NotRun));
 }
 
 fn outcomes() -> impl Strategy<Value = MessageOutcome> {
@@ -199,16 +210,16 @@
 }
 
 proptest! {
-    /// Whatever the broker does with what is published: one word settles a message, last of all, the message is
-    /// elsewhere by then if it was to be, and its caller is told no second time once the broker has confirmed it.
+    /// Whatever the results of its publishes, a message is settled exactly once and last. By then its copy is confirmed if
+    /// one was due, and no reply is repeated after it was confirmed.
     #[test]
     fn a_message_is_settled_once_and_last(
         outcome in outcomes(), has_reply_to in any::<bool>(), has_dead_letter in any::<bool>(), retry_count in 0u32..4,
         has_effect in any::<bool>(), time_left in proptest::option::of(0.0f64..900.0),
         results in proptest::collection::vec(publish_results(), 1..12),
     ) {
-        let terms = SettlementContext { has_reply_to, has_dead_letter, retry_count, max_retries: 2, has_effect, time_left };
-        let mut settling = Settling::new(&outcome, terms, 0.0);
+        let context = SettlementContext { has_reply_to, has_dead_letter, retry_count, max_retries: 2, has_effect, time_left };
+        let mut settling = Settling::new(&outcome, context, 0.0);
         let (mut now, mut settlement, mut replies, mut is_republished) = (0.0, None, 0, false);
         let mut results = results.into_iter().chain(std::iter::repeat(PublishResult::Confirmed));
         for _ in 0..100 {
@@ -227,7 +238,7 @@
                         is_republished = is_confirmed;
                         settling.republished(result, now);
                     }
-                    SettlementAction::Settle(how) => settlement = Some(how),
+                    SettlementAction::Settle(value) => settlement = Some(value),
                 }
             }
             match settling.next_deadline() { Some(at) => { prop_assert!(at >= now); now = at } None => break }
--- a/crates/loomflow-amqp/src/window.rs
+++ b/crates/loomflow-amqp/src/window.rs
@@ -1,60 +1,68 @@
-//! How much to take: the decision of a front that pulls.
+//! How much to consume: the decision of a front that pulls.
 //!
-//! A gateway is told a send share and passes this server by that often. A queue has no caller to tell, so its share
-//! is how many of its messages may be in hand unacknowledged. The window of a queue follows the design of the module:
+//! A gateway gets a send share and passes this server by that often. A queue has no caller to tell, so its share is how many
+//! of its messages may be in flight unacknowledged. The window of a queue follows the design of the controller:
 //!
-//! - what it may hold at a send share of 1 rises by additions while that is what limits it, and is cut by a factor at
-//!   most once in the loop's dead time, which is how long a message takes from delivery to answer;
-//! - cut when the module refuses its messages, and when they wait for longer than they are worked at: by Little's law
-//!   more is then held than keeps the work going, and the rest would better wait at the broker;
-//! - the module's send share scales it, as it scales what gateways send.
+//! - its size at a send share of 1 is increased by additions while it is what limits, and decreased by a factor at most
+//!   once in the loop's dead time, which is how long a message takes from delivery to answer;
+//! - it is decreased when the controller rejects messages, and when they are queued for longer than they run: by Little's
+//!   law more is then in flight than keeps the work going, and the rest would better wait at the broker;
+//! - the controller's send share scales it, as it scales what gateways send.
 //!
-//! Windows of several queues share one bound by worth.
+//! The windows of several queues share one bound by priority weight.
 
-/// Cut to this part; the module's running limit is cut alike.
+use crate::Millis;
+
+#[cfg(test)]
+mod tests;
+
+/// A decrease multiplies the size by this, as it does the controller's running limit.
 const DECREASE: f64 = 0.8;
-/// Part of its place that a message gives back, where messages say when they were sent and too much is held.
+/// What each message takes from the size where messages tell when they were sent and too much is in flight.
 const RELEASED_PART: f64 = 0.125;
-/// Weight of the newest time in the smoothed ones.
+/// Weight of the newest sample in the smoothed times.
 const SMOOTHING: f64 = 0.125;
 
-/// How a message ended that was in hand.
+/// How a message ended, to the window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// It was served.
     Served,
+    /// It was rejected.
     Rejected,
-    /// Neither tells how much is too much.
+    /// It says nothing about how much is too much.
     Other,
 }
 
-/// What is known of a message that was in hand, ms.
+/// What is known of a message that has ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Observation {
+    /// How it ended.
     pub outcome: Outcome,
-    /// How long it stood at the broker, where it says when it was sent.
-    pub broker_time: Option<f64>,
-    /// From its delivery to the beginning of its run, where that began.
-    pub queue_time: Option<f64>,
+    /// How long it was at the broker, where it tells when it was sent.
+    pub broker_time: Option<Millis>,
+    /// From its delivery to the start of its run, where that was started.
+    pub queue_time: Option<Millis>,
     /// From its delivery to its answer.
-    pub total_time: f64,
-    /// As much was in hand as may be, so that more could have been used.
+    pub total_time: Millis,
+    /// As much was in flight as may be, so that a larger window could have been used.
     pub is_limited: bool,
 }
 
+/// The window of one queue.
 #[derive(Clone, Debug)]
 pub struct Window {
-    /// What may be in hand at a send share of 1.
+    /// What may be in flight at a send share of 1.
     size: f64,
-    /// It has been cut: from then on it rises by one in a dead time and not with each message.
+    /// It has been decreased: from then on it grows by one in a dead time and not with each message.
     has_decreased: bool,
-    /// Smoothed times of a message, ms: from delivery to answer, which is the dead time of the loop; to the beginning of
-    /// its run; from there to the answer; at the broker.
-    total_time: f64,
-    queue_time: f64,
-    run_time: f64,
-    broker_time: f64,
-    /// No further cut before.
-    next_decrease_at: f64,
+    /// Smoothed times of a message: from delivery to answer, which is the dead time of the loop; from delivery to the start
+    /// of its run; from there to the answer; at the broker.
+    total_time: Millis,
+    queue_time: Millis,
+    run_time: Millis,
+    broker_time: Millis,
+    next_decrease_at: Millis,
 }
 
 impl Default for Window {
@@ -71,90 +79,98 @@
     }
 }
 
-fn smooth(mean: &mut f64, newest: f64) {
-    *mean += (newest - *mean) * if *mean == 0.0 { 1.0 } else { SMOOTHING };
+/// Moves a mean towards a sample; the first one is taken as it is.
+fn smooth(mean: &mut Millis, sample: Millis) {
+    *mean += (sample - *mean) * if *mean == 0.0 { 1.0 } else { SMOOTHING };
 }
 
 impl Window {
     /// A message was answered.
-    pub fn observe(&mut self, seen: Observation, now: f64) {
-        if seen.outcome == Outcome::Other {
+    pub fn observe(&mut self, message: Observation, now: Millis) {
+        if message.outcome == Outcome::Other {
             return;
         }
-        smooth(&mut self.total_time, seen.total_time);
-        if let Some(waited) = seen.queue_time {
-            self.queue_time += (waited - self.queue_time) * SMOOTHING;
-            smooth(&mut self.run_time, seen.total_time - waited);
-        }
-        self.broker_time += (seen.broker_time.unwrap_or(0.0) - self.broker_time) * SMOOTHING;
-        // What stands at the broker has no order and no answer there: it is taken in, to be judged.
-        let too_much = seen.outcome == Outcome::Rejected || self.queue_time > self.run_time;
+        self.smooth_times(message);
+        let is_too_much = message.outcome == Outcome::Rejected || self.queue_time > self.run_time;
+        // A message at the broker has no order and gets no answer there: it is consumed, to be decided upon.
         if self.broker_time > self.run_time {
             self.size += 1.0;
-        } else if too_much && seen.broker_time.is_some() {
-            // A cut by a factor would stop all intake until as much has ended, and let it stand at the broker meanwhile.
+        } else if is_too_much && message.broker_time.is_some() {
+            // A decrease by a factor would stop consuming until as much has ended, and let it wait at the broker meanwhile.
             self.size = (self.size - RELEASED_PART).max(1.0);
             self.has_decreased = true;
-        } else if too_much {
+        } else if is_too_much {
             if now >= self.next_decrease_at {
                 self.size = (self.size * DECREASE).max(1.0);
                 self.has_decreased = true;
                 self.next_decrease_at = now + self.total_time;
             }
-        } else if seen.is_limited {
+        } else if message.is_limited {
             self.size += if self.has_decreased { 1.0 / self.size } else { 1.0 };
         }
     }
 
-    /// How long messages stood at the broker of late, ms, by what they say.
-    pub fn broker_time(&self) -> f64 {
+    fn smooth_times(&mut self, message: Observation) {
+        smooth(&mut self.total_time, message.total_time);
+        if let Some(queue_time) = message.queue_time {
+            self.queue_time += (queue_time - self.queue_time) * SMOOTHING;
+            smooth(&mut self.run_time, message.total_time - queue_time);
+        }
+        self.broker_time += (message.broker_time.unwrap_or(0.0) - self.broker_time) * SMOOTHING;
+    }
+
+    /// How long recent messages were at the broker, by what they tell.
+    pub fn broker_time(&self) -> Millis {
         self.broker_time
     }
 
-    /// What it would hold, at the send share that callers are told.
+    /// What may be in flight at the send share that callers get.
     pub fn target(&self, share: f64) -> f64 {
         (self.size * share.clamp(0.0, 1.0)).max(1.0)
     }
 
-    /// Nothing beyond `most` is of use.
-    pub fn limit(&mut self, most: f64) {
-        self.size = self.size.min(most.max(1.0));
+    /// Nothing beyond `max` is of use.
+    pub fn limit(&mut self, max: f64) {
+        self.size = self.size.min(max.max(1.0));
     }
 }
 
-/// Parts of `total` for queues that want so much and are worth so much a message: each gets what it wants or, where
-/// that is too much, a part by worth ("weighted max-min fairness"). Whole messages; while there is one for each, each
-/// gets one.
+/// Divides `total` among queues that want so much at a weight each: each gets what it wants or, where that is too much, a
+/// part by weight (weighted max-min fairness). Whole messages; while there is one for each, each gets one.
 pub fn divide_by_weight(total: usize, wants: &[(f64, f64)]) -> Vec<usize> {
     let mut parts = vec![0.0; wants.len()];
-    let mut left = total as f64;
+    let mut remaining = total as f64;
     let mut open: Vec<usize> = (0..wants.len()).collect();
-    // Who wants less than its part gives the rest to the others, until nobody does.
-    while !open.is_empty() && left > 0.0 {
-        let worth: f64 = open.iter().map(|at| wants[*at].1).sum();
-        let part =
-            |at: usize| if worth > 0.0 { left * wants[at].1 / worth } else { left / open.len() as f64 };
-        let (content, rest): (Vec<usize>, Vec<usize>) =
-            open.iter().copied().partition(|at| wants[*at].0 <= part(*at));
+    // A queue that wants less than its part leaves the rest to the others, until none does.
+    while !open.is_empty() && remaining > 0.0 {
+        let weight: f64 = open.iter().map(|queue| wants[*queue].1).sum();
+        let part = |queue: usize| match weight > 0.0 {
+            true => remaining * wants[queue].1 / weight,
+            false => remaining / open.len() as f64,
+        };
+        let (content, others): (Vec<usize>, Vec<usize>) =
+            open.iter().copied().partition(|queue| wants[*queue].0 <= part(*queue));
         if content.is_empty() {
-            rest.iter().for_each(|at| parts[*at] = part(*at));
+            others.iter().for_each(|queue| parts[*queue] = part(*queue));
             break;
         }
-        for at in content {
-            parts[at] = wants[at].0;
-            left -= wants[at].0;
+        for queue in content {
+            parts[queue] = wants[queue].0;
+            remaining -= wants[queue].0;
         }
-        open = rest;
+        open = others;
     }
-    let mut whole: Vec<usize> = parts.iter().map(|part| *part as usize).collect();
-    let mut spare = total - whole.iter().sum::<usize>().min(total);
-    for part in whole.iter_mut().filter(|part| **part == 0) {
+    give_one_to_each(parts.iter().map(|part| *part as usize).collect(), total)
+}
+
+/// Gives one of what is left over to each queue that has none.
+fn give_one_to_each(mut parts: Vec<usize>, total: usize) -> Vec<usize> {
+    let mut spare = total - parts.iter().sum::<usize>().min(total);
+    for part in parts.iter_mut().filter(|part| **part == 0) {
         if spare > 0 {
-            (*part, spare) = (1, spare - 1);
+            *part = 1;
+            spare -= 1;
         }
     }
-    whole
+    parts
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/loomflow-amqp/src/window/tests.rs
+++ b/crates/loomflow-amqp/src/window/tests.rs
@@ -1,54 +1,54 @@
 use super::*;
 use proptest::prelude::*;
 
-fn served(waited: f64, took: f64, limited: bool) -> Observation {
+fn served(queue_time: f64, total_time: f64, limited: bool) -> Observation {
     Observation {
         outcome: Outcome::Served,
         broker_time: None,
-        queue_time: Some(waited),
-        total_time: took,
+        queue_time: Some(queue_time),
+        total_time,
         is_limited: limited,
     }
 }
 
-fn refused(took: f64) -> Observation {
+fn rejected(total_time: f64) -> Observation {
     Observation {
         outcome: Outcome::Rejected,
         broker_time: None,
         queue_time: None,
-        total_time: took,
+        total_time,
         is_limited: true,
     }
 }
 
-/// Messages of one queue on so many cores, each worked at for `work` ms; the window after so many of them.
-fn played(cores: usize, work: f64, rounds: usize) -> (Window, Vec<usize>) {
+/// Simulates `rounds` messages of `work` ms on some cores; returns the window and its size at each message.
+fn simulate(cores: usize, work: f64, rounds: usize) -> (Window, Vec<usize>) {
     let mut window = Window::default();
     let (mut now, mut sizes) = (0.0, Vec::new());
     let mut free = vec![0.0_f64; cores];
-    let mut hand: Vec<(f64, f64, f64)> = Vec::new();
+    let mut in_flight: Vec<(f64, f64, f64)> = Vec::new();
     for _ in 0..rounds {
         let size = window.target(1.0) as usize;
-        while hand.len() < size {
+        while in_flight.len() < size {
             let core = (0..cores).min_by(|a, b| free[*a].total_cmp(&free[*b])).unwrap();
             let begin = free[core].max(now);
             free[core] = begin + work;
-            hand.push((now, begin, begin + work));
+            in_flight.push((now, begin, begin + work));
         }
-        let at = (0..hand.len()).min_by(|a, b| hand[*a].2.total_cmp(&hand[*b].2)).unwrap();
-        let limited = hand.len() >= size;
-        let (came, began, ended) = hand.swap_remove(at);
-        now = ended;
-        window.observe(served(began - came, ended - came, limited), now);
+        let at = (0..in_flight.len()).min_by(|a, b| in_flight[*a].2.total_cmp(&in_flight[*b].2)).unwrap();
+        let limited = in_flight.len() >= size;
+        let (came, began, finished_at) = in_flight.swap_remove(at);
+        now = finished_at;
+        window.observe(served(began - came, finished_at - came, limited), now);
         sizes.push(size);
     }
     (window, sizes)
 }
 
 #[test]
-fn it_keeps_all_cores_busy_and_holds_about_as_much_again() {
+fn the_window_keeps_all_cores_busy_with_about_as_many_queued() {
     for cores in [1, 4, 16] {
-        let (_, sizes) = played(cores, 10.0, 4_000);
+        let (_, sizes) = simulate(cores, 10.0, 4_000);
         let late = &sizes[2_000..];
         let mean = late.iter().sum::<usize>() as f64 / late.len() as f64;
         assert!(*late.iter().min().unwrap() >= cores, "{cores}: {:?}", late.iter().min());
@@ -57,55 +57,55 @@
 }
 
 #[test]
-fn refusals_cut_it_once_in_a_dead_time() {
-    let (mut window, _) = played(8, 10.0, 1_000);
+fn rejections_shrink_the_window_once_per_interval() {
+    let (mut window, _) = simulate(8, 10.0, 1_000);
     let before = window.target(1.0);
     for _ in 0..10 {
-        window.observe(refused(0.0), 1e6);
+        window.observe(rejected(0.0), 1e6);
     }
     assert_eq!(window.target(1.0), (before * DECREASE).max(1.0));
-    window.observe(refused(0.0), 2e6);
+    window.observe(rejected(0.0), 2e6);
     assert!(window.target(1.0) < before * DECREASE);
-    // Something is always asked for, so that it is seen when things are well again.
-    (0..100).for_each(|at| window.observe(refused(1.0), 3e6 + 1e3 * f64::from(at)));
+    // The window never closes completely, so that a recovery is noticed.
+    (0..100).for_each(|at| window.observe(rejected(1.0), 3e6 + 1e3 * f64::from(at)));
     assert_eq!((window.target(1.0), window.target(0.05)), (1.0, 1.0));
 }
 
 #[test]
-fn what_stands_at_the_broker_is_taken_in_and_a_full_server_leaves_fresh_messages_to_others() {
-    let (mut window, _) = played(4, 10.0, 1_000);
-    let ends = |window: &mut Window, ended, stood, count: usize| {
-        let waited = (ended == Outcome::Served).then_some(2.0);
+fn a_backlog_at_the_broker_widens_the_window_and_a_full_server_leaves_new_messages_to_others() {
+    let (mut window, _) = simulate(4, 10.0, 1_000);
+    let observe_many = |window: &mut Window, finished_at, broker_time, count: usize| {
+        let queue_time = (finished_at == Outcome::Served).then_some(2.0);
         let seen = Observation {
-            outcome: ended,
-            broker_time: Some(stood),
-            queue_time: waited,
+            outcome: finished_at,
+            broker_time: Some(broker_time),
+            queue_time,
             total_time: 12.0,
             is_limited: false,
         };
         (0..count).for_each(|at| window.observe(seen, 1e6 + at as f64));
     };
-    // A second of them under twice the load: as many more in hand as ended, refused or not.
+    // One second at twice the load: the window grows by as many messages as finish, rejected or not.
     let before = window.target(1.0);
-    ends(&mut window, Outcome::Served, 200.0, 20);
-    ends(&mut window, Outcome::Rejected, 200.0, 400);
+    observe_many(&mut window, Outcome::Served, 200.0, 20);
+    observe_many(&mut window, Outcome::Rejected, 200.0, 400);
     assert!(window.target(1.0) >= before + 400.0 && window.broker_time() > 190.0);
-    // Nothing stands there any more: some are given back with each refusal, never all at once, down to one.
+    // Without a backlog, each rejection shrinks the window a little, down to one.
     let large = window.target(1.0);
-    ends(&mut window, Outcome::Rejected, 0.0, 40);
+    observe_many(&mut window, Outcome::Rejected, 0.0, 40);
     assert!((0.9 * large..large + 40.0).contains(&window.target(1.0)));
-    ends(&mut window, Outcome::Rejected, 0.0, 9 * large as usize);
+    observe_many(&mut window, Outcome::Rejected, 0.0, 9 * large as usize);
     assert_eq!(window.target(1.0), 1.0);
 }
 
 #[test]
-fn the_send_share_scales_it() {
-    let (window, _) = played(16, 10.0, 2_000);
+fn the_send_share_scales_the_window() {
+    let (window, _) = simulate(16, 10.0, 2_000);
     assert_eq!(window.target(0.25), window.target(1.0) * 0.25);
 }
 
 #[test]
-fn worth_divides_what_is_short_and_nobody_gets_more_than_wanted() {
+fn weights_divide_a_shortage_and_no_part_exceeds_its_demand() {
     assert_eq!(divide_by_weight(12, &[(4.0, 1.0), (4.0, 9.0)]), [4, 4]);
     assert_eq!(divide_by_weight(12, &[(90.0, 1.0), (90.0, 3.0)]), [3, 9]);
     assert_eq!(divide_by_weight(12, &[(90.0, 1.0), (2.0, 3.0)]), [10, 2]);
@@ -115,17 +115,17 @@
 
 proptest! {
     #[test]
-    fn parts_never_exceed_the_whole_or_a_wish_and_leave_nothing_that_is_wanted(
+    fn parts_never_exceed_the_total_or_the_demand_and_use_all_that_is_demanded(
         total in 0usize..200,
-        wants in proptest::collection::vec((1.0f64..80.0, 0.1f64..9.0), 1..6)
+        demands in proptest::collection::vec((1.0f64..80.0, 0.1f64..9.0), 1..6)
     ) {
-        let parts = divide_by_weight(total, &wants);
+        let parts = divide_by_weight(total, &demands);
         prop_assert!(parts.iter().sum::<usize>() <= total);
-        for (part, (want, _)) in parts.iter().zip(&wants) {
-            prop_assert!(*part as f64 <= *want);
+        for (part, (demand, _)) in parts.iter().zip(&demands) {
+            prop_assert!(*part as f64 <= *demand);
         }
-        let wanted: f64 = wants.iter().map(|w| w.0).sum();
-        let least = (total as f64).min(wanted) - wants.len() as f64;
+        let demanded: f64 = demands.iter().map(|w| w.0).sum();
+        let least = (total as f64).min(demanded) - demands.len() as f64;
         prop_assert!(parts.iter().sum::<usize>() as f64 >= least);
     }
 }
