--- a/crates/loomflow-amqp/tests/model.rs
+++ b/crates/loomflow-amqp/tests/model.rs
@@ -1,6 +1,6 @@
-//! Consumers against the stand-in broker's state, without sockets: generated days of redeliveries, lost frames, broken
-//! channels and connections, refusals, restarts and drains. Whatever happens, archive runs at most once, every message
-//! has an ending, and none is settled twice.
+//! Model-based test of consumers against the state of the stand-in broker, without sockets: generated sequences of
+//! redeliveries, lost frames, closed channels and connections, rejections, restarts and drains. Messages with an external
+//! effect run at most once, every message is finished, and none is settled twice.
 
 mod common;
 use std::collections::{BTreeMap, VecDeque};
@@ -14,68 +14,68 @@
 
 const GRACE: f64 = 1_000.0;
 
-/// One server: its consumer, its side of the connection, and an owner that does as it is told.
+/// One server: its consumer, its side of the connection, and the messages submitted to its owner.
 struct Server {
     consumer: Consumer,
-    /// The connection's number at the broker, while there is one.
-    link: Option<u64>,
-    /// Opened again then.
-    opens_at: Option<f64>,
+    /// Id of the connection at the broker, while it is open.
+    connection: Option<u64>,
+    /// When the next connection is opened.
+    reconnect_at: Option<f64>,
     to_broker: VecDeque<u8>,
     to_server: VecDeque<Frame>,
-    held: Vec<SubmittedMessage>,
+    submitted: Vec<SubmittedMessage>,
     running: Vec<SubmittedMessage>,
-    leaving: bool,
+    is_draining: bool,
 }
 
-struct Day {
+struct Simulation {
     now: f64,
     broker: State,
     servers: Vec<Server>,
-    effect: bool,
-    links: u64,
+    has_effect: bool,
+    connections_opened: u64,
     published: u64,
     runs: BTreeMap<String, usize>,
-    /// Keys whose run was broken off with its server.
+    /// Runs that ended with the restart of their server.
     killed: usize,
-    /// Connections that a consumer gave up.
+    /// Connections that a consumer abandoned.
     broken: usize,
 }
 
-impl Day {
-    fn new(servers: usize, effect: bool) -> Day {
+impl Simulation {
+    fn new(servers: usize, has_effect: bool) -> Simulation {
         let mut broker = State::default();
         ["jobs", "dead", "replies"].into_iter().for_each(|queue| broker.declare(queue, None));
-        let mut day = Day {
+        let mut simulation = Simulation {
             now: 0.0,
             broker,
             servers: Vec::new(),
-            effect,
-            links: 0,
+            has_effect,
+            connections_opened: 0,
             published: 0,
             runs: BTreeMap::new(),
             killed: 0,
             broken: 0,
         };
         for seed in 0..servers {
-            let server = day.server(seed as u64);
-            day.servers.push(server);
+            let server = simulation.server(seed as u64);
+            simulation.servers.push(server);
         }
-        day
+        simulation
     }
 
     fn server(&self, seed: u64) -> Server {
-        let mut consumer = Consumer::new(settings(self.effect), Box::new(NoHistory), seed);
+        let mut consumer = Consumer::new(settings(self.has_effect), Box::new(NoHistory), seed);
         consumer.start_accepting();
         Server {
             consumer,
-            link: None,
-            opens_at: Some(self.now),
+            connection: None,
+            reconnect_at: Some(self.now),
             to_broker: VecDeque::new(),
             to_server: VecDeque::new(),
-            held: Vec::new(),
+            submitted: Vec::new(),
             running: Vec::new(),
-            leaving: false,
+            is_draining: false,
         }
     }
 
@@ -86,45 +86,45 @@
         assert!(self.broker.publish(message("jobs", &id, id.as_bytes()).reply_to("replies", &id)));
     }
 
-    fn pass(&mut self, at: usize) {
-        let (now, links) = (self.now, &mut self.links);
+    fn advance(&mut self, at: usize) {
+        let (now, connections_opened) = (self.now, &mut self.connections_opened);
         let server = &mut self.servers[at];
-        if server.link.is_none() && server.opens_at.is_some_and(|at| now >= at) {
-            *links += 1;
-            (server.link, server.opens_at) = (Some(*links), None);
+        if server.connection.is_none() && server.reconnect_at.is_some_and(|at| now >= at) {
+            *connections_opened += 1;
+            (server.connection, server.reconnect_at) = (Some(*connections_opened), None);
             server.consumer.connected(now);
-            self.broker.opened(*links);
+            self.broker.opened(*connections_opened);
         }
         if server.consumer.tick(now).is_err() {
             self.broken += 1;
-            return self.cut(at);
+            return self.disconnect(at);
         }
         server.to_broker.extend(server.consumer.take_output(now));
-        for ask in server.consumer.take_requests() {
-            match ask {
-                ConsumerRequest::Submit(offer) => server.held.push(offer),
+        for request in server.consumer.take_requests() {
+            match request {
+                ConsumerRequest::Submit(message) => server.submitted.push(message),
                 ConsumerRequest::Cancel(id) => {
                     assert!(
                         server.running.iter().all(|one| one.id != id),
                         "a run that has begun is not gone"
                     );
-                    server.held.retain(|one| one.id != id);
+                    server.submitted.retain(|one| one.id != id);
                 }
                 ConsumerRequest::Log(_) => {}
             }
         }
     }
 
-    /// Frames go both ways: so many to the server, all to the broker.
+    /// Carries all frames to the broker and up to `count` frames to the server.
     fn exchange(&mut self, at: usize, count: usize) {
-        self.pass(at);
-        let Some(link) = self.servers[at].link else { return };
+        self.advance(at);
+        let Some(connection) = self.servers[at].connection else { return };
         for frame in decode(&mut self.servers[at].to_broker) {
-            self.broker.frame(link, frame);
+            self.broker.frame(connection, frame);
         }
         let mut over = Vec::new();
         for (to, frame) in self.broker.take_out() {
-            let Some(server) = self.servers.iter_mut().find(|server| server.link == Some(to)) else {
+            let Some(server) = self.servers.iter_mut().find(|server| server.connection == Some(to)) else {
                 continue;
             };
             match frame {
@@ -138,92 +138,92 @@
         for frame in server.to_server.drain(..count.min(server.to_server.len())) {
             broken |= server.consumer.handle_frame(frame, now).is_err();
         }
-        if broken || over.contains(&link) {
-            return self.cut(at);
+        if broken || over.contains(&connection) {
+            return self.disconnect(at);
         }
-        self.pass(at);
+        self.advance(at);
     }
 
-    /// The connection breaks: what was on its way is lost.
-    fn cut(&mut self, at: usize) {
+    /// The connection breaks, and frames in transit are lost.
+    fn disconnect(&mut self, at: usize) {
         let now = self.now;
         let server = &mut self.servers[at];
-        let Some(link) = server.link.take() else { return };
+        let Some(connection) = server.connection.take() else { return };
         server.to_broker.clear();
         server.to_server.clear();
-        server.opens_at = server.consumer.disconnected(now).map(|pause| now + pause);
-        self.broker.ended(link);
-        self.pass(at);
+        server.reconnect_at = server.consumer.disconnected(now).map(|pause| now + pause);
+        self.broker.ended(connection);
+        self.advance(at);
     }
 
     fn restart(&mut self, at: usize) {
-        if let Some(link) = self.servers[at].link {
-            self.broker.ended(link);
+        if let Some(connection) = self.servers[at].connection {
+            self.broker.ended(connection);
         }
         self.killed += self.servers[at].running.len();
-        let server = self.server(self.links + 100);
+        let server = self.server(self.connections_opened + 100);
         self.servers[at] = server;
     }
 
-    fn begin(&mut self, at: usize) {
+    fn start_run(&mut self, at: usize) {
         let now = self.now;
         let server = &mut self.servers[at];
-        let Some(offer) = server.held.pop() else { return };
-        server.consumer.run_started(offer.id, now);
-        *self.runs.entry(String::from_utf8(offer.body.clone()).unwrap()).or_default() += 1;
-        server.running.push(offer);
+        let Some(message) = server.submitted.pop() else { return };
+        server.consumer.run_started(message.id, now);
+        *self.runs.entry(String::from_utf8(message.body.clone()).unwrap()).or_default() += 1;
+        server.running.push(message);
     }
 
-    fn finish(&mut self, at: usize, fine: bool) {
+    fn finish_run(&mut self, at: usize, fine: bool) {
         let now = self.now;
         let server = &mut self.servers[at];
-        let Some(offer) = server.running.pop() else { return };
-        let ending = if fine { MessageResponse::Served(&offer.body) } else { MessageResponse::MayHaveRun };
-        server.consumer.respond(offer.id, ending, now);
+        let Some(message) = server.running.pop() else { return };
+        let ending = if fine { MessageResponse::Served(&message.body) } else { MessageResponse::MayHaveRun };
+        server.consumer.respond(message.id, ending, now);
     }
 
-    fn refuse(&mut self, at: usize, pause: f64) {
+    fn reject(&mut self, at: usize, pause: f64) {
         let now = self.now;
         let server = &mut self.servers[at];
-        let Some(offer) = server.held.pop() else { return };
+        let Some(message) = server.submitted.pop() else { return };
         server.consumer.respond(
-            offer.id,
+            message.id,
             MessageResponse::Rejected { retry_after: pause, is_final: false },
             now,
         );
     }
 
-    fn leave(&mut self, at: usize) {
+    fn drain(&mut self, at: usize) {
         let now = self.now;
         let server = &mut self.servers[at];
-        if !std::mem::replace(&mut server.leaving, true) {
+        if !std::mem::replace(&mut server.is_draining, true) {
             server.consumer.begin_drain(now + GRACE, now);
             server.consumer.stop_intake(now);
-            self.pass(at);
+            self.advance(at);
         }
     }
 
-    /// Nothing goes wrong any more: servers work until nothing is left to do.
-    fn settle(&mut self) {
+    /// Without further faults, the servers work until no message is left.
+    fn run_to_completion(&mut self) {
         self.broker.faults = Default::default();
-        // A broker that has lost an acknowledgement delivers again once the connection is new.
-        (0..self.servers.len()).for_each(|at| self.cut(at));
+        // After a lost acknowledgement, the broker redelivers on a new connection.
+        (0..self.servers.len()).for_each(|at| self.disconnect(at));
         for _ in 0..4_000 {
             self.now += 10.0;
             for at in 0..self.servers.len() {
                 self.exchange(at, usize::MAX);
-                self.begin(at);
-                self.finish(at, true);
+                self.start_run(at);
+                self.finish_run(at, true);
             }
-            // One that has left is followed by one that starts.
+            // A drained server is replaced by a new one.
             for at in 0..self.servers.len() {
                 let server = &self.servers[at];
-                let idle = server.held.is_empty() && server.running.is_empty();
-                if server.leaving && idle && server.consumer.is_drained(self.now) {
+                let idle = server.submitted.is_empty() && server.running.is_empty();
+                if server.is_draining && idle && server.consumer.is_drained(self.now) {
                     self.restart(at);
                 }
             }
-            let idle = self.servers.iter().all(|s| s.held.is_empty() && s.running.is_empty());
+            let idle = self.servers.iter().all(|s| s.submitted.is_empty() && s.running.is_empty());
             if idle && self.broker.ready("jobs") == 0 && self.broker.unacked("jobs") == 0 {
                 return;
             }
@@ -232,7 +232,7 @@
     }
 
     fn check(&mut self) {
-        if self.effect {
+        if self.has_effect {
             assert!(self.runs.values().all(|times| *times == 1), "{:?}", self.runs);
         }
         let name = |message: &Message| String::from_utf8(message.body.clone()).unwrap();
@@ -243,14 +243,14 @@
             let served = replies.iter().any(|reply| reply.correlation() == id && reply.kind() == "served");
             assert!(served || dead.contains(&id), "{id} has no ending");
         }
-        // A message that is settled again by another word was delivered again between.
+        // A message can be settled twice only if it was redelivered in between.
         let rejected = self.broker.settled.iter().filter(|(_, how)| *how == Settled::Rejected).count();
         assert_eq!(rejected, 0, "all that is given up is dead-lettered with its reason");
     }
 }
 
 #[derive(Clone, Debug)]
-enum Move {
+enum Step {
     Publish(Option<u64>),
     Pass(f64),
     Exchange(usize, usize),
@@ -265,59 +265,60 @@
     Fault(u8),
 }
 
-fn moves() -> impl Strategy<Value = Vec<Move>> {
+fn steps() -> impl Strategy<Value = Vec<Step>> {
     let at = 0usize..2;
     let one = prop_oneof![
-        6 => proptest::option::weighted(0.15, 0u64..50).prop_map(Move::Publish),
-        4 => (1.0f64..400.0).prop_map(Move::Pass),
-        20 => (at.clone(), 1usize..40).prop_map(|(at, n)| Move::Exchange(at, n)),
-        8 => at.clone().prop_map(Move::Begin),
-        8 => (at.clone(), prop::bool::weighted(0.9)).prop_map(|(at, fine)| Move::Finish(at, fine)),
-        2 => (at.clone(), 0.0f64..300.0).prop_map(|(at, pause)| Move::Refuse(at, pause)),
-        1 => at.clone().prop_map(Move::Cut),
-        1 => at.clone().prop_map(Move::Restart),
-        1 => at.prop_map(Move::Leave),
-        1 => Just(Move::CloseChannels),
-        1 => Just(Move::CancelConsumers),
-        2 => (0u8..4).prop_map(Move::Fault),
+        6 => proptest::option::weighted(0.15, 0u64..50).prop_map(Step::Publish),
+        4 => (1.0f64..400.0).prop_map(Step::Pass),
+        20 => (at.clone(), 1usize..40).prop_map(|(at, n)| Step::Exchange(at, n)),
+        8 => at.clone().prop_map(Step::Begin),
+        8 => (at.clone(), prop::bool::weighted(0.9)).prop_map(|(at, fine)| Step::Finish(at, fine)),
+        2 => (at.clone(), 0.0f64..300.0).prop_map(|(at, pause)| Step::Refuse(at, pause)),
+        1 => at.clone().prop_map(Step::Cut),
+        1 => at.clone().prop_map(Step::Restart),
+        1 => at.prop_map(Step::Leave),
+        1 => Just(Step::CloseChannels),
+        1 => Just(Step::CancelConsumers),
+        2 => (0u8..4).prop_map(Step::Fault),
     ];
     proptest::collection::vec(one, 1..250)
 }
 
-/// Servers share nothing, and a restart forgets: a second publish of a key is one run only where one server has seen
-/// both. So either there is one that stays, or nothing is published twice; redeliveries come in any case.
-fn play(servers: usize, effect: bool, moves: Vec<Move>) -> Day {
-    let mut day = Day::new(servers, effect);
+/// Servers share no records and a restart loses them: a key that is published twice runs once only if one server has
+/// received both messages. So a key is published twice only with a single server that never restarts; redeliveries
+/// happen in any case.
+fn play(servers: usize, has_effect: bool, steps: Vec<Step>) -> Simulation {
+    let mut simulation = Simulation::new(servers, has_effect);
     let alone = servers == 1;
-    for one in moves {
+    for one in steps {
         match one {
-            Move::Exchange(at, _) | Move::Begin(at) | Move::Finish(at, _) if at >= servers => {}
-            Move::Refuse(at, _) | Move::Cut(at) if at >= servers => {}
-            Move::Restart(_) | Move::Leave(_) if alone => {}
-            Move::Fault(1) if !alone => {}
-            Move::Publish(Some(_)) if !alone => day.publish(None),
-            Move::Publish(again) => day.publish(again),
-            Move::Pass(span) => day.now += span,
-            Move::Exchange(at, count) => day.exchange(at, count),
-            Move::Begin(at) => day.begin(at),
-            Move::Finish(at, fine) => day.finish(at, fine),
-            Move::Refuse(at, pause) => day.refuse(at, pause),
-            Move::Cut(at) => day.cut(at),
-            Move::Restart(at) => day.restart(at),
-            Move::Leave(at) => day.leave(at),
-            Move::CloseChannels => day.broker.close_channels("jobs", 541),
-            Move::CancelConsumers => day.broker.cancel_consumers("jobs"),
-            Move::Fault(0) => day.broker.faults.nack += 1,
-            Move::Fault(1) => day.broker.faults.duplicate += 1,
-            Move::Fault(2) => day.broker.faults.unconfirmed += 1,
-            Move::Fault(_) => day.broker.faults.forget_acks += 1,
+            Step::Exchange(at, _) | Step::Begin(at) | Step::Finish(at, _) if at >= servers => {}
+            Step::Refuse(at, _) | Step::Cut(at) if at >= servers => {}
+            Step::Restart(_) | Step::Leave(_) if alone => {}
+            Step::Fault(1) if !alone => {}
+            Step::Publish(Some(_)) if !alone => simulation.publish(None),
+            Step::Publish(again) => simulation.publish(again),
+            Step::Pass(span) => simulation.now += span,
+            Step::Exchange(at, count) => simulation.exchange(at, count),
+            Step::Begin(at) => simulation.start_run(at),
+            Step::Finish(at, fine) => simulation.finish_run(at, fine),
+            Step::Refuse(at, pause) => simulation.reject(at, pause),
+            Step::Cut(at) => simulation.disconnect(at),
+            Step::Restart(at) => simulation.restart(at),
+            Step::Leave(at) => simulation.drain(at),
+            Step::CloseChannels => simulation.broker.close_channels("jobs", 541),
+            Step::CancelConsumers => simulation.broker.cancel_consumers("jobs"),
+            Step::Fault(0) => simulation.broker.faults.nack += 1,
+            Step::Fault(1) => simulation.broker.faults.duplicate += 1,
+            Step::Fault(2) => simulation.broker.faults.unconfirmed += 1,
+            Step::Fault(_) => simulation.broker.faults.forget_acks += 1,
         }
     }
-    day
+    simulation
 }
 
 #[test]
-fn a_message_published_anew_keeps_what_it_said_but_what_a_broker_would_act_on_again() {
+fn a_republished_message_keeps_its_properties_except_those_the_broker_acts_on() {
     let mut first =
         message("jobs", "a", b"x").reply_to("replies", "a").header("CC", "elsewhere").header("mine", "1");
     first.properties = first.properties.with_user_id("somebody".into()).with_expiration("60000".into());
@@ -345,80 +346,85 @@
     }
 }
 
-/// A day with one server that has a message in hand, and one that is about to be told of it.
-fn with_one_held() -> Day {
-    let mut day = Day::new(1, true);
+/// A simulation of one server to which one message has been submitted.
+fn simulation_with_one_submitted() -> Simulation {
+    let mut simulation = Simulation::new(1, true);
     for _ in 0..20 {
-        day.exchange(0, usize::MAX);
+        simulation.exchange(0, usize::MAX);
     }
-    day.publish(None);
-    day.exchange(0, usize::MAX);
-    assert_eq!(day.servers[0].held.len(), 1);
-    day
+    simulation.publish(None);
+    simulation.exchange(0, usize::MAX);
+    assert_eq!(simulation.servers[0].submitted.len(), 1);
+    simulation
 }
 
 #[test]
-fn what_has_not_begun_when_the_grace_is_over_stands_in_its_queue_as_if_never_touched() {
-    let mut day = with_one_held();
-    day.leave(0);
+fn messages_that_have_not_started_by_the_drain_deadline_are_requeued_untouched() {
+    let mut simulation = simulation_with_one_submitted();
+    simulation.drain(0);
     for _ in 0..20 {
-        day.exchange(0, usize::MAX);
+        simulation.exchange(0, usize::MAX);
     }
-    assert!(day.servers[0].held.is_empty() && day.servers[0].consumer.is_drained(day.now));
-    let back = day.broker.take("jobs");
-    assert_eq!((back.len(), back[0].redelivered, day.broker.unacked("jobs")), (1, false, 0));
+    assert!(
+        simulation.servers[0].submitted.is_empty()
+            && simulation.servers[0].consumer.is_drained(simulation.now)
+    );
+    let back = simulation.broker.take("jobs");
+    assert_eq!((back.len(), back[0].redelivered, simulation.broker.unacked("jobs")), (1, false, 0));
 }
 
 #[test]
-fn a_broker_that_does_not_answer_is_waited_for_until_the_last_moment_and_no_longer() {
-    let mut day = with_one_held();
-    day.begin(0);
-    day.leave(0);
-    day.finish(0, true);
-    let by = day.now + GRACE;
-    // Nothing that is said arrives.
-    let consumer = &mut day.servers[0].consumer;
+fn a_silent_broker_is_awaited_until_the_drain_deadline_and_no_longer() {
+    let mut simulation = simulation_with_one_submitted();
+    simulation.start_run(0);
+    simulation.drain(0);
+    simulation.finish_run(0, true);
+    let by = simulation.now + GRACE;
+    // No frame reaches the broker.
+    let consumer = &mut simulation.servers[0].consumer;
     assert!(consumer.tick(by - 1.0).is_ok() && !consumer.is_drained(by - 1.0) && consumer.is_drained(by));
 }
 
 #[test]
-fn leaving_waits_for_no_broker_that_has_not_answered_and_for_the_word_of_one_that_has() {
-    let mut day = Day::new(2, true);
-    day.servers[0].consumer.connected(0.0);
+fn draining_waits_for_the_close_of_an_open_connection_but_not_for_a_handshake() {
+    let mut simulation = Simulation::new(2, true);
+    simulation.servers[0].consumer.connected(0.0);
     for _ in 0..20 {
-        day.exchange(1, usize::MAX);
+        simulation.exchange(1, usize::MAX);
     }
-    let [one, other] = &mut day.servers[..] else { unreachable!("there are two") };
+    let [one, other] = &mut simulation.servers[..] else { unreachable!("there are two") };
     let (one, other) = (&mut one.consumer, &mut other.consumer);
-    // Long after the handshake, which has a limit of its own.
+    // Long after the handshake, which has its own timeout.
     one.begin_drain(1e9, 3_000.0);
     other.begin_drain(1e9, 6_000.0);
     one.connected(3_000.0);
     assert!(one.is_drained(3_000.0) && !other.is_drained(6_000.0));
-    day.now = 6_000.0;
+    simulation.now = 6_000.0;
     for _ in 0..20 {
-        day.exchange(1, usize::MAX);
+        simulation.exchange(1, usize::MAX);
     }
-    assert!(day.servers[1].consumer.is_drained(6_000.0) && day.servers[1].opens_at.is_none());
-    assert_eq!(day.broken, 0, "its end was heard of");
+    assert!(
+        simulation.servers[1].consumer.is_drained(6_000.0) && simulation.servers[1].reconnect_at.is_none()
+    );
+    assert_eq!(simulation.broken, 0, "the close was confirmed");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, max_shrink_iters: 20_000, ..ProptestConfig::default() })]
 
     #[test]
-    fn archive_runs_at_most_once_and_every_message_has_its_ending(moves in moves()) {
+    fn effects_run_at_most_once_and_every_message_is_finished(steps in steps()) {
         for servers in [1, 2] {
-            let mut day = play(servers, true, moves.clone());
-            day.settle();
-            day.check();
+            let mut simulation = play(servers, true, steps.clone());
+            simulation.run_to_completion();
+            simulation.check();
         }
     }
 
     #[test]
-    fn so_has_every_message_without_an_effect(moves in moves()) {
-        let mut day = play(2, false, moves);
-        day.settle();
-        day.check();
+    fn every_message_without_an_effect_is_finished(steps in steps()) {
+        let mut simulation = play(2, false, steps);
+        simulation.run_to_completion();
+        simulation.check();
     }
 }
--- a/crates/loomflow-amqp/tests/overload.rs
+++ b/crates/loomflow-amqp/tests/overload.rs
@@ -1,5 +1,5 @@
-//! A consumer, the decision module and an engine, without sockets: a queue is asked for more than the engine does.
-//! Messages say when they were sent, so the module orders and refuses them as it does calls, and nothing is run late.
+//! A consumer, the decision module and a simulated engine under overload, without sockets. Messages state when they were
+//! sent, so the module orders and rejects them like calls, and no message runs late.
 
 mod common;
 use std::collections::{BTreeMap, VecDeque};
@@ -15,62 +15,62 @@
 use proptest::prelude::*;
 
 const CORES: usize = 4;
-const WORK: f64 = 10.0;
+const WORK_MS: f64 = 10.0;
 /// Messages a second that the engine does.
-const SPEED: f64 = CORES as f64 * 1000.0 / WORK;
-const GIVE_UP: f64 = 1_000.0;
-const LINK: u64 = 1;
+const MESSAGES_PER_SECOND: f64 = CORES as f64 * 1000.0 / WORK_MS;
+const CALLER_TIMEOUT_MS: f64 = 1_000.0;
+const CONNECTION: u64 = 1;
 /// Time between batches, ms.
-const STEP: f64 = 5.0;
+const STEP_MS: f64 = 5.0;
 
-struct Day {
+struct Simulation {
     now: f64,
     broker: State,
     consumer: Consumer,
-    choice: Controller,
+    controller: Controller,
     /// Deliveries by the module's names.
-    held: BTreeMap<RequestId, SubmittedMessage>,
+    submitted: BTreeMap<RequestId, SubmittedMessage>,
     last: RequestId,
     waiting: VecDeque<RequestId>,
     /// When each core is free, and what runs there.
     cores: Vec<(f64, Option<RequestId>)>,
-    wakes: Vec<f64>,
+    timers: Vec<f64>,
     sent: Vec<f64>,
     /// How each message ended, and when.
-    ends: BTreeMap<usize, (bool, f64)>,
+    endings: BTreeMap<usize, (bool, f64)>,
     run_late: usize,
 }
 
-impl Day {
-    fn new() -> Day {
-        let site = loomflow_standins::site(GIVE_UP);
+impl Simulation {
+    fn new() -> Simulation {
+        let site = loomflow_standins::site(CALLER_TIMEOUT_MS);
         let site = Site::read(&Node::new("", &site).unwrap()).unwrap();
         let mut amqp = settings(true);
         (amqp.max_in_flight, amqp.max_unconfirmed) = (4_000, 256);
         amqp.capacity =
             idempotency::Capacity { records: 10_000, reply_bytes: 1_000_000, retired_keys: 10_000 };
-        amqp.classes[0].timeout = GIVE_UP;
+        amqp.classes[0].timeout = CALLER_TIMEOUT_MS;
         amqp.queues[0].sent_from = Some(SentFrom::Header("sent".into()));
         let mut consumer = Consumer::new(amqp, Box::new(NoHistory), 7);
         consumer.start_accepting();
         consumer.connected(0.0);
         let mut broker = State::default();
         ["jobs", "dead", "replies"].into_iter().for_each(|queue| broker.declare(queue, None));
-        broker.opened(LINK);
+        broker.opened(CONNECTION);
         let mut set = site.settings.clone();
         set.classes.iter_mut().for_each(|class| class.makes_calls = false);
-        Day {
+        Simulation {
             now: 0.0,
             broker,
             consumer,
-            choice: Controller::new(set, 7, 0.0),
-            held: BTreeMap::new(),
+            controller: Controller::new(set, 7, 0.0),
+            submitted: BTreeMap::new(),
             last: 0,
             waiting: VecDeque::new(),
             cores: vec![(0.0, None); CORES],
-            wakes: Vec::new(),
+            timers: Vec::new(),
             sent: Vec::new(),
-            ends: BTreeMap::new(),
+            endings: BTreeMap::new(),
             run_late: 0,
         }
     }
@@ -83,40 +83,40 @@
     }
 
     fn step(&mut self) {
-        self.now += STEP;
+        self.now += STEP_MS;
         let now = self.now;
         let mut events = Vec::new();
         for at in 0..self.cores.len() {
-            let (ends, run) = self.cores[at];
-            if let Some(id) = run.filter(|_| ends <= now) {
-                let offer = self.held.remove(&id).expect("it was offered");
-                self.consumer.respond(offer.id, MessageResponse::Served(&offer.body), now);
-                events.push(Event::RunEnded { id, outcome: Outcome::Ok, duration: WORK });
-                self.cores[at] = (ends, None);
+            let (run_ends_at, run) = self.cores[at];
+            if let Some(id) = run.filter(|_| run_ends_at <= now) {
+                let message = self.submitted.remove(&id).expect("a submitted message");
+                self.consumer.respond(message.id, MessageResponse::Served(&message.body), now);
+                events.push(Event::RunEnded { id, outcome: Outcome::Ok, duration: WORK_MS });
+                self.cores[at] = (run_ends_at, None);
             }
         }
-        self.wire();
-        for ask in self.consumer.take_requests() {
-            let ConsumerRequest::Submit(offer) = ask else { continue };
+        self.exchange_frames();
+        for request in self.consumer.take_requests() {
+            let ConsumerRequest::Submit(message) = request else { continue };
             self.last += 1;
             events.push(Event::RequestArrived(Arrival {
                 id: self.last,
                 class: 2,
                 tenant: 0,
-                remaining_wait: GIVE_UP - offer.upstream_time,
-                estimated_work: Some(WORK),
+                remaining_wait: CALLER_TIMEOUT_MS - message.upstream_time,
+                estimated_work: Some(WORK_MS),
                 memory_kb: 1.0,
                 rank: 0.5,
                 is_retry: false,
                 caller: 0,
                 age: 0.0,
-                upstream_time: offer.upstream_time,
+                upstream_time: message.upstream_time,
                 original: None,
             }));
-            self.held.insert(self.last, offer);
+            self.submitted.insert(self.last, message);
         }
-        if self.wakes.iter().any(|at| *at <= now) {
-            self.wakes.retain(|at| *at > now);
+        if self.timers.iter().any(|at| *at <= now) {
+            self.timers.retain(|at| *at > now);
             let busy = self.cores.iter().filter(|core| core.1.is_some()).count() as f64;
             let on = busy + self.waiting.len() as f64;
             let gauges = Gauges {
@@ -127,20 +127,20 @@
             events.push(Event::TimerFired(gauges));
         }
         let mut actions = Vec::new();
-        events.into_iter().for_each(|event| self.choice.event(now, event, &mut actions));
-        self.choice.decide(now, &mut actions);
+        events.into_iter().for_each(|event| self.controller.event(now, event, &mut actions));
+        self.controller.decide(now, &mut actions);
         actions.into_iter().for_each(|action| self.carry_out(action));
         for core in self.cores.iter_mut().filter(|core| core.1.is_none()) {
             if let Some(id) = self.waiting.pop_front() {
                 // What it could have begun within the step it has.
-                *core = (core.0.max(now - STEP) + WORK, Some(id));
+                *core = (core.0.max(now - STEP_MS) + WORK_MS, Some(id));
             }
         }
-        self.wire();
+        self.exchange_frames();
         for reply in self.broker.take("replies") {
             let number: usize = reply.correlation().parse().unwrap();
             assert_ne!(reply.kind(), "refused", "whoever gives up in a second is not asked to wait");
-            let before = self.ends.insert(number, (reply.kind() == "served", now));
+            let before = self.endings.insert(number, (reply.kind() == "served", now));
             assert!(before.is_none(), "one final answer");
         }
     }
@@ -149,38 +149,38 @@
         let now = self.now;
         match action {
             Action::Run(id) => {
-                let offer = &self.held[&id];
-                self.consumer.run_started(offer.id, now);
-                let number: usize = String::from_utf8(offer.body.clone()).unwrap().parse().unwrap();
-                self.run_late += usize::from(now - self.sent[number] > GIVE_UP);
+                let message = &self.submitted[&id];
+                self.consumer.run_started(message.id, now);
+                let number: usize = String::from_utf8(message.body.clone()).unwrap().parse().unwrap();
+                self.run_late += usize::from(now - self.sent[number] > CALLER_TIMEOUT_MS);
                 self.waiting.push_back(id);
             }
             Action::Reject { id, retry_after: pause, is_final: last } => {
-                let offer = self.held.remove(&id).expect("it was offered");
+                let message = self.submitted.remove(&id).expect("a submitted message");
                 self.consumer.respond(
-                    offer.id,
+                    message.id,
                     MessageResponse::Rejected { retry_after: pause, is_final: last },
                     now,
                 );
             }
             Action::Fail(id) => {
                 // One that runs is told of when it ends.
-                if let Some(offer) = self.held.get(&id).filter(|_| !self.waiting.contains(&id)) {
-                    self.consumer.respond(offer.id, MessageResponse::MayHaveRun, now);
+                if let Some(message) = self.submitted.get(&id).filter(|_| !self.waiting.contains(&id)) {
+                    self.consumer.respond(message.id, MessageResponse::MayHaveRun, now);
                 }
             }
             Action::SetSignal(share) => self.consumer.set_share(share),
-            Action::SetTimer(at) => self.wakes.push(at),
+            Action::SetTimer(at) => self.timers.push(at),
             _ => {}
         }
     }
 
     /// Whatever either side has to say, until neither has.
-    fn wire(&mut self) {
+    fn exchange_frames(&mut self) {
         loop {
             self.consumer.tick(self.now).expect("the connection goes on");
             let mut bytes: VecDeque<u8> = self.consumer.take_output(self.now).into();
-            decode(&mut bytes).into_iter().for_each(|frame| self.broker.frame(LINK, frame));
+            decode(&mut bytes).into_iter().for_each(|frame| self.broker.frame(CONNECTION, frame));
             let out = self.broker.take_out();
             if out.is_empty() {
                 return;
@@ -194,10 +194,10 @@
     /// In time of those sent in each second, over what the engine does.
     fn in_time(&self, second: usize) -> f64 {
         let of = |at: f64| (at / 1_000.0) as usize == second;
-        let ended = self.ends.iter().filter(|(number, _)| of(self.sent[**number]));
-        let in_time =
-            ended.filter(|(number, (served, at))| *served && at - self.sent[**number] <= GIVE_UP / 2.0);
-        in_time.count() as f64 / SPEED
+        let ended = self.endings.iter().filter(|(number, _)| of(self.sent[**number]));
+        let in_time = ended
+            .filter(|(number, (served, at))| *served && at - self.sent[**number] <= CALLER_TIMEOUT_MS / 2.0);
+        in_time.count() as f64 / MESSAGES_PER_SECOND
     }
 }
 
@@ -205,28 +205,28 @@
     #![proptest_config(ProptestConfig { cases: 8, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_burst_on_a_queue_is_served_in_time_and_its_backlog_goes_with_it(
+    fn a_burst_on_a_queue_is_served_in_time_and_leaves_no_backlog(
         before in 0.3f64..0.8, times in 1.2f64..4.0, spread in 0.0f64..1.0, seed in any::<u64>(),
     ) {
-        let (mut day, mut random) = (Day::new(), fastrand::Rng::with_seed(seed));
+        let (mut simulation, mut random) = (Simulation::new(), fastrand::Rng::with_seed(seed));
         let mut due = 0.0;
-        while day.now < 8_000.0 {
-            while due <= day.now {
-                day.publish();
-                let rate = if (2_000.0..6_000.0).contains(&due) { times } else { before } * SPEED;
+        while simulation.now < 8_000.0 {
+            while due <= simulation.now {
+                simulation.publish();
+                let rate = if (2_000.0..6_000.0).contains(&due) { times } else { before } * MESSAGES_PER_SECOND;
                 // From one at a time to as they come.
                 due += 1_000.0 / rate * (1.0 + spread * (random.f64() * 2.0 - 1.0));
             }
-            day.step();
+            simulation.step();
         }
-        (0..300).for_each(|_| day.step());
-        prop_assert_eq!(day.ends.len(), day.sent.len(), "each has its ending");
-        prop_assert_eq!(day.run_late, 0);
+        (0..300).for_each(|_| simulation.step());
+        prop_assert_eq!(simulation.endings.len(), simulation.sent.len(), "each has its ending");
+        prop_assert_eq!(simulation.run_late, 0);
         for second in 3..6 {
-            prop_assert!(day.in_time(second) >= 0.9, "second {}: {:.2}", second, day.in_time(second));
+            prop_assert!(simulation.in_time(second) >= 0.9, "second {}: {:.2}", second, simulation.in_time(second));
         }
-        let gone = day.ends.iter().filter(|(number, _)| day.sent[**number] < 6_000.0).map(|(_, (_, at))| *at);
+        let gone = simulation.endings.iter().filter(|(number, _)| simulation.sent[**number] < 6_000.0).map(|(_, (_, at))| *at);
         prop_assert!(gone.fold(0.0, f64::max) <= 7_000.0);
-        prop_assert!(day.in_time(7) * SPEED >= day.sent.iter().filter(|at| **at >= 7_000.0 && **at < 8_000.0).count() as f64 - 1.0);
+        prop_assert!(simulation.in_time(7) * MESSAGES_PER_SECOND >= simulation.sent.iter().filter(|at| **at >= 7_000.0 && **at < 8_000.0).count() as f64 - 1.0);
     }
 }
