--- a/crates/loomflow-protocol/src/control.rs
+++ b/crates/loomflow-protocol/src/control.rs
@@ -1,15 +1,18 @@
-//! Reports to the control plane: HTTP/1.1 calls and their answers.
+//! Readiness reports to the control plane: HTTP/1.1 requests and their responses.
 
-use crate::buffer::{Buffer, Decoder, Malformed};
+use crate::buffer::Buffer;
+use crate::decoder::{Decoder, Malformed};
+use crate::text::integer;
 
 const MAX_HEAD_BYTES: usize = 4096;
 const MAX_BODY_BYTES: usize = 4096;
 const MAX_HEADERS: usize = 32;
 
-/// The status of an answer; its body means nothing.
+/// Status code of a response; its body is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpStatus(pub u16);
 
+/// Decoder of the control plane's responses.
 #[derive(Debug)]
 pub struct HttpResponses {
     buffer: Buffer,
@@ -32,34 +35,40 @@
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
         let unread = self.buffer.unread();
-        let head = match response.parse(unread) {
-            Ok(httparse::Status::Complete(head)) => head,
+        let head_len = match response.parse(unread) {
+            Ok(httparse::Status::Complete(head_len)) => head_len,
             Ok(httparse::Status::Partial) if unread.len() < MAX_HEAD_BYTES => return Ok(None),
             Ok(httparse::Status::Partial) => return Err(Malformed("an answer's head is too long")),
             Err(_) => return Err(Malformed("an answer is not HTTP")),
         };
         let status = response.code.unwrap_or(0);
-        let stated = response.headers.iter().find(|h| h.name.eq_ignore_ascii_case("content-length"));
-        let length = match stated {
-            // These have no body, whatever they state.
-            _ if status == 204 || status == 304 || status < 200 => 0,
-            None => 0,
-            Some(header) => crate::buffer::digits(header.value.trim_ascii())
-                .and_then(|n| usize::try_from(n).ok())
-                .filter(|n| *n <= MAX_BODY_BYTES)
-                .ok_or(Malformed("an answer's length cannot be read or is too long"))?,
-        };
-        if unread.len() < head + length {
+        let body_len = if has_no_body(status) { 0 } else { content_length(response.headers)? };
+        if unread.len() < head_len + body_len {
             return Ok(None);
         }
-        self.buffer.consume(head + length);
+        self.buffer.consume(head_len + body_len);
         Ok(Some(HttpStatus(status)))
     }
 }
 
-/// A report that `name` is ready, or is not.
-pub fn write_report(out: &mut Vec<u8>, name: &str, ready: bool) {
-    let condition = if ready { "Ready" } else { "NotReady" };
+/// Whether responses with this status never have a body, whatever length they state.
+fn has_no_body(status: u16) -> bool {
+    status < 200 || status == 204 || status == 304
+}
+
+/// The length of the body; without a header it is empty.
+fn content_length(headers: &[httparse::Header]) -> Result<usize, Malformed> {
+    let header = headers.iter().find(|header| header.name.eq_ignore_ascii_case("content-length"));
+    let Some(header) = header else { return Ok(0) };
+    integer(header.value.trim_ascii())
+        .and_then(|length| usize::try_from(length).ok())
+        .filter(|length| *length <= MAX_BODY_BYTES)
+        .ok_or(Malformed("an answer's length cannot be read or is too long"))
+}
+
+/// Writes a report of whether the server `name` is ready.
+pub fn write_report(out: &mut Vec<u8>, name: &str, is_ready: bool) {
+    let condition = if is_ready { "Ready" } else { "NotReady" };
     let body = format!("{{\"condition\":\"{condition}\"}}");
     let head = format!(
         "PUT /v2/endpoints/{name} HTTP/1.1\r\nHost: control\r\nContent-Type: application/json\r\n\
--- a/crates/loomflow-protocol/src/engine.rs
+++ b/crates/loomflow-protocol/src/engine.rs
@@ -1,6 +1,9 @@
-//! The engine's link: lines of words, some followed by a body of stated length.
+//! Protocol of the engine connection: lines of words, some followed by a body of stated length.
 
-use crate::buffer::{AttemptId, Buffer, Decoder, LineHead, Malformed, decimal, digits, line_and_body};
+use crate::attempt_id::AttemptId;
+use crate::buffer::Buffer;
+use crate::decoder::{Decoder, Malformed};
+use crate::text::{LineHead, decimal, integer, line_and_body};
 
 const MAX_LINE_BYTES: usize = 1024;
 const MAX_BODY_BYTES: usize = 64 * 1024;
@@ -8,54 +11,78 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
+    /// With a result.
     Succeeded,
+    /// With an error.
     Failed,
-    /// Stopped, or ended at a call as its request is over.
+    /// Preempted, or ended at a call because its request is finished.
     Stopped,
-    /// Nothing was started, as the request is over.
+    /// Nothing was started, because the request is finished.
     NotStarted,
 }
 
+/// A message from the engine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
+    /// First message on a connection.
     Hello {
-        /// It was not warm when it started.
+        /// Whether the engine is in slow start.
         is_starting: bool,
         /// How long ago it started, ms.
         age: f64,
     },
+    /// A run has ended.
     Done {
+        /// Sequence number.
         number: u64,
+        /// The request of the run.
         id: AttemptId,
+        /// How the run ended.
         end: RunEnd,
+        /// How long it ran, ms.
         duration: f64,
+        /// The result, if it succeeded.
         result: Vec<u8>,
     },
+    /// A run waits for the reply to a downstream call.
     Need {
+        /// Sequence number.
         number: u64,
+        /// The request of the run.
         id: AttemptId,
+        /// Body of the call.
         body: Vec<u8>,
     },
+    /// Response to [`Command::Stat`].
     Stats {
+        /// Tag of the command.
         tag: String,
+        /// Gauge values, in the order of the settings.
         values: Vec<f64>,
     },
+    /// Response to [`Command::Test`].
     HealthChecked {
+        /// Tag of the command.
         tag: String,
+        /// Whether the check passed.
         has_passed: bool,
     },
     /// A command was not carried out.
     CommandRejected {
+        /// Name of the command.
         command: String,
+        /// The request it was about, if any.
         id: Option<AttemptId>,
     },
+    /// A message without consequences.
     Note {
+        /// Sequence number.
         number: u64,
     },
 }
 
 impl Notice {
-    /// Notices are numbered where they are kept for the next link.
+    /// Sequence number of a notice that the engine repeats on the next connection; `None` for the others.
     pub fn number(&self) -> Option<u64> {
         match self {
             Notice::Done { number, .. } | Notice::Need { number, .. } | Notice::Note { number } => {
@@ -66,6 +93,7 @@
     }
 }
 
+/// Decoder of the engine's messages.
 #[derive(Debug)]
 pub struct Notices {
     buffer: Buffer,
@@ -85,65 +113,92 @@
     }
 
     fn next(&mut self) -> Result<Option<Notice>, Malformed> {
-        let read = line_and_body(self.buffer.unread(), MAX_LINE_BYTES, MAX_BODY_BYTES, notice)?;
-        let Some((notice, used)) = read else { return Ok(None) };
-        self.buffer.consume(used);
+        let parsed = line_and_body(self.buffer.unread(), MAX_LINE_BYTES, MAX_BODY_BYTES, parse_notice)?;
+        let Some((notice, length)) = parsed else { return Ok(None) };
+        self.buffer.consume(length);
         Ok(Some(notice))
     }
 }
 
-fn notice(words: &[&[u8]]) -> Result<LineHead<Notice>, Malformed> {
-    let wrong = Malformed("a notice cannot be read");
-    let number = |at: usize| words.get(at).and_then(|w| digits(w)).ok_or(wrong.clone());
-    let id = |at: usize| words.get(at).and_then(|w| AttemptId::parse(w)).ok_or(wrong.clone());
-    let ms = |at: usize| words.get(at).and_then(|w| decimal(w)).ok_or(wrong.clone());
-    let text = |at: usize| {
-        let word = words.get(at).ok_or(wrong.clone())?;
-        String::from_utf8(word.to_vec()).map_err(|_| wrong.clone())
-    };
-    Ok(match (words[0], words.len()) {
-        (b"HELLO", 3) => {
-            let starting = match words[1] {
-                b"starting" => true,
-                b"running" => false,
-                _ => return Err(wrong),
-            };
-            LineHead::Complete(Notice::Hello { is_starting: starting, age: ms(2)? })
-        }
+/// The words of a notice, with typed access by position.
+struct Words<'a>(&'a [&'a [u8]]);
+
+impl Words<'_> {
+    const UNREADABLE: Malformed = Malformed("a notice cannot be read");
+
+    fn at<T>(&self, position: usize, parse: impl Fn(&[u8]) -> Option<T>) -> Result<T, Malformed> {
+        self.0.get(position).and_then(|word| parse(word)).ok_or(Words::UNREADABLE)
+    }
+
+    fn integer(&self, position: usize) -> Result<u64, Malformed> {
+        self.at(position, integer)
+    }
+
+    fn decimal(&self, position: usize) -> Result<f64, Malformed> {
+        self.at(position, decimal)
+    }
+
+    fn id(&self, position: usize) -> Result<AttemptId, Malformed> {
+        self.at(position, AttemptId::parse)
+    }
+
+    fn text(&self, position: usize) -> Result<String, Malformed> {
+        self.at(position, |word| String::from_utf8(word.to_vec()).ok())
+    }
+
+    /// A word with two possible values; returns whether it is the first one.
+    fn flag(&self, position: usize, if_true: &[u8], if_false: &[u8]) -> Result<bool, Malformed> {
+        self.at(position, |word| match word {
+            _ if word == if_true => Some(true),
+            _ if word == if_false => Some(false),
+            _ => None,
+        })
+    }
+
+    fn run_end(&self, position: usize) -> Result<RunEnd, Malformed> {
+        self.at(position, |word| match word {
+            b"fine" => Some(RunEnd::Succeeded),
+            b"fault" => Some(RunEnd::Failed),
+            b"broken_off" => Some(RunEnd::Stopped),
+            b"late" => Some(RunEnd::NotStarted),
+            _ => None,
+        })
+    }
+}
+
+fn parse_notice(words: &[&[u8]]) -> Result<LineHead<Notice>, Malformed> {
+    let name_and_count = (words[0], words.len());
+    let words = Words(words);
+    Ok(match name_and_count {
+        (b"HELLO", 3) => LineHead::Complete(Notice::Hello {
+            is_starting: words.flag(1, b"starting", b"running")?,
+            age: words.decimal(2)?,
+        }),
         (b"DONE", 6) => {
-            let (number, id, took) = (number(1)?, id(2)?, ms(4)?);
-            let end = match words[3] {
-                b"fine" => RunEnd::Succeeded,
-                b"fault" => RunEnd::Failed,
-                b"broken_off" => RunEnd::Stopped,
-                b"late" => RunEnd::NotStarted,
-                _ => return Err(wrong),
-            };
-            let length = digits(words[5]).ok_or(wrong)?;
-            LineHead::WithBody(
-                length,
-                Box::new(move |result| Notice::Done { number, id, end, duration: took, result }),
-            )
+            let (number, id) = (words.integer(1)?, words.id(2)?);
+            let (end, duration) = (words.run_end(3)?, words.decimal(4)?);
+            let build = move |result| Notice::Done { number, id, end, duration, result };
+            LineHead::WithBody(words.integer(5)?, Box::new(build))
         }
         (b"NEED", 4) => {
-            let (number, id) = (number(1)?, id(2)?);
-            let length = digits(words[3]).ok_or(wrong)?;
-            LineHead::WithBody(length, Box::new(move |body| Notice::Need { number, id, body }))
+            let (number, id) = (words.integer(1)?, words.id(2)?);
+            LineHead::WithBody(words.integer(3)?, Box::new(move |body| Notice::Need { number, id, body }))
         }
         (b"STATS", 2..) => {
-            let values = words[2..].iter().map(|w| decimal(w)).collect::<Option<Vec<_>>>();
-            LineHead::Complete(Notice::Stats { tag: text(1)?, values: values.ok_or(wrong)? })
+            let values = words.0[2..].iter().map(|word| decimal(word)).collect::<Option<Vec<_>>>();
+            LineHead::Complete(Notice::Stats {
+                tag: words.text(1)?,
+                values: values.ok_or(Words::UNREADABLE)?,
+            })
         }
-        (b"TESTED", 3) => {
-            let fine = match words[2] {
-                b"fine" => true,
-                b"fault" => false,
-                _ => return Err(wrong),
-            };
-            LineHead::Complete(Notice::HealthChecked { tag: text(1)?, has_passed: fine })
+        (b"TESTED", 3) => LineHead::Complete(Notice::HealthChecked {
+            tag: words.text(1)?,
+            has_passed: words.flag(2, b"fine", b"fault")?,
+        }),
+        (b"NO", 2..) => {
+            LineHead::Complete(Notice::CommandRejected { command: words.text(1)?, id: words.id(2).ok() })
         }
-        (b"NO", 2..) => LineHead::Complete(Notice::CommandRejected { command: text(1)?, id: id(2).ok() }),
-        (b"NOTE", 2..) => LineHead::Complete(Notice::Note { number: number(1)? }),
+        (b"NOTE", 2..) => LineHead::Complete(Notice::Note { number: words.integer(1)? }),
         _ => return Err(Malformed("a notice is not known")),
     })
 }
@@ -151,17 +206,56 @@
 /// A command to the engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Command<'a> {
-    Attach { last: u64 },
-    Run { id: AttemptId, class: &'a str, body: &'a [u8] },
-    Feed { id: AttemptId, reply: &'a [u8] },
-    Halt { id: AttemptId },
-    Resume { id: AttemptId },
-    Skip { id: AttemptId },
-    Stat { tag: u64 },
-    Test { tag: u64 },
+    /// Opens the conversation.
+    Attach {
+        /// Sequence number of the last notice that was received; later ones are repeated.
+        last: u64,
+    },
+    /// Starts a run.
+    Run {
+        /// The request to run.
+        id: AttemptId,
+        /// Name of its class.
+        class: &'a str,
+        /// Body of the request.
+        body: &'a [u8],
+    },
+    /// Passes the reply of a downstream call to a run.
+    Feed {
+        /// The request of the run.
+        id: AttemptId,
+        /// Body of the reply.
+        reply: &'a [u8],
+    },
+    /// Preempts a run.
+    Halt {
+        /// The request of the run.
+        id: AttemptId,
+    },
+    /// Continues a preempted run.
+    Resume {
+        /// The request of the run.
+        id: AttemptId,
+    },
+    /// Continues a run without its downstream call.
+    Skip {
+        /// The request of the run.
+        id: AttemptId,
+    },
+    /// Asks for the gauges.
+    Stat {
+        /// Tag of the response.
+        tag: u64,
+    },
+    /// Asks for a health check that does real work.
+    Test {
+        /// Tag of the response.
+        tag: u64,
+    },
 }
 
 impl Command<'_> {
+    /// Writes the command.
     pub fn write(self, out: &mut Vec<u8>) {
         let (line, body) = match self {
             Command::Attach { last } => (format!("ATTACH {last}"), None),
--- a/crates/loomflow-protocol/src/gateway.rs
+++ b/crates/loomflow-protocol/src/gateway.rs
@@ -1,33 +1,47 @@
-//! What gateways say and are told: RESP arrays of bulk strings.
+//! Protocol of the gateway connections: requests and responses as RESP arrays of bulk strings.
 
-use crate::buffer::{AttemptId, Buffer, Decoder, Malformed, decimal, digits, line};
+use crate::attempt_id::AttemptId;
+use crate::buffer::Buffer;
+use crate::decoder::{Decoder, Malformed};
+use crate::text::{decimal, integer, line};
 
-/// Requests that a gateway may have open on one connection.
+/// Most requests that a gateway may have open on one connection.
 pub const MAX_OPEN_REQUESTS: usize = 32;
 const MAX_BODY_BYTES: usize = 2048;
-/// Longest of the other words of an array.
+/// Longest word of an array other than the body, bytes.
 const MAX_WORD_BYTES: usize = 1024;
 const MAX_WORDS: u64 = 16;
-/// Longest line that states a count or a length.
+/// Longest line that states a count or a length, bytes.
 const MAX_LINE_BYTES: usize = 16;
 const MAX_ARRAY_BYTES: usize = MAX_BODY_BYTES + 8 * MAX_WORD_BYTES;
+/// Words of a call before its body: verb, tag, class and fields.
+const WORDS_BEFORE_BODY: usize = 4;
+/// Memory that a request may state, KB (exclusive).
+const MAX_MEMORY_KB: f64 = 2000.0;
 
+/// A message from a gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
+    /// A request to run.
     Call(Call),
+    /// A health check.
     Health {
+        /// Tag of the response.
         tag: u64,
-        /// Asks whether work gets done.
+        /// Whether the check is to do real work.
         is_deep: bool,
     },
-    /// Framed well, but not to be understood: a failed answer is owed.
+    /// A well-formed array with invalid contents; it is to be answered as failed.
     Invalid {
+        /// Tag of the response.
         tag: u64,
-        why: &'static str,
+        /// What is invalid.
+        reason: &'static str,
     },
 }
 
 impl Request {
+    /// The tag that its response carries.
     pub fn tag(&self) -> u64 {
         match self {
             Request::Call(call) => call.tag,
@@ -36,28 +50,40 @@
     }
 }
 
+/// A request to run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
+    /// Tag of the response.
     pub tag: u64,
+    /// Name of its class.
     pub class: String,
+    /// Id of this attempt.
     pub id: AttemptId,
-    /// When the request came to the machine, Unix ms.
+    /// When the request arrived at the machine, Unix ms.
     pub arrived_at: f64,
+    /// Number of the gateway that sent it.
     pub gateway: u64,
+    /// Name of its tenant.
     pub tenant: Option<String>,
     /// Expected work, ms on one core.
     pub estimated_work: Option<f64>,
+    /// Memory that it needs, KB.
     pub memory_kb: f64,
+    /// Priority among all requests, from 0 to below 1.
     pub rank: f64,
+    /// Whom or what it concerns.
     pub subject: Option<String>,
-    /// Where the site's gateways send them: the key of a keyed request, the time its caller still waits, ms,
-    /// and the mark of a further try.
+    /// Idempotency key, if the gateways of the site send one.
     pub key: Option<String>,
+    /// How long its caller still waits, ms, if the gateways of the site send it.
     pub remaining_wait: Option<f64>,
+    /// Whether it is a retry, if the gateways of the site mark retries.
     pub is_retry: bool,
+    /// Body of the request.
     pub body: Vec<u8>,
 }
 
+/// Decoder of the messages from gateways.
 #[derive(Debug)]
 pub struct Requests {
     buffer: Buffer,
@@ -77,9 +103,9 @@
     }
 
     fn next(&mut self) -> Result<Option<Request>, Malformed> {
-        let Some((words, used)) = array(self.buffer.unread())? else { return Ok(None) };
-        let request = request(&words)?;
-        self.buffer.consume(used);
+        let Some((words, length)) = parse_array(self.buffer.unread())? else { return Ok(None) };
+        let request = parse_request(&words)?;
+        self.buffer.consume(length);
         Ok(Some(request))
     }
 }
@@ -87,21 +113,25 @@
 type Array<'a> = (Vec<&'a [u8]>, usize);
 type Field<'a> = (&'a [u8], &'a [u8]);
 
-/// The words of a whole array at the start of `bytes`, and how many bytes it takes.
-fn array(bytes: &[u8]) -> Result<Option<Array<'_>>, Malformed> {
-    let Some((count, mut at)) = length(bytes, b'*', "no array where one is due")? else { return Ok(None) };
+/// The words of the array at the start of `bytes` and the number of bytes that it takes; `None` while it is incomplete.
+fn parse_array(bytes: &[u8]) -> Result<Option<Array<'_>>, Malformed> {
+    let Some((count, mut at)) = parse_length(bytes, b'*', "no array where one is due")? else {
+        return Ok(None);
+    };
     if count == 0 || count > MAX_WORDS {
         return Err(Malformed("an array of no or too many words"));
     }
     let mut words = Vec::with_capacity(count as usize);
     for _ in 0..count {
-        let Some((size, used)) = length(&bytes[at..], b'$', "no bulk string where one is due")? else {
+        let Some((size, line_len)) = parse_length(&bytes[at..], b'$', "no bulk string where one is due")?
+        else {
             return Ok(None);
         };
-        if size > MAX_BODY_BYTES as u64 || (size > MAX_WORD_BYTES as u64 && words.len() < 4) {
+        let max_size = if words.len() < WORDS_BEFORE_BODY { MAX_WORD_BYTES } else { MAX_BODY_BYTES };
+        if size > max_size as u64 {
             return Err(Malformed("a bulk string is too long"));
         }
-        at += used;
+        at += line_len;
         let size = size as usize;
         let Some(rest) = bytes.get(at..).filter(|rest| rest.len() >= size + 2) else { return Ok(None) };
         if &rest[size..size + 2] != b"\r\n" {
@@ -116,60 +146,62 @@
     Ok(Some((words, at)))
 }
 
-/// A mark and a number on a line of their own.
-fn length(bytes: &[u8], mark: u8, missing: &'static str) -> Result<Option<(u64, usize)>, Malformed> {
+/// A line of a prefix and a number; returns the number and the length of the line.
+fn parse_length(bytes: &[u8], prefix: u8, missing: &'static str) -> Result<Option<(u64, usize)>, Malformed> {
     match bytes.first() {
         None => return Ok(None),
-        Some(first) if *first != mark => return Err(Malformed(missing)),
+        Some(first) if *first != prefix => return Err(Malformed(missing)),
         Some(_) => {}
     }
     let Some(text) = line(bytes, MAX_LINE_BYTES)? else { return Ok(None) };
-    let number = digits(&text[1..]).ok_or(Malformed("a length that is no number"))?;
+    let number = integer(&text[1..]).ok_or(Malformed("a length that is no number"))?;
     Ok(Some((number, text.len() + 2)))
 }
 
-fn request(words: &[&[u8]]) -> Result<Request, Malformed> {
-    let tag = words.get(1).and_then(|w| digits(w)).ok_or(Malformed("a tag that is no number"))?;
-    let read = match words[0] {
-        b"RPC.CALL" => call(tag, words).map(Request::Call),
-        b"RPC.HEALTH" => health(tag, words),
+fn parse_request(words: &[&[u8]]) -> Result<Request, Malformed> {
+    let tag = words.get(1).and_then(|word| integer(word)).ok_or(Malformed("a tag that is no number"))?;
+    let parsed = match words[0] {
+        b"RPC.CALL" => parse_call(tag, words).map(Request::Call),
+        b"RPC.HEALTH" => parse_health(tag, words),
         _ => Err("the verb is not known"),
     };
-    Ok(read.unwrap_or_else(|why| Request::Invalid { tag, why }))
+    Ok(parsed.unwrap_or_else(|reason| Request::Invalid { tag, reason }))
 }
 
-/// Fields are `name=value`, parted by commas; unknown ones are skipped.
-fn fields(text: &[u8]) -> Result<Vec<Field<'_>>, &'static str> {
-    let parts = text.split(|b| *b == b',').filter(|part| !part.is_empty());
-    parts
-        .map(|part| {
-            let at = part.iter().position(|b| *b == b'=').ok_or("a field has no value")?;
-            Ok((&part[..at], &part[at + 1..]))
+/// Fields of the form `name=value`, separated by commas.
+fn parse_fields(text: &[u8]) -> Result<Vec<Field<'_>>, &'static str> {
+    text.split(|byte| *byte == b',')
+        .filter(|field| !field.is_empty())
+        .map(|field| {
+            let equals = field.iter().position(|byte| *byte == b'=').ok_or("a field has no value")?;
+            Ok((&field[..equals], &field[equals + 1..]))
         })
         .collect()
 }
 
-fn health(tag: u64, words: &[&[u8]]) -> Result<Request, &'static str> {
-    let all = fields(words.get(2).copied().unwrap_or_default())?;
-    let real = all.iter().any(|(name, value)| *name == b"real" && *value == b"1");
-    Ok(Request::Health { tag, is_deep: real })
+fn parse_health(tag: u64, words: &[&[u8]]) -> Result<Request, &'static str> {
+    let fields = parse_fields(words.get(2).copied().unwrap_or_default())?;
+    let is_deep = fields.iter().any(|(name, value)| *name == b"real" && *value == b"1");
+    Ok(Request::Health { tag, is_deep })
 }
 
-fn call(tag: u64, words: &[&[u8]]) -> Result<Call, &'static str> {
-    let &[_, _, class, listed, ref rest @ ..] = words else { return Err("a word is missing") };
-    if rest.len() > 1 {
+fn parse_call(tag: u64, words: &[&[u8]]) -> Result<Call, &'static str> {
+    let &[_, _, class, field_list, ref body @ ..] = words else { return Err("a word is missing") };
+    if body.len() > 1 {
         return Err("too many words");
     }
-    let all = fields(listed)?;
-    let field = |name: &str| all.iter().find(|(n, _)| *n == name.as_bytes()).map(|(_, value)| *value);
-    let number = |name: &str, wrong| field(name).map(|v| decimal(v).ok_or(wrong)).transpose();
-    let text = |name: &str, wrong| {
-        let read = |v: &[u8]| String::from_utf8(v.to_vec()).map_err(|_| wrong);
-        field(name).map(read).transpose()
+    // Unknown fields are skipped.
+    let fields = parse_fields(field_list)?;
+    let field =
+        |name: &str| fields.iter().find(|(known, _)| *known == name.as_bytes()).map(|(_, value)| *value);
+    let number = |name: &str, reason| field(name).map(|value| decimal(value).ok_or(reason)).transpose();
+    let text = |name: &str, reason| {
+        let parse = |value: &[u8]| String::from_utf8(value.to_vec()).map_err(|_| reason);
+        field(name).map(parse).transpose()
     };
-    let kb = number("need", "need cannot be read")?.ok_or("need is missing")?;
+    let memory_kb = number("need", "need cannot be read")?.ok_or("need is missing")?;
     let rank = number("level", "level cannot be read")?.ok_or("level is missing")?;
-    if kb <= 0.0 || kb >= 2000.0 {
+    if memory_kb <= 0.0 || memory_kb >= MAX_MEMORY_KB {
         return Err("need is out of range");
     }
     if rank >= 1.0 {
@@ -180,27 +212,31 @@
         class: String::from_utf8(class.to_vec()).map_err(|_| "the class cannot be read")?,
         id: field("req").and_then(AttemptId::parse).ok_or("req is missing or cannot be read")?,
         arrived_at: number("ts", "ts cannot be read")?.ok_or("ts is missing")?,
-        gateway: field("via").and_then(digits).ok_or("via is missing or cannot be read")?,
+        gateway: field("via").and_then(integer).ok_or("via is missing or cannot be read")?,
         tenant: text("owner", "owner cannot be read")?,
         estimated_work: number("ms", "ms cannot be read")?,
-        memory_kb: kb,
+        memory_kb,
         rank,
         subject: text("subject", "subject cannot be read")?,
         key: text("opkey", "opkey cannot be read")?,
         remaining_wait: number("timeout", "timeout cannot be read")?,
         is_retry: field("resent") == Some(b"1"),
-        body: rest.first().map(|b| b.to_vec()).unwrap_or_default(),
+        body: body.first().map(|body| body.to_vec()).unwrap_or_default(),
     })
 }
 
-/// The word of an answer.
+/// Status of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseStatus {
+    /// The request succeeded.
     Ok,
-    /// This try never ran.
+    /// This attempt was rejected and never ran.
     Busy,
+    /// The request failed.
     Failed,
+    /// The server is healthy.
     Up,
+    /// The server is not healthy.
     Down,
 }
 
@@ -216,41 +252,42 @@
     }
 }
 
-/// What an answer carries beside its word and body.
+/// What a response carries beside its status and body.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResponseFields {
-    /// The free value.
+    /// The feedback signal of the site.
     pub signal: Option<f64>,
-    /// How long to stay away, ms.
+    /// How long to back off, ms; 0 is not sent.
     pub retry_after: f64,
-    /// No other server should be tried.
+    /// Whether no other server should be tried.
     pub is_final: bool,
 }
 
+/// Writes the response to the request with this tag.
 pub fn write_response(
     out: &mut Vec<u8>,
     tag: u64,
-    word: ResponseStatus,
-    advice: ResponseFields,
+    status: ResponseStatus,
+    fields: ResponseFields,
     body: &[u8],
 ) {
-    let mut listed: Vec<String> = Vec::new();
-    if let Some(signal) = advice.signal {
-        listed.push(format!("signal={signal:.4}"));
+    let mut field_list: Vec<String> = Vec::new();
+    if let Some(signal) = fields.signal {
+        field_list.push(format!("signal={signal:.4}"));
     }
-    if advice.retry_after > 0.0 {
-        listed.push(format!("holdoff={:.3}", advice.retry_after));
+    if fields.retry_after > 0.0 {
+        field_list.push(format!("holdoff={:.3}", fields.retry_after));
     }
-    if advice.is_final {
-        listed.push("nomore=1".to_owned());
+    if fields.is_final {
+        field_list.push("nomore=1".to_owned());
     }
     write_array(
         out,
-        &[tag.to_string().as_bytes(), word.text().as_bytes(), listed.join(",").as_bytes(), body],
+        &[tag.to_string().as_bytes(), status.text().as_bytes(), field_list.join(",").as_bytes(), body],
     );
 }
 
-/// No new request is wanted on this connection.
+/// Writes the notice that no new request is accepted on this connection.
 pub fn write_goodbye(out: &mut Vec<u8>) {
     write_array(out, &[b"0", b"BYE"]);
 }
--- a/crates/loomflow-protocol/src/ledger.rs
+++ b/crates/loomflow-protocol/src/ledger.rs
@@ -1,29 +1,38 @@
-//! The ledger's connection: calls out, replies in any order.
+//! Protocol of the downstream connection: calls, and their replies in any order.
 
-use crate::buffer::{AttemptId, Buffer, Decoder, LineHead, Malformed, digits, line_and_body};
+use crate::attempt_id::AttemptId;
+use crate::buffer::Buffer;
+use crate::decoder::{Decoder, Malformed};
+use crate::text::{LineHead, integer, line_and_body};
 
 const MAX_LINE_BYTES: usize = 256;
 const MAX_BODY_BYTES: usize = 64 * 1024;
 
+/// How a call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplyStatus {
+    /// It succeeded, with this body.
     Posted(Vec<u8>),
-    /// Turned away: never ran.
+    /// Rejected; it never ran.
     QueueFull,
-    /// May have had its effect.
+    /// Failed; it may have had its effect.
     Error,
-    /// Ran out of time; may have had its effect.
+    /// Timed out; it may have had its effect.
     Expired,
-    /// No run waits for it: never ran.
+    /// No run waits for it; it never ran.
     NotStarted,
 }
 
+/// The reply to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
+    /// The request whose run made the call.
     pub id: AttemptId,
+    /// How the call ended.
     pub status: ReplyStatus,
 }
 
+/// Decoder of replies.
 #[derive(Debug)]
 pub struct Replies {
     buffer: Buffer,
@@ -43,38 +52,38 @@
     }
 
     fn next(&mut self) -> Result<Option<Reply>, Malformed> {
-        let read = line_and_body(self.buffer.unread(), MAX_LINE_BYTES, MAX_BODY_BYTES, reply)?;
-        let Some((reply, used)) = read else { return Ok(None) };
-        self.buffer.consume(used);
+        let parsed = line_and_body(self.buffer.unread(), MAX_LINE_BYTES, MAX_BODY_BYTES, parse_reply)?;
+        let Some((reply, length)) = parsed else { return Ok(None) };
+        self.buffer.consume(length);
         Ok(Some(reply))
     }
 }
 
-fn reply(words: &[&[u8]]) -> Result<LineHead<Reply>, Malformed> {
-    let wrong = Malformed("a reply cannot be read");
-    let id = AttemptId::parse(words[0]).ok_or(wrong.clone())?;
-    let plain = |answer| Ok(LineHead::Complete(Reply { id, status: answer }));
+fn parse_reply(words: &[&[u8]]) -> Result<LineHead<Reply>, Malformed> {
+    let unreadable = Malformed("a reply cannot be read");
+    let id = AttemptId::parse(words[0]).ok_or(unreadable.clone())?;
+    let without_body = |status| Ok(LineHead::Complete(Reply { id, status }));
     match words[1..] {
         [b"posted", length] => {
-            let finish = move |body| Reply { id, status: ReplyStatus::Posted(body) };
-            Ok(LineHead::WithBody(digits(length).ok_or(wrong)?, Box::new(finish)))
+            let build = move |body| Reply { id, status: ReplyStatus::Posted(body) };
+            Ok(LineHead::WithBody(integer(length).ok_or(unreadable)?, Box::new(build)))
         }
-        [b"queue_full"] => plain(ReplyStatus::QueueFull),
-        [b"error"] => plain(ReplyStatus::Error),
-        [b"expired"] => plain(ReplyStatus::Expired),
-        [b"moot"] => plain(ReplyStatus::NotStarted),
-        _ => Err(wrong),
+        [b"queue_full"] => without_body(ReplyStatus::QueueFull),
+        [b"error"] => without_body(ReplyStatus::Error),
+        [b"expired"] => without_body(ReplyStatus::Expired),
+        [b"moot"] => without_body(ReplyStatus::NotStarted),
+        _ => Err(unreadable),
     }
 }
 
-/// A call that waits `wait` ms at the most.
-pub fn write_post(out: &mut Vec<u8>, id: AttemptId, wait: u64, body: &[u8]) {
-    out.extend_from_slice(format!("post {id} {wait} {}\r\n", body.len()).as_bytes());
+/// Writes a call that may take up to `timeout` ms.
+pub fn write_post(out: &mut Vec<u8>, id: AttemptId, timeout: u64, body: &[u8]) {
+    out.extend_from_slice(format!("post {id} {timeout} {}\r\n", body.len()).as_bytes());
     out.extend_from_slice(body);
     out.extend_from_slice(b"\r\n");
 }
 
-/// Gives up a call; nothing is said to it.
+/// Writes the cancellation of a call, which is not replied to.
 pub fn write_abandon(out: &mut Vec<u8>, id: AttemptId) {
     out.extend_from_slice(format!("abandon {id}\r\n").as_bytes());
 }
--- a/crates/loomflow-protocol/src/lib.rs
+++ b/crates/loomflow-protocol/src/lib.rs
@@ -1,10 +1,18 @@
-//! The protocols a server speaks, as state machines that are fed bytes and yield typed messages. No socket and
-//! no clock is known here.
+//! The wire protocols of a server, as state machines that are fed bytes and yield typed messages. They own no socket and
+//! read no clock.
 
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
+
+mod attempt_id;
 pub mod buffer;
 pub mod control;
+pub mod decoder;
 pub mod engine;
 pub mod gateway;
 pub mod ledger;
+mod text;
 
-pub use buffer::{AttemptId, Buffer, Decoder, Malformed};
+pub use attempt_id::AttemptId;
+pub use buffer::Buffer;
+pub use decoder::{Decoder, Malformed};
--- a/crates/loomflow-protocol/tests/codecs.rs
+++ b/crates/loomflow-protocol/tests/codecs.rs
@@ -1,4 +1,4 @@
-//! Every codec at every split of its bytes, and on what is malformed.
+//! Every codec with its bytes split at every position, and with malformed input.
 
 use loomflow_protocol::control::{HttpResponses, HttpStatus, write_report};
 use loomflow_protocol::engine::{Command, Notice, Notices, RunEnd};
@@ -9,12 +9,12 @@
 use loomflow_protocol::{AttemptId, Decoder, Malformed};
 use proptest::prelude::*;
 
-/// All messages that `pieces` hold, fed one after the other.
+/// All messages that are decoded from `pieces`.
 fn decode<D: Decoder + Default>(pieces: &[&[u8]]) -> Result<Vec<D::Message>, Malformed> {
     let mut decoder = D::default();
     let mut messages = Vec::new();
     for piece in pieces {
-        // In small steps, as a driver does: what is whole is taken before more is read.
+        // In small steps like a driver: complete messages are taken before more is read.
         for step in piece.chunks(700) {
             assert!(decoder.buffer().feed(step), "the buffer is full");
             while let Some(message) = decoder.next()? {
@@ -25,7 +25,7 @@
     Ok(messages)
 }
 
-/// The same messages must come out wherever the bytes are split, and byte by byte.
+/// Decodes the bytes split at every position and byte by byte, and checks that the messages are the same.
 fn same_at_every_split<D: Decoder + Default>(bytes: &[u8]) -> Vec<D::Message>
 where
     D::Message: PartialEq + std::fmt::Debug,
@@ -56,9 +56,9 @@
     array(&[b"RPC.CALL", b"7", b"checkout", fields.as_bytes(), body])
 }
 
-fn why(fields: &str) -> &'static str {
+fn invalid_reason(fields: &str) -> &'static str {
     match &decode::<Requests>(&[&call(fields, b"")]).expect("framed")[..] {
-        [Request::Invalid { tag: 7, why }] => why,
+        [Request::Invalid { tag: 7, reason }] => reason,
         other => panic!("{fields}: {other:?}"),
     }
 }
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn the_longest_body_is_taken_and_one_byte_more_is_not() {
+fn the_longest_body_is_accepted_and_one_byte_more_is_not() {
     let read = decode::<Requests>(&[&call(FIELDS, &[7; 2048])]).expect("well formed");
     assert!(matches!(&read[..], [Request::Call(call)] if call.body.len() == 2048));
     assert!(decode::<Requests>(&[&call(FIELDS, &[7; 2049])]).is_err());
@@ -101,22 +101,22 @@
 }
 
 #[test]
-fn a_missing_or_unreadable_field_is_named_and_its_tag_kept() {
-    assert!(why("ts=1,via=4,need=1,level=0").contains("req"));
-    assert!(why("req=9B1F03AA5C7E2D41,ts=1,via=4,need=1,level=0").contains("req"));
-    assert!(why("req=9b1f03aa5c7e2d41,via=4,need=1,level=0").contains("ts"));
-    assert!(why("req=9b1f03aa5c7e2d41,ts=soon,via=4,need=1,level=0").contains("ts"));
-    assert!(why("req=9b1f03aa5c7e2d41,ts=1,need=1,level=0").contains("via"));
-    assert!(why("req=9b1f03aa5c7e2d41,ts=1,via=4,level=0").contains("need"));
-    assert!(why("req=9b1f03aa5c7e2d41,ts=1,via=4,need=2000,level=0").contains("need"));
-    assert!(why("req=9b1f03aa5c7e2d41,ts=1,via=4,need=NaN,level=0").contains("need"));
-    assert!(why("req=9b1f03aa5c7e2d41,ts=1,via=4,need=1,level=1").contains("level"));
-    assert!(why("req=9b1f03aa5c7e2d41,ts=1,via=4,need=1,level=-0.1").contains("level"));
-    assert!(why("nonsense").contains("field"));
+fn a_missing_or_unreadable_field_is_named_and_the_tag_is_kept() {
+    assert!(invalid_reason("ts=1,via=4,need=1,level=0").contains("req"));
+    assert!(invalid_reason("req=9B1F03AA5C7E2D41,ts=1,via=4,need=1,level=0").contains("req"));
+    assert!(invalid_reason("req=9b1f03aa5c7e2d41,via=4,need=1,level=0").contains("ts"));
+    assert!(invalid_reason("req=9b1f03aa5c7e2d41,ts=soon,via=4,need=1,level=0").contains("ts"));
+    assert!(invalid_reason("req=9b1f03aa5c7e2d41,ts=1,need=1,level=0").contains("via"));
+    assert!(invalid_reason("req=9b1f03aa5c7e2d41,ts=1,via=4,level=0").contains("need"));
+    assert!(invalid_reason("req=9b1f03aa5c7e2d41,ts=1,via=4,need=2000,level=0").contains("need"));
+    assert!(invalid_reason("req=9b1f03aa5c7e2d41,ts=1,via=4,need=NaN,level=0").contains("need"));
+    assert!(invalid_reason("req=9b1f03aa5c7e2d41,ts=1,via=4,need=1,level=1").contains("level"));
+    assert!(invalid_reason("req=9b1f03aa5c7e2d41,ts=1,via=4,need=1,level=-0.1").contains("level"));
+    assert!(invalid_reason("nonsense").contains("field"));
 }
 
 #[test]
-fn what_is_no_array_ends_the_connection_and_nothing_is_set_aside_for_a_claimed_length() {
+fn a_malformed_array_is_an_error_and_no_memory_is_reserved_for_a_claimed_length() {
     let cases: [&[u8]; 11] = [
         b"GET / HTTP/1.1\r\n\r\n",
         b"*0\r\n",
@@ -139,10 +139,10 @@
 }
 
 #[test]
-fn the_buffer_is_bounded_and_given_back_when_empty() {
+fn the_buffer_is_bounded_and_freed_when_empty() {
     let mut decoder = Requests::default();
     let mut fed = 0;
-    // One word that never ends: the buffer is full before the word is whole.
+    // A word that never ends: the buffer is full before the word is complete.
     while decoder.buffer().feed(&[b'$'; 1000]) && fed < 100 {
         fed += 1;
     }
@@ -154,10 +154,10 @@
 }
 
 #[test]
-fn answers_are_arrays_with_the_tag_first() {
+fn responses_are_arrays_with_the_tag_first() {
     let mut out = Vec::new();
-    let advice = ResponseFields { signal: Some(0.25), retry_after: 12.5, is_final: true };
-    write_response(&mut out, 7, ResponseStatus::Busy, advice, b"");
+    let fields = ResponseFields { signal: Some(0.25), retry_after: 12.5, is_final: true };
+    write_response(&mut out, 7, ResponseStatus::Busy, fields, b"");
     assert_eq!(out, array(&[b"7", b"BUSY", b"signal=0.2500,holdoff=12.500,nomore=1", b""]));
     out.clear();
     write_response(&mut out, 8, ResponseStatus::Ok, ResponseFields::default(), b"\r\n\0");
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn notices_that_cannot_be_read_end_the_link() {
+fn malformed_notices_are_errors() {
     let long = [b'x'; 2000];
     let cases: [&[u8]; 9] = [
         b"HELLO sleepy 4\r\n",
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn commands_are_lines_with_their_bodies() {
+fn commands_are_lines_followed_by_their_bodies() {
     let id = AttemptId(0xab);
     let mut out = Vec::new();
     for command in [
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn replies_that_cannot_be_read_end_the_connection() {
+fn malformed_replies_are_errors() {
     let cases: [&[u8]; 5] = [
         b"hello\r\n",
         b"9b1f03aa5c7e2d41\r\n",
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn calls_name_their_request_and_carry_the_body_unchanged() {
+fn calls_carry_the_request_id_and_the_unchanged_body() {
     let mut out = Vec::new();
     write_post(&mut out, AttemptId(1), 250, b"a\r\n\0");
     write_abandon(&mut out, AttemptId(1));
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn answers_to_reports_are_the_same_at_every_split() {
+fn http_responses_are_the_same_at_every_split() {
     let bytes = b"HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\nwaitHTTP/1.1 200 OK\r\n\
         content-length: 0\r\n\r\n";
     assert_eq!(
@@ -303,9 +303,9 @@
 }
 
 proptest! {
-    /// Whatever comes in, a decoder neither panics nor asks for more than its bound.
+    /// No input makes a decoder panic or exceed the bound of its buffer.
     #[test]
-    fn no_bytes_are_too_odd(bytes in proptest::collection::vec(any::<u8>(), 0..400), head in 0usize..4) {
+    fn arbitrary_bytes_neither_panic_nor_exceed_the_buffer(bytes in proptest::collection::vec(any::<u8>(), 0..400), head in 0usize..4) {
         let head: &[u8] = [&b""[..], b"*5\r\n$8\r\nRPC.CALL\r\n$1\r\n7\r\n$1\r\nx\r\n$", b"DONE 1 ", b"HTTP/1.1 "][head];
         let input = [head, &bytes].concat();
         let _ = decode::<Requests>(&[&input]);
--- a/crates/loomflow-server/src/front/resp/mod.rs
+++ b/crates/loomflow-server/src/front/resp/mod.rs
@@ -98,8 +98,8 @@
                 FrontRequest::HealthCheck { reply_handle, is_deep: real }
             }
             Request::Call(call) => self.submit(reply_handle, call, now),
-            Request::Invalid { why, .. } => {
-                log!(why, "a request was not accepted");
+            Request::Invalid { reason, .. } => {
+                log!(why = reason, "a request was not accepted");
                 return self.respond(id, tag, Response::Failed(Failure::Invalid), now.ms);
             }
         });
