--- a/crates/loomflow-adapter/src/main.rs
+++ b/crates/loomflow-adapter/src/main.rs
@@ -1,28 +1,52 @@
-//! Carries the bench's JSON lines to the decision module and its actions back. Decides nothing.
+//! Connects the decision module to a simulator: JSON lines on standard input to events, actions to JSON lines on standard
+//! output. Makes no decisions of its own.
 
+#![forbid(unsafe_code)]
+
+mod error;
 mod wire;
 
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
-fn main() -> ExitCode {
+use error::BatchError;
+use thiserror::Error;
+
+/// Why the adapter stops.
+#[derive(Debug, Error)]
+enum AdapterError {
+    #[error("reading standard input: {0}")]
+    Input(io::Error),
+    #[error("writing standard output: {0}")]
+    Output(io::Error),
+    #[error(transparent)]
+    Batch(#[from] BatchError),
+}
+
+fn run() -> Result<(), AdapterError> {
     let mut host = wire::Host::default();
-    let mut out = BufWriter::new(io::stdout().lock());
+    let mut output = BufWriter::new(io::stdout().lock());
     for line in io::stdin().lock().lines() {
-        let reply = line.map_err(|e| format!("reading standard input: {e}")).and_then(|l| host.batch(&l));
-        let written = match reply {
-            Ok(text) => {
-                out.write_all(text.as_bytes()).and_then(|()| out.write_all(b"\n")).and_then(|()| out.flush())
-            }
-            Err(message) => {
-                eprintln!("loomflow-adapter: {message}");
-                return ExitCode::FAILURE;
-            }
-        };
-        if let Err(e) = written {
-            eprintln!("loomflow-adapter: writing standard output: {e}");
-            return ExitCode::FAILURE;
+        let line = line.map_err(AdapterError::Input)?;
+        let reply = host.play_batch(&line)?;
+        write_line(&mut output, &reply).map_err(AdapterError::Output)?;
+    }
+    Ok(())
+}
+
+/// Writes a line and flushes it: the simulator waits for each reply.
+fn write_line(output: &mut impl Write, line: &str) -> io::Result<()> {
+    output.write_all(line.as_bytes())?;
+    output.write_all(b"\n")?;
+    output.flush()
+}
+
+fn main() -> ExitCode {
+    match run() {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("loomflow-adapter: {error}");
+            ExitCode::FAILURE
         }
     }
-    ExitCode::SUCCESS
 }
--- a/crates/loomflow-adapter/src/wire.rs
+++ b/crates/loomflow-adapter/src/wire.rs
@@ -1,13 +1,15 @@
-//! The simulator's messages and the controller's types, one beside the other.
+//! Translation between the simulator's JSON messages and the controller's events and actions.
 
 use std::collections::BTreeMap;
 
 use loomflow::choice::Controller;
 use loomflow::interface::*;
-use loomflow_settings::{Node, Read, Site};
+use loomflow_settings::{FieldError, JsonObject, Site};
 use serde_json::{Value, json};
 
-/// All instances that this process hosts; they share nothing.
+use crate::error::{BatchError, ItemError, MessageError};
+
+/// All controller instances of this process. They share nothing.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, Instance>,
@@ -18,27 +20,33 @@
     class_count: usize,
     gauges: Vec<String>,
     actions: Vec<Action>,
-    /// It has had events in this batch.
+    /// Whether it has received events in this batch.
     needs_decision: bool,
 }
 
 impl Host {
-    /// Answers a batch, one line of input, with one line of output. Errors name the batch, the message and the key.
-    pub fn batch(&mut self, line: &str) -> Read<String> {
-        let value: Value = serde_json::from_str(line).map_err(|error| format!("batch: not JSON: {error}"))?;
-        let batch = Node::new("", &value).map_err(|error| format!("batch: {error}"))?;
-        let number = batch.integer("batch")?;
-        let outbox = self.play(&batch).map_err(|error| format!("batch {number}: {error}"))?;
+    /// Plays a batch, one line of input, and returns the line of output.
+    ///
+    /// # Errors
+    ///
+    /// The batch cannot be played; the message names the batch, the message and the key.
+    pub fn play_batch(&mut self, line: &str) -> Result<String, BatchError> {
+        let value: Value = serde_json::from_str(line)?;
+        let batch = JsonObject::new("", &value).map_err(BatchError::NotAnObject)?;
+        let number = batch.integer("batch").map_err(BatchError::Number)?;
+        let outbox = self.play_items(&batch).map_err(|source| BatchError::Item { number, source })?;
         Ok(json!({"batch": number, "outbox": outbox}).to_string())
     }
 
-    /// Passes on the events of a batch, and lets each instance that had one decide, in the order of their first events.
-    fn play(&mut self, batch: &Node) -> Read<Vec<Value>> {
+    /// Passes the events of a batch to their instances, and then lets each of these instances decide, in the order of their
+    /// first events.
+    fn play_items(&mut self, batch: &JsonObject) -> Result<Vec<Value>, ItemError> {
         let now = batch.required_number("Ts")?;
         let mut order = Vec::new();
         for item in batch.children("items")? {
-            let message = item.required_text("msg")?;
-            self.handle(now, message, &item, &mut order).map_err(|error| format!("{message}: {error}"))?;
+            let name = item.required_text("msg")?;
+            self.handle_message(now, name, &item, &mut order)
+                .map_err(|source| ItemError::Message { name: name.to_owned(), source })?;
         }
         let mut outbox = Vec::new();
         for id in order {
@@ -48,14 +56,20 @@
             };
             instance.needs_decision = false;
             instance.controller.decide(now, &mut instance.actions);
-            outbox.extend(instance.actions.drain(..).map(|decided| action(id, decided)));
+            outbox.extend(instance.actions.drain(..).map(|action| action_message(id, action)));
         }
         Ok(outbox)
     }
 
-    /// Handles a message. Unknown messages are skipped.
-    fn handle(&mut self, now: f64, message: &str, item: &Node, order: &mut Vec<u64>) -> Read<()> {
-        match message {
+    /// Handles a message. Unknown ones are ignored.
+    fn handle_message(
+        &mut self,
+        now: f64,
+        name: &str,
+        item: &JsonObject,
+        order: &mut Vec<u64>,
+    ) -> Result<(), MessageError> {
+        match name {
             "BOOT" => {
                 let id = item.integer("ServerId")?;
                 self.instances.insert(id, boot(now, item)?);
@@ -67,18 +81,23 @@
                 Ok(())
             }
             "WORK_ITEM" | "WITHDRAWN" | "ALARM" | "BLOCKED" | "TERMINATE_SOON" | "CAME_BACK" | "FINISHED" => {
-                self.pass_on(now, message, item, order)
+                self.handle_event(now, name, item, order)
             }
             _ => Ok(()),
         }
     }
 
-    /// Passes an event on to its instance.
-    fn pass_on(&mut self, now: f64, message: &str, item: &Node, order: &mut Vec<u64>) -> Read<()> {
+    /// Passes an event to its instance.
+    fn handle_event(
+        &mut self,
+        now: f64,
+        name: &str,
+        item: &JsonObject,
+        order: &mut Vec<u64>,
+    ) -> Result<(), MessageError> {
         let id = item.integer("ServerId")?;
-        let instance =
-            self.instances.get_mut(&id).ok_or_else(|| format!("ServerId: instance {id} is unknown"))?;
-        let event = instance.event(message, item)?;
+        let instance = self.instances.get_mut(&id).ok_or(MessageError::UnknownInstance(id))?;
+        let event = instance.event(name, item)?;
         if !instance.needs_decision {
             instance.needs_decision = true;
             order.push(id);
@@ -88,17 +107,17 @@
     }
 }
 
-fn boot(now: f64, item: &Node) -> Read<Instance> {
+fn boot(now: f64, item: &JsonObject) -> Result<Instance, FieldError> {
     let seed = item.integer("Seed")?;
-    let Site { settings, gauges, .. } = Site::read(&item.child("Settings")?)?;
+    let Site { settings, gauges, .. } = Site::parse(&item.child("Settings")?)?;
     let class_count = settings.classes.len();
     let controller = Controller::new(settings, seed, now);
     Ok(Instance { controller, class_count, gauges, actions: Vec::new(), needs_decision: true })
 }
 
 impl Instance {
-    fn event(&self, message: &str, item: &Node) -> Read<Event> {
-        Ok(match message {
+    fn event(&self, name: &str, item: &JsonObject) -> Result<Event, MessageError> {
+        Ok(match name {
             "WORK_ITEM" => Event::RequestArrived(self.arrival(item)?),
             "WITHDRAWN" => Event::RequestCancelled(request(item, "Ref")?),
             "ALARM" => Event::TimerFired(gauges(item, &self.gauges)?),
@@ -117,10 +136,11 @@
         })
     }
 
-    fn arrival(&self, item: &Node) -> Read<Arrival> {
-        let class = item.integer("Service")? as usize;
+    fn arrival(&self, item: &JsonObject) -> Result<Arrival, MessageError> {
+        let class_number = item.integer("Service")?;
+        let class = class_number as usize;
         if class >= self.class_count {
-            return Err(format!("Service: class {class} is unknown"));
+            return Err(MessageError::UnknownClass(class_number));
         }
         let tenant = item.integer_or("Account", 0)? as usize;
         Ok(Arrival {
@@ -140,23 +160,23 @@
     }
 }
 
-/// The request that an item repeats; 0 stands for none.
-fn original(item: &Node) -> Read<Option<RequestId>> {
+/// The request that this one repeats; 0 stands for none.
+fn original(item: &JsonObject) -> Result<Option<RequestId>, FieldError> {
     match item.get("SameAs") {
         None => Ok(None),
         Some(_) => Ok(Some(request(item, "SameAs")?).filter(|id| *id != 0)),
     }
 }
 
-fn request(item: &Node, key: &str) -> Read<RequestId> {
+fn request(item: &JsonObject, key: &str) -> Result<RequestId, FieldError> {
     RequestId::try_from(item.integer(key)?).or_else(|_| item.error(key, "not a request's number"))
 }
 
-fn gauges(item: &Node, names: &[String]) -> Read<Gauges> {
+fn gauges(item: &JsonObject, names: &[String]) -> Result<Gauges, FieldError> {
     Ok(Site::gauges(names, item.list("Load")?.iter().map(Value::as_f64)))
 }
 
-fn outcome(item: &Node) -> Read<Outcome> {
+fn outcome(item: &JsonObject) -> Result<Outcome, MessageError> {
     Ok(match item.integer("Disposition")? {
         10 => Outcome::Ok,
         20 => Outcome::Error,
@@ -166,26 +186,26 @@
         60 => Outcome::ConnectionLost,
         70 => Outcome::Cancelled,
         80 => Outcome::NotStarted,
-        other => return Err(format!("Disposition: {other} is not known")),
+        other => return Err(MessageError::UnknownOutcome(other)),
     })
 }
 
-fn action(server: u64, action: Action) -> Value {
-    let about = |message: &str, id: RequestId| json!({"msg": message, "ServerId": server, "Ref": id});
+fn action_message(server: u64, action: Action) -> Value {
+    let about_request = |message: &str, id: RequestId| json!({"msg": message, "ServerId": server, "Ref": id});
     match action {
-        Action::Run(id) => about("TAKE", id),
-        Action::ReuseResult(id) => about("REPLAY", id),
+        Action::Run(id) => about_request("TAKE", id),
+        Action::ReuseResult(id) => about_request("REPLAY", id),
         Action::Reject { id, retry_after, is_final } => {
             json!({"msg": "SHED", "ServerId": server, "Ref": id, "Pause": retry_after, "Final": is_final})
         }
-        Action::Fail(id) => about("FINISH_ERROR", id),
-        Action::Preempt(id) => about("ABORT_WORK", id),
+        Action::Fail(id) => about_request("FINISH_ERROR", id),
+        Action::Preempt(id) => about_request("ABORT_WORK", id),
         Action::Call { id, deadline } => {
             json!({"msg": "GO_CALL", "ServerId": server, "Ref": id, "AbandonAt": deadline})
         }
-        Action::SkipCall(id) => about("DEGRADE", id),
+        Action::SkipCall(id) => about_request("DEGRADE", id),
         Action::RetainKey { id, ttl } => json!({"msg": "RETAIN", "ServerId": server, "Ref": id, "Ttl": ttl}),
-        Action::ReleaseKey(id) => about("ERASE", id),
+        Action::ReleaseKey(id) => about_request("ERASE", id),
         Action::SetHealth { is_healthy, is_cached } => {
             json!({"msg": "STATUS", "ServerId": server, "Stored": is_cached, "Want": is_healthy})
         }
--- a/crates/loomflow-amqp/tests/overload.rs
+++ b/crates/loomflow-amqp/tests/overload.rs
@@ -9,7 +9,7 @@
 use loomflow::interface::{Action, Arrival, Event, Gauges, Outcome, RequestId};
 use loomflow_amqp::idempotency::NoHistory;
 use loomflow_amqp::*;
-use loomflow_settings::{Node, Site};
+use loomflow_settings::{JsonObject, Site};
 use loomflow_standins::broker::message;
 use loomflow_standins::broker::state::State;
 use proptest::prelude::*;
@@ -44,7 +44,7 @@
 impl Simulation {
     fn new() -> Simulation {
         let site = loomflow_standins::site(CALLER_TIMEOUT_MS);
-        let site = Site::read(&Node::new("", &site).unwrap()).unwrap();
+        let site = Site::parse(&JsonObject::new("", &site).unwrap()).unwrap();
         let mut amqp = settings(true);
         (amqp.max_in_flight, amqp.max_unconfirmed) = (4_000, 256);
         amqp.capacity =
--- a/crates/loomflow-server/src/engine/tests.rs
+++ b/crates/loomflow-server/src/engine/tests.rs
@@ -1,4 +1,4 @@
-use loomflow_settings::{Node, Site};
+use loomflow_settings::{JsonObject, Site};
 
 use super::*;
 
@@ -7,7 +7,7 @@
         "Domain": {"Cpus": 2, "HeapKb": 100, "RunMemFactor": 8, "Cold": true},
         "Rules": {"FallMultiple": 5, "Cold": 10000, "ColdShare": 0.5}}"#;
     let value = serde_json::from_str(text).unwrap();
-    Site::read(&Node::new("", &value).unwrap()).unwrap().settings
+    Site::parse(&JsonObject::new("", &value).unwrap()).unwrap().settings
 }
 
 #[test]
--- a/crates/loomflow-server/src/fleet/command/arguments.rs
+++ b/crates/loomflow-server/src/fleet/command/arguments.rs
@@ -9,7 +9,7 @@
 use loomflow_fleet::maintenance::campaign;
 use loomflow_fleet::maintenance::ticket::{TicketId, Transition, Urgency};
 use loomflow_settings::Options;
-use loomflow_settings::campaign::{duration, span_of};
+use loomflow_settings::campaign::{parse_duration, parse_window};
 
 use super::duties::{DutyCommand, RunOptions};
 use super::error::UsageError;
@@ -153,7 +153,7 @@
             "reason" => tickets.reason = text,
             "urgency" => tickets.urgency = urgency(&text)?,
             "for" => tickets.duration = Some(span(&text)?),
-            "window" => tickets.window = Some(span_of(&text).map_err(UsageError::Settings)?),
+            "window" => tickets.window = Some(parse_window(&text)?),
             "campaign" => tickets.campaign = Some(text),
             "batch" => {
                 tickets.batch_size = text.parse().map_err(|_| UsageError::NotANumber(text))?;
@@ -182,7 +182,7 @@
         let socket = match (self.socket, self.options_file) {
             (Some(socket), _) => socket,
             (None, Some(file)) => {
-                let options = Options::load(&file).map_err(UsageError::Settings)?;
+                let options = Options::load(&file)?;
                 options.fleet.ok_or(UsageError::NoFleet(file))?.socket()
             }
             (None, None) => {
@@ -268,7 +268,7 @@
 }
 
 fn span(text: &str) -> Result<Duration, UsageError> {
-    duration(text).map_err(UsageError::Settings)
+    Ok(parse_duration(text)?)
 }
 
 fn ticket_ids(words: &[&str]) -> Result<Vec<TicketId>, UsageError> {
--- a/crates/loomflow-server/src/fleet/command/error.rs
+++ b/crates/loomflow-server/src/fleet/command/error.rs
@@ -8,6 +8,7 @@
 use loomflow_fleet::duty;
 use loomflow_fleet::duty::fence::FenceError;
 use loomflow_fleet::maintenance::ticket::Refusal;
+use loomflow_settings::error::{SpanError, YamlError};
 
 /// An unexpected response is printed up to this length, bytes.
 const MAX_PRINTED_BYTES: usize = 300;
@@ -48,9 +49,12 @@
     /// The options file does not name a fleet.
     #[error("{}: fleet: missing", .0.display())]
     NoFleet(PathBuf),
-    /// A span of time or the options file, in words.
-    #[error("{0}")]
-    Settings(String),
+    /// A value is not a span of time.
+    #[error(transparent)]
+    Span(#[from] SpanError),
+    /// The options file cannot be used.
+    #[error(transparent)]
+    Options(#[from] YamlError),
 }
 
 /// The command failed.
@@ -99,9 +103,15 @@
     /// No duty has that name.
     #[error("no duty is called {0:?}")]
     UnknownDuty(String),
-    /// A file of tickets is wrong, in words.
-    #[error("{0}")]
-    Settings(String),
+    /// The campaign file cannot be used.
+    #[error(transparent)]
+    Campaign(#[from] YamlError),
+    /// A value in the campaign file is not a span of time.
+    #[error(transparent)]
+    Span(#[from] SpanError),
+    /// `fence` was given no command.
+    #[error("fence FILE --duty D --token N -- COMMAND: which command?")]
+    MissingCommand,
     /// A program cannot be started.
     #[error("{program}: {source}")]
     Program {
--- a/crates/loomflow-server/src/fleet/command/fence.rs
+++ b/crates/loomflow-server/src/fleet/command/fence.rs
@@ -17,8 +17,7 @@
 pub fn run(file: &Path, duty: &str, token: Token, command: &[OsString]) -> Result<ExitCode, CommandError> {
     check_name(duty)?;
     let Some((program, arguments)) = command.split_first() else {
-        let message = "fence FILE --duty D --token N -- COMMAND: which command?";
-        return Err(CommandError::Settings(message.into()));
+        return Err(CommandError::MissingCommand);
     };
     let lock = OpenOptions::new().create(true).append(true).open(beside(file, ".lock"));
     let lock = lock.map_err(CommandError::io(file))?;
--- a/crates/loomflow-server/src/fleet/command/tickets.rs
+++ b/crates/loomflow-server/src/fleet/command/tickets.rs
@@ -7,7 +7,7 @@
 use loomflow_fleet::maintenance::MemberRow;
 use loomflow_fleet::maintenance::ticket::{FleetMillis, TicketRequest, Urgency};
 use loomflow_fleet::member::Zone;
-use loomflow_settings::campaign::{self, Campaign, Work};
+use loomflow_settings::campaign::{self, Campaign, Ticket};
 
 use super::error::CommandError;
 
@@ -49,20 +49,19 @@
 }
 
 fn requests_of_file(file: &Path, members: &[MemberRow]) -> Result<Vec<TicketRequest>, CommandError> {
-    let campaign = Campaign::load(file).map_err(CommandError::Settings)?;
-    campaign.tickets.into_iter().map(|work| request_of_work(work, members)).collect()
+    let campaign = Campaign::load(file)?;
+    campaign.tickets.into_iter().map(|ticket| request_of_ticket(ticket, members)).collect()
 }
 
-fn request_of_work(work: Work, members: &[MemberRow]) -> Result<TicketRequest, CommandError> {
-    let window = work.window.as_deref().map(campaign::span_of).transpose();
-    let window = window.map_err(CommandError::Settings)?;
-    let zone = zone_of(&work.server, members)?;
-    let duration = campaign::duration(&work.lasts).map_err(CommandError::Settings)?;
+fn request_of_ticket(ticket: Ticket, members: &[MemberRow]) -> Result<TicketRequest, CommandError> {
+    let window = ticket.window.as_deref().map(campaign::parse_window).transpose()?;
+    let zone = zone_of(&ticket.server, members)?;
+    let duration = campaign::parse_duration(&ticket.lasts)?;
     Ok(TicketRequest {
         zone,
-        server: work.server,
-        reason: work.reason,
-        urgency: match work.urgency {
+        server: ticket.server,
+        reason: ticket.reason,
+        urgency: match ticket.urgency {
             campaign::Urgency::Routine => Urgency::Routine,
             campaign::Urgency::Urgent => Urgency::Urgent,
             campaign::Urgency::Broken => Urgency::Broken,
--- a/crates/loomflow-server/src/fleet/jobs.rs
+++ b/crates/loomflow-server/src/fleet/jobs.rs
@@ -228,7 +228,7 @@
         let job = self.configured.get(duty).ok_or(StartError::NoProgram)?;
         let program = std::env::current_exe().map_err(StartError::OwnProgram)?;
         let token = self.owned.get(duty).map_or(0, |job| job.runs.token).to_string();
-        let max_duration = format!("{}s", job.longest().as_secs());
+        let max_duration = format!("{}s", job.max_duration().as_secs());
         Command::new(program)
             .args(["fleet", "duty", "run", duty, "--socket"])
             .arg(&self.socket)
--- a/crates/loomflow-server/src/fleet/node_config.rs
+++ b/crates/loomflow-server/src/fleet/node_config.rs
@@ -20,7 +20,7 @@
         fleet: options.name.clone(),
         name: config.name.clone(),
         zone: options.zone.clone(),
-        address: options.reached_at(),
+        address: options.advertised_address(),
         voters: options.voters.iter().map(|voter| (voter.name.clone(), voter.address)).collect(),
         via: options.via.clone(),
         rules: rules(options),
--- a/crates/loomflow-server/src/front/amqp/consumer_settings.rs
+++ b/crates/loomflow-server/src/front/amqp/consumer_settings.rs
@@ -4,8 +4,8 @@
 use loomflow_amqp::idempotency::Capacity;
 use loomflow_amqp::settings::Password;
 use loomflow_amqp::{KeyFrom, NameFrom, Queue, SentFrom, Settings, Target};
-use loomflow_settings::options::{Amqp, Credentials};
-use loomflow_settings::{Site, options};
+use loomflow_settings::Site;
+use loomflow_settings::amqp::{Amqp, Credentials};
 
 use crate::budget::Budget;
 use crate::front::StartError;
@@ -15,7 +15,7 @@
 /// # Errors
 /// The credentials cannot be read.
 pub fn settings(amqp: &Amqp, site: &Site, budget: &Budget) -> Result<Settings, StartError> {
-    let credentials = Credentials::load(&amqp.credentials).map_err(StartError::Credentials)?;
+    let credentials = Credentials::load(&amqp.credentials)?;
     let budget = budget.for_broker(amqp.max_message_bytes);
     Ok(Settings {
         brokers: amqp.brokers.clone(),
@@ -41,7 +41,7 @@
     })
 }
 
-fn target(target: &options::Target) -> Target {
+fn target(target: &loomflow_settings::amqp::Target) -> Target {
     Target { exchange: target.exchange.clone(), routing_key: target.routing_key.clone() }
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-fn queue(options: &options::Queue, site: &Site) -> Queue {
+fn queue(options: &loomflow_settings::amqp::Queue, site: &Site) -> Queue {
     Queue {
         name: options.name.clone(),
         // Checked to be there; no message has a header with an empty name.
@@ -92,7 +92,7 @@
 }
 
 /// The priority weight of the queue's class, or the lowest of all where each message names its own.
-fn worth(options: &options::Queue, site: &Site) -> f64 {
+fn worth(options: &loomflow_settings::amqp::Queue, site: &Site) -> f64 {
     let worth = |class: usize| site.settings.classes.get(class).map_or(0.0, |class| class.priority_weight);
     let fixed = options.class.as_ref().map(|name| &name.value);
     let class = fixed.and_then(|name| site.classes.iter().position(|known| known == name));
--- a/crates/loomflow-server/src/front/amqp/mod.rs
+++ b/crates/loomflow-server/src/front/amqp/mod.rs
@@ -12,7 +12,7 @@
 use loomflow_amqp::idempotency::NoHistory;
 use loomflow_amqp::{Consumer, ConsumerRequest, MessageResponse, SubmittedMessage};
 use loomflow_protocol::AttemptId;
-use loomflow_settings::options;
+use loomflow_settings::amqp::Amqp;
 use loomflow_settings::{Config, Site};
 
 use super::StartError;
@@ -33,7 +33,7 @@
 /// The front for queues of AMQP brokers.
 pub struct AmqpFront {
     site: Site,
-    options: options::Amqp,
+    options: Amqp,
     consumer: Consumer,
     mailbox: Arc<Mailbox>,
     link: LinkId,
@@ -49,7 +49,7 @@
     /// Opens the first link.
     pub fn start(
         config: &Config,
-        options: &options::Amqp,
+        options: &Amqp,
         budget: &Budget,
         mailbox: &Arc<Mailbox>,
     ) -> Result<AmqpFront, StartError> {
--- a/crates/loomflow-server/src/front/mod.rs
+++ b/crates/loomflow-server/src/front/mod.rs
@@ -8,6 +8,7 @@
 use std::sync::Arc;
 
 use loomflow::time::Millis;
+use loomflow_settings::error::YamlError;
 use loomflow_settings::{Config, Options, Site};
 
 use crate::budget::Budget;
@@ -29,8 +30,8 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The broker's credentials cannot be read.
-    #[error("{0}")]
-    Credentials(String),
+    #[error(transparent)]
+    Credentials(#[from] YamlError),
 }
 
 impl Fronts {
--- a/crates/loomflow-server/src/mailbox.rs
+++ b/crates/loomflow-server/src/mailbox.rs
@@ -7,7 +7,7 @@
 use loomflow_protocol::engine::Notice;
 use loomflow_protocol::gateway::Request;
 use loomflow_protocol::ledger::Reply;
-use loomflow_settings::Config;
+use loomflow_settings::{Config, ConfigError};
 
 use crate::close_reason::CloseReason;
 use crate::connection::ConnectionHandle;
@@ -41,7 +41,7 @@
     /// SIGTERM was received.
     ShutdownRequested,
     /// SIGHUP was received: the configuration as it is now, or why it cannot be used.
-    ConfigReloaded(Result<Box<Config>, String>),
+    ConfigReloaded(Result<Box<Config>, ConfigError>),
 }
 
 /// Something that a front handles.
--- a/crates/loomflow-server/src/owner/mod.rs
+++ b/crates/loomflow-server/src/owner/mod.rs
@@ -306,8 +306,8 @@
             OwnerEvent::ReadersDrained => {}
             OwnerEvent::ShutdownRequested => self.begin_shutdown(),
             OwnerEvent::ConfigReloaded(Ok(config)) => self.reload(*config),
-            OwnerEvent::ConfigReloaded(Err(why)) => {
-                log!(why, "the configuration cannot be reloaded, the current one stays");
+            OwnerEvent::ConfigReloaded(Err(error)) => {
+                log!(why = error.to_string(), "the configuration cannot be reloaded, the current one stays");
             }
         }
     }
--- a/crates/loomflow-server/src/trial.rs
+++ b/crates/loomflow-server/src/trial.rs
@@ -1,21 +1,31 @@
-//! `loomflow try`: the server among stand-ins on loopback, ten seconds of requests that double in the middle, and a
-//! table of what came of them; `--fleet`: a fleet whose servers go out for work in turn. Linked in behind the feature
-//! `try`.
+//! `loomflow try`: runs the server between stand-ins on loopback for ten seconds with a burst in the middle, and prints a
+//! table of the outcomes. With `--fleet`, it runs a fleet whose servers are maintained in turn. Part of the feature `try`.
 
+use std::io;
 use std::process::ExitCode;
 use std::time::Duration;
 
 use comfy_table::{CellAlignment, Table, presets};
 use loomflow_load::{Front, Plan, Played, Scenario, Tally, rounds};
 use loomflow_standins::fleet::{self, Fleet};
+use thiserror::Error;
 
-/// Three quarters of what the engine does, and twice that from the fourth second to the seventh.
+/// Request rates: three quarters of the engine's capacity, and twice that during the burst. Seconds, requests per second.
 const RATES: [(f64, f64); 3] = [(0.0, 300.0), (BURST.0 as f64, 600.0), (BURST.1 as f64, 300.0)];
+/// Start and end of the burst, s.
 const BURST: (usize, usize) = (3, 7);
 
-/// Plays the ten seconds and prints the table. Exits with 1 where a rule broke.
-pub fn run(front: Front) -> Result<ExitCode, String> {
-    let program = std::env::current_exe().map_err(|e| format!("this program cannot be found: {e}"))?;
+/// The trial cannot be run.
+#[derive(Debug, Error)]
+pub enum TrialError {
+    /// The path of this program is unknown.
+    #[error("this program cannot be found: {0}")]
+    UnknownProgram(io::Error),
+}
+
+/// Runs a single server and prints the table. The exit code is 1 if a rule was violated.
+pub fn run(front: Front) -> Result<ExitCode, TrialError> {
+    let program = std::env::current_exe().map_err(TrialError::UnknownProgram)?;
     let scenario = Scenario {
         program,
         front,
@@ -49,9 +59,9 @@
     Ok(if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Five servers that form a fleet, each taken out once under load, one killed in the middle.
-pub fn fleet() -> Result<ExitCode, String> {
-    let program = std::env::current_exe().map_err(|e| format!("this program cannot be found: {e}"))?;
+/// Runs a fleet of five servers: each is maintained once under load, and one is killed in the middle.
+pub fn run_fleet() -> Result<ExitCode, TrialError> {
+    let program = std::env::current_exe().map_err(TrialError::UnknownProgram)?;
     let plan = fleet::Plan {
         members: 5,
         zones: 2,
--- a/crates/loomflow-settings/src/campaign.rs
+++ b/crates/loomflow-settings/src/campaign.rs
@@ -1,4 +1,4 @@
-//! A campaign of work, as a YAML file: which servers are to be taken out, why, and for how long.
+//! Campaign file (YAML): the maintenance tickets of a campaign.
 
 use std::path::Path;
 use std::time::Duration;
@@ -6,73 +6,91 @@
 use garde::Validate;
 use serde::Deserialize;
 
-use crate::read::Read;
+use crate::error::{SpanError, YamlError, read_text};
 
-/// The whole file.
+/// The campaign file.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 pub struct Campaign {
+    /// The tickets to create, in order.
     #[garde(length(min = 1, max = 10_000), dive)]
-    pub tickets: Vec<Work>,
+    pub tickets: Vec<Ticket>,
 }
 
-/// One server's turn.
+/// The maintenance of one server.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 #[garde(allow_unvalidated)]
-pub struct Work {
+pub struct Ticket {
+    /// Name of the server.
     #[garde(length(bytes, min = 1, max = 64))]
     pub server: String,
+    /// Why it is taken out of service.
     #[garde(length(bytes, max = 256))]
     pub reason: String,
+    /// Urgency; routine by default.
     #[serde(default)]
     pub urgency: Urgency,
-    /// How long it is to be out, such as `20m`.
-    #[garde(custom(a_span))]
+    /// How long it is to be out of service, such as `20m`.
+    #[garde(custom(is_duration))]
     pub lasts: String,
-    /// When it may be granted, from now on, such as `30m..4h`.
-    #[garde(inner(custom(a_window)))]
+    /// When it may be granted, counted from now, such as `30m..4h`.
+    #[garde(inner(custom(is_window)))]
     pub window: Option<String>,
 }
 
+/// Urgency of a ticket.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Urgency {
+    /// Granted in turn.
     #[default]
     Routine,
+    /// Granted before routine tickets.
     Urgent,
+    /// The server is broken: out of service already.
     Broken,
 }
 
-/// A span such as `90s`, `20m` or `1h 30m`. Errors: in words.
-pub fn duration(text: &str) -> Read<Duration> {
-    humantime::parse_duration(text.trim()).map_err(|e| format!("{text:?} is no span of time: {e}"))
+/// Parses a duration such as `90s`, `20m` or `1h 30m`.
+///
+/// # Errors
+///
+/// The text is not a duration.
+pub fn parse_duration(text: &str) -> Result<Duration, SpanError> {
+    humantime::parse_duration(text.trim())
+        .map_err(|source| SpanError::NotADuration { text: text.to_owned(), source })
 }
 
-/// Two spans with two dots between them. Errors: in words.
-pub fn span_of(text: &str) -> Read<(Duration, Duration)> {
-    let (from, before) = text
-        .split_once("..")
-        .ok_or_else(|| format!("{text:?} is no window: FROM..BEFORE, such as 30m..4h"))?;
-    Ok((duration(from)?, duration(before)?))
+/// Parses a window of two durations such as `30m..4h`.
+///
+/// # Errors
+///
+/// The text is not a window.
+pub fn parse_window(text: &str) -> Result<(Duration, Duration), SpanError> {
+    let (from, before) = text.split_once("..").ok_or_else(|| SpanError::NotAWindow(text.to_owned()))?;
+    Ok((parse_duration(from)?, parse_duration(before)?))
 }
 
-fn a_span(text: &str, _: &()) -> garde::Result {
-    duration(text).map(|_| ()).map_err(garde::Error::new)
+fn is_duration(text: &str, _: &()) -> garde::Result {
+    parse_duration(text).map(|_| ()).map_err(garde::Error::new)
 }
 
-fn a_window(text: &str, _: &()) -> garde::Result {
-    span_of(text).map(|_| ()).map_err(garde::Error::new)
+fn is_window(text: &str, _: &()) -> garde::Result {
+    parse_window(text).map(|_| ()).map_err(garde::Error::new)
 }
 
 impl Campaign {
-    /// Errors name file, line and key.
-    pub fn load(path: &Path) -> Read<Campaign> {
-        let text =
-            std::fs::read_to_string(path).map_err(|e| format!("{}: cannot be read: {e}", path.display()))?;
-        let read = serde_saphyr::from_str_valid(&text).map_err(|e| e.without_snippet().to_string());
-        read.map_err(|e| format!("{}: {e}", path.display()))
+    /// Reads and validates a file.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be read or is invalid; the message names file, line and key.
+    pub fn load(path: &Path) -> Result<Campaign, YamlError> {
+        let text = read_text(path)?;
+        serde_saphyr::from_str_valid(&text)
+            .map_err(|error| YamlError::Invalid(error.without_snippet().to_string()).in_file(path))
     }
 }
 
--- a/crates/loomflow-settings/src/compare.rs
+++ b/crates/loomflow-settings/src/compare.rs
@@ -1,4 +1,4 @@
-//! Compares two documents key by key. The work grows with the size of the documents, and only what differs is copied.
+//! Compares two documents key by key. The work is linear in their size, and only values that differ are copied.
 
 use std::collections::BTreeSet;
 
@@ -16,19 +16,19 @@
 /// A key whose values differ.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Difference {
-    /// Its path; members of lists go by their `Name`.
+    /// Its path; members of lists are named by their `Name`.
     pub(crate) key: String,
     pub(crate) old: Value,
     pub(crate) new: Value,
 }
 
-/// What has been found so far.
+/// A comparison in progress.
 #[derive(Debug, Default)]
 struct Comparison {
     differences: Vec<Difference>,
 }
 
-/// All keys that differ, in the order of their paths; absent is the same as null.
+/// All keys that differ, in the order of their paths; absent counts as null.
 pub(crate) fn compare(old: &Document, new: &Document) -> Vec<Difference> {
     let mut comparison = Comparison::default();
     if let (Value::Object(before), Value::Object(after)) = (&old.tree, &new.tree) {
@@ -41,7 +41,7 @@
 type TenantSides<'a> = Option<(&'a Tenants, &'a Tenants)>;
 
 impl Comparison {
-    /// Compares objects. `tenants` are given on the way to the key that holds them, for they are no part of the tree.
+    /// Compares objects. `tenants` are passed down to the key that holds them, because they are not part of the tree.
     fn objects(
         &mut self,
         path: &str,
@@ -54,21 +54,21 @@
             keys.insert(TENANTS);
         }
         for key in keys {
-            let below = join(path, key);
+            let child_path = join(path, key);
             let (old, new) = (before.get(key).unwrap_or(&NULL), after.get(key).unwrap_or(&NULL));
             match (tenants, old, new) {
                 (Some((old, new)), ..) if path == SETTINGS && key == TENANTS => {
-                    self.tenants(&below, old, new)
+                    self.tenants(&child_path, old, new)
                 }
-                (Some(_), Value::Object(old), Value::Object(new)) if below == SETTINGS => {
-                    self.objects(&below, old, new, tenants);
+                (Some(_), Value::Object(old), Value::Object(new)) if child_path == SETTINGS => {
+                    self.objects(&child_path, old, new, tenants);
                 }
-                _ => self.values(&below, old, new),
+                _ => self.values(&child_path, old, new),
             }
         }
     }
 
-    /// Compares any two values. Lists of named members are matched by name, others are one value.
+    /// Compares any two values. Lists of named members are matched by name; other lists count as one value.
     fn values(&mut self, path: &str, old: &Value, new: &Value) {
         if old == new {
             return;
@@ -106,7 +106,7 @@
         let value = |list: &TenantList, at: Option<usize>| at.map(|at| list.value(at)).unwrap_or_default();
         pair_members(before, after, |pair| {
             if let (Some(old), Some(new)) = (pair.old, pair.new)
-                && before.same(old, after, new)
+                && before.is_same(old, after, new)
             {
                 return;
             }
@@ -120,15 +120,14 @@
     }
 }
 
-/// Members of two lists that bear the same name, by their places; one of them may be missing.
+/// Members of two lists with the same name, by index; one of them may be missing.
 struct MemberPair<'a> {
     name: &'a str,
     old: Option<usize>,
     new: Option<usize>,
 }
 
-/// Visits the members of both lists by name: first those of the old list in its order, then those that are in the new
-/// list only.
+/// Visits the members of both lists by name: first those of the old list in its order, then those of the new list only.
 fn pair_members<'a, L>(before: &'a L, after: &'a L, mut visit: impl FnMut(MemberPair<'a>))
 where
     L: NamedList + ?Sized,
--- a/crates/loomflow-settings/src/compare/tests.rs
+++ b/crates/loomflow-settings/src/compare/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_work_of_a_comparison_grows_with_the_lists_and_not_with_their_square() {
+fn the_work_of_a_comparison_is_linear() {
     let all = || Counting::new(0..MEMBERS);
     let half = || Counting::new((0..MEMBERS).filter(|at| at % 2 == 0));
     let cases = [
@@ -100,14 +100,14 @@
 }
 
 #[test]
-fn a_list_without_names_is_one_value() {
+fn a_list_without_names_counts_as_one_value() {
     let (old, new) = (json!([{"QuotaPerS": 1}]), json!([{"Name": "a", "QuotaPerS": 1}]));
     let found = compare(&document(TENANTS, old.clone()), &document(TENANTS, new.clone()));
     assert_eq!(found, [Difference { key: "settings.Orgs".into(), old, new }]);
 }
 
 #[test]
-fn a_list_that_is_absent_or_null_is_the_same() {
+fn absent_and_null_lists_are_equal() {
     assert!(compare(&document("Limits", json!({})), &document(TENANTS, Value::Null)).len() == 1);
     assert!(compare(&document(TENANTS, Value::Null), &document("Rules", Value::Null)).is_empty());
     let found = compare(&document(TENANTS, Value::Null), &document(TENANTS, json!([])));
--- a/crates/loomflow-settings/src/config.rs
+++ b/crates/loomflow-settings/src/config.rs
@@ -1,83 +1,103 @@
-//! A server's configuration file.
+//! The configuration file of a server (JSON).
 
 use std::io::Read as _;
 use std::net::SocketAddr;
 use std::path::Path;
 
 use crate::document::{Document, SETTINGS};
-use crate::error::ConfigError;
-use crate::read::{Node, Read};
+use crate::error::{ConfigError, FieldError};
+use crate::json_object::JsonObject;
 use crate::site::Site;
 
 #[cfg(test)]
 mod tests;
 
-const SOCKETS: u64 = 1024;
-const MEMORY_MB: u64 = 192;
-/// The longest file that is read, MiB.
+const DEFAULT_SOCKETS: u64 = 1024;
+const DEFAULT_MEMORY_MB: u64 = 192;
+const DEFAULT_CORES: f64 = 1.0;
+/// Largest file that is read, MiB.
 const MAX_MIB: u64 = 4;
 const MAX_BYTES: u64 = MAX_MIB * 1024 * 1024;
 
-/// What a server is told at its start. Unknown keys are skipped.
+/// Configuration of a server. Unknown keys are ignored.
 #[derive(Clone, Debug)]
 pub struct Config {
+    /// Name of the server.
     pub name: String,
+    /// Where it listens for gateways.
     pub listen: SocketAddr,
+    /// Address of its engine.
     pub engine: SocketAddr,
-    /// Absent: no reports are sent.
+    /// Address of the control plane; `None` if no reports are sent.
     pub control: Option<SocketAddr>,
-    /// Absent on servers of the last tier, which call nothing.
+    /// Address of the downstream service; `None` on servers of the last tier, which make no calls.
     pub ledger: Option<SocketAddr>,
+    /// Seed of all random choices.
     pub seed: u64,
-    /// From the notice to leave until the server is killed, ms.
+    /// Time between the shutdown request and the kill, ms.
     pub stop_ms: f64,
-    /// Descriptors that the process may hold.
+    /// File descriptors that the process may hold.
     pub sockets: usize,
+    /// Memory that the process may use, MB.
     pub memory_mb: usize,
-    /// Part of a core that the process may use.
+    /// CPU cores that the process may use.
     pub cores: f64,
+    /// The settings of the site.
     pub site: Site,
-    /// The file as it stands.
+    /// The whole file, for comparisons.
     document: Document,
 }
 
 impl Config {
-    /// Reads and checks a file. Errors name the file, and the key where there is one.
+    /// Reads and validates a file.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be read or is invalid; the message names the file, and the key if there is one.
     pub fn load(path: &Path) -> Result<Config, ConfigError> {
-        let text = read(path)?;
+        let text = read_bounded(path)?;
         Config::parse(&text).map_err(|error| error.in_file(path))
     }
 
-    /// As `load`, while serving: opening a pipe would wait for somebody to write to it, and signals with it.
-    pub fn load_again(path: &Path) -> Read<Config> {
+    /// Reads and validates a file while serving. Only regular files are opened, because opening a pipe would block the
+    /// handling of signals until somebody writes to it.
+    ///
+    /// # Errors
+    ///
+    /// As [`load`](Self::load), or the path is not that of a regular file.
+    pub fn load_again(path: &Path) -> Result<Config, ConfigError> {
         match std::fs::metadata(path) {
-            Ok(found) if !found.is_file() => Err(ConfigError::NotAFile { path: path.to_owned() }.into()),
-            _ => Ok(Config::load(path)?),
+            Ok(metadata) if !metadata.is_file() => Err(ConfigError::NotAFile { path: path.to_owned() }),
+            _ => Config::load(path),
         }
     }
 
-    /// Reads and checks the text of a file. Errors name the key.
+    /// Parses and validates the text of a file.
+    ///
+    /// # Errors
+    ///
+    /// The text is not JSON or a key is invalid.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let document: Document = serde_json::from_str(text)?;
-        Config::from_document(document).map_err(ConfigError::Invalid)
+        Ok(Config::from_document(document)?)
     }
 
-    fn from_document(document: Document) -> Read<Config> {
-        let root = Node::new("", &document.tree)?;
+    fn from_document(document: Document) -> Result<Config, FieldError> {
+        let root = JsonObject::new("", &document.tree)?;
         let seed = root.required_text("seed")?;
         Ok(Config {
             name: name(&root)?,
             listen: address(&root, "listen")?,
             engine: address(&root, "engine")?,
-            control: optional(&root, "control")?,
-            ledger: optional(&root, "ledger")?,
+            control: optional_address(&root, "control")?,
+            ledger: optional_address(&root, "ledger")?,
             seed: u64::from_str_radix(seed, 16)
                 .or_else(|_| root.error("seed", "not a hexadecimal number of 64 bits"))?,
             stop_ms: root.positive("stop_ms")?,
-            sockets: at_least_one(&root.child_or_empty("limits")?, "sockets", SOCKETS)?,
-            memory_mb: at_least_one(&root.child_or_empty("limits")?, "memory_mb", MEMORY_MB)?,
+            sockets: at_least_one(&root.child_or_empty("limits")?, "sockets", DEFAULT_SOCKETS)?,
+            memory_mb: at_least_one(&root.child_or_empty("limits")?, "memory_mb", DEFAULT_MEMORY_MB)?,
             cores: cores(&root.child_or_empty("limits")?)?,
-            site: Site::with_tenants(&root.child(SETTINGS)?, &document.tenants)?,
+            site: Site::parse_with_tenants(&root.child(SETTINGS)?, &document.tenants)?,
             document,
         })
     }
@@ -87,7 +107,8 @@
         &self.document
     }
 
-    /// What a server goes on with after a later reading: all of that, with `site` as it has taken it up.
+    /// The configuration after a reload: that of `later`, with the site as it was reloaded, and with the values of this one
+    /// that take effect at the next start only.
     pub fn reloaded(&self, later: Config, site: Site) -> Config {
         Config {
             name: self.name.clone(),
@@ -103,8 +124,8 @@
     }
 }
 
-/// The whole file; one beyond the bound is not read on, so that it costs a server that serves neither memory nor time.
-fn read(path: &Path) -> Result<String, ConfigError> {
+/// Reads a file up to the size limit, so that a larger one costs a serving process neither memory nor time.
+fn read_bounded(path: &Path) -> Result<String, ConfigError> {
     let unreadable = |source| ConfigError::Unreadable { path: path.to_owned(), source };
     let file = std::fs::File::open(path).map_err(unreadable)?;
     let length = file.metadata().map_err(unreadable)?.len().min(MAX_BYTES);
@@ -116,33 +137,33 @@
     Ok(text)
 }
 
-fn at_least_one(limits: &Node, key: &str, default: u64) -> Read<usize> {
+fn at_least_one(limits: &JsonObject, key: &str, default: u64) -> Result<usize, FieldError> {
     match limits.integer_or(key, default)? {
         0 => limits.error(key, "not above 0"),
-        whole => Ok(usize::try_from(whole).unwrap_or(usize::MAX)),
+        value => Ok(usize::try_from(value).unwrap_or(usize::MAX)),
     }
 }
 
-/// One thread drives all connections, whatever this says; it must be a share that can be served with.
-fn cores(limits: &Node) -> Read<f64> {
-    if limits.get("cores").is_none() { Ok(1.0) } else { limits.positive("cores") }
+/// One thread drives all connections whatever this limit is, but it must be above 0.
+fn cores(limits: &JsonObject) -> Result<f64, FieldError> {
+    if limits.get("cores").is_none() { Ok(DEFAULT_CORES) } else { limits.positive("cores") }
 }
 
-/// The name stands in a URL's path, so it is held to what needs no escape there.
-fn name(root: &Node) -> Read<String> {
+/// The name is part of a URL's path, so only characters that need no escaping there are allowed.
+fn name(root: &JsonObject) -> Result<String, FieldError> {
     let name = root.required_text("name")?;
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-._~".contains(c);
-    if name.chars().all(plain) {
+    let is_unreserved = |character: char| character.is_ascii_alphanumeric() || "-._~".contains(character);
+    if name.chars().all(is_unreserved) {
         Ok(name.to_owned())
     } else {
         root.error("name", "holds characters other than letters, digits and -._~")
     }
 }
 
-fn address(root: &Node, key: &str) -> Read<SocketAddr> {
+fn address(root: &JsonObject, key: &str) -> Result<SocketAddr, FieldError> {
     root.required_text(key)?.parse().or_else(|_| root.error(key, "not an address with a port"))
 }
 
-fn optional(root: &Node, key: &str) -> Read<Option<SocketAddr>> {
+fn optional_address(root: &JsonObject, key: &str) -> Result<Option<SocketAddr>, FieldError> {
     if root.text(key)?.is_empty() { Ok(None) } else { address(root, key).map(Some) }
 }
--- a/crates/loomflow-settings/src/config/tests.rs
+++ b/crates/loomflow-settings/src/config/tests.rs
@@ -11,12 +11,12 @@
             "Rules": {"FallMultiple": 5}}})
 }
 
-fn fault(file: &Value) -> String {
+fn error_message(file: &Value) -> String {
     Config::parse(&file.to_string()).unwrap_err().to_string()
 }
 
 #[test]
-fn tenants_are_read_with_their_names_and_quotas() {
+fn tenants_are_parsed_with_names_and_quotas() {
     let list =
         json!([{"Name": "a", "QuotaPerS": 2}, {"Name": "b"}, {"Name": "c", "QuotaPerS": 0.5, "Note": "x"}]);
     let site = Config::parse(&file(list).to_string()).unwrap().site;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn each_fault_of_a_tenant_is_named_by_its_place_and_key() {
+fn errors_of_a_tenant_name_its_index_and_key() {
     let good = || json!({"Name": "a", "QuotaPerS": 1});
     let cases = [
         (json!("many"), "settings.Orgs: not an array"),
@@ -42,12 +42,12 @@
         (json!([good(), {"Name": 5}]), "settings.Orgs[1].Name: not a text"),
     ];
     for (tenants, message) in cases {
-        assert_eq!(fault(&file(tenants)), message);
+        assert_eq!(error_message(&file(tenants)), message);
     }
 }
 
 #[test]
-fn a_file_of_another_shape_is_named_as_before() {
+fn errors_of_a_file_of_another_shape_name_the_key() {
     for (text, message) in [
         ("[]", "not an object"),
         ("null", "not an object"),
@@ -58,13 +58,13 @@
     }
     let mut config = file(json!([]));
     config["settings"] = json!(["Orgs"]);
-    assert_eq!(fault(&config), "settings: not an object");
+    assert_eq!(error_message(&config), "settings: not an object");
     config["settings"] = Value::Null;
-    assert_eq!(fault(&config), "settings: missing");
+    assert_eq!(error_message(&config), "settings: missing");
 }
 
 #[test]
-fn what_a_server_goes_on_with_keeps_what_counts_from_the_next_start_on() {
+fn a_reload_keeps_the_values_that_take_effect_at_the_next_start() {
     let first = Config::parse(&file(json!([])).to_string()).unwrap();
     let mut changed = file(json!([{"Name": "a", "QuotaPerS": 1}]));
     (changed["name"], changed["engine"], changed["stop_ms"]) = (json!("m"), json!("127.0.0.1:9"), json!(1));
--- a/crates/loomflow-settings/src/document.rs
+++ b/crates/loomflow-settings/src/document.rs
@@ -1,4 +1,4 @@
-//! A configuration file as it stands, kept for a comparison key by key.
+//! The content of a configuration file, kept for comparisons key by key.
 //!
 //! The file is deserialized straight from its text. Tenants (`settings.Orgs`), the one list that grows with the size of
 //! the platform, go into a compact [`Tenants`] list; everything else is small and stays a tree of JSON values.
@@ -19,38 +19,38 @@
 /// Key of the list of tenants in the settings.
 pub(crate) const TENANTS: &str = "Orgs";
 
-/// The whole file.
+/// The content of a configuration file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Document {
-    /// Every key but `settings.Orgs`.
+    /// All keys except `settings.Orgs`.
     pub tree: Value,
     /// The value of `settings.Orgs`.
     pub tenants: Tenants,
 }
 
-/// The value of `settings`, with the tenants taken out of it.
+/// The value of `settings`, with the tenants separated.
 struct SettingsPart {
     tree: Value,
     tenants: Tenants,
 }
 
-/// A type that is read from one shape of JSON value, and keeps values of any other shape as a tree.
+/// A type that is deserialized from one kind of JSON value and keeps values of other kinds as a tree.
 pub(crate) trait Shaped<'de>: Sized {
-    /// Keeps a value of a shape that is not expected here.
+    /// Keeps a value of another kind.
     fn unexpected(value: Value) -> Self;
 
-    /// Reads an object.
+    /// Deserializes an object.
     fn from_object<A: MapAccess<'de>>(map: A) -> Result<Self, A::Error> {
         Value::deserialize(MapAccessDeserializer::new(map)).map(Self::unexpected)
     }
 
-    /// Reads an array.
+    /// Deserializes an array.
     fn from_array<A: SeqAccess<'de>>(sequence: A) -> Result<Self, A::Error> {
         Value::deserialize(SeqAccessDeserializer::new(sequence)).map(Self::unexpected)
     }
 }
 
-/// Deserializes a [`Shaped`] type from a value of any shape.
+/// Deserializes a [`Shaped`] type from a value of any kind.
 pub(crate) fn deserialize_shaped<'de, T, D>(deserializer: D) -> Result<T, D::Error>
 where
     T: Shaped<'de>,
--- a/crates/loomflow-settings/src/document/tests.rs
+++ b/crates/loomflow-settings/src/document/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// The document as one tree, to hold it against the text that it was read from.
-fn whole(document: &Document) -> Value {
+fn to_tree(document: &Document) -> Value {
     let mut tree = document.tree.clone();
     if document.tenants != Tenants::Absent {
         tree[SETTINGS][TENANTS] = document.tenants.to_value();
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn nothing_of_a_file_is_lost() {
+fn no_key_of_a_file_is_lost() {
     let lists = [
         json!([]),
         json!([{"Name": "a"}, {"Name": "", "QuotaPerS": 0}, {"Name": "b", "QuotaPerS": 2.50}, {"Name": "ü\"\n"}]),
@@ -28,20 +28,20 @@
         let file =
             json!({"name": "n", "x": [1, {"Orgs": []}], "settings": {"Orgs": list, "Rules": {"Cold": 1}}});
         let document: Document = serde_json::from_str(&file.to_string()).unwrap();
-        assert_eq!(whole(&document), file);
+        assert_eq!(to_tree(&document), file);
         assert_eq!(document.tenants, Tenants::from_value(file.pointer("/settings/Orgs")));
     }
     for file in
         [json!({}), json!({"settings": "none"}), json!({"settings": [{"Orgs": []}]}), json!([1]), json!(null)]
     {
         let document: Document = serde_json::from_str(&file.to_string()).unwrap();
-        assert_eq!((whole(&document), document.tenants), (file, Tenants::Absent));
+        assert_eq!((to_tree(&document), document.tenants), (file, Tenants::Absent));
     }
 }
 
 #[test]
-fn of_a_key_that_comes_twice_the_last_counts() {
+fn the_last_value_of_a_duplicate_key_counts() {
     let text = r#"{"settings": {"Orgs": [{"Name": "a"}]}, "settings": {"Orgs": 1, "Orgs": [{"Name": "b"}]}}"#;
     let document: Document = serde_json::from_str(text).unwrap();
-    assert_eq!(whole(&document), json!({"settings": {"Orgs": [{"Name": "b"}]}}));
+    assert_eq!(to_tree(&document), json!({"settings": {"Orgs": [{"Name": "b"}]}}));
 }
--- a/crates/loomflow-settings/src/duties.rs
+++ b/crates/loomflow-settings/src/duties.rs
@@ -1,4 +1,4 @@
-//! The part of the options file on duties: work on behalf of the fleet that one server does at a time.
+//! Options of the fleet's duties: periodic work that one server does at a time.
 
 use std::collections::BTreeSet;
 use std::str::FromStr;
@@ -9,133 +9,144 @@
 use schemars::JsonSchema;
 use serde::Deserialize;
 
-use crate::campaign::duration;
+use crate::campaign::parse_duration;
+use crate::error::OptionFault;
 
-/// Duties of the fleet, the same on every member. Off where absent.
+/// Shortest interval and longest run of a job that can be set.
+const MIN_DURATION: Duration = Duration::from_secs(1);
+/// Used should the validated text of `longest` not parse.
+const DEFAULT_LONGEST: Duration = Duration::from_secs(3_600);
+/// Duties that every fleet has.
+const BUILT_IN: [&str; 2] = ["summary", "campaign"];
+
+/// Duties of the fleet, the same on every member. Off if absent.
 #[derive(Clone, Debug, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 pub struct Duties {
-    /// A server that is not heard from for so long owns nothing any more, s.
-    #[serde(default = "lease")]
+    /// Lease of an owner: a server that is silent for this long owns no duty any more, s.
+    #[serde(default = "default_lease")]
     #[garde(range(min = 1, max = 600))]
     pub lease_s: u64,
-    /// A duty that brought down or failed its owners so often in a row is parked.
-    #[serde(default = "attempts")]
+    /// A duty that failed or brought down its owners this often in a row is parked.
+    #[serde(default = "default_attempts")]
     #[garde(range(min = 1, max = 100))]
     pub attempts: u32,
-    /// How often the fleet is summed up, s.
-    #[serde(default = "summary")]
+    /// Interval of the fleet's summary, s.
+    #[serde(default = "default_summary")]
     #[garde(range(min = 1, max = 3_600))]
     pub summary_s: u64,
-    /// Whether this server starts the programs of jobs. Off where it is not said.
+    /// Whether this server starts the programs of jobs. Off by default.
     #[serde(default)]
     pub programs: bool,
-    /// The operators' own duties.
+    /// Duties that the operators define.
     #[serde(default)]
     #[garde(length(max = 2_000), dive)]
     pub jobs: Vec<Job>,
 }
 
-/// A duty of the operators.
+/// A duty that the operators define.
 #[derive(Clone, Debug, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 pub struct Job {
+    /// Name of the duty.
     #[garde(length(bytes, min = 1, max = 64))]
     pub name: String,
-    /// The program that its owner starts, with what it is given. Without one it is for `loomflow fleet duty run`.
+    /// The program that its owner starts, and its arguments. Without one, the duty is for `loomflow fleet duty run`.
     #[serde(default)]
     pub run: Vec<String>,
-    /// Each time that the Unix time is a multiple of this, such as `15m`.
-    #[garde(inner(custom(a_span)))]
+    /// Runs whenever the Unix time is a multiple of this, such as `15m`.
+    #[garde(inner(custom(is_job_duration)))]
     pub every: Option<String>,
-    /// Or by five fields, in UTC, such as `0 3 * * *`.
+    /// Or at the times of five cron fields, in UTC, such as `0 3 * * *`.
     pub cron: Option<String>,
-    /// What is done about a time at which nobody could run it.
+    /// What happens after a time at which no server could run it.
     #[serde(default)]
     pub missed: Missed,
-    /// A run that takes longer is ended.
-    #[serde(default = "longest")]
-    #[garde(custom(a_span))]
+    /// A run that takes longer is killed.
+    #[serde(default = "default_longest")]
+    #[garde(custom(is_job_duration))]
     pub longest: String,
-    /// How heavy it is beside others; 1 is usual.
-    #[serde(default = "weight")]
+    /// Its load relative to other duties; 1 is usual.
+    #[serde(default = "default_weight")]
     #[garde(range(min = 1, max = 1_000))]
     pub weight: u32,
 }
 
+/// What happens after a time at which no server could run a duty.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Missed {
-    /// The next time is waited for.
+    /// It runs at its next time.
     #[default]
     Skip,
-    /// The last one that was missed is made up for.
+    /// The last missed run is made up for.
     Once,
 }
 
-fn lease() -> u64 {
+fn default_lease() -> u64 {
     10
 }
 
-fn attempts() -> u32 {
+fn default_attempts() -> u32 {
     5
 }
 
-fn summary() -> u64 {
+fn default_summary() -> u64 {
     5
 }
 
-fn longest() -> String {
+fn default_longest() -> String {
     "1h".into()
 }
 
-fn weight() -> u32 {
+fn default_weight() -> u32 {
     1
 }
 
-fn a_span(text: &str, _: &()) -> garde::Result {
-    let span = duration(text).map_err(garde::Error::new)?;
-    if span < Duration::from_secs(1) { Err(garde::Error::new("from a second on")) } else { Ok(()) }
+fn is_job_duration(text: &str, _: &()) -> garde::Result {
+    let duration = parse_duration(text).map_err(garde::Error::new)?;
+    if duration < MIN_DURATION { Err(garde::Error::new("from a second on")) } else { Ok(()) }
 }
 
 impl Job {
-    /// Seconds between two times, if it goes by them. Checked when it was read.
+    /// Interval between two runs, s; `None` if it has no interval.
     pub fn every_s(&self) -> Option<u64> {
-        self.every.as_deref().and_then(|text| duration(text).ok()).map(|span| span.as_secs())
+        self.every.as_deref().and_then(|text| parse_duration(text).ok()).map(|interval| interval.as_secs())
     }
 
-    pub fn longest(&self) -> Duration {
-        duration(&self.longest).unwrap_or(Duration::from_secs(3_600))
+    /// How long a run may take.
+    pub fn max_duration(&self) -> Duration {
+        parse_duration(&self.longest).unwrap_or(DEFAULT_LONGEST)
     }
 }
 
 impl Duties {
-    /// What is wrong with it: a line for each fault, with its key.
-    pub fn faults(&self) -> Vec<String> {
+    /// Contradictions between the options.
+    pub fn faults(&self) -> Vec<OptionFault> {
         let mut faults = Vec::new();
         let names: BTreeSet<&str> = self.jobs.iter().map(|job| job.name.as_str()).collect();
-        if names.len() < self.jobs.len() || names.contains("summary") || names.contains("campaign") {
-            faults.push(
-                "fleet.duties.jobs: each name once; `summary` and `campaign` are there from the start".into(),
-            );
+        if names.len() < self.jobs.len() || BUILT_IN.iter().any(|name| names.contains(name)) {
+            let problem = "each name once; `summary` and `campaign` are there from the start";
+            faults.push(OptionFault::new("fleet.duties.jobs", problem));
         }
-        for (at, job) in self.jobs.iter().enumerate() {
-            let mut fault = |key: &str, what: &str| {
-                faults.push(format!("fleet.duties.jobs[{at}].{key}: {}: {what}", job.name));
+        for (index, job) in self.jobs.iter().enumerate() {
+            let mut fault = |key: &str, problem: &str| {
+                let key = format!("fleet.duties.jobs[{index}].{key}");
+                faults.push(OptionFault::new(key, format!("{}: {problem}", job.name)));
             };
             if job.every.is_some() && job.cron.is_some() {
                 fault("every", "either every or cron");
             }
-            if let Some(Err(why)) = job.cron.as_deref().map(Cron::from_str) {
-                fault("cron", &why.to_string());
+            if let Some(Err(error)) = job.cron.as_deref().map(Cron::from_str) {
+                fault("cron", &error.to_string());
             }
-            let scheduled = job.every.is_some() || job.cron.is_some();
-            if scheduled && job.run.is_empty() {
+            let is_scheduled = job.every.is_some() || job.cron.is_some();
+            if is_scheduled && job.run.is_empty() {
                 fault("run", "a job with a time needs a program");
             }
-            if scheduled && !self.programs {
+            if is_scheduled && !self.programs {
                 fault("run", "programs are not switched on: fleet.duties.programs");
             }
         }
--- a/crates/loomflow-settings/src/duties/tests.rs
+++ b/crates/loomflow-settings/src/duties/tests.rs
@@ -1,4 +1,4 @@
-use crate::fleet::tests::{are_faults, are_refused};
+use crate::fleet::tests::{assert_faults, assert_parse_errors};
 use crate::options::Options;
 
 const GOOD: &str = "
@@ -18,10 +18,10 @@
 ";
 
 #[test]
-fn duties_are_off_unless_they_are_named_and_programs_unless_they_are_switched_on() {
+fn duties_and_programs_are_off_by_default() {
     let duties = Options::parse(GOOD).unwrap().fleet.unwrap().duties.unwrap();
     assert!(duties.faults().is_empty(), "{:?}", duties.faults());
-    assert_eq!((duties.lease_s, duties.jobs[0].longest().as_secs()), (10, 1_800));
+    assert_eq!((duties.lease_s, duties.jobs[0].max_duration().as_secs()), (10, 1_800));
     let none = GOOD.split("  duties:").next().unwrap();
     assert!(Options::parse(none).unwrap().fleet.unwrap().duties.is_none());
     let bare = Options::parse(&format!("{none}  duties: {{}}\n")).unwrap().fleet.unwrap().duties.unwrap();
@@ -29,14 +29,14 @@
 }
 
 #[test]
-fn each_fault_names_its_key() {
+fn errors_and_faults_name_the_key() {
     let parsed = [
         (GOOD.replace("longest: 30m", "longest: soon"), "longest"),
         (GOOD.replace("missed: once", "missed: twice"), "skip, once"),
         (GOOD.replace("programs: true", "lease_s: 0"), "lease_s"),
         (GOOD.replace("programs:", "program:"), "program"),
     ];
-    are_refused(&parsed);
+    assert_parse_errors(&parsed);
     let checked = [
         (GOOD.replace("programs: true", "programs: false"), "fleet.duties.programs"),
         (GOOD.replace("run: [/bin/true], ", ""), "jobs[0].run"),
@@ -45,5 +45,5 @@
         (GOOD.replace("by-hand", "nightly"), "each name once"),
         (GOOD.replace("by-hand", "summary"), "from the start"),
     ];
-    are_faults(&checked);
+    assert_faults(&checked);
 }
--- a/crates/loomflow-settings/src/fleet.rs
+++ b/crates/loomflow-settings/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The part of the options file on the fleet: who is in it, and how its machines are taken out for work.
+//! Options of the fleet: its members, and how many of them may be out of service for maintenance.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,58 +9,63 @@
 use serde::Deserialize;
 
 use crate::duties::Duties;
+use crate::error::OptionFault;
 
-/// The fleet that this server is a member of. Off where absent.
+/// Numbers of voters that are allowed.
+const VOTER_COUNTS: [usize; 2] = [3, 5];
+const MAX_NAME_BYTES: usize = 64;
+
+/// The fleet that this server is a member of. Off if absent.
 #[derive(Clone, Debug, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 pub struct Fleet {
-    /// The fleet's name: members of another are not heard.
+    /// The fleet's name; messages of other fleets are ignored.
     #[garde(length(bytes, min = 1, max = 64))]
     pub name: String,
-    /// Where this server listens for the other members: an address of the network that they share, never one that others
-    /// reach. Nothing on it is encrypted or signed.
+    /// Where this server listens for the other members: an address of their private network. The traffic is neither
+    /// encrypted nor signed.
     pub listen: SocketAddr,
-    /// Where the other members reach it, if that is another address.
+    /// Where the other members reach this server, if that is another address.
     pub advertise: Option<SocketAddr>,
-    /// The zone that it stands in.
+    /// The zone of this server.
     #[serde(default)]
     #[garde(length(bytes, max = 64))]
     pub zone: String,
-    /// A folder of its own, for what must outlast the process. The operators' socket stands beside it, its name with `.sock`.
-    /// Relative to this file.
+    /// A folder of its own for state that must survive a restart. The operators' socket has the same name with `.sock`
+    /// added. Relative to this file.
     pub state: PathBuf,
-    /// Those who vote, the same on every member: 3 or 5. All others join by them, ask them and are told by them.
+    /// The voting members, the same on every member: 3 or 5. The other members join through them.
     #[garde(length(max = 5), dive)]
     pub voters: Vec<Voter>,
-    /// Other ways to members, by their names, than the addresses they tell.
+    /// Addresses of members by name, instead of those that they advertise.
     #[serde(default)]
     pub via: BTreeMap<String, SocketAddr>,
-    /// How many may be out for work at once, in all ...
-    #[serde(default = "one")]
+    /// How many servers may be out of service at once, in all ...
+    #[serde(default = "default_out")]
     #[garde(dive)]
     pub out: Amount,
-    /// ... and in one zone; no bound of its own where absent.
+    /// ... and in one zone; without a limit of its own if absent.
     #[garde(dive)]
     pub zone_out: Option<Amount>,
-    /// A server that may go and does not begin within this loses its turn, s.
-    #[serde(default = "begin")]
+    /// A server that was granted its maintenance and does not begin within this loses the grant, s.
+    #[serde(default = "default_begin_within")]
     #[garde(range(min = 1, max = 3_600))]
     pub begin_within_s: u64,
-    /// A server that came back has to bear its load for so long before its place is free, s.
-    #[serde(default = "warm")]
+    /// A server that is back must carry its load for this long before the next one may go, s.
+    #[serde(default = "default_warm_for")]
     #[garde(range(min = 0, max = 3_600))]
     pub warm_for_s: u64,
-    /// The send share from which on it does.
-    #[serde(default = "share")]
+    /// Send share from which a server counts as carrying its load.
+    #[serde(default = "default_warm_share")]
     #[garde(range(min = 0.0, max = 1.0))]
     pub warm_share: f32,
-    /// Work on behalf of the fleet that one server does at a time. Off where absent.
+    /// Periodic work that one server does at a time. Off if absent.
     #[garde(dive)]
     pub duties: Option<Duties>,
 }
 
-/// One who votes.
+/// A voting member.
 #[derive(Clone, Debug, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 #[garde(allow_unvalidated)]
@@ -68,70 +73,70 @@
     /// The server's name, as in its configuration.
     #[garde(length(bytes, min = 1, max = 64))]
     pub name: String,
+    /// Where the other members reach it.
     pub address: SocketAddr,
 }
 
-/// So many servers, or such a share of them.
+/// A number or a share of servers.
 #[derive(Clone, Copy, Debug, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, rename_all = "lowercase")]
 pub enum Amount {
-    /// Servers, at least 1.
+    /// Number of servers, at least 1.
     Count(#[garde(range(min = 1, max = 10_000))] u32),
-    /// Of all there are, above 0 to 1; rounded down, but never to none.
+    /// Share of all servers, above 0 to 1; rounded down, but at least one server.
     Share(#[garde(range(min = 0.001, max = 1.0))] f64),
 }
 
-fn one() -> Amount {
+fn default_out() -> Amount {
     Amount::Count(1)
 }
 
-fn begin() -> u64 {
+fn default_begin_within() -> u64 {
     30
 }
 
-fn warm() -> u64 {
+fn default_warm_for() -> u64 {
     10
 }
 
-fn share() -> f32 {
+fn default_warm_share() -> f32 {
     0.9
 }
 
 impl Fleet {
-    /// What is wrong with it for the server of that name: a line for each fault, with its key.
-    pub fn faults(&self, server: &str) -> Vec<String> {
+    /// Contradictions between the options, on the server of this name.
+    pub fn faults(&self, server: &str) -> Vec<OptionFault> {
         let mut faults = Vec::new();
-        if !matches!(self.voters.len(), 3 | 5) {
-            faults.push(format!("fleet.voters: 3 or 5 are needed, {} are named", self.voters.len()));
+        let mut fault = |key: &str, problem: String| faults.push(OptionFault::new(key, problem));
+        if !VOTER_COUNTS.contains(&self.voters.len()) {
+            fault("fleet.voters", format!("3 or 5 are needed, {} are named", self.voters.len()));
         }
         let names: BTreeSet<&str> = self.voters.iter().map(|voter| voter.name.as_str()).collect();
         let addresses: BTreeSet<SocketAddr> = self.voters.iter().map(|voter| voter.address).collect();
         if names.len() < self.voters.len() || addresses.len() < self.voters.len() {
-            faults.push("fleet.voters: each name and each address once".into());
+            fault("fleet.voters", "each name and each address once".into());
         }
-        if server.len() > 64 {
-            faults.push("name: a member's name has at most 64 bytes".into());
+        if server.len() > MAX_NAME_BYTES {
+            fault("name", format!("a member's name has at most {MAX_NAME_BYTES} bytes"));
         }
         let own = self.voters.iter().find(|voter| voter.name == server);
-        if own.is_some_and(|voter| voter.address != self.reached_at()) {
-            faults.push(format!(
-                "fleet.voters: {server} is this server, and is reached at {}",
-                self.reached_at()
-            ));
+        let address = self.advertised_address();
+        if own.is_some_and(|voter| voter.address != address) {
+            fault("fleet.voters", format!("{server} is this server, and is reached at {address}"));
         }
-        if self.reached_at().ip().is_unspecified() {
-            faults.push("fleet.advertise: needed where listen names no single address".into());
+        if address.ip().is_unspecified() {
+            fault("fleet.advertise", "needed where listen names no single address".into());
         }
         faults.extend(self.duties.iter().flat_map(Duties::faults));
         faults
     }
 
-    /// Where the others reach this server.
-    pub fn reached_at(&self) -> SocketAddr {
+    /// Where the other members reach this server.
+    pub fn advertised_address(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.listen)
     }
 
-    /// The operators' socket.
+    /// Path of the operators' socket.
     pub fn socket(&self) -> PathBuf {
         self.state.with_extension("sock")
     }
--- a/crates/loomflow-settings/src/fleet/tests.rs
+++ b/crates/loomflow-settings/src/fleet/tests.rs
@@ -11,31 +11,31 @@
     - {name: n3, address: 127.0.0.1:7403}
 ";
 
-/// Each text cannot be read, and the error names that part of it.
-pub(crate) fn are_refused(cases: &[(String, &str)]) {
+/// Checks that each text is rejected by the parser with an error that contains `key`.
+pub(crate) fn assert_parse_errors(cases: &[(String, &str)]) {
     for (text, key) in cases {
-        let error = Options::parse(text).unwrap_err();
+        let error = Options::parse(text).unwrap_err().to_string();
         assert!(error.contains(key), "{key}: {error}");
     }
 }
 
-/// Each text can be read, and one of its faults names that part of it.
-pub(crate) fn are_faults(cases: &[(String, &str)]) {
+/// Checks that each text parses and has a fault that contains `part`.
+pub(crate) fn assert_faults(cases: &[(String, &str)]) {
     for (text, part) in cases {
         let faults = Options::parse(text).unwrap().fleet.unwrap().faults("n1");
-        assert!(faults.iter().any(|fault| fault.contains(part)), "{part}: {faults:?}");
+        assert!(faults.iter().any(|fault| fault.to_string().contains(part)), "{part}: {faults:?}");
     }
 }
 
 #[test]
-fn a_fleet_needs_no_more_than_its_members() {
+fn the_minimal_options_of_a_fleet_are_valid() {
     let fleet = Options::parse(GOOD).unwrap().fleet.unwrap();
     assert!(fleet.faults("n1").is_empty() && fleet.faults("n9").is_empty());
     assert_eq!(fleet.socket().to_str(), Some("n1.sock"));
 }
 
 #[test]
-fn each_fault_names_its_key() {
+fn errors_and_faults_name_the_key() {
     let parsed = [
         (GOOD.replace("name: riga", "name: ''"), "fleet.name"),
         (GOOD.replace("state: n1", "state: n1\n  out: {share: 2}"), "out"),
@@ -44,12 +44,12 @@
         (GOOD.replace("  listen: 127.0.0.1:7401\n", ""), "listen"),
         (GOOD.replace("listen:", "listens:"), "listens"),
     ];
-    are_refused(&parsed);
+    assert_parse_errors(&parsed);
     let checked = [
         (GOOD.replace("    - {name: n3, address: 127.0.0.1:7403}\n", ""), "3 or 5"),
         (GOOD.replace("name: n3", "name: n2"), "each name"),
         (GOOD.replace("listen: 127.0.0.1:7401", "listen: 127.0.0.1:7409"), "is this server"),
         (GOOD.replace("listen: 127.0.0.1:7401", "listen: 0.0.0.0:7401"), "fleet.advertise"),
     ];
-    are_faults(&checked);
+    assert_faults(&checked);
 }
--- a/crates/loomflow-settings/src/guard.rs
+++ b/crates/loomflow-settings/src/guard.rs
@@ -1,6 +1,6 @@
-//! What a new configuration may change in a server that serves: each difference counts at once, or from the next start
-//! on, or is turned down because it would break a rule. Decided here, without I/O; a configuration is taken whole or not
-//! at all. What has not changed is never faulted: the server lives with it already.
+//! Validation of a configuration reload. Each difference takes effect immediately or at the next start, or is rejected
+//! because it violates a rule. A configuration is accepted as a whole or not at all. Unchanged values are never rejected:
+//! the server already runs with them.
 
 use loomflow::interface::{Class, Idempotency};
 use serde_json::Value;
@@ -12,28 +12,36 @@
 #[cfg(test)]
 mod tests;
 
-/// When a difference counts.
+/// When a changed value takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakesEffect {
+    /// With the reload.
     Immediately,
+    /// At the next start of the server.
     AtNextStart,
 }
 
 /// A key that differs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// Its path; members of lists go by their `Name`.
+    /// Its path; members of lists are named by their `Name`.
     pub key: String,
+    /// Value in the current configuration.
     pub old: Value,
+    /// Value in the new configuration.
     pub new: Value,
+    /// When the new value takes effect.
     pub takes_effect: TakesEffect,
 }
 
-/// A value that would break a rule.
+/// A value that violates a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RuleViolation {
+    /// Path of the key.
     pub key: String,
+    /// The value that is rejected.
     pub value: String,
+    /// The rule, as a reason.
     pub rule: &'static str,
 }
 
@@ -43,73 +51,91 @@
     }
 }
 
-/// Two configurations, and whether a class of the old one has requests that are open or remembered.
+/// A reload to be checked.
 pub struct ReloadCheck<'a> {
+    /// The configuration in use.
     pub current: &'a Config,
+    /// The configuration to be loaded.
     pub new: &'a Config,
+    /// Whether a class of the current configuration, by index, has open or remembered requests.
     pub is_class_in_use: &'a dyn Fn(usize) -> bool,
 }
 
-/// Keys of a class, of a tenant and of the rules that count at once.
-const LIVE_CLASS: [&str; 6] = ["OnTime", "AimStretch", "HardLimit", "Points", "LateShare", "Window"];
-const LIVE_TENANT: [&str; 1] = ["QuotaPerS"];
-const LIVE_KEYS: [&str; 4] = ["engine", "control", "ledger", "settings.Rules.DrainGrace"];
+/// Keys of a class that take effect immediately.
+const RELOADABLE_CLASS_KEYS: [&str; 6] =
+    ["OnTime", "AimStretch", "HardLimit", "Points", "LateShare", "Window"];
+/// Keys of a tenant that take effect immediately.
+const RELOADABLE_TENANT_KEYS: [&str; 1] = ["QuotaPerS"];
+/// Other keys that take effect immediately.
+const RELOADABLE_KEYS: [&str; 4] = ["engine", "control", "ledger", "settings.Rules.DrainGrace"];
 
 type Rule = fn(&ReloadCheck) -> Vec<RuleViolation>;
 
-/// Every rule; each has a test of its name.
+/// All rules; the tests name each of them.
 const RULES: [Rule; 9] = [
     is_for_this_server,
-    keeps_a_class,
-    keeps_a_tenant,
-    keeps_classes_in_use,
-    keeps_idempotency,
-    keeps_idempotency_windows,
+    retains_a_class,
+    retains_a_tenant,
+    retains_classes_in_use,
+    retains_idempotency,
+    retains_idempotency_windows,
     objectives_are_within_timeouts,
     quotas_have_a_sum,
-    grace_ends_before_kill,
+    drain_grace_ends_before_kill,
 ];
 
-/// What differs, and when each difference counts. Errors: what would break a rule, all of it.
-pub fn check_reload(pair: &ReloadCheck) -> Result<Vec<Change>, Vec<RuleViolation>> {
-    let faults: Vec<RuleViolation> = RULES.iter().flat_map(|rule| rule(pair)).collect();
-    if !faults.is_empty() {
-        return Err(faults);
+/// The differences between the configurations.
+///
+/// # Errors
+///
+/// All rule violations.
+pub fn check_reload(check: &ReloadCheck) -> Result<Vec<Change>, Vec<RuleViolation>> {
+    let violations: Vec<RuleViolation> = RULES.iter().flat_map(|rule| rule(check)).collect();
+    if !violations.is_empty() {
+        return Err(violations);
     }
-    let differences = compare(pair.current.document(), pair.new.document());
+    let differences = compare(check.current.document(), check.new.document());
     Ok(differences.into_iter().map(Change::from).collect())
 }
 
 impl From<Difference> for Change {
     fn from(Difference { key, old, new }: Difference) -> Change {
-        let when = takes_effect(&key, &old);
-        Change { key, old, new, takes_effect: when }
+        let takes_effect = takes_effect(&key, &old);
+        Change { key, old, new, takes_effect }
     }
 }
 
 fn takes_effect(path: &str, old: &Value) -> TakesEffect {
     let member = |list: &str| path.strip_prefix(list)?.strip_prefix('[')?.split_once(']');
-    let live = match (member("settings.Classes"), member("settings.Orgs")) {
-        (Some((_, key)), _) => key.strip_prefix('.').is_some_and(|key| LIVE_CLASS.contains(&key)),
-        // A tenant that is new, or a figure of one that was there.
+    let is_reloadable = match (member("settings.Classes"), member("settings.Orgs")) {
+        (Some((_, key)), _) => key.strip_prefix('.').is_some_and(|key| RELOADABLE_CLASS_KEYS.contains(&key)),
+        // A new tenant, or a value of an existing one.
         (_, Some((_, ""))) => old.is_null(),
-        (_, Some((_, key))) => key.strip_prefix('.').is_some_and(|key| LIVE_TENANT.contains(&key)),
-        _ => LIVE_KEYS.contains(&path),
+        (_, Some((_, key))) => key.strip_prefix('.').is_some_and(|key| RELOADABLE_TENANT_KEYS.contains(&key)),
+        _ => RELOADABLE_KEYS.contains(&path),
     };
-    if live { TakesEffect::Immediately } else { TakesEffect::AtNextStart }
+    if is_reloadable { TakesEffect::Immediately } else { TakesEffect::AtNextStart }
 }
 
 // ---- Rules ----
 
-/// Classes of both, by name: the name, the old one's place, and both.
-fn classes<'a>(
-    pair: &'a ReloadCheck,
-) -> impl Iterator<Item = (&'a str, usize, &'a Class, Option<&'a Class>)> {
-    let (old, new) = (&pair.current.site, &pair.new.site);
+/// A class of the current configuration and its counterpart of the same name.
+struct ClassPair<'a> {
+    name: &'a str,
+    /// Index in the current configuration.
+    index: usize,
+    current: &'a Class,
+    new: Option<&'a Class>,
+}
+
+fn class_pairs<'a>(check: &'a ReloadCheck) -> impl Iterator<Item = ClassPair<'a>> {
+    let (current, new) = (&check.current.site, &check.new.site);
     let new_names = Lookup::new(&new.classes[..]);
-    old.classes.iter().enumerate().map(move |(at, name)| {
-        let after = new_names.find(name).map(|at| &new.settings.classes[at]);
-        (name.as_str(), at, &old.settings.classes[at], after)
+    current.classes.iter().enumerate().map(move |(index, name)| ClassPair {
+        name,
+        index,
+        current: &current.settings.classes[index],
+        new: new_names.find(name).map(|index| &new.settings.classes[index]),
     })
 }
 
@@ -121,36 +147,36 @@
     }
 }
 
-/// Its addresses would lead this server's requests to somebody else's engine, and its reports into another's name. No two
-/// servers listen at one address, whatever their names.
-fn is_for_this_server(pair: &ReloadCheck) -> Vec<RuleViolation> {
-    let (old, new) = (pair.current, pair.new);
+/// The configuration of another server would send requests to that server's engine and reports under its name. Two servers
+/// of one network never listen on the same address, whatever their names.
+fn is_for_this_server(check: &ReloadCheck) -> Vec<RuleViolation> {
+    let (current, new) = (check.current, check.new);
     let rule = "it is the configuration of another server";
-    let fault = |key: &str, value: String| RuleViolation { key: key.into(), value, rule };
-    let mut faults = Vec::new();
-    if old.name != new.name {
-        faults.push(fault("name", new.name.clone()));
+    let violation = |key: &str, value: String| RuleViolation { key: key.into(), value, rule };
+    let mut violations = Vec::new();
+    if current.name != new.name {
+        violations.push(violation("name", new.name.clone()));
     }
-    if old.listen != new.listen {
-        faults.push(fault("listen", new.listen.to_string()));
+    if current.listen != new.listen {
+        violations.push(violation("listen", new.listen.to_string()));
     }
-    faults
+    violations
 }
 
-/// Servers of different customers may bear the same name, and where each has a network to itself the same address.
-fn keeps_a_class(pair: &ReloadCheck) -> Vec<RuleViolation> {
+/// Servers of different sites may have the same name, and in separate networks even the same address.
+fn retains_a_class(check: &ReloadCheck) -> Vec<RuleViolation> {
     let rule = "no class is left of those that this server serves: it is the configuration of another site";
-    keeps_one_name("settings.Classes", &pair.current.site.classes, &pair.new.site.classes, rule)
+    retains_one_name("settings.Classes", &check.current.site.classes, &check.new.site.classes, rule)
 }
 
-/// They may even name their classes alike.
-fn keeps_a_tenant(pair: &ReloadCheck) -> Vec<RuleViolation> {
+/// Different sites may even use the same class names.
+fn retains_a_tenant(check: &ReloadCheck) -> Vec<RuleViolation> {
     let rule = "no tenant is left of those that this server serves: it is the configuration of another site";
-    keeps_one_name("settings.Orgs", &pair.current.site.tenants, &pair.new.site.tenants, rule)
+    retains_one_name("settings.Orgs", &check.current.site.tenants, &check.new.site.tenants, rule)
 }
 
-/// A fault where there were some, and none of them is among the new ones.
-fn keeps_one_name(key: &str, old: &[String], new: &[String], rule: &'static str) -> Vec<RuleViolation> {
+/// A violation if there were names and none of them is retained.
+fn retains_one_name(key: &str, old: &[String], new: &[String], rule: &'static str) -> Vec<RuleViolation> {
     let new_names = Lookup::new(new);
     if old.is_empty() || old.iter().any(|name| new_names.find(name).is_some()) {
         return Vec::new();
@@ -158,38 +184,39 @@
     vec![RuleViolation { key: key.into(), value: new.join(", "), rule }]
 }
 
-fn keeps_classes_in_use(pair: &ReloadCheck) -> Vec<RuleViolation> {
-    let gone = classes(pair).filter(|(_, at, _, after)| after.is_none() && (pair.is_class_in_use)(*at));
+fn retains_classes_in_use(check: &ReloadCheck) -> Vec<RuleViolation> {
     let rule = "it has requests that are open or remembered";
-    gone.map(|(name, ..)| RuleViolation { key: class_key(name, ""), value: "removing it".into(), rule })
+    class_pairs(check)
+        .filter(|pair| pair.new.is_none() && (check.is_class_in_use)(pair.index))
+        .map(|pair| RuleViolation { key: class_key(pair.name, ""), value: "removing it".into(), rule })
         .collect()
 }
 
-/// A fault for each class of both in which a key `breaks` the rule.
+/// A violation for each class of both configurations that `is_violated` holds for.
 fn class_violations(
-    pair: &ReloadCheck,
+    check: &ReloadCheck,
     key: &str,
     rule: &'static str,
-    breaks: impl Fn(&Class, &Class) -> bool,
+    is_violated: impl Fn(&Class, &Class) -> bool,
     value: impl Fn(&Class) -> String,
 ) -> Vec<RuleViolation> {
-    let both = classes(pair).filter_map(|(name, _, old, new)| Some((name, old, new?)));
-    let broken = both.filter(|(_, old, new)| breaks(old, new));
-    broken
+    class_pairs(check)
+        .filter_map(|pair| Some((pair.name, pair.current, pair.new?)))
+        .filter(|(_, current, new)| is_violated(current, new))
         .map(|(name, _, new)| RuleViolation { key: class_key(name, key), value: value(new), rule })
         .collect()
 }
 
-fn keeps_idempotency(pair: &ReloadCheck) -> Vec<RuleViolation> {
-    let breaks = |old: &Class, new: &Class| {
-        old.idempotency != Idempotency::Always && new.idempotency != old.idempotency
+fn retains_idempotency(check: &ReloadCheck) -> Vec<RuleViolation> {
+    let is_violated = |current: &Class, new: &Class| {
+        current.idempotency != Idempotency::Always && new.idempotency != current.idempotency
     };
-    let value = |new: &Class| effect_word(new.idempotency).to_owned();
-    class_violations(pair, "Effect", "what has run could be run again", breaks, value)
+    let value = |new: &Class| effect_name(new.idempotency).to_owned();
+    class_violations(check, "Effect", "what has run could be run again", is_violated, value)
 }
 
 /// The value of `Effect` in the settings.
-fn effect_word(idempotency: Idempotency) -> &'static str {
+fn effect_name(idempotency: Idempotency) -> &'static str {
     match idempotency {
         Idempotency::Always => "safe",
         Idempotency::ByKey => "keyed",
@@ -197,37 +224,38 @@
     }
 }
 
-fn keeps_idempotency_windows(pair: &ReloadCheck) -> Vec<RuleViolation> {
-    let breaks = |old: &Class, new: &Class| {
-        old.idempotency == Idempotency::ByKey && new.idempotency_window < old.idempotency_window
+fn retains_idempotency_windows(check: &ReloadCheck) -> Vec<RuleViolation> {
+    let is_violated = |current: &Class, new: &Class| {
+        current.idempotency == Idempotency::ByKey && new.idempotency_window < current.idempotency_window
     };
     let rule = "a repeat of what has run is promised its answer for longer";
-    class_violations(pair, "Window", rule, breaks, |new| new.idempotency_window.to_string())
+    class_violations(check, "Window", rule, is_violated, |new| new.idempotency_window.to_string())
 }
 
-fn objectives_are_within_timeouts(pair: &ReloadCheck) -> Vec<RuleViolation> {
-    let breaks = |old: &Class, new: &Class| {
-        (old.latency_objective, old.timeout) != (new.latency_objective, new.timeout)
+fn objectives_are_within_timeouts(check: &ReloadCheck) -> Vec<RuleViolation> {
+    let is_violated = |current: &Class, new: &Class| {
+        (current.latency_objective, current.timeout) != (new.latency_objective, new.timeout)
             && new.latency_objective > new.timeout
     };
     let rule = "an answer would be in time after its caller has left (HardLimit)";
-    class_violations(pair, "OnTime", rule, breaks, |new| new.latency_objective.to_string())
+    class_violations(check, "OnTime", rule, is_violated, |new| new.latency_objective.to_string())
 }
 
-fn quotas_have_a_sum(pair: &ReloadCheck) -> Vec<RuleViolation> {
-    let sum = |config: &Config| config.site.settings.tenants.iter().map(|t| t.quota_per_s).sum::<f64>();
-    let (old, new) = (sum(pair.current), sum(pair.new));
-    let tenants = !pair.new.site.tenants.is_empty();
-    if old == new || !tenants || (new.is_finite() && new > 0.0) {
+fn quotas_have_a_sum(check: &ReloadCheck) -> Vec<RuleViolation> {
+    let sum =
+        |config: &Config| config.site.settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum::<f64>();
+    let (current, new) = (sum(check.current), sum(check.new));
+    let has_tenants = !check.new.site.tenants.is_empty();
+    if current == new || !has_tenants || (new.is_finite() && new > 0.0) {
         return Vec::new();
     }
     let rule = "the quotas of all tenants leave nothing within a share, or have no sum";
     vec![RuleViolation { key: "settings.Orgs".into(), value: format!("a sum of {new}"), rule }]
 }
 
-fn grace_ends_before_kill(pair: &ReloadCheck) -> Vec<RuleViolation> {
-    let (old, new) = (pair.current.site.settings.drain_grace, pair.new.site.settings.drain_grace);
-    if old == new || new < pair.current.stop_ms {
+fn drain_grace_ends_before_kill(check: &ReloadCheck) -> Vec<RuleViolation> {
+    let (current, new) = (check.current.site.settings.drain_grace, check.new.site.settings.drain_grace);
+    if current == new || new < check.current.stop_ms {
         return Vec::new();
     }
     let rule = "the server is killed before (stop_ms)";
--- a/crates/loomflow-settings/src/guard/tests.rs
+++ b/crates/loomflow-settings/src/guard/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use serde_json::json;
 
-fn raw() -> Value {
+fn base_config() -> Value {
     json!({"name": "n", "listen": "127.0.0.1:1", "engine": "127.0.0.1:2", "seed": "1", "stop_ms": 3000,
         "settings": {
             "Classes": [
@@ -13,21 +13,21 @@
 }
 
 fn changed(change: impl FnOnce(&mut Value)) -> Result<Vec<Change>, Vec<RuleViolation>> {
-    let mut new = raw();
+    let mut new = base_config();
     change(&mut new);
-    let (old, new) = (raw().to_string(), new.to_string());
+    let (old, new) = (base_config().to_string(), new.to_string());
     let (old, new) = (Config::parse(&old).unwrap(), Config::parse(&new).unwrap());
     check_reload(&ReloadCheck { current: &old, new: &new, is_class_in_use: &|at| at == 0 })
 }
 
-fn fault(change: impl FnOnce(&mut Value)) -> String {
+fn violation(change: impl FnOnce(&mut Value)) -> String {
     let faults = changed(change).expect_err("it is turned down");
     assert_eq!(faults.len(), 1, "{faults:?}");
     faults[0].to_string()
 }
 
 #[test]
-fn each_difference_is_named_with_when_it_counts() {
+fn each_difference_is_reported_with_when_it_takes_effect() {
     assert_eq!(changed(|_| {}), Ok(Vec::new()));
     let changes = changed(|new| {
         new["engine"] = json!("127.0.0.1:9");
@@ -56,19 +56,19 @@
 }
 
 #[test]
-fn the_file_is_of_this_server() {
-    let text = fault(|new| new["name"] = json!("m"));
+fn the_file_must_be_for_this_server() {
+    let text = violation(|new| new["name"] = json!("m"));
     assert!(text.starts_with("name: m ") && text.contains("another server"), "{text}");
-    let text = fault(|new| new["listen"] = json!("127.0.0.1:7"));
+    let text = violation(|new| new["listen"] = json!("127.0.0.1:7"));
     assert!(text.starts_with("listen: 127.0.0.1:7 ") && text.contains("another server"), "{text}");
 }
 
 #[test]
-fn some_class_of_the_site_stays() {
-    let mut new = raw();
+fn at_least_one_class_must_be_retained() {
+    let mut new = base_config();
     new["settings"]["Classes"] =
         json!([{"Name": "scan", "Effect": "safe", "HardLimit": 900, "OnTime": 300, "Points": 1}]);
-    let (old, new) = (raw().to_string(), new.to_string());
+    let (old, new) = (base_config().to_string(), new.to_string());
     let (old, new) = (Config::parse(&old).unwrap(), Config::parse(&new).unwrap());
     let faults = check_reload(&ReloadCheck { current: &old, new: &new, is_class_in_use: &|_| false })
         .expect_err("it is turned down");
@@ -78,8 +78,8 @@
 }
 
 #[test]
-fn some_tenant_of_the_site_stays() {
-    let text = fault(|new| new["settings"]["Orgs"] = json!([{"Name": "stranger", "QuotaPerS": 10}]));
+fn at_least_one_tenant_must_be_retained() {
+    let text = violation(|new| new["settings"]["Orgs"] = json!([{"Name": "stranger", "QuotaPerS": 10}]));
     assert!(text.starts_with("settings.Orgs: stranger ") && text.contains("another site"), "{text}");
     // One that stays is enough, and where there was none there is nobody to miss.
     let both = json!([{"Name": "stranger", "QuotaPerS": 10}, {"Name": "acme", "QuotaPerS": 10}]);
@@ -87,51 +87,51 @@
 }
 
 #[test]
-fn a_class_in_use_stays() {
-    let text = fault(|new| drop(new["settings"]["Classes"].as_array_mut().unwrap().remove(0)));
+fn a_class_in_use_must_be_retained() {
+    let text = violation(|new| drop(new["settings"]["Classes"].as_array_mut().unwrap().remove(0)));
     assert!(text.contains("settings.Classes[book]") && text.contains("open or remembered"), "{text}");
     let unused = changed(|new| drop(new["settings"]["Classes"].as_array_mut().unwrap().remove(1)));
     assert_eq!(unused.unwrap()[0].takes_effect, TakesEffect::AtNextStart);
 }
 
 #[test]
-fn what_has_an_effect_stays_so() {
+fn a_class_with_an_effect_must_keep_its_idempotency() {
     for effect in ["safe", "unsafe"] {
-        let text = fault(|new| new["settings"]["Classes"][0]["Effect"] = json!(effect));
+        let text = violation(|new| new["settings"]["Classes"][0]["Effect"] = json!(effect));
         assert!(text.contains("[book].Effect") && text.contains(effect), "{text}");
     }
     assert!(changed(|new| new["settings"]["Classes"][1]["Effect"] = json!("keyed")).is_ok());
 }
 
 #[test]
-fn a_promised_window_is_not_shortened() {
-    let text = fault(|new| new["settings"]["Classes"][0]["Window"] = json!(4999));
+fn an_idempotency_window_must_not_shrink() {
+    let text = violation(|new| new["settings"]["Classes"][0]["Window"] = json!(4999));
     assert!(text.contains("[book].Window: 4999"), "{text}");
     assert!(changed(|new| new["settings"]["Classes"][0]["Window"] = json!(6000)).is_ok());
 }
 
 #[test]
-fn an_aim_lies_within_the_whole_time() {
-    let text = fault(|new| new["settings"]["Classes"][1]["OnTime"] = json!(901));
+fn an_objective_must_be_within_the_timeout() {
+    let text = violation(|new| new["settings"]["Classes"][1]["OnTime"] = json!(901));
     assert!(text.contains("[read].OnTime: 901"), "{text}");
-    let text = fault(|new| new["settings"]["Classes"][1]["HardLimit"] = json!(299));
+    let text = violation(|new| new["settings"]["Classes"][1]["HardLimit"] = json!(299));
     assert!(text.contains("[read].OnTime: 300"), "{text}");
 }
 
 #[test]
-fn quotas_leave_something_for_somebody() {
-    let text = fault(|new| new["settings"]["Orgs"][0]["QuotaPerS"] = json!(0));
+fn quotas_must_have_a_positive_sum() {
+    let text = violation(|new| new["settings"]["Orgs"][0]["QuotaPerS"] = json!(0));
     assert!(text.contains("settings.Orgs: a sum of 0"), "{text}");
 }
 
 #[test]
-fn the_grace_ends_before_the_kill() {
-    let text = fault(|new| new["settings"]["Rules"]["DrainGrace"] = json!(3000));
+fn the_drain_grace_must_end_before_the_kill() {
+    let text = violation(|new| new["settings"]["Rules"]["DrainGrace"] = json!(3000));
     assert!(text.contains("settings.Rules.DrainGrace: 3000"), "{text}");
 }
 
 #[test]
-fn all_faults_are_told_at_once() {
+fn all_violations_are_reported_at_once() {
     let faults = changed(|new| {
         new["settings"]["Rules"]["DrainGrace"] = json!(3000);
         new["settings"]["Orgs"][0]["QuotaPerS"] = json!(0);
--- /dev/null
+++ b/crates/loomflow-settings/src/json_object.rs
@@ -0,0 +1,141 @@
+//! Typed access to JSON objects, key by key. Errors carry the full path of the key.
+
+use std::sync::LazyLock;
+
+use serde_json::{Map, Value};
+
+use crate::error::FieldError;
+
+/// Stands for absent objects.
+static EMPTY: LazyLock<Map<String, Value>> = LazyLock::new(Map::new);
+
+/// A JSON object and its path within the document.
+#[derive(Clone, Debug)]
+pub struct JsonObject<'a> {
+    path: String,
+    map: &'a Map<String, Value>,
+}
+
+impl<'a> JsonObject<'a> {
+    /// Wraps an object; an empty `path` stands for the root of the document.
+    ///
+    /// # Errors
+    ///
+    /// `value` is not an object.
+    pub fn new(path: &str, value: &'a Value) -> Result<JsonObject<'a>, FieldError> {
+        let map = value.as_object().ok_or_else(|| FieldError::new(path, "not an object"))?;
+        Ok(JsonObject { path: path.to_owned(), map })
+    }
+
+    /// The full path of a key of this object.
+    pub fn path_of(&self, key: &str) -> String {
+        if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) }
+    }
+
+    /// An error about a key of this object.
+    pub fn error<T>(&self, key: &str, problem: &str) -> Result<T, FieldError> {
+        Err(FieldError::new(self.path_of(key), problem))
+    }
+
+    /// The value of a key; null counts as absent.
+    pub fn get(&self, key: &str) -> Option<&'a Value> {
+        self.map.get(key).filter(|value| !value.is_null())
+    }
+
+    fn typed<T>(
+        &self,
+        key: &str,
+        problem: &str,
+        convert: impl Fn(&'a Value) -> Option<T>,
+    ) -> Result<Option<T>, FieldError> {
+        match self.get(key) {
+            None => Ok(None),
+            Some(value) => convert(value).map_or_else(|| self.error(key, problem), |value| Ok(Some(value))),
+        }
+    }
+
+    fn required<T>(&self, key: &str, value: Option<T>) -> Result<T, FieldError> {
+        value.map_or_else(|| self.error(key, "missing"), Ok)
+    }
+
+    /// A number; 0 if absent.
+    pub fn number(&self, key: &str) -> Result<f64, FieldError> {
+        Ok(self.typed(key, "not a number", Value::as_f64)?.unwrap_or(0.0))
+    }
+
+    /// A number that must be present.
+    pub fn required_number(&self, key: &str) -> Result<f64, FieldError> {
+        self.required(key, self.typed(key, "not a number", Value::as_f64)?)
+    }
+
+    /// A number that must be present and above 0.
+    pub fn positive(&self, key: &str) -> Result<f64, FieldError> {
+        let value = self.required_number(key)?;
+        if value > 0.0 { Ok(value) } else { self.error(key, "not above 0") }
+    }
+
+    /// A number that must not be below 0; 0 if absent.
+    pub fn non_negative(&self, key: &str) -> Result<f64, FieldError> {
+        let value = self.number(key)?;
+        if value >= 0.0 { Ok(value) } else { self.error(key, "below 0") }
+    }
+
+    /// An unsigned integer that must be present.
+    pub fn integer(&self, key: &str) -> Result<u64, FieldError> {
+        self.required(key, self.typed(key, "not a whole number", Value::as_u64)?)
+    }
+
+    /// An unsigned integer with a default.
+    pub fn integer_or(&self, key: &str, default: u64) -> Result<u64, FieldError> {
+        Ok(self.typed(key, "not a whole number", Value::as_u64)?.unwrap_or(default))
+    }
+
+    /// A boolean; false if absent.
+    pub fn boolean(&self, key: &str) -> Result<bool, FieldError> {
+        Ok(self.typed(key, "not true or false", Value::as_bool)?.unwrap_or(false))
+    }
+
+    /// A string; empty if absent.
+    pub fn text(&self, key: &str) -> Result<&'a str, FieldError> {
+        Ok(self.typed(key, "not a text", Value::as_str)?.unwrap_or(""))
+    }
+
+    /// A string that must be present and not empty.
+    pub fn required_text(&self, key: &str) -> Result<&'a str, FieldError> {
+        self.required(key, self.typed(key, "not a text", Value::as_str)?.filter(|text| !text.is_empty()))
+    }
+
+    /// An object that must be present.
+    pub fn child(&self, key: &str) -> Result<JsonObject<'a>, FieldError> {
+        let value = self.required(key, self.get(key))?;
+        JsonObject::new(&self.path_of(key), value)
+    }
+
+    /// An object; one without keys if absent.
+    pub fn child_or_empty(&self, key: &str) -> Result<JsonObject<'a>, FieldError> {
+        match self.get(key) {
+            Some(value) => JsonObject::new(&self.path_of(key), value),
+            None => Ok(JsonObject { path: self.path_of(key), map: &EMPTY }),
+        }
+    }
+
+    /// An array; empty if absent.
+    pub fn list(&self, key: &str) -> Result<&'a [Value], FieldError> {
+        let as_slice = |value: &'a Value| value.as_array().map(Vec::as_slice);
+        Ok(self.typed(key, "not an array", as_slice)?.unwrap_or(&[]))
+    }
+
+    /// An array of objects; errors name them by index.
+    pub fn children(&self, key: &str) -> Result<Vec<JsonObject<'a>>, FieldError> {
+        let path = self.path_of(key);
+        let members = self.list(key)?.iter().enumerate();
+        members.map(|(index, value)| JsonObject::new(&format!("{path}[{index}]"), value)).collect()
+    }
+
+    /// An array of strings; empty if absent.
+    pub fn texts(&self, key: &str) -> Result<Vec<String>, FieldError> {
+        let to_string = |value: &Value| value.as_str().map(str::to_owned);
+        let strings = self.list(key)?.iter().map(to_string).collect::<Option<Vec<_>>>();
+        strings.map_or_else(|| self.error(key, "not all texts"), Ok)
+    }
+}
--- a/crates/loomflow-settings/src/lib.rs
+++ b/crates/loomflow-settings/src/lib.rs
@@ -1,5 +1,9 @@
-//! The one place where configuration and settings are read, checked and given defaults, for both fronts.
+//! Configuration, settings and options: reading, validation and defaults, for the server and the adapter.
 
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
+
+pub mod amqp;
 pub mod campaign;
 mod compare;
 pub mod config;
@@ -8,14 +12,14 @@
 pub mod error;
 pub mod fleet;
 pub mod guard;
+mod json_object;
 mod lookup;
 pub mod options;
-pub mod read;
 pub mod site;
 pub mod tenants;
 
 pub use config::Config;
-pub use error::ConfigError;
+pub use error::{ConfigError, FieldError};
+pub use json_object::JsonObject;
 pub use options::Options;
-pub use read::{Node, Read};
 pub use site::Site;
--- a/crates/loomflow-settings/src/options/tests.rs
+++ b/crates/loomflow-settings/src/options/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
-use crate::read::Node;
+use crate::amqp::Credentials;
+use crate::json_object::JsonObject;
 
 const GOOD: &str = "
 amqp:
@@ -16,11 +17,11 @@
             "Orgs": [{"Name": "acme", "QuotaPerS": 1}],
             "Domain": {"Cpus": 2, "HeapKb": 100, "RunMemFactor": 8}, "Rules": {"FallMultiple": 5}}"#;
     let value = serde_json::from_str(text).unwrap();
-    Site::read(&Node::new("", &value).unwrap()).unwrap()
+    Site::parse(&JsonObject::new("", &value).unwrap()).unwrap()
 }
 
 #[test]
-fn nothing_is_on_where_nothing_is_said() {
+fn everything_is_off_by_default() {
     for text in ["", "\n", "{}", "log: {}"] {
         assert!(Options::parse(text).unwrap().amqp.is_none());
     }
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn each_fault_names_its_line_and_key() {
+fn errors_name_line_and_key() {
     let cases = [
         (GOOD.replace("vhost", "x").replace("name:", "nam:"), "line 6", "nam"),
         (GOOD.replace("  queues", "  rounds: -1\n  queues"), "line 5", "u32"),
@@ -40,26 +41,26 @@
         (GOOD.replace("tenant: acme", "tenant: acme\n      rank: 1"), "line 9", "rank"),
     ];
     for (text, line, key) in cases {
-        let error = Options::parse(&text).unwrap_err();
+        let error = Options::parse(&text).unwrap_err().to_string();
         assert!(error.contains(line) && error.contains(key), "{error}");
     }
 }
 
 #[test]
-fn names_are_those_of_the_settings() {
+fn names_must_be_those_of_the_settings() {
     let cases = [
         (GOOD.replace("book", "bok"), "line 7 column 14: amqp.queues[0].class"),
         (GOOD.replace("      tenant: acme\n", ""), "amqp.queues[0].tenant: missing"),
         (GOOD.replace("class: book", "class: book\n      class_header: x"), "exclude"),
     ];
     for (text, part) in cases {
-        let error = Options::parse(&text).unwrap().check(&site(), "n1").unwrap_err();
+        let error = Options::parse(&text).unwrap().check(&site(), "n1").unwrap_err().to_string();
         assert!(error.contains(part), "{error}");
     }
 }
 
 #[test]
-fn what_is_published_under_deploy_is_current() {
+fn the_example_and_the_published_schema_are_current() {
     let deploy = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/");
     let example = Options::load(Path::new(&format!("{deploy}amqp.example.yaml"))).unwrap();
     assert_eq!(example.check(&site(), "n1"), Ok(()));
@@ -68,10 +69,10 @@
 }
 
 #[test]
-fn credentials_are_never_in_a_message() {
+fn credentials_are_never_in_an_error() {
     let path = std::env::temp_dir().join(format!("loomflow-credentials-{}", std::process::id()));
     std::fs::write(&path, "user: me\npassword: [s3cret]\n").unwrap();
-    let error = Credentials::load(&path).err().unwrap();
+    let error = Credentials::load(&path).err().unwrap().to_string();
     let _ = std::fs::remove_file(&path);
     assert!(!error.contains("s3cret"), "{error}");
 }
--- a/crates/loomflow-settings/src/tenants.rs
+++ b/crates/loomflow-settings/src/tenants.rs
@@ -1,6 +1,6 @@
-//! The tenants of a configuration (`settings.Orgs`) in a compact form: names end to end in one text, and a number each.
+//! The tenants of a configuration (`settings.Orgs`) in a compact form: all names in one string, and a number for each.
 //!
-//! A tree of JSON values takes about 750 bytes for a tenant, this list about 35.
+//! A tree of JSON values takes about 750 bytes per tenant, this list about 35.
 
 use std::collections::BTreeMap;
 
@@ -9,8 +9,9 @@
 use serde_json::{Map, Number, Value};
 
 use crate::document::{Shaped, deserialize_shaped};
+use crate::error::FieldError;
+use crate::json_object::JsonObject;
 use crate::lookup::NamedList;
-use crate::read::{Node, Read};
 
 const NAME: &str = "Name";
 const QUOTA: &str = "QuotaPerS";
@@ -21,6 +22,7 @@
     /// No such key, or null.
     #[default]
     Absent,
+    /// An array.
     List(TenantList),
     /// Not an array.
     Invalid(Value),
@@ -29,24 +31,24 @@
 /// Tenants in the order of the file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TenantList {
-    /// All names, one after the other.
+    /// All names, concatenated.
     names: String,
     records: Vec<Record>,
-    /// Members that are more than a name and a quota, or not that, by their place.
+    /// Members that do not consist of just a name and a quota, by index.
     unusual: BTreeMap<usize, Value>,
 }
 
 /// One member of the list.
 #[derive(Clone, Debug, PartialEq)]
 struct Record {
-    /// Where its name ends in `names`; it begins where the one before ends.
+    /// Where its name ends in `names`; it starts where the previous one ends.
     name_end: usize,
-    /// Absent reads as 0.
+    /// Counts as 0 if absent.
     quota: Option<Number>,
 }
 
 impl Tenants {
-    /// Takes the tenants from a tree of values.
+    /// Converts a tree of values.
     pub fn from_value(value: Option<&Value>) -> Tenants {
         match value {
             None | Some(Value::Null) => Tenants::Absent,
@@ -59,27 +61,35 @@
         }
     }
 
-    /// The tenants as the module takes them. Errors name the key, below `path`.
-    pub fn quotas(&self, path: &str) -> Read<Vec<Tenant>> {
+    /// The tenants as the decision module takes them.
+    ///
+    /// # Errors
+    ///
+    /// A quota is invalid; its key is given below `path`.
+    pub fn quotas(&self, path: &str) -> Result<Vec<Tenant>, FieldError> {
         let list = self.list(path)?;
-        let quota = |at| list.quota(at, path).map(|quota_per_s| Tenant { quota_per_s });
-        (0..list.len()).map(quota).collect()
+        let tenant = |index| list.quota(index, path).map(|quota_per_s| Tenant { quota_per_s });
+        (0..list.len()).map(tenant).collect()
     }
 
-    /// The names of the tenants. Errors name the key, below `path`.
-    pub fn names(&self, path: &str) -> Read<Vec<String>> {
+    /// The names of the tenants.
+    ///
+    /// # Errors
+    ///
+    /// A name is invalid; its key is given below `path`.
+    pub fn names(&self, path: &str) -> Result<Vec<String>, FieldError> {
         let list = self.list(path)?;
-        (0..list.len()).map(|at| list.read_name(at, path)).collect()
+        (0..list.len()).map(|index| list.parse_name(index, path)).collect()
     }
 
-    /// The list; absent reads as empty.
-    fn list(&self, path: &str) -> Read<&TenantList> {
+    /// The list; empty if absent.
+    fn list(&self, path: &str) -> Result<&TenantList, FieldError> {
         static EMPTY: TenantList =
             TenantList { names: String::new(), records: Vec::new(), unusual: BTreeMap::new() };
         match self {
             Tenants::Absent => Ok(&EMPTY),
             Tenants::List(list) => Ok(list),
-            Tenants::Invalid(_) => Err(format!("{path}: not an array")),
+            Tenants::Invalid(_) => Err(FieldError::new(path, "not an array")),
         }
     }
 
@@ -87,7 +97,7 @@
     pub fn to_value(&self) -> Value {
         match self {
             Tenants::Absent => Value::Null,
-            Tenants::List(list) => (0..list.len()).map(|at| list.value(at)).collect(),
+            Tenants::List(list) => (0..list.len()).map(|index| list.value(index)).collect(),
             Tenants::Invalid(value) => value.clone(),
         }
     }
@@ -95,11 +105,11 @@
 
 impl TenantList {
     fn push(&mut self, member: Value) {
-        let plain = plain(&member);
-        let is_unusual = plain.is_none();
-        let name = plain.map_or_else(|| member[NAME].as_str().unwrap_or_default(), |(name, _)| name);
+        let name_and_quota = name_and_quota(&member);
+        let is_unusual = name_and_quota.is_none();
+        let name = name_and_quota.map_or_else(|| member[NAME].as_str().unwrap_or_default(), |(name, _)| name);
         self.names.push_str(name);
-        let quota = plain.and_then(|(_, quota)| quota.cloned());
+        let quota = name_and_quota.and_then(|(_, quota)| quota.cloned());
         if is_unusual {
             self.unusual.insert(self.records.len(), member);
         }
@@ -107,44 +117,48 @@
     }
 
     /// One member as a tree of values.
-    pub fn value(&self, at: usize) -> Value {
-        if let Some(value) = self.unusual.get(&at) {
+    pub fn value(&self, index: usize) -> Value {
+        if let Some(value) = self.unusual.get(&index) {
             return value.clone();
         }
         let mut member = Map::new();
-        member.insert(NAME.into(), self.text(at).into());
-        if let Some(quota) = &self.records[at].quota {
+        member.insert(NAME.into(), self.stored_name(index).into());
+        if let Some(quota) = &self.records[index].quota {
             member.insert(QUOTA.into(), Value::Number(quota.clone()));
         }
         Value::Object(member)
     }
 
-    /// Whether two members are the same in all their keys.
-    pub fn same(&self, at: usize, other: &TenantList, other_at: usize) -> bool {
-        self.text(at) == other.text(other_at)
-            && self.records[at].quota == other.records[other_at].quota
-            && self.unusual.get(&at) == other.unusual.get(&other_at)
+    /// Whether a member equals one of another list in all keys.
+    pub fn is_same(&self, index: usize, other: &TenantList, other_index: usize) -> bool {
+        self.stored_name(index) == other.stored_name(other_index)
+            && self.records[index].quota == other.records[other_index].quota
+            && self.unusual.get(&index) == other.unusual.get(&other_index)
     }
 
-    fn quota(&self, at: usize, path: &str) -> Read<f64> {
-        if let Some(value) = self.unusual.get(&at) {
-            return Node::new(&member_path(path, at), value)?.non_negative(QUOTA);
+    fn quota(&self, index: usize, path: &str) -> Result<f64, FieldError> {
+        if let Some(value) = self.unusual.get(&index) {
+            return JsonObject::new(&member_path(path, index), value)?.non_negative(QUOTA);
         }
-        let quota = self.records[at].quota.as_ref().and_then(Number::as_f64).unwrap_or(0.0);
-        if quota >= 0.0 { Ok(quota) } else { Err(format!("{}.{QUOTA}: below 0", member_path(path, at))) }
+        let quota = self.records[index].quota.as_ref().and_then(Number::as_f64).unwrap_or(0.0);
+        if quota < 0.0 || quota.is_nan() {
+            let key = format!("{}.{QUOTA}", member_path(path, index));
+            return Err(FieldError::new(key, "below 0"));
+        }
+        Ok(quota)
     }
 
-    fn read_name(&self, at: usize, path: &str) -> Read<String> {
-        match self.unusual.get(&at) {
-            Some(value) => Node::new(&member_path(path, at), value)?.text(NAME).map(str::to_owned),
-            None => Ok(self.text(at).to_owned()),
+    fn parse_name(&self, index: usize, path: &str) -> Result<String, FieldError> {
+        match self.unusual.get(&index) {
+            Some(value) => JsonObject::new(&member_path(path, index), value)?.text(NAME).map(str::to_owned),
+            None => Ok(self.stored_name(index).to_owned()),
         }
     }
 
-    /// The name, empty where there is none.
-    fn text(&self, at: usize) -> &str {
-        let begin = if at == 0 { 0 } else { self.records[at - 1].name_end };
-        &self.names[begin..self.records[at].name_end]
+    /// The name of a member; empty if it has none.
+    fn stored_name(&self, index: usize) -> &str {
+        let start = if index == 0 { 0 } else { self.records[index - 1].name_end };
+        &self.names[start..self.records[index].name_end]
     }
 }
 
@@ -153,10 +167,10 @@
         self.records.len()
     }
 
-    fn name(&self, at: usize) -> Option<&str> {
-        match self.unusual.get(&at) {
+    fn name(&self, index: usize) -> Option<&str> {
+        match self.unusual.get(&index) {
             Some(value) => value[NAME].as_str(),
-            None => Some(self.text(at)),
+            None => Some(self.stored_name(index)),
         }
     }
 
@@ -165,12 +179,12 @@
     }
 }
 
-fn member_path(path: &str, at: usize) -> String {
-    format!("{path}[{at}]")
+fn member_path(path: &str, index: usize) -> String {
+    format!("{path}[{index}]")
 }
 
-/// Name and quota of a member that has these keys only.
-fn plain(member: &Value) -> Option<(&str, Option<&Number>)> {
+/// Name and quota of a member that has no other keys.
+fn name_and_quota(member: &Value) -> Option<(&str, Option<&Number>)> {
     let keys = member.as_object()?;
     let name = keys.get(NAME)?.as_str()?;
     match (keys.len(), keys.get(QUOTA)) {
--- a/crates/loomflow-settings/tests/settings_keys.rs
+++ b/crates/loomflow-settings/tests/settings_keys.rs
@@ -2,7 +2,7 @@
 //! field, fails here.
 
 use loomflow::interface::{Downstream, FeedbackSignal, Idempotency, Preemption};
-use loomflow_settings::{Node, Site};
+use loomflow_settings::{JsonObject, Site};
 use serde_json::{Value, json};
 
 /// Every key with a value of its own.
@@ -31,7 +31,7 @@
 }
 
 fn read(settings: &Value) -> Site {
-    Site::read(&Node::new("", settings).expect("an object")).expect("good settings")
+    Site::parse(&JsonObject::new("", settings).expect("an object")).expect("good settings")
 }
 
 fn with(path: &str, value: Value) -> Site {
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn the_fleet_and_the_machine() {
+fn fleet_and_machine() {
     let site = read(&complete());
     assert_eq!(site.gauges, ["links", "core_use"]);
     assert!(site.deep_checks);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn words() {
+fn enumerations() {
     for (word, below) in
         [("shared", Downstream::Shared), ("tier", Downstream::Tier), ("off", Downstream::None)]
     {
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn gauges_are_told_by_name() {
+fn gauges_are_assigned_by_name() {
     let names = ["core_use", "on_cores", "heap_share", "links", "other"].map(str::to_owned);
     let gauges = Site::gauges(&names, [Some(0.1), Some(2.0), Some(0.3), Some(4.0), Some(5.0)].into_iter());
     assert_eq!((gauges.core_utilization, gauges.runnable), (Some(0.1), Some(2.0)));
