--- a/crates/loomflow-amqp/src/consumer/mod.rs
+++ b/crates/loomflow-amqp/src/consumer/mod.rs
@@ -266,7 +266,7 @@
             ConnectionEvent::ConfirmsEnabled(PUBLISH_CHANNEL) => self.publisher.channel_opened(),
             ConnectionEvent::ConfirmsEnabled(_) => return Err(Malformed("a method out of order")),
             ConnectionEvent::ChannelOpened(channel) => {
-                self.with_consumer(channel, |pool, index| pool.channel_opened(index));
+                self.with_consumer(channel, ConsumerPool::channel_opened);
             }
             ConnectionEvent::ChannelClosed(PUBLISH_CHANNEL, why) => {
                 self.log(&format!("the publishing channel was closed: {why}"));
@@ -338,10 +338,10 @@
         match method {
             AMQPMethod::QosOk(_) => {}
             AMQPMethod::ConsumeOk(_) => {
-                self.with_consumer(channel, |pool, index| pool.consumer_started(index));
+                self.with_consumer(channel, ConsumerPool::consumer_started);
             }
             AMQPMethod::CancelOk(_) => {
-                self.with_consumer(channel, |pool, index| pool.consumer_cancelled(index));
+                self.with_consumer(channel, ConsumerPool::consumer_cancelled);
             }
             AMQPMethod::Cancel(cancel) => {
                 self.log("the broker cancelled a consumer");
--- a/crates/loomflow-amqp/src/consumer/outbound.rs
+++ b/crates/loomflow-amqp/src/consumer/outbound.rs
@@ -4,6 +4,7 @@
 
 use amq_protocol::protocol::basic::{self, AMQPMethod};
 
+use super::delivery::Delivery;
 use super::{Consumer, ConsumerRequest, MessageResponse, Phase, PublishPurpose, micros};
 use crate::Millis;
 use crate::idempotency::{CopyId, DeliveryId, IdempotencyKey, RunResult};
@@ -40,7 +41,7 @@
         if let Some(key) = self.orphaned_runs.remove(&id) {
             let waiters = key.map(|key| self.finish_key(&key, None, &outcome, now)).unwrap_or_default();
             waiters.into_iter().for_each(|id| self.finish(id, &outcome, now));
-        } else if self.deliveries.get(&id).is_some_and(|delivery| delivery.is_submitted()) {
+        } else if self.deliveries.get(&id).is_some_and(Delivery::is_submitted) {
             self.observe(id, &outcome, now);
             self.finish_with_waiters(id, &outcome, now);
         }
--- a/crates/loomflow-amqp/src/content.rs
+++ b/crates/loomflow-amqp/src/content.rs
@@ -58,7 +58,11 @@
         self.partial.is_some()
     }
 
-    /// A method came; returns it unless it begins a message.
+    /// Handles a method; returns it unless it begins a message.
+    ///
+    /// # Errors
+    ///
+    /// The rest of a message is due.
     pub fn method(&mut self, method: AMQPMethod) -> Result<Option<AMQPMethod>, Malformed> {
         if self.is_open() {
             return Err(Malformed("a method where the rest of a message is due"));
--- a/crates/loomflow-amqp/src/message.rs
+++ b/crates/loomflow-amqp/src/message.rs
@@ -213,7 +213,7 @@
     id: PublishId,
 ) -> Publish {
     let mut headers: FieldTable = FieldTable::default();
-    for (name, value) in original.headers().iter().flat_map(|table| table.inner()) {
+    for (name, value) in original.headers().iter().flat_map(FieldTable::inner) {
         if !CARBON_COPY_HEADERS.contains(&name.as_str()) {
             headers.insert(name.clone(), value.clone());
         }
--- a/crates/loomflow-fleet/src/consensus/ready.rs
+++ b/crates/loomflow-fleet/src/consensus/ready.rs
@@ -13,7 +13,7 @@
 impl<M: StateMachine> Consensus<M> {
     /// Carries out what the library wants done, until it wants nothing.
     pub(super) fn process_ready(&mut self) {
-        while self.raft_node.as_ref().is_some_and(|node| node.has_ready()) {
+        while self.raft_node.as_ref().is_some_and(raft::RawNode::has_ready) {
             if let Err(error) = self.process_one_ready() {
                 return self.stop_on_error(error);
             }
--- a/crates/loomflow-fleet/src/consensus/voter_changes/tests.rs
+++ b/crates/loomflow-fleet/src/consensus/voter_changes/tests.rs
@@ -8,7 +8,7 @@
     caught: bool,
     wanted: &[(&str, u64)],
 ) -> Option<Vec<(ConfChangeType, u64)>> {
-    let names: Vec<ServerName> = ["a", "b", "c"].iter().map(|n| n.to_string()).collect();
+    let names: Vec<ServerName> = ["a", "b", "c"].iter().map(ToString::to_string).collect();
     let name_of = |id: u64| names.get((id as usize - 1) % 3);
     let current = Configuration { voters, learners, name_of: &name_of, has_caught_up: &|_| caught };
     let wanted: Vec<_> = wanted.iter().map(|(n, id)| (n.to_string(), (*id > 0).then_some(*id))).collect();
@@ -17,9 +17,9 @@
 
 #[test]
 fn one_step_at_a_time_towards_the_voters_that_are_wanted() {
+    type Case<'a> = (&'a [u64], &'a [u64], bool, &'a [(&'a str, u64)], Option<Vec<(ConfChangeType, u64)>>);
     let all = [("a", 1), ("b", 2), ("c", 3)];
     let lost = [("a", 1), ("b", 5), ("c", 3)];
-    type Case<'a> = (&'a [u64], &'a [u64], bool, &'a [(&'a str, u64)], Option<Vec<(ConfChangeType, u64)>>);
     let cases: [Case; 9] = [
         (&[1, 2, 3], &[], true, &all, None),
         // Founded by one: the others come in as learners, and vote when they have caught up.
--- a/crates/loomflow-fleet/src/duty/state/apply.rs
+++ b/crates/loomflow-fleet/src/duty/state/apply.rs
@@ -141,7 +141,7 @@
                 Err(Refusal::Invalid(format!("a checkpoint has at most {MAX_CHECKPOINT_BYTES} bytes")))
             }
             OwnerUpdate::Checkpoint(bytes) => {
-                self.duty_mut(name)?.checkpoint = bytes.clone();
+                self.duty_mut(name)?.checkpoint.clone_from(bytes);
                 Ok(())
             }
             OwnerUpdate::Began(run) => self.begin_run(name, token, *run),
--- a/crates/loomflow-fleet/src/maintenance/campaign.rs
+++ b/crates/loomflow-fleet/src/maintenance/campaign.rs
@@ -339,7 +339,7 @@
         let requested_by = format!("{} ({name})", self.requested_by);
         let tickets = maintenance.create_tickets(request_id, &requested_by, batch)?;
         self.next_index += tickets.len() as u32;
-        self.last_tickets = tickets.clone();
+        self.last_tickets.clone_from(&tickets);
         self.share_before = share_before;
         Ok(tickets)
     }
--- a/crates/loomflow-fleet/src/membership.rs
+++ b/crates/loomflow-fleet/src/membership.rs
@@ -100,7 +100,7 @@
 fn config() -> Config {
     let non_zero = |n| NonZeroUsize::new(n).expect("not zero");
     Config {
-        probe_period: Duration::from_millis(1_000),
+        probe_period: Duration::from_secs(1),
         probe_rtt: Duration::from_millis(500),
         num_indirect_probes: non_zero(3),
         max_transmissions: NonZeroU8::new(12).expect("not zero"),
--- a/crates/loomflow-fleet/src/node/duty_leadership.rs
+++ b/crates/loomflow-fleet/src/node/duty_leadership.rs
@@ -6,6 +6,7 @@
 use rand::RngExt;
 
 use super::Node;
+use crate::consensus::Consensus;
 use crate::duty::state::Session;
 use crate::duty::{self, Command as DutyCommand, DutyName, Ownership, ServerInstance, Token, assign};
 use crate::maintenance::{Command, Entry, Issuer, Response};
@@ -94,7 +95,7 @@
         let duties = &self.fleet_state()?.duties;
         let session = duties.sessions().get(&instance.name);
         let is_own = |session: &&Session| session.incarnation == instance.incarnation;
-        if session.filter(is_own).is_some() {
+        if session.as_ref().is_some_and(is_own) {
             return Some(duty::Response::Ownership(duties.ownership(&instance.name)));
         }
         let remaining = session.map_or(0, |session| session.expires_at.saturating_sub(duties.time()));
@@ -139,7 +140,9 @@
         if self.config.duties.is_none() || !self.is_leader() {
             return;
         }
-        let Some(state) = self.consensus.as_ref().map(|consensus| consensus.machine()) else { return };
+        let Some(state) = self.consensus.as_ref().map(Consensus::machine) else {
+            return;
+        };
         let mut news: BTreeMap<ServerName, Ownership> = BTreeMap::new();
         for (name, duty) in state.duties.duties() {
             let Some(lease) = &duty.lease else { continue };
--- a/crates/loomflow-fleet/src/node/leadership.rs
+++ b/crates/loomflow-fleet/src/node/leadership.rs
@@ -8,6 +8,7 @@
 use super::duty_leadership::SessionBatches;
 use super::{Effect, Node};
 use crate::maintenance::scheduling::{Decision, SchedulerView};
+use crate::maintenance::state::MaintenanceState;
 use crate::maintenance::{Command, Entry, Issuer, observation};
 use crate::member::{FleetMillis, MemberState, Millis, Phase, RequestId, ServerName};
 use crate::membership::KnownMember;
@@ -43,7 +44,7 @@
 impl Node {
     /// The fleet's time as this member would count it.
     pub(super) fn fleet_time(&self, now: Millis) -> FleetMillis {
-        let committed = self.maintenance().map_or(0, |maintenance| maintenance.time());
+        let committed = self.maintenance().map_or(0, MaintenanceState::time);
         let Some((since, time_then)) = self.leadership.began else { return committed };
         committed.max(time_then + now.saturating_sub(since))
     }
@@ -54,7 +55,7 @@
             return;
         }
         if self.leadership.began.is_none() {
-            let committed = self.maintenance().map_or(0, |maintenance| maintenance.time());
+            let committed = self.maintenance().map_or(0, MaintenanceState::time);
             self.leadership.began = Some((now, committed));
             self.effects.push(Effect::Log("leads the fleet".into()));
         }
--- a/crates/loomflow-fleet/tests/ownership_model.rs
+++ b/crates/loomflow-fleet/tests/ownership_model.rs
@@ -202,7 +202,7 @@
             let (session_client, checked) = &state.servers[server];
             match checked {
                 None if session_client.owned_token(DUTY, state.now).is_some() => {
-                    actions.push(Action::Check(server))
+                    actions.push(Action::Check(server));
                 }
                 Some(_) => actions.push(Action::Act(server)),
                 None => {}
--- a/crates/loomflow-fleet/tests/ticket_model.rs
+++ b/crates/loomflow-fleet/tests/ticket_model.rs
@@ -185,7 +185,7 @@
             match process {
                 Process::Leaving(_) => actions.push(Action::End(server)),
                 Process::Out(_) | Process::Dead if *incarnation < STARTS => {
-                    actions.push(Action::Start(server))
+                    actions.push(Action::Start(server));
                 }
                 Process::Up if state.crashes < CRASHES => actions.push(Action::Crash(server)),
                 _ => {}
--- a/crates/loomflow-lab/src/fleet/machines.rs
+++ b/crates/loomflow-lab/src/fleet/machines.rs
@@ -98,7 +98,7 @@
         }
         match due {
             Due::Cores { version } => {
-                self.with_server(index, |server, out| server.cores_due(now, version, out))
+                self.with_server(index, |server, out| server.cores_due(now, version, out));
             }
             Due::Batch => self.with_server(index, |server, out| server.batch_due(now, out)),
             Due::Wake => {
--- a/crates/loomflow-load/src/aside.rs
+++ b/crates/loomflow-load/src/aside.rs
@@ -10,11 +10,13 @@
 }
 
 impl<T: Send + 'static> Aside<T> {
+    /// Starts the thread. `work` receives the request to stop.
     pub fn start(work: impl FnOnce(Receiver<()>) -> T + Send + 'static) -> Aside<T> {
         let (stop, stopped) = channel();
         Aside { stop, thread: thread::spawn(move || work(stopped)) }
     }
 
+    /// Asks the thread to stop and returns its result.
     pub fn stop(self) -> T {
         let _ = self.stop.send(());
         self.thread.join().expect("it ends")
--- a/crates/loomflow-load/src/fleet.rs
+++ b/crates/loomflow-load/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -47,7 +47,7 @@
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(|e| e.into_inner())
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// Load that runs until it is told to end.
--- a/crates/loomflow-load/src/heard.rs
+++ b/crates/loomflow-load/src/heard.rs
@@ -11,9 +11,11 @@
 /// How a request ended, as its caller saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
+    /// Served, in time or late.
     Served,
     /// Turned away for good, never run.
     Refused,
+    /// Failed.
     Failed,
     /// Never answered.
     Lost,
@@ -24,12 +26,19 @@
 /// What came of the requests asked in one second, or in all.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tally {
+    /// Requests sent.
     pub asked: u32,
+    /// Served within the objective.
     pub in_time: u32,
+    /// Served after the objective.
     pub late: u32,
+    /// Rejected.
     pub refused: u32,
+    /// Failed.
     pub failed: u32,
+    /// Never answered.
     pub lost: u32,
+    /// Answered with a wrong result or more than once.
     pub wrong: u32,
     /// When the last of them was answered, s since the start.
     pub over_at: f64,
@@ -43,6 +52,7 @@
         (self.heard > 0).then(|| self.told / f64::from(self.heard))
     }
 
+    /// Records a send share or a credit that callers were told.
     pub fn tell(&mut self, value: f64) {
         self.told += value;
         self.heard += 1;
@@ -65,7 +75,9 @@
 /// What was heard, by the second in which it was asked.
 #[derive(Clone, Debug)]
 pub struct Heard {
+    /// When the load began.
     pub start: Instant,
+    /// Counts by the second in which requests were sent.
     pub seconds: Vec<Tally>,
     /// When each body was asked for.
     asked: BTreeMap<Vec<u8>, Instant>,
@@ -78,6 +90,7 @@
         Heard { start, seconds: Vec::new(), asked: BTreeMap::new(), aim }
     }
 
+    /// The counts of all seconds.
     pub fn total(&self) -> Tally {
         self.between(0, self.seconds.len())
     }
@@ -100,6 +113,7 @@
         &mut self.seconds[at]
     }
 
+    /// Records that a request was sent.
     pub fn ask(&mut self, body: Vec<u8>, at: Instant) {
         self.second(at).asked += 1;
         self.asked.insert(body, at);
@@ -121,6 +135,7 @@
         tally.over_at = tally.over_at.max(since);
     }
 
+    /// When the request with this body was sent.
     pub fn asked_at(&self, body: &[u8]) -> Option<Instant> {
         self.asked.get(body).copied()
     }
--- a/crates/loomflow-load/src/plan.rs
+++ b/crates/loomflow-load/src/plan.rs
@@ -5,9 +5,11 @@
 /// Requests of one class at a rate that changes with time.
 #[derive(Clone, Debug)]
 pub struct Plan {
+    /// Class of the requests.
     pub class: &'static str,
     /// Requests a second, from each of these seconds on.
     pub rates: Vec<(f64, f64)>,
+    /// Duration of the load.
     pub span: Duration,
     /// Connections of gateways that the requests are spread over; a queue needs none.
     pub connections: usize,
--- a/crates/loomflow-load/src/scenario.rs
+++ b/crates/loomflow-load/src/scenario.rs
@@ -14,23 +14,30 @@
 /// Which front the requests come by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Front {
+    /// The gateway protocol.
     Resp,
+    /// A queue of an AMQP broker.
     Amqp,
 }
 
+/// A server with a stand-in engine, and the load that it is put under.
 #[derive(Clone, Debug)]
 pub struct Scenario {
+    /// The server's program.
     pub program: PathBuf,
+    /// The front that receives the requests.
     pub front: Front,
     /// On a queue: messages say when they were sent, and the server counts from then.
     pub timed: bool,
     /// Cores of the stand-in engine, and what a run takes on one.
     pub cores: usize,
+    /// Duration of a run.
     pub work: Duration,
     /// A request is given up after this; an answer within half of it is in time.
     pub give_up: Duration,
     /// Requests a second, from each of these seconds on.
     pub rates: Vec<(f64, f64)>,
+    /// Duration of the load.
     pub span: Duration,
 }
 
@@ -39,11 +46,13 @@
 
 /// What came of a scenario.
 pub struct Played {
+    /// Results of the requests.
     pub heard: Heard,
     /// Held before their run, by the second in which they were asked, us.
     pub holds: Vec<Histogram<u64>>,
     /// Runs that were begun after their request was given up.
     pub run_late: usize,
+    /// Rules of the service, and whether they were kept.
     pub rules: [Rule; 4],
 }
 
@@ -53,12 +62,13 @@
         self.cores as f64 / self.work.as_secs_f64()
     }
 
+    /// Runs the scenario and returns its results.
     pub fn play(&self) -> Played {
         let worker = Worker::start(self.cores, self.work);
         // Every fifth run makes a call below, as conversions do.
         worker.calls(5);
         let mut world = World::new(site(self.give_up.as_secs_f64() * 1000.0));
-        world.program = self.program.clone();
+        world.program.clone_from(&self.program);
         world.ledger.post_all();
         let broker = (self.front == Front::Amqp).then(Broker::with_jobs);
         if let Some(broker) = &broker {
--- a/crates/loomflow-measure/src/against.rs
+++ b/crates/loomflow-measure/src/against.rs
@@ -53,7 +53,7 @@
 fn play(program: &Path, span: Duration) -> (f64, f64) {
     let worker = Worker::start(4, Duration::from_micros(200));
     let mut world = World::new(site(20_000.0));
-    world.program = program.to_owned();
+    program.clone_into(&mut world.program);
     world.work_with(&worker);
     (process::cpu_by_resp(&world, "pay", RATE, span), process::memory(world.pid()))
 }
--- a/crates/loomflow-measure/src/moments.rs
+++ b/crates/loomflow-measure/src/moments.rs
@@ -40,7 +40,7 @@
 
 fn world(program: &Path) -> World {
     let mut world = World::new(site(WHOLE));
-    world.program = program.to_owned();
+    program.clone_into(&mut world.program);
     world
 }
 
--- a/crates/loomflow-measure/src/order/cost.rs
+++ b/crates/loomflow-measure/src/order/cost.rs
@@ -49,7 +49,7 @@
     let span = Duration::from_secs(if quick { 5 } else { 30 });
     let worker = Worker::start(4, Duration::from_millis(5));
     let mut off = World::new(site(20_000.0));
-    off.program = program.to_owned();
+    program.clone_into(&mut off.program);
     off.work_with(&worker);
     let fleet = Fleet::start_with(MADE, program).bootstrap(MADE);
     let on: Vec<u32> = fleet.members.iter().map(|member| member.world.pid()).collect();
--- a/crates/loomflow-measure/src/owner/simulated.rs
+++ b/crates/loomflow-measure/src/owner/simulated.rs
@@ -146,7 +146,7 @@
 
 fn applied(simulation: &Simulation) -> u64 {
     let consensus = simulation.leader().and_then(|one| simulation.machines[one].node.as_ref()?.consensus());
-    consensus.map_or(0, |consensus| consensus.applied_index())
+    consensus.map_or(0, loomflow_fleet::consensus::Consensus::applied_index)
 }
 
 fn last_token(simulation: &Simulation) -> u64 {
--- a/crates/loomflow-measure/src/scale/control.rs
+++ b/crates/loomflow-measure/src/scale/control.rs
@@ -142,7 +142,7 @@
     }
     let cpu = Duration::from_nanos(proc::own_thread_cpu_ns() - cpu).as_secs_f64();
     let cpu_percent = cpu / seconds as f64 / machines as f64 * 100.0;
-    let [server, voter, leader] = watch.kinds.map(|kind| kind.sent());
+    let [server, voter, leader] = watch.kinds.map(Kind::sent);
     Play { server, voter, leader, cpu_percent }
 }
 
--- a/crates/loomflow-measure/src/scale/setup.rs
+++ b/crates/loomflow-measure/src/scale/setup.rs
@@ -38,7 +38,7 @@
 pub fn start(program: &Path, size: Size) -> Server {
     let worker = engine();
     let mut world = World::new(site(HARD_LIMIT_MS));
-    world.program = program.to_owned();
+    program.clone_into(&mut world.program);
     world.config["limits"]["sockets"] = sockets_for(size.connections).into();
     world.config["settings"]["Domain"]["Idle"] = IDLE_MS.into();
     world.config["settings"]["Period"] = size.period_ms.into();
--- a/crates/loomflow-server/src/connection/handle.rs
+++ b/crates/loomflow-server/src/connection/handle.rs
@@ -1,7 +1,7 @@
 //! The handle of a connection, shared by its driver and the owner: the write queue, and how long the connection is read.
 
 use std::io::{ErrorKind, Write};
-use std::sync::{Mutex, MutexGuard};
+use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
 use may::io::WaitIoWaker;
@@ -103,7 +103,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, HandleState> {
-        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Queues what `write` writes. Returns the position of its end among all bytes of the connection.
--- a/crates/loomflow-server/src/control_plane.rs
+++ b/crates/loomflow-server/src/control_plane.rs
@@ -104,12 +104,11 @@
     }
 
     fn send_report(&mut self, address: SocketAddr) -> Result<(), ReportError> {
-        let connection = match &mut self.connection {
-            Some(open) => open,
-            None => {
-                let stream = connection::connect(address).map_err(ReportError::Connect)?;
-                self.connection.insert(Connection { stream, statuses: HttpResponses::default() })
-            }
+        let connection = if let Some(open) = &mut self.connection {
+            open
+        } else {
+            let stream = connection::connect(address).map_err(ReportError::Connect)?;
+            self.connection.insert(Connection { stream, statuses: HttpResponses::default() })
         };
         let deadline = Instant::now() + REPORT_TIMEOUT;
         let mut request = Vec::new();
@@ -124,7 +123,7 @@
     fn read_response(&mut self, deadline: Instant) -> Result<(), ReportError> {
         loop {
             match self.statuses.next().map_err(|Malformed(violation)| ReportError::Malformed(violation))? {
-                Some(HttpStatus(100..=199)) => continue,
+                Some(HttpStatus(100..=199)) => {}
                 Some(HttpStatus(200..=299)) => return Ok(()),
                 Some(HttpStatus(other)) => return Err(ReportError::Status(other)),
                 None => self.read_more(deadline)?,
--- a/crates/loomflow-server/src/fleet/driver.rs
+++ b/crates/loomflow-server/src/fleet/driver.rs
@@ -1,8 +1,8 @@
 //! The fleet's thread: waits for sockets and timers, feeds the member, and carries out what it wants done.
 
 use std::io;
-use std::sync::Arc;
 use std::sync::mpsc::SyncSender;
+use std::sync::{Arc, PoisonError};
 use std::time::Duration;
 
 use loomflow_fleet::member::Millis;
@@ -137,7 +137,7 @@
 
     fn take_owner_messages(&mut self, now: Millis) {
         let messages = {
-            let mut inbox = self.inbox.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+            let mut inbox = self.inbox.lock().unwrap_or_else(PoisonError::into_inner);
             std::mem::take(&mut *inbox)
         };
         let OwnerMessages { load_report, is_draining, drained } = messages;
--- a/crates/loomflow-server/src/fleet/links.rs
+++ b/crates/loomflow-server/src/fleet/links.rs
@@ -188,15 +188,12 @@
 
     fn write(&mut self, token: Token, now: Millis) {
         let Some(link) = self.outgoing.get_mut(&token) else { return };
-        match write(link, now) {
-            Ok(()) => {
-                self.unreachable_until.remove(&link.address);
-            }
-            Err(_) => {
-                let address = link.address;
-                self.unreachable_until.insert(address, now + RECONNECT_AFTER_MILLIS);
-                self.close(token);
-            }
+        if let Ok(()) = write(link, now) {
+            self.unreachable_until.remove(&link.address);
+        } else {
+            let address = link.address;
+            self.unreachable_until.insert(address, now + RECONNECT_AFTER_MILLIS);
+            self.close(token);
         }
     }
 
--- a/crates/loomflow-server/src/fleet/mod.rs
+++ b/crates/loomflow-server/src/fleet/mod.rs
@@ -26,7 +26,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::mpsc::{SyncSender, sync_channel};
-use std::sync::{Arc, Mutex, Weak};
+use std::sync::{Arc, Mutex, PoisonError, Weak};
 use std::time::Duration;
 
 use loomflow_fleet::member::{LoadReport, Millis};
@@ -143,7 +143,7 @@
 
     fn post(&self, write: impl FnOnce(&mut OwnerMessages)) {
         if let Some(inbox) = self.inbox.upgrade() {
-            write(&mut inbox.lock().unwrap_or_else(|poisoned| poisoned.into_inner()));
+            write(&mut inbox.lock().unwrap_or_else(PoisonError::into_inner));
         }
         let _ = self.waker.wake();
     }
--- a/crates/loomflow-server/src/front/amqp/mod.rs
+++ b/crates/loomflow-server/src/front/amqp/mod.rs
@@ -153,7 +153,7 @@
         for ask in self.consumer.take_requests() {
             match ask {
                 ConsumerRequest::Submit(message) => {
-                    requests.push(FrontRequest::Submit(Box::new(self.submission(message))))
+                    requests.push(FrontRequest::Submit(Box::new(self.submission(message))));
                 }
                 ConsumerRequest::Cancel(id) => requests.push(FrontRequest::Cancel(ReplyHandle::Delivery(id))),
                 ConsumerRequest::Log(text) => log!(part = "amqp", "{text}"),
--- a/crates/loomflow-server/src/front/resp/listener.rs
+++ b/crates/loomflow-server/src/front/resp/listener.rs
@@ -104,6 +104,7 @@
 }
 
 /// Hands a descriptor over to `may`, which offers no other way for one that it has not opened itself.
+#[allow(unsafe_code, reason = "the only way to hand an open descriptor to `may`")]
 fn adopt<T: FromRawFd>(from: impl IntoRawFd) -> T {
     // SAFETY: the descriptor is open, and its former owner has just released it.
     unsafe { T::from_raw_fd(from.into_raw_fd()) }
--- a/crates/loomflow-server/src/log.rs
+++ b/crates/loomflow-server/src/log.rs
@@ -4,7 +4,7 @@
 mod tests;
 
 use std::io::Write;
-use std::sync::Mutex;
+use std::sync::{Mutex, PoisonError};
 use std::time::Instant;
 
 use loomflow_settings::options::LogFormat;
@@ -67,7 +67,7 @@
 
 /// Whether a line may be written now; then also how many were dropped since the last one.
 pub fn admit() -> Option<u64> {
-    let mut rate_limit = RATE_LIMIT.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+    let mut rate_limit = RATE_LIMIT.lock().unwrap_or_else(PoisonError::into_inner);
     rate_limit.admit(Instant::now())
 }
 
--- a/crates/loomflow-server/src/mailbox.rs
+++ b/crates/loomflow-server/src/mailbox.rs
@@ -1,6 +1,6 @@
 //! What the drivers report to the owner, and the queue that carries it. Knows nothing of either side.
 
-use std::sync::{Arc, Condvar, Mutex};
+use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
 use loomflow_amqp::frames::RawFrames;
@@ -88,7 +88,7 @@
 impl Mailbox {
     /// Adds an event and wakes the owner.
     pub fn send(&self, event: OwnerEvent) {
-        self.events.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).push(event);
+        self.events.lock().unwrap_or_else(PoisonError::into_inner).push(event);
         self.not_empty.notify_one();
     }
 
@@ -104,9 +104,9 @@
 
     /// Takes all events; waits for the first for at most `timeout`.
     pub fn receive(&self, timeout: Duration) -> Vec<OwnerEvent> {
-        let events = self.events.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let events = self.events.lock().unwrap_or_else(PoisonError::into_inner);
         let waited = self.not_empty.wait_timeout_while(events, timeout, |events| events.is_empty());
-        let (mut events, _) = waited.unwrap_or_else(|poisoned| poisoned.into_inner());
+        let (mut events, _) = waited.unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut events)
     }
 }
--- a/crates/loomflow-server/src/owner/interleavings.rs
+++ b/crates/loomflow-server/src/owner/interleavings.rs
@@ -265,7 +265,7 @@
     let text = serde_json::json!({"name": "n", "listen": "127.0.0.1:8", "engine": "127.0.0.1:9",
         "ledger": "127.0.0.1:9", "seed": "1", "stop_ms": 3000, "settings": {
             "Classes": [class("read", "safe"), class("pay", "unsafe"), class("book", "keyed")],
-            "Domain": {"Cpus": 4, "HeapKb": 200000.0, "RunMemFactor": 8.0, "KeyKb": 1.0, "Downstream": "tier",
+            "Domain": {"Cpus": 4, "HeapKb": 200_000.0, "RunMemFactor": 8.0, "KeyKb": 1.0, "Downstream": "tier",
                 "CallsByClass": [true, true, true], "Gauges": ["core_use", "on_cores", "heap_share", "links"]},
             "Rules": {"FallMultiple": 5.0, "TipAfter": 2000.0}}});
     Config::parse(&text.to_string()).expect("a configuration")
@@ -455,7 +455,7 @@
     }
     world.settle();
     let mut tags: Vec<u64> = world.heard.iter().map(|(tag, ..)| *tag).filter(|tag| *tag > 0).collect();
-    tags.sort();
+    tags.sort_unstable();
     prop_assert_eq!(
         &tags,
         &world.asked.keys().copied().collect::<Vec<_>>(),
--- a/crates/loomflow-server/tests/amqp.rs
+++ b/crates/loomflow-server/tests/amqp.rs
@@ -446,7 +446,7 @@
     let (broker, worker) = (Broker::with_jobs(), Worker::start(4, WORK));
     ["reads", "late"].into_iter().for_each(|queue| {
         if queue == "reads" {
-            broker.declare(queue)
+            broker.declare(queue);
         }
     });
     let more =
--- a/crates/loomflow-server/tests/gateways.rs
+++ b/crates/loomflow-server/tests/gateways.rs
@@ -53,16 +53,16 @@
         assert_eq!(answer.body, ids[answer.tag as usize - 1].as_bytes());
         tags.push(answer.tag);
     }
-    tags.sort();
+    tags.sort_unstable();
     assert_eq!(tags, (1..=32).collect::<Vec<u64>>());
 }
 
 #[test]
 fn a_gateway_that_stops_reading_holds_up_nobody_and_gets_all_in_the_end() {
+    const MANY: u64 = 400;
     let (world, engine) = World::serving(site(LONG));
     let mut slow = world.gateway();
     socket2::SockRef::from(&slow.stream).set_recv_buffer_size(4096).unwrap();
-    const MANY: u64 = 400;
     let mut sent = 0;
     let mut number = 0;
     // Far more answers than its socket takes: reading from it stops in between.
@@ -74,14 +74,11 @@
             sent += 1;
             rest = call(sent, "no-such-class", &fields(&fresh_id()), &[1; 2000]);
         }
-        match slow.stream.write(&rest) {
-            Ok(count) => {
-                rest.drain(..count);
-            }
-            Err(_) => {
-                quiet += 1;
-                std::thread::sleep(Duration::from_millis(5));
-            }
+        if let Ok(count) = slow.stream.write(&rest) {
+            rest.drain(..count);
+        } else {
+            quiet += 1;
+            std::thread::sleep(Duration::from_millis(5));
         }
         if sent == MANY && rest.is_empty() {
             break;
@@ -101,7 +98,7 @@
     });
     let mut tags: Vec<u64> = (0..MANY).map(|_| slow.answer().tag).collect();
     thread.join().unwrap();
-    tags.sort();
+    tags.sort_unstable();
     assert_eq!(tags, (1..=MANY).collect::<Vec<u64>>());
 }
 
@@ -169,7 +166,7 @@
                 answer.tag
             })
             .collect();
-        tags.sort();
+        tags.sort_unstable();
         assert_eq!(tags, [1, 2]);
         gateway.is_closed();
         // Their runs end for nobody.
@@ -222,7 +219,9 @@
     let mut silent: Vec<Gateway> = (0..300).map(|_| world.gateway()).collect();
     serves(&world, &engine, 1);
     assert!(world.descriptors() <= 96, "{}", world.descriptors());
-    silent.iter_mut().for_each(|s| s.is_closed());
+    for gateway in &mut silent {
+        gateway.is_closed();
+    }
     assert!(world.is_running());
 }
 
@@ -530,7 +529,7 @@
     let mut writer = flooding.stream.try_clone().expect("a clone");
     let writes = std::thread::spawn(move || std::io::Write::write_all(&mut writer, &flood));
     let mut tags: Vec<u64> = (0..FLOOD).map(|_| flooding.answer().tag).collect();
-    tags.sort();
+    tags.sort_unstable();
     assert_eq!(tags, (1..=FLOOD).collect::<Vec<u64>>());
     writes.join().expect("it ends").expect("all is sent");
     // The next that the engine hears is a request, or a question for its gauges, and none to do work.
--- a/crates/loomflow-server/tests/leaving.rs
+++ b/crates/loomflow-server/tests/leaving.rs
@@ -101,7 +101,7 @@
     world.terminate();
     bye(&mut gateway);
     let mut tags: Vec<u64> = (0..3).map(|_| gateway.answer().tag).collect();
-    tags.sort();
+    tags.sort_unstable();
     assert_eq!(tags, [1, 2, 3]);
     drop(gateway);
     assert_eq!(world.exit_code(), Some(0));
@@ -245,8 +245,8 @@
     let end = loop {
         match gateway.stream.read(&mut bytes) {
             Ok(0) => break Ok(()),
-            Ok(_) => continue,
-            Err(e) => break Err(e),
+            Ok(_) => {}
+            Err(error) => break Err(error),
         }
     };
     over.store(true, std::sync::atomic::Ordering::SeqCst);
@@ -274,7 +274,7 @@
         world.terminate();
         let mut tags: Vec<u64> =
             (0..9).map(|_| asks.answer()).filter(|answer| answer.word != "BYE").map(|a| a.tag).collect();
-        tags.sort();
+        tags.sort_unstable();
         assert_eq!(tags, (1..=8).collect::<Vec<u64>>(), "stop_ms {stop_ms}");
         bye(&mut rests);
         assert_eq!(world.exit_code(), Some(0));
--- a/crates/loomflow-server/tests/links.rs
+++ b/crates/loomflow-server/tests/links.rs
@@ -284,16 +284,15 @@
     engine.need(1, &id, b"call");
     // It opens while the call is being tried again, or stays shut until the tries are used up.
     let ledger = world.ledger.open();
-    match gateway.next(QUIET) {
-        Ok(Some(answer)) => assert_eq!(answer.word, "FAILED"),
-        _ => {
-            let below = ledger.link();
-            assert_eq!(below.expect("post").body, b"call");
-            below.say_body(&format!("{id} posted"), b"ok");
-            engine.expect("FEED");
-            engine.done(2, &id, b"y");
-            assert_eq!(gateway.answer().word, "OK");
-        }
+    if let Ok(Some(answer)) = gateway.next(QUIET) {
+        assert_eq!(answer.word, "FAILED");
+    } else {
+        let below = ledger.link();
+        assert_eq!(below.expect("post").body, b"call");
+        below.say_body(&format!("{id} posted"), b"ok");
+        engine.expect("FEED");
+        engine.done(2, &id, b"y");
+        assert_eq!(gateway.answer().word, "OK");
     }
 }
 
--- a/crates/loomflow-server/tests/service.rs
+++ b/crates/loomflow-server/tests/service.rs
@@ -231,7 +231,7 @@
     let start = std::time::Instant::now();
     let mut tags: Vec<u64> = (0..32).map(|_| gateway.answer().tag).collect();
     assert!(start.elapsed() < PATIENCE / 2, "answers came far too late");
-    tags.sort();
+    tags.sort_unstable();
     assert_eq!(tags, (1..=32).collect::<Vec<u64>>());
     gateway.is_quiet();
     drop(engine);
--- a/crates/loomflow-server/tests/short_days.rs
+++ b/crates/loomflow-server/tests/short_days.rs
@@ -202,7 +202,7 @@
     let asked: Vec<String> = (1..=6).map(|tag| gateway.call(tag, classes[tag as usize % 3], b"x")).collect();
     let runs: Vec<String> = (0..4).map(|_| engine.expect("RUN").word(1).to_owned()).collect();
     let mut tags: Vec<u64> = asked.iter().map(|_| gateway.answer().tag).collect();
-    tags.sort();
+    tags.sort_unstable();
     assert_eq!(tags, (1..=6).collect::<Vec<u64>>());
     // What the engine tells after that changes nothing for them, and gives the places back.
     for (id, number) in runs.iter().zip(1..) {
--- a/crates/loomflow-settings/src/amqp.rs
+++ b/crates/loomflow-settings/src/amqp.rs
@@ -151,14 +151,20 @@
         let mut faults = Vec::new();
         for (index, queue) in self.queues.iter().enumerate() {
             let path = format!("amqp.queues[{index}]");
-            faults.extend(name_fault(&path, "class", &queue.class, &queue.class_header, &site.classes));
+            faults.extend(name_fault(
+                &path,
+                "class",
+                queue.class.as_ref(),
+                queue.class_header.as_ref(),
+                &site.classes,
+            ));
             let is_tenant_required = !site.tenants.is_empty();
             if is_tenant_required || queue.tenant.is_some() {
                 faults.extend(name_fault(
                     &path,
                     "tenant",
-                    &queue.tenant,
-                    &queue.tenant_header,
+                    queue.tenant.as_ref(),
+                    queue.tenant_header.as_ref(),
                     &site.tenants,
                 ));
             }
@@ -171,8 +177,8 @@
 fn name_fault(
     path: &str,
     key: &str,
-    name: &Option<Spanned<String>>,
-    header: &Option<String>,
+    name: Option<&Spanned<String>>,
+    header: Option<&String>,
     known: &[String],
 ) -> Option<OptionFault> {
     let problem = match (name, header) {
@@ -184,7 +190,7 @@
         _ => return None,
     };
     let location =
-        name.as_ref().map(|name| Location { line: name.referenced.line(), column: name.referenced.column() });
+        name.map(|name| Location { line: name.referenced.line(), column: name.referenced.column() });
     Some(OptionFault::new(format!("{path}.{key}"), problem).at(location))
 }
 
--- a/crates/loomflow-settings/src/compare.rs
+++ b/crates/loomflow-settings/src/compare.rs
@@ -58,7 +58,7 @@
             let (old, new) = (before.get(key).unwrap_or(&NULL), after.get(key).unwrap_or(&NULL));
             match (tenants, old, new) {
                 (Some((old, new)), ..) if path == SETTINGS && key == TENANTS => {
-                    self.tenants(&child_path, old, new)
+                    self.tenants(&child_path, old, new);
                 }
                 (Some(_), Value::Object(old), Value::Object(new)) if child_path == SETTINGS => {
                     self.objects(&child_path, old, new, tenants);
--- a/crates/loomflow-settings/src/config.rs
+++ b/crates/loomflow-settings/src/config.rs
@@ -109,6 +109,7 @@
 
     /// The configuration after a reload: that of `later`, with the site as it was reloaded, and with the values of this one
     /// that take effect at the next start only.
+    #[must_use]
     pub fn reloaded(&self, later: Config, site: Site) -> Config {
         Config {
             name: self.name.clone(),
--- a/crates/loomflow-settings/src/json_object.rs
+++ b/crates/loomflow-settings/src/json_object.rs
@@ -33,6 +33,10 @@
     }
 
     /// An error about a key of this object.
+    ///
+    /// # Errors
+    ///
+    /// Always.
     pub fn error<T>(&self, key: &str, problem: &str) -> Result<T, FieldError> {
         Err(FieldError::new(self.path_of(key), problem))
     }
@@ -59,59 +63,103 @@
     }
 
     /// A number; 0 if absent.
+    ///
+    /// # Errors
+    ///
+    /// The value is invalid.
     pub fn number(&self, key: &str) -> Result<f64, FieldError> {
         Ok(self.typed(key, "not a number", Value::as_f64)?.unwrap_or(0.0))
     }
 
     /// A number that must be present.
+    ///
+    /// # Errors
+    ///
+    /// The value is missing or invalid.
     pub fn required_number(&self, key: &str) -> Result<f64, FieldError> {
         self.required(key, self.typed(key, "not a number", Value::as_f64)?)
     }
 
     /// A number that must be present and above 0.
+    ///
+    /// # Errors
+    ///
+    /// The value is missing or invalid.
     pub fn positive(&self, key: &str) -> Result<f64, FieldError> {
         let value = self.required_number(key)?;
         if value > 0.0 { Ok(value) } else { self.error(key, "not above 0") }
     }
 
     /// A number that must not be below 0; 0 if absent.
+    ///
+    /// # Errors
+    ///
+    /// The value is missing or invalid.
     pub fn non_negative(&self, key: &str) -> Result<f64, FieldError> {
         let value = self.number(key)?;
         if value >= 0.0 { Ok(value) } else { self.error(key, "below 0") }
     }
 
     /// An unsigned integer that must be present.
+    ///
+    /// # Errors
+    ///
+    /// The value is missing or invalid.
     pub fn integer(&self, key: &str) -> Result<u64, FieldError> {
         self.required(key, self.typed(key, "not a whole number", Value::as_u64)?)
     }
 
     /// An unsigned integer with a default.
+    ///
+    /// # Errors
+    ///
+    /// The value is invalid.
     pub fn integer_or(&self, key: &str, default: u64) -> Result<u64, FieldError> {
         Ok(self.typed(key, "not a whole number", Value::as_u64)?.unwrap_or(default))
     }
 
     /// A boolean; false if absent.
+    ///
+    /// # Errors
+    ///
+    /// The value is invalid.
     pub fn boolean(&self, key: &str) -> Result<bool, FieldError> {
         Ok(self.typed(key, "not true or false", Value::as_bool)?.unwrap_or(false))
     }
 
     /// A string; empty if absent.
+    ///
+    /// # Errors
+    ///
+    /// The value is invalid.
     pub fn text(&self, key: &str) -> Result<&'a str, FieldError> {
         Ok(self.typed(key, "not a text", Value::as_str)?.unwrap_or(""))
     }
 
     /// A string that must be present and not empty.
+    ///
+    /// # Errors
+    ///
+    /// The value is missing or invalid.
     pub fn required_text(&self, key: &str) -> Result<&'a str, FieldError> {
         self.required(key, self.typed(key, "not a text", Value::as_str)?.filter(|text| !text.is_empty()))
     }
 
     /// An object that must be present.
+    ///
+    /// # Errors
+    ///
+    /// The value is missing or invalid.
     pub fn child(&self, key: &str) -> Result<JsonObject<'a>, FieldError> {
         let value = self.required(key, self.get(key))?;
         JsonObject::new(&self.path_of(key), value)
     }
 
     /// An object; one without keys if absent.
+    ///
+    /// # Errors
+    ///
+    /// The value is invalid.
     pub fn child_or_empty(&self, key: &str) -> Result<JsonObject<'a>, FieldError> {
         match self.get(key) {
             Some(value) => JsonObject::new(&self.path_of(key), value),
@@ -120,12 +168,20 @@
     }
 
     /// An array; empty if absent.
+    ///
+    /// # Errors
+    ///
+    /// The value is invalid.
     pub fn list(&self, key: &str) -> Result<&'a [Value], FieldError> {
         let as_slice = |value: &'a Value| value.as_array().map(Vec::as_slice);
         Ok(self.typed(key, "not an array", as_slice)?.unwrap_or(&[]))
     }
 
     /// An array of objects; errors name them by index.
+    ///
+    /// # Errors
+    ///
+    /// The value is invalid.
     pub fn children(&self, key: &str) -> Result<Vec<JsonObject<'a>>, FieldError> {
         let path = self.path_of(key);
         let members = self.list(key)?.iter().enumerate();
@@ -133,6 +189,10 @@
     }
 
     /// An array of strings; empty if absent.
+    ///
+    /// # Errors
+    ///
+    /// The value is invalid.
     pub fn texts(&self, key: &str) -> Result<Vec<String>, FieldError> {
         let to_string = |value: &Value| value.as_str().map(str::to_owned);
         let strings = self.list(key)?.iter().map(to_string).collect::<Option<Vec<_>>>();
--- a/crates/loomflow-simulation/src/network.rs
+++ b/crates/loomflow-simulation/src/network.rs
@@ -35,7 +35,7 @@
     pub fn draw_delays(&self, from: MachineId, to: MachineId, rng: &mut SmallRng) -> Vec<Millis> {
         let is_duplicated = self.duplication > 0.0 && rng.random_bool(self.duplication);
         let mut delays = Vec::new();
-        for _ in 0..1 + usize::from(is_duplicated) {
+        for _ in 0..=usize::from(is_duplicated) {
             let is_lost = self.loss > 0.0 && rng.random_bool(self.loss);
             let delay = rng.random_range(1..=self.max_delay_millis.max(1));
             if !is_lost && self.is_connected(from, to) {
--- a/crates/loomflow-simulation/src/parallel.rs
+++ b/crates/loomflow-simulation/src/parallel.rs
@@ -1,8 +1,8 @@
 //! Many runs side by side.
 
 use std::ops::Range;
-use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Mutex, PoisonError};
 
 /// Runs something for each number, on so many threads; the results are in the order of the numbers.
 pub fn run_parallel<T: Send>(threads: usize, numbers: Range<u64>, run: impl Fn(u64) -> T + Sync) -> Vec<T> {
@@ -17,12 +17,12 @@
                         return;
                     }
                     let result = run(number);
-                    results.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).push((number, result));
+                    results.lock().unwrap_or_else(PoisonError::into_inner).push((number, result));
                 }
             });
         }
     });
-    let mut results = results.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner());
+    let mut results = results.into_inner().unwrap_or_else(PoisonError::into_inner);
     results.sort_by_key(|(number, _)| *number);
     results.into_iter().map(|(_, result)| result).collect()
 }
--- a/crates/loomflow-simulation/src/simulation/queries.rs
+++ b/crates/loomflow-simulation/src/simulation/queries.rs
@@ -2,6 +2,7 @@
 
 use std::collections::BTreeSet;
 
+use loomflow_fleet::consensus::Consensus;
 use loomflow_fleet::fleet_state::FleetState;
 use loomflow_fleet::maintenance::ticket::{Stage, TicketId};
 use loomflow_fleet::maintenance::{Request, Response};
@@ -29,7 +30,7 @@
         let is_leader = |id: &MachineId| self.machines[*id].node.as_ref().is_some_and(Node::is_leader);
         let term = |id: &MachineId| {
             let consensus = self.machines[*id].node.as_ref().and_then(Node::consensus);
-            consensus.map(|consensus| consensus.term())
+            consensus.map(Consensus::term)
         };
         (0..self.machines.len()).filter(is_leader).max_by_key(term)
     }
--- a/crates/loomflow-standins/src/base.rs
+++ b/crates/loomflow-standins/src/base.rs
@@ -11,10 +11,12 @@
 /// Long enough to see that something does not come.
 pub const QUIET: Duration = Duration::from_millis(300);
 
+/// A free loopback address.
 pub fn free_address() -> SocketAddr {
     free_listener().local_addr().expect("an address")
 }
 
+/// A listener on a free loopback address.
 pub fn free_listener() -> TcpListener {
     // Every test process and every server in it has an address of its own, so that none meets another.
     static NEXT: AtomicU32 = AtomicU32::new(1);
@@ -24,6 +26,7 @@
     TcpListener::bind((std::net::Ipv4Addr::from(host), 0)).expect("an address")
 }
 
+/// Settings of a class with a timeout of `limit` ms.
 pub fn class(name: &str, effect: &str, limit: f64) -> Value {
     json!({"Name": name, "Effect": effect, "HardLimit": limit, "OnTime": limit / 2.0, "Points": 1.0,
         "Window": 5000.0})
@@ -34,7 +37,7 @@
     json!({
         "Classes": [class("read", "safe", limit), class("pay", "unsafe", limit), class("book", "keyed", limit)],
         "Orgs": [{"Name": "acme", "QuotaPerS": 1000.0}, {"Name": "other", "QuotaPerS": 1000.0}],
-        "Domain": {"Cpus": 4, "HeapKb": 200000.0, "RunMemFactor": 8.0, "KeyKb": 1.0, "Downstream": "tier",
+        "Domain": {"Cpus": 4, "HeapKb": 200_000.0, "RunMemFactor": 8.0, "KeyKb": 1.0, "Downstream": "tier",
             "CallsByClass": [true, true, true], "Halt": "off", "Say": "weight", "Heeded": 1000.0, "Idle": 15000.0,
             "Gauges": ["core_use", "on_cores", "heap_share", "links"], "DeepChecks": true, "Fresh": 0.0},
         "Rules": {"FallMultiple": 5.0, "TipAfter": 2000.0, "DrainGrace": 1000.0, "AnswerSlack": 60.0,
--- a/crates/loomflow-standins/src/broker/mod.rs
+++ b/crates/loomflow-standins/src/broker/mod.rs
@@ -7,7 +7,7 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::mpsc::{Receiver, Sender, channel};
-use std::sync::{Arc, Mutex, MutexGuard};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -23,6 +23,7 @@
 /// Whoever has it may do to the broker what a test wants; it ends with the last.
 #[derive(Clone)]
 pub struct Broker {
+    /// Address of the broker.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
@@ -56,23 +57,27 @@
 
 impl Message {
     /// The same with somebody who waits for a reply.
+    #[must_use]
     pub fn reply_to(mut self, queue: &str, correlation: &str) -> Message {
         self.properties = self.properties.with_reply_to(queue.into()).with_correlation_id(correlation.into());
         self
     }
 
     /// The same with one more header.
+    #[must_use]
     pub fn header(self, name: &str, value: &str) -> Message {
         self.with(name, AMQPValue::LongString(value.into()))
     }
 
     /// The same, stamped with the time as some brokers stamp what comes in (ms, header `timestamp_in_ms`).
+    #[must_use]
     pub fn sent_now(self) -> Message {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         self.stamped("timestamp_in_ms", unix.as_millis() as i64)
     }
 
     /// The same with a header that is a number.
+    #[must_use]
     pub fn stamped(self, name: &str, value: i64) -> Message {
         self.with(name, AMQPValue::LongLongInt(value))
     }
@@ -93,16 +98,19 @@
         }
     }
 
+    /// The `type` property, empty if absent.
     pub fn kind(&self) -> String {
         self.properties.kind().as_ref().map(ToString::to_string).unwrap_or_default()
     }
 
+    /// The `correlation-id` property, empty if absent.
     pub fn correlation(&self) -> String {
         self.properties.correlation_id().as_ref().map(ToString::to_string).unwrap_or_default()
     }
 }
 
 impl Broker {
+    /// A broker without queues.
     pub fn start() -> Broker {
         Broker::with(State::default())
     }
@@ -137,7 +145,7 @@
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.shared.state.lock().unwrap_or_else(|e| e.into_inner())
+        self.shared.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Does something with what the broker holds, and says what follows.
@@ -148,18 +156,22 @@
         done
     }
 
+    /// Declares a queue.
     pub fn declare(&self, queue: &str) {
         self.with_state(|state| state.declare(queue, None));
     }
 
+    /// Publishes a message; its queue must exist.
     pub fn publish(&self, message: Message) {
         assert!(self.with_state(|state| state.publish(message)), "there is such a queue");
     }
 
+    /// Changes the faults that the broker injects.
     pub fn faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.state().faults);
     }
 
+    /// Takes all ready messages of a queue.
     pub fn take(&self, queue: &str) -> Vec<Message> {
         self.with_state(|state| state.take(queue))
     }
@@ -186,7 +198,7 @@
 
     /// Breaks every connection off.
     pub fn cut(&self) {
-        let links = self.shared.links.lock().unwrap_or_else(|e| e.into_inner());
+        let links = self.shared.links.lock().unwrap_or_else(PoisonError::into_inner);
         links.values().for_each(|link| drop(link.stream.shutdown(Shutdown::Both)));
     }
 
@@ -207,7 +219,7 @@
 
     /// Any bytes, on every connection.
     pub fn say_bytes(&self, bytes: &[u8]) {
-        let links = self.shared.links.lock().unwrap_or_else(|e| e.into_inner());
+        let links = self.shared.links.lock().unwrap_or_else(PoisonError::into_inner);
         links.values().for_each(|link| drop(link.out.send(bytes.to_vec())));
     }
 }
@@ -215,7 +227,7 @@
 impl Shared {
     /// Hands what is to be said to the connections' writers.
     fn send(&self, state: &mut State) {
-        let links = self.links.lock().unwrap_or_else(|e| e.into_inner());
+        let links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         for (id, frame) in state.take_out() {
             let Some(link) = links.get(&id) else { continue };
             // An empty part ends the connection once all before it is written.
@@ -241,13 +253,13 @@
         let _ = stream.set_nodelay(true);
         let (out, parts) = channel();
         let (reader, writer) = (stream.try_clone().expect("a clone"), stream.try_clone().expect("a clone"));
-        shared.links.lock().unwrap_or_else(|e| e.into_inner()).insert(id, Link { stream, out });
+        shared.links.lock().unwrap_or_else(PoisonError::into_inner).insert(id, Link { stream, out });
         let for_writer = shared.clone();
         thread::spawn(move || write(writer, &parts, &for_writer));
         thread::spawn(move || {
             let _ = read(reader, id, &shared);
-            shared.links.lock().unwrap_or_else(|e| e.into_inner()).remove(&id);
-            let mut state = shared.state.lock().unwrap_or_else(|e| e.into_inner());
+            shared.links.lock().unwrap_or_else(PoisonError::into_inner).remove(&id);
+            let mut state = shared.state.lock().unwrap_or_else(PoisonError::into_inner);
             state.ended(id);
             shared.send(&mut state);
         });
@@ -281,7 +293,7 @@
 fn read(mut stream: TcpStream, id: ConnectionId, shared: &Shared) -> std::io::Result<()> {
     let mut greeting = [0; 8];
     stream.read_exact(&mut greeting)?;
-    let mut state = shared.state.lock().unwrap_or_else(|e| e.into_inner());
+    let mut state = shared.state.lock().unwrap_or_else(PoisonError::into_inner);
     state.opened(id);
     shared.send(&mut state);
     drop(state);
@@ -298,7 +310,7 @@
         let Ok((_, frame)) = parse_frame(&bytes[..]) else {
             return Err(std::io::ErrorKind::InvalidData.into());
         };
-        let mut state = shared.state.lock().unwrap_or_else(|e| e.into_inner());
+        let mut state = shared.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.frame(id, frame);
         shared.send(&mut state);
     }
--- a/crates/loomflow-standins/src/broker/state/frames.rs
+++ b/crates/loomflow-standins/src/broker/state/frames.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl State {
+    /// Handles a frame of a connection.
     pub fn frame(&mut self, id: ConnectionId, frame: AMQPFrame) {
         match frame {
             AMQPFrame::Method(0, AMQPClass::Connection(method)) => self.connection(id, method),
@@ -231,9 +232,10 @@
             return;
         }
         let Some(channel) = self.of(id, number) else { return };
-        let tags: Vec<u64> = match multiple {
-            true => channel.unacked.keys().copied().filter(|one| tag == 0 || *one <= tag).collect(),
-            false => vec![tag],
+        let tags: Vec<u64> = if multiple {
+            channel.unacked.keys().copied().filter(|one| tag == 0 || *one <= tag).collect()
+        } else {
+            vec![tag]
         };
         for tag in tags {
             let Some(channel) = self.of(id, number) else { return };
--- a/crates/loomflow-standins/src/broker/state/mod.rs
+++ b/crates/loomflow-standins/src/broker/state/mod.rs
@@ -13,23 +13,32 @@
 use amq_protocol::protocol::{AMQPClass, confirm, exchange, queue};
 use amq_protocol::types::{AMQPValue, FieldTable};
 
+/// Number of a connection.
 pub type ConnectionId = u64;
 
 /// A message at rest.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
+    /// Exchange that it was published to.
     pub exchange: String,
+    /// Routing key that it was published with.
     pub routing_key: String,
+    /// Its properties.
     pub properties: AMQPProperties,
+    /// Its body.
     pub body: Vec<u8>,
+    /// Whether it was delivered before.
     pub redelivered: bool,
 }
 
 /// How a delivery was settled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Settled {
+    /// Acknowledged.
     Acked,
+    /// Rejected and requeued.
     Requeued,
+    /// Rejected without requeueing.
     Rejected,
 }
 
@@ -94,15 +103,23 @@
     pub forget_acks: usize,
 }
 
+/// The state of a broker, without sockets.
 pub struct State {
+    /// User name that is accepted.
     pub user: String,
+    /// Password that is accepted.
     pub password: String,
+    /// Heartbeat interval that is proposed, s.
     pub heartbeat: u16,
+    /// Largest frame that is proposed, bytes.
     pub frame_max: u32,
+    /// Highest channel number that is proposed.
     pub channel_max: u16,
+    /// Faults to inject.
     pub faults: Faults,
     /// Deliveries made, and settled by message id.
     pub deliveries: u64,
+    /// Queue and settlement of every settled delivery.
     pub settled: Vec<(String, Settled)>,
     /// The most deliveries that were unacknowledged at the same time.
     pub most_unacked: usize,
@@ -149,6 +166,7 @@
 }
 
 impl State {
+    /// Takes the frames to be sent; `None` closes the connection.
     pub fn take_out(&mut self) -> Vec<(ConnectionId, Option<AMQPFrame>)> {
         std::mem::take(&mut self.out)
     }
@@ -159,6 +177,7 @@
 
     // ---- By command ----
 
+    /// Declares a queue, optionally with the exchange and routing key of its dead letters.
     pub fn declare(&mut self, name: &str, dead_letter: Option<(&str, &str)>) {
         let queue = self.queues.entry(name.to_owned()).or_default();
         if let Some((exchange, key)) = dead_letter {
@@ -201,15 +220,18 @@
         routed
     }
 
+    /// Number of messages of a queue that are ready for delivery.
     pub fn ready(&self, queue: &str) -> usize {
         self.queues.get(queue).map_or(0, |queue| queue.ready.len())
     }
 
+    /// Number of deliveries of a queue that are not settled.
     pub fn unacked(&self, queue: &str) -> usize {
         let channels = self.connections.values().flat_map(|c| c.channels.values());
         channels.flat_map(|c| c.unacked.values()).filter(|one| one.queue == queue).count()
     }
 
+    /// Number of consumers of a queue.
     pub fn consumers(&self, queue: &str) -> usize {
         self.queues.get(queue).map_or(0, |queue| queue.consumers.len())
     }
@@ -220,6 +242,7 @@
         channels.flat_map(|c| c.consumers.values()).filter(|c| c.queue == queue).map(|c| c.prefetch).sum()
     }
 
+    /// The open connections.
     pub fn connections(&self) -> Vec<ConnectionId> {
         self.connections.keys().copied().collect()
     }
@@ -258,6 +281,7 @@
         }
     }
 
+    /// Blocks or unblocks publishing on all connections.
     pub fn block(&mut self, is: bool) {
         for id in self.connections() {
             let method = if is {
@@ -269,6 +293,7 @@
         }
     }
 
+    /// Starts or stops the flow on all channels.
     pub fn flow(&mut self, active: bool) {
         for id in self.connections() {
             let numbers: Vec<u16> = self.connections[&id].channels.keys().copied().collect();
@@ -287,6 +312,7 @@
 
     // ---- Connections ----
 
+    /// A client has opened a connection.
     pub fn opened(&mut self, id: ConnectionId) {
         self.connections.insert(id, Connection::default());
         self.say(
--- a/crates/loomflow-standins/src/control.rs
+++ b/crates/loomflow-standins/src/control.rs
@@ -8,7 +8,9 @@
 
 use crate::base::{PATIENCE, free_listener};
 
+/// A stand-in of the control plane.
 pub struct Control {
+    /// Its address.
     pub address: SocketAddr,
     reports: Receiver<String>,
     answer: Arc<Mutex<&'static str>>,
@@ -19,6 +21,7 @@
         Control::at(free_listener())
     }
 
+    /// Starts one on a listener.
     pub fn at(listener: TcpListener) -> Control {
         let address = listener.local_addr().expect("an address");
         let answer = Arc::new(Mutex::new("HTTP/1.1 204 No Content\r\n\r\n"));
@@ -66,6 +69,7 @@
         self.reports.recv_timeout(PATIENCE).expect("a report")
     }
 
+    /// Drops the reports that were received so far.
     pub fn forget(&self) {
         while self.reports.try_recv().is_ok() {}
     }
--- a/crates/loomflow-standins/src/engine.rs
+++ b/crates/loomflow-standins/src/engine.rs
@@ -8,13 +8,16 @@
 use crate::base::{PATIENCE, QUIET, free_listener};
 use crate::lines::{Link, accepting};
 
+/// A scripted stand-in of the engine.
 pub struct Engine {
+    /// Its address.
     pub address: SocketAddr,
     links: Receiver<Link>,
     answers_stat: Arc<AtomicBool>,
 }
 
 impl Engine {
+    /// Starts one on a free address.
     pub fn start() -> Engine {
         let listener = free_listener();
         let address = listener.local_addr().expect("an address");
--- a/crates/loomflow-standins/src/fleet.rs
+++ b/crates/loomflow-standins/src/fleet.rs
@@ -19,8 +19,11 @@
 /// Longer than anything takes; only a failure waits for it.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
+/// A server of the fleet and its stand-ins.
 pub struct Member {
+    /// The server's process and its stand-ins.
     pub world: World,
+    /// Its engine.
     pub worker: Worker,
     /// Its folder.
     pub state: PathBuf,
@@ -28,11 +31,14 @@
     pub address: SocketAddr,
 }
 
+/// A fleet of server processes, connected through relays.
 pub struct Fleet {
+    /// Its servers.
     pub members: Vec<Member>,
     /// From the first to the second.
     relays: Vec<Vec<Option<Relay>>>,
     folder: PathBuf,
+    /// Seed of the random faults.
     pub seed: u64,
     /// What was done, and when.
     timeline: Vec<(Instant, String)>,
@@ -41,12 +47,17 @@
 /// How a fleet is made.
 #[derive(Clone, Copy)]
 pub struct Plan {
+    /// Number of servers.
     pub members: usize,
+    /// Number of zones.
     pub zones: usize,
     /// Lines of the options' `fleet` beyond those that every member needs.
     pub extra: &'static str,
+    /// Cores of each engine.
     pub cores: usize,
+    /// Duration of a run.
     pub work: Duration,
+    /// Seed of the random faults.
     pub seed: u64,
 }
 
@@ -91,7 +102,7 @@
             settings["Domain"]["Cpus"] = plan.cores.into();
             settings["Domain"]["CallsByClass"] = serde_json::json!([false, false, false]);
             let mut world = World::new(settings);
-            world.program = program.to_owned();
+            program.clone_into(&mut world.program);
             world.config["name"] = name(member_index).into();
             let state = folder.join(name(member_index));
             let mut text = format!(
@@ -131,6 +142,7 @@
     }
 
     /// Founds the fleet by the first, and waits until all voters are in.
+    #[must_use]
     pub fn bootstrap(self, plan: Plan) -> Fleet {
         let fleet = self;
         let (code, _, errors) = fleet.run_command(0, &["found"]);
@@ -147,6 +159,7 @@
         fleet
     }
 
+    /// Starts a server that was stopped.
     pub fn start_member(&mut self, member_index: usize) {
         self.note(format!("{} starts", name(member_index)));
         let member = &mut self.members[member_index];
@@ -154,6 +167,7 @@
         member.world.work_with(&worker);
     }
 
+    /// Kills a server and its engine.
     pub fn kill(&mut self, member_index: usize) {
         self.note(format!("{} is killed", name(member_index)));
         self.members[member_index].world.kill();
@@ -165,6 +179,7 @@
         self.members[member_index].world.signal("STOP");
     }
 
+    /// Continues a paused server (SIGCONT).
     pub fn resume(&mut self, member_index: usize) {
         self.note(format!("{} goes on", name(member_index)));
         self.members[member_index].world.signal("CONT");
@@ -184,6 +199,7 @@
         all
     }
 
+    /// Continues paused processes.
     pub fn resume_processes(&mut self, all: &[u32]) {
         self.note(format!("{all:?} go on"));
         for pid in all.iter().rev().filter_map(|pid| Pid::from_raw(*pid as i32)) {
@@ -285,6 +301,7 @@
         command.spawn().expect("the command runs")
     }
 
+    /// The fleet's status as a member reports it.
     pub fn status(&self, member_index: usize) -> Value {
         serde_json::from_str(&self.run_command(member_index, &["status", "--json"]).1).unwrap_or(Value::Null)
     }
--- a/crates/loomflow-standins/src/gateway.rs
+++ b/crates/loomflow-standins/src/gateway.rs
@@ -8,16 +8,19 @@
 
 use crate::base::{PATIENCE, QUIET};
 
+/// An attempt id that was not used before.
 pub fn fresh_id() -> String {
     static NEXT: AtomicU64 = AtomicU64::new(0x9b1f_03aa_0000_0000);
     format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
+/// Valid fields of a call, sent now.
 pub fn fields(id: &str) -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock").as_millis();
     format!("req={id},ts={now},via=4,owner=acme,ms=12.50,need=24.5,level=0.6250")
 }
 
+/// An array of bulk strings.
 pub fn array(words: &[&[u8]]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", words.len()).into_bytes();
     for word in words {
@@ -28,20 +31,27 @@
     out
 }
 
+/// A call.
 pub fn call(tag: u64, class: &str, fields: &str, body: &[u8]) -> Vec<u8> {
     array(&[b"RPC.CALL", tag.to_string().as_bytes(), class.as_bytes(), fields.as_bytes(), body])
 }
 
+/// A health check.
 pub fn health(tag: u64, real: bool) -> Vec<u8> {
     let fields: &[u8] = if real { b"real=1" } else { b"" };
     array(&[b"RPC.HEALTH", tag.to_string().as_bytes(), fields])
 }
 
+/// A response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answered {
+    /// Tag of the request.
     pub tag: u64,
+    /// Status.
     pub word: String,
+    /// Fields of the response.
     pub fields: String,
+    /// Body of the response.
     pub body: Vec<u8>,
 }
 
@@ -49,12 +59,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Silence;
 
+/// A gateway connection.
 pub struct Gateway {
+    /// Its socket.
     pub stream: TcpStream,
     unread: Vec<u8>,
 }
 
 impl Gateway {
+    /// Connects to a server.
     pub fn open(to: SocketAddr) -> Gateway {
         let until = Instant::now() + PATIENCE;
         loop {
@@ -74,6 +87,7 @@
         Gateway { stream, unread: Vec::new() }
     }
 
+    /// Sends bytes.
     pub fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).expect("the server reads");
     }
@@ -85,11 +99,16 @@
         id
     }
 
+    /// The next response, which must arrive in time.
     pub fn answer(&mut self) -> Answered {
         self.next(PATIENCE).expect("an answer").expect("an open connection")
     }
 
-    /// An answer, `None` at the end of the connection, or an error when nothing came in time.
+    /// The next response; `None` at the end of the connection.
+    ///
+    /// # Errors
+    ///
+    /// Nothing arrived in time.
     pub fn next(&mut self, wait: Duration) -> Result<Option<Answered>, Silence> {
         let until = Instant::now() + wait;
         loop {
@@ -119,6 +138,7 @@
         assert_eq!(self.next(QUIET), Err(Silence));
     }
 
+    /// Checks that the server closes the connection.
     pub fn is_closed(&mut self) {
         assert_eq!(self.next(PATIENCE), Ok(None));
     }
--- a/crates/loomflow-standins/src/ledger.rs
+++ b/crates/loomflow-standins/src/ledger.rs
@@ -11,6 +11,7 @@
 
 /// Refuses connections until it is opened.
 pub struct Ledger {
+    /// Its address.
     pub address: SocketAddr,
 }
 
@@ -19,6 +20,7 @@
         Ledger { address: free_address() }
     }
 
+    /// Starts to accept connections.
     pub fn open(&self) -> OpenLedger {
         let listener = TcpListener::bind(self.address).expect("the ledger's address");
         OpenLedger { links: accepting(listener, &["post"], Arc::default()) }
@@ -47,15 +49,18 @@
     }
 }
 
+/// A scripted downstream service.
 pub struct OpenLedger {
     links: Receiver<Link>,
 }
 
 impl OpenLedger {
+    /// The next connection that the server opens.
     pub fn link(&self) -> Link {
         self.links.recv_timeout(PATIENCE).expect("a connection")
     }
 
+    /// Checks that the server opens no connection.
     pub fn has_no_link(&self) {
         assert!(self.links.recv_timeout(QUIET).is_err());
     }
--- a/crates/loomflow-standins/src/lines.rs
+++ b/crates/loomflow-standins/src/lines.rs
@@ -9,13 +9,17 @@
 
 use crate::base::{PATIENCE, QUIET};
 
+/// A line and the body that follows it, if any.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
+    /// The line without its end.
     pub text: String,
+    /// The body; empty if there is none.
     pub body: Vec<u8>,
 }
 
 impl Line {
+    /// A word of the line.
     pub fn word(&self, at: usize) -> &str {
         self.text.split(' ').nth(at).unwrap_or_default()
     }
@@ -71,6 +75,7 @@
         Link { stream, lines }
     }
 
+    /// The next line, which must arrive in time.
     pub fn line(&self) -> Line {
         self.lines.recv_timeout(PATIENCE).expect("a line")
     }
@@ -87,22 +92,27 @@
         line
     }
 
+    /// Checks that nothing arrives.
     pub fn is_quiet(&self) {
         assert_eq!(self.lines.recv_timeout(QUIET), Err(RecvTimeoutError::Timeout));
     }
 
+    /// Checks that the server closes the connection.
     pub fn is_closed(&self) {
         assert_eq!(self.lines.recv_timeout(PATIENCE), Err(RecvTimeoutError::Disconnected));
     }
 
+    /// Sends a line.
     pub fn say(&self, text: &str) {
         self.say_bytes(format!("{text}\r\n").as_bytes());
     }
 
+    /// Sends bytes.
     pub fn say_bytes(&self, bytes: &[u8]) {
         (&self.stream).write_all(bytes).expect("the server reads");
     }
 
+    /// Sends a line, with the length of the body added, and the body.
     pub fn say_body(&self, head: &str, body: &[u8]) {
         self.say_bytes(&with_body(head, body));
     }
@@ -122,14 +132,17 @@
         self.say_bytes(&bytes);
     }
 
+    /// Sends the end of a successful run.
     pub fn done(&self, number: u64, id: &str, result: &[u8]) {
         self.say_body(&format!("DONE {number} {id} fine 5"), result);
     }
 
+    /// Sends the request for a downstream call.
     pub fn need(&self, number: u64, id: &str, body: &[u8]) {
         self.say_body(&format!("NEED {number} {id}"), body);
     }
 
+    /// Closes the connection.
     pub fn cut(self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
--- a/crates/loomflow-standins/src/relay.rs
+++ b/crates/loomflow-standins/src/relay.rs
@@ -18,8 +18,11 @@
     pub stalled: bool,
     /// Parts of all messages that are lost, said twice, or said after the next one, 0 to 1.
     pub lost: f64,
+    /// Share of messages that are duplicated.
     pub doubled: f64,
+    /// Share of messages that are sent after the next one.
     pub swapped: f64,
+    /// Delay of each message.
     pub delay: Duration,
 }
 
@@ -38,6 +41,7 @@
 const MOST_KEPT: usize = 4_096;
 
 impl Relay {
+    /// Starts a relay to an address.
     pub fn start(to: SocketAddr, seed: u64) -> Relay {
         let listener = free_listener();
         let address = listener.local_addr().expect("an address");
@@ -47,6 +51,7 @@
         relay
     }
 
+    /// Changes what the relay does to messages.
     pub fn set(&self, trouble: Trouble) {
         *self.trouble.lock().expect("trouble") = trouble;
     }
--- a/crates/loomflow-standins/src/worker.rs
+++ b/crates/loomflow-standins/src/worker.rs
@@ -1,10 +1,10 @@
 //! An engine that works by itself: so many cores, each with one run at a time, the rest in the order in which they
 //! came. It keeps what it has run, so that nothing can run twice unseen.
 
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::sync::{Arc, Condvar, Mutex, MutexGuard};
+use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -29,7 +29,7 @@
     /// How often each body has been run, by class and body.
     runs: BTreeMap<(String, Vec<u8>), usize>,
     begun: Vec<(Vec<u8>, Instant)>,
-    seen: BTreeMap<String, ()>,
+    seen: BTreeSet<String>,
     work: Duration,
     fail: usize,
     held: bool,
@@ -49,8 +49,10 @@
     cores: usize,
 }
 
+/// A stand-in engine that runs requests by itself.
 #[derive(Clone)]
 pub struct Worker {
+    /// Its address.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
@@ -81,9 +83,10 @@
     }
 
     fn inner(&self) -> MutexGuard<'_, Inner> {
-        self.shared.inner.lock().unwrap_or_else(|e| e.into_inner())
+        self.shared.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Changes the duration of runs.
     pub fn takes(&self, work: Duration) {
         self.inner().work = work;
     }
@@ -129,6 +132,7 @@
         self.inner().begun.clone()
     }
 
+    /// Number of runs that were requested.
     pub fn count(&self) -> usize {
         self.inner().begun.len()
     }
@@ -166,34 +170,35 @@
 
 fn core(shared: &Shared) {
     loop {
-        let mut inner = shared.inner.lock().unwrap_or_else(|e| e.into_inner());
+        let mut inner = shared.inner.lock().unwrap_or_else(PoisonError::into_inner);
         let run = loop {
             if let Some(run) = inner.waiting.pop_front() {
                 break run;
             }
-            inner = shared.changed.wait(inner).unwrap_or_else(|e| e.into_inner());
+            inner = shared.changed.wait(inner).unwrap_or_else(PoisonError::into_inner);
         };
         inner.busy += 1;
         drop(inner);
         thread::sleep(run.work);
         if !run.called {
-            let mut inner = shared.inner.lock().unwrap_or_else(|e| e.into_inner());
+            let mut inner = shared.inner.lock().unwrap_or_else(PoisonError::into_inner);
             inner.busy -= 1;
             inner.notice("NEED", &run.id, b"call");
             inner.at_call.insert(run.id.clone(), Run { called: true, ..run });
             continue;
         }
-        let mut inner = shared.inner.lock().unwrap_or_else(|e| e.into_inner());
+        let mut inner = shared.inner.lock().unwrap_or_else(PoisonError::into_inner);
         while inner.held {
-            inner = shared.changed.wait(inner).unwrap_or_else(|e| e.into_inner());
+            inner = shared.changed.wait(inner).unwrap_or_else(PoisonError::into_inner);
         }
         inner.busy -= 1;
         let fails = inner.fail > 0;
         inner.fail = inner.fail.saturating_sub(1);
         let took = run.work.as_millis().max(1);
-        match fails {
-            true => inner.notice("DONE", &format!("{} fault {took}", run.id), b""),
-            false => inner.notice("DONE", &format!("{} fine {took}", run.id), &result_of(&run.body)),
+        if fails {
+            inner.notice("DONE", &format!("{} fault {took}", run.id), b"");
+        } else {
+            inner.notice("DONE", &format!("{} fine {took}", run.id), &result_of(&run.body));
         }
     }
 }
@@ -209,7 +214,7 @@
 fn serve(stream: TcpStream, shared: &Shared) -> std::io::Result<()> {
     let mut writer = stream.try_clone()?;
     let mut reader = BufReader::new(stream);
-    let lock = || shared.inner.lock().unwrap_or_else(|e| e.into_inner());
+    let lock = || shared.inner.lock().unwrap_or_else(PoisonError::into_inner);
     let mut line = String::new();
     loop {
         line.clear();
@@ -236,7 +241,7 @@
                 body.truncate(body.len() - 2);
                 let mut inner = lock();
                 // For one that runs already nothing happens.
-                if inner.seen.insert(id.to_owned(), ()).is_none() {
+                if inner.seen.insert(id.to_owned()) {
                     *inner.runs.entry((class.to_owned(), body.clone())).or_default() += 1;
                     inner.begun.push((body.clone(), Instant::now()));
                     let called =
--- a/crates/loomflow-standins/src/world.rs
+++ b/crates/loomflow-standins/src/world.rs
@@ -25,11 +25,17 @@
     folder.join("loomflow")
 }
 
+/// A server process, its configuration and its stand-ins.
 pub struct World {
+    /// Where the server listens for gateways.
     pub listen: SocketAddr,
+    /// Its configuration.
     pub config: Value,
+    /// Its scripted engine.
     pub engine: Engine,
+    /// Its downstream service.
     pub ledger: Ledger,
+    /// Its control plane.
     pub control: Control,
     file: std::path::PathBuf,
     options: Option<std::path::PathBuf>,
@@ -142,6 +148,7 @@
         old
     }
 
+    /// Replaces the configuration file.
     pub fn write(&self, text: &str) {
         std::fs::write(&self.file, text).expect("the configuration is written");
     }
@@ -151,6 +158,7 @@
         assert!(Command::new("mkfifo").arg(&self.file).status().expect("mkfifo").success());
     }
 
+    /// Deletes the configuration file.
     pub fn remove_file(&self) {
         std::fs::remove_file(&self.file).expect("the configuration is removed");
     }
@@ -203,10 +211,12 @@
         panic!("the server does not serve");
     }
 
+    /// Opens a gateway connection.
     pub fn gateway(&self) -> Gateway {
         Gateway::open(self.listen)
     }
 
+    /// The server's log so far.
     pub fn log(&self) -> String {
         self.log.lock().unwrap().clone()
     }
@@ -220,14 +230,17 @@
         }
     }
 
+    /// Process id of the server.
     pub fn pid(&self) -> u32 {
         self.child.as_ref().expect("a server").id()
     }
 
+    /// Asks the server to shut down (SIGTERM).
     pub fn terminate(&self) {
         self.signal("TERM");
     }
 
+    /// Sends a signal by name.
     pub fn signal(&self, name: &str) {
         let done = Command::new("kill").args([&format!("-{name}"), &self.pid().to_string()]).status();
         assert!(done.expect("kill").success());
@@ -251,6 +264,7 @@
         self.child.is_some() && self.is_running()
     }
 
+    /// Whether the process that was started has not ended.
     pub fn is_running(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| child.try_wait().expect("its state").is_none())
     }
@@ -287,6 +301,7 @@
         seen.difference(&waited).cloned().collect()
     }
 
+    /// Number of open file descriptors of the server.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.pid())).expect("its descriptors").count()
     }
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -618,7 +618,7 @@
             let is_late = self.misses_objective(request, 0.0);
             if !self.reclaim_memory(needed_kb, Some(id), out) {
                 return if is_late {
-                    self.shed(id, true, out)
+                    self.shed(id, true, out);
                 };
             }
             self.start_run(id, out);
