--- a/crates/loomflow-amqp/src/idempotency.rs
+++ b/crates/loomflow-amqp/src/idempotency.rs
@@ -165,6 +165,22 @@
     hasher: RandomState,
 }
 
+impl MessageInfo {
+    /// Whether the message was delivered to this server before, so that its caller may have its reply already. The caller
+    /// of a new message asks again.
+    fn was_here(&self) -> bool {
+        self.redelivered || self.copy.is_some()
+    }
+}
+
+/// What the records say about a message.
+enum Lookup {
+    /// They decide.
+    Decided(DuplicateDecision),
+    /// They do not rule out a run here.
+    Undecided { may_have_run_elsewhere: bool },
+}
+
 impl IdempotencyRecords {
     /// Keys are remembered for `retention` after their last change.
     pub fn new(
@@ -220,64 +236,69 @@
         message: MessageInfo,
         now: Millis,
     ) -> DuplicateDecision {
-        let MessageInfo { has_effect, redelivered, copy, caller_digest, body_digest } = message;
         self.expire(now);
         let Some(key) = key else {
-            let may_have_run = has_effect && redelivered;
+            let may_have_run = message.has_effect && message.redelivered;
             return if may_have_run { DuplicateDecision::MayHaveRun } else { DuplicateDecision::Run };
         };
-        // Another server may have run any message that is redelivered, except one that was last here.
-        let may_have_run_elsewhere =
-            match self.records.get_mut(key).map(|record| (record.state.clone(), record)) {
-                Some((KeyState::Queued | KeyState::Running | KeyState::Finished(_), record))
-                    if record.body_digest != body_digest =>
-                {
-                    return DuplicateDecision::BodyMismatch;
-                }
-                Some((KeyState::Queued | KeyState::Running, record)) => {
-                    record.waiters.push(id);
-                    return DuplicateDecision::AwaitOriginal;
-                }
-                Some((KeyState::Finished(result), record))
-                    if has_effect || matches!(result, RunResult::Served(_)) =>
-                {
-                    // The caller of a message that was here before may have its reply; a new message asks again.
-                    let was_here = redelivered || copy.is_some();
-                    let is_answered = was_here && record.answered_callers.contains(&caller_digest);
-                    return DuplicateDecision::AnswerFromRecord { result, is_answered };
-                }
-                Some((KeyState::Finished(_), _)) => false,
-                Some((KeyState::Republished { from, is_confirmed: true, .. }, _))
-                    if redelivered && copy == from =>
-                {
-                    return DuplicateDecision::Superseded;
-                }
-                Some((KeyState::Republished { .. }, _)) => redelivered,
-                Some((KeyState::NotStarted(last), _)) => redelivered && copy != last,
-                None => match self.retired_keys.get(key).filter(|_| has_effect) {
-                    Some(was_answered) => {
-                        let is_answered = (redelivered || copy.is_some()) && was_answered;
-                        return DuplicateDecision::AnswerFromRecord {
-                            result: RunResult::ReplyDiscarded,
-                            is_answered,
-                        };
-                    }
-                    None => redelivered && self.store.may_have_started(key) != Some(false),
-                },
-            };
-        if has_effect && may_have_run_elsewhere {
+        let may_have_run_elsewhere = match self.look_up(id, key, &message) {
+            Lookup::Decided(decision) => return decision,
+            Lookup::Undecided { may_have_run_elsewhere } => may_have_run_elsewhere,
+        };
+        if message.has_effect && may_have_run_elsewhere {
             // Further duplicates are answered alike, unless a copy from here is still to come.
             if !self.records.contains_key(key) {
-                self.start_record(key, body_digest);
+                self.start_record(key, message.body_digest);
                 self.finish(key, KeyState::Finished(RunResult::Unknown), now);
             }
             return DuplicateDecision::MayHaveRun;
         }
         self.discard_reply(key);
-        self.start_record(key, body_digest);
+        self.start_record(key, message.body_digest);
         DuplicateDecision::Run
     }
 
+    /// Looks up the key of a message. Another server may have run any message that is redelivered, except one that was
+    /// last here.
+    fn look_up(&mut self, id: DeliveryId, key: &IdempotencyKey, message: &MessageInfo) -> Lookup {
+        let Some(record) = self.records.get_mut(key) else { return self.look_up_retired(key, message) };
+        let is_same_body = record.body_digest == message.body_digest;
+        let may_have_run_elsewhere = match record.state.clone() {
+            KeyState::Queued | KeyState::Running | KeyState::Finished(_) if !is_same_body => {
+                return Lookup::Decided(DuplicateDecision::BodyMismatch);
+            }
+            KeyState::Queued | KeyState::Running => {
+                record.waiters.push(id);
+                return Lookup::Decided(DuplicateDecision::AwaitOriginal);
+            }
+            KeyState::Finished(result) if message.has_effect || matches!(result, RunResult::Served(_)) => {
+                let is_answered =
+                    message.was_here() && record.answered_callers.contains(&message.caller_digest);
+                return Lookup::Decided(DuplicateDecision::AnswerFromRecord { result, is_answered });
+            }
+            KeyState::Finished(_) => false,
+            KeyState::Republished { from, is_confirmed: true, .. }
+                if message.redelivered && message.copy == from =>
+            {
+                return Lookup::Decided(DuplicateDecision::Superseded);
+            }
+            KeyState::Republished { .. } => message.redelivered,
+            KeyState::NotStarted(last) => message.redelivered && message.copy != last,
+        };
+        Lookup::Undecided { may_have_run_elsewhere }
+    }
+
+    /// Looks up a key that has no record any more.
+    fn look_up_retired(&self, key: &IdempotencyKey, message: &MessageInfo) -> Lookup {
+        if let Some(was_answered) = self.retired_keys.get(key).filter(|_| message.has_effect) {
+            let is_answered = message.was_here() && was_answered;
+            let result = RunResult::ReplyDiscarded;
+            return Lookup::Decided(DuplicateDecision::AnswerFromRecord { result, is_answered });
+        }
+        let may_have_run_elsewhere = message.redelivered && self.store.may_have_started(key) != Some(false);
+        Lookup::Undecided { may_have_run_elsewhere }
+    }
+
     fn start_record(&mut self, key: &IdempotencyKey, body_digest: u64) {
         self.unfinished += 1;
         let record = Record {
--- a/crates/loomflow-amqp/src/lib.rs
+++ b/crates/loomflow-amqp/src/lib.rs
@@ -9,6 +9,8 @@
 //! Sections named in comments are those of the AMQP 0-9-1 specification; "extension" is what its brokers have agreed
 //! upon beside it (publisher confirms, `basic.nack`, `connection.blocked`, consumer cancel notification).
 
+#![forbid(unsafe_code)]
+
 pub mod backoff;
 pub mod connection;
 pub mod consumer;
--- a/crates/loomflow-amqp/tests/model.rs
+++ b/crates/loomflow-amqp/tests/model.rs
@@ -93,7 +93,7 @@
             *connections_opened += 1;
             (server.connection, server.reconnect_at) = (Some(*connections_opened), None);
             server.consumer.connected(now);
-            self.broker.opened(*connections_opened);
+            self.broker.connection_opened(*connections_opened);
         }
         if server.consumer.tick(now).is_err() {
             self.broken += 1;
@@ -120,7 +120,7 @@
         self.advance(at);
         let Some(connection) = self.servers[at].connection else { return };
         for frame in decode(&mut self.servers[at].to_broker) {
-            self.broker.frame(connection, frame);
+            self.broker.handle_frame(connection, frame);
         }
         let mut over = Vec::new();
         for (to, frame) in self.broker.take_out() {
@@ -152,13 +152,13 @@
         server.to_broker.clear();
         server.to_server.clear();
         server.reconnect_at = server.consumer.disconnected(now).map(|pause| now + pause);
-        self.broker.ended(connection);
+        self.broker.connection_closed(connection);
         self.advance(at);
     }
 
     fn restart(&mut self, at: usize) {
         if let Some(connection) = self.servers[at].connection {
-            self.broker.ended(connection);
+            self.broker.connection_closed(connection);
         }
         self.killed += self.servers[at].running.len();
         let server = self.server(self.connections_opened + 100);
@@ -338,11 +338,12 @@
             (of.message_id(), of.expiration())
         );
         let said = Message { properties: anew.properties, ..first.clone() };
-        let words = ["mine", "x-loomflow-user-id", "CC", "x-loomflow-publish"].map(|name| said.says(name));
+        let words =
+            ["mine", "x-loomflow-user-id", "CC", "x-loomflow-publish"].map(|name| said.header_text(name));
         assert_eq!(words, [Some("1".into()), Some("somebody".into()), None, Some("7".into())]);
         let dead = matches!(to, settlement::Republish::DeadLetter(_));
-        assert_eq!(said.says("x-loomflow-reason"), dead.then(|| "why".into()));
-        assert_eq!(said.says("x-loomflow-rounds"), (!dead).then(|| "3".into()));
+        assert_eq!(said.header_text("x-loomflow-reason"), dead.then(|| "why".into()));
+        assert_eq!(said.header_text("x-loomflow-rounds"), (!dead).then(|| "3".into()));
     }
 }
 
--- a/crates/loomflow-amqp/tests/overload.rs
+++ b/crates/loomflow-amqp/tests/overload.rs
@@ -56,7 +56,7 @@
         consumer.connected(0.0);
         let mut broker = State::default();
         ["jobs", "dead", "replies"].into_iter().for_each(|queue| broker.declare(queue, None));
-        broker.opened(CONNECTION);
+        broker.connection_opened(CONNECTION);
         let mut set = site.settings.clone();
         set.classes.iter_mut().for_each(|class| class.makes_calls = false);
         Simulation {
@@ -79,7 +79,7 @@
         let id = self.sent.len().to_string();
         self.sent.push(self.now);
         let message = message("jobs", &id, id.as_bytes()).reply_to("replies", &id);
-        assert!(self.broker.publish(message.stamped("sent", self.now as i64)));
+        assert!(self.broker.publish(message.with_number_header("sent", self.now as i64)));
     }
 
     fn step(&mut self) {
@@ -180,7 +180,7 @@
         loop {
             self.consumer.tick(self.now).expect("the connection goes on");
             let mut bytes: VecDeque<u8> = self.consumer.take_output(self.now).into();
-            decode(&mut bytes).into_iter().for_each(|frame| self.broker.frame(CONNECTION, frame));
+            decode(&mut bytes).into_iter().for_each(|frame| self.broker.handle_frame(CONNECTION, frame));
             let out = self.broker.take_out();
             if out.is_empty() {
                 return;
--- a/crates/loomflow-fleet/src/duty/fence/tests.rs
+++ b/crates/loomflow-fleet/src/duty/fence/tests.rs
@@ -1,5 +1,7 @@
 use super::*;
 
+/// A storage that accepts everything.
+#[expect(clippy::unnecessary_wraps, reason = "the signature of a storage")]
 fn store(_: &Fence) -> Result<(), &'static str> {
     Ok(())
 }
--- a/crates/loomflow-fleet/src/lib.rs
+++ b/crates/loomflow-fleet/src/lib.rs
@@ -18,7 +18,7 @@
 //! Members exchange postcard, which carries no names; operators are answered in JSON, which does. Where a name in the code
 //! differs from the one in JSON, a serde attribute gives the latter. `tests/wire_format.rs` pins both.
 
-#![warn(missing_docs)]
+#![forbid(unsafe_code)]
 
 pub mod consensus;
 pub mod duty;
--- a/crates/loomflow-fleet/tests/wire_format.rs
+++ b/crates/loomflow-fleet/tests/wire_format.rs
@@ -48,7 +48,7 @@
 }
 
 fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+    bytes.iter().fold(String::new(), |text, byte| format!("{text}{byte:02x}"))
 }
 
 fn load_report() -> LoadReport {
--- a/crates/loomflow-lab/src/caller.rs
+++ b/crates/loomflow-lab/src/caller.rs
@@ -1,69 +1,69 @@
-//! One caller: a gateway that passes clients' requests on to servers, with the habits of gateways in use.
+//! A caller: a gateway that forwards the requests of clients to servers, behaving like gateways in use.
 
 use fastrand::Rng;
 
 use crate::clock::{Micros, SECOND};
 use crate::connections::ConnectionId;
 
-/// How a caller chooses among the servers that it doesn't avoid.
+/// How a caller chooses among the servers that it does not avoid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pick {
-    /// The next one of its list.
+pub enum LoadBalancing {
+    /// The next server of its list.
     RoundRobin,
-    /// The one with the fewest of its own requests, the next of its list among equals.
-    LeastOutstanding,
+    /// The server with the fewest of its own requests; among equals the next one of its list.
+    FewestOutstanding,
 }
 
-/// What callers do of their own accord.
+/// Behaviour of callers.
 #[derive(Clone, Debug)]
-pub struct Habits {
-    /// The part of the callers that pick the server with the fewest of their requests; the others go round.
-    pub least_outstanding: f64,
-    /// Servers asked at most for one try of a client: after a refusal the caller walks on through its list.
-    pub walk: usize,
-    /// The part of the callers that walk on even from a refusal that says that no other server is to be tried.
-    pub walks_past_last: f64,
-    /// The chance that a caller heeds the told share when it picks.
-    pub heeds_share: f64,
-    /// The told share is forgotten after this.
-    pub remembers: Micros,
-    /// Servers are left alone for the pause that their refusal asks for.
-    pub honours_pause: bool,
-    /// Idle connections are closed after this by the caller, at the latest.
-    pub keeps_idle: Micros,
+pub struct CallerPolicy {
+    /// Part of the callers that choose the server with the fewest outstanding requests; the others use round robin.
+    pub fewest_outstanding_part: f64,
+    /// Most servers that are tried for one attempt of a client.
+    pub max_servers_tried: usize,
+    /// Part of the callers that try another server even after a final rejection.
+    pub ignores_final_part: f64,
+    /// Probability that a caller honours the send share of a server when it chooses.
+    pub honours_share_probability: f64,
+    /// How long a send share is honoured.
+    pub share_ttl: Micros,
+    /// Whether callers honour the retry-after of a rejection.
+    pub honours_retry_after: bool,
+    /// Idle timeout of pooled connections.
+    pub idle_timeout: Micros,
 }
 
-impl Default for Habits {
+impl Default for CallerPolicy {
     fn default() -> Self {
-        Habits {
-            least_outstanding: 0.5,
-            walk: 4,
-            walks_past_last: 1.0,
-            heeds_share: 0.9,
-            remembers: SECOND,
-            honours_pause: true,
-            keeps_idle: 15 * SECOND,
+        CallerPolicy {
+            fewest_outstanding_part: 0.5,
+            max_servers_tried: 4,
+            ignores_final_part: 1.0,
+            honours_share_probability: 0.9,
+            share_ttl: SECOND,
+            honours_retry_after: true,
+            idle_timeout: 15 * SECOND,
         }
     }
 }
 
-/// What a caller knows of one server.
+/// What a caller knows about a server.
 #[derive(Clone)]
 struct Peer {
     share: f64,
-    share_heard: Option<Micros>,
-    away_until: Micros,
+    share_received_at: Option<Micros>,
+    avoided_until: Micros,
     outstanding: u32,
     idle: Vec<ConnectionId>,
 }
 
 /// One caller and its connection pool.
 pub struct Caller {
-    /// False while it is gone.
-    pub up: bool,
-    habits: Habits,
-    pick: Pick,
-    walks_past_last: bool,
+    /// False while it is down.
+    pub is_up: bool,
+    policy: CallerPolicy,
+    pick: LoadBalancing,
+    ignores_final: bool,
     /// The servers in its own order.
     list: Vec<usize>,
     cursor: usize,
@@ -71,101 +71,106 @@
 }
 
 impl Caller {
-    /// A caller with an empty pool that knows nothing of the servers but their list.
-    pub fn new(habits: &Habits, servers: usize, rng: &mut Rng) -> Caller {
-        let least = rng.f64() < habits.least_outstanding;
-        let walks_past_last = rng.f64() < habits.walks_past_last;
+    /// Creates a caller with an empty pool.
+    pub fn new(policy: &CallerPolicy, servers: usize, rng: &mut Rng) -> Caller {
+        let fewest = rng.f64() < policy.fewest_outstanding_part;
+        let ignores_final = rng.f64() < policy.ignores_final_part;
         let mut list: Vec<usize> = (0..servers).collect();
         rng.shuffle(&mut list);
-        let unknown = Peer { share: 1.0, share_heard: None, away_until: 0, outstanding: 0, idle: Vec::new() };
+        let unknown =
+            Peer { share: 1.0, share_received_at: None, avoided_until: 0, outstanding: 0, idle: Vec::new() };
         Caller {
-            up: true,
-            habits: habits.clone(),
-            pick: if least { Pick::LeastOutstanding } else { Pick::RoundRobin },
-            walks_past_last,
+            is_up: true,
+            policy: policy.clone(),
+            pick: if fewest { LoadBalancing::FewestOutstanding } else { LoadBalancing::RoundRobin },
+            ignores_final,
             list,
             cursor: 0,
             peers: vec![unknown; servers],
         }
     }
 
-    /// Chooses a server that was not tried yet; none where all are tried or asked to be left alone.
+    /// Chooses a server that was not tried yet; `None` if all were tried or are avoided.
     pub fn pick(&mut self, now: Micros, tried: &[usize], rng: &mut Rng) -> Option<usize> {
         let mut chosen: Option<(u32, usize)> = None;
-        let mut passed_by = None;
+        let mut skipped = None;
         for step in 0..self.list.len() {
             let place = (self.cursor + step) % self.list.len();
             let server = self.list[place];
-            if tried.contains(&server) || self.avoids(now, server) {
+            if tried.contains(&server) || self.is_avoided(now, server) {
                 continue;
             }
             let outstanding = self.peers[server].outstanding;
-            if chosen.is_some_and(|(least, _)| outstanding >= least) {
+            if chosen.is_some_and(|(fewest, _)| outstanding >= fewest) {
                 continue;
             }
-            if self.passes_by(now, server, rng) {
-                passed_by = passed_by.or(Some(place));
+            if self.skips(now, server, rng) {
+                skipped = skipped.or(Some(place));
                 continue;
             }
             chosen = Some((outstanding, place));
-            if self.pick == Pick::RoundRobin || outstanding == 0 {
+            if self.pick == LoadBalancing::RoundRobin || outstanding == 0 {
                 break;
             }
         }
-        // Where every server is passed by, the request still has to go somewhere.
-        let place = chosen.map(|(_, place)| place).or(passed_by)?;
+        // If every server is skipped, the request still has to go to one of them.
+        let place = chosen.map(|(_, place)| place).or(skipped)?;
         self.cursor = place + 1;
         Some(self.list[place])
     }
 
-    /// Whether it walks on even from a refusal that says that no other server is to be tried.
-    pub fn walks_past_last(&self) -> bool {
-        self.walks_past_last
+    /// Whether it tries another server even after a final rejection.
+    pub fn ignores_final(&self) -> bool {
+        self.ignores_final
     }
 
-    /// A request goes to that server; gives the pooled connection to use, if there is one.
-    pub fn sends(&mut self, server: usize) -> Option<ConnectionId> {
+    /// Sends a request to a server; returns the pooled connection to use, if any.
+    pub fn send(&mut self, server: usize) -> Option<ConnectionId> {
         let peer = &mut self.peers[server];
         peer.outstanding += 1;
         peer.idle.pop()
     }
 
-    /// A request to that server is over, however it ended.
-    pub fn ended(&mut self, server: usize) {
+    /// A request to a server has ended.
+    pub fn request_ended(&mut self, server: usize) {
         self.peers[server].outstanding -= 1;
     }
 
-    /// An answer came with the share of usual traffic that the server wants.
-    pub fn heard_share(&mut self, now: Micros, server: usize, share: f64) {
+    /// A response carried the send share of a server.
+    pub fn share_received(&mut self, now: Micros, server: usize, share: f64) {
         let peer = &mut self.peers[server];
         peer.share = share;
-        peer.share_heard = Some(now);
+        peer.share_received_at = Some(now);
     }
 
-    /// A refusal asked to be left alone for so long.
-    pub fn heard_pause(&mut self, now: Micros, server: usize, pause: Micros) {
-        if self.habits.honours_pause {
-            self.peers[server].away_until = now + pause;
+    /// A rejection carried a retry-after.
+    pub fn retry_after_received(&mut self, now: Micros, server: usize, retry_after: Micros) {
+        if self.policy.honours_retry_after {
+            self.peers[server].avoided_until = now + retry_after;
         }
     }
 
-    /// A connection is free for the next request.
+    /// Returns a connection to the pool.
     pub fn pool(&mut self, server: usize, connection: ConnectionId) {
         self.peers[server].idle.push(connection);
     }
 
-    /// A pooled connection was closed.
+    /// Removes a closed connection from the pool.
     pub fn unpool(&mut self, server: usize, connection: ConnectionId) {
         self.peers[server].idle.retain(|pooled| *pooled != connection);
     }
 
-    fn avoids(&self, now: Micros, server: usize) -> bool {
-        now < self.peers[server].away_until
+    fn is_avoided(&self, now: Micros, server: usize) -> bool {
+        now < self.peers[server].avoided_until
     }
 
-    fn passes_by(&self, now: Micros, server: usize, rng: &mut Rng) -> bool {
+    fn skips(&self, now: Micros, server: usize, rng: &mut Rng) -> bool {
         let peer = &self.peers[server];
-        let fresh = peer.share_heard.is_some_and(|heard| now < heard + self.habits.remembers);
-        fresh && peer.share < 1.0 && rng.f64() < self.habits.heeds_share && rng.f64() >= peer.share
+        let is_current =
+            peer.share_received_at.is_some_and(|received_at| now < received_at + self.policy.share_ttl);
+        is_current
+            && peer.share < 1.0
+            && rng.f64() < self.policy.honours_share_probability
+            && rng.f64() >= peer.share
     }
 }
--- a/crates/loomflow-lab/src/checker.rs
+++ b/crates/loomflow-lab/src/checker.rs
@@ -1,27 +1,25 @@
-//! The rules of answers, judged only by what passed between callers and servers.
-//!
-//! Each attempt that reached a server gets one final answer before its caller would give up, unless the connection broke
-//! first.
+//! Checks the rules for responses on the wire between callers and servers: each attempt that reached a server gets one
+//! final response before the timeout of its caller, unless the connection broke first.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::clock::Micros;
 use crate::cores::AttemptId;
 
-/// What a server did against the rules.
+/// A violation of the rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// An attempt was answered that had its answer, or never came.
+    /// An attempt was answered twice, or never arrived.
     AnsweredTwice(AttemptId),
-    /// An attempt was answered after the end of its caller's patience.
+    /// An attempt was answered after the timeout of its caller.
     AnsweredLate(AttemptId),
-    /// An attempt got no answer by the end of its caller's patience.
+    /// An attempt was not answered before the timeout of its caller.
     NeverAnswered(AttemptId),
 }
 
-/// Watches the wire of a whole play. Keeps only attempts without an answer.
+/// Tracks the attempts without a response.
 pub struct Checker {
-    patience: Micros,
+    timeout: Micros,
     waiting: BTreeMap<AttemptId, Micros>,
     due: BTreeSet<(Micros, AttemptId)>,
     broken: BTreeSet<AttemptId>,
@@ -29,10 +27,10 @@
 }
 
 impl Checker {
-    /// A checker of servers whose callers wait for so long.
-    pub fn new(patience: Micros) -> Checker {
+    /// Creates a checker for callers with this timeout.
+    pub fn new(timeout: Micros) -> Checker {
         Checker {
-            patience,
+            timeout,
             waiting: BTreeMap::new(),
             due: BTreeSet::new(),
             broken: BTreeSet::new(),
@@ -42,14 +40,14 @@
 
     /// An attempt reached a server.
     pub fn reached(&mut self, now: Micros, attempt: AttemptId) {
-        let due = now + self.patience;
+        let due = now + self.timeout;
         self.waiting.insert(attempt, due);
         self.due.insert((due, attempt));
     }
 
     /// A server sent a final answer.
     pub fn answered(&mut self, now: Micros, attempt: AttemptId) {
-        // An answer may cross with the news that the connection broke; it is the last one all the same.
+        // A response may cross with the end of its connection; it is the final one all the same.
         if self.broken.remove(&attempt) {
             return;
         }
@@ -64,7 +62,7 @@
         }
     }
 
-    /// The connection of an attempt broke: no answer is owed.
+    /// The connection of an attempt broke: no response is due.
     pub fn broke(&mut self, attempt: AttemptId) {
         if let Some(due) = self.waiting.remove(&attempt) {
             self.due.remove(&(due, attempt));
@@ -72,7 +70,7 @@
         }
     }
 
-    /// Looks for attempts that are past due, and gives all violations so far.
+    /// Checks for attempts that are overdue, and returns all violations.
     pub fn violations(&mut self, now: Micros) -> &[Violation] {
         while let Some((due, attempt)) = self.due.first().copied().filter(|(due, _)| *due < now) {
             self.due.remove(&(due, attempt));
--- a/crates/loomflow-lab/src/client.rs
+++ b/crates/loomflow-lab/src/client.rs
@@ -1,76 +1,76 @@
-//! Clients: each asks for one thing, tries again on its own when it fails, and gives up in the end.
+//! Clients: each sends one request, retries it when it fails, and abandons it in the end.
 
 use fastrand::Rng;
 
 use crate::clock::{MILLISECOND, Micros};
 use crate::cores::AttemptId;
 
-/// What clients do of their own accord.
+/// Behaviour of clients.
 #[derive(Clone, Debug)]
-pub struct ClientHabits {
-    /// An answer within this of the first try is worth its full worth, later ones nothing.
-    pub aim: Micros,
-    /// A client waits no longer than this, over all its tries.
-    pub give_up: Micros,
-    /// A client tries again at most so often; how often is drawn for each from 1 to this.
-    pub tries_again: u32,
-    /// The longest pause before a try after a failure; drawn for each.
-    pub longest_pause: Micros,
-    /// A try without an answer for this long is left for another, where there is one left.
-    pub patience: Micros,
+pub struct ClientPolicy {
+    /// A response within this time of the first attempt counts, a later one does not.
+    pub objective: Micros,
+    /// How long a client waits over all attempts.
+    pub timeout: Micros,
+    /// Upper bound of the number of retries, which is drawn for each client from 1 on.
+    pub max_retries: u32,
+    /// Upper bound of the backoff before a retry, which is drawn for each.
+    pub max_backoff: Micros,
+    /// An attempt without a response for this long is abandoned for another one, if retries are left.
+    pub attempt_timeout: Micros,
 }
 
-impl Default for ClientHabits {
+impl Default for ClientPolicy {
     fn default() -> Self {
-        ClientHabits {
-            aim: 1_800 * MILLISECOND,
-            give_up: 4_500 * MILLISECOND,
-            tries_again: 2,
-            longest_pause: 400 * MILLISECOND,
-            patience: 1_800 * MILLISECOND,
+        ClientPolicy {
+            objective: 1_800 * MILLISECOND,
+            timeout: 4_500 * MILLISECOND,
+            max_retries: 2,
+            max_backoff: 400 * MILLISECOND,
+            attempt_timeout: 1_800 * MILLISECOND,
         }
     }
 }
 
-/// One client's request over all its tries.
+/// A client's request over all attempts.
 pub struct Request {
-    /// When it was asked first.
-    pub asked: Micros,
-    /// Milliseconds of one core that it needs.
+    /// When it was sent first.
+    pub sent_at: Micros,
+    /// Work, ms on one core.
     pub work: f64,
-    /// The same as callers estimate it.
-    pub estimate: f64,
-    /// Tries that are left after this one.
-    pub tries_left: u32,
-    /// Counts its tries, so that what was scheduled for an old one is passed over.
+    /// Work as callers estimate it, ms on one core.
+    pub estimated_work: f64,
+    /// Retries that are left.
+    pub retries_left: u32,
+    /// Number of the attempt, by which timers of earlier ones are ignored.
     pub serial: u32,
-    /// The caller of the present try.
+    /// The caller of the current attempt.
     pub caller: usize,
-    /// The servers asked in the present try.
-    pub tried: Vec<usize>,
-    /// The attempt under way.
+    /// The servers tried in the current attempt.
+    pub servers_tried: Vec<usize>,
+    /// The caller's attempt in progress.
     pub attempt: Option<AttemptId>,
-    /// Some attempt was made before.
+    /// Whether it was attempted before.
     pub attempted: bool,
-    /// It was answered or given up.
-    pub over: bool,
+    /// Whether it was answered or abandoned.
+    pub is_finished: bool,
 }
 
 impl Request {
-    /// A new request of about that work, estimated within a fifth.
-    pub fn draw(habits: &ClientHabits, now: Micros, mean: f64, spread: f64, rng: &mut Rng) -> Request {
+    /// Draws a request around the mean work; its estimate is within a fifth.
+    pub fn draw(habits: &ClientPolicy, now: Micros, mean: f64, spread: f64, rng: &mut Rng) -> Request {
         let work = mean * (1.0 + spread * (2.0 * rng.f64() - 1.0));
         Request {
-            asked: now,
+            sent_at: now,
             work,
-            estimate: work * (0.8 + 0.4 * rng.f64()),
-            tries_left: if habits.tries_again == 0 { 0 } else { rng.u32(1..=habits.tries_again) },
+            estimated_work: work * (0.8 + 0.4 * rng.f64()),
+            retries_left: if habits.max_retries == 0 { 0 } else { rng.u32(1..=habits.max_retries) },
             serial: 0,
             caller: 0,
-            tried: Vec::new(),
+            servers_tried: Vec::new(),
             attempt: None,
             attempted: false,
-            over: false,
+            is_finished: false,
         }
     }
 }
--- a/crates/loomflow-lab/src/connections.rs
+++ b/crates/loomflow-lab/src/connections.rs
@@ -1,12 +1,12 @@
 //! Connections between callers and servers, and the bounded table of them that each server has.
 //!
-//! A connection carries one request at a time. Its closing is seen at both ends at once.
+//! A connection carries one request at a time. Both ends notice at once when it is closed.
 
 use std::collections::VecDeque;
 
 use crate::clock::Micros;
 
-/// Names one connection for a whole play.
+/// Id of a connection within a simulation.
 pub type ConnectionId = u32;
 
 /// One connection.
@@ -16,12 +16,12 @@
     /// The server that accepted it.
     pub server: usize,
     /// False once either end has closed it.
-    pub open: bool,
+    pub is_open: bool,
     /// Since when it has carried no request.
     pub idle_since: Option<Micros>,
 }
 
-/// All connections of a play, closed ones included.
+/// All connections of a simulation, including closed ones.
 #[derive(Default)]
 pub struct Connections {
     slots: Vec<Connection>,
@@ -30,11 +30,11 @@
 impl Connections {
     /// A new connection that carries its first request.
     pub fn open(&mut self, caller: usize, server: usize) -> ConnectionId {
-        self.slots.push(Connection { caller, server, open: true, idle_since: None });
+        self.slots.push(Connection { caller, server, is_open: true, idle_since: None });
         self.slots.len() as ConnectionId - 1
     }
 
-    /// The connection of that name.
+    /// A connection by its id.
     pub fn get(&self, id: ConnectionId) -> &Connection {
         &self.slots[id as usize]
     }
@@ -44,50 +44,52 @@
         self.slots[id as usize].idle_since = since;
     }
 
-    /// Closes the connection; false where it was closed before.
+    /// Closes a connection; returns false if it was closed before.
     pub fn close(&mut self, id: ConnectionId) -> bool {
-        std::mem::replace(&mut self.slots[id as usize].open, false)
+        std::mem::replace(&mut self.slots[id as usize].is_open, false)
     }
 
-    /// The open connections that the filter keeps.
-    pub fn open_where(&self, keeps: impl Fn(&Connection) -> bool) -> Vec<ConnectionId> {
+    /// The open connections that satisfy a predicate.
+    pub fn filter_open(&self, predicate: impl Fn(&Connection) -> bool) -> Vec<ConnectionId> {
         let all = self.slots.iter().enumerate();
-        all.filter(|(_, c)| c.open && keeps(c)).map(|(id, _)| id as ConnectionId).collect()
+        all.filter(|(_, connection)| connection.is_open && predicate(connection))
+            .map(|(id, _)| id as ConnectionId)
+            .collect()
     }
 }
 
 /// The connection table of one server.
 pub struct ConnectionTable {
-    bound: usize,
+    capacity: usize,
     open: usize,
-    /// Connections in the order in which they became idle; those used or closed since are passed over.
+    /// Connections in the order in which they became idle; those used or closed since are skipped.
     idle: VecDeque<(Micros, ConnectionId)>,
 }
 
 impl ConnectionTable {
-    /// An empty table with room for `bound` connections.
-    pub fn new(bound: usize) -> ConnectionTable {
-        ConnectionTable { bound, open: 0, idle: VecDeque::new() }
+    /// Creates an empty table.
+    pub fn new(capacity: usize) -> ConnectionTable {
+        ConnectionTable { capacity, open: 0, idle: VecDeque::new() }
     }
 
-    /// Whether no further connection has a place.
+    /// Whether no further connection can be accepted.
     pub fn is_full(&self) -> bool {
-        self.open >= self.bound
+        self.open >= self.capacity
     }
 
-    /// Takes a place for a new connection; false where the table is full.
+    /// Accepts a new connection; returns false if the table is full.
     pub fn accept(&mut self) -> bool {
-        let room = !self.is_full();
-        self.open += usize::from(room);
-        room
+        let has_capacity = !self.is_full();
+        self.open += usize::from(has_capacity);
+        has_capacity
     }
 
-    /// Frees the place of a closed connection.
+    /// A connection was closed.
     pub fn closed(&mut self) {
         self.open -= 1;
     }
 
-    /// Notes that a connection became idle.
+    /// A connection became idle.
     pub fn idle(&mut self, now: Micros, id: ConnectionId) {
         self.idle.push_back((now, id));
     }
@@ -101,23 +103,23 @@
         }
         overdue.retain(|id| {
             let connection = connections.get(*id);
-            connection.open && connection.idle_since.is_some_and(|since| since + limit <= now)
+            connection.is_open && connection.idle_since.is_some_and(|since| since + limit <= now)
         });
         overdue
     }
 
-    /// The longest idle connections, to be closed so that no more than a part of the table stays in use.
-    pub fn beyond(&mut self, part: f64, connections: &Connections) -> Vec<ConnectionId> {
-        let kept = (part * self.bound as f64) as usize;
-        let mut beyond = Vec::new();
-        while self.open - beyond.len() > kept {
+    /// The longest idle connections that have to be closed for at most a part of the table to stay in use.
+    pub fn longest_idle_beyond(&mut self, part: f64, connections: &Connections) -> Vec<ConnectionId> {
+        let max_open = (part * self.capacity as f64) as usize;
+        let mut excess = Vec::new();
+        while self.open - excess.len() > max_open {
             let Some((since, id)) = self.idle.pop_front() else { break };
             let connection = connections.get(id);
-            if connection.open && connection.idle_since == Some(since) {
-                beyond.push(id);
+            if connection.is_open && connection.idle_since == Some(since) {
+                excess.push(id);
             }
         }
-        beyond
+        excess
     }
 
     /// The number of open connections.
@@ -127,6 +129,6 @@
 
     /// The part of the table that is in use, 0 to 1.
     pub fn fill(&self) -> f64 {
-        self.open as f64 / self.bound as f64
+        self.open as f64 / self.capacity as f64
     }
 }
--- a/crates/loomflow-lab/src/fault.rs
+++ b/crates/loomflow-lab/src/fault.rs
@@ -1,46 +1,46 @@
-//! What goes wrong in a play, and when.
+//! Faults of a simulation.
 
 use crate::clock::Micros;
 
-/// The kinds of trouble.
+/// Kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
-    /// A part of the callers is gone, and comes back with empty pools.
-    CallersGone {
-        /// The part, 0 to 1.
-        part: f64,
+pub enum FaultKind {
+    /// Some callers are down, and come back with empty pools.
+    CallersDown {
+        /// Fraction that is affected, 0 to 1.
+        fraction: f64,
     },
-    /// A part of the servers is gone, and starts again cold.
-    ServersGone {
-        /// The part, 0 to 1.
-        part: f64,
+    /// Some servers are down, and come back in slow start.
+    ServersDown {
+        /// Fraction that is affected, 0 to 1.
+        fraction: f64,
     },
-    /// A part of the servers is slow.
+    /// Some servers are slow.
     ServersSlow {
-        /// The part, 0 to 1.
-        part: f64,
-        /// The speed left, 0 to 1.
+        /// Fraction that is affected, 0 to 1.
+        fraction: f64,
+        /// Remaining speed, 0 to 1.
         speed: f64,
     },
 }
 
-/// One trouble from its start to its end.
+/// A fault with its time span.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    /// What happens.
-    pub trouble: Trouble,
-    /// When it begins.
-    pub from: Micros,
-    /// When it is over.
-    pub to: Micros,
+    /// Kind of the fault.
+    pub kind: FaultKind,
+    /// Start.
+    pub starts_at: Micros,
+    /// End.
+    pub ends_at: Micros,
 }
 
-impl Trouble {
-    /// How many of `all` it strikes.
-    pub fn strikes(&self, all: usize) -> usize {
-        let (Trouble::CallersGone { part }
-        | Trouble::ServersGone { part }
-        | Trouble::ServersSlow { part, .. }) = self;
-        (part * all as f64).round() as usize
+impl FaultKind {
+    /// How many of `total` callers or servers are affected.
+    pub fn affected_count(&self, total: usize) -> usize {
+        let (FaultKind::CallersDown { fraction }
+        | FaultKind::ServersDown { fraction }
+        | FaultKind::ServersSlow { fraction, .. }) = self;
+        (fraction * total as f64).round() as usize
     }
 }
--- a/crates/loomflow-lab/src/fleet.rs
+++ b/crates/loomflow-lab/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The parts of a play wired to each other, moved on event by event.
+//! The simulation: all parts connected, advanced event by event.
 
 mod calls;
 mod faults;
@@ -13,40 +13,40 @@
 use crate::connections::{ConnectionId, ConnectionTable, Connections};
 use crate::cores::AttemptId;
 use crate::ledger::Ledger;
-use crate::server::{Answer, Server};
+use crate::server::{Server, ServerResponse};
 use crate::setup::Setup;
 
-/// The number of a client's request.
+/// Index of a client's request.
 type RequestIndex = usize;
 
-/// What happens next, and to whom.
+/// An event of the simulation.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// A client asks for something new.
-    Ask,
-    /// A client tries again after a pause.
-    TryAgain { request: RequestIndex, serial: u32 },
-    /// A client leaves a try that got no answer.
-    PatienceOver { request: RequestIndex, serial: u32 },
-    /// A client gives up.
-    GiveUp { request: RequestIndex },
-    /// An attempt reaches its server.
-    Reaches { attempt: AttemptId },
-    /// A caller hears that its attempt got no connection, or that the connection broke.
+    /// A client sends a new request.
+    NewRequest,
+    /// A client retries after its backoff.
+    ClientRetry { request: RequestIndex, serial: u32 },
+    /// A client abandons an attempt without a response.
+    AttemptTimeout { request: RequestIndex, serial: u32 },
+    /// A client abandons its request.
+    ClientTimeout { request: RequestIndex },
+    /// An attempt arrives at its server.
+    AttemptArrives { attempt: AttemptId },
+    /// A caller learns that its attempt got no connection, or that the connection broke.
     NoConnection { attempt: AttemptId },
-    /// An answer reaches its caller.
-    AnswerReaches { attempt: AttemptId, answer: Answer, share: f64 },
-    /// A moment that a server asked for, in that one of its lives.
-    Due { server: usize, life: u32, due: Due },
+    /// A response arrives at its caller.
+    ResponseArrives { attempt: AttemptId, response: ServerResponse, share: f64 },
+    /// A timer of a server's incarnation.
+    ServerTimer { server: usize, incarnation: u32, due: Due },
     /// A fault begins.
-    FaultBegins { fault: usize },
-    /// A fault is over.
+    FaultStarts { fault: usize },
+    /// A fault ends.
     FaultEnds { fault: usize },
-    /// Once a second the state of the servers is noted.
+    /// The state of the servers is sampled, once per second.
     Sample,
 }
 
-/// What a server asked to be called for.
+/// Timers of a server.
 #[derive(Clone, Copy, Debug)]
 enum Due {
     Cores { version: u64 },
@@ -60,12 +60,12 @@
     caller: usize,
     server: usize,
     connection: Option<ConnectionId>,
-    /// The caller waits for its end.
-    open: bool,
-    /// Its connection is new with it.
+    /// Whether the caller waits for its end.
+    is_open: bool,
+    /// Whether it opens a new connection.
     opens_connection: bool,
-    /// The request was attempted before.
-    retry: bool,
+    /// Whether the request was attempted before.
+    is_retry: bool,
 }
 
 /// A machine: its connection table, and the server while it is up.
@@ -73,10 +73,10 @@
     server: Option<Server>,
     table: ConnectionTable,
     table_bound: usize,
-    life: u32,
+    incarnation: u32,
 }
 
-/// The whole play.
+/// The simulation.
 pub struct Fleet {
     setup: Setup,
     rng: Rng,
@@ -90,20 +90,20 @@
     checker: Checker,
 }
 
-/// What came of a play.
+/// Results of a simulation.
 pub struct Outcome {
-    /// Second by second.
+    /// Counts by second.
     pub ledger: Ledger,
-    /// What the servers did against the rules.
+    /// Rules that the servers violated.
     pub violations: Vec<Violation>,
 }
 
 impl Fleet {
-    /// Everything up, no connection open, nothing asked yet.
+    /// Creates a simulation with everything up and no connection open.
     pub fn new(setup: Setup) -> Fleet {
         let mut rng = Rng::with_seed(setup.seed);
         let callers =
-            (0..setup.callers).map(|_| Caller::new(&setup.habits, setup.servers, &mut rng)).collect();
+            (0..setup.callers).map(|_| Caller::new(&setup.caller_policy, setup.servers, &mut rng)).collect();
         let mut fleet = Fleet {
             rng,
             events: EventQueue::default(),
@@ -113,19 +113,19 @@
             requests: Vec::new(),
             attempts: Vec::new(),
             ledger: Ledger::default(),
-            checker: Checker::new(setup.clients.give_up),
+            checker: Checker::new(setup.client_policy.timeout),
             setup,
         };
         fleet.place_machines();
         fleet.schedule_faults();
-        fleet.events.schedule(0, Event::Ask);
+        fleet.events.schedule(0, Event::NewRequest);
         fleet.events.schedule(SECOND / 2, Event::Sample);
         fleet
     }
 
-    /// Plays to the end: until every client that asked has its answer or has given up.
+    /// Runs until every request is answered or abandoned.
     pub fn play(mut self) -> Outcome {
-        let end = self.setup.length + self.setup.clients.give_up + SECOND;
+        let end = self.setup.duration + self.setup.client_policy.timeout + SECOND;
         while let Some(event) = self.events.next_before(end) {
             self.step(event);
         }
@@ -135,16 +135,18 @@
 
     fn step(&mut self, event: Event) {
         match event {
-            Event::Ask => self.ask(),
-            Event::TryAgain { request, serial } => self.try_again(request, serial),
-            Event::PatienceOver { request, serial } => self.patience_over(request, serial),
-            Event::GiveUp { request } => self.give_up(request),
-            Event::Reaches { attempt } => self.reaches(attempt),
+            Event::NewRequest => self.send_new_request(),
+            Event::ClientRetry { request, serial } => self.retry(request, serial),
+            Event::AttemptTimeout { request, serial } => self.attempt_timed_out(request, serial),
+            Event::ClientTimeout { request } => self.client_timed_out(request),
+            Event::AttemptArrives { attempt } => self.attempt_arrived(attempt),
             Event::NoConnection { attempt } => self.no_connection(attempt),
-            Event::AnswerReaches { attempt, answer, share } => self.answer_reaches(attempt, answer, share),
-            Event::Due { server, life, due } => self.server_due(server, life, due),
-            Event::FaultBegins { fault } => self.fault_begins(fault),
-            Event::FaultEnds { fault } => self.fault_ends(fault),
+            Event::ResponseArrives { attempt, response, share } => {
+                self.response_received(attempt, response, share);
+            }
+            Event::ServerTimer { server, incarnation, due } => self.server_due(server, incarnation, due),
+            Event::FaultStarts { fault } => self.fault_started(fault),
+            Event::FaultEnds { fault } => self.fault_ended(fault),
             Event::Sample => self.sample(),
         }
     }
@@ -153,7 +155,7 @@
         self.events.now()
     }
 
-    /// Schedules what the network brings after its delay.
+    /// Schedules an event after the delay of the network.
     fn send(&mut self, event: Event) {
         let delay = self.setup.network.delay(&mut self.rng);
         self.events.schedule(self.events.now() + delay, event);
--- a/crates/loomflow-lab/src/fleet/calls.rs
+++ b/crates/loomflow-lab/src/fleet/calls.rs
@@ -1,127 +1,128 @@
-//! Clients and callers: from a client's wish to the answer.
+//! Requests of clients and attempts of callers.
 
 use crate::client::Request;
 use crate::clock::{Micros, SECOND};
 use crate::cores::AttemptId;
 use crate::fleet::{Attempt, Event, Fleet, RequestIndex};
-use crate::server::Answer;
+use crate::server::ServerResponse;
 
 impl Fleet {
-    /// A client asks for something new, and the next one is scheduled (a Poisson process).
-    pub(super) fn ask(&mut self) {
+    /// A client sends a new request, and the next one is scheduled (a Poisson process).
+    pub(super) fn send_new_request(&mut self) {
         let now = self.now();
-        if now >= self.setup.length {
+        if now >= self.setup.duration {
             return;
         }
         let setup = &self.setup;
-        let request = Request::draw(&setup.clients, now, setup.mean_work, setup.work_spread, &mut self.rng);
+        let request =
+            Request::draw(&setup.client_policy, now, setup.mean_work, setup.work_spread, &mut self.rng);
         let index = self.requests.len();
         self.requests.push(request);
-        self.ledger.at(now).asked += 1;
-        self.events.schedule(now + self.setup.clients.give_up, Event::GiveUp { request: index });
-        self.start_try(index);
+        self.ledger.at(now).sent += 1;
+        self.events.schedule(now + self.setup.client_policy.timeout, Event::ClientTimeout { request: index });
+        self.start_attempt(index);
         let gap = -(1.0 - self.rng.f64()).ln() / self.setup.requests_per_second();
-        self.events.schedule(now + (gap * SECOND as f64) as Micros, Event::Ask);
+        self.events.schedule(now + (gap * SECOND as f64) as Micros, Event::NewRequest);
     }
 
-    pub(super) fn try_again(&mut self, request: RequestIndex, serial: u32) {
-        if self.is_in_try(request, serial) {
-            self.start_try(request);
+    pub(super) fn retry(&mut self, request: RequestIndex, serial: u32) {
+        if self.is_current_attempt(request, serial) {
+            self.start_attempt(request);
         }
     }
 
-    /// A client leaves its try for another one, where it has one left; else it waits on.
-    pub(super) fn patience_over(&mut self, request: RequestIndex, serial: u32) {
-        if self.is_in_try(request, serial) && self.requests[request].tries_left > 0 {
-            self.requests[request].tries_left -= 1;
+    /// A client abandons its attempt for another one, if retries are left.
+    pub(super) fn attempt_timed_out(&mut self, request: RequestIndex, serial: u32) {
+        if self.is_current_attempt(request, serial) && self.requests[request].retries_left > 0 {
+            self.requests[request].retries_left -= 1;
             self.abandon(request);
-            self.start_try(request);
+            self.start_attempt(request);
         }
     }
 
-    pub(super) fn give_up(&mut self, request: RequestIndex) {
-        if !self.requests[request].over {
-            self.requests[request].over = true;
+    pub(super) fn client_timed_out(&mut self, request: RequestIndex) {
+        if !self.requests[request].is_finished {
+            self.requests[request].is_finished = true;
             self.abandon(request);
         }
     }
 
-    /// An attempt got no connection, or lost it with its server: the caller walks on.
+    /// An attempt got no connection, or lost it with its server: the caller tries the next server.
     pub(super) fn no_connection(&mut self, attempt: AttemptId) {
         if self.end_attempt(attempt) {
-            self.walk_on(self.attempts[attempt as usize].request);
+            self.try_next_server(self.attempts[attempt as usize].request);
         }
     }
 
-    /// A final answer of a server reaches the caller.
-    pub(super) fn answer_reaches(&mut self, attempt: AttemptId, answer: Answer, share: f64) {
+    /// The final response of a server arrives at the caller.
+    pub(super) fn response_received(&mut self, attempt: AttemptId, response: ServerResponse, share: f64) {
         let now = self.now();
         if !self.end_attempt(attempt) {
             return;
         }
         let Attempt { request, caller, server, connection, .. } = self.attempts[attempt as usize];
-        if let Some(connection) = connection.filter(|id| self.connections.get(*id).open) {
+        if let Some(connection) = connection.filter(|id| self.connections.get(*id).is_open) {
             self.callers[caller].pool(server, connection);
         }
-        self.callers[caller].heard_share(now, server, share);
-        match answer {
-            Answer::Served => self.served(request),
-            Answer::Failed => self.walk_on(request),
-            Answer::Refused { pause, last } => {
-                self.callers[caller].heard_pause(now, server, pause);
-                self.ledger.at(now).turned_away += 1;
-                if last && !self.callers[caller].walks_past_last() {
-                    self.try_failed(request);
+        self.callers[caller].share_received(now, server, share);
+        match response {
+            ServerResponse::Served => self.served(request),
+            ServerResponse::Failed => self.try_next_server(request),
+            ServerResponse::Rejected { retry_after, is_final } => {
+                self.callers[caller].retry_after_received(now, server, retry_after);
+                self.ledger.at(now).rejected += 1;
+                if is_final && !self.callers[caller].ignores_final() {
+                    self.attempt_failed(request);
                 } else {
-                    self.walk_on(request);
+                    self.try_next_server(request);
                 }
             }
         }
     }
 
-    /// The client leaves its try: the connection of the attempt under way is closed.
+    /// The client abandons its attempt, and the connection in use is closed.
     fn abandon(&mut self, request: RequestIndex) {
         let Some(attempt) = self.requests[request].attempt else { return };
         self.end_attempt(attempt);
         if let Some(connection) = self.attempts[attempt as usize].connection {
             self.close(connection);
         }
-        self.caller_gone(attempt);
+        self.caller_disconnected(attempt);
     }
 
-    fn start_try(&mut self, index: RequestIndex) {
+    fn start_attempt(&mut self, index: RequestIndex) {
         let now = self.now();
         let Some(caller) = self.live_caller() else { return };
         let request = &mut self.requests[index];
         request.serial += 1;
         request.caller = caller;
-        request.tried.clear();
-        let patience = Event::PatienceOver { request: index, serial: request.serial };
-        self.events.schedule(now + self.setup.clients.patience, patience);
-        self.ledger.at(now).tries += 1;
-        self.walk_on(index);
+        request.servers_tried.clear();
+        let timeout = Event::AttemptTimeout { request: index, serial: request.serial };
+        self.events.schedule(now + self.setup.client_policy.attempt_timeout, timeout);
+        self.ledger.at(now).client_attempts += 1;
+        self.try_next_server(index);
     }
 
-    /// Clients are spread evenly over the callers that are there.
+    /// Clients are spread evenly over the callers that are up.
     fn live_caller(&mut self) -> Option<usize> {
         let first = self.rng.usize(..self.callers.len());
         let mut order = (first..self.callers.len()).chain(0..first);
-        order.find(|caller| self.callers[*caller].up)
+        order.find(|caller| self.callers[*caller].is_up)
     }
 
-    /// The caller asks the next server, if it still may.
-    fn walk_on(&mut self, index: RequestIndex) {
+    /// The caller tries the next server, if any is left.
+    fn try_next_server(&mut self, index: RequestIndex) {
         let now = self.now();
         let request = &self.requests[index];
-        if request.over {
+        if request.is_finished {
             return;
         }
         let caller = request.caller;
-        if request.tried.len() >= self.setup.habits.walk {
-            return self.try_failed(index);
+        if request.servers_tried.len() >= self.setup.caller_policy.max_servers_tried {
+            return self.attempt_failed(index);
         }
-        let Some(server) = self.callers[caller].pick(now, &request.tried, &mut self.rng) else {
-            return self.try_failed(index);
+        let Some(server) = self.callers[caller].pick(now, &request.servers_tried, &mut self.rng) else {
+            return self.attempt_failed(index);
         };
         self.attempt(index, caller, server);
     }
@@ -129,10 +130,10 @@
     fn attempt(&mut self, index: RequestIndex, caller: usize, server: usize) {
         let id = self.attempts.len() as AttemptId;
         let request = &mut self.requests[index];
-        let retry = std::mem::replace(&mut request.attempted, true);
-        request.tried.push(server);
+        let is_retry = std::mem::replace(&mut request.attempted, true);
+        request.servers_tried.push(server);
         request.attempt = Some(id);
-        let connection = self.callers[caller].sends(server);
+        let connection = self.callers[caller].send(server);
         if let Some(connection) = connection {
             self.connections.set_idle(connection, None);
         }
@@ -142,56 +143,56 @@
             caller,
             server,
             connection,
-            open: true,
+            is_open: true,
             opens_connection,
-            retry,
+            is_retry,
         });
         self.ledger.at(self.events.now()).attempts += 1;
-        self.send(Event::Reaches { attempt: id });
+        self.send(Event::AttemptArrives { attempt: id });
     }
 
     fn served(&mut self, index: RequestIndex) {
         let now = self.events.now();
         let request = &mut self.requests[index];
-        request.over = true;
-        if now <= request.asked + self.setup.clients.aim {
-            self.ledger.at(request.asked).in_time += 1;
+        request.is_finished = true;
+        if now <= request.sent_at + self.setup.client_policy.objective {
+            self.ledger.at(request.sent_at).in_time += 1;
         }
     }
 
-    /// The client hears that its try failed, and tries again after a pause if it has one left.
-    fn try_failed(&mut self, index: RequestIndex) {
-        let pause = self.rng.u64(0..=self.setup.clients.longest_pause);
+    /// The client's attempt failed; it retries after a backoff if retries are left.
+    fn attempt_failed(&mut self, index: RequestIndex) {
+        let retry_after = self.rng.u64(0..=self.setup.client_policy.max_backoff);
         let request = &mut self.requests[index];
         request.serial += 1;
-        if request.tries_left == 0 {
-            request.over = true;
+        if request.retries_left == 0 {
+            request.is_finished = true;
             return;
         }
-        request.tries_left -= 1;
-        let again = Event::TryAgain { request: index, serial: request.serial };
-        self.events.schedule(self.events.now() + pause, again);
+        request.retries_left -= 1;
+        let retry_event = Event::ClientRetry { request: index, serial: request.serial };
+        self.events.schedule(self.events.now() + retry_after, retry_event);
     }
 
-    /// The client of a caller that is gone sees its connection break, and tries elsewhere.
+    /// The caller of a request is down: its client retries elsewhere.
     pub(super) fn caller_lost(&mut self, request: RequestIndex) {
         self.abandon(request);
-        self.try_failed(request);
+        self.attempt_failed(request);
     }
 
-    /// Ends the caller's wait for an attempt; false where it was over before.
+    /// Ends an attempt; returns false if it had ended before.
     fn end_attempt(&mut self, id: AttemptId) -> bool {
         let attempt = &mut self.attempts[id as usize];
-        if !std::mem::replace(&mut attempt.open, false) {
+        if !std::mem::replace(&mut attempt.is_open, false) {
             return false;
         }
-        self.callers[attempt.caller].ended(attempt.server);
+        self.callers[attempt.caller].request_ended(attempt.server);
         self.requests[attempt.request].attempt = None;
         true
     }
 
-    fn is_in_try(&self, request: RequestIndex, serial: u32) -> bool {
+    fn is_current_attempt(&self, request: RequestIndex, serial: u32) -> bool {
         let request = &self.requests[request];
-        !request.over && request.serial == serial
+        !request.is_finished && request.serial == serial
     }
 }
--- a/crates/loomflow-lab/src/fleet/faults.rs
+++ b/crates/loomflow-lab/src/fleet/faults.rs
@@ -1,66 +1,67 @@
-//! Faults on the timeline.
+//! Start and end of faults.
 
 use crate::cores::AttemptId;
-use crate::fault::Trouble;
+use crate::fault::FaultKind;
 use crate::fleet::{Event, Fleet, RequestIndex};
 
 impl Fleet {
     pub(super) fn schedule_faults(&mut self) {
         for (index, fault) in self.setup.faults.iter().enumerate() {
-            self.events.schedule(fault.from, Event::FaultBegins { fault: index });
-            self.events.schedule(fault.to, Event::FaultEnds { fault: index });
+            self.events.schedule(fault.starts_at, Event::FaultStarts { fault: index });
+            self.events.schedule(fault.ends_at, Event::FaultEnds { fault: index });
         }
     }
 
-    pub(super) fn fault_begins(&mut self, fault: usize) {
-        let trouble = self.setup.faults[fault].trouble;
-        match trouble {
-            Trouble::CallersGone { .. } => {
-                (0..trouble.strikes(self.callers.len())).for_each(|caller| self.lose_caller(caller));
+    pub(super) fn fault_started(&mut self, fault: usize) {
+        let kind = self.setup.faults[fault].kind;
+        match kind {
+            FaultKind::CallersDown { .. } => {
+                (0..kind.affected_count(self.callers.len())).for_each(|caller| self.lose_caller(caller));
             }
-            Trouble::ServersGone { .. } => {
-                (0..trouble.strikes(self.machines.len())).for_each(|server| self.lose_server(server));
+            FaultKind::ServersDown { .. } => {
+                (0..kind.affected_count(self.machines.len())).for_each(|server| self.lose_server(server));
             }
-            Trouble::ServersSlow { speed, .. } => self.set_health(trouble, speed),
+            FaultKind::ServersSlow { speed, .. } => self.set_health(kind, speed),
         }
     }
 
-    pub(super) fn fault_ends(&mut self, fault: usize) {
-        let trouble = self.setup.faults[fault].trouble;
-        match trouble {
-            Trouble::CallersGone { .. } => {
-                let struck = trouble.strikes(self.callers.len());
-                self.callers[..struck].iter_mut().for_each(|caller| caller.up = true);
+    pub(super) fn fault_ended(&mut self, fault: usize) {
+        let kind = self.setup.faults[fault].kind;
+        match kind {
+            FaultKind::CallersDown { .. } => {
+                let affected = kind.affected_count(self.callers.len());
+                self.callers[..affected].iter_mut().for_each(|caller| caller.is_up = true);
             }
-            Trouble::ServersGone { .. } => {
-                (0..trouble.strikes(self.machines.len())).for_each(|server| self.start_server(server, true));
+            FaultKind::ServersDown { .. } => {
+                (0..kind.affected_count(self.machines.len()))
+                    .for_each(|server| self.start_server(server, true));
             }
-            Trouble::ServersSlow { .. } => self.set_health(trouble, 1.0),
+            FaultKind::ServersSlow { .. } => self.set_health(kind, 1.0),
         }
     }
 
-    /// A caller dies: its connections break, and its clients turn to other callers.
+    /// A caller goes down: its connections break, and its clients use other callers.
     fn lose_caller(&mut self, caller: usize) {
-        self.callers[caller].up = false;
+        self.callers[caller].is_up = false;
         let waiting = |index: &RequestIndex| {
             let request = &self.requests[*index];
-            !request.over && request.caller == caller && request.attempt.is_some()
+            !request.is_finished && request.caller == caller && request.attempt.is_some()
         };
         let requests: Vec<RequestIndex> = (0..self.requests.len()).filter(waiting).collect();
         requests.into_iter().for_each(|request| self.caller_lost(request));
-        for connection in self.connections.open_where(|connection| connection.caller == caller) {
+        for connection in self.connections.filter_open(|connection| connection.caller == caller) {
             self.close(connection);
         }
     }
 
-    /// A server dies: its connections break, and callers hear of it.
+    /// A server goes down: its connections break, and callers are notified.
     fn lose_server(&mut self, server: usize) {
-        for connection in self.connections.open_where(|connection| connection.server == server) {
+        for connection in self.connections.filter_open(|connection| connection.server == server) {
             self.close(connection);
         }
         let here = |index: &usize| {
             let attempt = &self.attempts[*index];
-            attempt.open && attempt.server == server && attempt.connection.is_some()
+            attempt.is_open && attempt.server == server && attempt.connection.is_some()
         };
         let attempts: Vec<usize> = (0..self.attempts.len()).filter(here).collect();
         for attempt in attempts {
@@ -70,9 +71,9 @@
         self.machines[server].server = None;
     }
 
-    fn set_health(&mut self, trouble: Trouble, health: f64) {
-        let struck = trouble.strikes(self.machines.len());
-        for machine in &mut self.machines[..struck] {
+    fn set_health(&mut self, kind: FaultKind, health: f64) {
+        let affected = kind.affected_count(self.machines.len());
+        for machine in &mut self.machines[..affected] {
             if let Some(server) = &mut machine.server {
                 server.set_health(health);
             }
--- a/crates/loomflow-lab/src/ledger.rs
+++ b/crates/loomflow-lab/src/ledger.rs
@@ -1,25 +1,25 @@
-//! What came of a play, second by second.
+//! Results of a simulation by second.
 
 use crate::clock::{Micros, SECOND};
 
-/// One second of a play. What became of requests stands in the second in which they were first asked.
+/// Counts of one second; outcomes of requests are counted in the second in which they were first sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Second {
-    /// Requests asked by clients.
-    pub asked: u64,
-    /// Of those, answered within the aim.
+    /// Requests sent by clients.
+    pub sent: u64,
+    /// Requests answered within the objective.
     pub in_time: u64,
-    /// Tries of clients.
-    pub tries: u64,
-    /// Attempts of callers, those that got no connection included.
+    /// Attempts of clients.
+    pub client_attempts: u64,
+    /// Attempts of callers, including those without a connection.
     pub attempts: u64,
-    /// Attempts refused a connection.
-    pub connections_refused: u64,
+    /// Attempts whose connection was rejected.
+    pub connections_rejected: u64,
     /// Connections opened.
     pub handshakes: u64,
-    /// Attempts turned away by a server.
-    pub turned_away: u64,
-    /// Sums over the servers that are up, taken once in the second.
+    /// Attempts rejected by a server.
+    pub rejected: u64,
+    /// Sums over the servers that are up, sampled once per second.
     pub sample: Sample,
 }
 
@@ -28,23 +28,23 @@
 pub struct Sample {
     /// Servers up.
     pub servers: u64,
-    /// Of the shares that their modules tell.
+    /// Sum of their send shares.
     pub share: f64,
-    /// Of their running limits.
+    /// Sum of their limits on concurrent runs.
     pub limit: f64,
-    /// Of the requests that wait unread.
+    /// Sum of their unread requests.
     pub unread: u64,
-    /// Of their tables' fill, 0 to 1 each.
+    /// Sum of the fill of their tables, 0 to 1 each.
     pub fill: f64,
-    /// Of the busy shares of their cores.
+    /// Sum of the utilization of their cores.
     pub busy: f64,
     /// Servers whose table is full.
     pub full: u64,
-    /// Servers that close idle connections at once.
+    /// Servers that close idle connections immediately.
     pub closing: u64,
 }
 
-/// All seconds of a play.
+/// All seconds of a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ledger {
     /// In order, from the start.
@@ -52,7 +52,7 @@
 }
 
 impl Ledger {
-    /// The second in which that moment lies.
+    /// The second of a time.
     pub fn at(&mut self, moment: Micros) -> &mut Second {
         let second = (moment / SECOND) as usize;
         if self.seconds.len() <= second {
@@ -61,13 +61,13 @@
         &mut self.seconds[second]
     }
 
-    /// Worth answered within the aim over worth asked, in the seconds from `from` to before `to`.
+    /// Part of the requests that were answered within the objective, over the seconds `from..to`.
     pub fn service(&self, from: usize, to: usize) -> f64 {
-        let asked = self.sum(from, to, |second| second.asked);
-        self.sum(from, to, |second| second.in_time) / asked
+        let sent = self.sum(from, to, |second| second.sent);
+        self.sum(from, to, |second| second.in_time) / sent
     }
 
-    /// A sum over the seconds from `from` to before `to`.
+    /// A sum over the seconds `from..to`.
     pub fn sum(&self, from: usize, to: usize, of: impl Fn(&Second) -> u64) -> f64 {
         let to = to.min(self.seconds.len());
         self.seconds[from.min(to)..to].iter().map(of).sum::<u64>() as f64
--- a/crates/loomflow-lab/src/lib.rs
+++ b/crates/loomflow-lab/src/lib.rs
@@ -1,13 +1,15 @@
-//! A model of a fleet in simulated time: servers that each run the decision module itself, the callers before them with
-//! their habits, and clients. The same setup gives the same play.
+//! Simulation of a fleet: servers that run the real controller, callers and clients. The same setup gives the same
+//! events.
 //!
-//! - [`setup`]: a play as data; [`fault`] what goes wrong in it.
-//! - [`clock`], [`network`], [`cores`], [`connections`], [`server`], [`caller`], [`client`]: the parts, each with its state
-//!   and its step.
-//! - [`fleet`]: the parts wired to each other.
-//! - [`ledger`]: what came of it; [`checker`]: the rules, judged by what passed on the wire.
-//! - [`recovery`]: the experiment of a fleet that has lost a part of itself for a time.
-//! - [`quota`]: the experiment of a tenant whose requests fall at random over the servers.
+//! - [`setup`]: parameters of a simulation; [`fault`]: its faults.
+//! - [`clock`], [`network`], [`cores`], [`connections`], [`server`], [`caller`], [`client`]: the parts, as state
+//!   machines.
+//! - [`fleet`]: the simulation of all parts.
+//! - [`ledger`]: results by second; [`checker`]: the rules for responses, checked on the wire.
+//! - [`recovery`]: experiment on the recovery of a fleet after the loss of a part of it.
+//! - [`quota`]: experiment on the quota of a tenant whose requests are spread over the servers at random.
+
+#![forbid(unsafe_code)]
 
 pub mod caller;
 pub mod checker;
--- a/crates/loomflow-lab/src/network.rs
+++ b/crates/loomflow-lab/src/network.rs
@@ -7,15 +7,15 @@
 /// One-way delays of messages.
 #[derive(Clone, Debug)]
 pub struct Network {
-    /// The least one-way delay.
-    pub shortest: Micros,
-    /// The longest one-way delay.
-    pub longest: Micros,
+    /// Shortest one-way delay.
+    pub min_delay: Micros,
+    /// Longest one-way delay.
+    pub max_delay: Micros,
 }
 
 impl Network {
     /// Draws the delay of one message.
     pub fn delay(&self, rng: &mut Rng) -> Micros {
-        rng.u64(self.shortest..=self.longest)
+        rng.u64(self.min_delay..=self.max_delay)
     }
 }
--- a/crates/loomflow-lab/src/recovery.rs
+++ b/crates/loomflow-lab/src/recovery.rs
@@ -2,7 +2,7 @@
 
 use crate::checker::Violation;
 use crate::clock::{Micros, SECOND};
-use crate::fault::{Fault, Trouble};
+use crate::fault::{Fault, FaultKind};
 use crate::fleet::Fleet;
 use crate::ledger::Ledger;
 use crate::setup::Setup;
@@ -71,11 +71,12 @@
 }
 
 /// Plays the setup with that trouble on that timeline.
-pub fn recovery(mut setup: Setup, trouble: Trouble, timeline: Timeline) -> Recovery {
-    setup.length = seconds(timeline.end);
+pub fn recovery(mut setup: Setup, kind: FaultKind, timeline: Timeline) -> Recovery {
+    setup.duration = seconds(timeline.end);
     // What is asked less than an aim before the loss may be struck by it.
-    let unharmed = timeline.lost - setup.clients.aim.div_ceil(SECOND) as usize;
-    setup.faults = vec![Fault { trouble, from: seconds(timeline.lost), to: seconds(timeline.returned) }];
+    let unharmed = timeline.lost - setup.client_policy.objective.div_ceil(SECOND) as usize;
+    setup.faults =
+        vec![Fault { kind, starts_at: seconds(timeline.lost), ends_at: seconds(timeline.returned) }];
     let outcome = Fleet::new(setup).play();
     let ledger = outcome.ledger;
     let late = timeline.returned + WITHIN;
@@ -102,7 +103,7 @@
 }
 
 fn attempts(ledger: &Ledger, from: usize, to: usize) -> f64 {
-    ledger.sum(from, to, |second| second.attempts) / ledger.sum(from, to, |second| second.asked)
+    ledger.sum(from, to, |second| second.attempts) / ledger.sum(from, to, |second| second.sent)
 }
 
 fn recovered_after(ledger: &Ledger, before: f64, timeline: Timeline) -> Option<usize> {
--- a/crates/loomflow-lab/src/server.rs
+++ b/crates/loomflow-lab/src/server.rs
@@ -1,6 +1,6 @@
-//! One server: the decision module, the cores it decides over, and the requests that wait to be read.
+//! A server: the controller, its cores, and the requests that wait to be read.
 //!
-//! A state machine: it is told what reaches it, when a moment it asked for has come, and says what is to follow.
+//! A state machine that takes arrivals and timers and returns [`Output`]s.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,80 +10,67 @@
 use crate::clock::{MILLISECOND, Micros, SECOND, from_millis, to_millis};
 use crate::cores::{AttemptId, Cores, Job};
 use crate::settings::TICK;
-use crate::setup::ServerSetup;
-
-/// The span over which the busy share of the cores is measured.
-const GAUGE_SPAN: Micros = SECOND / 2;
-/// After this long without a request on it a connection is closed at once, where that is the policy.
-const AT_ONCE: Micros = 50 * MILLISECOND;
-/// The part of the table that may stay in use where room is made.
-const ROOM_KEPT: f64 = 0.75;
-/// What a request takes in memory, in kilobytes; memory is never short in this model.
+use crate::setup::{IdlePolicy, ServerSetup};
+
+/// Window over which the utilization of the cores is measured.
+const UTILIZATION_WINDOW: Micros = SECOND / 2;
+/// Idle timeout of connections under [`IdlePolicy::CloseImmediately`].
+const IMMEDIATE_IDLE_TIMEOUT: Micros = 50 * MILLISECOND;
+/// Part of the connection table that may stay in use under [`IdlePolicy::CloseWhenFull`].
+const MAX_TABLE_FILL: f64 = 0.75;
+/// Memory of a request, KB; memory is never short in this model.
 const REQUEST_KB: f64 = 10.0;
 
-/// Who decides when idle connections are closed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum IdlePolicy {
-    /// The decision module.
-    Module,
-    /// Baseline: they are kept as long as callers keep them, whatever the module says.
-    Kept,
-    /// Baseline: they are kept while the table has room; above that the longest idle are closed.
-    KeptWithRoom,
-    /// Baseline: they are closed at once, whatever the module says.
-    Closed,
-}
-
-/// A request as it reaches a server.
+/// A request that arrives at a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Incoming {
+pub struct IncomingRequest {
     /// The caller's attempt.
     pub attempt: AttemptId,
     /// The caller.
     pub caller: usize,
-    /// It came over a new connection.
-    pub new_connection: bool,
-    /// Its caller or its client tried before.
-    pub retry: bool,
-    /// Milliseconds of one core that it needs.
+    /// Whether it opened a new connection.
+    pub is_new_connection: bool,
+    /// Whether its caller or its client attempted it before.
+    pub is_retry: bool,
+    /// Work, ms on one core.
     pub work: f64,
-    /// The same as its caller estimates it.
-    pub estimate: f64,
+    /// Work as its caller estimates it, ms on one core.
+    pub estimated_work: f64,
 }
 
-/// A server's final answer to an attempt.
+/// Final response to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer {
+pub enum ServerResponse {
     /// Served.
     Served,
-    /// Turned away: never ran.
-    Refused {
-        /// How long the caller is asked to stay away.
-        pause: Micros,
-        /// No other server is to be tried.
-        last: bool,
+    /// Rejected; it never ran.
+    Rejected {
+        /// How long the caller should back off.
+        retry_after: Micros,
+        /// Whether no other server should be tried.
+        is_final: bool,
     },
     /// Failed.
     Failed,
 }
 
-/// What a server wants to happen.
+/// Effects of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Output {
-    /// An answer goes out, with the share of usual traffic that the server wants.
+    /// A response is sent, with the server's send share.
     Answer {
-        /// To which attempt.
+        /// The attempt.
         attempt: AttemptId,
-        /// The answer.
-        answer: Answer,
-        /// The told share, 0 to 1.
+        /// The response.
+        response: ServerResponse,
+        /// The send share, 0 to 1.
         share: f64,
     },
-    /// `cores_due` is to be called then, with this version.
+    /// `cores_due` is to be called at this time, with this version.
     CoresAt(Micros, u64),
-    /// `batch_due` is to be called then.
+    /// `batch_due` is to be called at this time.
     BatchAt(Micros),
-    /// `wake_due` is to be called then.
+    /// `wake_due` is to be called at this time.
     WakeAt(Micros),
 }
 
@@ -96,14 +83,14 @@
 }
 
 struct InHand {
-    incoming: Incoming,
+    incoming: IncomingRequest,
     reached: Micros,
     stage: Stage,
     answered: bool,
     began: Micros,
 }
 
-/// One server, from its start to its death.
+/// One incarnation of a server.
 pub struct Server {
     module: Controller,
     setup: ServerSetup,
@@ -116,22 +103,22 @@
     batch_at: Option<Micros>,
     last_batch: Micros,
     share: f64,
-    closes_idle_after: Micros,
+    idle_timeout: Micros,
     started: Micros,
     cold: bool,
-    /// Speed left by a fault, 0 to 1.
+    /// Remaining speed under a fault, 0 to 1.
     health: f64,
     speed: f64,
-    /// Busy time of the cores at the last beats.
+    /// Busy time of the cores at the last ticks.
     busy: VecDeque<(Micros, f64)>,
 }
 
 impl Server {
     /// Starts a server.
     pub fn start(setup: &ServerSetup, settings: Settings, seed: u64, now: Micros) -> Server {
-        let closes_idle_after = match setup.idle_policy {
-            IdlePolicy::Closed => AT_ONCE,
-            IdlePolicy::Module | IdlePolicy::Kept | IdlePolicy::KeptWithRoom => {
+        let idle_timeout = match setup.idle_policy {
+            IdlePolicy::CloseImmediately => IMMEDIATE_IDLE_TIMEOUT,
+            IdlePolicy::Controller | IdlePolicy::NeverClose | IdlePolicy::CloseWhenFull => {
                 from_millis(settings.idle_timeout)
             }
         };
@@ -148,7 +135,7 @@
             batch_at: None,
             last_batch: now,
             share: 1.0,
-            closes_idle_after,
+            idle_timeout,
             started: now,
             cold,
             health: 1.0,
@@ -157,22 +144,22 @@
         }
     }
 
-    /// After how long idle connections are closed from now on.
-    pub fn closes_idle_after(&self) -> Micros {
-        self.closes_idle_after
+    /// Current idle timeout of connections.
+    pub fn idle_timeout(&self) -> Micros {
+        self.idle_timeout
     }
 
-    /// The part of its table above which it closes the longest idle connections.
-    pub fn table_kept(&self) -> f64 {
-        if self.setup.idle_policy == IdlePolicy::KeptWithRoom { ROOM_KEPT } else { 1.0 }
+    /// Part of its table above which the longest idle connections are closed.
+    pub fn max_table_fill(&self) -> f64 {
+        if self.setup.idle_policy == IdlePolicy::CloseWhenFull { MAX_TABLE_FILL } else { 1.0 }
     }
 
-    /// The load as the module sees it.
+    /// The load as the controller measures it.
     pub fn load(&self) -> Load {
         self.module.load()
     }
 
-    /// The busy share of the cores over the last half second that was measured; 0 before there is one.
+    /// Utilization of the cores over the last window; 0 before the first.
     pub fn busy(&self) -> f64 {
         let (Some((from, before)), Some((to, after))) = (self.busy.front(), self.busy.back()) else {
             return 0.0;
@@ -180,18 +167,18 @@
         if to > from { (after - before) / to_millis(to - from) } else { 0.0 }
     }
 
-    /// Requests that wait to be read.
+    /// Number of requests that wait to be read.
     pub fn unread(&self) -> usize {
         self.unread.len()
     }
 
-    /// Changes the speed that a fault leaves, 0 to 1.
+    /// Changes the remaining speed under a fault, 0 to 1.
     pub fn set_health(&mut self, health: f64) {
         self.health = health;
     }
 
-    /// A request reaches the machine.
-    pub fn reached(&mut self, now: Micros, incoming: Incoming, out: &mut Vec<Output>) {
+    /// A request arrives.
+    pub fn reached(&mut self, now: Micros, incoming: IncomingRequest, out: &mut Vec<Output>) {
         let in_hand = InHand { incoming, reached: now, stage: Stage::Unread, answered: false, began: now };
         self.in_hand.insert(incoming.attempt, in_hand);
         self.unread.push_back(incoming.attempt);
@@ -201,9 +188,9 @@
     }
 
     /// The caller of an attempt closed its connection.
-    pub fn caller_gone(&mut self, now: Micros, attempt: AttemptId, out: &mut Vec<Output>) {
+    pub fn caller_disconnected(&mut self, now: Micros, attempt: AttemptId, out: &mut Vec<Output>) {
         match self.in_hand.get(&attempt).map(|request| request.stage) {
-            // What is being read is read to its end: only then can it be seen that nobody waits.
+            // A request that is being read is read to its end: only then the disconnect is noticed.
             Some(Stage::Unread | Stage::Reading) => {
                 self.in_hand.remove(&attempt);
             }
@@ -216,7 +203,7 @@
         }
     }
 
-    /// Work on the cores may be done.
+    /// A job on the cores may be finished.
     pub fn cores_due(&mut self, now: Micros, version: u64, out: &mut Vec<Output>) {
         if version != self.cores_version {
             return;
@@ -231,14 +218,14 @@
         self.schedule_cores(out);
     }
 
-    /// The moment for the next batch has come.
+    /// The next batch is due.
     pub fn batch_due(&mut self, now: Micros, out: &mut Vec<Output>) {
         if self.batch_at.is_some_and(|at| at <= now) {
             self.batch(now, out);
         }
     }
 
-    /// The moment that the module asked for has come.
+    /// The controller's timer has fired.
     pub fn wake_due(&mut self, now: Micros, table_fill: f64, connections: usize, out: &mut Vec<Output>) {
         self.update_speed(now, table_fill, out);
         self.measure(now);
@@ -264,21 +251,21 @@
     fn run_done(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome, out: &mut Vec<Output>) {
         let Some(request) = self.in_hand.remove(&attempt) else { return };
         if outcome == Outcome::Ok && !request.answered {
-            out.push(Output::Answer { attempt, answer: Answer::Served, share: self.share });
+            out.push(Output::Answer { attempt, response: ServerResponse::Served, share: self.share });
         }
         let took = to_millis(now - request.began);
         self.inbox.push(Event::RunEnded { id: attempt, outcome, duration: took });
         self.schedule_batch(now, out);
     }
 
-    /// Puts waiting requests on the cores to be read, one a core; true if any was put there.
+    /// Starts to read waiting requests, one per core; returns whether any was started.
     fn read_next(&mut self, now: Micros) -> bool {
         let mut any = false;
         while (self.reading as f64) < self.setup.cores {
             let Some(attempt) = self.unread.pop_front() else { break };
             let Some(request) = self.in_hand.get_mut(&attempt) else { continue };
             request.stage = Stage::Reading;
-            let handshake = if request.incoming.new_connection { self.setup.handshake_work } else { 0.0 };
+            let handshake = if request.incoming.is_new_connection { self.setup.handshake_work } else { 0.0 };
             self.cores.add(now, Job::Read(attempt), self.setup.read_work + handshake);
             self.reading += 1;
             any = true;
@@ -301,7 +288,7 @@
         }
     }
 
-    /// Feeds the module what has come since the last batch, and carries out what it answers.
+    /// Passes the events since the last batch to the controller, and carries out its actions.
     fn batch(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.batch_at = None;
         self.last_batch = now;
@@ -320,22 +307,26 @@
         }
     }
 
-    /// Carries out one action; true where it changed what is on the cores.
+    /// Carries out an action; returns whether it changed the jobs on the cores.
     fn carry_out(&mut self, now: Micros, action: Action, out: &mut Vec<Output>) -> bool {
         match action {
             Action::Run(id) => return self.run(now, id),
             Action::Preempt(id) => return self.stop(now, id, out),
-            Action::Reject { id, retry_after: pause, is_final: last } => {
-                self.answer(id, Answer::Refused { pause: from_millis(pause), last }, out);
+            Action::Reject { id, retry_after, is_final } => {
+                self.response(
+                    id,
+                    ServerResponse::Rejected { retry_after: from_millis(retry_after), is_final },
+                    out,
+                );
             }
-            Action::Fail(id) => self.answer(id, Answer::Failed, out),
+            Action::Fail(id) => self.response(id, ServerResponse::Failed, out),
             Action::SetSignal(share) => self.share = share,
-            Action::SetIdleTimeout(span) if self.setup.idle_policy == IdlePolicy::Module => {
-                self.closes_idle_after = from_millis(span);
+            Action::SetIdleTimeout(span) if self.setup.idle_policy == IdlePolicy::Controller => {
+                self.idle_timeout = from_millis(span);
             }
             Action::SetTimer(at) => out.push(Output::WakeAt(from_millis(at))),
-            // A baseline passes over what the module says of idle connections; nothing here calls below, remembers
-            // results or asks for health.
+            // Baselines ignore the idle timeout of the controller. The model has no downstream calls, result cache or
+            // health checks.
             _ => {}
         }
         false
@@ -356,13 +347,13 @@
         was_running
     }
 
-    /// Sends the module's final answer.
-    fn answer(&mut self, attempt: AttemptId, answer: Answer, out: &mut Vec<Output>) {
-        out.push(Output::Answer { attempt, answer, share: self.share });
+    /// Sends the final response.
+    fn response(&mut self, attempt: AttemptId, response: ServerResponse, out: &mut Vec<Output>) {
+        out.push(Output::Answer { attempt, response, share: self.share });
         self.unanswerable(attempt);
     }
 
-    /// No answer is owed any more. A request still on the cores stays in hand until its run ends.
+    /// No response is due any more. A request that still runs is tracked until its run ends.
     fn unanswerable(&mut self, attempt: AttemptId) {
         if self.cores.has(Job::Run(attempt)) {
             self.in_hand.entry(attempt).and_modify(|request| request.answered = true);
@@ -372,8 +363,8 @@
     }
 
     fn update_speed(&mut self, now: Micros, table_fill: f64, out: &mut Vec<Output>) {
-        let over = (table_fill - self.setup.taxed_from) / (1.0 - self.setup.taxed_from);
-        let table = 1.0 - self.setup.table_tax * over.clamp(0.0, 1.0);
+        let over = (table_fill - self.setup.table_cost_from) / (1.0 - self.setup.table_cost_from);
+        let table = 1.0 - self.setup.table_cost * over.clamp(0.0, 1.0);
         let speed = self.warmth(now) * self.health * table;
         if speed != self.speed {
             self.speed = speed;
@@ -386,30 +377,30 @@
         if !self.cold {
             return 1.0;
         }
-        let warmed = (now - self.started) as f64 / self.setup.warm_up.max(1) as f64;
-        self.setup.cold_speed + (1.0 - self.setup.cold_speed) * warmed.min(1.0)
+        let warmed = (now - self.started) as f64 / self.setup.slow_start_duration.max(1) as f64;
+        self.setup.slow_start_speed + (1.0 - self.setup.slow_start_speed) * warmed.min(1.0)
     }
 
-    /// Measures how busy the cores are now.
+    /// Samples the utilization of the cores.
     fn measure(&mut self, now: Micros) {
         let busy = self.cores.busy_time(now);
         self.busy.push_back((now, busy));
-        while self.busy.len() > 2 && self.busy[1].0 + GAUGE_SPAN <= now {
+        while self.busy.len() > 2 && self.busy[1].0 + UTILIZATION_WINDOW <= now {
             self.busy.pop_front();
         }
     }
 }
 
-fn arrival(incoming: &Incoming, age: f64) -> Arrival {
+fn arrival(incoming: &IncomingRequest, age: f64) -> Arrival {
     Arrival {
         id: incoming.attempt,
         class: 0,
         tenant: 0,
         remaining_wait: 0.0,
-        estimated_work: Some(incoming.estimate),
+        estimated_work: Some(incoming.estimated_work),
         memory_kb: REQUEST_KB,
         rank: 0.5,
-        is_retry: incoming.retry,
+        is_retry: incoming.is_retry,
         caller: incoming.caller as u64,
         age,
         upstream_time: 0.0,
--- a/crates/loomflow-lab/src/settings.rs
+++ b/crates/loomflow-lab/src/settings.rs
@@ -1,15 +1,15 @@
-//! What the servers of a modelled fleet tell the decision module about themselves.
+//! Settings of the controller in a simulated server.
 
 use loomflow::interface::{Class, Downstream, FeedbackSignal, Idempotency, Preemption, Settings};
 
 use crate::clock::{Micros, to_millis};
 use crate::setup::Setup;
 
-/// The least time between two batches of one server.
+/// Shortest interval between two batches of a server.
 pub const TICK: Micros = 5_000;
 
-/// The settings of a server of that fleet; `cold` where it starts again while the others serve.
-pub fn module_settings(setup: &Setup, cold: bool) -> Settings {
+/// Settings of a server, with slow start if it restarts while the others serve.
+pub fn module_settings(setup: &Setup, is_slow_start: bool) -> Settings {
     Settings {
         classes: vec![class(setup)],
         tenants: Vec::new(),
@@ -29,14 +29,14 @@
         result_cache_ttl: 0.0,
         preemption: Preemption::DiscardsProgress,
         feedback_signal: FeedbackSignal::SendShare,
-        signal_ttl: to_millis(setup.habits.remembers),
-        idle_timeout: to_millis(setup.habits.keeps_idle),
+        signal_ttl: to_millis(setup.caller_policy.share_ttl),
+        idle_timeout: to_millis(setup.caller_policy.idle_timeout),
         handshake_price: 0.0,
         has_caller_deadlines: false,
         has_cancellations: true,
-        is_slow_start: cold,
-        slow_start_share: setup.server.cold_speed,
-        slow_start_duration: to_millis(setup.server.warm_up),
+        is_slow_start,
+        slow_start_share: setup.server.slow_start_speed,
+        slow_start_duration: to_millis(setup.server.slow_start_duration),
         response_slack: 0.0,
         drain_grace: 1_000.0,
         core_concurrency: 8.0,
@@ -46,13 +46,13 @@
     }
 }
 
-/// The one class of requests: safe to run twice, all of the same worth.
+/// The only class of requests: idempotent, with equal priority weights.
 fn class(setup: &Setup) -> Class {
     Class {
         idempotency: Idempotency::Always,
-        latency_objective: to_millis(setup.clients.aim),
+        latency_objective: to_millis(setup.client_policy.objective),
         objective_per_work: 0.0,
-        timeout: to_millis(setup.clients.give_up),
+        timeout: to_millis(setup.client_policy.timeout),
         priority_weight: 1.0,
         late_weight: 0.0,
         idempotency_window: 0.0,
--- a/crates/loomflow-lab/src/setup.rs
+++ b/crates/loomflow-lab/src/setup.rs
@@ -1,11 +1,23 @@
-//! What a play consists of, as data: the fleet, its callers and clients, the load and the faults.
+//! Parameters of a simulation: fleet, callers, clients, load and faults.
 
-use crate::caller::Habits;
-use crate::client::ClientHabits;
+use crate::caller::CallerPolicy;
+use crate::client::ClientPolicy;
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::fault::Fault;
 use crate::network::Network;
-use crate::server::IdlePolicy;
+
+/// Policy for idle connections.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum IdlePolicy {
+    /// The controller sets the idle timeout.
+    Controller,
+    /// Baseline: they are kept as long as the callers keep them.
+    NeverClose,
+    /// Baseline: the longest idle ones are closed when the table fills up.
+    CloseWhenFull,
+    /// Baseline: they are closed immediately.
+    CloseImmediately,
+}
 
 /// The servers' machines.
 #[derive(Clone, Debug)]
@@ -17,45 +29,45 @@
     /// Milliseconds of one core for the handshake of a new connection.
     pub handshake_work: f64,
     /// The smallest and the largest connection table; each server's is drawn between them.
-    pub table: (usize, usize),
-    /// The part of a table from which on it costs speed.
-    pub taxed_from: f64,
-    /// The speed lost with a full table, 0 to 1; less in proportion below.
-    pub table_tax: f64,
-    /// The speed right after a start, 0 to 1.
-    pub cold_speed: f64,
-    /// How long after a start the full speed is reached.
-    pub warm_up: Micros,
-    /// Who decides when idle connections are closed.
+    pub table_size: (usize, usize),
+    /// Fill of the table from which on it costs speed.
+    pub table_cost_from: f64,
+    /// Speed lost with a full table, 0 to 1; proportionally less below.
+    pub table_cost: f64,
+    /// Speed right after a start, 0 to 1.
+    pub slow_start_speed: f64,
+    /// Time from a start to full speed.
+    pub slow_start_duration: Micros,
+    /// Policy for idle connections.
     pub idle_policy: IdlePolicy,
 }
 
-/// A whole play. The same setup gives the same events.
+/// A simulation. The same setup gives the same events.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// Number of servers.
     pub servers: usize,
     /// Number of callers.
     pub callers: usize,
-    /// What each server is.
+    /// Machine of each server.
     pub server: ServerSetup,
-    /// How callers behave.
-    pub habits: Habits,
-    /// How clients behave.
-    pub clients: ClientHabits,
+    /// Behaviour of callers.
+    pub caller_policy: CallerPolicy,
+    /// Behaviour of clients.
+    pub client_policy: ClientPolicy,
     /// Delays between callers and servers.
     pub network: Network,
-    /// Milliseconds of one core that a request needs in the mean.
+    /// Mean work of a request, ms on one core.
     pub mean_work: f64,
-    /// Requests' work lies within this part of the mean to either side.
+    /// Spread of the work to either side, as a part of the mean.
     pub work_spread: f64,
-    /// The work asked for, as a part of what all cores do, with a new connection for every request.
+    /// Offered load as a part of the capacity of all cores, with a new connection for every request.
     pub load: f64,
-    /// What goes wrong, and when.
+    /// Faults.
     pub faults: Vec<Fault>,
-    /// How long clients ask.
-    pub length: Micros,
-    /// Seed of everything random.
+    /// How long clients send requests.
+    pub duration: Micros,
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
@@ -69,26 +81,26 @@
                 cores: 2.0,
                 read_work: 10.0,
                 handshake_work: 30.0,
-                table: (60, 92),
-                taxed_from: 0.8,
-                table_tax: 0.1,
-                cold_speed: 0.4,
-                warm_up: 4 * SECOND,
-                idle_policy: IdlePolicy::Module,
+                table_size: (60, 92),
+                table_cost_from: 0.8,
+                table_cost: 0.1,
+                slow_start_speed: 0.4,
+                slow_start_duration: 4 * SECOND,
+                idle_policy: IdlePolicy::Controller,
             },
-            habits: Habits::default(),
-            clients: ClientHabits::default(),
-            network: Network { shortest: MILLISECOND / 2, longest: 2 * MILLISECOND },
+            caller_policy: CallerPolicy::default(),
+            client_policy: ClientPolicy::default(),
+            network: Network { min_delay: MILLISECOND / 2, max_delay: 2 * MILLISECOND },
             mean_work: 300.0,
             work_spread: 0.6,
             load: 0.87,
             faults: Vec::new(),
-            length: 30 * SECOND,
+            duration: 30 * SECOND,
             seed,
         }
     }
 
-    /// Requests that clients ask for each second, over the whole fleet.
+    /// Request rate of all clients, requests per second.
     pub fn requests_per_second(&self) -> f64 {
         let cores = self.servers as f64 * self.server.cores;
         self.load * cores * 1_000.0 / (self.mean_work + self.server.read_work + self.server.handshake_work)
--- a/crates/loomflow-lab/tests/parts.rs
+++ b/crates/loomflow-lab/tests/parts.rs
@@ -4,11 +4,11 @@
 use loomflow_lab::clock::{EventQueue, MILLISECOND, SECOND};
 use loomflow_lab::connections::{ConnectionTable, Connections};
 use loomflow_lab::cores::{Cores, Job};
-use loomflow_lab::fault::Trouble;
+use loomflow_lab::fault::FaultKind;
 use loomflow_lab::fleet::Fleet;
 use loomflow_lab::quota::{SteadyTenant, judged_beyond};
 use loomflow_lab::recovery::{Recovery, Timeline, recovery};
-use loomflow_lab::server::IdlePolicy;
+use loomflow_lab::setup::IdlePolicy;
 use loomflow_lab::setup::Setup;
 
 #[test]
@@ -83,7 +83,7 @@
 fn the_same_setup_gives_the_same_play() {
     let play = |seed| {
         let mut setup = Setup::fleet(5, 15, seed);
-        setup.length = 5 * SECOND;
+        setup.duration = 5 * SECOND;
         Fleet::new(setup).play().ledger
     };
     assert_eq!(play(1), play(1));
@@ -94,13 +94,13 @@
 fn kept_connections_save_handshakes_and_closed_ones_are_opened_for_every_attempt() {
     let play = |policy| {
         let mut setup = Setup::fleet(5, 15, 1);
-        setup.length = 24 * SECOND;
+        setup.duration = 24 * SECOND;
         setup.load = 0.5;
         setup.server.idle_policy = policy;
         let ledger = Fleet::new(setup).play().ledger;
         ledger.sum(12, 24, |s| s.handshakes) / ledger.sum(12, 24, |s| s.attempts)
     };
-    let (kept, closed) = (play(IdlePolicy::Kept), play(IdlePolicy::Closed));
+    let (kept, closed) = (play(IdlePolicy::NeverClose), play(IdlePolicy::CloseImmediately));
     assert!(kept < 0.1, "{kept}");
     assert!(closed > 0.9, "{closed}");
 }
@@ -112,12 +112,12 @@
         setup.server.idle_policy = policy;
         // By second 11 many tables that are never cleared are full.
         let timeline = Timeline { settled: 11, lost: 15, returned: 17, end: 31 };
-        recovery(setup, Trouble::ServersGone { part: 0.2 }, timeline)
+        recovery(setup, FaultKind::ServersDown { fraction: 0.2 }, timeline)
     };
-    let (room, kept) = (play(IdlePolicy::KeptWithRoom), play(IdlePolicy::Kept));
+    let (room, kept) = (play(IdlePolicy::CloseWhenFull), play(IdlePolicy::NeverClose));
     assert!(room.before > 0.9 && room.is_back(), "{} {}", room.before, room.after);
     // Tables full of connections that nobody uses in time turn callers away before anything goes wrong.
-    let refused = |play: &Recovery| play.ledger.sum(11, 15, |s| s.connections_refused);
+    let refused = |play: &Recovery| play.ledger.sum(11, 15, |s| s.connections_rejected);
     assert!(kept.before < 0.9 * room.before, "{} {}", kept.before, room.before);
     assert!(refused(&room) == 0.0 && refused(&kept) > 0.0);
 }
@@ -127,7 +127,7 @@
     let mut setup = Setup::fleet(10, 30, 1);
     setup.load = 0.6;
     let timeline = Timeline { settled: 2, lost: 5, returned: 9, end: 20 };
-    let lost = recovery(setup, Trouble::ServersGone { part: 0.9 }, timeline);
+    let lost = recovery(setup, FaultKind::ServersDown { fraction: 0.9 }, timeline);
     // One server does a sixth of the work; only what is asked within an aim of the return may yet be served by all.
     let most = ((4.0 - 1.8) / 6.0 + 1.8) / 4.0 + 0.1;
     assert!(lost.before > 0.9 && lost.during < most, "{} {} {most}", lost.before, lost.during);
--- a/crates/loomflow-lab/tests/recovery.rs
+++ b/crates/loomflow-lab/tests/recovery.rs
@@ -1,11 +1,11 @@
 //! A fleet that has lost a part of itself for two seconds is back at 0.9 of its former service within ten seconds of the
 //! part's return, at any size.
 
-use loomflow_lab::fault::Trouble;
+use loomflow_lab::fault::FaultKind;
 use loomflow_lab::recovery::{Timeline, recovery};
 use loomflow_lab::setup::Setup;
 
-fn comes_back(servers: usize, callers: usize, trouble: Trouble) {
+fn comes_back(servers: usize, callers: usize, trouble: FaultKind) {
     let played = recovery(Setup::fleet(servers, callers, 1), trouble, Timeline::default());
     let figures = format!(
         "before {:.3}, during {:.3}, after {:.3}, back after {:?} s, handshakes a second {:.0} and {:.0}",
@@ -22,8 +22,8 @@
     assert!(played.is_back(), "{figures}");
 }
 
-const THIRD_OF_THE_CALLERS: Trouble = Trouble::CallersGone { part: 1.0 / 3.0 };
-const FIFTH_OF_THE_SERVERS: Trouble = Trouble::ServersGone { part: 0.2 };
+const THIRD_OF_THE_CALLERS: FaultKind = FaultKind::CallersDown { fraction: 1.0 / 3.0 };
+const FIFTH_OF_THE_SERVERS: FaultKind = FaultKind::ServersDown { fraction: 0.2 };
 
 #[test]
 fn a_small_fleet_gets_over_lost_callers() {
--- a/crates/loomflow-load/src/fleet.rs
+++ b/crates/loomflow-load/src/fleet.rs
@@ -10,9 +10,9 @@
 use std::time::{Duration, Instant};
 
 use loomflow_standins::worker::result_of;
-use loomflow_standins::{Gateway, call, fields, fresh_id};
+use loomflow_standins::{Gateway, call, fields, next_attempt_id};
 
-use crate::{Ending, Heard, Plan};
+use crate::{Plan, RequestOutcome, Results};
 
 /// A request is asked of so many servers at the most.
 const MAX_ATTEMPTS: u32 = 6;
@@ -41,7 +41,7 @@
     servers: Vec<Mutex<Server>>,
     addresses: Vec<SocketAddr>,
     retries: Mutex<VecDeque<OpenRequest>>,
-    heard: Mutex<Heard>,
+    results: Mutex<Results>,
     is_over: AtomicBool,
     tags: AtomicU64,
 }
@@ -64,7 +64,7 @@
         servers: servers.iter().map(|_| Mutex::default()).collect(),
         addresses: servers,
         retries: Mutex::default(),
-        heard: Mutex::new(Heard::new(Instant::now(), plan.aim)),
+        results: Mutex::new(Results::new(Instant::now(), plan.objective)),
         is_over: AtomicBool::new(false),
         tags: AtomicU64::new(0),
     });
@@ -78,32 +78,32 @@
 
 impl Running {
     /// What came so far.
-    pub fn heard<T>(&self, look: impl FnOnce(&Heard) -> T) -> T {
-        look(&lock(&self.shared.heard))
+    pub fn results<T>(&self, look: impl FnOnce(&Results) -> T) -> T {
+        look(&lock(&self.shared.results))
     }
 
     /// Asks nothing more, waits for what is open, and gives what came of all.
-    pub fn end(self) -> Heard {
+    pub fn end(self) -> Results {
         let until = Instant::now() + self.patience;
         self.shared.is_over.store(true, Ordering::Release);
         let open = || self.shared.servers.iter().any(|server| !lock(server).open.is_empty());
         while Instant::now() < until && (open() || !lock(&self.shared.retries).is_empty()) {
             thread::sleep(Duration::from_millis(10));
         }
-        let mut heard = lock(&self.shared.heard);
+        let mut results = lock(&self.shared.results);
         let now = Instant::now();
         for server in &self.shared.servers {
             let mut server = lock(server);
             for request in std::mem::take(&mut server.open).into_values() {
-                heard.end(request.sent_at, Ending::Lost, now);
+                results.record_outcome(request.sent_at, RequestOutcome::Lost, now);
             }
             server.stream.take().map(|stream| stream.shutdown(Shutdown::Both));
         }
         for request in lock(&self.shared.retries).drain(..) {
-            heard.end(request.sent_at, Ending::Lost, now);
+            results.record_outcome(request.sent_at, RequestOutcome::Lost, now);
         }
-        let done = std::mem::replace(&mut *heard, Heard::new(now, Duration::ZERO));
-        drop(heard);
+        let done = std::mem::replace(&mut *results, Results::new(now, Duration::ZERO));
+        drop(results);
         drop(self.threads);
         done
     }
@@ -132,7 +132,7 @@
 fn send_requests(shared: &Arc<Shared>, plan: &Plan) {
     let start = Instant::now();
     let (mut due, mut number, mut turn) = (0.0, 0, 0);
-    while start.elapsed() < plan.span && !shared.is_over.load(Ordering::Acquire) {
+    while start.elapsed() < plan.duration && !shared.is_over.load(Ordering::Acquire) {
         let waiting = lock(&shared.retries).pop_front();
         if let Some(request) = waiting {
             send(shared, plan, request, &mut turn);
@@ -146,7 +146,7 @@
         due += 1.0 / plan.rate(due).max(0.1);
         number += 1;
         let request = OpenRequest { sent_at: Instant::now(), body: plan.body(number), attempts: 0 };
-        lock(&shared.heard).ask(request.body.clone(), request.sent_at);
+        lock(&shared.results).record_sent(request.body.clone(), request.sent_at);
         send(shared, plan, request, &mut turn);
     }
     // What is turned away at the end is asked elsewhere all the same.
@@ -156,7 +156,9 @@
             Some(request) => send(shared, plan, request, &mut turn),
             None => thread::sleep(Duration::from_millis(5)),
         }
-        if shared.servers.iter().all(|server| lock(server).stream.is_none()) && start.elapsed() > plan.span {
+        if shared.servers.iter().all(|server| lock(server).stream.is_none())
+            && start.elapsed() > plan.duration
+        {
             return;
         }
     }
@@ -171,7 +173,7 @@
         let Server { stream, generation, open } = &mut *server;
         let Some(to) = stream.as_mut().filter(|_| open.len() < MAX_OPEN) else { continue };
         let tag = shared.tags.fetch_add(1, Ordering::Relaxed) + 1;
-        if to.write_all(&call(tag, plan.class, &fields(&fresh_id()), &request.body)).is_ok() {
+        if to.write_all(&call(tag, plan.class, &fields(&next_attempt_id()), &request.body)).is_ok() {
             open.insert((*generation, tag), request);
             return;
         }
@@ -182,18 +184,18 @@
         thread::sleep(Duration::from_millis(5));
         lock(&shared.retries).push_back(request);
     } else {
-        lock(&shared.heard).end(request.sent_at, Ending::Lost, Instant::now());
+        lock(&shared.results).record_outcome(request.sent_at, RequestOutcome::Lost, Instant::now());
     }
 }
 
 fn read_answers(shared: &Shared, number: usize, generation: u64, mut gateway: Gateway) {
     loop {
-        let answer = match gateway.next(Duration::from_millis(500)) {
+        let answer = match gateway.next_response(Duration::from_millis(500)) {
             Ok(Some(answer)) => answer,
             Err(_) if !shared.is_over.load(Ordering::Acquire) => continue,
             _ => break,
         };
-        if answer.word == "BYE" {
+        if answer.status == "BYE" {
             // What is open there is still answered; nothing new goes there.
             let mut server = lock(&shared.servers[number]);
             if server.generation == generation {
@@ -204,15 +206,17 @@
         let Some(request) = lock(&shared.servers[number]).open.remove(&(generation, answer.tag)) else {
             continue;
         };
-        match answer.word.as_str() {
-            "OK" if answer.body == result_of(&request.body) => {
-                lock(&shared.heard).end(request.sent_at, Ending::Served, Instant::now());
+        let outcome = match answer.status.as_str() {
+            "OK" if answer.body == result_of(&request.body) => RequestOutcome::Served,
+            "OK" => RequestOutcome::Wrong,
+            "BUSY" if request.attempts < MAX_ATTEMPTS => {
+                lock(&shared.retries).push_back(request);
+                continue;
             }
-            "OK" => lock(&shared.heard).end(request.sent_at, Ending::Wrong, Instant::now()),
-            "BUSY" if request.attempts < MAX_ATTEMPTS => lock(&shared.retries).push_back(request),
-            "BUSY" => lock(&shared.heard).end(request.sent_at, Ending::Refused, Instant::now()),
-            _ => lock(&shared.heard).end(request.sent_at, Ending::Failed, Instant::now()),
-        }
+            "BUSY" => RequestOutcome::Rejected,
+            _ => RequestOutcome::Failed,
+        };
+        lock(&shared.results).record_outcome(request.sent_at, outcome, Instant::now());
     }
     let mut server = lock(&shared.servers[number]);
     if server.generation == generation {
--- a/crates/loomflow-load/src/lib.rs
+++ b/crates/loomflow-load/src/lib.rs
@@ -1,16 +1,18 @@
-//! Load for a server among stand-ins: requests at stated rates, by gateways or by a queue, whatever becomes of them
-//! (open loop), and what came of them second by second. Bounded in count and time, and only to loopback.
+//! Load generator for a server between stand-ins: open-loop requests at given rates, through gateways or a queue, with
+//! their outcomes by second. Bounded in number and time, and restricted to loopback.
 
-mod aside;
+#![forbid(unsafe_code)]
+
+mod background_task;
 pub mod fleet;
-mod heard;
 mod plan;
 pub mod queue;
 pub mod resp;
+mod results;
 pub mod rounds;
 pub mod scenario;
 
-pub use aside::Aside;
-pub use heard::{Ending, Heard, Tally};
+pub use background_task::BackgroundTask;
 pub use plan::Plan;
-pub use scenario::{Front, Played, Scenario};
+pub use results::{Counts, RequestOutcome, Results};
+pub use scenario::{Front, Scenario, ScenarioResults};
--- a/crates/loomflow-load/src/plan.rs
+++ b/crates/loomflow-load/src/plan.rs
@@ -1,4 +1,4 @@
-//! What is asked, and when.
+//! Plan of a load: which requests are sent, and when.
 
 use std::time::Duration;
 
@@ -7,25 +7,25 @@
 pub struct Plan {
     /// Class of the requests.
     pub class: &'static str,
-    /// Requests a second, from each of these seconds on.
+    /// Rates, requests per second, each from a time on, s.
     pub rates: Vec<(f64, f64)>,
     /// Duration of the load.
-    pub span: Duration,
-    /// Connections of gateways that the requests are spread over; a queue needs none.
+    pub duration: Duration,
+    /// Gateway connections that the requests are spread over; unused for a queue.
     pub connections: usize,
-    /// An answer after this is late.
-    pub aim: Duration,
-    /// Begins every body, so that bodies of several plans differ.
+    /// A response after this is late.
+    pub objective: Duration,
+    /// Prefix of every body, so that the bodies of several plans differ.
     pub prefix: &'static str,
 }
 
 impl Plan {
-    /// Requests a second at a time since the start, s.
+    /// Rate at a time since the start, s; requests per second.
     pub fn rate(&self, at: f64) -> f64 {
         self.rates.iter().rev().find(|(from, _)| at >= *from).map_or(0.0, |(_, rate)| *rate)
     }
 
-    /// The body of a request, which no other has.
+    /// The body of a request; unique within the plan.
     pub fn body(&self, number: usize) -> Vec<u8> {
         format!("{}{number}", self.prefix).into_bytes()
     }
--- a/crates/loomflow-load/src/queue.rs
+++ b/crates/loomflow-load/src/queue.rs
@@ -1,4 +1,4 @@
-//! Load by a queue of the stand-in broker.
+//! Load through a queue of the stand-in broker.
 
 use std::collections::BTreeSet;
 use std::thread;
@@ -8,16 +8,16 @@
 use loomflow_standins::broker::{Message, message};
 use loomflow_standins::worker::result_of;
 
-use crate::{Aside, Ending, Heard, Plan};
+use crate::{BackgroundTask, Plan, RequestOutcome, Results};
 
-/// A queue that has not been worked off by then is left as it is, and what stands in it is lost.
-const DRAINS: Duration = Duration::from_secs(60);
-/// Between two looks at the replies.
-const LOOK: Duration = Duration::from_millis(5);
+/// How long the queue may take to drain at the end; messages that remain count as lost.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval at which replies are collected.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The options of a server that takes what `play` publishes. `timed`: messages say when they were sent, and count.
-pub fn options(broker: &Broker, class: &str, timed: bool) -> String {
-    let sent = if timed { ", sent_from: timestamp_in_ms" } else { "" };
+/// Options of a server that consumes what [`play`] publishes, with or without their sending time.
+pub fn options(broker: &Broker, class: &str, has_sent_time: bool) -> String {
+    let sent = if has_sent_time { ", sent_from: timestamp_in_ms" } else { "" };
     format!(
         "amqp:\n  brokers: [\"{}\"]\n  credentials: CREDENTIALS\n  dead_letter: {{routing_key: dead}}\n  \
          max_message_bytes: 1024\n  queues: [{{name: jobs, class: {class}, tenant: acme, work_ms: 10{sent}}}]\n",
@@ -25,66 +25,66 @@
     )
 }
 
-/// Publishes what the plan says to `jobs`. What stands at the broker at the end is neither refused nor lost: it is waited
-/// for, within a bound.
-pub fn play(broker: &Broker, plan: &Plan) -> Heard {
+/// Publishes the messages of a plan to the queue `jobs`, and waits for the queue to drain.
+pub fn play(broker: &Broker, plan: &Plan) -> Results {
     let start = Instant::now();
     let replies = {
         let broker = broker.clone();
-        Aside::start(move |stop| {
+        BackgroundTask::start(move |stop| {
             let mut all = Vec::new();
             loop {
-                let last = stop.recv_timeout(LOOK).is_ok();
+                let is_last = stop.recv_timeout(POLL_INTERVAL).is_ok();
                 let now = Instant::now();
                 all.extend(broker.take("replies").into_iter().map(|reply| (reply, now)));
-                if last {
+                if is_last {
                     return all;
                 }
             }
         })
     };
-    let mut heard = Heard::new(start, plan.aim);
+    let mut results = Results::new(start, plan.objective);
     let (mut due, mut number) = (0.0, 0);
-    while due < plan.span.as_secs_f64() {
-        let early = due - start.elapsed().as_secs_f64();
-        if early > 0.0 {
-            thread::sleep(Duration::from_secs_f64(early));
+    while due < plan.duration.as_secs_f64() {
+        let ahead = due - start.elapsed().as_secs_f64();
+        if ahead > 0.0 {
+            thread::sleep(Duration::from_secs_f64(ahead));
         }
         let (body, now) = (plan.body(number), Instant::now());
         let id = String::from_utf8_lossy(&body).into_owned();
-        broker.publish(message("jobs", &id, &body).reply_to("replies", &id).sent_now());
-        heard.ask(body, now);
-        heard.second(now).tell(broker.with_state(|state| state.credit("jobs")) as f64);
+        broker.publish(message("jobs", &id, &body).reply_to("replies", &id).with_sent_time());
+        results.record_sent(body, now);
+        results.second(now).record_signal(broker.with_state(|state| state.credit("jobs")) as f64);
         number += 1;
         due += 1.0 / plan.rate(due).max(0.1);
     }
-    let until = Instant::now() + DRAINS;
-    let left = || broker.with_state(|state| state.ready("jobs") + state.unacked("jobs"));
-    while left() > 0 && Instant::now() < until {
-        thread::sleep(LOOK);
+    let until = Instant::now() + DRAIN_TIMEOUT;
+    let remaining = || broker.with_state(|state| state.ready("jobs") + state.unacked("jobs"));
+    while remaining() > 0 && Instant::now() < until {
+        thread::sleep(POLL_INTERVAL);
     }
-    // The last replies are on their way to whoever listens.
+    // The last replies are still in transit.
     thread::sleep(Duration::from_millis(200));
-    ends(&mut heard, &replies.stop());
-    heard
+    record_replies(&mut results, &replies.stop());
+    results
 }
 
-fn ends(heard: &mut Heard, replies: &[(Message, Instant)]) {
-    let mut done = BTreeSet::new();
+fn record_replies(results: &mut Results, replies: &[(Message, Instant)]) {
+    let mut answered = BTreeSet::new();
     for (reply, at) in replies {
         let body = reply.correlation().into_bytes();
-        let Some(asked) = heard.asked_at(&body) else { continue };
-        let ending = match (reply.kind().as_str(), reply.says("x-loomflow-ran").as_deref()) {
-            // Not the last word: the message comes again.
+        let Some(sent_at) = results.time_of(&body) else { continue };
+        let outcome = match (reply.kind().as_str(), reply.header_text("x-loomflow-ran").as_deref()) {
+            // Not final: the message is delivered again.
             ("refused", _) => continue,
-            ("served", _) if reply.body != result_of(&body) => Ending::Wrong,
-            ("served", _) => Ending::Served,
-            (_, Some("no")) => Ending::Refused,
-            _ => Ending::Failed,
+            ("served", _) if reply.body != result_of(&body) => RequestOutcome::Wrong,
+            ("served", _) => RequestOutcome::Served,
+            (_, Some("no")) => RequestOutcome::Rejected,
+            _ => RequestOutcome::Failed,
         };
-        let ending = if done.insert(body) { ending } else { Ending::Wrong };
-        heard.end(asked, ending, *at);
+        let outcome = if answered.insert(body) { outcome } else { RequestOutcome::Wrong };
+        results.record_outcome(sent_at, outcome, *at);
     }
-    let lost = heard.without_end(&done);
-    lost.into_iter().for_each(|asked| heard.end(asked, Ending::Lost, Instant::now()));
+    let lost = results.unanswered(&answered);
+    lost.into_iter()
+        .for_each(|sent_at| results.record_outcome(sent_at, RequestOutcome::Lost, Instant::now()));
 }
--- a/crates/loomflow-load/src/resp.rs
+++ b/crates/loomflow-load/src/resp.rs
@@ -1,4 +1,4 @@
-//! Load by gateways, over RESP.
+//! Load through gateway connections.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::Write;
@@ -8,55 +8,57 @@
 use std::time::{Duration, Instant};
 
 use loomflow_standins::worker::result_of;
-use loomflow_standins::{Answered, Gateway, call, fields, fresh_id};
+use loomflow_standins::{Gateway, GatewayResponse, call, fields, next_attempt_id};
 
-use crate::{Ending, Heard, Plan};
+use crate::{Plan, RequestOutcome, Results};
 
-/// Requests that a gateway may have open on one connection.
-const MOST_OPEN: usize = 32;
+/// Most requests that a gateway may have open on one connection.
+const MAX_OPEN_REQUESTS: usize = 32;
 
-struct Open {
-    asked: Instant,
+struct OpenRequest {
+    sent_at: Instant,
     body: Vec<u8>,
 }
 
-type Opened = Arc<Mutex<BTreeMap<u64, Open>>>;
+type OpenRequests = Arc<Mutex<BTreeMap<u64, OpenRequest>>>;
 
 struct Connection {
     gateway: TcpStream,
-    open: Opened,
+    open: OpenRequests,
     tag: u64,
 }
 
-/// Plays a plan against a server, and waits for `patience` at the end for what is still open.
-pub fn play(listen: SocketAddr, plan: &Plan, patience: Duration) -> Heard {
+/// Sends the requests of a plan, and waits for open ones for up to `patience` at the end.
+pub fn play(listen: SocketAddr, plan: &Plan, patience: Duration) -> Results {
     assert!(listen.ip().is_loopback(), "load goes to loopback only");
     let start = Instant::now();
-    let heard = Arc::new(Mutex::new(Heard::new(start, plan.aim)));
+    let results = Arc::new(Mutex::new(Results::new(start, plan.objective)));
     let mut connections: VecDeque<Connection> = VecDeque::new();
     let mut readers = Vec::new();
     for _ in 0..plan.connections {
         let mut gateway = Gateway::open(listen);
-        let (open, for_reader) = (Opened::default(), heard.clone());
+        let (open, for_reader) = (OpenRequests::default(), results.clone());
         let writer = gateway.stream.try_clone().expect("a clone");
         connections.push_back(Connection { gateway: writer, open: open.clone(), tag: 0 });
-        let until = start + plan.span + patience;
+        let until = start + plan.duration + patience;
         readers.push(thread::spawn(move || {
-            while let Ok(Some(answer)) = gateway.next(until.saturating_duration_since(Instant::now())) {
-                take(&answer, &open, &for_reader);
+            while let Ok(Some(response)) =
+                gateway.next_response(until.saturating_duration_since(Instant::now()))
+            {
+                record_response(&response, &open, &for_reader);
                 if Instant::now() >= until {
                     break;
                 }
             }
             let lost = std::mem::take(&mut *open.lock().expect("open"));
-            let mut heard = for_reader.lock().expect("heard");
-            for one in lost.into_values() {
-                heard.end(one.asked, Ending::Lost, Instant::now());
+            let mut results = for_reader.lock().expect("heard");
+            for request in lost.into_values() {
+                results.record_outcome(request.sent_at, RequestOutcome::Lost, Instant::now());
             }
         }));
     }
     let (mut due, mut number) = (0.0, 0);
-    while start.elapsed() < plan.span {
+    while start.elapsed() < plan.duration {
         let now = start.elapsed().as_secs_f64();
         if now < due {
             thread::sleep(Duration::from_secs_f64((due - now).min(0.005)));
@@ -64,55 +66,55 @@
         }
         due += 1.0 / plan.rate(due).max(0.1);
         number += 1;
-        ask(&mut connections, plan.class, plan.body(number), &heard);
+        send(&mut connections, plan.class, plan.body(number), &results);
     }
-    let until = start + plan.span + patience;
-    let open = |c: &Connection| !c.open.lock().expect("open").is_empty();
+    let until = start + plan.duration + patience;
+    let open = |connection: &Connection| !connection.open.lock().expect("open").is_empty();
     while Instant::now() < until && connections.iter().any(open) {
         thread::sleep(Duration::from_millis(5));
     }
-    connections.iter().for_each(|c| drop(c.gateway.shutdown(std::net::Shutdown::Both)));
+    connections.iter().for_each(|connection| drop(connection.gateway.shutdown(std::net::Shutdown::Both)));
     readers.into_iter().for_each(|reader| reader.join().expect("a reader"));
-    Arc::try_unwrap(heard).expect("readers have ended").into_inner().expect("heard")
+    Arc::try_unwrap(results).expect("readers have ended").into_inner().expect("heard")
 }
 
-/// Asks on the next connection with room.
-fn ask(connections: &mut VecDeque<Connection>, class: &str, body: Vec<u8>, heard: &Mutex<Heard>) {
-    let asked = Instant::now();
-    heard.lock().expect("heard").ask(body.clone(), asked);
+/// Sends a request on the next connection with capacity.
+fn send(connections: &mut VecDeque<Connection>, class: &str, body: Vec<u8>, results: &Mutex<Results>) {
+    let sent_at = Instant::now();
+    results.lock().expect("heard").record_sent(body.clone(), sent_at);
     for _ in 0..connections.len() {
         connections.rotate_left(1);
         let connection = &mut connections[0];
         let mut open = connection.open.lock().expect("open");
-        if open.len() >= MOST_OPEN {
+        if open.len() >= MAX_OPEN_REQUESTS {
             continue;
         }
         connection.tag += 1;
-        let id = fresh_id();
-        // Keyed classes go by a key; others skip it.
+        let id = next_attempt_id();
+        // Only classes with keys use it.
         let fields = format!("{},opkey={id}", fields(&id));
         let bytes = call(connection.tag, class, &fields, &body);
-        open.insert(connection.tag, Open { asked, body });
+        open.insert(connection.tag, OpenRequest { sent_at, body });
         drop(open);
         let _ = connection.gateway.write_all(&bytes);
         return;
     }
-    // No room on any: its gateway gives it up.
-    heard.lock().expect("heard").end(asked, Ending::Lost, asked);
+    // No connection has capacity: the gateway abandons the request.
+    results.lock().expect("heard").record_outcome(sent_at, RequestOutcome::Lost, sent_at);
 }
 
-fn take(answer: &Answered, open: &Opened, heard: &Mutex<Heard>) {
-    let one = open.lock().expect("open").remove(&answer.tag);
-    let (mut heard, now) = (heard.lock().expect("heard"), Instant::now());
-    let Some(one) = one else { return heard.end(now, Ending::Wrong, now) };
-    if let Some(share) = answer.fields.split(',').find_map(|field| field.strip_prefix("signal=")) {
-        heard.second(one.asked).tell(share.parse().unwrap_or(0.0));
+fn record_response(response: &GatewayResponse, open: &OpenRequests, results: &Mutex<Results>) {
+    let request = open.lock().expect("open").remove(&response.tag);
+    let (mut results, now) = (results.lock().expect("heard"), Instant::now());
+    let Some(request) = request else { return results.record_outcome(now, RequestOutcome::Wrong, now) };
+    if let Some(share) = response.fields.split(',').find_map(|field| field.strip_prefix("signal=")) {
+        results.second(request.sent_at).record_signal(share.parse().unwrap_or(0.0));
     }
-    let ending = match answer.word.as_str() {
-        "OK" if answer.body != result_of(&one.body) => Ending::Wrong,
-        "OK" => Ending::Served,
-        "BUSY" => Ending::Refused,
-        _ => Ending::Failed,
+    let outcome = match response.status.as_str() {
+        "OK" if response.body != result_of(&request.body) => RequestOutcome::Wrong,
+        "OK" => RequestOutcome::Served,
+        "BUSY" => RequestOutcome::Rejected,
+        _ => RequestOutcome::Failed,
     };
-    heard.end(one.asked, ending, now);
+    results.record_outcome(request.sent_at, outcome, now);
 }
--- a/crates/loomflow-load/src/rounds.rs
+++ b/crates/loomflow-load/src/rounds.rs
@@ -139,7 +139,7 @@
 
     /// A machine has ended by itself.
     fn departed(&mut self, member: usize) {
-        let code = self.fleet.members[member].world.exit_code();
+        let code = self.fleet.members[member].fixture.exit_code();
         self.report.bad_ends += usize::from(code != Some(0));
         self.report.went.push(member);
         self.absences[member] = Some(Absence::Maintenance(Instant::now() + self.round.work));
--- a/crates/loomflow-load/src/scenario.rs
+++ b/crates/loomflow-load/src/scenario.rs
@@ -1,15 +1,15 @@
-//! A server with an engine of its own, asked for what it does and for more: the same by either front.
+//! Scenario: a server with a stand-in engine under a load, through either front.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use loomflow_standins::{Broker, Worker, World, site};
+use loomflow_standins::{Broker, ServerFixture, Worker, site};
 
-use crate::{Heard, Plan, queue, resp};
+use crate::{Plan, Results, queue, resp};
 
-/// What is waited for at the end.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// How long open requests are awaited at the end.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Which front the requests come by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,85 +27,85 @@
     pub program: PathBuf,
     /// The front that receives the requests.
     pub front: Front,
-    /// On a queue: messages say when they were sent, and the server counts from then.
-    pub timed: bool,
-    /// Cores of the stand-in engine, and what a run takes on one.
+    /// Whether messages of a queue state when they were sent.
+    pub has_sent_time: bool,
+    /// Cores of the stand-in engine.
     pub cores: usize,
     /// Duration of a run.
     pub work: Duration,
-    /// A request is given up after this; an answer within half of it is in time.
-    pub give_up: Duration,
-    /// Requests a second, from each of these seconds on.
+    /// Callers abandon a request after this; a response within half of it is in time.
+    pub caller_timeout: Duration,
+    /// Rates, requests per second, each from a time on, s.
     pub rates: Vec<(f64, f64)>,
     /// Duration of the load.
-    pub span: Duration,
+    pub duration: Duration,
 }
 
 /// A rule, and whether it was kept.
 pub type Rule = (&'static str, bool);
 
-/// What came of a scenario.
-pub struct Played {
+/// Results of a scenario.
+pub struct ScenarioResults {
     /// Results of the requests.
-    pub heard: Heard,
-    /// Held before their run, by the second in which they were asked, us.
-    pub holds: Vec<Histogram<u64>>,
-    /// Runs that were begun after their request was given up.
-    pub run_late: usize,
+    pub results: Results,
+    /// Time between sending and the start of the run, by the second of sending, µs.
+    pub queue_times: Vec<Histogram<u64>>,
+    /// Runs that started after their caller had abandoned the request.
+    pub late_runs: usize,
     /// Rules of the service, and whether they were kept.
     pub rules: [Rule; 4],
 }
 
 impl Scenario {
-    /// Runs a second that the engine does.
+    /// Capacity of the engine, runs per second.
     pub fn capacity(&self) -> f64 {
         self.cores as f64 / self.work.as_secs_f64()
     }
 
     /// Runs the scenario and returns its results.
-    pub fn play(&self) -> Played {
+    pub fn run(&self) -> ScenarioResults {
         let worker = Worker::start(self.cores, self.work);
-        // Every fifth run makes a call below, as conversions do.
-        worker.calls(5);
-        let mut world = World::new(site(self.give_up.as_secs_f64() * 1000.0));
-        world.program.clone_from(&self.program);
-        world.ledger.post_all();
+        // Every fifth run makes a downstream call.
+        worker.set_call_interval(5);
+        let mut fixture = ServerFixture::new(site(self.caller_timeout.as_secs_f64() * 1000.0));
+        fixture.program.clone_from(&self.program);
+        fixture.ledger.post_all();
         let broker = (self.front == Front::Amqp).then(Broker::with_jobs);
         if let Some(broker) = &broker {
-            world.options(&queue::options(broker, "book", self.timed));
+            fixture.options(&queue::options(broker, "book", self.has_sent_time));
         }
-        world.work_with(&worker);
+        fixture.serve_with(&worker);
         let plan = Plan {
             class: "book",
             rates: self.rates.clone(),
-            span: self.span,
+            duration: self.duration,
             connections: 64,
-            aim: self.give_up / 2,
+            objective: self.caller_timeout / 2,
             prefix: "r",
         };
-        let heard = match &broker {
-            None => resp::play(world.listen, &plan, PATIENCE),
+        let results = match &broker {
+            None => resp::play(fixture.listen, &plan, RESPONSE_TIMEOUT),
             Some(broker) => queue::play(broker, &plan),
         };
-        let stayed = world.is_running();
-        world.terminate();
-        let drained = world.exit_code() == Some(0);
-        let begun = worker.begun();
-        let late = |(body, began): &&(Vec<u8>, Instant)| {
-            heard.asked_at(body).is_some_and(|asked| *began - asked > self.give_up)
+        let is_still_running = fixture.is_running();
+        fixture.terminate();
+        let has_drained = fixture.exit_code() == Some(0);
+        let started_runs = worker.started_runs();
+        let is_late = |(body, started_at): &&(Vec<u8>, Instant)| {
+            results.time_of(body).is_some_and(|sent_at| *started_at - sent_at > self.caller_timeout)
         };
-        let total = heard.total();
-        let twice = worker.runs().values().filter(|times| **times > 1).count();
-        Played {
-            holds: heard.holds(&begun),
-            run_late: begun.iter().filter(late).count(),
+        let total = results.total();
+        let duplicate_runs = worker.run_counts().values().filter(|times| **times > 1).count();
+        ScenarioResults {
+            queue_times: results.queue_times(&started_runs),
+            late_runs: started_runs.iter().filter(is_late).count(),
             rules: [
                 ("one final answer to each request", total.lost == 0 && total.wrong == 0),
-                ("nothing with an effect runs twice", twice == 0),
-                ("a server that is told to leave finishes what it has", drained),
-                ("the server does not fall over", stayed),
+                ("nothing with an effect runs twice", duplicate_runs == 0),
+                ("a server that is told to leave finishes what it has", has_drained),
+                ("the server does not fall over", is_still_running),
             ],
-            heard,
+            results,
         }
     }
 }
--- a/crates/loomflow-measure/src/against.rs
+++ b/crates/loomflow-measure/src/against.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use loomflow_standins::{Worker, World, site};
+use loomflow_standins::{ServerFixture, Worker, site};
 
 use crate::process;
 use crate::report::Report;
@@ -52,8 +52,8 @@
 /// CPU of a request, s, and memory at the end, MB.
 fn play(program: &Path, span: Duration) -> (f64, f64) {
     let worker = Worker::start(4, Duration::from_micros(200));
-    let mut world = World::new(site(20_000.0));
-    program.clone_into(&mut world.program);
-    world.work_with(&worker);
-    (process::cpu_by_resp(&world, "pay", RATE, span), process::memory(world.pid()))
+    let mut fixture = ServerFixture::new(site(20_000.0));
+    program.clone_into(&mut fixture.program);
+    fixture.serve_with(&worker);
+    (process::cpu_by_resp(&fixture, "pay", RATE, span), process::memory(fixture.pid()))
 }
--- a/crates/loomflow-measure/src/amqp.rs
+++ b/crates/loomflow-measure/src/amqp.rs
@@ -5,9 +5,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use loomflow_load::{Aside, Heard, Plan, resp};
+use loomflow_load::{BackgroundTask, Plan, Results, resp};
 use loomflow_standins::broker::{Broker, Message, message};
-use loomflow_standins::{Worker, World, class, site};
+use loomflow_standins::{ServerFixture, Worker, class, site};
 use serde_json::Value;
 
 use crate::process;
@@ -33,15 +33,15 @@
 }
 
 /// A server with an engine that works by itself, and a broker where that is asked for.
-fn world(settings: Value, worker: &Worker, broker: Option<(&Broker, &str, f64)>) -> World {
-    let mut world = World::new(settings);
-    world.program = process::program();
-    world.config["limits"]["memory_mb"] = 32.into();
+fn fixture(settings: Value, worker: &Worker, broker: Option<(&Broker, &str, f64)>) -> ServerFixture {
+    let mut fixture = ServerFixture::new(settings);
+    fixture.program = process::program();
+    fixture.config["limits"]["memory_mb"] = 32.into();
     if let Some((broker, class, rank)) = broker {
-        world.options(&options(broker, class, rank));
+        fixture.options(&options(broker, class, rank));
     }
-    world.work_with(worker);
-    world
+    fixture.serve_with(worker);
+    fixture
 }
 
 fn job(number: u64) -> Message {
@@ -53,10 +53,10 @@
 
 fn rounds(report: &mut Report, rounds: u32) {
     let (broker, worker) = (Broker::with_jobs(), Worker::start(CORES, Duration::from_millis(2)));
-    let mut world = world(site(20_000.0), &worker, Some((&broker, "book", 0.5)));
+    let mut fixture = fixture(site(20_000.0), &worker, Some((&broker, "book", 0.5)));
     let mut random = fastrand::Rng::with_seed(7);
     let mut events: BTreeMap<&str, u32> = BTreeMap::new();
-    let (mut published, mut heard) = (0, Vec::new());
+    let (mut published, mut results) = (0, Vec::new());
     for _ in 0..rounds {
         for _ in 0..random.u64(1..8) {
             broker.publish(job(published));
@@ -65,18 +65,18 @@
         thread::sleep(Duration::from_millis(random.u64(0..20)));
         let event = match random.u8(0..10) {
             0 | 1 => {
-                world.kill();
+                fixture.kill();
                 worker.server_died();
-                world.start("exec \"$0\" serve");
-                world.wait_for_service();
+                fixture.start("exec \"$0\" serve");
+                fixture.wait_for_service();
                 "restart"
             }
             2 | 3 => {
-                broker.cut();
+                broker.disconnect_all();
                 "connection cut"
             }
             4 => {
-                broker.cut_after(random.u64(1..2_000));
+                broker.disconnect_after(random.u64(1..2_000));
                 "connection cut within a frame"
             }
             5 => {
@@ -86,13 +86,13 @@
             6 => {
                 broker.faults(|faults| faults.forget_acks = 2);
                 thread::sleep(Duration::from_millis(10));
-                broker.cut();
+                broker.disconnect_all();
                 "acks lost"
             }
             7 => {
                 broker.faults(|faults| faults.unconfirmed = 1);
                 thread::sleep(Duration::from_millis(10));
-                broker.cut();
+                broker.disconnect_all();
                 "confirm lost"
             }
             8 => {
@@ -102,17 +102,17 @@
             _ => "none",
         };
         *events.entry(event).or_default() += 1;
-        heard.extend(broker.take("replies"));
+        results.extend(broker.take("replies"));
     }
     broker.faults(|faults| *faults = Default::default());
-    broker.cut();
-    broker.drained("jobs");
+    broker.disconnect_all();
+    broker.wait_until_empty("jobs");
     thread::sleep(Duration::from_millis(300));
-    heard.extend(broker.take("replies"));
+    results.extend(broker.take("replies"));
     let dead = broker.take("dead");
     let mut served: BTreeMap<String, u32> = BTreeMap::new();
     let mut failed: BTreeMap<String, u32> = BTreeMap::new();
-    for reply in &heard {
+    for reply in &results {
         let of = if reply.kind() == "served" { &mut served } else { &mut failed };
         *of.entry(reply.correlation()).or_default() += 1;
     }
@@ -120,7 +120,7 @@
         let id = number.to_string();
         served.contains_key(&id) || failed.contains_key(&id)
     };
-    let twice = worker.runs().values().filter(|times| **times > 1).count();
+    let twice = worker.run_counts().values().filter(|times| **times > 1).count();
     let again: u32 = served.values().map(|times| times - 1).sum();
     let both = served.keys().filter(|id| failed.contains_key(*id)).count();
     let rows = events.iter().map(|(event, count)| vec![(*event).to_string(), count.to_string()]).collect();
@@ -146,13 +146,13 @@
 fn cost(report: &mut Report, seconds: u64) {
     let span = Duration::from_secs(seconds);
     let worker = Worker::start(CORES, Duration::from_micros(200));
-    let by_resp = process::cpu_by_resp(&world(site(20_000.0), &worker, None), "book", RATE, span);
+    let by_resp = process::cpu_by_resp(&fixture(site(20_000.0), &worker, None), "book", RATE, span);
     let (by_queue, count) = {
         let broker = Broker::with_jobs();
-        let world = world(site(20_000.0), &worker, Some((&broker, "book", 0.5)));
-        let before = process::cpu(world.pid());
+        let fixture = fixture(site(20_000.0), &worker, Some((&broker, "book", 0.5)));
+        let before = process::cpu(fixture.pid());
         let replies = fill(&broker, RATE, span);
-        (((process::cpu(world.pid()) - before) / replies.max(1) as f64), replies)
+        (((process::cpu(fixture.pid()) - before) / replies.max(1) as f64), replies)
     };
     let us = |s: f64| format!("{:.0}", s * 1e6);
     let a_second = |s: f64| format!("{:.0}", 1.0 / s);
@@ -181,7 +181,7 @@
         served += count(broker);
         thread::sleep(Duration::from_millis(2));
     }
-    broker.drained("jobs");
+    broker.wait_until_empty("jobs");
     thread::sleep(Duration::from_millis(100));
     served + count(broker)
 }
@@ -206,23 +206,30 @@
     settings["Classes"][2]["Points"] = 0.2.into();
     let span = Duration::from_secs(seconds);
     let aim = Duration::from_millis(500);
-    let plan = Plan { class: "pay", rates: vec![(0.0, OVER)], span, connections: 32, aim, prefix: "r" };
+    let plan = Plan {
+        class: "pay",
+        rates: vec![(0.0, OVER)],
+        duration: span,
+        connections: 32,
+        objective: aim,
+        prefix: "r",
+    };
     let worker = Worker::start(CORES, WORK);
     let alone = {
-        let world = world(settings.clone(), &worker, None);
-        resp::play(world.listen, &plan, Duration::from_secs(3))
+        let fixture = fixture(settings.clone(), &worker, None);
+        resp::play(fixture.listen, &plan, Duration::from_secs(3))
     };
     let broker = Broker::with_jobs();
-    let both = world(settings, &worker, Some((&broker, "book", 0.1)));
+    let both = fixture(settings, &worker, Some((&broker, "book", 0.1)));
     let aside = {
         let (broker, pid) = (broker.clone(), both.pid());
-        Aside::start(move |_| watch(&broker, pid, span))
+        BackgroundTask::start(move |_| watch(&broker, pid, span))
     };
     let beside = resp::play(both.listen, &plan, Duration::from_secs(3));
     let queue = aside.stop();
     let rows = queue.iter().enumerate().map(|(at, second)| {
         let resp = beside.seconds.get(at).copied().unwrap_or_default();
-        let mut row = vec![at.to_string(), resp.in_time.to_string(), resp.refused.to_string()];
+        let mut row = vec![at.to_string(), resp.in_time.to_string(), resp.rejected.to_string()];
         row.extend([second.served, second.refused, second.unacked].map(|n| n.to_string()));
         row.push(format!("{:.1}", second.memory));
         row
@@ -240,9 +247,9 @@
         ],
         rows.collect(),
     );
-    let share = |heard: &Heard| {
-        let total = heard.total();
-        f64::from(total.in_time) / f64::from(total.asked.max(1))
+    let share = |results: &Results| {
+        let total = results.total();
+        f64::from(total.in_time) / f64::from(total.sent.max(1))
     };
     report.figure("resp_alone", share(&alone));
     report.figure("resp_beside_queue", share(&beside));
@@ -289,17 +296,17 @@
     let filled = broker.with_state(|state| (0..count).all(|number| state.publish(job(number))));
     assert!(filled, "the queue is there");
     let idle = {
-        let world = world(site(20_000.0), &worker, None);
+        let fixture = fixture(site(20_000.0), &worker, None);
         thread::sleep(Duration::from_secs(1));
-        process::memory(world.pid())
+        process::memory(fixture.pid())
     };
-    let world = world(site(20_000.0), &worker, Some((&broker, "book", 0.5)));
+    let fixture = fixture(site(20_000.0), &worker, Some((&broker, "book", 0.5)));
     let mut most: f64 = 0.0;
     for _ in 0..40 {
         thread::sleep(Duration::from_millis(100));
-        most = most.max(process::memory(world.pid()));
+        most = most.max(process::memory(fixture.pid()));
     }
-    let unacked = broker.with_state(|state| state.most_unacked);
+    let unacked = broker.with_state(|state| state.max_unacked);
     report.table(
         "Messages waiting at the broker before a slow engine",
         &["waiting", "MB idle without a queue", "MB at most", "unacknowledged at most"],
--- a/crates/loomflow-measure/src/callers.rs
+++ b/crates/loomflow-measure/src/callers.rs
@@ -5,10 +5,10 @@
 use std::sync::{Mutex, PoisonError};
 use std::thread;
 
-use loomflow_lab::fault::Trouble;
+use loomflow_lab::fault::FaultKind;
 use loomflow_lab::quota::{SteadyTenant, judged_beyond};
 use loomflow_lab::recovery::{Recovery, Timeline, recovery};
-use loomflow_lab::server::IdlePolicy;
+use loomflow_lab::setup::IdlePolicy;
 use loomflow_lab::setup::Setup;
 
 use crate::report::Report;
@@ -19,13 +19,13 @@
 /// that keeps connections while its tables have room.
 const PRICES: [(f64, f64); 3] = [(60.0, 0.87), (10.0, 0.87), (3.0, 0.7)];
 /// What is lost, and how it is called in the table.
-const TROUBLES: [(&str, Trouble); 2] = [
-    ("a third of the callers", Trouble::CallersGone { part: 1.0 / 3.0 }),
-    ("a fifth of the servers", Trouble::ServersGone { part: 0.2 }),
+const TROUBLES: [(&str, FaultKind); 2] = [
+    ("a third of the callers", FaultKind::CallersDown { fraction: 1.0 / 3.0 }),
+    ("a fifth of the servers", FaultKind::ServersDown { fraction: 0.2 }),
 ];
 /// The module, and the baselines beside it.
 const POLICIES: [IdlePolicy; 4] =
-    [IdlePolicy::Module, IdlePolicy::Kept, IdlePolicy::KeptWithRoom, IdlePolicy::Closed];
+    [IdlePolicy::Controller, IdlePolicy::NeverClose, IdlePolicy::CloseWhenFull, IdlePolicy::CloseImmediately];
 /// Fleets of the steady tenant, its quota over the whole fleet in requests a second, and what it sends of it.
 const FLEETS: [usize; 3] = [20, 100, 590];
 const QUOTA: f64 = 4.0;
@@ -38,7 +38,7 @@
     size: (usize, usize),
     price: f64,
     load: f64,
-    trouble: (&'static str, Trouble),
+    fault: (&'static str, FaultKind),
     policy: IdlePolicy,
     seeds: u64,
 }
@@ -62,7 +62,7 @@
         "closing at the end",
     ];
     report.table("Service of a fleet that has lost a part of itself for two seconds", &head, rows);
-    let module = || cases.iter().zip(&results).filter(|(case, _)| case.policy == IdlePolicy::Module);
+    let module = || cases.iter().zip(&results).filter(|(case, _)| case.policy == IdlePolicy::Controller);
     let not_back = module().flat_map(|(_, plays)| plays).filter(|play| !play.is_back()).count();
     let violations = results.iter().flatten().map(|play| play.violations.len()).sum::<usize>();
     tenants(&mut report);
@@ -92,9 +92,9 @@
     let mut cases = Vec::new();
     for &size in sizes {
         for (price, load) in PRICES {
-            for trouble in TROUBLES {
+            for fault in TROUBLES {
                 for policy in POLICIES {
-                    cases.push(Case { size, price, load, trouble, policy, seeds });
+                    cases.push(Case { size, price, load, fault, policy, seeds });
                 }
             }
         }
@@ -105,7 +105,7 @@
 /// The plays of every case, in the order of the cases.
 fn play(cases: &[Case]) -> Vec<Vec<Recovery>> {
     let next = AtomicUsize::new(0);
-    let played = Mutex::new(Vec::new());
+    let scenario_results = Mutex::new(Vec::new());
     thread::scope(|scope| {
         for _ in 0..THREADS {
             scope.spawn(|| {
@@ -113,14 +113,14 @@
                     let index = next.fetch_add(1, Ordering::Relaxed);
                     let Some(case) = cases.get(index) else { return };
                     let plays = (1..=case.seeds).map(|seed| play_one(case, seed)).collect::<Vec<_>>();
-                    played.lock().unwrap_or_else(PoisonError::into_inner).push((index, plays));
+                    scenario_results.lock().unwrap_or_else(PoisonError::into_inner).push((index, plays));
                 }
             });
         }
     });
-    let mut played = played.into_inner().unwrap_or_else(PoisonError::into_inner);
-    played.sort_by_key(|(index, _)| *index);
-    played.into_iter().map(|(_, plays)| plays).collect()
+    let mut scenario_results = scenario_results.into_inner().unwrap_or_else(PoisonError::into_inner);
+    scenario_results.sort_by_key(|(index, _)| *index);
+    scenario_results.into_iter().map(|(_, plays)| plays).collect()
 }
 
 fn play_one(case: &Case, seed: u64) -> Recovery {
@@ -128,7 +128,7 @@
     setup.server.handshake_work = setup.mean_work / case.price;
     setup.server.idle_policy = case.policy;
     setup.load = case.load;
-    recovery(setup, case.trouble.1, Timeline::default())
+    recovery(setup, case.fault.1, Timeline::default())
 }
 
 fn row(case: &Case, plays: &[Recovery]) -> Vec<String> {
@@ -137,13 +137,13 @@
     let slowest = plays.iter().map(|play| play.took).max_by_key(|took| took.unwrap_or(usize::MAX)).flatten();
     let (servers, callers) = case.size;
     let policy = match case.policy {
-        IdlePolicy::Module => "module",
-        IdlePolicy::Kept => "kept",
-        IdlePolicy::KeptWithRoom => "kept, room made",
-        IdlePolicy::Closed => "closed",
+        IdlePolicy::Controller => "module",
+        IdlePolicy::NeverClose => "kept",
+        IdlePolicy::CloseWhenFull => "kept, room made",
+        IdlePolicy::CloseImmediately => "closed",
     };
     vec![
-        format!("{servers} x {callers}, 1/{}, {}, {policy}", case.price, case.trouble.0),
+        format!("{servers} x {callers}, 1/{}, {}, {policy}", case.price, case.fault.0),
         format!("{:.3}", mean(&|play| play.before)),
         format!("{:.3}", mean(&|play| play.during)),
         format!("{:.3}", mean(&|play| play.after)),
--- a/crates/loomflow-measure/src/main.rs
+++ b/crates/loomflow-measure/src/main.rs
@@ -1,6 +1,8 @@
 //! `loomflow-measure NAME [--quick]`: plays a measurement, prints its tables and one last line of figures, and exits with
 //! 1 where a bound breaks. Bounds are counts and ratios within one run, never times.
 
+#![forbid(unsafe_code)]
+
 mod against;
 mod amqp;
 mod callers;
@@ -45,7 +47,7 @@
 }
 
 fn main() -> ExitCode {
-    let played = match asked() {
+    let scenario_results = match asked() {
         Ok((name, what, quick)) => match (name.as_str(), what) {
             ("overload", other) => Ok(overload::measure(quick, process::program(), other.map(Into::into))),
             ("order", part) => order::measure(quick, &process::program(), part.as_deref()),
@@ -67,7 +69,7 @@
         },
         Err(why) => Err(why),
     };
-    match played {
+    match scenario_results {
         Ok(report) => report.finish(),
         Err(why) => {
             eprintln!("loomflow-measure: {why}\n{USAGE}");
--- a/crates/loomflow-measure/src/moments.rs
+++ b/crates/loomflow-measure/src/moments.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use loomflow_standins::{Gateway, World, health, site};
+use loomflow_standins::{Gateway, ServerFixture, health, site};
 
 use crate::report::Report;
 
@@ -38,10 +38,10 @@
     report
 }
 
-fn world(program: &Path) -> World {
-    let mut world = World::new(site(WHOLE));
-    program.clone_into(&mut world.program);
-    world
+fn fixture(program: &Path) -> ServerFixture {
+    let mut fixture = ServerFixture::new(site(WHOLE));
+    program.clone_into(&mut fixture.program);
+    fixture
 }
 
 fn ms(since: Instant) -> f64 {
@@ -51,30 +51,30 @@
 fn starts(report: &mut Report, rounds: usize, program: &Path) {
     let (mut checked, mut ran) = (Vec::new(), Vec::new());
     for _ in 0..rounds {
-        let mut world = world(program);
+        let mut fixture = fixture(program);
         let start = Instant::now();
-        world.start("exec \"$0\" serve");
-        let mut gateway = world.gateway();
+        fixture.start("exec \"$0\" serve");
+        let mut gateway = fixture.gateway();
         gateway.send(&health(1, false));
-        assert_eq!(gateway.answer().word, "UP");
+        assert_eq!(gateway.response().status, "UP");
         checked.push(ms(start));
-        let engine = world.engine.link();
+        let engine = fixture.engine.link();
         // What is asked in the moment in which the engine comes up.
         let up = Instant::now();
-        engine.hello("ATTACH 0");
+        engine.accept_attach("ATTACH 0");
         let mut tag = 2;
         loop {
             let id = gateway.call(tag, "pay", b"x");
             gateway.send(&health(tag + 1, false));
             // Before the engine is known to be up a request is given back, and its answer comes before the check's.
-            let answer = gateway.answer();
-            if answer.word == "UP" {
+            let answer = gateway.response();
+            if answer.status == "UP" {
                 assert_eq!(engine.expect("RUN").word(1), id);
                 ran.push(ms(up));
                 break;
             }
-            assert_eq!((answer.tag, answer.word.as_str()), (tag, "BUSY"));
-            gateway.answer();
+            assert_eq!((answer.tag, answer.status.as_str()), (tag, "BUSY"));
+            gateway.response();
             tag += 2;
         }
     }
@@ -89,13 +89,13 @@
 }
 
 fn reports(report: &mut Report, program: &Path) {
-    let mut world = world(program);
-    world.start("exec \"$0\" serve");
-    world.control.report();
+    let mut fixture = fixture(program);
+    fixture.start("exec \"$0\" serve");
+    fixture.control.report();
     let until = Instant::now() + REPORTS_OVER;
     let mut count = 0;
     while Instant::now() < until {
-        world.control.report();
+        fixture.control.report();
         count += 1;
     }
     report.at_least("reports_in_8_s", f64::from(count), REPORTS);
@@ -119,36 +119,37 @@
 }
 
 fn nonsense(report: &mut Report, span: Duration, program: &Path) {
-    let mut world = world(program);
-    world.start("exec \"$0\" serve");
-    let engine = world.engine.link();
-    engine.hello("ATTACH 0");
-    world.wait_for_service();
-    let (listen, over, opened) = (world.listen, AtomicBool::new(false), AtomicUsize::new(0));
-    let (mut checks, mut unanswered, mut longest) = (0_u64, 0, 0.0_f64);
+    let mut fixture = fixture(program);
+    fixture.start("exec \"$0\" serve");
+    let engine = fixture.engine.link();
+    engine.accept_attach("ATTACH 0");
+    fixture.wait_for_service();
+    let (listen, over, opened) = (fixture.listen, AtomicBool::new(false), AtomicUsize::new(0));
+    let (mut checks, mut unanswered, mut max_latency) = (0_u64, 0, 0.0_f64);
     std::thread::scope(|scope| {
         for _ in 0..CLIENTS {
             scope.spawn(|| talk_nonsense(listen, &over, &opened));
         }
         let until = Instant::now() + span;
         let mut gateway = None::<Gateway>;
-        while Instant::now() < until && world.is_running() && unanswered < 3 {
+        while Instant::now() < until && fixture.is_running() && unanswered < 3 {
             let since = Instant::now();
             checks += 1;
             let asked = gateway.take().map_or_else(|| TcpStream::connect(listen).map(Gateway::of), Ok);
             let answered = asked.and_then(|mut asks| {
                 asks.stream.write_all(&health(checks, false))?;
-                Ok(matches!(asks.next(ANSWER), Ok(Some(_))).then_some(asks))
+                Ok(matches!(asks.next_response(ANSWER), Ok(Some(_))).then_some(asks))
             });
             gateway = answered.ok().flatten();
             unanswered += usize::from(gateway.is_none());
-            longest = longest.max(ms(since));
+            max_latency = max_latency.max(ms(since));
             std::thread::sleep(10 * PAUSE);
         }
         over.store(true, Ordering::Relaxed);
     });
     let opened = opened.into_inner();
-    let row = vec![opened.to_string(), checks.to_string(), unanswered.to_string(), format!("{longest:.0}")];
+    let row =
+        vec![opened.to_string(), checks.to_string(), unanswered.to_string(), format!("{max_latency:.0}")];
     report.table(
         "connections that talk nonsense, beside one that asks for health",
         &["connections", "checks", "unanswered", "longest, ms"],
@@ -156,5 +157,5 @@
     );
     report.at_least("nonsense", opened as f64, 1_000.0);
     report.at_most("unanswered", unanswered as f64, 0.0);
-    report.at_most("died", f64::from(u8::from(!world.is_running())), 0.0);
+    report.at_most("died", f64::from(u8::from(!fixture.is_running())), 0.0);
 }
--- a/crates/loomflow-measure/src/moments/restarts.rs
+++ b/crates/loomflow-measure/src/moments/restarts.rs
@@ -9,7 +9,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use loomflow_standins::{Gateway, Worker, World, call, fields, free_address, fresh_id, health};
+use loomflow_standins::{
+    Gateway, ServerFixture, Worker, call, fields, health, loopback_address, next_attempt_id,
+};
 
 use super::ms;
 use crate::report::Report;
@@ -38,7 +40,7 @@
 }
 
 struct Process {
-    world: World,
+    fixture: ServerFixture,
     engine: Option<Worker>,
 }
 
@@ -80,18 +82,18 @@
 fn started(peers: Peers, program: &Path) -> Vec<Process> {
     let start = |_| {
         let engine = Worker::start(1, Duration::from_millis(5));
-        let mut world = super::world(program);
-        world.config["engine"] = engine.address.to_string().into();
+        let mut fixture = super::fixture(program);
+        fixture.config["engine"] = engine.address.to_string().into();
         if peers == Peers::Slow {
-            world.ledger.post_all_after(SLOW_REPLY);
+            fixture.ledger.post_all_after(SLOW_REPLY);
             // The control plane takes reports and never answers them.
-            world.control.answers("");
+            fixture.control.answers("");
         } else {
-            world.ledger.post_all();
+            fixture.ledger.post_all();
         }
-        world.work_with(&engine);
-        engine.calls(1);
-        Process { world, engine: Some(engine) }
+        fixture.serve_with(&engine);
+        engine.set_call_interval(1);
+        Process { fixture, engine: Some(engine) }
     };
     (0..PROCESSES).map(start).collect()
 }
@@ -102,25 +104,25 @@
     for process in &mut processes {
         let engine = process.engine.as_ref().expect("an engine");
         match peers {
-            Peers::UpBesideDrain => process.world.leave_behind(),
-            _ => process.world.kill(),
+            Peers::UpBesideDrain => process.fixture.drain_in_background(),
+            _ => process.fixture.kill(),
         }
         engine.server_died();
         if peers == Peers::Slow {
-            engine.says_hello_after(SLOW_HELLO);
+            engine.set_hello_delay(SLOW_HELLO);
         }
     }
     in_parallel(&mut processes, |process| {
         let attached = process.engine.as_ref().map_or(0, Worker::attached);
         let since = Instant::now();
-        process.world.start("exec \"$0\" serve");
+        process.fixture.start("exec \"$0\" serve");
         // Until then the former process may still be the one that answers.
         while process.engine.as_ref().is_some_and(|engine| engine.attached() == attached)
             && ms(since) < GIVE_UP_MS
         {
             thread::sleep(ASK_AGAIN);
         }
-        until_served(&process.world, since);
+        until_served(&process.fixture, since);
         since.elapsed()
     })
 }
@@ -129,26 +131,26 @@
 fn restart_without_peers(program: &Path) -> (Vec<Duration>, Vec<Duration>) {
     let mut processes = started(Peers::Up, program);
     for process in &mut processes {
-        process.world.kill();
+        process.fixture.kill();
         process.engine = None;
         for peer in ["engine", "ledger", "control"] {
-            process.world.config[peer] = free_address().to_string().into();
+            process.fixture.config[peer] = loopback_address().to_string().into();
         }
     }
     let checked = in_parallel(&mut processes, |process| {
         let since = Instant::now();
-        process.world.start("exec \"$0\" serve");
-        let mut gateway = process.world.gateway();
+        process.fixture.start("exec \"$0\" serve");
+        let mut gateway = process.fixture.gateway();
         gateway.send(&health(1, false));
-        let _ = gateway.next(GIVE_UP);
+        let _ = gateway.next_response(GIVE_UP);
         since.elapsed()
     });
     let ran = in_parallel(&mut processes, |process| {
-        let address = process.world.config["engine"].as_str().expect("an address").to_owned();
+        let address = process.fixture.config["engine"].as_str().expect("an address").to_owned();
         let listener = TcpListener::bind(&address).expect("the engine's address");
         let since = Instant::now();
         process.engine = Some(Worker::at(listener, 1, Duration::from_millis(5)));
-        until_served(&process.world, since);
+        until_served(&process.fixture, since);
         since.elapsed()
     });
     (checked, ran)
@@ -164,17 +166,17 @@
 }
 
 /// Asks as a gateway does, until a request is served.
-fn until_served(world: &World, since: Instant) {
+fn until_served(fixture: &ServerFixture, since: Instant) {
     let mut gateway: Option<Gateway> = None;
     let mut tag = 0;
     while ms(since) < GIVE_UP_MS {
-        let mut asks = gateway.take().unwrap_or_else(|| world.gateway());
+        let mut asks = gateway.take().unwrap_or_else(|| fixture.gateway());
         tag += 1;
-        let sent = asks.stream.write_all(&call(tag, "read", &fields(&fresh_id()), b"x")).is_ok();
+        let sent = asks.stream.write_all(&call(tag, "read", &fields(&next_attempt_id()), b"x")).is_ok();
         // A connection to a process that ends is closed: another is opened.
-        let answer = if sent { asks.next(GIVE_UP).ok().flatten() } else { None };
+        let answer = if sent { asks.next_response(GIVE_UP).ok().flatten() } else { None };
         match answer {
-            Some(answer) if answer.word == "OK" => return,
+            Some(answer) if answer.status == "OK" => return,
             Some(answer) if answer.tag > 0 => gateway = Some(asks),
             _ => {}
         }
--- a/crates/loomflow-measure/src/order/cost.rs
+++ b/crates/loomflow-measure/src/order/cost.rs
@@ -7,7 +7,7 @@
 use loomflow_fleet::maintenance::{Command, Issuer, Request};
 use loomflow_fleet::operator::OperatorRequest;
 use loomflow_standins::fleet::{Fleet, Plan};
-use loomflow_standins::{Worker, World, site};
+use loomflow_standins::{ServerFixture, Worker, site};
 
 use crate::process;
 use crate::report::Report;
@@ -48,11 +48,11 @@
 pub fn measure(report: &mut Report, quick: bool, program: &Path) {
     let span = Duration::from_secs(if quick { 5 } else { 30 });
     let worker = Worker::start(4, Duration::from_millis(5));
-    let mut off = World::new(site(20_000.0));
+    let mut off = ServerFixture::new(site(20_000.0));
     program.clone_into(&mut off.program);
-    off.work_with(&worker);
+    off.serve_with(&worker);
     let fleet = Fleet::start_with(MADE, program).bootstrap(MADE);
-    let on: Vec<u32> = fleet.members.iter().map(|member| member.world.pid()).collect();
+    let on: Vec<u32> = fleet.members.iter().map(|member| member.fixture.pid()).collect();
     let before = (process::cpu(off.pid()), on.iter().map(|pid| process::cpu(*pid)).collect::<Vec<_>>());
     std::thread::sleep(span);
     let seconds = span.as_secs_f64();
--- a/crates/loomflow-measure/src/order/faults.rs
+++ b/crates/loomflow-measure/src/order/faults.rs
@@ -7,7 +7,7 @@
 
 use loomflow_simulation::run_parallel;
 use loomflow_standins::fleet::{Fleet, Plan, WAIT_TIMEOUT};
-use loomflow_standins::relay::Trouble;
+use loomflow_standins::relay::LinkFault;
 use serde_json::Value;
 
 use crate::report::Report;
@@ -31,18 +31,23 @@
 pub fn measure(report: &mut Report, quick: bool, program: &Path) {
     let rounds = if quick { 20 } else { 200 };
     let mut sum = Sum::default();
-    for (seed, played) in run_parallel(PARALLEL_ROUNDS, 1..rounds + 1, |seed| (seed, round(seed, program))) {
+    for (seed, scenario_results) in
+        run_parallel(PARALLEL_ROUNDS, 1..rounds + 1, |seed| (seed, round(seed, program)))
+    {
         sum.rounds += 1;
-        sum.over_budget += u64::from(played.over_budget);
-        sum.without_begin += played.without_begin;
-        sum.lost += played.lost;
-        let after = played.grant_after.unwrap_or(f64::INFINITY);
+        sum.over_budget += u64::from(scenario_results.over_budget);
+        sum.without_begin += scenario_results.without_begin;
+        sum.lost += scenario_results.lost;
+        let after = scenario_results.grant_after.unwrap_or(f64::INFINITY);
         if after > GRANT_WITHIN {
             sum.late.push((seed, after));
         }
-        sum.grants.extend(played.grant_after);
-        if played.over_budget || played.without_begin + played.lost > 0 || played.grant_after.is_none() {
-            sum.failed.push(played.told);
+        sum.grants.extend(scenario_results.grant_after);
+        if scenario_results.over_budget
+            || scenario_results.without_begin + scenario_results.lost > 0
+            || scenario_results.grant_after.is_none()
+        {
+            sum.failed.push(scenario_results.told);
         }
     }
     sum.grants.sort_by(f64::total_cmp);
@@ -104,7 +109,7 @@
         inject_fault(&mut fleet, &mut watch, &mut rng);
     }
     watch.wait(&mut fleet, Duration::from_millis(500));
-    fleet.set_trouble_on_all_links(Trouble::default());
+    fleet.set_fault_on_all_links(LinkFault::default());
     // Whoever still is out or dead comes back now: the last fault is over when all run.
     watch.mend(&mut fleet);
     let grant_after = time_to_next_grant(&mut fleet, &mut watch);
@@ -139,20 +144,20 @@
         }
         2 => {
             let side: Vec<usize> = (0..members).filter(|_| rng.f64() < 0.4).collect();
-            fleet.isolate(&side, Trouble { cut: true, ..Trouble::default() });
+            fleet.isolate(&side, LinkFault { is_cut: true, ..LinkFault::default() });
         }
         3 => {
-            let cut = Trouble { cut: true, ..Trouble::default() };
-            fleet.set_link_trouble(member, rng.usize(0..members), cut);
+            let cut = LinkFault { is_cut: true, ..LinkFault::default() };
+            fleet.set_link_fault(member, rng.usize(0..members), cut);
         }
         4 => {
-            let stalled = Trouble { stalled: true, ..Trouble::default() };
-            fleet.set_link_trouble(member, rng.usize(0..members), stalled);
+            let stalled = LinkFault { is_stalled: true, ..LinkFault::default() };
+            fleet.set_link_fault(member, rng.usize(0..members), stalled);
         }
         _ => {
             let (lost, delay) = (rng.f64() * 0.3, Duration::from_millis(rng.u64(0..300)));
-            let trouble = Trouble { lost, doubled: 0.2, swapped: 0.2, delay, ..Trouble::default() };
-            fleet.set_trouble_on_all_links(trouble);
+            let fault = LinkFault { lost, duplicated: 0.2, reordered: 0.2, delay, ..LinkFault::default() };
+            fleet.set_fault_on_all_links(fault);
         }
     }
 }
--- a/crates/loomflow-measure/src/order/work.rs
+++ b/crates/loomflow-measure/src/order/work.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use loomflow_load::rounds::{self, Round};
-use loomflow_load::{Heard, Plan, fleet};
+use loomflow_load::{Plan, Results, fleet};
 use loomflow_standins::fleet::{Fleet, Plan as Made};
 
 use crate::report::Report;
@@ -30,21 +30,21 @@
     let plan = Plan {
         class: "read",
         rates: vec![(0.0, rate)],
-        span: Duration::from_secs(900),
+        duration: Duration::from_secs(900),
         connections: 1,
-        aim: Duration::from_millis(500),
+        objective: Duration::from_millis(500),
         prefix: "r",
     };
-    let listens = fleet.members.iter().map(|member| member.world.listen).collect();
+    let listens = fleet.members.iter().map(|member| member.fixture.listen).collect();
     let load = fleet::start(listens, plan, Duration::from_secs(5));
     std::thread::sleep(Duration::from_secs(2));
     (fleet, load)
 }
 
 /// In time over asked, from the second second on.
-fn in_time(heard: &Heard) -> f64 {
-    let all = heard.between(1, heard.seconds.len().saturating_sub(1).max(2));
-    f64::from(all.in_time) / f64::from(all.asked.max(1))
+fn in_time(results: &Results) -> f64 {
+    let all = results.between(1, results.seconds.len().saturating_sub(1).max(2));
+    f64::from(all.in_time) / f64::from(all.sent.max(1))
 }
 
 pub fn measure(report: &mut Report, quick: bool, program: &Path) {
@@ -57,8 +57,8 @@
     let (mut fleet, load) = started(program);
     let round = Round { work: OUT_FOR, kill_after: None, limit: Duration::from_secs(400) };
     let seen = rounds::play(&mut fleet, &round);
-    let heard = load.end();
-    let (settled, rules) = (in_time(&heard), heard.total());
+    let results = load.end();
+    let (settled, rules) = (in_time(&results), results.total());
     let cycle = cycle(&fleet);
     drop(fleet);
     // A third at once, by SIGTERM.
@@ -66,7 +66,7 @@
     let begun = Instant::now();
     for third in 0..3 {
         let out: Vec<usize> = (0..MEMBERS).filter(|one| one % 3 == third).collect();
-        out.iter().for_each(|one| fleet.members[*one].world.terminate());
+        out.iter().for_each(|one| fleet.members[*one].fixture.terminate());
         for one in &out {
             fleet.wait_for_exit(*one);
         }
--- a/crates/loomflow-measure/src/overload.rs
+++ b/crates/loomflow-measure/src/overload.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use loomflow_load::{Front, Played, Scenario};
+use loomflow_load::{Front, Scenario, ScenarioResults};
 
 use crate::report::Report;
 
@@ -50,16 +50,16 @@
                 let mut scenario = Scenario {
                     program: program.clone(),
                     front,
-                    timed,
+                    has_sent_time: timed,
                     cores: CORES,
                     work: WORK,
-                    give_up: GIVE_UP,
+                    caller_timeout: GIVE_UP,
                     rates: rates.clone(),
-                    span: Duration::from_secs(span as u64),
+                    duration: Duration::from_secs(span as u64),
                 };
                 let capacity = scenario.capacity();
                 scenario.rates.iter_mut().for_each(|(_, rate)| *rate *= capacity);
-                shown(&scenario.play(), capacity, (from, to))
+                shown(&scenario.run(), capacity, (from, to))
             };
             let mine = play(&own, true);
             let before = other.as_ref().map(|other| play(other, false));
@@ -96,20 +96,21 @@
     report
 }
 
-fn shown(played: &Played, capacity: f64, (from, to): (usize, usize)) -> Shown {
-    let heard = &played.heard;
-    let in_time = |second: usize| f64::from(heard.between(second, second + 1).in_time) / capacity;
-    let whole = heard.between(from, to);
-    let held = played.holds.iter().take(to).skip(from).map(|held| held.value_at_quantile(0.99));
+fn shown(scenario_results: &ScenarioResults, capacity: f64, (from, to): (usize, usize)) -> Shown {
+    let results = &scenario_results.results;
+    let in_time = |second: usize| f64::from(results.between(second, second + 1).in_time) / capacity;
+    let whole = results.between(from, to);
+    let held =
+        scenario_results.queue_times.iter().take(to).skip(from).map(|held| held.value_at_quantile(0.99));
     let bound = GIVE_UP / 2 + WORK;
     Shown {
         worst: (from..to).map(in_time).fold(f64::INFINITY, f64::min),
         mean: f64::from(whole.in_time) / capacity / (to - from) as f64,
         held: held.max().unwrap_or(0) as f64 / bound.as_micros() as f64,
         late: whole.late,
-        run_late: played.run_late,
-        gone: heard.between(0, to).over_at - to as f64,
-        rules: played.rules.iter().all(|(_, kept)| *kept),
+        run_late: scenario_results.late_runs,
+        gone: results.between(0, to).last_answered_at - to as f64,
+        rules: scenario_results.rules.iter().all(|(_, kept)| *kept),
     }
 }
 
--- a/crates/loomflow-measure/src/owner/rounds.rs
+++ b/crates/loomflow-measure/src/owner/rounds.rs
@@ -8,7 +8,7 @@
 use loomflow_fleet::duty::Token;
 use loomflow_simulation::run_parallel;
 use loomflow_standins::fleet::{Fleet, Plan, WAIT_TIMEOUT};
-use loomflow_standins::relay::Trouble;
+use loomflow_standins::relay::LinkFault;
 use serde_json::Value;
 
 use super::effects::Receiver;
@@ -177,7 +177,7 @@
             note_moves(&mut sum, &before, &owners(&fleet), member);
             fleet.start_member(member);
         }
-        fleet.set_trouble_on_all_links(Trouble::default());
+        fleet.set_fault_on_all_links(LinkFault::default());
         let took = settle(&fleet, &receiver, Instant::now());
         if took > OWNED_WITHIN {
             sum.without_owner += 1;
@@ -204,7 +204,7 @@
             std::thread::sleep(span);
         }
         FaultKind::Terminate => {
-            fleet.members[member].world.terminate();
+            fleet.members[member].fixture.terminate();
             fleet.wait_for_exit(member);
             std::thread::sleep(span / 2);
             fleet.start_member(member);
@@ -215,18 +215,18 @@
             fleet.resume_processes(&processes);
         }
         FaultKind::Isolate => {
-            fleet.isolate(&[member], Trouble { cut: true, ..Trouble::default() });
+            fleet.isolate(&[member], LinkFault { is_cut: true, ..LinkFault::default() });
             std::thread::sleep(span * 2);
         }
         FaultKind::StallLink => {
             let other = rng.usize(0..MEMBERS);
-            fleet.set_link_trouble(member, other, Trouble { stalled: true, ..Trouble::default() });
+            fleet.set_link_fault(member, other, LinkFault { is_stalled: true, ..LinkFault::default() });
             std::thread::sleep(span);
         }
         FaultKind::DisturbLinks => {
             let (lost, delay) = (rng.f64() * 0.2, Duration::from_millis(rng.u64(0..100)));
-            let trouble = Trouble { lost, doubled: 0.2, swapped: 0.2, delay, ..Trouble::default() };
-            fleet.set_trouble_on_all_links(trouble);
+            let fault = LinkFault { lost, duplicated: 0.2, reordered: 0.2, delay, ..LinkFault::default() };
+            fleet.set_fault_on_all_links(fault);
             std::thread::sleep(span);
         }
     }
--- a/crates/loomflow-measure/src/owner/simulated.rs
+++ b/crates/loomflow-measure/src/owner/simulated.rs
@@ -27,11 +27,11 @@
         };
         let scenario = Scenario::random(seed, machines, voters, 12_000, 60_000);
         let mut simulation = Simulation::new(config, seed);
-        let played = simulation.run(&scenario, 60_000).and_then(|()| {
+        let scenario_results = simulation.run(&scenario, 60_000).and_then(|()| {
             (0..machines).for_each(|one| simulation.start(one));
             simulation.run_until(180_000)
         });
-        played.err().map(|what| format!("seed {seed}: {what}"))
+        scenario_results.err().map(|what| format!("seed {seed}: {what}"))
     })
     .into_iter()
     .flatten()
--- a/crates/loomflow-measure/src/process.rs
+++ b/crates/loomflow-measure/src/process.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use loomflow_load::{Plan, resp};
-use loomflow_standins::World;
+use loomflow_standins::ServerFixture;
 
 /// Clock ticks a second in `/proc`, on every Linux.
 const TICKS: f64 = 100.0;
@@ -17,12 +17,19 @@
 }
 
 /// CPU of a request by RESP at a rate that the server keeps up with, s.
-pub fn cpu_by_resp(world: &World, class: &'static str, rate: f64, span: Duration) -> f64 {
-    let before = cpu(world.pid());
+pub fn cpu_by_resp(fixture: &ServerFixture, class: &'static str, rate: f64, span: Duration) -> f64 {
+    let before = cpu(fixture.pid());
     let aim = Duration::from_secs(1);
-    let plan = Plan { class, rates: vec![(0.0, rate)], span, connections: 16, aim, prefix: "r" };
-    let heard = resp::play(world.listen, &plan, Duration::from_secs(2));
-    (cpu(world.pid()) - before) / f64::from(heard.total().in_time.max(1))
+    let plan = Plan {
+        class,
+        rates: vec![(0.0, rate)],
+        duration: span,
+        connections: 16,
+        objective: aim,
+        prefix: "r",
+    };
+    let results = resp::play(fixture.listen, &plan, Duration::from_secs(2));
+    (cpu(fixture.pid()) - before) / f64::from(results.total().in_time.max(1))
 }
 
 /// Time on a core so far, of all threads, s.
--- a/crates/loomflow-measure/src/scale/connections.rs
+++ b/crates/loomflow-measure/src/scale/connections.rs
@@ -24,14 +24,14 @@
     let server = setup::start(program, size);
     let look = |connections| Step {
         connections,
-        memory_mb: process::memory(server.world.pid()),
-        descriptors: server.world.descriptors(),
-        idle_core_percent: proc::idle_core_percent(server.world.pid()),
+        memory_mb: process::memory(server.fixture.pid()),
+        descriptors: server.fixture.descriptors(),
+        idle_core_percent: proc::idle_core_percent(server.fixture.pid()),
     };
     let mut steps = vec![look(0)];
     let mut open = Vec::new();
     for step in STEPS.into_iter().filter(|step| *step <= most) {
-        open.extend(setup::open_idle(&server.world, step - open.len()));
+        open.extend(setup::open_idle(&server.fixture, step - open.len()));
         steps.push(look(step));
     }
     print(report, &steps);
--- a/crates/loomflow-measure/src/scale/engine_client.rs
+++ b/crates/loomflow-measure/src/scale/engine_client.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use loomflow_standins::fresh_id;
+use loomflow_standins::next_attempt_id;
 
 /// Where the end of each open run is told, by the run's id.
 type Waiting = Arc<Mutex<HashMap<String, Sender<Instant>>>>;
@@ -31,7 +31,7 @@
 
     /// Runs one request and gives how long it took.
     pub fn call(&self, class: &str, body: &[u8], patience: Duration) -> Option<Duration> {
-        let (id, (sender, ended)) = (fresh_id(), channel());
+        let (id, (sender, ended)) = (next_attempt_id(), channel());
         self.waiting.lock().expect("waiting").insert(id.clone(), sender);
         let mut bytes = format!("RUN {id} {class} {}\r\n", body.len()).into_bytes();
         bytes.extend_from_slice(body);
--- a/crates/loomflow-measure/src/scale/load.rs
+++ b/crates/loomflow-measure/src/scale/load.rs
@@ -36,19 +36,19 @@
     C: Send,
     F: Fn(&mut C, usize) -> Option<Duration> + Sync,
 {
-    let (next, heard) = (AtomicUsize::new(0), Mutex::new(Latencies::default()));
+    let (next, results) = (AtomicUsize::new(0), Mutex::new(Latencies::default()));
     let start = Instant::now();
     std::thread::scope(|scope| {
         for mut caller in callers {
             scope.spawn(|| {
                 let own = take_turns(&next, start, rate, span, |number| call(&mut caller, number));
-                heard.lock().expect("latencies").merge(own);
+                results.lock().expect("latencies").merge(own);
                 // Moved in whole, so that its connections end with it.
                 drop(caller);
             });
         }
     });
-    heard.into_inner().expect("latencies")
+    results.into_inner().expect("latencies")
 }
 
 fn take_turns(
--- a/crates/loomflow-measure/src/scale/requests.rs
+++ b/crates/loomflow-measure/src/scale/requests.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use loomflow_standins::{Gateway, World, call, fields, fresh_id};
+use loomflow_standins::{Gateway, ServerFixture, call, fields, next_attempt_id};
 
 use super::engine_client::EngineClient;
 use super::load::{self, Latencies};
@@ -117,9 +117,9 @@
 /// Plays server and engine in turns, so that what disturbs one disturbs the other.
 fn play(program: &Path, case: Case, turns: usize, span: Duration) -> Row {
     let server = setup::start(program, case.size);
-    let pid = server.world.pid();
+    let pid = server.fixture.pid();
     let connections = case.size.connections.min(proc::descriptors_allowed());
-    let mut shares = share_out(setup::open_idle(&server.world, connections));
+    let mut shares = share_out(setup::open_idle(&server.fixture, connections));
     let idle_core_percent = proc::idle_core_percent(pid);
     let engine = setup::engine();
     let direct_client = EngineClient::connect(engine.address);
@@ -132,7 +132,7 @@
             direct_client.call(CLASS, body(number).as_bytes(), PATIENCE)
         }));
     }
-    assert_connected(&server.world, connections);
+    assert_connected(&server.fixture, connections);
     let cpu_us = cpu_ns as f64 / 1000.0 / served.served().max(1) as f64;
     Row { case, served, direct, cpu_us, idle_core_percent }
 }
@@ -148,8 +148,8 @@
 }
 
 /// The figures mean nothing if the server has closed connections meanwhile.
-fn assert_connected(world: &World, connections: usize) {
-    assert!(world.descriptors() >= connections, "the server has closed connections: {}", world.log());
+fn assert_connected(fixture: &ServerFixture, connections: usize) {
+    assert!(fixture.descriptors() >= connections, "the server has closed connections: {}", fixture.log());
 }
 
 fn through_server(shares: &mut [Vec<Gateway>], case: &Case, span: Duration) -> Latencies {
@@ -163,13 +163,13 @@
 /// Makes one request for a tenant drawn by its number, and gives how long it took if it was served.
 fn ask(gateway: &mut Gateway, number: usize, tenants: usize) -> Option<Duration> {
     let tenant = setup::tenant_name(fastrand::Rng::with_seed(number as u64).usize(0..tenants));
-    let fields = fields(&fresh_id()).replace("owner=acme", &format!("owner={tenant}"));
+    let fields = fields(&next_attempt_id()).replace("owner=acme", &format!("owner={tenant}"));
     let tag = number as u64 + 2;
     let bytes = call(tag, CLASS, &fields, body(number).as_bytes());
     let asked = Instant::now();
     gateway.send(&bytes);
-    let answer = gateway.next(PATIENCE).ok()??;
-    (answer.word == "OK" && answer.tag == tag).then(|| asked.elapsed())
+    let answer = gateway.next_response(PATIENCE).ok()??;
+    (answer.status == "OK" && answer.tag == tag).then(|| asked.elapsed())
 }
 
 fn body(number: usize) -> String {
--- a/crates/loomflow-measure/src/scale/setup.rs
+++ b/crates/loomflow-measure/src/scale/setup.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use loomflow_standins::{Gateway, Worker, World, health, site};
+use loomflow_standins::{Gateway, ServerFixture, Worker, health, site};
 use serde_json::{Value, json};
 
 /// A request's whole time, ms: far beyond anything here.
@@ -25,7 +25,7 @@
 
 /// A server that serves, and the engine that it sends its runs to.
 pub struct Server {
-    pub world: World,
+    pub fixture: ServerFixture,
     _worker: Worker,
 }
 
@@ -37,14 +37,14 @@
 /// Starts a server of that size.
 pub fn start(program: &Path, size: Size) -> Server {
     let worker = engine();
-    let mut world = World::new(site(HARD_LIMIT_MS));
-    program.clone_into(&mut world.program);
-    world.config["limits"]["sockets"] = sockets_for(size.connections).into();
-    world.config["settings"]["Domain"]["Idle"] = IDLE_MS.into();
-    world.config["settings"]["Period"] = size.period_ms.into();
-    world.config["settings"]["Orgs"] = tenants(size.tenants);
-    world.work_with(&worker);
-    Server { world, _worker: worker }
+    let mut fixture = ServerFixture::new(site(HARD_LIMIT_MS));
+    program.clone_into(&mut fixture.program);
+    fixture.config["limits"]["sockets"] = sockets_for(size.connections).into();
+    fixture.config["settings"]["Domain"]["Idle"] = IDLE_MS.into();
+    fixture.config["settings"]["Period"] = size.period_ms.into();
+    fixture.config["settings"]["Orgs"] = tenants(size.tenants);
+    fixture.serve_with(&worker);
+    Server { fixture, _worker: worker }
 }
 
 /// So many tenants, the first of which is the one that the stand-ins ask for.
@@ -65,11 +65,11 @@
 }
 
 /// Opens connections that have asked once whether the server is well, so that it keeps them.
-pub fn open_idle(world: &World, count: usize) -> Vec<Gateway> {
+pub fn open_idle(fixture: &ServerFixture, count: usize) -> Vec<Gateway> {
     let open = |_| {
-        let mut gateway = world.gateway();
+        let mut gateway = fixture.gateway();
         gateway.send(&health(1, false));
-        assert_eq!(gateway.answer().word, "UP");
+        assert_eq!(gateway.response().status, "UP");
         gateway
     };
     (0..count).map(open).collect()
--- a/crates/loomflow-measure/src/scale/tenants.rs
+++ b/crates/loomflow-measure/src/scale/tenants.rs
@@ -6,8 +6,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use loomflow_load::Aside;
-use loomflow_standins::{Gateway, World, health};
+use loomflow_load::BackgroundTask;
+use loomflow_standins::{Gateway, ServerFixture, health};
 
 use super::{TENANTS, proc, setup};
 use crate::process;
@@ -93,18 +93,19 @@
 fn play(program: &Path, tenants: usize, rounds: usize) -> Row {
     let size = setup::Size { connections: 500, tenants, period_ms: 0.0 };
     let server = setup::start(program, size);
-    let pid = server.world.pid();
-    let versions = versions(&server.world);
+    let pid = server.fixture.pid();
+    let versions = versions(&server.fixture);
     let (check, compare) = check_times(program, &versions);
     let (serving_mb, peak_mb) = (process::memory(pid), proc::peak_mb(pid));
     let (mut quiet_ms, mut reload_ms) = (Vec::new(), Vec::new());
     for round in 0..rounds {
-        quiet_ms.push(longest_answer_ms(&server.world, || std::thread::sleep(BETWEEN_RELOADS)));
+        quiet_ms.push(longest_answer_ms(&server.fixture, || std::thread::sleep(BETWEEN_RELOADS)));
         let version = &versions[(round + 1) % 2];
-        reload_ms.push(longest_answer_ms(&server.world, || reload(&server.world, version)));
+        reload_ms.push(longest_answer_ms(&server.fixture, || reload(&server.fixture, version)));
     }
-    let mut owner_cpu_ms: Vec<f64> =
-        (0..rounds).map(|round| reload_cpu_ms(&server.world, &versions[(rounds + round + 1) % 2])).collect();
+    let mut owner_cpu_ms: Vec<f64> = (0..rounds)
+        .map(|round| reload_cpu_ms(&server.fixture, &versions[(rounds + round + 1) % 2]))
+        .collect();
     owner_cpu_ms.sort_by(f64::total_cmp);
     quiet_ms.sort_by(f64::total_cmp);
     reload_ms.sort_by(f64::total_cmp);
@@ -124,9 +125,9 @@
 }
 
 /// The configuration of the server, and one with a tenant more at the beginning and another quota of the last.
-fn versions(world: &World) -> [String; 2] {
-    let first = world.config.to_string();
-    let mut config = world.config.clone();
+fn versions(fixture: &ServerFixture) -> [String; 2] {
+    let first = fixture.config.to_string();
+    let mut config = fixture.config.clone();
     let tenants = config["settings"]["Orgs"].as_array_mut().expect("tenants");
     tenants.last_mut().expect("a tenant")["QuotaPerS"] = 5.0.into();
     tenants.insert(0, serde_json::json!({"Name": "newcomer", "QuotaPerS": 1.0}));
@@ -134,43 +135,43 @@
 }
 
 /// Has the server read a version, and waits until it has taken it up.
-fn reload(world: &World, version: &str) {
-    let read = || world.log().matches(RELOADED).count();
+fn reload(fixture: &ServerFixture, version: &str) {
+    let read = || fixture.log().matches(RELOADED).count();
     let before = read();
-    world.write(version);
-    world.signal("HUP");
+    fixture.write(version);
+    fixture.signal("HUP");
     let until = Instant::now() + Duration::from_secs(60);
     while read() == before {
-        assert!(Instant::now() < until, "the configuration is not read again: {}", world.log());
+        assert!(Instant::now() < until, "the configuration is not read again: {}", fixture.log());
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
 /// What a reload costs the thread that the request path goes through, ms on a core: the server's main thread. What it
 /// spends in as long a time without one is taken off.
-fn reload_cpu_ms(world: &World, version: &str) -> f64 {
+fn reload_cpu_ms(fixture: &ServerFixture, version: &str) -> f64 {
     let spent = |work: &dyn Fn()| {
-        let before = proc::main_thread_cpu_ns(world.pid());
+        let before = proc::main_thread_cpu_ns(fixture.pid());
         let began = Instant::now();
         work();
         std::thread::sleep(BETWEEN_RELOADS.saturating_sub(began.elapsed()));
-        (proc::main_thread_cpu_ns(world.pid()) - before) as f64 / 1e6
+        (proc::main_thread_cpu_ns(fixture.pid()) - before) as f64 / 1e6
     };
     let idle = spent(&|| ());
-    spent(&|| reload(world, version)) - idle
+    spent(&|| reload(fixture, version)) - idle
 }
 
 /// The longest answer to a check while something is done, ms. Some check is under way nearly all the time.
-fn longest_answer_ms(world: &World, work: impl FnOnce()) -> f64 {
+fn longest_answer_ms(fixture: &ServerFixture, work: impl FnOnce()) -> f64 {
     let over = Arc::new(AtomicBool::new(false));
-    let (mut gateway, ends) = (world.gateway(), over.clone());
-    let probe = Aside::start(move |_| {
-        let mut longest = Duration::ZERO;
+    let (mut gateway, ends) = (fixture.gateway(), over.clone());
+    let probe = BackgroundTask::start(move |_| {
+        let mut max_latency = Duration::ZERO;
         while !ends.load(Ordering::Relaxed) {
-            longest = longest.max(answer_time(&mut gateway));
+            max_latency = max_latency.max(answer_time(&mut gateway));
             std::thread::sleep(PROBE_EVERY);
         }
-        longest
+        max_latency
     });
     work();
     over.store(true, Ordering::Relaxed);
@@ -180,7 +181,7 @@
 fn answer_time(gateway: &mut Gateway) -> Duration {
     let asked = Instant::now();
     gateway.send(&health(1, false));
-    assert_eq!(gateway.answer().word, "UP");
+    assert_eq!(gateway.response().status, "UP");
     asked.elapsed()
 }
 
--- a/crates/loomflow-protocol/src/lib.rs
+++ b/crates/loomflow-protocol/src/lib.rs
@@ -2,7 +2,6 @@
 //! read no clock.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod attempt_id;
 pub mod buffer;
--- a/crates/loomflow-server/src/fleet/command/arguments.rs
+++ b/crates/loomflow-server/src/fleet/command/arguments.rs
@@ -11,8 +11,9 @@
 use loomflow_settings::Options;
 use loomflow_settings::campaign::{parse_duration, parse_window};
 
-use super::duties::{DutyCommand, RunOptions};
+use super::duties::DutyCommand;
 use super::error::UsageError;
+use super::job_process::RunOptions;
 use super::tickets::TicketOptions;
 
 /// How long `work wait` waits without `--timeout`.
--- a/crates/loomflow-server/src/fleet/command/duties.rs
+++ b/crates/loomflow-server/src/fleet/command/duties.rs
@@ -1,14 +1,13 @@
 //! `loomflow fleet duty …`: duties for operators and their scripts.
 
-use std::ffi::OsString;
 use std::process::ExitCode;
-use std::time::Duration;
 
-use loomflow_fleet::duty::{self, Command, DutyList, DutyName, Token};
+use loomflow_fleet::duty::{self, Command, DutyList, DutyName};
 use loomflow_fleet::maintenance::{self, Request, Response};
 
 use super::client::Client;
 use super::error::CommandError;
+use super::job_process::RunOptions;
 use super::{job_process, output};
 
 /// What is asked about duties.
@@ -22,19 +21,6 @@
     Run(RunOptions),
 }
 
-/// The options of `duty run`.
-pub struct RunOptions {
-    pub duty: DutyName,
-    /// Run only as the owner with this token.
-    pub token: Option<Token>,
-    /// How long ownership is waited for.
-    pub ownership_timeout: Duration,
-    /// How long the process may run.
-    pub max_duration: Duration,
-    /// The program with its arguments.
-    pub command: Vec<OsString>,
-}
-
 /// Carries out a command on duties.
 pub fn run(command: DutyCommand, client: &Client) -> Result<ExitCode, CommandError> {
     match command {
--- a/crates/loomflow-server/src/fleet/command/job_process.rs
+++ b/crates/loomflow-server/src/fleet/command/job_process.rs
@@ -1,6 +1,7 @@
 //! `loomflow fleet duty run`: runs a program as the owner of a duty, in a process group of its own, and ends it before the lease
 //! can expire. When it has to end is decided in `loomflow_fleet::duty::supervisor`; here are the process and the clock.
 
+use std::ffi::OsString;
 use std::os::unix::process::CommandExt;
 use std::path::Path;
 use std::process::{Child, Command, ExitCode, ExitStatus};
@@ -9,14 +10,13 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-use loomflow_fleet::duty::Token;
 use loomflow_fleet::duty::supervisor::{ProcessSupervisor, StopReason, StopSignal};
+use loomflow_fleet::duty::{DutyName, Token};
 use loomflow_fleet::member::Millis;
 use loomflow_fleet::operator::{OperatorRequest, OperatorResponse, OwnedDuty};
 use rustix::process::{Pid, Signal, kill_process_group};
 
 use super::client::call;
-use super::duties::RunOptions;
 use super::error::CommandError;
 use super::{EXIT_NEVER_OWNED, EXIT_OWNERSHIP_LOST};
 use crate::fleet::boot_millis;
@@ -28,6 +28,19 @@
 /// Ownership is asked for so many times within a lease while the process runs.
 const OWNERSHIP_POLLS_PER_LEASE: u64 = 10;
 
+/// The options of `duty run`.
+pub struct RunOptions {
+    pub duty: DutyName,
+    /// Run only as the owner with this token.
+    pub token: Option<Token>,
+    /// How long ownership is waited for.
+    pub ownership_timeout: Duration,
+    /// How long the process may run.
+    pub max_duration: Duration,
+    /// The program with its arguments.
+    pub command: Vec<OsString>,
+}
+
 /// A duty that the server owns, and until when by the clock of this machine.
 struct Ownership {
     duty: OwnedDuty,
--- a/crates/loomflow-server/src/front/resp/connections/interleavings.rs
+++ b/crates/loomflow-server/src/front/resp/connections/interleavings.rs
@@ -102,7 +102,7 @@
     }
 }
 
-struct World {
+struct Model {
     gateways: GatewayConnections,
     /// The connection that is at each place now, and all that there were.
     places: BTreeMap<u64, u64>,
@@ -113,12 +113,12 @@
     left_at: Option<f64>,
 }
 
-impl World {
-    fn new() -> World {
+impl Model {
+    fn new() -> Model {
         let limits =
             Limits { near_capacity: 3, max_connections: usize::MAX, max_unwritten_bytes: usize::MAX };
         let gateways = GatewayConnections::new(IDLE, limits);
-        World {
+        Model {
             gateways,
             places: BTreeMap::new(),
             peers: BTreeMap::new(),
@@ -352,29 +352,29 @@
 }
 
 fn play(steps: &[Step]) -> Result<(), TestCaseError> {
-    let mut world = World::new();
-    steps.iter().try_for_each(|step| world.play(step))?;
+    let mut model = Model::new();
+    steps.iter().try_for_each(|step| model.play(step))?;
     // Everything is answered and read, and the process ends in time.
-    world.leave();
-    let left_at = world.left_at.expect("it was told to");
-    while !world.gateways.is_drained(world.now) {
-        prop_assert!(world.now <= left_at + STOP, "not settled in time");
+    model.leave();
+    let left_at = model.left_at.expect("it was told to");
+    while !model.gateways.is_drained(model.now) {
+        prop_assert!(model.now <= left_at + STOP, "not settled in time");
         for place in 1..=CONNECTIONS {
-            world.drive(place, usize::MAX);
-            world.take_in(usize::MAX)?;
-            while world.peer(place).is_some_and(|(_, peer)| !peer.open.is_empty()) {
-                world.answer(place, true);
+            model.drive(place, usize::MAX);
+            model.take_in(usize::MAX)?;
+            while model.peer(place).is_some_and(|(_, peer)| !peer.open.is_empty()) {
+                model.answer(place, true);
             }
-            world.drive(place, usize::MAX);
-            world.take_in(usize::MAX)?;
+            model.drive(place, usize::MAX);
+            model.take_in(usize::MAX)?;
         }
-        world.now += 20.0;
-        world.sweep()?;
+        model.now += 20.0;
+        model.sweep()?;
     }
-    prop_assert!(world.now < left_at + STOP - KILL_MARGIN_MS, "it took until the kill");
-    for (id, peer) in &world.peers {
+    prop_assert!(model.now < left_at + STOP - KILL_MARGIN_MS, "it took until the kill");
+    for (id, peer) in &model.peers {
         prop_assert!(peer.over.is_some() || !peer.outbox.is_closing(), "{id} does not come to its end");
-        world.check(*id, peer)?;
+        model.check(*id, peer)?;
     }
     Ok(())
 }
