--- a/crates/loomflow-server/src/owner/interleavings.rs
+++ b/crates/loomflow-server/src/owner/interleavings.rs
@@ -244,7 +244,7 @@
     all
 }
 
-struct World {
+struct Model {
     owner: Owner,
     engine: EngineModel,
     gateway: Arc<ConnectionHandle>,
@@ -271,8 +271,8 @@
     Config::parse(&text.to_string()).expect("a configuration")
 }
 
-impl World {
-    fn new() -> World {
+impl Model {
+    fn new() -> Model {
         connection::configure_runtime();
         let mailbox = Arc::new(Mailbox::default());
         // Nobody connects: the port is whichever is free.
@@ -280,7 +280,7 @@
         let listener = Listener::bind(listen, 1_000.0, || false).expect("it is bound").expect("it listens");
         let owner = Owner::start(config(), &Options::default(), listener, &mailbox).expect("an owner");
         let gateway = Arc::new(ConnectionHandle::new(Some(MAX_OPEN_REQUESTS)));
-        let mut world = World {
+        let mut model = Model {
             owner,
             engine: EngineModel::default(),
             gateway,
@@ -289,9 +289,9 @@
             port: 9,
             in_doubt: BTreeSet::new(),
         };
-        world.gateway_does(GatewayEvent::Connected(world.gateway.clone()));
-        world.settle();
-        world
+        model.gateway_does(GatewayEvent::Connected(model.gateway.clone()));
+        model.settle();
+        model
     }
 
     fn gateway_does(&mut self, from: GatewayEvent) {
@@ -444,42 +444,42 @@
 
 /// Plays an interleaving, lets all end, and says what broke a rule.
 fn play(steps: &[Step]) -> Result<(), TestCaseError> {
-    let mut world = World::new();
+    let mut model = Model::new();
     for step in steps {
-        world.play(step);
+        model.play(step);
     }
-    world.settle();
+    model.settle();
     // What is in doubt fails in its time.
     for _ in 0..80 {
-        world.pass(Duration::from_secs(1));
+        model.pass(Duration::from_secs(1));
     }
-    world.settle();
-    let mut tags: Vec<u64> = world.heard.iter().map(|(tag, ..)| *tag).filter(|tag| *tag > 0).collect();
+    model.settle();
+    let mut tags: Vec<u64> = model.heard.iter().map(|(tag, ..)| *tag).filter(|tag| *tag > 0).collect();
     tags.sort_unstable();
     prop_assert_eq!(
         &tags,
-        &world.asked.keys().copied().collect::<Vec<_>>(),
+        &model.asked.keys().copied().collect::<Vec<_>>(),
         "one answer to each: {:?}",
         steps
     );
-    for (id, run) in &world.engine.runs {
-        let is_mixed_up = run.class != "read" && world.engine.mixed_up.contains(id);
+    for (id, run) in &model.engine.runs {
+        let is_mixed_up = run.class != "read" && model.engine.mixed_up.contains(id);
         prop_assert!(!is_mixed_up, "{} has an effect and got the reply to another call", id);
         let most = if run.class == "read" { 2 } else { 1 };
         prop_assert!(run.calls.iter().all(|fed| *fed <= most), "{} is fed {:?}", id, run.calls);
     }
-    for (tag, word, body) in world.heard.iter().filter(|(tag, ..)| *tag > 0) {
-        let id = world.asked[tag];
+    for (tag, word, body) in model.heard.iter().filter(|(tag, ..)| *tag > 0) {
+        let id = model.asked[tag];
         match word.as_str() {
             "OK" => {
                 prop_assert_eq!(body, &result_of(id), "the result of its own run");
-                prop_assert!(!world.engine.mixed_up.contains(&id), "{} got the reply to another call", id);
+                prop_assert!(!model.engine.mixed_up.contains(&id), "{} got the reply to another call", id);
             }
-            "FAILED" => prop_assert!(world.in_doubt.contains(&id), "{} failed without a doubt", id),
+            "FAILED" => prop_assert!(model.in_doubt.contains(&id), "{} failed without a doubt", id),
             other => prop_assert!(false, "{} is answered {}", id, other),
         }
     }
-    prop_assert_eq!(world.owner.requests.len(), 0, "nothing is left in the table");
+    prop_assert_eq!(model.owner.requests.len(), 0, "nothing is left in the table");
     Ok(())
 }
 
--- a/crates/loomflow-server/src/trial.rs
+++ b/crates/loomflow-server/src/trial.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use comfy_table::{CellAlignment, Table, presets};
-use loomflow_load::{Front, Plan, Played, Scenario, Tally, rounds};
+use loomflow_load::{Counts, Front, Plan, Scenario, ScenarioResults, rounds};
 use loomflow_standins::fleet::{self, Fleet};
 use thiserror::Error;
 
@@ -29,23 +29,23 @@
     let scenario = Scenario {
         program,
         front,
-        timed: true,
+        has_sent_time: true,
         cores: 4,
         work: Duration::from_millis(10),
-        give_up: Duration::from_secs(1),
+        caller_timeout: Duration::from_secs(1),
         rates: RATES.to_vec(),
-        span: Duration::from_secs(10),
+        duration: Duration::from_secs(10),
     };
     let capacity = scenario.capacity();
     println!(
         "A server with {} cores that do {capacity:.0} requests a second is asked for 300, then 600, then 300.",
         scenario.cores
     );
-    let played = scenario.play();
+    let played = scenario.run();
     print(&played, front);
     // The burst's first second is the server's to notice it.
     let (from, to) = (BURST.0 + 1, BURST.1);
-    let in_time = f64::from(played.heard.between(from, to).in_time);
+    let in_time = f64::from(played.results.between(from, to).in_time);
     let could = capacity * (to - from) as f64;
     println!(
         "Of {could:.0} requests that the engine could do in seconds {from} to {}, {in_time} were answered in time: {:.0}%.",
@@ -75,13 +75,13 @@
         "One may be out at once. Each is taken out for two seconds of work; one is killed in the middle.\n"
     );
     let mut fleet = Fleet::start_with(plan, &program).bootstrap(plan);
-    let listens = fleet.members.iter().map(|member| member.world.listen).collect();
+    let listens = fleet.members.iter().map(|member| member.fixture.listen).collect();
     let load = Plan {
         class: "read",
         rates: vec![(0.0, 250.0)],
-        span: Duration::from_secs(600),
+        duration: Duration::from_secs(600),
         connections: 1,
-        aim: Duration::from_secs(1),
+        objective: Duration::from_secs(1),
         prefix: "r",
     };
     let load = loomflow_load::fleet::start(listens, load, Duration::from_secs(5));
@@ -99,7 +99,7 @@
     println!("\n{}", fleet.run_command(0, &["work", "history"]).1);
     println!(
         "Of {} requests {} were answered in time, {} late, {} refused, {} failed, {} lost.",
-        heard.asked, heard.in_time, heard.late, heard.refused, heard.failed, heard.lost
+        heard.sent, heard.in_time, heard.late, heard.rejected, heard.failed, heard.lost
     );
     let rules = [
         ("each went once and came back", seen.complete),
@@ -114,7 +114,7 @@
     Ok(if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn print(played: &Played, front: Front) {
+fn print(played: &ScenarioResults, front: Front) {
     let mut table = Table::new();
     table.load_preset(presets::NOTHING);
     // What tells callers, or the broker, how much to send.
@@ -122,24 +122,24 @@
     table.set_header([
         "second", "asked", "in time", "late", "refused", "failed", "lost", "held p50", "p99 ms", told,
     ]);
-    let row = |name: String, tally: &Tally, held: [String; 2]| {
-        let counts = [tally.asked, tally.in_time, tally.late, tally.refused, tally.failed, tally.lost];
+    let row = |name: String, tally: &Counts, held: [String; 2]| {
+        let counts = [tally.sent, tally.in_time, tally.late, tally.rejected, tally.failed, tally.lost];
         // Nothing told is a whole share.
-        let told = match (front, tally.told()) {
+        let told = match (front, tally.mean_signal()) {
             (Front::Resp, share) => format!("{:.2}", share.unwrap_or(1.0)),
             (Front::Amqp, credit) => format!("{:.0}", credit.unwrap_or(0.0)),
         };
         let counts = counts.map(|count| count.to_string());
         std::iter::once(name).chain(counts).chain(held).chain([told]).collect::<Vec<_>>()
     };
-    for (second, tally) in played.heard.seconds.iter().enumerate().filter(|(_, tally)| tally.asked > 0) {
+    for (second, tally) in played.results.seconds.iter().enumerate().filter(|(_, tally)| tally.sent > 0) {
         let ms = |part: f64| {
-            let held = played.holds.get(second).map_or(0, |held| held.value_at_quantile(part));
+            let held = played.queue_times.get(second).map_or(0, |held| held.value_at_quantile(part));
             format!("{:.0}", held as f64 / 1000.0)
         };
         table.add_row(row(second.to_string(), tally, [ms(0.5), ms(0.99)]));
     }
-    table.add_row(row("all".into(), &played.heard.total(), Default::default()));
+    table.add_row(row("all".into(), &played.results.total(), Default::default()));
     for column in table.column_iter_mut().skip(1) {
         column.set_cell_alignment(CellAlignment::Right);
     }
--- a/crates/loomflow-server/tests/amqp.rs
+++ b/crates/loomflow-server/tests/amqp.rs
@@ -19,10 +19,10 @@
     )
 }
 
-fn started() -> (Broker, Worker, World) {
+fn started() -> (Broker, Worker, ServerFixture) {
     let (broker, worker) = (Broker::with_jobs(), Worker::start(4, WORK));
-    let world = World::working(site(LONG), &options(&[&broker], ""), &worker);
-    (broker, worker, world)
+    let fixture = ServerFixture::start_with(site(LONG), &options(&[&broker], ""), &worker);
+    (broker, worker, fixture)
 }
 
 fn job(id: usize) -> Message {
@@ -32,21 +32,21 @@
 
 /// That each of so many jobs ran once, was answered once and is nowhere any more.
 fn all_served_once(broker: &Broker, worker: &Worker, count: usize) {
-    broker.drained("jobs");
-    let replies = broker.wait("replies", count);
+    broker.wait_until_empty("jobs");
+    let replies = broker.wait_for_messages("replies", count);
     let heard: BTreeSet<String> = replies.iter().map(Message::correlation).collect();
     assert_eq!((replies.len(), heard.len()), (count, count));
     for reply in replies {
         let id = reply.correlation()[2..].to_owned();
         assert_eq!((reply.kind().as_str(), reply.body), ("served", result_of(id.as_bytes())));
     }
-    assert!(worker.runs().values().all(|times| *times == 1), "{:?}", worker.runs());
-    assert_eq!(worker.count(), count);
+    assert!(worker.run_counts().values().all(|times| *times == 1), "{:?}", worker.run_counts());
+    assert_eq!(worker.run_count(), count);
     assert!(broker.take("dead").is_empty());
 }
 
 #[test]
-fn jobs_are_run_once_answered_confirmed_and_acked() {
+fn messages_run_once_and_are_answered_confirmed_and_acked() {
     let (broker, worker, _world) = started();
     (0..200).for_each(|id| broker.publish(job(id)));
     all_served_once(&broker, &worker, 200);
@@ -56,28 +56,28 @@
 }
 
 #[test]
-fn a_redelivery_joins_an_open_run_or_gets_the_reply_of_one_that_is_over() {
+fn a_redelivery_joins_an_open_run_or_gets_the_recorded_reply() {
     let (broker, worker, _world) = started();
-    worker.hold(true);
+    worker.set_held(true);
     (0..6).for_each(|id| broker.publish(job(id)));
-    worker.wait(1);
+    worker.wait_for_runs(1);
     // All that is unacknowledged comes again, while its runs are open.
-    broker.cut();
-    broker.until("it is back", |state| state.unacked("jobs") > 0);
-    worker.hold(false);
+    broker.disconnect_all();
+    broker.wait_until("it is back", |state| state.unacked("jobs") > 0);
+    worker.set_held(false);
     all_served_once(&broker, &worker, 6);
 }
 
 /// While the first is in hand (`identity.rs` has that order exactly), and once it has been served.
 #[test]
-fn a_key_under_another_tenant_is_another_job_and_under_another_body_none() {
+fn a_key_of_another_tenant_is_distinct_and_a_different_body_is_rejected() {
     let (broker, worker) = (Broker::with_jobs(), Worker::start(4, WORK));
     let publish = |whose: &str, body: &[u8], name: &str| {
         broker.publish(message("jobs", "k", body).header("whose", whose).reply_to("replies", name));
     };
     let heard = |count| -> Vec<(String, String, Vec<u8>)> {
-        let said = |reply: &Message| reply.says("x-loomflow-reason").unwrap_or(reply.kind());
-        let all = broker.wait("replies", count);
+        let said = |reply: &Message| reply.header_text("x-loomflow-reason").unwrap_or(reply.kind());
+        let all = broker.wait_for_messages("replies", count);
         let mut all: Vec<_> = all.into_iter().map(|r| (r.correlation(), said(&r), r.body)).collect();
         all.sort();
         all
@@ -88,134 +88,145 @@
     publish("acme", b"two", "b");
     publish("other", b"three", "c");
     let text = options(&[&broker], "").replace("tenant: acme", "tenant_header: whose");
-    let _world = World::working(site(LONG), &text, &worker);
+    let _world = ServerFixture::start_with(site(LONG), &text, &worker);
     assert_eq!(heard(3), [served("a", b"one"), refused("b"), served("c", b"three")]);
     publish("acme", b"two", "d");
     publish("acme", b"one", "e");
     publish("other", b"three", "f");
     assert_eq!(heard(3), [refused("d"), served("e", b"one"), served("f", b"three")]);
-    assert_eq!(worker.count(), 2);
-    assert_eq!(broker.wait("dead", 2).len(), 2);
+    assert_eq!(worker.run_count(), 2);
+    assert_eq!(broker.wait_for_messages("dead", 2).len(), 2);
 }
 
 #[test]
-fn a_reply_that_was_confirmed_is_not_said_again_when_only_the_ack_was_lost() {
+fn a_confirmed_reply_is_not_repeated_when_only_the_ack_was_lost() {
     let (broker, worker, _world) = started();
     // A lost ack keeps its place in the consumer's credit, which begins with one and grows to two.
     broker.faults(|faults| faults.forget_acks = 2);
     (0..2).for_each(|id| broker.publish(job(id)));
-    assert_eq!(broker.wait("replies", 2).len(), 2);
-    broker.until("the acks are lost", |state| state.faults.forget_acks == 0);
-    broker.cut();
-    broker.drained("jobs");
+    assert_eq!(broker.wait_for_messages("replies", 2).len(), 2);
+    broker.wait_until("the acks are lost", |state| state.faults.forget_acks == 0);
+    broker.disconnect_all();
+    broker.wait_until_empty("jobs");
     assert!(broker.take("replies").is_empty());
-    assert_eq!(worker.count(), 2);
+    assert_eq!(worker.run_count(), 2);
 }
 
 #[test]
-fn a_message_whose_time_is_over_is_ended_at_once_and_never_run() {
+fn an_expired_message_is_dead_lettered_immediately() {
     let (broker, worker) = (Broker::with_jobs(), Worker::start(4, WORK));
     let options = options(&[&broker], "").replace("acme}", "acme, sent_from: timestamp_in_ms}");
-    let _world = World::working(site(LONG), &options, &worker);
-    broker.publish(job(1).stamped("timestamp_in_ms", 1));
-    let reply = &broker.wait("replies", 1)[0];
-    let said = ["x-loomflow-reason", "x-loomflow-ran"].map(|name| reply.says(name).unwrap_or_default());
+    let _world = ServerFixture::start_with(site(LONG), &options, &worker);
+    broker.publish(job(1).with_number_header("timestamp_in_ms", 1));
+    let reply = &broker.wait_for_messages("replies", 1)[0];
+    let said =
+        ["x-loomflow-reason", "x-loomflow-ran"].map(|name| reply.header_text(name).unwrap_or_default());
     assert_eq!((reply.kind().as_str(), said), ("failed", ["out-of-time", "no"].map(str::to_owned)));
-    assert!(reply.says("x-loomflow-holdoff").is_some());
-    assert_eq!(broker.wait("dead", 1)[0].says("x-loomflow-reason").as_deref(), Some("out-of-time"));
+    assert!(reply.header_text("x-loomflow-holdoff").is_some());
+    assert_eq!(
+        broker.wait_for_messages("dead", 1)[0].header_text("x-loomflow-reason").as_deref(),
+        Some("out-of-time")
+    );
     // One that was sent just now, one of a clock that is ahead, and one that says nothing are run.
-    broker.publish(job(2).sent_now());
-    broker.publish(job(3).stamped("timestamp_in_ms", i64::MAX));
+    broker.publish(job(2).with_sent_time());
+    broker.publish(job(3).with_number_header("timestamp_in_ms", i64::MAX));
     broker.publish(job(4));
-    assert!(broker.wait("replies", 3).iter().all(|reply| reply.kind() == "served"));
-    broker.drained("jobs");
-    assert_eq!(worker.count(), 3);
+    assert!(broker.wait_for_messages("replies", 3).iter().all(|reply| reply.kind() == "served"));
+    broker.wait_until_empty("jobs");
+    assert_eq!(worker.run_count(), 3);
 }
 
 #[test]
-fn the_channel_closes_between_publish_and_confirm() {
+fn a_channel_closed_between_publish_and_confirm_loses_nothing() {
     let (broker, worker, _world) = started();
     broker.faults(|faults| faults.unconfirmed = 1);
     broker.publish(job(1));
-    let first = broker.wait("replies", 1);
-    broker.cut();
+    let first = broker.wait_for_messages("replies", 1);
+    broker.disconnect_all();
     // Whether the broker had taken the first reply cannot be known: it comes twice, the run does not.
-    assert_eq!(broker.wait("replies", 1)[0].body, first[0].body);
-    broker.drained("jobs");
-    assert_eq!(worker.count(), 1);
+    assert_eq!(broker.wait_for_messages("replies", 1)[0].body, first[0].body);
+    broker.wait_until_empty("jobs");
+    assert_eq!(worker.run_count(), 1);
 }
 
 #[test]
-fn after_a_restart_a_redelivered_archive_is_dead_lettered_as_unknown() {
-    let (broker, worker, mut world) = started();
-    worker.hold(true);
+fn after_a_restart_a_redelivered_effect_is_dead_lettered_as_unknown() {
+    let (broker, worker, mut fixture) = started();
+    worker.set_held(true);
     broker.publish(job(1));
-    worker.wait(1);
-    world.kill();
-    worker.hold(false);
+    worker.wait_for_runs(1);
+    fixture.kill();
+    worker.set_held(false);
     worker.server_died();
-    broker.until("it is back", |state| state.ready("jobs") == 1);
-    world.start("exec \"$0\" serve");
-    let dead = broker.wait("dead", 1);
-    assert_eq!(dead[0].says("x-loomflow-reason").as_deref(), Some("run-unknown"));
-    assert_eq!(dead[0].says("x-loomflow-queue").as_deref(), Some("jobs"));
-    let reply = &broker.wait("replies", 1)[0];
-    assert_eq!((reply.kind().as_str(), reply.says("x-loomflow-ran").as_deref()), ("failed", Some("perhaps")));
-    broker.drained("jobs");
-    assert_eq!(worker.count(), 1);
+    broker.wait_until("it is back", |state| state.ready("jobs") == 1);
+    fixture.start("exec \"$0\" serve");
+    let dead = broker.wait_for_messages("dead", 1);
+    assert_eq!(dead[0].header_text("x-loomflow-reason").as_deref(), Some("run-unknown"));
+    assert_eq!(dead[0].header_text("x-loomflow-queue").as_deref(), Some("jobs"));
+    let reply = &broker.wait_for_messages("replies", 1)[0];
+    assert_eq!(
+        (reply.kind().as_str(), reply.header_text("x-loomflow-ran").as_deref()),
+        ("failed", Some("perhaps"))
+    );
+    broker.wait_until_empty("jobs");
+    assert_eq!(worker.run_count(), 1);
 }
 
 #[test]
-fn without_a_key_only_what_was_never_delivered_before_is_run() {
+fn without_a_key_only_first_deliveries_run() {
     let (broker, worker, _world) = started();
     broker.publish(message("jobs", "", b"first").reply_to("replies", "a"));
-    assert_eq!(broker.wait("replies", 1)[0].kind(), "served");
+    assert_eq!(broker.wait_for_messages("replies", 1)[0].kind(), "served");
     broker.publish(Message { redelivered: true, ..message("jobs", "", b"second") });
-    assert_eq!(broker.wait("dead", 1)[0].body, b"second");
-    assert_eq!(worker.count(), 1);
+    assert_eq!(broker.wait_for_messages("dead", 1)[0].body, b"second");
+    assert_eq!(worker.run_count(), 1);
 }
 
 #[test]
-fn two_deliveries_of_one_message_run_once_and_each_caller_hears() {
+fn two_deliveries_of_one_message_run_once_and_each_caller_is_answered() {
     let (broker, worker, _world) = started();
     // Room for several at once comes with the first that are served.
     (100..160).for_each(|id| broker.publish(job(id)));
-    broker.wait("replies", 60);
-    worker.hold(true);
+    broker.wait_for_messages("replies", 60);
+    worker.set_held(true);
     broker.publish(job(1));
     broker.publish(message("jobs", "j1", b"j1").reply_to("replies", "other"));
     broker.faults(|faults| faults.duplicate = 1);
     broker.publish(job(2));
-    broker.until("all are in hand", |state| state.unacked("jobs") == 4);
-    worker.hold(false);
-    broker.drained("jobs");
-    let heard: BTreeSet<String> = broker.wait("replies", 4).iter().map(Message::correlation).collect();
+    broker.wait_until("all are in hand", |state| state.unacked("jobs") == 4);
+    worker.set_held(false);
+    broker.wait_until_empty("jobs");
+    let heard: BTreeSet<String> =
+        broker.wait_for_messages("replies", 4).iter().map(Message::correlation).collect();
     assert_eq!(heard, ["c-j1", "c-j2", "other"].map(String::from).into());
-    assert_eq!(worker.count(), 62);
+    assert_eq!(worker.run_count(), 62);
 }
 
 #[test]
-fn a_run_that_failed_is_never_returned_to_its_queue() {
+fn a_failed_run_is_never_requeued() {
     let (broker, worker, _world) = started();
-    worker.fail(1);
+    worker.fail_next(1);
     broker.publish(job(1));
-    let dead = &broker.wait("dead", 1)[0];
-    assert_eq!(dead.says("x-loomflow-reason").as_deref(), Some("may-have-run"));
+    let dead = &broker.wait_for_messages("dead", 1)[0];
+    assert_eq!(dead.header_text("x-loomflow-reason").as_deref(), Some("may-have-run"));
     assert_eq!((dead.body.as_slice(), dead.correlation().as_str()), (&b"j1"[..], "c-j1"));
-    let reply = &broker.wait("replies", 1)[0];
-    assert_eq!((reply.kind().as_str(), reply.says("x-loomflow-ran").as_deref()), ("failed", Some("perhaps")));
+    let reply = &broker.wait_for_messages("replies", 1)[0];
+    assert_eq!(
+        (reply.kind().as_str(), reply.header_text("x-loomflow-ran").as_deref()),
+        ("failed", Some("perhaps"))
+    );
     // Who asks again hears the same.
     broker.publish(job(1));
-    assert_eq!(broker.wait("replies", 1)[0].kind(), "failed");
-    assert_eq!(worker.count(), 1);
+    assert_eq!(broker.wait_for_messages("replies", 1)[0].kind(), "failed");
+    assert_eq!(worker.run_count(), 1);
 }
 
 #[test]
-fn what_cannot_be_taken_is_given_up_with_its_reason() {
+fn an_unacceptable_message_is_dead_lettered_with_its_reason() {
     let (broker, worker) = (Broker::with_jobs(), Worker::start(1, WORK));
     let queues = "  max_message_bytes: 100\n";
     let text = options(&[&broker], queues).replace("class: book", "class_header: kind");
-    let _world = World::working(site(LONG), &text, &worker);
+    let _world = ServerFixture::start_with(site(LONG), &text, &worker);
     let cases = [
         (message("jobs", "a", b"x"), "no-class"),
         (message("jobs", "b", b"x").header("kind", "none"), "unknown-class"),
@@ -223,19 +234,22 @@
     ];
     for (bad, why) in cases {
         broker.publish(bad.clone().reply_to("replies", why));
-        let dead = &broker.wait("dead", 1)[0];
-        assert_eq!(dead.says("x-loomflow-reason").as_deref(), Some(why));
-        assert_eq!(broker.wait("replies", 1)[0].says("x-loomflow-reason").as_deref(), Some(why));
+        let dead = &broker.wait_for_messages("dead", 1)[0];
+        assert_eq!(dead.header_text("x-loomflow-reason").as_deref(), Some(why));
+        assert_eq!(
+            broker.wait_for_messages("replies", 1)[0].header_text("x-loomflow-reason").as_deref(),
+            Some(why)
+        );
     }
     broker.publish(message("jobs", "d", b"x").header("kind", "read").reply_to("replies", "fine"));
-    assert_eq!(broker.wait("replies", 1)[0].kind(), "served");
+    assert_eq!(broker.wait_for_messages("replies", 1)[0].kind(), "served");
 }
 
 #[test]
-fn tables_nested_for_a_crash_cost_the_link_and_not_the_server() {
-    let (broker, worker, mut world) = started();
+fn deeply_nested_tables_close_the_connection_and_not_the_server() {
+    let (broker, worker, mut fixture) = started();
     broker.publish(job(1));
-    broker.wait("replies", 1);
+    broker.wait_for_messages("replies", 1);
     // A header by hand: 3,000 tables in each other.
     let mut payload = [0, 60, 0, 0, 0, 0, 0, 0, 0, 0, 0, 5, 0x20, 0].to_vec();
     for inner in (0..=3_000_u32).rev() {
@@ -247,15 +261,15 @@
     frame.extend(payload);
     frame.push(0xCE);
     let before = broker.with_state(|state| state.connections()[0]);
-    broker.say_bytes(&frame);
-    broker.until("it is connected anew", |s| s.consumers("jobs") > 0 && s.connections()[0] != before);
+    broker.send_bytes(&frame);
+    broker.wait_until("it is connected anew", |s| s.consumers("jobs") > 0 && s.connections()[0] != before);
     broker.publish(job(2));
-    assert_eq!(broker.wait("replies", 1)[0].correlation(), "c-j2");
-    assert!(world.is_running() && worker.count() == 2);
+    assert_eq!(broker.wait_for_messages("replies", 1)[0].correlation(), "c-j2");
+    assert!(fixture.is_running() && worker.run_count() == 2);
 }
 
 #[test]
-fn whatever_the_broker_says_out_of_order_the_link_is_opened_anew_and_nothing_runs_twice() {
+fn after_frames_out_of_order_the_connection_is_reopened_and_nothing_runs_twice() {
     let over = [&[1, 0, 2][..], &1_000_000_u32.to_be_bytes()].concat();
     let wrong: [&[u8]; 6] = [
         b"HTTP/1.1 400 Bad Request\r\n",
@@ -266,21 +280,21 @@
         &[2, 0, 2, 0, 0, 0, 14, 0, 60, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0xCE],
         &[1, 0, 9, 0, 0, 0, 4, 0, 60, 0, 31, 0xCE],
     ];
-    let (broker, worker, mut world) = started();
+    let (broker, worker, mut fixture) = started();
     for (at, bytes) in wrong.iter().enumerate() {
         broker.publish(job(at));
-        broker.say_bytes(bytes);
-        broker.until("it is connected again", |s| s.consumers("jobs") > 0);
+        broker.send_bytes(bytes);
+        broker.wait_until("it is connected again", |s| s.consumers("jobs") > 0);
     }
-    broker.drained("jobs");
-    broker.until("all are heard", |state| state.ready("replies") >= wrong.len());
-    assert!(worker.runs().values().all(|times| *times == 1) && world.is_running());
+    broker.wait_until_empty("jobs");
+    broker.wait_until("all are heard", |state| state.ready("replies") >= wrong.len());
+    assert!(worker.run_counts().values().all(|times| *times == 1) && fixture.is_running());
     // An acknowledgement of what was never published means nothing.
     let ack = amqp_ack(77);
-    broker.with_state(|state| state.say_raw(&[ack]));
+    broker.with_state(|state| state.send_raw(&[ack]));
     broker.publish(job(99));
-    broker.drained("jobs");
-    assert!(world.is_running());
+    broker.wait_until_empty("jobs");
+    assert!(fixture.is_running());
 }
 
 fn amqp_ack(delivery_tag: u64) -> AMQPFrame {
@@ -290,159 +304,159 @@
 }
 
 #[test]
-fn a_refused_or_unroutable_publish_is_tried_again_or_given_up_and_nothing_is_lost() {
+fn a_nacked_or_unroutable_publish_is_retried_or_dead_lettered() {
     let (broker, worker, _world) = started();
     broker.faults(|faults| faults.nack = 2);
     (0..3).for_each(|id| broker.publish(job(id)));
     all_served_once(&broker, &worker, 3);
     // Nobody is there any more to hear this one.
     broker.publish(message("jobs", "lonely", b"x").reply_to("gone", "x"));
-    broker.drained("jobs");
-    assert_eq!(worker.count(), 4);
+    broker.wait_until_empty("jobs");
+    assert_eq!(worker.run_count(), 4);
 }
 
 #[test]
-fn while_the_broker_takes_no_publishes_no_more_is_consumed() {
+fn nothing_is_consumed_while_publishing_is_blocked() {
     let (broker, worker, _world) = started();
     broker.publish(job(0));
-    broker.wait("replies", 1);
+    broker.wait_for_messages("replies", 1);
     broker.with_state(|state| state.block(true));
     // A consumer that was being started when the broker blocked is cancelled once it has begun.
-    broker.until("it consumes no more", |state| state.consumers("jobs") == 0);
-    std::thread::sleep(QUIET);
-    broker.until("it consumes no more", |state| state.consumers("jobs") == 0);
+    broker.wait_until("it consumes no more", |state| state.consumers("jobs") == 0);
+    std::thread::sleep(QUIET_PERIOD);
+    broker.wait_until("it consumes no more", |state| state.consumers("jobs") == 0);
     (1..50).for_each(|id| broker.publish(job(id)));
-    std::thread::sleep(QUIET);
-    assert_eq!((worker.count(), broker.with_state(|s| s.ready("jobs"))), (1, 49));
+    std::thread::sleep(QUIET_PERIOD);
+    assert_eq!((worker.run_count(), broker.with_state(|s| s.ready("jobs"))), (1, 49));
     broker.with_state(|state| state.block(false));
-    broker.drained("jobs");
-    assert_eq!(broker.wait("replies", 49).len(), 49);
+    broker.wait_until_empty("jobs");
+    assert_eq!(broker.wait_for_messages("replies", 49).len(), 49);
 }
 
 #[test]
-fn a_consumer_that_the_broker_cancels_and_a_channel_that_it_closes_are_begun_again() {
+fn cancelled_consumers_and_closed_channels_are_reopened() {
     let (broker, worker, _world) = started();
     broker.publish(job(0));
-    broker.wait("replies", 1);
+    broker.wait_for_messages("replies", 1);
     broker.with_state(|state| state.cancel_consumers("jobs"));
     broker.publish(job(1));
-    broker.wait("replies", 1);
-    worker.hold(true);
+    broker.wait_for_messages("replies", 1);
+    worker.set_held(true);
     (2..8).for_each(|id| broker.publish(job(id)));
-    worker.wait(3);
+    worker.wait_for_runs(3);
     broker.with_state(|state| state.close_channels("jobs", 541));
-    worker.hold(false);
+    worker.set_held(false);
     all_served_once_after(&broker, &worker, 8, 2);
 }
 
 fn all_served_once_after(broker: &Broker, worker: &Worker, count: usize, heard: usize) {
-    broker.drained("jobs");
-    assert_eq!(broker.wait("replies", count - heard).len(), count - heard);
-    assert!(worker.runs().values().all(|times| *times == 1) && worker.count() == count);
+    broker.wait_until_empty("jobs");
+    assert_eq!(broker.wait_for_messages("replies", count - heard).len(), count - heard);
+    assert!(worker.run_counts().values().all(|times| *times == 1) && worker.run_count() == count);
     assert!(broker.take("dead").is_empty());
 }
 
 #[test]
 fn several_brokers_are_tried_in_turn() {
     let (one, other) = (Broker::with_jobs(), Broker::with_jobs());
-    one.refuse(true);
+    one.refuse_connections(true);
     let worker = Worker::start(2, WORK);
-    let _world = World::working(site(LONG), &options(&[&one, &other], ""), &worker);
+    let _world = ServerFixture::start_with(site(LONG), &options(&[&one, &other], ""), &worker);
     other.publish(job(1));
-    assert_eq!(other.wait("replies", 1).len(), 1);
-    one.refuse(false);
-    other.refuse(true);
-    other.cut();
+    assert_eq!(other.wait_for_messages("replies", 1).len(), 1);
+    one.refuse_connections(false);
+    other.refuse_connections(true);
+    other.disconnect_all();
     one.publish(job(2));
-    assert_eq!(one.wait("replies", 1).len(), 1);
+    assert_eq!(one.wait_for_messages("replies", 1).len(), 1);
 }
 
 #[test]
-fn a_broker_that_says_nothing_is_left_after_two_heartbeats() {
+fn a_silent_broker_is_abandoned_after_two_heartbeats() {
     let broker = Broker::limited(1, 4_096, 40);
     ["jobs", "dead", "replies"].into_iter().for_each(|queue| broker.declare(queue));
     let worker = Worker::start(2, WORK);
-    let world = World::working(site(LONG), &options(&[&broker], ""), &worker);
+    let fixture = ServerFixture::start_with(site(LONG), &options(&[&broker], ""), &worker);
     broker.publish(message("jobs", "long", &[7; 10_000]).reply_to("replies", "c"));
-    assert_eq!(broker.wait("replies", 1)[0].body, result_of(&[7; 10_000]));
-    broker.stall(true);
-    broker.until("it has gone and come back", |state| {
+    assert_eq!(broker.wait_for_messages("replies", 1)[0].body, result_of(&[7; 10_000]));
+    broker.set_stalled(true);
+    broker.wait_until("it has gone and come back", |state| {
         state.connections().len() != 1 || state.connections()[0] > 1
     });
-    broker.stall(false);
-    assert!(world.log().contains("heartbeat"), "{}", world.log());
+    broker.set_stalled(false);
+    assert!(fixture.log().contains("heartbeat"), "{}", fixture.log());
 }
 
 #[test]
-fn leaving_settles_what_runs_returns_what_has_not_begun_and_closes_in_order() {
-    let (broker, worker, mut world) = started();
+fn draining_settles_runs_requeues_the_rest_and_closes_in_order() {
+    let (broker, worker, mut fixture) = started();
     (0..40).for_each(|id| broker.publish(job(id)));
-    broker.wait("replies", 40);
-    worker.takes(Duration::from_millis(400));
+    broker.wait_for_messages("replies", 40);
+    worker.set_run_duration(Duration::from_millis(400));
     (40..70).for_each(|id| broker.publish(job(id)));
-    worker.wait(44);
-    world.terminate();
-    assert_eq!(world.exit_code(), Some(0));
+    worker.wait_for_runs(44);
+    fixture.terminate();
+    assert_eq!(fixture.exit_code(), Some(0));
     let replies = broker.take("replies");
-    assert_eq!(replies.len(), worker.count() - 40, "each run was heard of");
+    assert_eq!(replies.len(), worker.run_count() - 40, "each run was heard of");
     assert!(replies.iter().all(|reply| reply.kind() == "served"));
     // The rest stands in its queue as if it had never been touched.
     let left = broker.take("jobs");
-    assert_eq!(left.len() + worker.count(), 70);
+    assert_eq!(left.len() + worker.run_count(), 70);
     assert!(left.iter().all(|message| !message.redelivered));
     assert!(broker.take("dead").is_empty());
 }
 
 #[test]
-fn leaving_ends_in_time_though_the_channel_closes_or_the_broker_stops_reading() {
+fn draining_ends_in_time_when_the_channel_closes_or_the_broker_stops_reading() {
     for stalls in [false, true] {
-        let (broker, worker, mut world) = started();
-        worker.hold(true);
+        let (broker, worker, mut fixture) = started();
+        worker.set_held(true);
         (0..8).for_each(|id| broker.publish(job(id)));
-        worker.wait(1);
-        world.terminate();
+        worker.wait_for_runs(1);
+        fixture.terminate();
         std::thread::sleep(Duration::from_millis(100));
         if stalls {
-            broker.stall(true);
+            broker.set_stalled(true);
         } else {
             broker.with_state(|state| state.close_channels("jobs", 541));
         }
-        worker.hold(false);
-        assert_eq!(world.exit_code(), Some(0));
-        assert!(worker.runs().values().all(|times| *times == 1));
+        worker.set_held(false);
+        assert_eq!(fixture.exit_code(), Some(0));
+        assert!(worker.run_counts().values().all(|times| *times == 1));
     }
 }
 
 #[test]
-fn a_wrong_password_is_told_without_naming_it_and_tried_with_growing_pauses() {
+fn a_wrong_password_is_logged_without_naming_it_and_retried_with_backoff() {
     let broker = Broker::with_jobs();
     broker.with_state(|state| state.password = "another".into());
     let worker = Worker::start(1, WORK);
-    let world = World::working(site(LONG), &options(&[&broker], ""), &worker);
-    let until = std::time::Instant::now() + PATIENCE;
-    while !world.log().contains("403") {
-        assert!(std::time::Instant::now() < until, "{}", world.log());
+    let fixture = ServerFixture::start_with(site(LONG), &options(&[&broker], ""), &worker);
+    let until = std::time::Instant::now() + RESPONSE_TIMEOUT;
+    while !fixture.log().contains("403") {
+        assert!(std::time::Instant::now() < until, "{}", fixture.log());
         std::thread::sleep(Duration::from_millis(10));
     }
-    assert!(!world.log().contains("guest"), "{}", world.log());
+    assert!(!fixture.log().contains("guest"), "{}", fixture.log());
 }
 
 #[test]
-fn the_log_is_json_where_the_options_say_so() {
+fn the_log_is_json_if_the_options_set_it() {
     let (broker, worker) = (Broker::with_jobs(), Worker::start(1, WORK));
     let text = format!("log: {{format: json}}\n{}", options(&[&broker], ""));
-    let world = World::working(site(LONG), &text, &worker);
+    let fixture = ServerFixture::start_with(site(LONG), &text, &worker);
     broker.publish(job(1));
-    broker.wait("replies", 1);
-    for line in world.log().lines() {
+    broker.wait_for_messages("replies", 1);
+    for line in fixture.log().lines() {
         let line: serde_json::Value = serde_json::from_str(line).expect("an object a line");
         assert!(line["message"].is_string() && line["timestamp"].is_string(), "{line}");
     }
-    assert!(world.log().contains("connected to the broker"));
+    assert!(fixture.log().contains("connected to the broker"));
 }
 
 #[test]
-fn several_queues_are_served_beside_each_other_and_a_missing_one_harms_none() {
+fn a_missing_queue_does_not_affect_the_others() {
     let (broker, worker) = (Broker::with_jobs(), Worker::start(4, WORK));
     ["reads", "late"].into_iter().for_each(|queue| {
         if queue == "reads" {
@@ -452,73 +466,76 @@
     let more =
         "    - {name: reads, class: read, tenant: other}\n    - {name: late, class: read, tenant: other}\n";
     let text = format!("{}{more}", options(&[&broker], ""));
-    let world = World::working(site(LONG), &text, &worker);
+    let fixture = ServerFixture::start_with(site(LONG), &text, &worker);
     for id in 0..30 {
         broker.publish(job(id));
         broker.publish(message("reads", &format!("r{id}"), b"r").reply_to("replies", &format!("r{id}")));
     }
-    assert_eq!(broker.wait("replies", 60).iter().filter(|reply| reply.kind() == "served").count(), 60);
-    assert!(world.log().contains("404"), "{}", world.log());
+    assert_eq!(
+        broker.wait_for_messages("replies", 60).iter().filter(|reply| reply.kind() == "served").count(),
+        60
+    );
+    assert!(fixture.log().contains("404"), "{}", fixture.log());
     // Once it is there it is consumed, too.
     broker.declare("late");
     broker.publish(message("late", "l", b"l").reply_to("replies", "l"));
-    assert_eq!(broker.wait("replies", 1)[0].kind(), "served");
+    assert_eq!(broker.wait_for_messages("replies", 1)[0].kind(), "served");
 }
 
 #[test]
-fn terms_that_change_while_serving_count_for_queues_too() {
+fn a_reload_applies_to_queues() {
     let (broker, worker) = (Broker::with_jobs(), Worker::start(4, WORK));
     let text = options(&[&broker], "").replace("tenant: acme", "tenant_header: tenant");
-    let world = World::working(site(LONG), &text, &worker);
+    let fixture = ServerFixture::start_with(site(LONG), &text, &worker);
     let ask = |id: &str| {
         broker.publish(message("jobs", id, b"x").header("tenant", "newcomer").reply_to("replies", id));
-        broker.wait("replies", 1)[0].kind()
+        broker.wait_for_messages("replies", 1)[0].kind()
     };
     assert_eq!(ask("a"), "failed");
-    let mut new = world.config.clone();
+    let mut new = fixture.config.clone();
     new["settings"]["Orgs"]
         .as_array_mut()
         .unwrap()
         .push(serde_json::json!({"Name": "newcomer", "QuotaPerS": 9.0}));
-    world.write(&new.to_string());
-    world.signal("HUP");
-    let until = std::time::Instant::now() + PATIENCE;
-    while !world.log().contains("reloaded") {
-        assert!(std::time::Instant::now() < until, "{}", world.log());
+    fixture.write(&new.to_string());
+    fixture.signal("HUP");
+    let until = std::time::Instant::now() + RESPONSE_TIMEOUT;
+    while !fixture.log().contains("reloaded") {
+        assert!(std::time::Instant::now() < until, "{}", fixture.log());
         std::thread::sleep(Duration::from_millis(5));
     }
     assert_eq!(ask("b"), "served");
 }
 
 #[test]
-fn a_long_queue_before_a_slow_engine_waits_at_the_broker() {
+fn a_backlog_for_a_slow_engine_stays_at_the_broker() {
     let (broker, worker) = (Broker::with_jobs(), Worker::start(2, WORK));
-    worker.hold(true);
+    worker.set_held(true);
     broker.with_state(|state| assert!((0..5_000).all(|id| state.publish(job(id)))));
-    let _world = World::working(site(LONG), &options(&[&broker], ""), &worker);
-    worker.wait(1);
-    std::thread::sleep(QUIET);
+    let _world = ServerFixture::start_with(site(LONG), &options(&[&broker], ""), &worker);
+    worker.wait_for_runs(1);
+    std::thread::sleep(QUIET_PERIOD);
     // Nothing was served yet that would show room for a second.
-    assert_eq!(broker.with_state(|state| (state.most_unacked, state.ready("jobs"))), (1, 4_999));
-    worker.hold(false);
-    broker.until("some are served", |state| state.ready("replies") >= 200);
-    assert!(broker.with_state(|state| state.most_unacked) <= 126);
+    assert_eq!(broker.with_state(|state| (state.max_unacked, state.ready("jobs"))), (1, 4_999));
+    worker.set_held(false);
+    broker.wait_until("some are served", |state| state.ready("replies") >= 200);
+    assert!(broker.with_state(|state| state.max_unacked) <= 126);
 }
 
 #[test]
-fn without_options_there_is_no_front_and_no_link_of_it() {
+fn without_options_there_is_no_amqp_front() {
     let worker = Worker::start(1, WORK);
-    let sockets = |world: &World| {
-        let held = std::fs::read_dir(format!("/proc/{}/fd", world.pid())).expect("its descriptors");
+    let sockets = |fixture: &ServerFixture| {
+        let held = std::fs::read_dir(format!("/proc/{}/fd", fixture.pid())).expect("its descriptors");
         let link = |one: std::io::Result<std::fs::DirEntry>| std::fs::read_link(one.ok()?.path()).ok();
         held.filter_map(link).filter(|to| to.to_string_lossy().starts_with("socket:")).count()
     };
-    let off = World::working(site(LONG), "", &worker);
+    let off = ServerFixture::start_with(site(LONG), "", &worker);
     let broker = Broker::with_jobs();
-    let on = World::working(site(LONG), &options(&[&broker], ""), &Worker::start(1, WORK));
-    broker.until("it consumes", |state| state.consumers("jobs") > 0);
+    let on = ServerFixture::start_with(site(LONG), &options(&[&broker], ""), &Worker::start(1, WORK));
+    broker.wait_until("it consumes", |state| state.consumers("jobs") > 0);
     // The gateways that waited for service go in their time; one link is the whole difference.
-    let until = std::time::Instant::now() + PATIENCE;
+    let until = std::time::Instant::now() + RESPONSE_TIMEOUT;
     while sockets(&on) != sockets(&off) + 1 {
         assert!(
             std::time::Instant::now() < until,
@@ -531,7 +548,7 @@
 }
 
 #[test]
-fn results_go_to_their_exchange_and_without_a_place_for_dead_letters_the_queue_has_its_own() {
+fn results_go_to_their_exchange_and_dead_letters_default_to_those_of_the_queue() {
     let (broker, worker) = (Broker::with_jobs(), Worker::start(2, WORK));
     broker.with_state(|state| {
         state.declare("jobs", Some(("", "queue's own")));
@@ -541,14 +558,14 @@
     });
     let text = options(&[&broker], "  results: {exchange: out, routing_key: done}")
         .replace("  dead_letter: {routing_key: dead}\n", "");
-    let _world = World::working(site(LONG), &text, &worker);
+    let _world = ServerFixture::start_with(site(LONG), &text, &worker);
     broker.publish(message("jobs", "a", b"a"));
-    let result = &broker.wait("results", 1)[0];
+    let result = &broker.wait_for_messages("results", 1)[0];
     assert_eq!((result.kind().as_str(), result.correlation().as_str()), ("served", "a"));
     assert_eq!(result.body, result_of(b"a"));
-    worker.fail(1);
+    worker.fail_next(1);
     broker.publish(message("jobs", "b", b"b"));
-    assert_eq!(broker.wait("results", 1)[0].kind(), "failed");
-    let dead = &broker.wait("queue's own", 1)[0];
-    assert_eq!((dead.body.as_slice(), dead.says("x-loomflow-reason")), (&b"b"[..], None));
+    assert_eq!(broker.wait_for_messages("results", 1)[0].kind(), "failed");
+    let dead = &broker.wait_for_messages("queue's own", 1)[0];
+    assert_eq!((dead.body.as_slice(), dead.header_text("x-loomflow-reason")), (&b"b"[..], None));
 }
--- a/crates/loomflow-server/tests/command_line.rs
+++ b/crates/loomflow-server/tests/command_line.rs
@@ -29,11 +29,11 @@
 }
 
 fn good() -> Value {
-    World::new(site(1000.0)).config.clone()
+    ServerFixture::new(site(1000.0)).config.clone()
 }
 
 #[test]
-fn a_good_configuration_is_called_good_and_unknown_keys_are_skipped() {
+fn a_valid_configuration_is_reported_good_and_unknown_keys_are_ignored() {
     let mut config = good();
     config["new"] = json!({"a": [1]});
     config["settings"]["Domain"]["New"] = json!(true);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn each_fault_is_named_by_its_key_on_one_line() {
+fn each_error_names_its_key_on_one_line() {
     let wrong = |path: &str, value: Value| {
         let mut config = good();
         *config.pointer_mut(path).expect("a key") = value;
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_file_that_is_missing_or_no_json_is_named() {
+fn a_missing_or_malformed_file_is_named() {
     let output = loomflow(&["check-config", "--config", "/no/such/file.json"]);
     assert_eq!((errors(&output).lines().count(), output.status.code()), (1, Some(1)));
     assert!(errors(&output).contains("/no/such/file.json"));
@@ -87,35 +87,35 @@
 }
 
 #[test]
-fn an_address_that_cannot_be_bound_is_named() {
-    let mut world = World::new(site(1000.0));
-    let taken = std::net::TcpListener::bind(world.listen).expect("the address");
-    world.start("exec \"$0\" serve");
-    assert_eq!(world.exit_code(), Some(1));
+fn an_unavailable_address_is_named() {
+    let mut fixture = ServerFixture::new(site(1000.0));
+    let taken = std::net::TcpListener::bind(fixture.listen).expect("the address");
+    fixture.start("exec \"$0\" serve");
+    assert_eq!(fixture.exit_code(), Some(1));
     // One line as it begins to wait, and one as it gives up; both name the address.
-    let log = world.log();
+    let log = fixture.log();
     let lines: Vec<&str> = log.lines().collect();
     let (waits, gives_up) = ("the address is in use: waiting for it", "listen: cannot bind");
     assert!(lines.len() == 2 && lines[0].contains(waits) && lines[1].contains(gives_up), "{log}");
-    assert!(lines.iter().all(|line| line.contains(&world.listen.to_string())), "{log}");
+    assert!(lines.iter().all(|line| line.contains(&fixture.listen.to_string())), "{log}");
     drop(taken);
 }
 
 #[test]
-fn an_address_that_is_soon_free_is_waited_for() {
-    let mut world = World::new(site(1000.0));
-    let taken = std::net::TcpListener::bind(world.listen).expect("the address");
-    world.start("exec \"$0\" serve");
-    std::thread::sleep(QUIET);
-    assert!(world.is_running());
+fn an_address_that_becomes_available_is_awaited() {
+    let mut fixture = ServerFixture::new(site(1000.0));
+    let taken = std::net::TcpListener::bind(fixture.listen).expect("the address");
+    fixture.start("exec \"$0\" serve");
+    std::thread::sleep(QUIET_PERIOD);
+    assert!(fixture.is_running());
     drop(taken);
-    let mut gateway = world.gateway();
+    let mut gateway = fixture.gateway();
     gateway.send(&health(1, false));
-    assert_eq!(gateway.answer().word, "UP");
+    assert_eq!(gateway.response().status, "UP");
 }
 
 #[test]
-fn what_is_not_asked_for_rightly_gets_the_usage_and_code_2() {
+fn an_invalid_command_line_prints_the_usage_and_exits_with_2() {
     for args in
         [&[][..], &["dance"], &["serve"], &["serve", "--loud"], &["serve", "--config"], &["version", "x"]]
     {
--- a/crates/loomflow-server/tests/deploy.rs
+++ b/crates/loomflow-server/tests/deploy.rs
@@ -66,34 +66,34 @@
 }
 
 /// A server started by the deploy line that serves, with the engine it works with.
-fn started() -> (World, Worker) {
+fn started() -> (ServerFixture, Worker) {
     let worker = Worker::start(1, Duration::from_millis(5));
-    let mut world = World::new(site(10_000.0));
-    world.config["engine"] = worker.address.to_string().into();
-    world.start(&run_line());
-    world.wait_for_service();
-    (world, worker)
+    let mut fixture = ServerFixture::new(site(10_000.0));
+    fixture.config["engine"] = worker.address.to_string().into();
+    fixture.start(&run_line());
+    fixture.wait_for_service();
+    (fixture, worker)
 }
 
 #[test]
-fn the_deploy_line_is_one_dynamically_linked_process_with_the_platforms_listener_only() {
-    let (world, _worker) = started();
-    let pid = world.pid();
+fn the_deployed_server_is_one_dynamically_linked_process_with_one_listener() {
+    let (fixture, _worker) = started();
+    let pid = fixture.pid();
     // `exec` left no shell between the bench and the server.
     let exe = std::fs::read_link(format!("/proc/{pid}/exe")).expect("its program");
-    assert_eq!(exe.file_name(), world.program.file_name(), "{exe:?}");
+    assert_eq!(exe.file_name(), fixture.program.file_name(), "{exe:?}");
     let maps = std::fs::read_to_string(format!("/proc/{pid}/maps")).expect("its mappings");
     assert!(maps.lines().any(|line| line.contains("/libc.so")), "linked against the C library");
     let inodes = socket_inodes(pid);
     let (listening, outward): (Vec<_>, Vec<_>) =
         rows_held(pid, "tcp", &inodes).into_iter().partition(|(_, state)| state == "0A");
     let listening: Vec<String> = listening.into_iter().map(|(local, _)| local).collect();
-    assert_eq!(listening, [as_written(world.listen)], "one listener, the configured one");
+    assert_eq!(listening, [as_written(fixture.listen)], "one listener, the configured one");
     assert_eq!(rows_held(pid, "tcp6", &inodes), [], "no IPv6 sockets");
     assert_eq!(rows_held(pid, "udp6", &inodes), [], "no IPv6 sockets");
     assert_eq!(unix_held(pid, &inodes), 0, "no Unix sockets");
     // Nothing of a fleet: no thread of it, no folder or file that is written to.
-    let threads = world.threads();
+    let threads = fixture.threads();
     assert!(threads.iter().all(|(thread, _)| !thread.contains("fleet")), "{threads:?}");
     assert_eq!(threads.len(), 4, "{threads:?}");
     assert_eq!(files_held(pid), Vec::<String>::new(), "no files are held open");
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn every_thread_of_an_idle_server_waits() {
-    let (world, _worker) = started();
-    assert_eq!(world.spinning_threads(), Vec::<String>::new(), "threads that never waited");
+fn no_thread_of_an_idle_server_spins() {
+    let (fixture, _worker) = started();
+    assert_eq!(fixture.spinning_threads(), Vec::<String>::new(), "threads that never waited");
 }
--- a/crates/loomflow-server/tests/descriptors.rs
+++ b/crates/loomflow-server/tests/descriptors.rs
@@ -23,9 +23,9 @@
 }
 
 impl IdleClients {
-    fn start(world: &World, count: usize) -> IdleClients {
+    fn start(fixture: &ServerFixture, count: usize) -> IdleClients {
         let stop = Arc::new(AtomicBool::new(false));
-        let listen = world.listen;
+        let listen = fixture.listen;
         let client = |number: usize| {
             let stop = stop.clone();
             std::thread::spawn(move || {
@@ -67,13 +67,13 @@
 }
 
 /// A small server whose control plane is down: nobody listens at the address, which is given out.
-fn without_discovery(limit: usize) -> (World, std::net::SocketAddr) {
-    let mut world = World::new(site(LONG));
-    let down = free_address();
-    world.config["control"] = down.to_string().into();
-    world.config["limits"]["sockets"] = SOCKETS.into();
-    world.start(&format!("ulimit -n {limit}; exec \"$0\" serve"));
-    (world, down)
+fn without_discovery(limit: usize) -> (ServerFixture, std::net::SocketAddr) {
+    let mut fixture = ServerFixture::new(site(LONG));
+    let down = loopback_address();
+    fixture.config["control"] = down.to_string().into();
+    fixture.config["limits"]["sockets"] = SOCKETS.into();
+    fixture.start(&format!("ulimit -n {limit}; exec \"$0\" serve"));
+    (fixture, down)
 }
 
 fn control_at(address: std::net::SocketAddr) -> Control {
@@ -81,119 +81,119 @@
 }
 
 /// Waits until idle clients hold all that the server gives to gateways.
-fn wait_until_full(world: &World, gateways: usize) {
-    let until = std::time::Instant::now() + PATIENCE;
-    while world.descriptors() < gateways {
-        assert!(std::time::Instant::now() < until, "{} descriptors", world.descriptors());
+fn wait_until_full(fixture: &ServerFixture, gateways: usize) {
+    let until = std::time::Instant::now() + RESPONSE_TIMEOUT;
+    while fixture.descriptors() < gateways {
+        assert!(std::time::Instant::now() < until, "{} descriptors", fixture.descriptors());
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
 /// A gateway that comes while idle clients hold the table, and whose request is run.
-fn is_served(world: &World, engine: &Link, number: u64) {
-    let mut gateway = world.gateway();
+fn is_served(fixture: &ServerFixture, engine: &PeerConnection, number: u64) {
+    let mut gateway = fixture.gateway();
     let id = gateway.call(1, "read", b"x");
     assert_eq!(engine.expect("RUN").word(1), id);
-    engine.done(number, &id, b"y");
-    assert_eq!(gateway.answer().body, b"y");
+    engine.send_done(number, &id, b"y");
+    assert_eq!(gateway.response().body, b"y");
 }
 
 /// The log says little, however long it lasts.
-fn log_is_short(world: &World) {
-    let log = world.log();
+fn log_is_short(fixture: &ServerFixture) {
+    let log = fixture.log();
     assert!(log.lines().count() <= 12, "{log}");
 }
 
 #[test]
-fn gateways_with_work_get_in_past_idle_clients_while_discovery_is_down() {
-    let (mut world, down) = without_discovery(SOCKETS);
-    let engine = world.engine.link();
-    engine.hello("ATTACH 0");
-    world.wait_for_service();
-    let idle = IdleClients::start(&world, IDLE);
-    wait_until_full(&world, SOCKETS / 2);
+fn gateways_with_requests_are_accepted_among_idle_clients_while_discovery_is_down() {
+    let (mut fixture, down) = without_discovery(SOCKETS);
+    let engine = fixture.engine.link();
+    engine.accept_attach("ATTACH 0");
+    fixture.wait_for_service();
+    let idle = IdleClients::start(&fixture, IDLE);
+    wait_until_full(&fixture, SOCKETS / 2);
     for number in 1..=6 {
-        is_served(&world, &engine, number);
-        assert!(world.descriptors() <= SOCKETS, "{}", world.descriptors());
+        is_served(&fixture, &engine, number);
+        assert!(fixture.descriptors() <= SOCKETS, "{}", fixture.descriptors());
     }
-    assert_eq!(world.spinning_threads(), Vec::<String>::new());
+    assert_eq!(fixture.spinning_threads(), Vec::<String>::new());
     // Reports go out as soon as somebody takes them, though the table is full.
     let control = control_at(down);
     assert!(control.report().ends_with("{\"condition\":\"Ready\"}"));
-    log_is_short(&world);
+    log_is_short(&fixture);
     idle.end();
-    assert!(world.is_running());
+    assert!(fixture.is_running());
 }
 
 /// The limit of the system is the lower one in the second: what it refuses must not be the links'.
 #[test]
-fn the_links_to_engine_and_ledger_are_made_anew_with_every_descriptor_in_use() {
+fn engine_and_ledger_connections_are_reopened_with_every_descriptor_in_use() {
     for limit in [SOCKETS, 44] {
-        let (mut world, _down) = without_discovery(limit);
-        let engine = world.engine.link();
-        engine.hello("ATTACH 0");
-        world.wait_for_service();
-        let ledger = world.ledger.open();
-        let idle = IdleClients::start(&world, IDLE);
-        wait_until_full(&world, limit / 2);
-        let mut gateway = world.gateway();
+        let (mut fixture, _down) = without_discovery(limit);
+        let engine = fixture.engine.link();
+        engine.accept_attach("ATTACH 0");
+        fixture.wait_for_service();
+        let ledger = fixture.ledger.open();
+        let idle = IdleClients::start(&fixture, IDLE);
+        wait_until_full(&fixture, limit / 2);
+        let mut gateway = fixture.gateway();
         // Calls on connections of their own.
         let ids: Vec<String> = (1..=4).map(|tag| gateway.call(tag, "read", b"x")).collect();
         let runs: Vec<String> = ids.iter().map(|_| engine.expect("RUN").word(1).to_owned()).collect();
         for (id, number) in runs.iter().zip(1..) {
-            engine.need(number, id, b"call");
+            engine.send_need(number, id, b"call");
         }
-        let calls: Vec<Link> = runs.iter().map(|_| ledger.link()).collect();
+        let calls: Vec<PeerConnection> = runs.iter().map(|_| ledger.link()).collect();
         // The engine's link and the ledger's break, and come back.
-        engine.cut();
-        let engine = world.engine.link();
-        engine.hello("ATTACH 4");
-        calls.into_iter().for_each(Link::cut);
+        engine.disconnect();
+        let engine = fixture.engine.link();
+        engine.accept_attach("ATTACH 4");
+        calls.into_iter().for_each(PeerConnection::disconnect);
         let mut open = Vec::new();
         for _ in &runs {
             let call = ledger.link();
             let id = call.expect("post").word(1).to_owned();
-            call.say_body(&format!("{id} posted"), b"ok");
+            call.send_with_body(&format!("{id} posted"), b"ok");
             open.push(call);
         }
         for number in 5..=8 {
             let id = engine.expect("FEED").word(1).to_owned();
-            engine.done(number, &id, b"y");
+            engine.send_done(number, &id, b"y");
         }
         for _ in &ids {
-            assert_eq!(gateway.answer().body, b"y");
+            assert_eq!(gateway.response().body, b"y");
         }
-        assert!(world.descriptors() <= limit, "{} of {limit}", world.descriptors());
-        assert_eq!(world.spinning_threads(), Vec::<String>::new());
-        log_is_short(&world);
+        assert!(fixture.descriptors() <= limit, "{} of {limit}", fixture.descriptors());
+        assert_eq!(fixture.spinning_threads(), Vec::<String>::new());
+        log_is_short(&fixture);
         idle.end();
-        assert!(world.is_running());
+        assert!(fixture.is_running());
     }
 }
 
 /// The clients are there before the server is: they fill its table in the moment in which it starts to listen.
 #[test]
-fn a_server_that_restarts_among_idle_clients_without_discovery_serves_and_reports() {
-    let (mut world, down) = without_discovery(SOCKETS);
-    world.engine.link().hello("ATTACH 0");
-    world.wait_for_service();
-    let idle = IdleClients::start(&world, IDLE);
-    wait_until_full(&world, SOCKETS / 2);
-    world.kill();
-    world.start(&format!("ulimit -n {SOCKETS}; exec \"$0\" serve"));
-    let engine = world.engine.link();
+fn a_server_restarted_among_idle_clients_serves_and_reports() {
+    let (mut fixture, down) = without_discovery(SOCKETS);
+    fixture.engine.link().accept_attach("ATTACH 0");
+    fixture.wait_for_service();
+    let idle = IdleClients::start(&fixture, IDLE);
+    wait_until_full(&fixture, SOCKETS / 2);
+    fixture.kill();
+    fixture.start(&format!("ulimit -n {SOCKETS}; exec \"$0\" serve"));
+    let engine = fixture.engine.link();
     // A request that comes before the engine is up is given back; the caller comes again.
-    wait_until_full(&world, SOCKETS / 2);
-    engine.hello("ATTACH 0");
-    world.wait_for_service();
+    wait_until_full(&fixture, SOCKETS / 2);
+    engine.accept_attach("ATTACH 0");
+    fixture.wait_for_service();
     for number in 1..=4 {
-        is_served(&world, &engine, number);
-        assert!(world.descriptors() <= SOCKETS, "{}", world.descriptors());
+        is_served(&fixture, &engine, number);
+        assert!(fixture.descriptors() <= SOCKETS, "{}", fixture.descriptors());
     }
     let control = control_at(down);
     assert!(control.report().ends_with("{\"condition\":\"Ready\"}"));
-    assert_eq!(world.spinning_threads(), Vec::<String>::new());
-    log_is_short(&world);
+    assert_eq!(fixture.spinning_threads(), Vec::<String>::new());
+    log_is_short(&fixture);
     idle.end();
-    assert!(world.is_running());
+    assert!(fixture.is_running());
 }
--- a/crates/loomflow-server/tests/duties.rs
+++ b/crates/loomflow-server/tests/duties.rs
@@ -5,17 +5,17 @@
 use std::process::Command;
 
 use loomflow_standins::fleet::{Fleet, Plan};
-use loomflow_standins::relay::Trouble;
+use loomflow_standins::relay::LinkFault;
 
-const CUT: Trouble = Trouble {
-    cut: true,
-    stalled: false,
+const CUT: LinkFault = LinkFault {
+    is_cut: true,
+    is_stalled: false,
     lost: 0.0,
-    doubled: 0.0,
-    swapped: 0.0,
+    duplicated: 0.0,
+    reordered: 0.0,
     delay: std::time::Duration::ZERO,
 };
-const NONE: Trouble = Trouble { cut: false, ..CUT };
+const NONE: LinkFault = LinkFault { is_cut: false, ..CUT };
 
 /// Writes a line behind the fence again and again: the token, and the process that writes.
 const WRITES: &str = r#"
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn one_server_does_the_work_and_when_it_is_killed_another_goes_on() {
+fn one_owner_works_and_another_takes_over_when_it_is_killed() {
     let mut fleet = Fleet::start_bootstrapped(FOUR);
     let first = written_after(&fleet, 0);
     let one = owned(&fleet, 0, "writes");
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn an_owner_stopped_between_its_check_and_its_act_is_refused_when_it_goes_on() {
+fn an_owner_paused_between_check_and_effect_is_fenced_off() {
     let mut fleet = Fleet::start_bootstrapped(FOUR);
     let first = written_after(&fleet, 0);
     let one = owned(&fleet, 0, "writes");
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn an_owner_cut_off_from_the_voters_ends_its_job_though_it_still_reaches_the_receiver() {
+fn an_owner_partitioned_from_the_voters_ends_its_job() {
     let mut fleet = Fleet::start_bootstrapped(FOUR);
     let first = written_after(&fleet, 0);
     let one = owned(&fleet, 0, "writes");
@@ -137,11 +137,11 @@
 }
 
 #[test]
-fn an_owner_that_leaves_hands_over_before_it_is_gone() {
+fn a_draining_owner_hands_over_before_it_exits() {
     let mut fleet = Fleet::start_bootstrapped(FOUR);
     let first = written_after(&fleet, 0);
     let one = owned(&fleet, 0, "writes");
-    fleet.members[one].world.terminate();
+    fleet.members[one].fixture.terminate();
     assert_eq!(fleet.wait_for_exit(one), Some(0));
     written_after(&fleet, first);
     let (_, told, _) = fleet.run_command((one + 1) % 4, &["duty", "history", "--json"]);
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_command_runs_as_owner_only_and_says_so_by_its_code() {
+fn duty_run_runs_only_as_owner_and_reports_it_by_its_exit_code() {
     let mut fleet = Fleet::start_bootstrapped(FOUR);
     let one = owned(&fleet, 0, "by-hand");
     let other = (one + 1) % 4;
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_duty_that_fails_each_owner_is_parked_with_its_reason_until_it_is_resumed() {
+fn a_duty_that_fails_on_each_owner_is_parked_until_it_is_resumed() {
     const FAILS: &str = "
   begin_within_s: 5
   duties:
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn all_voters_restarted_at_once_and_the_leader_killed_move_no_token_back() {
+fn tokens_never_decrease_when_all_voters_restart_and_the_leader_is_killed() {
     let mut fleet = Fleet::start_bootstrapped(FOUR);
     let first = written_after(&fleet, 0);
     (0..3).for_each(|voter| fleet.kill(voter));
@@ -222,11 +222,11 @@
 }
 
 #[test]
-fn with_loss_doubling_and_disorder_on_every_link_the_work_goes_on_in_order() {
+fn duties_continue_in_order_over_lossy_duplicating_reordering_links() {
     let mut fleet = Fleet::start_bootstrapped(FOUR);
     let first = written_after(&fleet, 0);
     let delay = std::time::Duration::from_millis(20);
-    fleet.set_trouble_on_all_links(Trouble { lost: 0.1, doubled: 0.2, swapped: 0.2, delay, ..NONE });
+    fleet.set_fault_on_all_links(LinkFault { lost: 0.1, duplicated: 0.2, reordered: 0.2, delay, ..NONE });
     let one = owned(&fleet, 0, "writes");
     fleet.kill(one);
     written_after(&fleet, first);
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn every_member_has_the_last_summary_and_its_owner() {
+fn every_member_knows_the_last_summary_and_its_owner() {
     let fleet = Fleet::start_bootstrapped(Plan { extra: "  duties: {lease_s: 2, summary_s: 1}\n", ..FOUR });
     for one in 0..4 {
         fleet.wait_until("it is told", |fleet| {
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn a_campaign_goes_on_where_its_killed_owner_stopped_and_asks_for_nothing_twice() {
+fn a_campaign_resumes_where_its_killed_owner_stopped() {
     let mut fleet =
         Fleet::start_bootstrapped(Plan { extra: "  warm_for_s: 1\n  duties: {lease_s: 2}\n", ..FOUR });
     let file = fleet.folder().join("campaign.yaml");
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn a_fence_over_a_file_refuses_lower_tokens_over_restarts_and_runs_nothing_it_cannot_keep() {
+fn a_file_fence_rejects_lower_tokens_across_restarts() {
     let folder = std::env::temp_dir().join(format!("loomflow-fence-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let file = folder.join("fence");
--- a/crates/loomflow-server/tests/fleet.rs
+++ b/crates/loomflow-server/tests/fleet.rs
@@ -7,18 +7,18 @@
 
 use loomflow_standins::fleet::{Fleet, Plan};
 use loomflow_standins::health;
-use loomflow_standins::relay::Trouble;
+use loomflow_standins::relay::LinkFault;
 
-const CUT: Trouble = Trouble {
-    cut: true,
-    stalled: false,
+const CUT: LinkFault = LinkFault {
+    is_cut: true,
+    is_stalled: false,
     lost: 0.0,
-    doubled: 0.0,
-    swapped: 0.0,
+    duplicated: 0.0,
+    reordered: 0.0,
     delay: std::time::Duration::ZERO,
 };
-const STALLED: Trouble = Trouble { cut: false, stalled: true, ..CUT };
-const NONE: Trouble = Trouble { cut: false, ..CUT };
+const STALLED: LinkFault = LinkFault { is_cut: false, is_stalled: true, ..CUT };
+const NONE: LinkFault = LinkFault { is_cut: false, ..CUT };
 
 /// Three voters and one more; one may be out.
 const FOUR: Plan = Plan {
@@ -44,13 +44,13 @@
 }
 
 fn is_up(fleet: &Fleet, one: usize) {
-    let mut gateway = fleet.members[one].world.gateway();
+    let mut gateway = fleet.members[one].fixture.gateway();
     gateway.send(&health(1, false));
-    assert_eq!(gateway.answer().word, "UP");
+    assert_eq!(gateway.response().status, "UP");
 }
 
 #[test]
-fn one_is_taken_out_drains_and_comes_back_and_a_script_can_wait_for_it() {
+fn a_server_drains_for_maintenance_and_returns_and_a_script_can_wait_for_it() {
     let mut fleet = Fleet::start_bootstrapped(Plan::default());
     assert_eq!(fleet.run_command(0, &["work", "wait", "--server", "n2"]).0, 3, "it has no ticket");
     let ticket = fleet.request_ticket(0, 1);
@@ -65,14 +65,14 @@
 }
 
 #[test]
-fn a_leader_killed_between_granting_and_telling_loses_nothing() {
+fn a_leader_killed_between_grant_and_notification_loses_nothing() {
     let mut fleet = Fleet::start_bootstrapped(FOUR);
-    (0..3).for_each(|voter| fleet.set_link_trouble(voter, 3, CUT));
+    (0..3).for_each(|voter| fleet.set_link_fault(voter, 3, CUT));
     let ticket = fleet.request_ticket(0, 3);
     comes_to(&fleet, 0, ticket, "Granted");
     let leader = fleet.leader(0).unwrap();
     fleet.kill(leader);
-    (0..3).for_each(|voter| fleet.set_link_trouble(voter, 3, NONE));
+    (0..3).for_each(|voter| fleet.set_link_fault(voter, 3, NONE));
     let by = (leader + 1) % 3;
     // The dead one takes the only place until it is back.
     fleet.wait_until("another leads", |fleet| fleet.leader(by).is_some_and(|now| now != leader));
@@ -81,9 +81,9 @@
 }
 
 #[test]
-fn a_grant_that_comes_late_and_again_does_nothing_once_it_is_void() {
+fn a_late_or_repeated_grant_has_no_effect_once_it_lapsed() {
     let mut fleet = Fleet::start_bootstrapped(FOUR_TWO);
-    (0..3).for_each(|voter| fleet.set_link_trouble(voter, 3, STALLED));
+    (0..3).for_each(|voter| fleet.set_link_fault(voter, 3, STALLED));
     let ticket = fleet.request_ticket(0, 3);
     comes_to(&fleet, 0, ticket, "Granted");
     fleet.wait_until("the grant lapses", |fleet| fleet.stage(0, ticket) != "Granted");
@@ -91,7 +91,7 @@
     let other = fleet.request_ticket(0, 2);
     assert_eq!(fleet.wait_for_exit(2), Some(0));
     // Everything that was held back arrives, and then arrives once more.
-    (0..3).for_each(|voter| fleet.set_link_trouble(voter, 3, NONE));
+    (0..3).for_each(|voter| fleet.set_link_fault(voter, 3, NONE));
     (0..2).for_each(|voter| fleet.replay_messages(voter, 3));
     fleet.wait_until("it is seen to serve", |fleet| {
         let status = fleet.status(0);
@@ -106,14 +106,14 @@
 }
 
 #[test]
-fn stopped_after_its_grant_and_woken_after_it_lapsed_a_server_goes_on_serving() {
+fn a_server_paused_past_its_grant_keeps_serving() {
     let mut fleet = Fleet::start_bootstrapped(FOUR_TWO);
-    (0..3).for_each(|voter| fleet.set_link_trouble(voter, 3, STALLED));
+    (0..3).for_each(|voter| fleet.set_link_fault(voter, 3, STALLED));
     let ticket = fleet.request_ticket(0, 3);
     comes_to(&fleet, 0, ticket, "Granted");
     fleet.pause(3);
     // The grant lies in its sockets while it stands still.
-    (0..3).for_each(|voter| fleet.set_link_trouble(voter, 3, NONE));
+    (0..3).for_each(|voter| fleet.set_link_fault(voter, 3, NONE));
     fleet.wait_until("the grant lapses", |fleet| fleet.stage(0, ticket) != "Granted");
     assert_eq!(fleet.run_command(0, &["work", "withdraw", &ticket.to_string()]).0, 0);
     fleet.resume(3);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn stopped_while_it_drains_a_server_keeps_its_place_until_it_is_back() {
+fn a_server_paused_while_draining_keeps_its_slot_until_it_is_back() {
     let mut fleet = Fleet::start_bootstrapped(FOUR);
     let first = fleet.request_ticket(0, 3);
     fleet.wait_until("it begins", |fleet| {
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn of_two_sides_of_a_cut_the_one_without_a_majority_serves_and_lets_nobody_go() {
+fn a_minority_partition_serves_and_grants_nothing() {
     let mut fleet = Fleet::start_bootstrapped(FOUR_TWO);
     let leader = fleet.leader(0).unwrap();
     let others: Vec<usize> = (0..3).filter(|voter| *voter != leader).collect();
@@ -163,9 +163,9 @@
 }
 
 #[test]
-fn a_server_that_hears_and_is_not_heard_does_not_go() {
+fn a_server_that_cannot_send_is_not_granted() {
     let mut fleet = Fleet::start_bootstrapped(FOUR_TWO);
-    (0..3).for_each(|voter| fleet.set_link_trouble(3, voter, CUT));
+    (0..3).for_each(|voter| fleet.set_link_fault(3, voter, CUT));
     fleet.wait_until("it is not seen", |fleet| {
         let (_, told, _) = fleet.run_command(0, &["explain", "n4", "--json"]);
         !told.contains("Serving") || fleet.status(0)["members"][3]["age"].as_u64() > Some(4_000)
@@ -174,12 +174,12 @@
     let (code, told, _) = fleet.run_command(0, &["explain", "n4"]);
     assert!(code == 0 && told.contains("WAITS"), "{told}");
     assert!(fleet.is_running(3) && fleet.stage(0, ticket) == "Asked", "{}", fleet.diagnostics());
-    (0..3).for_each(|voter| fleet.set_link_trouble(3, voter, NONE));
+    (0..3).for_each(|voter| fleet.set_link_fault(3, voter, NONE));
     goes_and_returns(&mut fleet, 3, 0, ticket);
 }
 
 #[test]
-fn one_that_does_not_return_is_overdue_and_its_place_is_free_when_it_is_written_off() {
+fn an_overdue_server_frees_its_slot_when_it_is_abandoned() {
     let mut fleet = Fleet::start_bootstrapped(FOUR);
     let (code, told, errors) =
         fleet.run_command(0, &["work", "ask", "--server", "n4", "--for", "1s", "--json"]);
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_voter_back_with_an_empty_folder_is_another_voter() {
+fn a_voter_with_an_empty_state_directory_rejoins_as_a_new_replica() {
     let mut fleet = Fleet::start_bootstrapped(FOUR);
     let index = fleet.status(0)["index"].as_u64();
     fleet.kill(1);
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_voter_whose_disk_is_full_serves_and_votes_again_when_there_is_room() {
+fn a_voter_with_a_full_disk_serves_and_votes_again_once_it_can_write() {
     let mut fleet = Fleet::start_bootstrapped(FOUR);
     let leader = fleet.leader(0).unwrap();
     let by = (leader + 1) % 3;
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn all_voters_restarted_at_once_go_on_where_they_were() {
+fn all_voters_resume_after_a_simultaneous_restart() {
     let mut fleet = Fleet::start_bootstrapped(FOUR);
     assert_eq!(fleet.run_command(0, &["work", "pause", "a", "release"]).0, 0);
     let ticket = fleet.request_ticket(0, 3);
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn the_leaders_own_turn_comes_after_it_has_handed_over() {
+fn the_leader_transfers_leadership_before_its_own_maintenance() {
     let mut fleet = Fleet::start_bootstrapped(FOUR);
     let leader = fleet.leader(0).unwrap();
     let by = (leader + 1) % 3;
@@ -255,9 +255,9 @@
 }
 
 #[test]
-fn what_is_garbled_too_long_or_foreign_ends_its_link_and_nothing_else() {
+fn malformed_or_foreign_messages_close_only_their_connection() {
     let mut fleet = Fleet::start_bootstrapped(Plan::default());
-    let mut other = fleet.members[1].world.config.clone();
+    let mut other = fleet.members[1].fixture.config.clone();
     other["name"] = "n9".into();
     let said: [Vec<u8>; 3] = [
         [&9u32.to_be_bytes()[..], &[0xFF; 9]].concat(),
@@ -267,7 +267,7 @@
     ];
     for bytes in said {
         let mut link = TcpStream::connect(fleet.members[0].address).unwrap();
-        link.set_read_timeout(Some(loomflow_standins::PATIENCE)).unwrap();
+        link.set_read_timeout(Some(loomflow_standins::RESPONSE_TIMEOUT)).unwrap();
         link.write_all(&bytes).unwrap();
         assert_eq!(link.read(&mut [0; 1]).unwrap_or(0), 0, "the link is ended");
     }
@@ -279,12 +279,12 @@
 }
 
 #[test]
-fn sigterm_without_a_ticket_is_obeyed_and_counted_and_a_second_fleet_is_not_founded() {
+fn sigterm_without_a_ticket_is_obeyed_and_a_second_bootstrap_is_rejected() {
     let mut fleet = Fleet::start_bootstrapped(FOUR);
     assert_eq!(fleet.run_command(0, &["found"]).0, 1);
     assert_eq!(fleet.run_command(1, &["found"]).0, 1);
     assert_eq!(fleet.run_command(3, &["found"]).0, 1, "not a voter");
-    fleet.members[3].world.terminate();
+    fleet.members[3].fixture.terminate();
     assert_eq!(fleet.wait_for_exit(3), Some(0));
     fleet.wait_until("it is counted", |fleet| fleet.status(0)["unasked"] == 1);
     let ticket = fleet.request_ticket(0, 2);
@@ -294,16 +294,16 @@
 }
 
 #[test]
-fn with_loss_doubling_and_disorder_on_every_link_each_goes_once() {
+fn every_server_is_maintained_once_over_lossy_duplicating_reordering_links() {
     let mut fleet = Fleet::start_bootstrapped(FOUR);
-    let bad = Trouble {
+    let bad = LinkFault {
         lost: 0.1,
-        doubled: 0.2,
-        swapped: 0.2,
+        duplicated: 0.2,
+        reordered: 0.2,
         delay: std::time::Duration::from_millis(20),
         ..NONE
     };
-    fleet.set_trouble_on_all_links(bad);
+    fleet.set_fault_on_all_links(bad);
     for server in [3, 1] {
         let ticket = fleet.request_ticket(0, server);
         goes_and_returns(&mut fleet, server, 0, ticket);
--- a/crates/loomflow-server/tests/leaving.rs
+++ b/crates/loomflow-server/tests/leaving.rs
@@ -7,224 +7,224 @@
 const LONG: f64 = 20_000.0;
 
 fn bye(gateway: &mut Gateway) {
-    let said = gateway.answer();
-    assert_eq!((said.tag, said.word.as_str()), (0, "BYE"));
+    let said = gateway.response();
+    assert_eq!((said.tag, said.status.as_str()), (0, "BYE"));
 }
 
 /// A gateway that has spoken, and rests.
-fn resting(world: &World) -> Gateway {
-    let mut gateway = world.gateway();
+fn resting(fixture: &ServerFixture) -> Gateway {
+    let mut gateway = fixture.gateway();
     gateway.send(&health(1, false));
-    assert_eq!(gateway.answer().word, "UP");
+    assert_eq!(gateway.response().status, "UP");
     gateway
 }
 
 #[test]
-fn an_idle_server_says_bye_and_ends() {
-    let (mut world, _engine) = World::serving(site(LONG));
-    let mut gateway = resting(&world);
-    world.terminate();
+fn an_idle_server_sends_goodbyes_and_exits() {
+    let (mut fixture, _engine) = ServerFixture::start_serving(site(LONG));
+    let mut gateway = resting(&fixture);
+    fixture.terminate();
     bye(&mut gateway);
     drop(gateway);
-    assert_eq!(world.exit_code(), Some(0));
+    assert_eq!(fixture.exit_code(), Some(0));
 }
 
 #[test]
-fn until_the_grace_is_over_new_connections_and_requests_are_served() {
-    let (mut world, engine) = World::serving(site(LONG));
-    let old = resting(&world);
-    world.terminate();
-    let mut both = [old, world.gateway()];
+fn new_requests_are_served_until_the_end_of_the_grace_period() {
+    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let old = resting(&fixture);
+    fixture.terminate();
+    let mut both = [old, fixture.gateway()];
     for (gateway, number) in both.iter_mut().zip(1..) {
         let id = gateway.call(2, "pay", b"x");
         assert_eq!(engine.expect("RUN").word(1), id);
-        engine.done(number, &id, b"y");
-        assert_eq!(gateway.answer().word, "OK");
+        engine.send_done(number, &id, b"y");
+        assert_eq!(gateway.response().status, "OK");
     }
     for gateway in &mut both {
         bye(gateway);
         // A request that comes later never runs; its stamp is in whole ms.
         std::thread::sleep(std::time::Duration::from_millis(5));
         gateway.call(3, "pay", b"x");
-        assert_eq!(gateway.answer().word, "BUSY");
+        assert_eq!(gateway.response().status, "BUSY");
     }
     drop(both);
-    engine.is_closed();
-    assert_eq!(world.exit_code(), Some(0));
+    engine.expect_closed();
+    assert_eq!(fixture.exit_code(), Some(0));
 }
 
 #[test]
-fn a_gateway_that_does_not_close_is_not_waited_for() {
-    let (mut world, _engine) = World::serving(site(LONG));
-    let mut gateway = world.gateway();
-    world.terminate();
+fn shutdown_does_not_wait_for_a_gateway_that_does_not_close() {
+    let (mut fixture, _engine) = ServerFixture::start_serving(site(LONG));
+    let mut gateway = fixture.gateway();
+    fixture.terminate();
     bye(&mut gateway);
-    assert_eq!(world.exit_code(), Some(0));
+    assert_eq!(fixture.exit_code(), Some(0));
 }
 
 #[test]
-fn what_runs_is_waited_for_and_answered_before_the_end() {
-    let (mut world, engine) = World::serving(site(LONG));
-    let ledger = world.ledger.open();
-    let mut gateway = world.gateway();
+fn shutdown_waits_for_runs_and_answers_them() {
+    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let ledger = fixture.ledger.open();
+    let mut gateway = fixture.gateway();
     let a = gateway.call(1, "read", b"a");
     engine.expect("RUN");
     let b = gateway.call(2, "pay", b"b");
     engine.expect("RUN");
-    engine.need(1, &b, b"call");
+    engine.send_need(1, &b, b"call");
     let below = ledger.link();
     below.expect("post");
-    world.terminate();
+    fixture.terminate();
     bye(&mut gateway);
-    assert!(world.is_running());
-    below.say_body(&format!("{b} posted"), b"ok");
+    assert!(fixture.is_running());
+    below.send_with_body(&format!("{b} posted"), b"ok");
     engine.expect("FEED");
-    engine.done(2, &b, b"B");
-    assert_eq!(gateway.answer().body, b"B");
-    engine.done(3, &a, &[9; 4096]);
-    assert_eq!(gateway.answer().body, [9; 4096]);
+    engine.send_done(2, &b, b"B");
+    assert_eq!(gateway.response().body, b"B");
+    engine.send_done(3, &a, &[9; 4096]);
+    assert_eq!(gateway.response().body, [9; 4096]);
     drop(gateway);
-    assert_eq!(world.exit_code(), Some(0));
+    assert_eq!(fixture.exit_code(), Some(0));
 }
 
 #[test]
-fn what_does_not_end_is_answered_before_the_server_would_be_killed() {
-    let (mut world, engine) = World::serving(site(LONG));
-    let mut gateway = world.gateway();
+fn endless_runs_are_answered_before_the_kill() {
+    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let mut gateway = fixture.gateway();
     for tag in 1..=3 {
         gateway.call(tag, ["read", "pay", "book"][tag as usize - 1], b"x");
     }
     engine.expect("RUN");
     // Neither a result nor a link: all the same everything is answered.
-    engine.cut();
+    engine.disconnect();
     let start = std::time::Instant::now();
-    world.terminate();
+    fixture.terminate();
     bye(&mut gateway);
-    let mut tags: Vec<u64> = (0..3).map(|_| gateway.answer().tag).collect();
+    let mut tags: Vec<u64> = (0..3).map(|_| gateway.response().tag).collect();
     tags.sort_unstable();
     assert_eq!(tags, [1, 2, 3]);
     drop(gateway);
-    assert_eq!(world.exit_code(), Some(0));
-    assert!(start.elapsed() < PATIENCE / 2);
+    assert_eq!(fixture.exit_code(), Some(0));
+    assert!(start.elapsed() < RESPONSE_TIMEOUT / 2);
 }
 
 #[test]
-fn a_second_notice_to_leave_changes_nothing() {
-    let (mut world, engine) = World::serving(site(LONG));
-    let mut gateway = world.gateway();
+fn a_second_shutdown_request_has_no_effect() {
+    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let mut gateway = fixture.gateway();
     let id = gateway.call(1, "read", b"x");
     engine.expect("RUN");
-    world.terminate();
+    fixture.terminate();
     bye(&mut gateway);
-    world.terminate();
-    gateway.is_quiet();
-    engine.done(1, &id, b"y");
-    assert_eq!(gateway.answer().body, b"y");
+    fixture.terminate();
+    gateway.expect_quiet();
+    engine.send_done(1, &id, b"y");
+    assert_eq!(gateway.response().body, b"y");
     drop(gateway);
-    assert_eq!(world.exit_code(), Some(0));
+    assert_eq!(fixture.exit_code(), Some(0));
 }
 
 #[test]
-fn the_notice_may_come_before_the_engine_is_up() {
-    let mut world = World::new(site(LONG));
-    world.start("exec \"$0\" serve");
-    let _engine = world.engine.link();
-    let mut gateway = resting(&world);
-    world.terminate();
+fn a_shutdown_request_before_the_engine_connects_is_obeyed() {
+    let mut fixture = ServerFixture::new(site(LONG));
+    fixture.start("exec \"$0\" serve");
+    let _engine = fixture.engine.link();
+    let mut gateway = resting(&fixture);
+    fixture.terminate();
     bye(&mut gateway);
     drop(gateway);
-    assert_eq!(world.exit_code(), Some(0));
+    assert_eq!(fixture.exit_code(), Some(0));
 }
 
 #[test]
-fn a_notice_that_comes_before_the_engine_is_up_still_holds_when_it_comes_up() {
-    let mut world = World::new(site(LONG));
-    world.start("exec \"$0\" serve");
-    let engine = world.engine.link();
-    let mut gateway = world.gateway();
+fn a_shutdown_request_before_the_engine_connects_holds_once_it_does() {
+    let mut fixture = ServerFixture::new(site(LONG));
+    fixture.start("exec \"$0\" serve");
+    let engine = fixture.engine.link();
+    let mut gateway = fixture.gateway();
     gateway.send(&health(1, true));
-    assert_eq!(gateway.answer().tag, 1);
-    world.terminate();
-    world.wait_for_log("shutdown requested");
-    engine.hello("ATTACH 0");
-    engine.is_quiet();
+    assert_eq!(gateway.response().tag, 1);
+    fixture.terminate();
+    fixture.wait_for_log("shutdown requested");
+    engine.accept_attach("ATTACH 0");
+    engine.expect_quiet();
     gateway.call(2, "pay", b"x");
-    assert_eq!(gateway.answer().word, "BUSY");
+    assert_eq!(gateway.response().status, "BUSY");
     gateway.send(&health(3, false));
-    assert_eq!(gateway.answer().word, "DOWN");
-    engine.is_quiet();
+    assert_eq!(gateway.response().status, "DOWN");
+    engine.expect_quiet();
     drop(gateway);
-    assert_eq!(world.exit_code(), Some(0));
+    assert_eq!(fixture.exit_code(), Some(0));
 }
 
 #[test]
-fn the_notice_to_leave_is_heard_while_the_address_is_still_in_use() {
-    let mut world = World::new(site(LONG));
-    let _former = std::net::TcpListener::bind(world.listen).expect("the address");
-    world.start("exec \"$0\" serve");
-    world.wait_for_log("the address is in use");
-    world.terminate();
-    assert_eq!(world.exit_code(), Some(0));
+fn a_shutdown_request_is_obeyed_while_the_address_is_in_use() {
+    let mut fixture = ServerFixture::new(site(LONG));
+    let _former = std::net::TcpListener::bind(fixture.listen).expect("the address");
+    fixture.start("exec \"$0\" serve");
+    fixture.wait_for_log("the address is in use");
+    fixture.terminate();
+    assert_eq!(fixture.exit_code(), Some(0));
 }
 
 #[test]
-fn an_address_that_is_in_use_for_longer_than_a_second_is_waited_for() {
-    let mut world = World::new(site(LONG));
-    let former = std::net::TcpListener::bind(world.listen).expect("the address");
-    world.start("exec \"$0\" serve");
-    world.wait_for_log("the address is in use");
+fn an_address_in_use_for_more_than_a_second_is_awaited() {
+    let mut fixture = ServerFixture::new(site(LONG));
+    let former = std::net::TcpListener::bind(fixture.listen).expect("the address");
+    fixture.start("exec \"$0\" serve");
+    fixture.wait_for_log("the address is in use");
     std::thread::sleep(std::time::Duration::from_millis(1_500));
-    assert!(world.is_running());
+    assert!(fixture.is_running());
     drop(former);
-    world.engine.link().hello("ATTACH 0");
-    world.wait_for_service();
+    fixture.engine.link().accept_attach("ATTACH 0");
+    fixture.wait_for_service();
 }
 
 /// Connections over the bound stand in the listen queue, where the system has accepted them: what was sent on them is
 /// received.
 #[test]
-fn who_stands_in_the_listen_queue_as_the_server_closes_it_is_answered() {
-    let mut world = World::new(site(LONG));
+fn requests_in_the_listen_queue_at_its_close_are_answered() {
+    let mut fixture = ServerFixture::new(site(LONG));
     // Half of them are for gateways.
-    world.config["limits"]["sockets"] = 50.into();
-    world.start("exec \"$0\" serve");
-    let engine = world.engine.link();
-    engine.hello("ATTACH 0");
-    world.wait_for_service();
+    fixture.config["limits"]["sockets"] = 50.into();
+    fixture.start("exec \"$0\" serve");
+    let engine = fixture.engine.link();
+    engine.accept_attach("ATTACH 0");
+    fixture.wait_for_service();
     let mut inside: Vec<Gateway> = Vec::new();
     for _ in 0..25 {
-        let mut gateway = world.gateway();
+        let mut gateway = fixture.gateway();
         gateway.call(1, "pay", b"x");
         inside.push(gateway);
     }
-    let mut outside = world.gateway();
+    let mut outside = fixture.gateway();
     outside.call(7, "pay", b"x");
-    outside.is_quiet();
-    world.terminate();
+    outside.expect_quiet();
+    fixture.terminate();
     for gateway in &mut inside {
         bye(gateway);
     }
     // No room comes at once. Then those inside close, and the last of all hears, too, that it is not served.
-    outside.is_quiet();
+    outside.expect_quiet();
     drop(inside);
     let answer = loop {
-        let answer = outside.answer();
+        let answer = outside.response();
         if answer.tag == 7 {
             break answer;
         }
-        assert_eq!(answer.word, "BYE");
+        assert_eq!(answer.status, "BYE");
     };
-    assert_eq!(answer.word, "BUSY");
+    assert_eq!(answer.status, "BUSY");
     drop(outside);
-    assert_eq!(world.exit_code(), Some(0));
+    assert_eq!(fixture.exit_code(), Some(0));
 }
 
 /// A process that exits over unread bytes takes back what its peer has not read yet.
 #[test]
-fn a_gateway_that_rests_until_the_end_and_writes_just_then_reads_all_to_the_end() {
-    let (mut world, _engine) = World::serving(site(LONG));
-    let mut gateway = resting(&world);
-    world.terminate();
+fn a_gateway_that_writes_at_the_last_moment_reads_all_responses() {
+    let (mut fixture, _engine) = ServerFixture::start_serving(site(LONG));
+    let mut gateway = resting(&fixture);
+    fixture.terminate();
     bye(&mut gateway);
     let over = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
     let (mut writer, told) = (gateway.stream.try_clone().expect("a clone"), over.clone());
@@ -241,7 +241,7 @@
         }
     });
     let mut bytes = [0; 256];
-    gateway.stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    gateway.stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).expect("a time-out");
     let end = loop {
         match gateway.stream.read(&mut bytes) {
             Ok(0) => break Ok(()),
@@ -253,31 +253,31 @@
     writes.join().expect("the writer ends");
     assert!(end.is_ok(), "{end:?}");
     drop(gateway);
-    assert_eq!(world.exit_code(), Some(0));
+    assert_eq!(fixture.exit_code(), Some(0));
 }
 
 /// However little time there is until the kill: what was read is answered, and the process ends by itself.
 #[test]
-fn a_server_with_very_little_time_answers_what_it_has_and_ends() {
+fn a_very_short_shutdown_answers_all_open_requests() {
     for stop_ms in [200.0, 400.0, 800.0] {
-        let mut world = World::new(site(LONG));
-        world.config["stop_ms"] = stop_ms.into();
-        world.start("exec \"$0\" serve");
-        let engine = world.engine.link();
-        engine.hello("ATTACH 0");
-        world.wait_for_service();
-        let (mut asks, mut rests) = (world.gateway(), resting(&world));
+        let mut fixture = ServerFixture::new(site(LONG));
+        fixture.config["stop_ms"] = stop_ms.into();
+        fixture.start("exec \"$0\" serve");
+        let engine = fixture.engine.link();
+        engine.accept_attach("ATTACH 0");
+        fixture.wait_for_service();
+        let (mut asks, mut rests) = (fixture.gateway(), resting(&fixture));
         for tag in 1..=8 {
             asks.call(tag, "pay", b"x");
         }
         engine.expect("RUN");
-        world.terminate();
+        fixture.terminate();
         let mut tags: Vec<u64> =
-            (0..9).map(|_| asks.answer()).filter(|answer| answer.word != "BYE").map(|a| a.tag).collect();
+            (0..9).map(|_| asks.response()).filter(|answer| answer.status != "BYE").map(|a| a.tag).collect();
         tags.sort_unstable();
         assert_eq!(tags, (1..=8).collect::<Vec<u64>>(), "stop_ms {stop_ms}");
         bye(&mut rests);
-        assert_eq!(world.exit_code(), Some(0));
-        rests.is_closed();
+        assert_eq!(fixture.exit_code(), Some(0));
+        rests.expect_closed();
     }
 }
--- a/crates/loomflow-server/tests/printed_output.rs
+++ b/crates/loomflow-server/tests/printed_output.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-use loomflow_standins::{World, site};
+use loomflow_standins::{ServerFixture, site};
 use serde_json::{Value, json};
 
 /// A folder of its own for the files of one test.
@@ -41,7 +41,7 @@
 }
 
 fn config() -> Value {
-    let mut config = World::new(site(1000.0)).config.clone();
+    let mut config = ServerFixture::new(site(1000.0)).config.clone();
     let settings = &mut config["settings"];
     settings["Classes"] = json!([
         {"Name": "read", "Effect": "safe", "OnTime": 1000.0, "HardLimit": 3000.0, "Points": 1.0},
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn check_config_lists_each_change_with_when_it_counts() {
+fn check_config_lists_each_change_with_when_it_takes_effect() {
     let folder = Folder::new("changes");
     let old = config();
     let mut new = old.clone();
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn check_config_names_each_change_that_would_break_a_rule() {
+fn check_config_names_each_rule_violation() {
     let folder = Folder::new("faults");
     let old = config();
     let mut new = old.clone();
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn every_effect_has_its_word() {
+fn every_idempotency_has_its_name() {
     let folder = Folder::new("effects");
     for (before, after) in [("keyed", "safe"), ("unsafe", "keyed"), ("keyed", "unsafe")] {
         let (mut old, mut new) = (config(), Value::Null);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn the_program_names_itself_and_its_version() {
+fn version_prints_the_program_and_its_version() {
     let output = loomflow(&["version"]);
     assert_eq!(printed(&output), ("loomflow 0.1.0\n".into(), String::new(), Some(0)));
 }
--- a/crates/loomflow-server/tests/published_client.rs
+++ b/crates/loomflow-server/tests/published_client.rs
@@ -48,7 +48,7 @@
 }
 
 async fn none(consumer: &mut Consumer) {
-    assert!(tokio::time::timeout(QUIET, consumer.next()).await.is_err());
+    assert!(tokio::time::timeout(QUIET_PERIOD, consumer.next()).await.is_err());
 }
 
 #[tokio::test]
@@ -94,8 +94,8 @@
     let again = next(&mut consumer).await;
     assert!(again.redelivered);
     again.ack(BasicAckOptions::default()).await.unwrap();
-    broker.drained("q");
-    assert_eq!(broker.wait("dead", 1).len(), 1);
+    broker.wait_until_empty("q");
+    assert_eq!(broker.wait_for_messages("dead", 1).len(), 1);
 }
 
 #[tokio::test]
@@ -123,7 +123,7 @@
     }
     publish(&channel, "all", "", b"x", BasicProperties::default()).await;
     publish(&channel, "one", "k", b"y", BasicProperties::default()).await;
-    assert_eq!((broker.wait("a", 2).len(), broker.wait("b", 1).len()), (2, 1));
+    assert_eq!((broker.wait_for_messages("a", 2).len(), broker.wait_for_messages("b", 1).len()), (2, 1));
     let (options, arguments) = (BasicConsumeOptions::default(), FieldTable::default());
     let lost = channel.basic_consume("no such queue".into(), "me".into(), options, arguments).await;
     assert!(lost.is_err() && !channel.status().connected());
@@ -144,11 +144,11 @@
          {{name: jobs, class_header: class, tenant: acme}}\n",
         broker.address
     );
-    let world = tokio::task::spawn_blocking({
+    let fixture = tokio::task::spawn_blocking({
         let worker = worker.clone();
-        move || World::working(site(5_000.0), &options, &worker)
+        move || ServerFixture::start_with(site(5_000.0), &options, &worker)
     });
-    let _world = world.await.expect("a server");
+    let _world = fixture.await.expect("a server");
     channel.confirm_select(ConfirmSelectOptions::default()).await.unwrap();
     for number in 0..50 {
         let mut headers = FieldTable::default();
@@ -177,5 +177,5 @@
     }
     none(&mut replies).await;
     assert_eq!(heard.values().filter(|kind| *kind == "served").count(), 45);
-    assert_eq!((worker.count(), broker.wait("dead", 5).len()), (45, 5));
+    assert_eq!((worker.run_count(), broker.wait_for_messages("dead", 5).len()), (45, 5));
 }
--- a/crates/loomflow-server/tests/reload.rs
+++ b/crates/loomflow-server/tests/reload.rs
@@ -5,58 +5,58 @@
 const LONG: f64 = 20_000.0;
 
 #[test]
-fn engine_ledger_and_control_plane_move_with_runs_and_calls_in_hand() {
-    let (mut world, engine) = World::serving(site(LONG));
-    let old_ledger = world.ledger.open();
-    let mut gateway = world.gateway();
+fn a_reload_moves_engine_ledger_and_control_plane_with_runs_and_calls_open() {
+    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let old_ledger = fixture.ledger.open();
+    let mut gateway = fixture.gateway();
     let running = gateway.call(1, "pay", b"a");
     engine.expect("RUN");
     let calling = gateway.call(2, "pay", b"b");
     engine.expect("RUN");
-    engine.need(1, &calling, b"call");
+    engine.send_need(1, &calling, b"call");
     let old_call = old_ledger.link();
     old_call.expect("post");
-    let held = world.moved();
-    world.signal("HUP");
+    let held = fixture.move_peers();
+    fixture.signal("HUP");
     // The new link goes on where the old one was.
-    let moved = world.engine.link();
-    moved.hello_replaying("ATTACH 1", &[(format!("DONE 2 {running} fine 5"), b"A")]);
-    assert_eq!(gateway.answer().body, b"A");
+    let moved = fixture.engine.link();
+    moved.accept_attach_replaying("ATTACH 1", &[(format!("DONE 2 {running} fine 5"), b"A")]);
+    assert_eq!(gateway.response().body, b"A");
     // A call in hand is finished where it was made; its reply and all later calls go the new way.
-    old_call.say_body(&format!("{calling} posted"), b"ok");
+    old_call.send_with_body(&format!("{calling} posted"), b"ok");
     assert_eq!(moved.expect("FEED").word(1), calling);
-    let ledger = world.ledger.open();
-    moved.need(3, &calling, b"second");
+    let ledger = fixture.ledger.open();
+    moved.send_need(3, &calling, b"second");
     ledger.link().expect("post");
     old_ledger.has_no_link();
-    assert!(world.control.report().ends_with("{\"condition\":\"Ready\"}"));
+    assert!(fixture.control.report().ends_with("{\"condition\":\"Ready\"}"));
     // The old link takes nothing more, and ends.
-    engine.is_closed();
+    engine.expect_closed();
     drop(held);
-    assert!(world.is_running());
+    assert!(fixture.is_running());
 }
 
 #[test]
-fn commands_said_just_before_a_move_are_not_lost() {
-    let (mut world, engine) = World::serving(site(LONG));
-    let mut gateway = world.gateway();
-    let _old = world.moved();
+fn commands_sent_just_before_a_move_are_not_lost() {
+    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let mut gateway = fixture.gateway();
+    let _old = fixture.move_peers();
     let id = gateway.call(1, "read", b"x");
     engine.expect("RUN");
-    world.signal("HUP");
-    let moved = world.engine.link();
-    moved.hello("ATTACH 0");
+    fixture.signal("HUP");
+    let moved = fixture.engine.link();
+    moved.accept_attach("ATTACH 0");
     // A second RUN of what runs already does nothing, and this one has no effect.
     assert_eq!(moved.expect("RUN").word(1), id);
-    moved.done(1, &id, b"y");
-    assert_eq!(gateway.answer().word, "OK");
+    moved.send_done(1, &id, b"y");
+    assert_eq!(gateway.response().status, "OK");
 }
 
 #[test]
-fn a_file_that_cannot_be_used_changes_nothing_and_one_line_names_the_key() {
-    let (mut world, engine) = World::serving(site(LONG));
-    let mut gateway = world.gateway();
-    let good = world.config.clone();
+fn an_invalid_file_changes_nothing_and_its_key_is_logged() {
+    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let mut gateway = fixture.gateway();
+    let good = fixture.config.clone();
     let mut wrong = good.clone();
     wrong["ledger"] = "nowhere".into();
     let cases = [
@@ -68,114 +68,114 @@
     ];
     for (number, (text, why)) in (1..).zip(cases) {
         match text {
-            Some(text) => world.write(&text),
-            None => world.remove_file(),
+            Some(text) => fixture.write(&text),
+            None => fixture.remove_file(),
         }
-        world.signal("HUP");
-        world.wait_for_log(why);
+        fixture.signal("HUP");
+        fixture.wait_for_log(why);
         let id = gateway.call(number, "read", b"x");
         engine.expect("RUN");
-        engine.done(number, &id, b"y");
-        assert_eq!(gateway.answer().word, "OK");
+        engine.send_done(number, &id, b"y");
+        assert_eq!(gateway.response().status, "OK");
     }
     // The same file again disturbs nothing; what cannot change is named.
     let mut other = good;
     other["seed"] = "1".into();
     other["limits"]["sockets"] = 99.into();
-    world.write(&other.to_string());
-    world.signal("HUP");
-    world.wait_for_log("these keys take effect at the next start keys=\"limits.sockets, seed\"");
-    engine.is_quiet();
-    assert!(world.is_running());
+    fixture.write(&other.to_string());
+    fixture.signal("HUP");
+    fixture.wait_for_log("these keys take effect at the next start keys=\"limits.sockets, seed\"");
+    engine.expect_quiet();
+    assert!(fixture.is_running());
 }
 
 #[test]
-fn two_moves_at_once_and_one_while_the_link_is_down_end_at_the_last_address() {
-    let (mut world, engine) = World::serving(site(LONG));
-    let mut gateway = world.gateway();
-    engine.cut();
-    let first = world.moved();
-    world.signal("HUP");
-    let second = world.moved();
-    world.signal("HUP");
-    let engine = world.engine.link();
-    engine.hello("ATTACH 0");
+fn consecutive_moves_end_at_the_last_address() {
+    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let mut gateway = fixture.gateway();
+    engine.disconnect();
+    let first = fixture.move_peers();
+    fixture.signal("HUP");
+    let second = fixture.move_peers();
+    fixture.signal("HUP");
+    let engine = fixture.engine.link();
+    engine.accept_attach("ATTACH 0");
     let id = gateway.call(1, "pay", b"x");
     assert_eq!(engine.expect("RUN").word(1), id);
-    engine.done(1, &id, b"y");
-    assert_eq!(gateway.answer().word, "OK");
+    engine.send_done(1, &id, b"y");
+    assert_eq!(gateway.response().status, "OK");
     drop((first, second));
 }
 
 #[test]
-fn a_move_while_leaving_still_answers_all_that_is_held() {
-    let (mut world, engine) = World::serving(site(LONG));
-    let mut gateway = world.gateway();
+fn a_move_during_shutdown_still_answers_all_open_requests() {
+    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let mut gateway = fixture.gateway();
     let id = gateway.call(1, "pay", b"x");
     engine.expect("RUN");
-    let _old = world.moved();
-    world.terminate();
-    assert_eq!(gateway.answer().word, "BYE");
-    world.signal("HUP");
-    let moved = world.engine.link();
-    moved.hello("ATTACH 0");
-    moved.done(1, &id, b"y");
-    assert_eq!(gateway.answer().word, "OK");
+    let _old = fixture.move_peers();
+    fixture.terminate();
+    assert_eq!(gateway.response().status, "BYE");
+    fixture.signal("HUP");
+    let moved = fixture.engine.link();
+    moved.accept_attach("ATTACH 0");
+    moved.send_done(1, &id, b"y");
+    assert_eq!(gateway.response().status, "OK");
     drop(gateway);
-    assert_eq!(world.exit_code(), Some(0));
+    assert_eq!(fixture.exit_code(), Some(0));
 }
 
 #[test]
-fn terms_count_at_once_and_what_would_break_a_rule_changes_nothing() {
-    let (world, engine) = World::serving(site(LONG));
-    let mut gateway = world.gateway();
+fn reloadable_settings_take_effect_and_a_violation_changes_nothing() {
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let mut gateway = fixture.gateway();
     let ask = |gateway: &mut Gateway, tag, owner: &str| {
-        let fields = fields(&fresh_id()).replace("owner=acme", &format!("owner={owner}"));
+        let fields = fields(&next_attempt_id()).replace("owner=acme", &format!("owner={owner}"));
         gateway.send(&call(tag, "read", &fields, b"x"));
     };
     ask(&mut gateway, 1, "newcomer");
-    assert_eq!(gateway.answer().word, "FAILED");
+    assert_eq!(gateway.response().status, "FAILED");
     // A new tenant, and an aim: taken up. The order of the lists does not matter.
-    let mut new = world.config.clone();
+    let mut new = fixture.config.clone();
     let tenants = new["settings"]["Orgs"].as_array_mut().unwrap();
     tenants.insert(0, serde_json::json!({"Name": "newcomer", "QuotaPerS": 5.0}));
     new["settings"]["Classes"][0]["OnTime"] = 100.0.into();
-    world.write(&new.to_string());
-    world.signal("HUP");
-    world.wait_for_log("live=\"settings.Classes[read].OnTime, settings.Orgs[newcomer]\"");
+    fixture.write(&new.to_string());
+    fixture.signal("HUP");
+    fixture.wait_for_log("live=\"settings.Classes[read].OnTime, settings.Orgs[newcomer]\"");
     ask(&mut gateway, 2, "newcomer");
     let run = engine.expect("RUN");
-    engine.done(1, run.word(1), b"y");
-    assert_eq!(gateway.answer().word, "OK");
+    engine.send_done(1, run.word(1), b"y");
+    assert_eq!(gateway.response().status, "OK");
     // One that would break rules is turned down whole: its address does not count either.
     let mut bad = new.clone();
     bad["settings"]["Classes"][2]["Effect"] = "safe".into();
     bad["settings"]["Rules"]["DrainGrace"] = 3000.0.into();
-    bad["engine"] = world.ledger.address.to_string().into();
-    world.write(&bad.to_string());
-    world.signal("HUP");
-    world.wait_for_log(
+    bad["engine"] = fixture.ledger.address.to_string().into();
+    fixture.write(&bad.to_string());
+    fixture.signal("HUP");
+    fixture.wait_for_log(
         "key=\"settings.Classes[book].Effect\" value=\"safe\" rule=\"what has run could be run again\"",
     );
-    world.wait_for_log("settings.Rules.DrainGrace");
+    fixture.wait_for_log("settings.Rules.DrainGrace");
     ask(&mut gateway, 3, "acme");
     let run = engine.expect("RUN");
-    engine.done(2, run.word(1), b"y");
-    assert_eq!(gateway.answer().word, "OK");
+    engine.send_done(2, run.word(1), b"y");
+    assert_eq!(gateway.response().status, "OK");
     // A class in use stays.
     let mut gone = new;
     gone["settings"]["Classes"].as_array_mut().unwrap().remove(1);
-    gateway.send(&call(4, "pay", &fields(&fresh_id()), b"x"));
+    gateway.send(&call(4, "pay", &fields(&next_attempt_id()), b"x"));
     engine.expect("RUN");
-    world.write(&gone.to_string());
-    world.signal("HUP");
-    world.wait_for_log("settings.Classes[pay]");
+    fixture.write(&gone.to_string());
+    fixture.signal("HUP");
+    fixture.wait_for_log("settings.Classes[pay]");
 }
 
 #[test]
-fn another_servers_file_and_another_customers_change_nothing() {
-    let (mut world, engine) = World::serving(site(LONG));
-    let mine = world.config.clone();
+fn the_file_of_another_server_or_site_is_rejected() {
+    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let mine = fixture.config.clone();
     // No server has been told of it.
     let stranger = Engine::start();
     let other = |change: &dyn Fn(&mut serde_json::Value)| {
@@ -201,53 +201,53 @@
         ),
     ];
     for (file, why) in others {
-        world.write(&file.to_string());
-        world.signal("HUP");
-        world.wait_for_log(why);
+        fixture.write(&file.to_string());
+        fixture.signal("HUP");
+        fixture.wait_for_log(why);
     }
     stranger.has_no_link();
     // What is its own is taken up after that as before, and what waits in the mailbox keeps its class.
-    let mut gateway = world.gateway();
+    let mut gateway = fixture.gateway();
     let id = gateway.call(1, "pay", b"x");
     assert_eq!(engine.expect("RUN").word(1), id);
-    let _old = world.moved();
-    world.signal("HUP");
-    let moved = world.engine.link();
-    moved.hello("ATTACH 0");
-    moved.done(1, &id, b"y");
-    assert_eq!(gateway.answer().body, b"y");
+    let _old = fixture.move_peers();
+    fixture.signal("HUP");
+    let moved = fixture.engine.link();
+    moved.accept_attach("ATTACH 0");
+    moved.send_done(1, &id, b"y");
+    assert_eq!(gateway.response().body, b"y");
 }
 
 #[test]
-fn a_file_of_any_size_or_kind_keeps_nobody_from_hearing_the_notice_to_leave() {
-    let (mut world, _engine) = World::serving(site(LONG));
-    world.write(&format!("{{\"x\": \"{}\"}}", "y".repeat(8 * 1024 * 1024)));
-    world.signal("HUP");
-    world.wait_for_log("longer than 4 MiB");
+fn no_configuration_file_blocks_a_shutdown_request() {
+    let (mut fixture, _engine) = ServerFixture::start_serving(site(LONG));
+    fixture.write(&format!("{{\"x\": \"{}\"}}", "y".repeat(8 * 1024 * 1024)));
+    fixture.signal("HUP");
+    fixture.wait_for_log("longer than 4 MiB");
     // A pipe that nobody writes to.
-    world.remove_file();
-    world.make_pipe();
-    world.signal("HUP");
-    world.wait_for_log("not a file");
-    world.terminate();
-    assert_eq!(world.exit_code(), Some(0));
+    fixture.remove_file();
+    fixture.make_pipe();
+    fixture.signal("HUP");
+    fixture.wait_for_log("not a file");
+    fixture.terminate();
+    assert_eq!(fixture.exit_code(), Some(0));
 }
 
 #[test]
-fn the_notice_to_leave_and_a_new_configuration_at_once_are_both_heard() {
-    let (mut world, engine) = World::serving(site(LONG));
-    let mut gateway = world.gateway();
+fn a_simultaneous_reload_and_shutdown_are_both_handled() {
+    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let mut gateway = fixture.gateway();
     let id = gateway.call(1, "pay", b"x");
     engine.expect("RUN");
-    let _old = world.moved();
-    world.signal("HUP");
-    world.terminate();
-    let moved = world.engine.link();
-    moved.hello("ATTACH 0");
-    moved.done(1, &id, b"y");
-    let mut words = [gateway.answer().word, gateway.answer().word];
+    let _old = fixture.move_peers();
+    fixture.signal("HUP");
+    fixture.terminate();
+    let moved = fixture.engine.link();
+    moved.accept_attach("ATTACH 0");
+    moved.send_done(1, &id, b"y");
+    let mut words = [gateway.response().status, gateway.response().status];
     words.sort();
     assert_eq!(words, ["BYE", "OK"]);
     drop(gateway);
-    assert_eq!(world.exit_code(), Some(0));
+    assert_eq!(fixture.exit_code(), Some(0));
 }
--- a/crates/loomflow-server/tests/stored_data.rs
+++ b/crates/loomflow-server/tests/stored_data.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_fleet_goes_on_where_an_earlier_build_stopped() {
+fn a_fleet_resumes_from_the_stored_data_of_an_earlier_build() {
     let mut fleet = restored();
     let before = highest_token(fleet.folder());
     fleet.wait_until("a leader is there", |fleet| fleet.status(0)["paused"] == PAUSE_REASON);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_stored_fence_refuses_what_the_earlier_build_refused() {
+fn a_stored_fence_rejects_what_the_earlier_build_rejected() {
     let fleet = restored();
     let highest = highest_token(fleet.folder());
     let (code, output, errors) = fence(&fleet, STALE_TOKEN);
--- a/crates/loomflow-settings/src/lib.rs
+++ b/crates/loomflow-settings/src/lib.rs
@@ -1,7 +1,6 @@
 //! Configuration, settings and options: reading, validation and defaults, for the server and the adapter.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod amqp;
 pub mod campaign;
@@ -15,6 +14,7 @@
 mod json_object;
 mod lookup;
 pub mod options;
+mod shaped;
 pub mod site;
 pub mod tenants;
 
--- a/crates/loomflow-settings/src/tenants.rs
+++ b/crates/loomflow-settings/src/tenants.rs
@@ -8,10 +8,10 @@
 use serde::de::{Deserialize, Deserializer, SeqAccess};
 use serde_json::{Map, Number, Value};
 
-use crate::document::{Shaped, deserialize_shaped};
 use crate::error::FieldError;
 use crate::json_object::JsonObject;
 use crate::lookup::NamedList;
+use crate::shaped::{Shaped, deserialize_shaped};
 
 const NAME: &str = "Name";
 const QUOTA: &str = "QuotaPerS";
--- a/crates/loomflow-simulation/src/lib.rs
+++ b/crates/loomflow-simulation/src/lib.rs
@@ -10,7 +10,7 @@
 //! - [`invariants`]: what must hold after every event, judged by what the processes did and not by what the fleet says;
 //! - [`parallel`]: many runs side by side.
 
-#![warn(missing_docs)]
+#![forbid(unsafe_code)]
 
 pub mod config;
 mod event_queue;
--- a/crates/loomflow-simulation/tests/hard_cases.rs
+++ b/crates/loomflow-simulation/tests/hard_cases.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_leader_killed_between_granting_and_telling_loses_nothing() {
+fn a_leader_killed_between_grant_and_notification_loses_nothing() {
     // The leader's words reach only the voter beside it, so the grant is agreed on and its server is not told.
     let cuts = (2..5).map(|to| (12_900, CutLink(0, to)));
     let steps = [
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn all_voters_restarted_at_once_go_on_where_they_were() {
+fn all_voters_resume_after_a_simultaneous_restart() {
     let kill = (0..3).map(|one| (13_500, Kill(one)));
     let start = (0..3).map(|one| (20_000, Start(one)));
     let simulation =
--- a/crates/loomflow-standins/src/base.rs
+++ b/crates/loomflow-standins/src/base.rs
@@ -1,4 +1,4 @@
-//! What all stand-ins share: times to wait, addresses of their own, and the settings of a small site.
+//! Shared parts of the stand-ins: timeouts, loopback addresses and the settings of a small site.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -6,19 +6,19 @@
 
 use serde_json::{Value, json};
 
-/// Far longer than anything here takes: only a failure waits for it.
-pub const PATIENCE: Duration = Duration::from_secs(20);
-/// Long enough to see that something does not come.
-pub const QUIET: Duration = Duration::from_millis(300);
+/// How long a stand-in waits for something that must happen. Only failures take this long.
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long a stand-in waits to see that something does not happen.
+pub const QUIET_PERIOD: Duration = Duration::from_millis(300);
 
 /// A free loopback address.
-pub fn free_address() -> SocketAddr {
-    free_listener().local_addr().expect("an address")
+pub fn loopback_address() -> SocketAddr {
+    loopback_listener().local_addr().expect("an address")
 }
 
 /// A listener on a free loopback address.
-pub fn free_listener() -> TcpListener {
-    // Every test process and every server in it has an address of its own, so that none meets another.
+pub fn loopback_listener() -> TcpListener {
+    // Each test process and each server in it has its own address, so that tests do not interfere.
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let process = std::process::id();
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -32,7 +32,7 @@
         "Window": 5000.0})
 }
 
-/// A site with one class of each effect, each with calls to a tier below.
+/// A site with one class of each idempotency, all with downstream calls.
 pub fn site(limit: f64) -> Value {
     json!({
         "Classes": [class("read", "safe", limit), class("pay", "unsafe", limit), class("book", "keyed", limit)],
--- a/crates/loomflow-standins/src/bin/stand-ins.rs
+++ b/crates/loomflow-standins/src/bin/stand-ins.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use loomflow_standins::broker::{Broker, Message, message};
-use loomflow_standins::{Worker, World, site};
+use loomflow_standins::{ServerFixture, Worker, site};
 
 const HELP: &str = "\
 publish ID [BODY]   one message to the queue jobs, with a reply wanted
@@ -31,25 +31,52 @@
     };
     let folder = Path::new(&folder);
     std::fs::create_dir_all(folder).expect("the folder");
-    let (worker, broker) = (Worker::start(4, Duration::from_millis(10)), Broker::with_jobs());
-    let mut world = World::new(site(10_000.0));
-    world.config["engine"] = worker.address.to_string().into();
-    let write =
-        |name: &str, text: String| std::fs::write(folder.join(name), text).expect("a file is written");
-    write("config.json", format!("{:#}\n", world.config));
-    write("credentials.yaml", "user: guest\npassword: guest\n".into());
-    write(
-        "options.yaml",
-        format!(
-            "amqp:\n  brokers: [\"{}\"]\n  credentials: credentials.yaml\n  dead_letter: {{routing_key: dead}}\n  \
-             queues:\n    - name: jobs\n      class: book\n      tenant: acme\n",
-            broker.address
-        ),
-    );
+    let mut stand_ins = StandIns {
+        worker: Worker::start(4, Duration::from_millis(10)),
+        broker: Broker::with_jobs(),
+        fixture: ServerFixture::new(site(10_000.0)),
+        messages_filled: 0,
+    };
+    stand_ins.write_files(folder);
     println!("engine, control plane and broker are up; the files are in {}", folder.display());
-    let mut filled = 0;
     for line in std::io::stdin().lock().lines().map_while(Result::ok) {
         let words: Vec<&str> = line.split_whitespace().collect();
+        if words.first() == Some(&"quit") {
+            return;
+        }
+        stand_ins.run_command(&words);
+    }
+}
+
+struct StandIns {
+    worker: Worker,
+    broker: Broker,
+    /// Configuration and control plane; its server is not started.
+    fixture: ServerFixture,
+    /// Messages that `fill` has published.
+    messages_filled: usize,
+}
+
+impl StandIns {
+    /// Writes the files that a server needs.
+    fn write_files(&mut self, folder: &Path) {
+        self.fixture.config["engine"] = self.worker.address.to_string().into();
+        let write =
+            |name: &str, text: String| std::fs::write(folder.join(name), text).expect("a file is written");
+        write("config.json", format!("{:#}\n", self.fixture.config));
+        write("credentials.yaml", "user: guest\npassword: guest\n".into());
+        write(
+            "options.yaml",
+            format!(
+                "amqp:\n  brokers: [\"{}\"]\n  credentials: credentials.yaml\n  dead_letter: {{routing_key: dead}}\n  \
+                 queues:\n    - name: jobs\n      class: book\n      tenant: acme\n",
+                self.broker.address
+            ),
+        );
+    }
+
+    fn run_command(&mut self, words: &[&str]) {
+        let (worker, broker) = (&self.worker, &self.broker);
         let number = |at: usize| words.get(at).and_then(|word| word.parse::<usize>().ok()).unwrap_or(1);
         match words.first().copied().unwrap_or_default() {
             "" => {}
@@ -60,41 +87,41 @@
             }
             "fill" => {
                 for _ in 0..number(1) {
-                    filled += 1;
-                    let id = format!("f{filled}");
+                    self.messages_filled += 1;
+                    let id = format!("f{}", self.messages_filled);
                     broker.publish(message("jobs", &id, id.as_bytes()).reply_to("replies", &id));
                 }
             }
             "queues" => println!("{}", broker.with_state(|state| state.to_string())),
             queue @ ("replies" | "dead") => broker.take(queue).iter().for_each(print),
-            "hold" => worker.hold(true),
-            "go" => worker.hold(false),
-            "slow" => worker.takes(Duration::from_millis(number(1) as u64)),
-            "fail" => worker.fail(number(1)),
-            "cut" => broker.cut(),
+            "hold" => worker.set_held(true),
+            "go" => worker.set_held(false),
+            "slow" => worker.set_run_duration(Duration::from_millis(number(1) as u64)),
+            "fail" => worker.fail_next(number(1)),
+            "cut" => broker.disconnect_all(),
             "close" => broker.with_state(|state| state.close_channels("jobs", 541)),
             "nack" => broker.faults(|faults| faults.nack = number(1)),
             "block" => broker.with_state(|state| state.block(true)),
             "unblock" => broker.with_state(|state| state.block(false)),
             "runs" => {
-                let twice = worker.runs().values().filter(|times| **times > 1).count();
-                println!("{} runs, {twice} bodies ran twice", worker.count());
+                let twice = worker.run_counts().values().filter(|times| **times > 1).count();
+                println!("{} runs, {twice} bodies ran twice", worker.run_count());
             }
-            "quit" => return,
             _ => print!("{HELP}"),
         }
     }
 }
 
 fn print(message: &Message) {
-    let said = |name: &str| message.says(name).map_or(String::new(), |value| format!(" {name}={value}"));
+    let sent =
+        |name: &str| message.header_text(name).map_or(String::new(), |value| format!(" {name}={value}"));
     println!(
         "{} {}{}{}{} body={:?}",
         message.correlation(),
         message.kind(),
-        said("x-loomflow-reason"),
-        said("x-loomflow-ran"),
-        said("x-loomflow-holdoff"),
+        sent("x-loomflow-reason"),
+        sent("x-loomflow-ran"),
+        sent("x-loomflow-holdoff"),
         String::from_utf8_lossy(&message.body)
     );
 }
--- a/crates/loomflow-standins/src/broker/mod.rs
+++ b/crates/loomflow-standins/src/broker/mod.rs
@@ -1,4 +1,4 @@
-//! An AMQP 0-9-1 broker on loopback that does on command what brokers do at bad moments.
+//! Stand-in of an AMQP 0-9-1 broker on loopback, with faults on command.
 
 pub mod state;
 
@@ -16,11 +16,11 @@
 pub use amq_protocol::protocol::basic::AMQPProperties;
 pub use amq_protocol::types::{AMQPValue, FieldTable};
 
-use crate::base::{PATIENCE, free_listener};
+use crate::base::{RESPONSE_TIMEOUT, loopback_listener};
 use state::{ConnectionId, State};
 pub use state::{Faults, Message, Settled};
 
-/// Whoever has it may do to the broker what a test wants; it ends with the last.
+/// Handle of a broker, which ends with its last handle.
 #[derive(Clone)]
 pub struct Broker {
     /// Address of the broker.
@@ -30,12 +30,12 @@
 
 struct Shared {
     state: Mutex<State>,
-    links: Mutex<BTreeMap<ConnectionId, Link>>,
-    /// Nothing more is read.
-    stalled: AtomicBool,
-    /// Every connection is cut once so many more bytes are written to it.
-    cut_after: AtomicU64,
-    refusing: AtomicBool,
+    connections: Mutex<BTreeMap<ConnectionId, Link>>,
+    /// Whether reading is stopped.
+    is_stalled: AtomicBool,
+    /// Bytes to write until a connection is closed.
+    disconnect_after_bytes: AtomicU64,
+    is_refusing: AtomicBool,
 }
 
 struct Link {
@@ -56,29 +56,29 @@
 }
 
 impl Message {
-    /// The same with somebody who waits for a reply.
+    /// Adds a reply address.
     #[must_use]
     pub fn reply_to(mut self, queue: &str, correlation: &str) -> Message {
         self.properties = self.properties.with_reply_to(queue.into()).with_correlation_id(correlation.into());
         self
     }
 
-    /// The same with one more header.
+    /// Adds a text header.
     #[must_use]
     pub fn header(self, name: &str, value: &str) -> Message {
         self.with(name, AMQPValue::LongString(value.into()))
     }
 
-    /// The same, stamped with the time as some brokers stamp what comes in (ms, header `timestamp_in_ms`).
+    /// Adds the current time as some brokers do (ms, header `timestamp_in_ms`).
     #[must_use]
-    pub fn sent_now(self) -> Message {
+    pub fn with_sent_time(self) -> Message {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        self.stamped("timestamp_in_ms", unix.as_millis() as i64)
+        self.with_number_header("timestamp_in_ms", unix.as_millis() as i64)
     }
 
-    /// The same with a header that is a number.
+    /// Adds a number header.
     #[must_use]
-    pub fn stamped(self, name: &str, value: i64) -> Message {
+    pub fn with_number_header(self, name: &str, value: i64) -> Message {
         self.with(name, AMQPValue::LongLongInt(value))
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// A header as text, whatever its type.
-    pub fn says(&self, name: &str) -> Option<String> {
+    pub fn header_text(&self, name: &str) -> Option<String> {
         match self.properties.headers().as_ref()?.inner().get(name)? {
             AMQPValue::LongString(text) => Some(text.to_string()),
             AMQPValue::LongLongInt(number) => Some(number.to_string()),
@@ -115,14 +115,14 @@
         Broker::with(State::default())
     }
 
-    /// One with the queues of a server that takes jobs: `jobs`, `replies` and `dead`.
+    /// A broker with the queues `jobs`, `replies` and `dead`.
     pub fn with_jobs() -> Broker {
         let broker = Broker::start();
         ["jobs", "replies", "dead"].into_iter().for_each(|queue| broker.declare(queue));
         broker
     }
 
-    /// One with such limits: heartbeat in s, octets of a frame, channels.
+    /// A broker with limits: heartbeat interval (s), frame size (bytes) and channel number.
     pub fn limited(heartbeat: u16, frame_max: u32, channel_max: u16) -> Broker {
         let mut state = State::default();
         (state.heartbeat, state.frame_max, state.channel_max) = (heartbeat, frame_max, channel_max);
@@ -130,14 +130,14 @@
     }
 
     fn with(state: State) -> Broker {
-        let listener = free_listener();
+        let listener = loopback_listener();
         let address = listener.local_addr().expect("an address");
         let shared = Arc::new(Shared {
             state: Mutex::new(state),
-            links: Mutex::default(),
-            stalled: AtomicBool::new(false),
-            cut_after: AtomicU64::new(NEVER),
-            refusing: AtomicBool::new(false),
+            connections: Mutex::default(),
+            is_stalled: AtomicBool::new(false),
+            disconnect_after_bytes: AtomicU64::new(NEVER),
+            is_refusing: AtomicBool::new(false),
         });
         let weak = Arc::downgrade(&shared);
         thread::spawn(move || accept(&listener, &weak));
@@ -148,7 +148,7 @@
         self.shared.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Does something with what the broker holds, and says what follows.
+    /// Accesses the state, and sends the frames that result.
     pub fn with_state<T>(&self, does: impl FnOnce(&mut State) -> T) -> T {
         let mut state = self.state();
         let done = does(&mut state);
@@ -176,68 +176,68 @@
         self.with_state(|state| state.take(queue))
     }
 
-    /// The next messages of a queue that nobody consumes, once there are so many.
-    pub fn wait(&self, queue: &str, count: usize) -> Vec<Message> {
-        self.until(&format!("{count} messages in {queue}"), |state| state.ready(queue) >= count);
+    /// Waits until a queue has this many ready messages, and takes all of them.
+    pub fn wait_for_messages(&self, queue: &str, count: usize) -> Vec<Message> {
+        self.wait_until(&format!("{count} messages in {queue}"), |state| state.ready(queue) >= count);
         self.take(queue)
     }
 
-    /// Waits until something holds.
-    pub fn until(&self, what: &str, holds: impl Fn(&State) -> bool) {
-        let until = Instant::now() + PATIENCE;
-        while !holds(&self.state()) {
+    /// Waits until a condition holds.
+    pub fn wait_until(&self, what: &str, condition: impl Fn(&State) -> bool) {
+        let until = Instant::now() + RESPONSE_TIMEOUT;
+        while !condition(&self.state()) {
             assert!(Instant::now() < until, "{what}: {}", self.state());
             thread::sleep(Duration::from_millis(2));
         }
     }
 
-    /// Waits until a queue holds nothing, ready or unacknowledged.
-    pub fn drained(&self, queue: &str) {
-        self.until(&format!("{queue} is empty"), |s| s.ready(queue) == 0 && s.unacked(queue) == 0);
+    /// Waits until a queue has neither ready nor unacknowledged messages.
+    pub fn wait_until_empty(&self, queue: &str) {
+        self.wait_until(&format!("{queue} is empty"), |s| s.ready(queue) == 0 && s.unacked(queue) == 0);
     }
 
-    /// Breaks every connection off.
-    pub fn cut(&self) {
-        let links = self.shared.links.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Closes all connections without notice.
+    pub fn disconnect_all(&self) {
+        let links = self.shared.connections.lock().unwrap_or_else(PoisonError::into_inner);
         links.values().for_each(|link| drop(link.stream.shutdown(Shutdown::Both)));
     }
 
-    /// Breaks a connection off once so many more bytes are written to it.
-    pub fn cut_after(&self, bytes: u64) {
-        self.shared.cut_after.store(bytes, Ordering::Release);
+    /// Closes a connection after this many more bytes.
+    pub fn disconnect_after(&self, bytes: u64) {
+        self.shared.disconnect_after_bytes.store(bytes, Ordering::Release);
     }
 
-    /// Reads nothing more, or goes on.
-    pub fn stall(&self, is: bool) {
-        self.shared.stalled.store(is, Ordering::Release);
+    /// Stops or resumes reading.
+    pub fn set_stalled(&self, is: bool) {
+        self.shared.is_stalled.store(is, Ordering::Release);
     }
 
-    /// Takes no connection, or does again.
-    pub fn refuse(&self, is: bool) {
-        self.shared.refusing.store(is, Ordering::Release);
+    /// Refuses connections, or accepts them again.
+    pub fn refuse_connections(&self, is: bool) {
+        self.shared.is_refusing.store(is, Ordering::Release);
     }
 
-    /// Any bytes, on every connection.
-    pub fn say_bytes(&self, bytes: &[u8]) {
-        let links = self.shared.links.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Sends bytes on all connections.
+    pub fn send_bytes(&self, bytes: &[u8]) {
+        let links = self.shared.connections.lock().unwrap_or_else(PoisonError::into_inner);
         links.values().for_each(|link| drop(link.out.send(bytes.to_vec())));
     }
 }
 
 impl Shared {
-    /// Hands what is to be said to the connections' writers.
+    /// Passes pending frames to the writers of the connections.
     fn send(&self, state: &mut State) {
-        let links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
+        let links = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
         for (id, frame) in state.take_out() {
             let Some(link) = links.get(&id) else { continue };
-            // An empty part ends the connection once all before it is written.
-            let bytes = frame.map(|frame| worded(&frame)).unwrap_or_default();
+            // An empty part closes the connection after everything before it.
+            let bytes = frame.map(|frame| encode(&frame)).unwrap_or_default();
             let _ = link.out.send(bytes);
         }
     }
 }
 
-fn worded(frame: &AMQPFrame) -> Vec<u8> {
+fn encode(frame: &AMQPFrame) -> Vec<u8> {
     let done = gen_frame(frame)(WriteContext::from(Vec::new())).expect("a frame");
     done.into_inner().0
 }
@@ -246,21 +246,21 @@
     let mut id: ConnectionId = 0;
     while let Ok((stream, _)) = listener.accept() {
         let Some(shared) = shared.upgrade() else { return };
-        if shared.refusing.load(Ordering::Acquire) {
+        if shared.is_refusing.load(Ordering::Acquire) {
             continue;
         }
         id += 1;
         let _ = stream.set_nodelay(true);
         let (out, parts) = channel();
         let (reader, writer) = (stream.try_clone().expect("a clone"), stream.try_clone().expect("a clone"));
-        shared.links.lock().unwrap_or_else(PoisonError::into_inner).insert(id, Link { stream, out });
+        shared.connections.lock().unwrap_or_else(PoisonError::into_inner).insert(id, Link { stream, out });
         let for_writer = shared.clone();
         thread::spawn(move || write(writer, &parts, &for_writer));
         thread::spawn(move || {
             let _ = read(reader, id, &shared);
-            shared.links.lock().unwrap_or_else(PoisonError::into_inner).remove(&id);
+            shared.connections.lock().unwrap_or_else(PoisonError::into_inner).remove(&id);
             let mut state = shared.state.lock().unwrap_or_else(PoisonError::into_inner);
-            state.ended(id);
+            state.connection_closed(id);
             shared.send(&mut state);
         });
     }
@@ -269,20 +269,20 @@
 fn write(mut stream: TcpStream, parts: &Receiver<Vec<u8>>, shared: &Shared) {
     let mut over = false;
     while !over && let Ok(mut part) = parts.recv() {
-        // What is ready goes out in one write, as brokers write a message's frames. An empty part is the end.
+        // Everything that is ready goes into one write, as brokers write the frames of a message. An empty part is the end.
         over = part.is_empty();
         while !over && let Ok(more) = parts.try_recv() {
             over = more.is_empty();
             part.extend(more);
         }
-        let left = shared.cut_after.load(Ordering::Acquire);
+        let left = shared.disconnect_after_bytes.load(Ordering::Acquire);
         if left != NEVER {
             let now = part.len().min(left as usize);
             if stream.write_all(&part[..now]).is_err() || now < part.len() {
-                shared.cut_after.store(NEVER, Ordering::Release);
+                shared.disconnect_after_bytes.store(NEVER, Ordering::Release);
                 break;
             }
-            shared.cut_after.store(left - now as u64, Ordering::Release);
+            shared.disconnect_after_bytes.store(left - now as u64, Ordering::Release);
         } else if stream.write_all(&part).is_err() {
             break;
         }
@@ -294,7 +294,7 @@
     let mut greeting = [0; 8];
     stream.read_exact(&mut greeting)?;
     let mut state = shared.state.lock().unwrap_or_else(PoisonError::into_inner);
-    state.opened(id);
+    state.connection_opened(id);
     shared.send(&mut state);
     drop(state);
     loop {
@@ -304,14 +304,14 @@
         let mut bytes = head.to_vec();
         bytes.resize(7 + size + 1, 0);
         stream.read_exact(&mut bytes[7..])?;
-        while shared.stalled.load(Ordering::Acquire) {
+        while shared.is_stalled.load(Ordering::Acquire) {
             thread::sleep(Duration::from_millis(2));
         }
         let Ok((_, frame)) = parse_frame(&bytes[..]) else {
             return Err(std::io::ErrorKind::InvalidData.into());
         };
         let mut state = shared.state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.frame(id, frame);
+        state.handle_frame(id, frame);
         shared.send(&mut state);
     }
 }
--- a/crates/loomflow-standins/src/broker/state/frames.rs
+++ b/crates/loomflow-standins/src/broker/state/frames.rs
@@ -1,10 +1,10 @@
-//! Frames in: what each method does, and what is delivered to whom.
+//! Handling of received frames, and delivery to consumers.
 
 use super::*;
 
 impl State {
     /// Handles a frame of a connection.
-    pub fn frame(&mut self, id: ConnectionId, frame: AMQPFrame) {
+    pub fn handle_frame(&mut self, id: ConnectionId, frame: AMQPFrame) {
         match frame {
             AMQPFrame::Method(0, AMQPClass::Connection(method)) => self.connection(id, method),
             AMQPFrame::Method(number, AMQPClass::Channel(method)) => self.channel(id, number, method),
@@ -37,13 +37,13 @@
                 }
                 let (channel_max, frame_max, heartbeat) = (self.channel_max, self.frame_max, self.heartbeat);
                 let tune = connection::Tune { channel_max, frame_max, heartbeat };
-                self.say(id, 0, AMQPClass::Connection(Connections::Tune(tune)));
+                self.send(id, 0, AMQPClass::Connection(Connections::Tune(tune)));
             }
             Connections::Open(_) => {
-                self.say(id, 0, AMQPClass::Connection(Connections::OpenOk(connection::OpenOk {})));
+                self.send(id, 0, AMQPClass::Connection(Connections::OpenOk(connection::OpenOk {})));
             }
             Connections::Close(_) => {
-                self.say(id, 0, AMQPClass::Connection(Connections::CloseOk(connection::CloseOk {})));
+                self.send(id, 0, AMQPClass::Connection(Connections::CloseOk(connection::CloseOk {})));
                 self.out.push((id, None));
             }
             _ => {}
@@ -55,11 +55,11 @@
             Channels::Open(_) => {
                 let Some(connection) = self.connections.get_mut(&id) else { return };
                 connection.channels.insert(number, Channel { next_tag: 1, ..Channel::default() });
-                self.say(id, number, AMQPClass::Channel(Channels::OpenOk(channel::OpenOk {})));
+                self.send(id, number, AMQPClass::Channel(Channels::OpenOk(channel::OpenOk {})));
             }
             Channels::Close(_) => {
                 self.drop_channel(id, number);
-                self.say(id, number, AMQPClass::Channel(Channels::CloseOk(channel::CloseOk {})));
+                self.send(id, number, AMQPClass::Channel(Channels::CloseOk(channel::CloseOk {})));
             }
             _ => {}
         }
@@ -79,7 +79,7 @@
 
     fn on_channel(&mut self, id: ConnectionId, number: u16, class: AMQPClass) {
         if self.of(id, number).is_none() {
-            // One that has just been closed by us, while this was on its way.
+            // The channel was closed while this frame was in transit.
             return;
         }
         match class {
@@ -89,13 +89,13 @@
                     channel.confirms = Some(1);
                 }
                 let ok = confirm::AMQPMethod::SelectOk(confirm::SelectOk {});
-                self.say(id, number, AMQPClass::Confirm(ok));
+                self.send(id, number, AMQPClass::Confirm(ok));
             }
             AMQPClass::Queue(method) => self.queue(id, number, method),
             AMQPClass::Exchange(exchange::AMQPMethod::Declare(declare)) => {
                 self.exchange(declare.exchange.as_str(), declare.kind.as_str(), &[]);
                 let ok = exchange::AMQPMethod::DeclareOk(exchange::DeclareOk {});
-                self.say(id, number, AMQPClass::Exchange(ok));
+                self.send(id, number, AMQPClass::Exchange(ok));
             }
             _ => self.close_connection(id, 540, "not implemented"),
         }
@@ -126,7 +126,7 @@
             }
             _ => return self.close_connection(id, 540, "not implemented"),
         };
-        self.say(id, number, AMQPClass::Queue(ok));
+        self.send(id, number, AMQPClass::Queue(ok));
     }
 
     fn basic(&mut self, id: ConnectionId, number: u16, method: Basic) {
@@ -135,7 +135,7 @@
                 if let Some(channel) = self.of(id, number) {
                     channel.prefetch = qos.prefetch_count;
                 }
-                self.say(id, number, AMQPClass::Basic(Basic::QosOk(basic::QosOk {})));
+                self.send(id, number, AMQPClass::Basic(Basic::QosOk(basic::QosOk {})));
             }
             Basic::Consume(consume) => self.consume(id, number, &consume),
             Basic::Cancel(cancel) => {
@@ -146,7 +146,7 @@
                 let here = (id, number, tag);
                 self.queues.values_mut().for_each(|queue| queue.consumers.retain(|one| *one != here));
                 let consumer_tag = cancel.consumer_tag;
-                self.say(id, number, AMQPClass::Basic(Basic::CancelOk(basic::CancelOk { consumer_tag })));
+                self.send(id, number, AMQPClass::Basic(Basic::CancelOk(basic::CancelOk { consumer_tag })));
             }
             Basic::Publish(publish) => {
                 if let Some(channel) = self.of(id, number) {
@@ -178,16 +178,16 @@
             channel.consumers.insert(tag, consumer);
         }
         let consumer_tag = consume.consumer_tag.clone();
-        self.say(id, number, AMQPClass::Basic(Basic::ConsumeOk(basic::ConsumeOk { consumer_tag })));
+        self.send(id, number, AMQPClass::Basic(Basic::ConsumeOk(basic::ConsumeOk { consumer_tag })));
     }
 
-    /// A publish whose content is whole.
+    /// Publishes a message whose content is complete.
     fn published(&mut self, id: ConnectionId, number: u16) {
         let Some(channel) = self.of(id, number) else { return };
-        let whole = |one: &mut (basic::Publish, Option<AMQPContentHeader>, Vec<u8>)| {
+        let is_complete = |one: &mut (basic::Publish, Option<AMQPContentHeader>, Vec<u8>)| {
             one.1.as_ref().is_some_and(|header| one.2.len() as u64 >= header.body_size)
         };
-        let Some((publish, Some(header), body)) = channel.publishing.take_if(whole) else { return };
+        let Some((publish, Some(header), body)) = channel.publishing.take_if(is_complete) else { return };
         let seq = channel.confirms;
         channel.confirms = seq.map(|seq| seq + 1);
         let message = Message {
@@ -200,16 +200,16 @@
         if !message.exchange.is_empty() && !self.exchanges.contains_key(&message.exchange) {
             return self.close_channel(id, number, 404, "NOT_FOUND - no exchange");
         }
-        let refused = self.faults.nack > 0;
+        let is_rejected = self.faults.nack > 0;
         self.faults.nack = self.faults.nack.saturating_sub(1);
-        if !refused && !self.publish(message) && publish.mandatory {
+        if !is_rejected && !self.publish(message) && publish.mandatory {
             let back = basic::Return {
                 reply_code: 312,
                 reply_text: "NO_ROUTE".into(),
                 exchange: publish.exchange,
                 routing_key: publish.routing_key,
             };
-            self.say(id, number, AMQPClass::Basic(Basic::Return(back)));
+            self.send(id, number, AMQPClass::Basic(Basic::Return(back)));
             self.out.push((id, Some(AMQPFrame::Header(number, header))));
             self.out.push((id, Some(AMQPFrame::Body(number, body))));
         }
@@ -218,12 +218,12 @@
             self.faults.unconfirmed -= 1;
             return;
         }
-        let method = if refused {
+        let method = if is_rejected {
             Basic::Nack(basic::Nack { delivery_tag, multiple: false, requeue: false })
         } else {
             Basic::Ack(basic::Ack { delivery_tag, multiple: false })
         };
-        self.say(id, number, AMQPClass::Basic(method));
+        self.send(id, number, AMQPClass::Basic(method));
     }
 
     fn settle(&mut self, id: ConnectionId, number: u16, tag: u64, multiple: bool, how: Settled) {
@@ -259,7 +259,7 @@
         }
     }
 
-    /// Delivers what is ready to consumers that have room, each in turn.
+    /// Delivers ready messages to consumers with capacity, in turn.
     pub(super) fn pump(&mut self) {
         let names: Vec<String> = self.queues.keys().cloned().collect();
         for name in names {
@@ -278,7 +278,7 @@
             }
         }
         let unacked = |c: &Connection| c.channels.values().map(|one| one.unacked.len()).sum::<usize>();
-        self.most_unacked = self.most_unacked.max(self.connections.values().map(unacked).sum());
+        self.max_unacked = self.max_unacked.max(self.connections.values().map(unacked).sum());
     }
 
     fn deliver(&mut self, name: &str, to: &(ConnectionId, u16, String)) -> bool {
@@ -315,7 +315,7 @@
             exchange: message.exchange.as_str().into(),
             routing_key: message.routing_key.as_str().into(),
         };
-        self.say(*id, *number, AMQPClass::Basic(Basic::Deliver(deliver)));
+        self.send(*id, *number, AMQPClass::Basic(Basic::Deliver(deliver)));
         let body_size = message.body.len() as u64;
         let header = AMQPContentHeader { class_id: 60, body_size, properties: message.properties };
         self.out.push((*id, Some(AMQPFrame::Header(*number, header))));
--- a/crates/loomflow-standins/src/broker/state/mod.rs
+++ b/crates/loomflow-standins/src/broker/state/mod.rs
@@ -1,6 +1,5 @@
-//! What a broker holds and does: exchanges, queues, channels and their consumers, after the AMQP 0-9-1 specification
-//! and the extensions that brokers have agreed upon (confirms, nack, dead letters, blocked, consumer cancel). It knows
-//! no socket: frames come in by channel, frames go out by connection.
+//! State machine of the broker: exchanges, queues, channels and consumers of the AMQP 0-9-1 specification, with the usual
+//! extensions (confirms, nack, dead letters, blocked, consumer cancel). It owns no socket.
 
 mod frames;
 
@@ -16,7 +15,7 @@
 /// Number of a connection.
 pub type ConnectionId = u64;
 
-/// A message at rest.
+/// A message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
     /// Exchange that it was published to.
@@ -80,7 +79,7 @@
     consumers: BTreeMap<String, Consumer>,
     next_tag: u64,
     unacked: BTreeMap<u64, Unacked>,
-    /// The number of the next publish, where publishes are confirmed.
+    /// Sequence number of the next publish, if publishes are confirmed.
     confirms: Option<u64>,
     publishing: Option<(basic::Publish, Option<AMQPContentHeader>, Vec<u8>)>,
 }
@@ -90,16 +89,16 @@
     channels: BTreeMap<u16, Channel>,
 }
 
-/// What goes wrong from now on.
+/// Faults to inject.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// So many publishes are nacked.
+    /// Number of publishes to nack.
     pub nack: usize,
-    /// So many messages are delivered twice.
+    /// Number of messages to deliver twice.
     pub duplicate: usize,
-    /// So many publishes are taken and neither acked nor nacked.
+    /// Number of publishes to accept without a confirm.
     pub unconfirmed: usize,
-    /// So many acks of deliveries are read and forgotten.
+    /// Number of acknowledgements to ignore.
     pub forget_acks: usize,
 }
 
@@ -117,16 +116,16 @@
     pub channel_max: u16,
     /// Faults to inject.
     pub faults: Faults,
-    /// Deliveries made, and settled by message id.
+    /// Number of deliveries.
     pub deliveries: u64,
     /// Queue and settlement of every settled delivery.
     pub settled: Vec<(String, Settled)>,
-    /// The most deliveries that were unacknowledged at the same time.
-    pub most_unacked: usize,
+    /// Largest number of unacknowledged deliveries.
+    pub max_unacked: usize,
     exchanges: BTreeMap<String, Exchange>,
     queues: BTreeMap<String, Queue>,
     connections: BTreeMap<ConnectionId, Connection>,
-    /// To be written, by connection; none ends it.
+    /// Frames to send, by connection; `None` closes it.
     out: Vec<(ConnectionId, Option<AMQPFrame>)>,
 }
 
@@ -141,7 +140,7 @@
             faults: Faults::default(),
             deliveries: 0,
             settled: Vec::new(),
-            most_unacked: 0,
+            max_unacked: 0,
             exchanges: BTreeMap::new(),
             queues: BTreeMap::new(),
             connections: BTreeMap::new(),
@@ -150,7 +149,7 @@
     }
 }
 
-/// What stands where, for a test that waits in vain.
+/// A summary for failed tests.
 impl std::fmt::Display for State {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         for (name, queue) in &self.queues {
@@ -171,11 +170,11 @@
         std::mem::take(&mut self.out)
     }
 
-    fn say(&mut self, id: ConnectionId, channel: u16, class: AMQPClass) {
+    fn send(&mut self, id: ConnectionId, channel: u16, class: AMQPClass) {
         self.out.push((id, Some(AMQPFrame::Method(channel, class))));
     }
 
-    // ---- By command ----
+    // ---- Commands of tests ----
 
     /// Declares a queue, optionally with the exchange and routing key of its dead letters.
     pub fn declare(&mut self, name: &str, dead_letter: Option<(&str, &str)>) {
@@ -185,7 +184,7 @@
         }
     }
 
-    /// An exchange, and the queues that are bound to it by their keys.
+    /// Declares an exchange with its bindings of routing key to queue.
     pub fn exchange(&mut self, name: &str, kind: &str, bindings: &[(&str, &str)]) {
         let kind = if kind == "fanout" { Kind::Fanout } else { Kind::Direct };
         let exchange = self
@@ -195,7 +194,7 @@
         exchange.bindings.extend(bindings.iter().map(|(key, queue)| (key.to_string(), queue.to_string())));
     }
 
-    /// Publishes by the rules of exchanges; false where it cannot be routed.
+    /// Routes a message; returns false if no queue takes it.
     pub fn publish(&mut self, message: Message) -> bool {
         let names: Vec<String> = match self.exchanges.get(&message.exchange) {
             Some(exchange) => {
@@ -236,7 +235,7 @@
         self.queues.get(queue).map_or(0, |queue| queue.consumers.len())
     }
 
-    /// How many messages of a queue its consumers may hold at once: the sum of their prefetch.
+    /// Sum of the prefetch counts of the consumers of a queue.
     pub fn credit(&self, queue: &str) -> usize {
         let channels = self.connections.values().flat_map(|c| c.channels.values());
         channels.flat_map(|c| c.consumers.values()).filter(|c| c.queue == queue).map(|c| c.prefetch).sum()
@@ -247,12 +246,12 @@
         self.connections.keys().copied().collect()
     }
 
-    /// Takes what stands in a queue.
+    /// Takes all ready messages of a queue.
     pub fn take(&mut self, queue: &str) -> Vec<Message> {
         self.queues.get_mut(queue).map(|queue| queue.ready.drain(..).collect()).unwrap_or_default()
     }
 
-    /// Closes every channel that consumes from a queue, with what is unacknowledged there.
+    /// Closes every channel that consumes from a queue.
     pub fn close_channels(&mut self, queue: &str, code: u16) {
         let all: Vec<(ConnectionId, u16)> = self
             .queues
@@ -265,7 +264,7 @@
         self.pump();
     }
 
-    /// Cancels every consumer of a queue, as when it is deleted.
+    /// Cancels every consumer of a queue, as if it were deleted.
     pub fn cancel_consumers(&mut self, queue: &str) {
         let all = self.queues.get_mut(queue).map(|q| std::mem::take(&mut q.consumers)).unwrap_or_default();
         for (id, number, consumer_tag) in all {
@@ -273,7 +272,7 @@
                 channel.consumers.remove(&consumer_tag);
             }
             let consumer_tag = consumer_tag.as_str().into();
-            self.say(
+            self.send(
                 id,
                 number,
                 AMQPClass::Basic(Basic::Cancel(basic::Cancel { consumer_tag, nowait: true })),
@@ -289,7 +288,7 @@
             } else {
                 Connections::Unblocked(connection::Unblocked {})
             };
-            self.say(id, 0, AMQPClass::Connection(method));
+            self.send(id, 0, AMQPClass::Connection(method));
         }
     }
 
@@ -298,13 +297,13 @@
         for id in self.connections() {
             let numbers: Vec<u16> = self.connections[&id].channels.keys().copied().collect();
             for number in numbers {
-                self.say(id, number, AMQPClass::Channel(Channels::Flow(channel::Flow { active })));
+                self.send(id, number, AMQPClass::Channel(Channels::Flow(channel::Flow { active })));
             }
         }
     }
 
-    /// Any frames, on every connection.
-    pub fn say_raw(&mut self, frames: &[AMQPFrame]) {
+    /// Sends frames on all connections.
+    pub fn send_raw(&mut self, frames: &[AMQPFrame]) {
         for id in self.connections() {
             self.out.extend(frames.iter().map(|frame| (id, Some(frame.clone()))));
         }
@@ -313,9 +312,9 @@
     // ---- Connections ----
 
     /// A client has opened a connection.
-    pub fn opened(&mut self, id: ConnectionId) {
+    pub fn connection_opened(&mut self, id: ConnectionId) {
         self.connections.insert(id, Connection::default());
-        self.say(
+        self.send(
             id,
             0,
             AMQPClass::Connection(Connections::Start(connection::Start {
@@ -328,8 +327,8 @@
         );
     }
 
-    /// A connection is gone: what was unacknowledged is ready again, at the head of its queue.
-    pub fn ended(&mut self, id: ConnectionId) {
+    /// A connection was closed: its unacknowledged messages return to the head of their queues.
+    pub fn connection_closed(&mut self, id: ConnectionId) {
         let numbers: Vec<u16> =
             self.connections.get(&id).map(|c| c.channels.keys().copied().collect()).unwrap_or_default();
         numbers.into_iter().for_each(|number| self.drop_channel(id, number));
@@ -339,14 +338,14 @@
 
     fn close_connection(&mut self, id: ConnectionId, code: u16, why: &str) {
         let close = connection::Close { reply_code: code, reply_text: why.into(), class_id: 0, method_id: 0 };
-        self.say(id, 0, AMQPClass::Connection(Connections::Close(close)));
+        self.send(id, 0, AMQPClass::Connection(Connections::Close(close)));
         self.out.push((id, None));
     }
 
     fn close_channel(&mut self, id: ConnectionId, number: u16, code: u16, why: &str) {
         self.drop_channel(id, number);
         let close = channel::Close { reply_code: code, reply_text: why.into(), class_id: 0, method_id: 0 };
-        self.say(id, number, AMQPClass::Channel(Channels::Close(close)));
+        self.send(id, number, AMQPClass::Channel(Channels::Close(close)));
     }
 
     fn drop_channel(&mut self, id: ConnectionId, number: u16) {
--- a/crates/loomflow-standins/src/control.rs
+++ b/crates/loomflow-standins/src/control.rs
@@ -1,4 +1,4 @@
-//! The control plane: takes reports and answers them as told.
+//! Stand-in of the control plane: receives reports and responds as the test wants.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-use crate::base::{PATIENCE, free_listener};
+use crate::base::{RESPONSE_TIMEOUT, loopback_listener};
 
 /// A stand-in of the control plane.
 pub struct Control {
@@ -18,7 +18,7 @@
 
 impl Control {
     pub(crate) fn start() -> Control {
-        Control::at(free_listener())
+        Control::at(loopback_listener())
     }
 
     /// Starts one on a listener.
@@ -36,9 +36,9 @@
         Control { address, reports, answer }
     }
 
-    /// One that answers each report with the same over and over, and never comes to an end.
+    /// Starts one whose responses never end.
     pub fn endless(with: &'static str) -> Control {
-        let listener = free_listener();
+        let listener = loopback_listener();
         let address = listener.local_addr().expect("an address");
         let (sender, reports) = channel();
         thread::spawn(move || {
@@ -59,14 +59,14 @@
         Control { address, reports, answer: Arc::new(Mutex::new(with)) }
     }
 
-    /// What each further report is answered; nothing where it is empty.
+    /// Changes the response to further reports; an empty one is not sent.
     pub fn answers(&self, with: &'static str) {
         *self.answer.lock().unwrap() = with;
     }
 
     /// The first line and the body of the next report.
     pub fn report(&self) -> String {
-        self.reports.recv_timeout(PATIENCE).expect("a report")
+        self.reports.recv_timeout(RESPONSE_TIMEOUT).expect("a report")
     }
 
     /// Drops the reports that were received so far.
--- a/crates/loomflow-standins/src/engine.rs
+++ b/crates/loomflow-standins/src/engine.rs
@@ -1,42 +1,42 @@
-//! The engine, scripted line by line.
+//! Stand-in of the engine, scripted line by line.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::Receiver;
 
-use crate::base::{PATIENCE, QUIET, free_listener};
-use crate::lines::{Link, accepting};
+use crate::base::{QUIET_PERIOD, RESPONSE_TIMEOUT, loopback_listener};
+use crate::lines::{PeerConnection, accepting};
 
 /// A scripted stand-in of the engine.
 pub struct Engine {
     /// Its address.
     pub address: SocketAddr,
-    links: Receiver<Link>,
+    links: Receiver<PeerConnection>,
     answers_stat: Arc<AtomicBool>,
 }
 
 impl Engine {
     /// Starts one on a free address.
     pub fn start() -> Engine {
-        let listener = free_listener();
+        let listener = loopback_listener();
         let address = listener.local_addr().expect("an address");
         let answers_stat = Arc::new(AtomicBool::new(true));
         Engine { address, links: accepting(listener, &["RUN", "FEED"], answers_stat.clone()), answers_stat }
     }
 
-    /// Nobody has opened a link to it.
+    /// Checks that the server opens no connection.
     pub fn has_no_link(&self) {
-        assert!(self.links.recv_timeout(QUIET).is_err());
+        assert!(self.links.recv_timeout(QUIET_PERIOD).is_err());
     }
 
-    /// Questions for the gauges and deep checks are lines like others from now on, or answered again.
+    /// Whether it responds to gauge and health queries by itself, or passes them to the test like other lines.
     pub fn answers_by_itself(&self, does: bool) {
         self.answers_stat.store(does, Ordering::Release);
     }
 
-    /// The next link that the server opens.
-    pub fn link(&self) -> Link {
-        self.links.recv_timeout(PATIENCE).expect("a link")
+    /// The next connection that the server opens.
+    pub fn link(&self) -> PeerConnection {
+        self.links.recv_timeout(RESPONSE_TIMEOUT).expect("a link")
     }
 }
--- a/crates/loomflow-standins/src/fleet.rs
+++ b/crates/loomflow-standins/src/fleet.rs
@@ -1,6 +1,6 @@
-//! Several real servers that form a fleet, each with its engine, and a relay on each link between two of them.
+//! A fleet of real server processes, each with a stand-in engine, and a relay on each link between two of them.
 //!
-//! What happened is judged from outside: by processes and by what their gateways' ports say, not by the fleet's own word.
+//! Tests observe the processes and the gateway ports from outside, not what the fleet reports about itself.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::SocketAddr;
@@ -12,20 +12,20 @@
 use rustix::process::{Pid, Resource, Rlimit, Signal, kill_process, prlimit};
 use serde_json::Value;
 
-use crate::base::free_address;
-use crate::relay::{Relay, Trouble};
-use crate::{Worker, World, site};
+use crate::base::loopback_address;
+use crate::relay::{LinkFault, Relay};
+use crate::{ServerFixture, Worker, site};
 
-/// Longer than anything takes; only a failure waits for it.
+/// How long a test waits for something that must happen. Only failures take this long.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A server of the fleet and its stand-ins.
 pub struct Member {
     /// The server's process and its stand-ins.
-    pub world: World,
+    pub fixture: ServerFixture,
     /// Its engine.
     pub worker: Worker,
-    /// Its folder.
+    /// Its state directory.
     pub state: PathBuf,
     /// Where it listens for the fleet.
     pub address: SocketAddr,
@@ -35,16 +35,16 @@
 pub struct Fleet {
     /// Its servers.
     pub members: Vec<Member>,
-    /// From the first to the second.
+    /// Relays by sender and receiver.
     relays: Vec<Vec<Option<Relay>>>,
     folder: PathBuf,
     /// Seed of the random faults.
     pub seed: u64,
-    /// What was done, and when.
+    /// Actions of the test, with their times.
     timeline: Vec<(Instant, String)>,
 }
 
-/// How a fleet is made.
+/// Parameters of a fleet.
 #[derive(Clone, Copy)]
 pub struct Plan {
     /// Number of servers.
@@ -73,19 +73,19 @@
 }
 
 impl Fleet {
-    /// As [`Fleet::start_with`], with the program beside the tests.
+    /// As [`Fleet::start_with`], with the program of this build.
     pub fn start(plan: Plan) -> Fleet {
         Fleet::start_with(plan, &crate::program())
     }
 
-    /// All members serve; no fleet is founded yet. The first three vote, or the first five of at least five.
+    /// Starts all members without bootstrapping the fleet. The first three members vote, or the first five of at least five.
     pub fn start_with(plan: Plan, program: &Path) -> Fleet {
         Fleet::start_from(plan, program, |_| ())
     }
 
     /// As [`Fleet::start_with`]; `restore` puts stored data into the fleet's folder before any member starts.
     pub fn start_from(plan: Plan, program: &Path, restore: impl FnOnce(&Path)) -> Fleet {
-        let addresses: Vec<SocketAddr> = (0..plan.members).map(|_| free_address()).collect();
+        let addresses: Vec<SocketAddr> = (0..plan.members).map(|_| loopback_address()).collect();
         let folder = std::env::temp_dir()
             .join(format!("loomflow-fleet-{}", addresses[0].to_string().replace([':', '.'], "-")));
         std::fs::create_dir_all(&folder).expect("a folder");
@@ -101,9 +101,9 @@
             let mut settings = site(20_000.0);
             settings["Domain"]["Cpus"] = plan.cores.into();
             settings["Domain"]["CallsByClass"] = serde_json::json!([false, false, false]);
-            let mut world = World::new(settings);
-            program.clone_into(&mut world.program);
-            world.config["name"] = name(member_index).into();
+            let mut fixture = ServerFixture::new(settings);
+            program.clone_into(&mut fixture.program);
+            fixture.config["name"] = name(member_index).into();
             let state = folder.join(name(member_index));
             let mut text = format!(
                 "fleet:\n  name: test\n  zone: z{}\n  listen: {}\n  state: {}\n",
@@ -122,13 +122,13 @@
                     text += &format!("    {}: \"{}\"\n", name(to), relay.address);
                 }
             }
-            world.options(&text);
-            world.variables = vec![
+            fixture.options(&text);
+            fixture.variables = vec![
                 ("LOOMFLOW_TEST_FOLDER".into(), folder.clone().into()),
                 ("LOOMFLOW_TEST_PROGRAM".into(), program.to_owned().into()),
             ];
             let worker = Worker::start(plan.cores, plan.work);
-            Member { world, worker, state, address: addresses[member_index] }
+            Member { fixture, worker, state, address: addresses[member_index] }
         });
         let mut fleet =
             Fleet { members: members.collect(), relays, folder, seed: plan.seed, timeline: Vec::new() };
@@ -136,12 +136,12 @@
         fleet
     }
 
-    /// As [`Fleet::start`], with the fleet founded by the first, and all voters in.
+    /// As [`Fleet::start`], and bootstraps the fleet.
     pub fn start_bootstrapped(plan: Plan) -> Fleet {
         Fleet::start(plan).bootstrap(plan)
     }
 
-    /// Founds the fleet by the first, and waits until all voters are in.
+    /// Bootstraps the fleet on the first member, and waits until all voters have joined.
     #[must_use]
     pub fn bootstrap(self, plan: Plan) -> Fleet {
         let fleet = self;
@@ -164,32 +164,32 @@
         self.note(format!("{} starts", name(member_index)));
         let member = &mut self.members[member_index];
         let worker = member.worker.clone();
-        member.world.work_with(&worker);
+        member.fixture.serve_with(&worker);
     }
 
     /// Kills a server and its engine.
     pub fn kill(&mut self, member_index: usize) {
         self.note(format!("{} is killed", name(member_index)));
-        self.members[member_index].world.kill();
+        self.members[member_index].fixture.kill();
     }
 
-    /// SIGSTOP, and SIGCONT.
+    /// Pauses a server (SIGSTOP).
     pub fn pause(&mut self, member_index: usize) {
         self.note(format!("{} is stopped", name(member_index)));
-        self.members[member_index].world.signal("STOP");
+        self.members[member_index].fixture.signal("STOP");
     }
 
     /// Continues a paused server (SIGCONT).
     pub fn resume(&mut self, member_index: usize) {
         self.note(format!("{} goes on", name(member_index)));
-        self.members[member_index].world.signal("CONT");
+        self.members[member_index].fixture.signal("CONT");
     }
 
-    /// SIGSTOP to a server and all that it started; gives their ids, its own first.
+    /// Pauses a server and all its child processes (SIGSTOP); returns their ids, its own first.
     pub fn pause_process_tree(&mut self, member_index: usize) -> Vec<u32> {
         self.note(format!("{} and all that it started are stopped", name(member_index)));
-        let mut all = vec![self.members[member_index].world.pid()];
-        // Nobody starts another one while all before it are stopped.
+        let mut all = vec![self.members[member_index].fixture.pid()];
+        // A paused process starts no further ones.
         let mut next = 0;
         while let Some(pid) = all.get(next).copied() {
             kill_process(Pid::from_raw(pid as i32).expect("an id"), Signal::STOP).expect("it is stopped");
@@ -207,58 +207,58 @@
         }
     }
 
-    /// A place for what jobs leave.
+    /// A directory for files of jobs.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// Its folder is lost.
+    /// Deletes the state directory of a server.
     pub fn delete_data_directory(&mut self, member_index: usize) {
         self.note(format!("{} loses its folder", name(member_index)));
         std::fs::remove_dir_all(&self.members[member_index].state).expect("the folder is removed");
     }
 
-    /// Nothing more can be written to its folder, or again: a limit on the size of files stands in for a disk.
+    /// Makes writes to the state directory fail, or succeed again, by a limit on the size of files.
     pub fn fill_disk(&mut self, member_index: usize, full: bool) {
         self.note(format!("the disk of {} is {}", name(member_index), if full { "full" } else { "free" }));
-        let pid = Pid::from_raw(self.members[member_index].world.pid() as i32);
+        let pid = Pid::from_raw(self.members[member_index].fixture.pid() as i32);
         let limit = Rlimit { current: full.then_some(0), maximum: None };
         prlimit(pid, Resource::Fsize, limit).expect("a limit");
     }
 
-    /// Trouble on the way from one to another.
-    pub fn set_link_trouble(&mut self, from: usize, to: usize, trouble: Trouble) {
-        self.note(format!("from {} to {}: {trouble:?}", name(from), name(to)));
+    /// Sets the fault of one direction of a link.
+    pub fn set_link_fault(&mut self, from: usize, to: usize, fault: LinkFault) {
+        self.note(format!("from {} to {}: {fault:?}", name(from), name(to)));
         if let Some(relay) = &self.relays[from][to] {
-            relay.set(trouble);
+            relay.set_fault(fault);
         }
     }
 
-    /// Trouble between these and all others, both ways.
-    pub fn isolate(&mut self, side: &[usize], trouble: Trouble) {
+    /// Sets the fault of all links between `side` and the other members.
+    pub fn isolate(&mut self, side: &[usize], fault: LinkFault) {
         for from in 0..self.members.len() {
             for to in 0..self.members.len() {
                 if side.contains(&from) != side.contains(&to) {
-                    self.set_link_trouble(from, to, trouble);
+                    self.set_link_fault(from, to, fault);
                 }
             }
         }
     }
 
-    /// The same on all links.
-    pub fn set_trouble_on_all_links(&mut self, trouble: Trouble) {
+    /// Sets the fault of all links.
+    pub fn set_fault_on_all_links(&mut self, fault: LinkFault) {
         for from in 0..self.members.len() {
             for to in 0..self.members.len() {
-                self.set_link_trouble(from, to, trouble);
+                self.set_link_fault(from, to, fault);
             }
         }
     }
 
-    /// All that one said to another is said once more.
+    /// Sends all messages of one direction of a link again.
     pub fn replay_messages(&mut self, from: usize, to: usize) {
         self.note(format!("{} to {}: all again", name(from), name(to)));
         if let Some(relay) = &self.relays[from][to] {
-            relay.say_again();
+            relay.replay();
         }
     }
 
@@ -268,17 +268,17 @@
 
     fn command(&self, member_index: usize, words: &[&str]) -> Command {
         let member = &self.members[member_index];
-        let mut command = Command::new(&member.world.program);
+        let mut command = Command::new(&member.fixture.program);
         command.arg("fleet").args(words).arg("--socket").arg(member.state.with_extension("sock"));
         command
     }
 
-    /// `loomflow fleet …` on a member's machine: exit code, output and errors.
+    /// Runs `loomflow fleet …` for a member; returns exit code, output and errors.
     pub fn run_command(&self, member_index: usize, words: &[&str]) -> (i32, String, String) {
         self.run_command_with(member_index, words, &[])
     }
 
-    /// The same with a command behind it, which is waited for.
+    /// As [`Fleet::run_command`], with a command after `--`.
     pub fn run_command_with(
         &self,
         member_index: usize,
@@ -294,7 +294,7 @@
         (done.status.code().unwrap_or(-1), text(&done.stdout), text(&done.stderr))
     }
 
-    /// The same, and not waited for.
+    /// As [`Fleet::run_command_with`], without waiting for the end.
     pub fn spawn(&self, member_index: usize, words: &[&str], then: &[&str]) -> Child {
         let mut command = self.command(member_index, words);
         command.arg("--").args(then).stdout(Stdio::null()).stderr(Stdio::null());
@@ -306,42 +306,42 @@
         serde_json::from_str(&self.run_command(member_index, &["status", "--json"]).1).unwrap_or(Value::Null)
     }
 
-    /// A line on a member's operators' socket, and its answer.
-    pub fn send_operator_line(&self, member_index: usize, say: &str) -> Value {
+    /// Sends a line to the operators' socket of a member; returns the response.
+    pub fn send_operator_line(&self, member_index: usize, line: &str) -> Value {
         let socket = self.members[member_index].state.with_extension("sock");
         let Ok(mut stream) = UnixStream::connect(socket) else { return Value::Null };
-        let _ = writeln!(stream, "{say}");
+        let _ = writeln!(stream, "{line}");
         let mut line = String::new();
         let _ = BufReader::new(stream).read_line(&mut line);
         serde_json::from_str(&line).unwrap_or(Value::Null)
     }
 
-    /// What a member sees by itself, with a leader or without.
+    /// The local status of a member, which needs no leader.
     pub fn local_status(&self, member_index: usize) -> Value {
         self.send_operator_line(member_index, "\"Here\"")["Here"].clone()
     }
 
-    /// The number of the one who leads, by the word of `member_index`.
+    /// The index of the leader, as a member reports it.
     pub fn leader(&self, member_index: usize) -> Option<usize> {
         let status = self.status(member_index);
         let leader = status["leader"].as_str()?;
         (0..self.members.len()).find(|other| name(*other) == leader)
     }
 
-    /// Asks for a server's turn, by the word of `member_index`; gives the ticket.
+    /// Requests a ticket for a server through a member; returns its number.
     pub fn request_ticket(&mut self, member_index: usize, server: usize) -> u64 {
         let words = ["work", "ask", "--server", &name(server), "--reason", "test", "--for", "1m", "--json"];
-        let mut told = (1, String::new(), String::new());
+        let mut output = (1, String::new(), String::new());
         self.wait_until("a ticket is taken", |fleet| {
-            told = fleet.run_command(member_index, &words);
-            told.0 == 0
+            output = fleet.run_command(member_index, &words);
+            output.0 == 0
         });
         self.note(format!("{} asked for by {}", name(server), name(member_index)));
-        let tickets: Vec<u64> = serde_json::from_str(&told.1).expect("a list of tickets");
+        let tickets: Vec<u64> = serde_json::from_str(&output.1).expect("a list of tickets");
         tickets[0]
     }
 
-    /// The stage of a ticket, by the word of `member_index`.
+    /// The stage of a ticket, as a member reports it.
     pub fn stage(&self, member_index: usize, ticket: u64) -> String {
         let (_, history, _) = self.run_command(member_index, &["work", "history", "--json"]);
         let events: Value = serde_json::from_str(&history).unwrap_or(Value::Null);
@@ -352,10 +352,10 @@
 
     /// Whether a process runs.
     pub fn is_running(&mut self, member_index: usize) -> bool {
-        self.members[member_index].world.runs()
+        self.members[member_index].fixture.has_process()
     }
 
-    /// Waits for something, generously. The failure tells seed and timeline.
+    /// Waits until a condition holds. A failure prints seed and timeline.
     pub fn wait_until(&self, what: &str, mut holds: impl FnMut(&Fleet) -> bool) {
         let until = Instant::now() + WAIT_TIMEOUT;
         while !holds(self) {
@@ -364,7 +364,7 @@
         }
     }
 
-    /// Waits until a process has ended by itself, and gives its exit code.
+    /// Waits for the end of a process; returns its exit code.
     pub fn wait_for_exit(&mut self, member_index: usize) -> Option<i32> {
         let until = Instant::now() + WAIT_TIMEOUT;
         while self.is_running(member_index) {
@@ -372,10 +372,10 @@
             std::thread::sleep(Duration::from_millis(20));
         }
         self.note(format!("{} has ended", name(member_index)));
-        self.members[member_index].world.exit_code()
+        self.members[member_index].fixture.exit_code()
     }
 
-    /// Seed, timeline, each member's log and status.
+    /// Seed, timeline, and log and status of each member.
     pub fn diagnostics(&self) -> String {
         let start = self.timeline.first().map_or_else(Instant::now, |(at, _)| *at);
         let mut text = format!("seed {}\n", self.seed);
@@ -383,20 +383,20 @@
             text += &format!("{:>8.3} {what}\n", at.duration_since(start).as_secs_f64());
         }
         for (member_index, member) in self.members.iter().enumerate() {
-            text += &format!("--- {} at {}\n{}", name(member_index), member.address, member.world.log());
+            text += &format!("--- {} at {}\n{}", name(member_index), member.address, member.fixture.log());
             text += &self.run_command(member_index, &["status"]).1;
         }
         text
     }
 }
 
-/// The processes that a process started and that run.
+/// The running child processes of a process.
 fn children(parent: u32) -> Vec<u32> {
     let entries = std::fs::read_dir("/proc").expect("processes");
     let child = |entry: std::io::Result<std::fs::DirEntry>| {
         let pid: u32 = entry.ok()?.file_name().to_str()?.parse().ok()?;
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-        // The parent is the second field behind the name of the program.
+        // The parent is the second field after the program name.
         let parent_of_pid: u32 = stat.rsplit_once(") ")?.1.split_whitespace().nth(1)?.parse().ok()?;
         (parent_of_pid == parent).then_some(pid)
     };
@@ -405,7 +405,7 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.members.iter_mut().for_each(|member| member.world.kill());
+        self.members.iter_mut().for_each(|member| member.fixture.kill());
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
--- a/crates/loomflow-standins/src/gateway.rs
+++ b/crates/loomflow-standins/src/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway: asks by RESP and reads answers.
+//! Stand-in of a gateway: sends requests and reads responses.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,10 +6,10 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use crate::base::{PATIENCE, QUIET};
+use crate::base::{QUIET_PERIOD, RESPONSE_TIMEOUT};
 
 /// An attempt id that was not used before.
-pub fn fresh_id() -> String {
+pub fn next_attempt_id() -> String {
     static NEXT: AtomicU64 = AtomicU64::new(0x9b1f_03aa_0000_0000);
     format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed))
 }
@@ -44,18 +44,18 @@
 
 /// A response.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answered {
+pub struct GatewayResponse {
     /// Tag of the request.
     pub tag: u64,
     /// Status.
-    pub word: String,
+    pub status: String,
     /// Fields of the response.
     pub fields: String,
     /// Body of the response.
     pub body: Vec<u8>,
 }
 
-/// Nothing came in time.
+/// Nothing arrived in time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Silence;
 
@@ -69,7 +69,7 @@
 impl Gateway {
     /// Connects to a server.
     pub fn open(to: SocketAddr) -> Gateway {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + RESPONSE_TIMEOUT;
         loop {
             match TcpStream::connect(to) {
                 Ok(stream) => {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// On a connection that is open already.
+    /// Wraps an open connection.
     pub fn of(stream: TcpStream) -> Gateway {
         Gateway { stream, unread: Vec::new() }
     }
@@ -92,16 +92,16 @@
         self.stream.write_all(bytes).expect("the server reads");
     }
 
-    /// Sends one request under a fresh id, which is the answer.
+    /// Sends a request under a new attempt id, and returns the id.
     pub fn call(&mut self, tag: u64, class: &str, body: &[u8]) -> String {
-        let id = fresh_id();
+        let id = next_attempt_id();
         self.send(&call(tag, class, &fields(&id), body));
         id
     }
 
     /// The next response, which must arrive in time.
-    pub fn answer(&mut self) -> Answered {
-        self.next(PATIENCE).expect("an answer").expect("an open connection")
+    pub fn response(&mut self) -> GatewayResponse {
+        self.next_response(RESPONSE_TIMEOUT).expect("an answer").expect("an open connection")
     }
 
     /// The next response; `None` at the end of the connection.
@@ -109,7 +109,7 @@
     /// # Errors
     ///
     /// Nothing arrived in time.
-    pub fn next(&mut self, wait: Duration) -> Result<Option<Answered>, Silence> {
+    pub fn next_response(&mut self, wait: Duration) -> Result<Option<GatewayResponse>, Silence> {
         let until = Instant::now() + wait;
         loop {
             if let Some((answer, used)) = parse(&self.unread) {
@@ -126,30 +126,30 @@
                     return Err(Silence);
                 }
                 Err(e) if e.kind() == ErrorKind::ConnectionReset => return Ok(None),
-                // A child of the test has ended, or it was stopped for a moment: no word of the server's.
+                // Interrupted by a signal to the test process.
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => panic!("{e}"),
             }
         }
     }
 
-    /// That nothing more is said here.
-    pub fn is_quiet(&mut self) {
-        assert_eq!(self.next(QUIET), Err(Silence));
+    /// Checks that nothing arrives.
+    pub fn expect_quiet(&mut self) {
+        assert_eq!(self.next_response(QUIET_PERIOD), Err(Silence));
     }
 
     /// Checks that the server closes the connection.
-    pub fn is_closed(&mut self) {
-        assert_eq!(self.next(PATIENCE), Ok(None));
+    pub fn expect_closed(&mut self) {
+        assert_eq!(self.next_response(RESPONSE_TIMEOUT), Ok(None));
     }
 
-    /// Ends the connection so that the server sees it broken off.
+    /// Resets the connection.
     pub fn reset(self) {
         socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).expect("a reset");
     }
 }
 
-fn parse(bytes: &[u8]) -> Option<(Answered, usize)> {
+fn parse(bytes: &[u8]) -> Option<(GatewayResponse, usize)> {
     fn line(bytes: &[u8]) -> Option<(&str, usize)> {
         let end = bytes.windows(2).position(|pair| pair == b"\r\n")?;
         Some((std::str::from_utf8(&bytes[..end]).expect("text"), end + 2))
@@ -169,5 +169,8 @@
     let text =
         |at: usize| words.get(at).map(|w| String::from_utf8(w.clone()).expect("text")).unwrap_or_default();
     let body = words.get(3).cloned().unwrap_or_default();
-    Some((Answered { tag: text(0).parse().expect("a tag"), word: text(1), fields: text(2), body }, at))
+    Some((
+        GatewayResponse { tag: text(0).parse().expect("a tag"), status: text(1), fields: text(2), body },
+        at,
+    ))
 }
--- a/crates/loomflow-standins/src/ledger.rs
+++ b/crates/loomflow-standins/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger, scripted line by line.
+//! Stand-in of the downstream service, scripted line by line.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -6,10 +6,10 @@
 use std::thread;
 use std::time::Duration;
 
-use crate::base::{PATIENCE, QUIET, free_address};
-use crate::lines::{Link, accepting};
+use crate::base::{QUIET_PERIOD, RESPONSE_TIMEOUT, loopback_address};
+use crate::lines::{PeerConnection, accepting};
 
-/// Refuses connections until it is opened.
+/// A downstream service that refuses connections until it is opened.
 pub struct Ledger {
     /// Its address.
     pub address: SocketAddr,
@@ -17,7 +17,7 @@
 
 impl Ledger {
     pub(crate) fn new() -> Ledger {
-        Ledger { address: free_address() }
+        Ledger { address: loopback_address() }
     }
 
     /// Starts to accept connections.
@@ -26,21 +26,21 @@
         OpenLedger { links: accepting(listener, &["post"], Arc::default()) }
     }
 
-    /// Posts every call at once, for as long as the process lives.
+    /// Replies to every call immediately, until the process ends.
     pub fn post_all(&self) {
         self.post_all_after(Duration::ZERO);
     }
 
-    /// Posts every call after so long, one after the other on each connection.
+    /// Replies to every call after a delay, one after the other on each connection.
     pub fn post_all_after(&self, delay: Duration) {
         let ledger = self.open();
         thread::spawn(move || {
             while let Ok(link) = ledger.links.recv() {
                 thread::spawn(move || {
-                    while let Some(line) = link.wait() {
+                    while let Some(line) = link.wait_for_line() {
                         if line.word(0) == "post" {
                             thread::sleep(delay);
-                            link.say_body(&format!("{} posted", line.word(1)), b"posted");
+                            link.send_with_body(&format!("{} posted", line.word(1)), b"posted");
                         }
                     }
                 });
@@ -51,17 +51,17 @@
 
 /// A scripted downstream service.
 pub struct OpenLedger {
-    links: Receiver<Link>,
+    links: Receiver<PeerConnection>,
 }
 
 impl OpenLedger {
     /// The next connection that the server opens.
-    pub fn link(&self) -> Link {
-        self.links.recv_timeout(PATIENCE).expect("a connection")
+    pub fn link(&self) -> PeerConnection {
+        self.links.recv_timeout(RESPONSE_TIMEOUT).expect("a connection")
     }
 
     /// Checks that the server opens no connection.
     pub fn has_no_link(&self) {
-        assert!(self.links.recv_timeout(QUIET).is_err());
+        assert!(self.links.recv_timeout(QUIET_PERIOD).is_err());
     }
 }
--- a/crates/loomflow-standins/src/lib.rs
+++ b/crates/loomflow-standins/src/lib.rs
@@ -1,5 +1,7 @@
-//! Scripted stand-ins of everything a server speaks with, on loopback, and the server as a process among them.
-//! They parse by themselves, so that what they check is not the server's own word.
+//! Stand-ins of everything that a server connects to, on loopback, and the server as a process between them. They have
+//! their own parsers, so that tests do not rely on the server's.
+
+#![forbid(unsafe_code)]
 
 pub mod base;
 pub mod broker;
@@ -12,14 +14,14 @@
 pub mod relay;
 pub mod worker;
 
-pub mod world;
+pub mod server_fixture;
 
-pub use base::{PATIENCE, QUIET, class, free_address, free_listener, site};
+pub use base::{QUIET_PERIOD, RESPONSE_TIMEOUT, class, loopback_address, loopback_listener, site};
 pub use broker::Broker;
 pub use control::Control;
 pub use engine::Engine;
-pub use gateway::{Answered, Gateway, Silence, array, call, fields, fresh_id, health};
+pub use gateway::{Gateway, GatewayResponse, Silence, array, call, fields, health, next_attempt_id};
 pub use ledger::{Ledger, OpenLedger};
-pub use lines::{Line, Link};
+pub use lines::{Line, PeerConnection};
+pub use server_fixture::{ServerFixture, program};
 pub use worker::Worker;
-pub use world::{World, program};
--- a/crates/loomflow-standins/src/lines.rs
+++ b/crates/loomflow-standins/src/lines.rs
@@ -1,4 +1,4 @@
-//! Lines with bodies, as the engine and the ledger are spoken to.
+//! Connections with lines and bodies, as the engine and the downstream service use.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -7,7 +7,7 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, channel};
 use std::thread;
 
-use crate::base::{PATIENCE, QUIET};
+use crate::base::{QUIET_PERIOD, RESPONSE_TIMEOUT};
 
 /// A line and the body that follows it, if any.
 #[derive(Clone, Debug, PartialEq)]
@@ -25,18 +25,18 @@
     }
 }
 
-/// One connection that the server opened. A thread reads it; `more` answers what has to be answered at once.
-pub struct Link {
+/// A connection that the server opened. A thread reads it, and responds to gauge and health queries if it is to.
+pub struct PeerConnection {
     stream: TcpStream,
     lines: Receiver<Line>,
 }
 
-impl Link {
+impl PeerConnection {
     pub(crate) fn new(
         stream: TcpStream,
         with_body: &'static [&'static str],
         answers_stat: Arc<AtomicBool>,
-    ) -> Link {
+    ) -> PeerConnection {
         stream.set_nodelay(true).expect("no delay");
         let (sender, lines) = channel();
         let (reader, mut writer) =
@@ -72,20 +72,20 @@
                 }
             }
         });
-        Link { stream, lines }
+        PeerConnection { stream, lines }
     }
 
     /// The next line, which must arrive in time.
     pub fn line(&self) -> Line {
-        self.lines.recv_timeout(PATIENCE).expect("a line")
+        self.lines.recv_timeout(RESPONSE_TIMEOUT).expect("a line")
     }
 
-    /// The next line, whenever it comes; none at the end.
-    pub fn wait(&self) -> Option<Line> {
+    /// The next line, without a timeout; `None` at the end of the connection.
+    pub fn wait_for_line(&self) -> Option<Line> {
         self.lines.recv().ok()
     }
 
-    /// The next line, which must begin so.
+    /// The next line, which must start with `start`.
     pub fn expect(&self, start: &str) -> Line {
         let line = self.line();
         assert!(line.text == start || line.text.starts_with(&format!("{start} ")), "{start}: {line:?}");
@@ -93,57 +93,57 @@
     }
 
     /// Checks that nothing arrives.
-    pub fn is_quiet(&self) {
-        assert_eq!(self.lines.recv_timeout(QUIET), Err(RecvTimeoutError::Timeout));
+    pub fn expect_quiet(&self) {
+        assert_eq!(self.lines.recv_timeout(QUIET_PERIOD), Err(RecvTimeoutError::Timeout));
     }
 
     /// Checks that the server closes the connection.
-    pub fn is_closed(&self) {
-        assert_eq!(self.lines.recv_timeout(PATIENCE), Err(RecvTimeoutError::Disconnected));
+    pub fn expect_closed(&self) {
+        assert_eq!(self.lines.recv_timeout(RESPONSE_TIMEOUT), Err(RecvTimeoutError::Disconnected));
     }
 
     /// Sends a line.
-    pub fn say(&self, text: &str) {
-        self.say_bytes(format!("{text}\r\n").as_bytes());
+    pub fn send_line(&self, text: &str) {
+        self.send_bytes(format!("{text}\r\n").as_bytes());
     }
 
     /// Sends bytes.
-    pub fn say_bytes(&self, bytes: &[u8]) {
+    pub fn send_bytes(&self, bytes: &[u8]) {
         (&self.stream).write_all(bytes).expect("the server reads");
     }
 
     /// Sends a line, with the length of the body added, and the body.
-    pub fn say_body(&self, head: &str, body: &[u8]) {
-        self.say_bytes(&with_body(head, body));
+    pub fn send_with_body(&self, head: &str, body: &[u8]) {
+        self.send_bytes(&with_body(head, body));
     }
 
-    /// Takes the server's `ATTACH`, which must be this one, and is up.
-    pub fn hello(&self, attach: &str) {
+    /// Expects this `ATTACH`, and responds that the engine is running.
+    pub fn accept_attach(&self, attach: &str) {
         assert_eq!(self.line().text, attach);
-        self.say("HELLO running 60000");
+        self.send_line("HELLO running 60000");
     }
 
-    /// The same with notices that the link before did not read: all in one, so that no answer to a question that follows
-    /// the first of it can come in between.
-    pub fn hello_replaying(&self, attach: &str, notices: &[(String, &[u8])]) {
+    /// As [`accept_attach`](Self::accept_attach), with notices that the previous connection did not read, all in one write
+    /// so that no other response can come in between.
+    pub fn accept_attach_replaying(&self, attach: &str, notices: &[(String, &[u8])]) {
         assert_eq!(self.line().text, attach);
         let mut bytes = b"HELLO running 60000\r\n".to_vec();
         notices.iter().for_each(|(head, body)| bytes.extend(with_body(head, body)));
-        self.say_bytes(&bytes);
+        self.send_bytes(&bytes);
     }
 
     /// Sends the end of a successful run.
-    pub fn done(&self, number: u64, id: &str, result: &[u8]) {
-        self.say_body(&format!("DONE {number} {id} fine 5"), result);
+    pub fn send_done(&self, number: u64, id: &str, result: &[u8]) {
+        self.send_with_body(&format!("DONE {number} {id} fine 5"), result);
     }
 
     /// Sends the request for a downstream call.
-    pub fn need(&self, number: u64, id: &str, body: &[u8]) {
-        self.say_body(&format!("NEED {number} {id}"), body);
+    pub fn send_need(&self, number: u64, id: &str, body: &[u8]) {
+        self.send_with_body(&format!("NEED {number} {id}"), body);
     }
 
     /// Closes the connection.
-    pub fn cut(self) {
+    pub fn disconnect(self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
@@ -156,16 +156,16 @@
     bytes
 }
 
-/// Each connection that comes, as a link.
+/// Accepts connections in a thread.
 pub(crate) fn accepting(
     listener: TcpListener,
     with_body: &'static [&'static str],
     answers_stat: Arc<AtomicBool>,
-) -> Receiver<Link> {
+) -> Receiver<PeerConnection> {
     let (sender, links) = channel();
     thread::spawn(move || {
         while let Ok((stream, _)) = listener.accept() {
-            if sender.send(Link::new(stream, with_body, answers_stat.clone())).is_err() {
+            if sender.send(PeerConnection::new(stream, with_body, answers_stat.clone())).is_err() {
                 return;
             }
         }
--- a/crates/loomflow-standins/src/relay.rs
+++ b/crates/loomflow-standins/src/relay.rs
@@ -1,5 +1,5 @@
-//! Relays between the servers of a fleet: one for each link in each direction, which carries whole messages and, by command
-//! or by chance, loses, delays, doubles, reorders or holds them. Of a message it knows only the length before it.
+//! Relays between the servers of a fleet, one for each direction of each link. A relay carries complete messages and can
+//! drop, delay, duplicate, reorder or hold them. It knows only the length prefix of a message.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,60 +7,60 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::base::free_listener;
+use crate::base::loopback_listener;
 
-/// What a relay does to messages.
+/// The fault of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Trouble {
-    /// Nothing gets through; connections stay.
-    pub cut: bool,
-    /// Messages wait until this is over, and connections stay.
-    pub stalled: bool,
-    /// Parts of all messages that are lost, said twice, or said after the next one, 0 to 1.
+pub struct LinkFault {
+    /// Messages are dropped; connections stay open.
+    pub is_cut: bool,
+    /// Messages are held; connections stay open.
+    pub is_stalled: bool,
+    /// Share of messages that are lost, 0 to 1.
     pub lost: f64,
     /// Share of messages that are duplicated.
-    pub doubled: f64,
+    pub duplicated: f64,
     /// Share of messages that are sent after the next one.
-    pub swapped: f64,
+    pub reordered: f64,
     /// Delay of each message.
     pub delay: Duration,
 }
 
-/// One direction between two servers.
+/// One direction of a link between two servers.
 #[derive(Clone)]
 pub struct Relay {
-    /// Where the one side speaks to the other.
+    /// Address that the sender connects to.
     pub address: SocketAddr,
-    trouble: Arc<Mutex<Trouble>>,
-    /// The last messages that went through, for those who say them again later.
-    kept: Arc<Mutex<Vec<Vec<u8>>>>,
+    fault: Arc<Mutex<LinkFault>>,
+    /// The last messages, for a replay.
+    recent_messages: Arc<Mutex<Vec<Vec<u8>>>>,
     to: SocketAddr,
 }
 
-/// Messages that are kept to be said again.
-const MOST_KEPT: usize = 4_096;
+/// Most messages that are kept for a replay.
+const MAX_REPLAYED_MESSAGES: usize = 4_096;
 
 impl Relay {
     /// Starts a relay to an address.
     pub fn start(to: SocketAddr, seed: u64) -> Relay {
-        let listener = free_listener();
+        let listener = loopback_listener();
         let address = listener.local_addr().expect("an address");
-        let relay = Relay { address, trouble: Arc::default(), kept: Arc::default(), to };
+        let relay = Relay { address, fault: Arc::default(), recent_messages: Arc::default(), to };
         let own = relay.clone();
         thread::spawn(move || own.accept(&listener, seed));
         relay
     }
 
     /// Changes what the relay does to messages.
-    pub fn set(&self, trouble: Trouble) {
-        *self.trouble.lock().expect("trouble") = trouble;
+    pub fn set_fault(&self, fault: LinkFault) {
+        *self.fault.lock().expect("trouble") = fault;
     }
 
-    /// Says all that went through since it was last asked once more, on a connection of its own.
-    pub fn say_again(&self) {
-        let kept = std::mem::take(&mut *self.kept.lock().expect("kept"));
+    /// Sends all messages since the last replay again, on a separate connection.
+    pub fn replay(&self) {
+        let recent_messages = std::mem::take(&mut *self.recent_messages.lock().expect("kept"));
         if let Ok(mut stream) = TcpStream::connect(self.to) {
-            let _ = kept.iter().try_for_each(|message| stream.write_all(message));
+            let _ = recent_messages.iter().try_for_each(|message| stream.write_all(message));
         }
     }
 
@@ -72,28 +72,28 @@
         }
     }
 
-    /// Carries one connection until either side ends it.
+    /// Carries a connection until either side closes it.
     fn carry(&self, mut from: TcpStream, rng: &mut fastrand::Rng) {
         let Ok(mut to) = TcpStream::connect(self.to) else { return };
         let _ = to.set_nodelay(true);
         let mut waits: Option<Vec<u8>> = None;
         while let Some(message) = message(&mut from) {
             let came = Instant::now();
-            let mut trouble = *self.trouble.lock().expect("trouble");
-            while trouble.stalled || came.elapsed() < trouble.delay {
+            let mut fault = *self.fault.lock().expect("trouble");
+            while fault.is_stalled || came.elapsed() < fault.delay {
                 thread::sleep(Duration::from_millis(2));
-                trouble = *self.trouble.lock().expect("trouble");
+                fault = *self.fault.lock().expect("trouble");
             }
-            if trouble.cut || rng.f64() < trouble.lost {
+            if fault.is_cut || rng.f64() < fault.lost {
                 continue;
             }
             let mut say = vec![message];
-            if rng.f64() < trouble.doubled {
+            if rng.f64() < fault.duplicated {
                 say.push(say[0].clone());
             }
             match waits.take() {
                 Some(before) => say.push(before),
-                None if rng.f64() < trouble.swapped => {
+                None if rng.f64() < fault.reordered => {
                     waits = say.pop();
                     continue;
                 }
@@ -103,16 +103,16 @@
                 if to.write_all(&one).is_err() {
                     return;
                 }
-                let mut kept = self.kept.lock().expect("kept");
-                if kept.len() < MOST_KEPT {
-                    kept.push(one);
+                let mut recent_messages = self.recent_messages.lock().expect("kept");
+                if recent_messages.len() < MAX_REPLAYED_MESSAGES {
+                    recent_messages.push(one);
                 }
             }
         }
     }
 }
 
-/// The next message with its length, or none at the end.
+/// The next message with its length prefix; `None` at the end.
 fn message(from: &mut TcpStream) -> Option<Vec<u8>> {
     let mut bytes = vec![0; 4];
     from.read_exact(&mut bytes).ok()?;
