--- a/crates/loomflow-standins/src/world.rs
+++ b/crates/loomflow-standins/src/server_fixture.rs
@@ -1,4 +1,4 @@
-//! The server as a process among stand-ins of everything it speaks with.
+//! A server process with stand-ins of everything that it connects to.
 
 use std::collections::HashSet;
 use std::io::Read;
@@ -10,15 +10,15 @@
 
 use serde_json::{Value, json};
 
-use crate::base::{PATIENCE, free_address};
+use crate::base::{RESPONSE_TIMEOUT, loopback_address};
 use crate::control::Control;
 use crate::engine::Engine;
-use crate::gateway::{Gateway, call, fields, fresh_id, health};
+use crate::gateway::{Gateway, call, fields, health, next_attempt_id};
 use crate::ledger::Ledger;
-use crate::lines::Link;
+use crate::lines::PeerConnection;
 use crate::worker::Worker;
 
-/// The server's program: it stands beside the folder of the test that asks.
+/// Path of the server's program: the directory above that of the running test.
 pub fn program() -> std::path::PathBuf {
     let test = std::env::current_exe().expect("a path");
     let folder = test.ancestors().nth(2).expect("the folder of the build");
@@ -26,7 +26,7 @@
 }
 
 /// A server process, its configuration and its stand-ins.
-pub struct World {
+pub struct ServerFixture {
     /// Where the server listens for gateways.
     pub listen: SocketAddr,
     /// Its configuration.
@@ -39,44 +39,44 @@
     pub control: Control,
     file: std::path::PathBuf,
     options: Option<std::path::PathBuf>,
-    /// What `$0` stands for.
+    /// The program, `$0` in the start command.
     pub program: std::path::PathBuf,
-    /// More of the server's environment.
+    /// Additional environment variables.
     pub variables: Vec<(String, std::ffi::OsString)>,
     child: Option<Child>,
-    /// Former processes that have been told to leave.
-    left: Vec<Child>,
-    deaf: bool,
+    /// Earlier processes that are draining.
+    draining: Vec<Child>,
+    has_closed_log: bool,
     log: Arc<Mutex<String>>,
 }
 
-impl World {
-    /// A server that serves, with an engine that works by itself, and options. None of it is scripted but the broker.
-    pub fn working(settings: Value, options: &str, worker: &Worker) -> World {
-        let mut world = World::new(settings);
-        world.options(options);
-        world.work_with(worker);
-        world
+impl ServerFixture {
+    /// Starts a server with options and an engine that runs requests by itself.
+    pub fn start_with(settings: Value, options: &str, worker: &Worker) -> ServerFixture {
+        let mut fixture = ServerFixture::new(settings);
+        fixture.options(options);
+        fixture.serve_with(worker);
+        fixture
     }
 
-    /// Starts the server with that engine, and waits until it serves.
-    pub fn work_with(&mut self, worker: &Worker) {
+    /// Starts the server with an engine, and waits until it serves.
+    pub fn serve_with(&mut self, worker: &Worker) {
         self.config["engine"] = worker.address.to_string().into();
         self.start("exec \"$0\" serve");
         self.wait_for_service();
     }
 
-    /// Everything a server needs, and the server not started.
-    pub fn new(settings: Value) -> World {
+    /// Creates the stand-ins and the configuration without starting the server.
+    pub fn new(settings: Value) -> ServerFixture {
         let (engine, ledger, control) = (Engine::start(), Ledger::new(), Control::start());
-        let listen = free_address();
+        let listen = loopback_address();
         let config = json!({"name": "n3", "listen": listen.to_string(), "engine": engine.address.to_string(),
             "control": control.address.to_string(), "ledger": ledger.address.to_string(),
             "seed": "8c1f30d27a5be964", "stop_ms": 3000,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings});
         let name = format!("loomflow-{}.json", listen.to_string().replace([':', '.'], "-"));
         let file = std::env::temp_dir().join(name);
-        World {
+        ServerFixture {
             listen,
             config,
             engine,
@@ -87,23 +87,23 @@
             program: program(),
             variables: Vec::new(),
             child: None,
-            left: Vec::new(),
-            deaf: false,
+            draining: Vec::new(),
+            has_closed_log: false,
             log: Arc::default(),
         }
     }
 
-    /// A server that serves, with its engine's link.
-    pub fn serving(settings: Value) -> (World, Link) {
-        let mut world = World::new(settings);
-        world.start("exec \"$0\" serve");
-        let link = world.engine.link();
-        link.hello("ATTACH 0");
-        world.wait_for_service();
-        (world, link)
+    /// Starts a server with a scripted engine; returns the engine's connection.
+    pub fn start_serving(settings: Value) -> (ServerFixture, PeerConnection) {
+        let mut fixture = ServerFixture::new(settings);
+        fixture.start("exec \"$0\" serve");
+        let link = fixture.engine.link();
+        link.accept_attach("ATTACH 0");
+        fixture.wait_for_service();
+        (fixture, link)
     }
 
-    /// Options for the next start, as YAML. `CREDENTIALS` stands for a file with those of the stand-in broker.
+    /// Sets the options (YAML) for the next start. `CREDENTIALS` is replaced by a file with those of the stand-in broker.
     pub fn options(&mut self, text: &str) {
         let file = self.file.with_extension("yaml");
         let credentials = file.with_extension("credentials");
@@ -113,7 +113,7 @@
         self.options = Some(file);
     }
 
-    /// Ends the server as a crash would.
+    /// Kills the server.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -121,22 +121,21 @@
         }
     }
 
-    /// Tells the server to leave and does not wait for its end: the next start is another process beside it. Its exit is
-    /// seen to once this world ends.
-    pub fn leave_behind(&mut self) {
+    /// Asks the server to shut down without waiting for its end: the next start runs beside it.
+    pub fn drain_in_background(&mut self) {
         self.terminate();
-        self.left.extend(self.child.take());
+        self.draining.extend(self.child.take());
     }
 
-    /// Nobody will read the log.
-    pub fn deaf(&mut self) {
-        self.deaf = true;
+    /// Closes the reading end of the log.
+    pub fn close_log(&mut self) {
+        self.has_closed_log = true;
     }
 
-    /// Moves engine, ledger and control plane to new addresses, in the file and here. What stood at the old ones is
-    /// given out, and stays open for as long as it is kept.
-    pub fn moved(&mut self) -> (Engine, Ledger, Control) {
-        let old = (
+    /// Replaces engine, downstream service and control plane by new ones at new addresses; returns the previous ones, which
+    /// stay open until they are dropped.
+    pub fn move_peers(&mut self) -> (Engine, Ledger, Control) {
+        let previous = (
             std::mem::replace(&mut self.engine, Engine::start()),
             std::mem::replace(&mut self.ledger, Ledger::new()),
             std::mem::replace(&mut self.control, Control::start()),
@@ -145,7 +144,7 @@
         self.config["ledger"] = self.ledger.address.to_string().into();
         self.config["control"] = self.control.address.to_string().into();
         self.write(&self.config.to_string());
-        old
+        previous
     }
 
     /// Replaces the configuration file.
@@ -153,7 +152,7 @@
         std::fs::write(&self.file, text).expect("the configuration is written");
     }
 
-    /// A pipe in the place of the configuration, which nobody writes to.
+    /// Replaces the configuration file by a pipe that nobody writes to.
     pub fn make_pipe(&self) {
         assert!(Command::new("mkfifo").arg(&self.file).status().expect("mkfifo").success());
     }
@@ -163,7 +162,7 @@
         std::fs::remove_file(&self.file).expect("the configuration is removed");
     }
 
-    /// Starts the server by a line of shell, in which `$0` is its program.
+    /// Starts the server by a shell command, in which `$0` is its program.
     pub fn start(&mut self, line: &str) {
         self.write(&self.config.to_string());
         let mut child = Command::new("/bin/sh")
@@ -177,7 +176,7 @@
             .spawn()
             .expect("the server starts");
         let mut errors = child.stderr.take().expect("its log");
-        if self.deaf {
+        if self.has_closed_log {
             drop(errors);
             self.child = Some(child);
             return;
@@ -192,17 +191,17 @@
         self.child = Some(child);
     }
 
-    /// The module exists once a request is no longer turned away unseen.
+    /// Waits until the server passes requests to its controller.
     pub fn wait_for_service(&self) {
         let mut gateway = self.gateway();
         gateway.send(&health(1, false));
-        assert_eq!(gateway.answer().word, "UP");
-        let until = Instant::now() + PATIENCE;
+        assert_eq!(gateway.response().status, "UP");
+        let until = Instant::now() + RESPONSE_TIMEOUT;
         let mut tag = 2;
         while Instant::now() < until {
-            gateway.send(&call(tag, "no-such-class", &fields(&fresh_id()), b""));
-            // Before the engine is known to be up the answer is BUSY, after that it is FAILED.
-            if gateway.answer().word == "FAILED" {
+            gateway.send(&call(tag, "no-such-class", &fields(&next_attempt_id()), b""));
+            // Before the engine is connected the response is BUSY, after that it is FAILED.
+            if gateway.response().status == "FAILED" {
                 return;
             }
             tag += 1;
@@ -221,9 +220,9 @@
         self.log.lock().unwrap().clone()
     }
 
-    /// Waits for a line of the log.
+    /// Waits until the log contains a text.
     pub fn wait_for_log(&self, text: &str) {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + RESPONSE_TIMEOUT;
         while !self.log().contains(text) {
             assert!(Instant::now() < until, "{text}: {}", self.log());
             thread::sleep(Duration::from_millis(5));
@@ -246,10 +245,10 @@
         assert!(done.expect("kill").success());
     }
 
-    /// Waits for the end of the server and gives its exit code.
+    /// Waits for the end of the server; returns its exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
         let child = self.child.as_mut().expect("a server");
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + RESPONSE_TIMEOUT;
         while Instant::now() < until {
             if let Some(status) = child.try_wait().expect("its state") {
                 return status.code();
@@ -259,8 +258,8 @@
         panic!("the server does not end");
     }
 
-    /// Whether there is a process.
-    pub fn runs(&mut self) -> bool {
+    /// Whether a process was started and has not ended.
+    pub fn has_process(&mut self) -> bool {
         self.child.is_some() && self.is_running()
     }
 
@@ -274,7 +273,7 @@
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.pid())).expect("its threads");
         let state = |one: std::io::Result<std::fs::DirEntry>| {
             let stat = std::fs::read_to_string(one.ok()?.path().join("stat")).ok()?;
-            // The name stands in brackets and may hold spaces; the state follows the last bracket.
+            // The name is in brackets and may contain spaces; the state follows the last bracket.
             let (id, rest) = stat.split_once(" (")?;
             let (name, after) = rest.rsplit_once(") ")?;
             Some((format!("{id} {name}"), after.chars().next()?))
@@ -282,23 +281,23 @@
         tasks.filter_map(state).collect()
     }
 
-    /// Threads that are never seen waiting over many looks: one that spins is running at every look.
+    /// Threads that are running in every one of many samples.
     pub fn spinning_threads(&self) -> Vec<String> {
-        let (mut waited, mut seen) = (HashSet::new(), HashSet::new());
+        let (mut waited, mut observed) = (HashSet::new(), HashSet::new());
         for _ in 0..200 {
             for (thread, state) in self.threads() {
                 if matches!(state, 'S' | 'D' | 'I' | 't' | 'T') {
                     waited.insert(thread.clone());
                 }
-                seen.insert(thread);
+                observed.insert(thread);
             }
-            if !seen.is_empty() && seen.is_subset(&waited) {
+            if !observed.is_empty() && observed.is_subset(&waited) {
                 break;
             }
             thread::sleep(Duration::from_millis(10));
         }
-        assert!(!seen.is_empty(), "the server has threads");
-        seen.difference(&waited).cloned().collect()
+        assert!(!observed.is_empty(), "the server has threads");
+        observed.difference(&waited).cloned().collect()
     }
 
     /// Number of open file descriptors of the server.
@@ -307,10 +306,10 @@
     }
 }
 
-impl Drop for World {
+impl Drop for ServerFixture {
     fn drop(&mut self) {
         self.kill();
-        for mut child in self.left.drain(..) {
+        for mut child in self.draining.drain(..) {
             let _ = child.kill();
             let _ = child.wait();
         }
--- a/crates/loomflow-standins/src/worker.rs
+++ b/crates/loomflow-standins/src/worker.rs
@@ -1,5 +1,5 @@
-//! An engine that works by itself: so many cores, each with one run at a time, the rest in the order in which they
-//! came. It keeps what it has run, so that nothing can run twice unseen.
+//! Stand-in engine that runs requests by itself: each core has one run at a time, and further runs queue in order of
+//! arrival. It records every run, so that tests notice duplicates.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -8,38 +8,38 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::base::{PATIENCE, free_listener};
+use crate::base::{RESPONSE_TIMEOUT, loopback_listener};
 
-/// A run that has begun or waits for a core.
+/// A run that is in progress or queued.
 struct Run {
     id: String,
     body: Vec<u8>,
     work: Duration,
-    /// Its call below is over, or it makes none.
+    /// Whether its downstream call has ended, or it makes none.
     called: bool,
 }
 
 #[derive(Default)]
 struct Inner {
     link: Option<TcpStream>,
-    /// Notices since the server's start, for links to come.
+    /// Notices since the start of the server, which later connections repeat.
     notices: Vec<Vec<u8>>,
     waiting: VecDeque<Run>,
     busy: usize,
-    /// How often each body has been run, by class and body.
-    runs: BTreeMap<(String, Vec<u8>), usize>,
-    begun: Vec<(Vec<u8>, Instant)>,
-    seen: BTreeSet<String>,
+    /// Number of runs by class and body.
+    run_counts: BTreeMap<(String, Vec<u8>), usize>,
+    started_runs: Vec<(Vec<u8>, Instant)>,
+    known_ids: BTreeSet<String>,
     work: Duration,
     fail: usize,
-    held: bool,
-    /// How long after its `ATTACH` a link hears `HELLO`: an engine that comes up slowly.
+    is_held: bool,
+    /// Delay between `ATTACH` and `HELLO`, as of an engine that starts slowly.
     hello_delay: Duration,
-    /// Links that have heard it.
+    /// Number of connections that were sent `HELLO`.
     attached: usize,
-    /// Every so many runs make a call below; none where 0.
+    /// Every n-th run makes a downstream call; 0 for none.
     calls_every: usize,
-    /// Runs that wait for the reply to their call.
+    /// Runs that wait for the reply to a downstream call.
     at_call: BTreeMap<String, Run>,
 }
 
@@ -57,7 +57,7 @@
     shared: Arc<Shared>,
 }
 
-/// What a run of a body makes.
+/// The result of a run with this body.
 pub fn result_of(body: &[u8]) -> Vec<u8> {
     [b"done:", body].concat()
 }
@@ -65,10 +65,10 @@
 impl Worker {
     /// Each run takes one core for `work`.
     pub fn start(cores: usize, work: Duration) -> Worker {
-        Worker::at(free_listener(), cores, work)
+        Worker::at(loopback_listener(), cores, work)
     }
 
-    /// The same at an address of one's choice.
+    /// As [`Worker::start`], on a listener.
     pub fn at(listener: TcpListener, cores: usize, work: Duration) -> Worker {
         let address = listener.local_addr().expect("an address");
         let inner = Inner { work, ..Inner::default() };
@@ -83,70 +83,70 @@
     }
 
     fn inner(&self) -> MutexGuard<'_, Inner> {
-        self.shared.inner.lock().unwrap_or_else(PoisonError::into_inner)
+        self.shared.lock()
     }
 
     /// Changes the duration of runs.
-    pub fn takes(&self, work: Duration) {
+    pub fn set_run_duration(&self, work: Duration) {
         self.inner().work = work;
     }
 
-    /// Links hear `HELLO` so long after they attached, from now on.
-    pub fn says_hello_after(&self, delay: Duration) {
+    /// Sets the delay between `ATTACH` and `HELLO`.
+    pub fn set_hello_delay(&self, delay: Duration) {
         self.inner().hello_delay = delay;
     }
 
-    /// How many links have attached so far.
+    /// Number of connections that have attached so far.
     pub fn attached(&self) -> usize {
         self.inner().attached
     }
 
-    /// Every so many runs make a call below, halfway.
-    pub fn calls(&self, every: usize) {
+    /// Makes every n-th run make a downstream call halfway.
+    pub fn set_call_interval(&self, every: usize) {
         self.inner().calls_every = every;
     }
 
-    /// So many runs to come end in a fault.
-    pub fn fail(&self, count: usize) {
+    /// Makes the next `count` runs fail.
+    pub fn fail_next(&self, count: usize) {
         self.inner().fail = count;
     }
 
-    /// No run ends any more, or they go on.
-    pub fn hold(&self, is: bool) {
-        self.inner().held = is;
+    /// Holds the end of all runs, or releases it.
+    pub fn set_held(&self, is: bool) {
+        self.inner().is_held = is;
         self.shared.changed.notify_all();
     }
 
-    /// How often each body has been run.
-    pub fn runs(&self) -> BTreeMap<(String, Vec<u8>), usize> {
-        self.inner().runs.clone()
+    /// Number of runs by class and body.
+    pub fn run_counts(&self) -> BTreeMap<(String, Vec<u8>), usize> {
+        self.inner().run_counts.clone()
     }
 
-    /// Bodies in the order in which their runs were asked for.
-    pub fn order(&self) -> Vec<Vec<u8>> {
-        self.inner().begun.iter().map(|(body, _)| body.clone()).collect()
+    /// Bodies in the order in which their runs were requested.
+    pub fn run_order(&self) -> Vec<Vec<u8>> {
+        self.inner().started_runs.iter().map(|(body, _)| body.clone()).collect()
     }
 
-    /// The same, and when each was asked for.
-    pub fn begun(&self) -> Vec<(Vec<u8>, Instant)> {
-        self.inner().begun.clone()
+    /// Bodies with the times at which their runs were requested.
+    pub fn started_runs(&self) -> Vec<(Vec<u8>, Instant)> {
+        self.inner().started_runs.clone()
     }
 
     /// Number of runs that were requested.
-    pub fn count(&self) -> usize {
-        self.inner().begun.len()
+    pub fn run_count(&self) -> usize {
+        self.inner().started_runs.len()
     }
 
-    /// Waits until so many runs have been asked for.
-    pub fn wait(&self, count: usize) {
-        let until = Instant::now() + PATIENCE;
-        while self.count() < count {
-            assert!(Instant::now() < until, "{count} runs, {} so far", self.count());
+    /// Waits until this many runs were requested.
+    pub fn wait_for_runs(&self, count: usize) {
+        let until = Instant::now() + RESPONSE_TIMEOUT;
+        while self.run_count() < count {
+            assert!(Instant::now() < until, "{count} runs, {} so far", self.run_count());
             thread::sleep(Duration::from_millis(2));
         }
     }
 
-    /// A server starts anew: numbers of notices begin again, and what ran is over.
+    /// The server restarts: notices are numbered from the start, and queued runs are dropped.
     pub fn server_died(&self) {
         let mut inner = self.inner();
         inner.notices.clear();
@@ -170,7 +170,7 @@
 
 fn core(shared: &Shared) {
     loop {
-        let mut inner = shared.inner.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut inner = shared.lock();
         let run = loop {
             if let Some(run) = inner.waiting.pop_front() {
                 break run;
@@ -181,14 +181,14 @@
         drop(inner);
         thread::sleep(run.work);
         if !run.called {
-            let mut inner = shared.inner.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut inner = shared.lock();
             inner.busy -= 1;
             inner.notice("NEED", &run.id, b"call");
             inner.at_call.insert(run.id.clone(), Run { called: true, ..run });
             continue;
         }
-        let mut inner = shared.inner.lock().unwrap_or_else(PoisonError::into_inner);
-        while inner.held {
+        let mut inner = shared.lock();
+        while inner.is_held {
             inner = shared.changed.wait(inner).unwrap_or_else(PoisonError::into_inner);
         }
         inner.busy -= 1;
@@ -214,7 +214,6 @@
 fn serve(stream: TcpStream, shared: &Shared) -> std::io::Result<()> {
     let mut writer = stream.try_clone()?;
     let mut reader = BufReader::new(stream);
-    let lock = || shared.inner.lock().unwrap_or_else(PoisonError::into_inner);
     let mut line = String::new();
     loop {
         line.clear();
@@ -223,52 +222,75 @@
         }
         let words: Vec<&str> = line.split_whitespace().collect();
         match words[..] {
-            ["ATTACH", last] => {
-                let delay = lock().hello_delay;
-                thread::sleep(delay);
-                let mut inner = lock();
-                writer.write_all(b"HELLO running 60000\r\n")?;
-                let last: usize = last.parse().unwrap_or(0);
-                for notice in inner.notices.iter().skip(last) {
-                    writer.write_all(notice)?;
-                }
-                inner.link = Some(writer.try_clone()?);
-                inner.attached += 1;
-            }
-            ["RUN", id, class, size] => {
-                let mut body = vec![0; size.parse::<usize>().unwrap_or(0) + 2];
-                reader.read_exact(&mut body)?;
-                body.truncate(body.len() - 2);
-                let mut inner = lock();
-                // For one that runs already nothing happens.
-                if inner.seen.insert(id.to_owned()) {
-                    *inner.runs.entry((class.to_owned(), body.clone())).or_default() += 1;
-                    inner.begun.push((body.clone(), Instant::now()));
-                    let called =
-                        inner.calls_every == 0 || !inner.begun.len().is_multiple_of(inner.calls_every);
-                    let work = if called { inner.work } else { inner.work / 2 };
-                    let run = Run { id: id.to_owned(), body, work, called };
-                    inner.waiting.push_back(run);
-                    shared.changed.notify_all();
-                }
-            }
-            ["STAT", tag] => {
-                let inner = lock();
-                let on = inner.busy + inner.waiting.len();
-                let share = inner.busy as f64 / shared.cores as f64;
-                writer.write_all(format!("STATS {tag} {share:.3} {on} 0.1 4\r\n").as_bytes())?;
-            }
+            ["ATTACH", last] => shared.attach(last.parse().unwrap_or(0), &mut writer)?,
+            ["RUN", id, class, size] => shared.request_run(id, class, read_body(&mut reader, size)?),
+            ["STAT", tag] => writer.write_all(shared.stats(tag).as_bytes())?,
             ["TEST", tag] => writer.write_all(format!("TESTED {tag} fine\r\n").as_bytes())?,
             ["FEED", id, size] => {
-                let mut body = vec![0; size.parse::<usize>().unwrap_or(0) + 2];
-                reader.read_exact(&mut body)?;
-                let mut inner = lock();
-                if let Some(run) = inner.at_call.remove(id) {
-                    inner.waiting.push_back(run);
-                    shared.changed.notify_all();
-                }
+                read_body(&mut reader, size)?;
+                shared.continue_run(id);
             }
             _ => {}
         }
     }
 }
+
+/// Reads the body that follows a line, with its line end.
+fn read_body(reader: &mut impl Read, size: &str) -> std::io::Result<Vec<u8>> {
+    let size = size.parse::<usize>().unwrap_or(0);
+    let mut body = vec![0; size + 2];
+    reader.read_exact(&mut body)?;
+    body.truncate(size);
+    Ok(body)
+}
+
+impl Shared {
+    fn lock(&self) -> MutexGuard<'_, Inner> {
+        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Makes a connection the current one, and repeats the notices after the last one that was read.
+    fn attach(&self, last: usize, writer: &mut TcpStream) -> std::io::Result<()> {
+        let delay = self.lock().hello_delay;
+        thread::sleep(delay);
+        let mut inner = self.lock();
+        writer.write_all(b"HELLO running 60000\r\n")?;
+        for notice in inner.notices.iter().skip(last) {
+            writer.write_all(notice)?;
+        }
+        inner.link = Some(writer.try_clone()?);
+        inner.attached += 1;
+        Ok(())
+    }
+
+    /// Queues a run. A repeated request for the same run is ignored.
+    fn request_run(&self, id: &str, class: &str, body: Vec<u8>) {
+        let mut inner = self.lock();
+        if !inner.known_ids.insert(id.to_owned()) {
+            return;
+        }
+        *inner.run_counts.entry((class.to_owned(), body.clone())).or_default() += 1;
+        inner.started_runs.push((body.clone(), Instant::now()));
+        let called = inner.calls_every == 0 || !inner.started_runs.len().is_multiple_of(inner.calls_every);
+        let work = if called { inner.work } else { inner.work / 2 };
+        inner.waiting.push_back(Run { id: id.to_owned(), body, work, called });
+        self.changed.notify_all();
+    }
+
+    /// Queues a run again after its downstream call.
+    fn continue_run(&self, id: &str) {
+        let mut inner = self.lock();
+        if let Some(run) = inner.at_call.remove(id) {
+            inner.waiting.push_back(run);
+            self.changed.notify_all();
+        }
+    }
+
+    /// The response to a query of the gauges.
+    fn stats(&self, tag: &str) -> String {
+        let inner = self.lock();
+        let runnable = inner.busy + inner.waiting.len();
+        let utilization = inner.busy as f64 / self.cores as f64;
+        format!("STATS {tag} {utilization:.3} {runnable} 0.1 4\r\n")
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,6 +4,8 @@
 //! [`estimate`] and [`retained_keys`] are the bookkeeping that it rests on, [`time`] the units. None of them does any I/O
 //! or knows a protocol: a front feeds events in and carries actions out.
 
+#![forbid(unsafe_code)]
+
 pub mod choice;
 pub mod estimate;
 pub mod interface;
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -410,7 +410,7 @@
 }
 
 #[test]
-fn no_cold_start_of_a_fleet_exceeds_its_allowance_whether_callers_heed_or_not() {
+fn no_slow_start_exceeds_its_budget_whether_callers_honour_the_share_or_not() {
     for day in days() {
         let fleet = Fleet::play(&day, 8_000.0);
         let served: usize = fleet.servers.iter().map(|server| server.served).sum();
@@ -425,7 +425,7 @@
 
 /// The first answer of all already tells it: callers that have heard nothing act as if it were warm.
 #[test]
-fn the_first_batch_of_a_cold_server_tells_its_part_of_the_speed() {
+fn the_first_batch_in_slow_start_signals_the_reduced_speed() {
     let mut set = settings();
     (set.is_slow_start, set.slow_start_share) = (true, 0.2);
     let driver = Driver::new(set);
@@ -434,7 +434,7 @@
 
 /// What waits for its call is not on the cores, and comes back unasked: all that was begun is survived together.
 #[test]
-fn calls_that_come_back_together_stay_within_what_a_cold_server_survives() {
+fn calls_that_return_together_stay_within_the_concurrency_of_slow_start() {
     let mut set = settings();
     (set.cores, set.is_slow_start, set.slow_start_share) = (CORES, true, 0.2);
     let n = survived(&set, 0.0);
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,12 +1,26 @@
-//! The pages that an on-call engineer reads name what exists: files, packages and types, and every log line has its row.
+//! The pages name only files, packages and types that exist, and every log line has its row.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
 /// Pages that are checked for files, packages and types.
-const PAGES: [&str; 3] = ["docs/architecture.md", "docs/glossary.md", "docs/on-call.md"];
+const PAGES: [&str; 11] = [
+    "README.md",
+    "DEVELOPERS.md",
+    "CONTRIBUTING.md",
+    "docs/architecture.md",
+    "docs/configuration.md",
+    "docs/glossary.md",
+    "docs/on-call.md",
+    "docs/platform.md",
+    "docs/operators/amqp.md",
+    "docs/operators/duties.md",
+    "docs/operators/fleet.md",
+];
 /// Where a shortened path may begin.
 const ROOTS: [&str; 2] = ["", "crates/loomflow-server/src"];
+/// Files that operators write themselves.
+const OPERATORS_FILES: [&str; 2] = ["options.yaml", "credentials.yaml"];
 /// Names in code that are not defined in this repository.
 const FOREIGN: [&str; 4] = ["NotOpened", "Malformed", "BUSY", "DOWN"];
 
@@ -70,7 +84,9 @@
                 assert!(root().join("crates").join(&text).is_dir(), "{page}: there is no package {text}");
             }
             let endings = [".rs", ".md", ".toml", ".yaml"];
-            let is_file = endings.iter().any(|ending| text.ends_with(ending)) && !text.contains(' ');
+            let is_file = endings.iter().any(|ending| text.ends_with(ending))
+                && !text.contains(' ')
+                && !OPERATORS_FILES.contains(&text.as_str());
             let folder = Path::new(page).parent().expect("a folder").to_str().expect("a path");
             let mut places = ROOTS.iter().copied().chain([folder]);
             let mut exists = || places.any(|place| root().join(place).join(&text).exists());
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -14,7 +14,7 @@
 
 /// An entry ran out while its request was still held; a later try, unconnected, ran beside it.
 #[test]
-fn an_entry_outlives_the_stay_of_what_it_stands_for() {
+fn a_retained_key_outlives_its_request() {
     let mut s = settings();
     s.classes[KEYED].idempotency_window = 100.0;
     let mut d = Driver::new(s);
@@ -28,7 +28,7 @@
 
 /// Repeats that waited for another's result were in no account that gives way, and filled the memory.
 #[test]
-fn repeats_that_wait_give_way_before_memory_runs_out() {
+fn waiting_repeats_are_shed_before_memory_is_exhausted() {
     let mut s = settings();
     s.memory_kb = 1000.0;
     let mut d = Driver::new(s);
@@ -49,7 +49,7 @@
 
 /// With one core that survives one and a half runs, two were begun: the last run was begun under the bound, not within it.
 #[test]
-fn a_small_crowd_is_not_passed_by_the_last_run_begun() {
+fn the_concurrency_limit_includes_the_run_started_last() {
     let mut s = settings();
     (s.cores, s.core_concurrency) = (1.0, 1.5);
     let mut d = Driver::new(s);
@@ -63,7 +63,7 @@
 /// Runs waiting for a permit were bounded by the running limit alone, calls in hand by their permits alone; a
 /// dependency that came back returned both to the cores at once.
 #[test]
-fn all_that_may_come_back_to_the_cores_at_once_is_a_crowd_that_is_survived() {
+fn runs_and_returning_calls_stay_within_the_survivable_concurrency() {
     let mut s = settings();
     (s.cores, s.core_concurrency, s.downstream, s.call_quota) = (2.0, 8.0, Downstream::Shared, 12.0);
     let mut d = Driver::new(s);
@@ -88,7 +88,7 @@
 
 /// A loan is never shorter than a call may linger; where the share has no room for that, there is none.
 #[test]
-fn no_call_is_made_that_would_linger_past_the_share() {
+fn no_call_is_made_that_would_exceed_the_call_quota() {
     let mut s = settings();
     (s.downstream, s.call_quota, s.call_quota_window, s.call_linger) =
         (Downstream::Shared, 0.02, 1000.0, 200.0);
@@ -101,7 +101,7 @@
 
 /// With room on the cores, but none under the limit, the only one held was to be tried, and stood to its end.
 #[test]
-fn the_only_one_held_is_refused_when_hopeless_though_cores_idle() {
+fn a_hopeless_request_is_rejected_although_cores_are_idle() {
     let mut d = Driver::new(settings());
     for id in 1..=6 {
         d.arrive(id, SAFE);
@@ -116,7 +116,7 @@
 
 /// What calls take was learnt to be less while it was held; its last look was then the one before its due time.
 #[test]
-fn what_is_hopeless_later_than_was_thought_is_refused_then() {
+fn a_request_is_rejected_once_it_becomes_hopeless() {
     let mut d = Driver::new(settings());
     for id in 1..=30 {
         d.arrive(id, SAFE);
@@ -140,7 +140,7 @@
 
 /// The stop came before the next heartbeat.
 #[test]
-fn a_notice_shorter_than_a_heartbeat_answers_all_at_once() {
+fn a_shutdown_shorter_than_a_tick_answers_everything_immediately() {
     let mut d = Driver::new(settings());
     d.batch(many(1..=9, SAFE));
     d.pass(55.0);
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_share_starts_at_one_and_a_server_below_its_setpoint_says_nothing_else() {
+fn the_share_is_one_below_the_setpoint() {
     let mut d = Driver::new(settings());
     load(&mut d, 1, 100, 20.0);
     assert_eq!(d.told(), 1.0);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_share_falls_in_capped_steps_to_its_floor_and_comes_back_to_one() {
+fn the_share_falls_in_bounded_steps_to_its_floor_and_recovers() {
     let mut d = Driver::new(settings());
     load(&mut d, 1, 200, 1500.0);
     let said = d.shares_told();
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn with_nothing_finished_the_oldest_held_request_is_the_delay() {
+fn without_finished_runs_the_oldest_queued_request_is_the_delay() {
     let mut d = Driver::new(settings());
     d.gauges = FULL;
     for id in 1..=8 {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn unread_wait_counts_as_delay_though_the_hold_is_empty() {
+fn unread_wait_counts_as_delay_with_an_empty_queue() {
     let mut d = Driver::new(settings());
     // A slow server: what is read has waited long, and next to nothing finishes.
     for id in 1..=4 {
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_server_whose_work_hangs_says_so() {
+fn a_stalled_server_lowers_its_share() {
     let mut d = Driver::new(settings());
     for id in 1..=12 {
         d.arrive(id, UNSAFE);
@@ -79,14 +79,14 @@
 }
 
 #[test]
-fn the_limit_starts_at_the_cores() {
+fn the_run_limit_starts_at_the_number_of_cores() {
     let mut d = Driver::new(settings());
     let batch = (1..=10).map(|id| Event::RequestArrived(arrival(id, SAFE))).collect();
     assert_eq!(runs(&d.batch(batch)).len(), 4);
 }
 
 #[test]
-fn the_limit_rises_by_one_a_finished_run_only_while_cores_idle_and_work_is_held() {
+fn the_run_limit_rises_by_one_per_run_only_while_cores_idle_and_requests_are_queued() {
     let mut d = Driver::new(settings());
     d.batch((1..=10).map(|id| Event::RequestArrived(arrival(id, SAFE))).collect());
     d.gauges = FULL;
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn the_limit_is_cut_at_most_once_a_period_and_not_under_the_cores() {
+fn the_run_limit_is_cut_at_most_once_per_period_and_not_below_the_cores() {
     let mut d = Driver::new(settings());
     d.batch((1..=60).map(|id| Event::RequestArrived(arrival(id, UNSAFE))).collect());
     d.pass(60.0);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn what_its_caller_has_waited_before_counts_against_aim_and_end_and_not_as_delay_of_this_server() {
+fn upstream_time_counts_against_objective_and_timeout_but_not_as_delay() {
     let mut d = Driver::new(settings());
     let spent =
         |id, class, spent| Event::RequestArrived(Arrival { upstream_time: spent, ..arrival(id, class) });
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_request_at_a_call_leaves_the_limit_and_one_waiting_for_a_call_does_not() {
+fn a_request_in_a_call_frees_its_run_slot_and_one_waiting_for_a_call_does_not() {
     let mut s = settings();
     // A permit for one call, none lent: it could linger past what the share leaves beyond it.
     (s.cores, s.core_concurrency, s.downstream, s.call_quota, s.call_linger) =
@@ -186,7 +186,7 @@
 
 /// One call a core idled both tiers; without any bound, all that came back at once would crowd the cores.
 #[test]
-fn calls_on_a_tier_are_bounded_by_the_crowd_that_may_come_back() {
+fn calls_to_a_tier_are_bounded_by_the_concurrency_of_their_return() {
     let in_hand = |cold: bool| {
         let mut s = settings();
         (s.cores, s.is_slow_start, s.slow_start_share) = (2.0, cold, 0.1);
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn a_share_under_one_is_a_permit_for_that_part_of_the_time() {
+fn a_call_quota_below_one_is_a_permit_for_part_of_the_time() {
     let mut s = settings();
     s.downstream = Downstream::Shared;
     s.call_quota = 0.4;
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn a_cold_server_asks_for_its_part_of_the_speed_only() {
+fn a_server_in_slow_start_asks_for_its_reduced_speed_only() {
     let mut s = settings();
     s.is_slow_start = true;
     let mut d = Driver::new(s);
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn the_share_is_put_in_the_callers_terms() {
+fn the_share_is_expressed_in_the_feedback_signal_of_the_site() {
     for (signal, low) in [(FeedbackSignal::LowestRank, true), (FeedbackSignal::Credit, false)] {
         let mut s = settings();
         s.feedback_signal = signal;
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn new_terms_count_for_what_comes_and_what_is_in_hand_keeps_its_times() {
+fn reloaded_settings_apply_to_new_requests_only() {
     let mut set = settings();
     let mut d = Driver::new(set.clone());
     d.gauges = FULL;
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn a_server_whose_cores_stand_still_turns_away_what_it_holds_and_is_itself_again_afterwards() {
+fn a_stalled_server_rejects_its_queue_and_recovers() {
     let mut d = Driver::new(settings());
     d.gauges = Gauges { core_utilization: Some(1.0), runnable: Some(4.0), ..IDLE };
     load(&mut d, 1, 20, 20.0);
@@ -361,7 +361,7 @@
 }
 
 #[test]
-fn a_tenant_within_its_quota_is_taken_for_one_beyond_it_seldom_at_any_size_of_fleet() {
+fn a_tenant_within_its_quota_is_rarely_judged_over_it_at_any_fleet_size() {
     for (servers, quota) in [(20.0, 4.0), (100.0, 4.0), (590.0, 4.0), (20.0, 40.0)] {
         let within = part_beyond_quota(servers, quota, 0.9);
         assert!(within <= 0.05, "{servers} servers: {within} at 0.9 of the quota");
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -78,7 +78,7 @@
     #![proptest_config(ProptestConfig { cases: 12, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_served_in_a_burst_is_served_in_time(burst in 1.3_f64..3.0, work in 5.0_f64..20.0) {
+    fn requests_served_in_a_burst_are_served_in_time(burst in 1.3_f64..3.0, work in 5.0_f64..20.0) {
         let (in_time, late, told) = play(burst, work);
         let worst = in_time.iter().fold(f64::INFINITY, |worst, one| worst.min(*one));
         prop_assert!(worst >= 0.9, "in time in each second {in_time:.2?}; shares told {told:.2?}");
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -258,9 +258,9 @@
     fn new(set: Settings, fault: Fault) -> World {
         let now = 50_000.0;
         let choice = Controller::new(set.clone(), 11, now);
-        let mut world = World { choice, checker: Checker::new(set, now), next: 1, fault };
-        world.batch(vec![]);
-        world
+        let mut fixture = World { choice, checker: Checker::new(set, now), next: 1, fault };
+        fixture.batch(vec![]);
+        fixture
     }
 
     fn batch(&mut self, events: Vec<Event>) {
@@ -434,12 +434,12 @@
     }
 
     fn play(set: Settings, steps: &[Step], fault: Fault) -> Vec<String> {
-        let mut world = World::new(set, fault);
+        let mut fixture = World::new(set, fault);
         for step in steps {
-            world.step(*step);
+            fixture.step(*step);
         }
-        world.pass(9000.0);
-        world.checker.broken
+        fixture.pass(9000.0);
+        fixture.checker.broken
     }
 }
 
@@ -468,7 +468,7 @@
 }
 
 #[test]
-fn no_rule_is_broken() {
+fn random_histories_violate_no_rule() {
     let played = runner(400).run(&steps(), |(kind, steps)| {
         let broken = World::play(pressing(kind), &steps, |_, _| {});
         prop_assert!(broken.is_empty(), "{broken:?}");
@@ -481,7 +481,7 @@
 
 /// The checker is worth something only if it fails modules that are broken on purpose.
 #[test]
-fn the_checker_sees_broken_modules() {
+fn the_checker_detects_broken_controllers() {
     let faults: [(&str, Fault, &str); 6] = [
         ("forgets failures", |a, _| a.retain(|x| !matches!(x, Action::Fail(_))), "not answered"),
         (
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -11,7 +11,7 @@
 // ---- Rule 1 ----
 
 #[test]
-fn everything_read_is_answered_before_it_is_due_though_its_run_never_ends() {
+fn every_request_is_answered_in_time_although_its_run_never_ends() {
     let mut d = Driver::new(settings());
     d.batch((1..=12).map(|id| Event::RequestArrived(arrival(id, id as usize % 3))).collect());
     let all = d.pass(8000.0);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_due_time_is_the_callers_wait_where_that_is_told() {
+fn the_deadline_is_the_wait_of_the_caller_if_it_is_known() {
     let mut s = settings();
     s.has_caller_deadlines = true;
     let mut d = Driver::new(s);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_due_time_counts_from_reaching_the_machine() {
+fn the_deadline_counts_from_the_arrival_at_the_machine() {
     let mut s = settings();
     s.classes[UNSAFE].latency_objective = 8000.0;
     let mut d = Driver::new(s);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn what_is_hopeless_on_reading_is_answered_at_once() {
+fn a_request_that_is_hopeless_on_arrival_is_answered_immediately() {
     let mut d = Driver::new(settings());
     let mut a = arrival(1, SAFE);
     a.age = 7990.0;
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn requests_at_a_call_and_waiting_for_another_ones_result_are_owed_answers_too() {
+fn requests_in_a_call_or_waiting_for_a_result_are_answered_too() {
     let mut d = Driver::new(settings());
     d.batch(vec![Event::RequestArrived(arrival(1, KEYED)), Event::RequestArrived(arrival(2, SAFE))]);
     let mut again = arrival(3, KEYED);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn nothing_is_owed_to_a_caller_that_left() {
+fn no_response_is_sent_after_a_cancellation() {
     let mut d = Driver::new(settings());
     d.batch(many(1..=6, SAFE));
     d.batch((1..=6).map(Event::RequestCancelled).collect());
@@ -76,7 +76,7 @@
 // ---- Rule 2 ----
 
 #[test]
-fn a_keyed_request_is_remembered_before_it_runs_until_its_window_after_arrival_ends() {
+fn a_key_is_retained_before_the_run_until_the_end_of_its_window() {
     let mut d = Driver::new(settings());
     let mut a = arrival(1, KEYED);
     a.age = 300.0;
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn repeats_of_a_keyed_request_share_its_result_and_never_run() {
+fn repeats_of_an_idempotent_request_share_its_result() {
     let mut d = Driver::new(settings());
     d.arrive(1, KEYED);
     let repeat = |id| {
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn no_run_of_a_keyed_request_without_room_to_remember_it() {
+fn no_idempotent_request_runs_without_memory_for_its_key() {
     let mut s = settings();
     s.memory_kb = 400.0;
     s.key_kb = 500.0;
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn the_entry_of_a_keyed_request_that_never_ran_is_freed() {
+fn the_key_of_a_request_that_never_ran_is_released() {
     let mut d = Driver::new(settings());
     d.gauges = FULL;
     d.batch(many(1..=5, KEYED));
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn what_ran_and_may_not_run_again_is_failed_never_refused() {
+fn a_request_that_ran_and_must_not_run_again_fails_and_is_not_rejected() {
     for class in [KEYED, UNSAFE] {
         let mut d = Driver::new(settings());
         d.arrive(1, class);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_call_is_repeated_only_after_an_outcome_that_proves_it_never_ran_or_for_a_safe_request() {
+fn a_call_is_retried_only_if_it_never_ran_or_is_idempotent() {
     use Outcome::*;
     for class in [SAFE, KEYED, UNSAFE] {
         for outcome in [Error, Rejected, TimedOut, Unreachable, ConnectionLost, NotStarted] {
@@ -162,7 +162,7 @@
 // ---- Rule 3 ----
 
 #[test]
-fn on_leaving_health_says_so_at_once_and_the_share_once_nothing_more_is_begun() {
+fn on_shutdown_health_changes_immediately_and_the_share_when_intake_stops() {
     let mut d = Driver::new(settings());
     let actions = d.one(Event::ShutdownRequested { time_left: 5000.0 });
     assert!(actions.contains(&Action::SetHealth { is_healthy: false, is_cached: true }));
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn what_arrives_past_the_grace_is_given_back_by_arrival_not_by_reading() {
+fn requests_that_arrive_after_the_grace_period_are_rejected_by_arrival_time() {
     let mut d = Driver::new(settings());
     d.one(Event::ShutdownRequested { time_left: 6000.0 });
     d.pass(2500.0);
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn everything_is_answered_before_the_stop() {
+fn everything_is_answered_before_the_kill() {
     let mut d = Driver::new(settings());
     d.gauges = FULL;
     d.batch((1..=9).map(|id| Event::RequestArrived(arrival(id, id as usize % 3))).collect());
@@ -203,7 +203,7 @@
 // ---- Rule 4 ----
 
 #[test]
-fn held_requests_give_way_before_memory_runs_out() {
+fn queued_requests_are_shed_before_memory_is_exhausted() {
     let mut s = settings();
     s.memory_kb = 1000.0;
     let mut d = Driver::new(s);
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_cold_server_runs_less_of_a_crowd() {
+fn a_server_in_slow_start_runs_fewer_requests_at_once() {
     let started = |cold: bool| {
         let mut s = settings();
         (s.is_slow_start, s.slow_start_share) = (cold, 0.05);
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn calls_in_hand_stay_under_the_told_share_abandoned_ones_included() {
+fn open_calls_stay_within_the_call_quota_including_abandoned_ones() {
     let mut s = settings();
     s.downstream = Downstream::Shared;
     s.call_quota = 2.5;
@@ -258,7 +258,7 @@
 /// Under a share far below one, calls were abandoned half way, lingered, and used up the share for nothing; and
 /// as only short calls ended well, a slow dependency was never learnt.
 #[test]
-fn calls_on_a_lent_permit_are_finished_also_when_what_lies_below_turns_slow() {
+fn calls_on_a_borrowed_permit_finish_when_the_downstream_slows_down() {
     let mut s = settings();
     s.downstream = Downstream::Shared;
     s.call_quota = 0.4;
@@ -294,7 +294,7 @@
 
 /// A quiet day refused large requests at once by their estimate, on idle cores.
 #[test]
-fn a_large_request_is_tried_while_cores_idle() {
+fn a_large_request_runs_while_cores_are_idle() {
     let mut d = Driver::new(settings());
     d.pass(60.0);
     for id in 1..=30 {
@@ -311,7 +311,7 @@
 
 /// Slow servers with an empty hold and seconds of unread wait advised no pause.
 #[test]
-fn advice_to_stay_away_covers_the_unread_wait() {
+fn retry_after_covers_the_unread_wait() {
     let mut d = Driver::new(settings());
     let mut a = arrival(1, SAFE);
     a.age = 7990.0;
@@ -341,7 +341,7 @@
 }
 
 #[test]
-fn odd_input_is_no_panic() {
+fn unexpected_events_do_not_panic() {
     let mut d = Driver::new(settings());
     d.batch(vec![
         Event::RequestArrived(arrival(1, 99)),
@@ -358,7 +358,7 @@
 
 /// Where estimates are rough, runs grow far less than their estimates; a large request was refused for nothing.
 #[test]
-fn a_rough_estimate_is_read_by_what_runs_have_shown() {
+fn rough_estimates_are_corrected_by_measured_runs() {
     let mut d = Driver::new(settings());
     d.pass(60.0);
     for id in 1..=60 {
@@ -379,7 +379,7 @@
 
 /// On a slow server ten runs beside six reads left arrivals unread for seconds, where nothing can refuse them.
 #[test]
-fn starved_reading_cuts_the_limit_before_a_run_ends_past_its_aim() {
+fn starved_reading_cuts_the_limit_before_runs_miss_their_objective() {
     let mut d = Driver::new(settings());
     d.batch(many(1..=30, UNSAFE));
     d.pass(60.0);
@@ -405,7 +405,7 @@
 
 /// A server whose runs all failed at once emptied its hold, said 1 and drew in a fleet's traffic.
 #[test]
-fn quick_failures_are_not_health() {
+fn fast_failures_do_not_count_as_healthy() {
     let mut d = Driver::new(settings());
     for id in 1..=20 {
         d.arrive(id, SAFE);
@@ -417,7 +417,7 @@
 
 /// A slow dependency let requests queue for permits until the last moment, with the limit full of them.
 #[test]
-fn a_call_is_left_out_early_where_that_earns_and_permits_are_short() {
+fn a_call_is_skipped_early_if_permits_are_scarce() {
     let mut s = settings();
     s.downstream = Downstream::Shared;
     s.call_quota = 1.3;
@@ -435,7 +435,7 @@
 
 /// A hot server of the tier below held calls until its own aim, long after their callers had abandoned them.
 #[test]
-fn a_tier_below_holds_for_a_part_of_the_aim() {
+fn a_lower_tier_queues_for_a_part_of_the_objective() {
     for (tier, held) in [(0, true), (1, false)] {
         let mut s = settings();
         s.tier = tier;
@@ -449,7 +449,7 @@
 
 /// Hundreds of gateways filled the table with connections that none of them used again.
 #[test]
-fn idle_connections_are_closed_where_callers_seldom_come_back() {
+fn idle_connections_are_closed_if_callers_rarely_return() {
     let closes = |callers: u64, busy: f64| {
         let mut d = Driver::new(settings());
         d.gauges.core_utilization = Some(busy);
@@ -474,7 +474,7 @@
 
 /// Gateways that left long before the aim got answers that nobody heard; two in five served retries were late.
 #[test]
-fn no_run_begins_that_ends_after_callers_have_been_seen_to_leave() {
+fn no_run_starts_that_would_end_after_callers_usually_leave() {
     let mut d = Driver::new(settings());
     let mut id = 0;
     let mut late_start = |d: &mut Driver, leave: bool| {
@@ -498,7 +498,7 @@
 
 /// Clients whose first try was refused late came again with little time left; a fifth of what was served was late.
 #[test]
-fn a_marked_retry_has_spent_what_a_refused_request_spends() {
+fn a_retry_counts_the_time_of_a_rejected_attempt_as_spent() {
     let mut d = Driver::new(settings());
     d.gauges = FULL;
     // Four run for good; the rest are refused when their aim slips out of reach, 2 s after they came.
@@ -517,7 +517,7 @@
 
 /// A slow database was crowded up to the told share, where it is far past its best.
 #[test]
-fn fewer_calls_are_in_hand_while_what_lies_below_is_slow() {
+fn fewer_calls_are_open_while_the_downstream_is_slow() {
     let in_hand = |slow: f64| {
         let mut s = settings();
         (s.downstream, s.call_quota, s.cores) = (Downstream::Shared, 12.0, 16.0);
