--- a/crates/loomflow-standins/src/worker.rs
+++ b/crates/loomflow-standins/src/worker.rs
@@ -224,7 +224,7 @@
         match words[..] {
             ["ATTACH", last] => shared.attach(last.parse().unwrap_or(0), &mut writer)?,
             ["RUN", id, class, size] => shared.request_run(id, class, read_body(&mut reader, size)?),
-            ["STAT", tag] => writer.write_all(shared.stats(tag).as_bytes())?,
+            ["STAT", tag] => shared.write_stats(tag, &mut writer)?,
             ["TEST", tag] => writer.write_all(format!("TESTED {tag} fine\r\n").as_bytes())?,
             ["FEED", id, size] => {
                 read_body(&mut reader, size)?;
@@ -286,11 +286,11 @@
         }
     }
 
-    /// The response to a query of the gauges.
-    fn stats(&self, tag: &str) -> String {
+    /// Responds to a query of the gauges. The lock is held while writing, so that no notice can come in between.
+    fn write_stats(&self, tag: &str, writer: &mut TcpStream) -> std::io::Result<()> {
         let inner = self.lock();
         let runnable = inner.busy + inner.waiting.len();
         let utilization = inner.busy as f64 / self.cores as f64;
-        format!("STATS {tag} {utilization:.3} {runnable} 0.1 4\r\n")
+        writer.write_all(format!("STATS {tag} {utilization:.3} {runnable} 0.1 4\r\n").as_bytes())
     }
 }
