--- a/crates/loomflow-adapter/src/main.rs
+++ b/crates/loomflow-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Connects the decision module to a simulator: JSON lines on standard input to events, actions to JSON lines on standard
+//! Connects the controller to a simulator: JSON lines on standard input to events, actions to JSON lines on standard
 //! output. Makes no decisions of its own.
 
 #![forbid(unsafe_code)]
--- a/crates/loomflow-adapter/src/wire.rs
+++ b/crates/loomflow-adapter/src/wire.rs
@@ -3,12 +3,52 @@
 use std::collections::BTreeMap;
 
 use loomflow::choice::Controller;
-use loomflow::interface::*;
+use loomflow::interface::{Action, Arrival, Event, Gauges, Outcome, RequestId};
+use loomflow::time::Millis;
 use loomflow_settings::{FieldError, JsonObject, Site};
 use serde_json::{Value, json};
 
 use crate::error::{BatchError, ItemError, MessageError};
 
+/// The messages that the simulator sends.
+#[derive(Clone, Copy)]
+enum MessageKind {
+    Boot,
+    Teardown,
+    Event(EventKind),
+}
+
+/// The messages that are events of an instance.
+#[derive(Clone, Copy)]
+enum EventKind {
+    RequestArrived,
+    RequestCancelled,
+    TimerFired,
+    CallNeeded,
+    CallEnded,
+    RunEnded,
+    ShutdownRequested,
+}
+
+impl MessageKind {
+    /// The kind of a message by its name on the wire; none for a message that is not known.
+    fn parse(name: &str) -> Option<MessageKind> {
+        let kind = match name {
+            "BOOT" => return Some(MessageKind::Boot),
+            "TEARDOWN" => return Some(MessageKind::Teardown),
+            "WORK_ITEM" => EventKind::RequestArrived,
+            "WITHDRAWN" => EventKind::RequestCancelled,
+            "ALARM" => EventKind::TimerFired,
+            "BLOCKED" => EventKind::CallNeeded,
+            "CAME_BACK" => EventKind::CallEnded,
+            "FINISHED" => EventKind::RunEnded,
+            "TERMINATE_SOON" => EventKind::ShutdownRequested,
+            _ => return None,
+        };
+        Some(MessageKind::Event(kind))
+    }
+}
+
 /// All controller instances of this process. They share nothing.
 #[derive(Default)]
 pub struct Host {
@@ -64,40 +104,38 @@
     /// Handles a message. Unknown ones are ignored.
     fn handle_message(
         &mut self,
-        now: f64,
+        now: Millis,
         name: &str,
         item: &JsonObject,
         order: &mut Vec<u64>,
     ) -> Result<(), MessageError> {
-        match name {
-            "BOOT" => {
+        match MessageKind::parse(name) {
+            Some(MessageKind::Boot) => {
                 let id = item.integer("ServerId")?;
                 self.instances.insert(id, boot(now, item)?);
                 order.push(id);
                 Ok(())
             }
-            "TEARDOWN" => {
+            Some(MessageKind::Teardown) => {
                 self.instances.remove(&item.integer("ServerId")?);
                 Ok(())
             }
-            "WORK_ITEM" | "WITHDRAWN" | "ALARM" | "BLOCKED" | "TERMINATE_SOON" | "CAME_BACK" | "FINISHED" => {
-                self.handle_event(now, name, item, order)
-            }
-            _ => Ok(()),
+            Some(MessageKind::Event(kind)) => self.handle_event(now, kind, item, order),
+            None => Ok(()),
         }
     }
 
     /// Passes an event to its instance.
     fn handle_event(
         &mut self,
-        now: f64,
-        name: &str,
+        now: Millis,
+        kind: EventKind,
         item: &JsonObject,
         order: &mut Vec<u64>,
     ) -> Result<(), MessageError> {
         let id = item.integer("ServerId")?;
         let instance = self.instances.get_mut(&id).ok_or(MessageError::UnknownInstance(id))?;
-        let event = instance.event(name, item)?;
+        let event = instance.event(kind, item)?;
         if !instance.needs_decision {
             instance.needs_decision = true;
             order.push(id);
@@ -107,7 +145,7 @@
     }
 }
 
-fn boot(now: f64, item: &JsonObject) -> Result<Instance, FieldError> {
+fn boot(now: Millis, item: &JsonObject) -> Result<Instance, FieldError> {
     let seed = item.integer("Seed")?;
     let Site { settings, gauges, .. } = Site::parse(&item.child("Settings")?)?;
     let class_count = settings.classes.len();
@@ -116,19 +154,21 @@
 }
 
 impl Instance {
-    fn event(&self, name: &str, item: &JsonObject) -> Result<Event, MessageError> {
-        Ok(match name {
-            "WORK_ITEM" => Event::RequestArrived(self.arrival(item)?),
-            "WITHDRAWN" => Event::RequestCancelled(request(item, "Ref")?),
-            "ALARM" => Event::TimerFired(gauges(item, &self.gauges)?),
-            "BLOCKED" => Event::CallNeeded(request(item, "Ref")?),
-            "TERMINATE_SOON" => Event::ShutdownRequested { time_left: item.required_number("Remaining")? },
-            "CAME_BACK" => Event::CallEnded {
+    fn event(&self, kind: EventKind, item: &JsonObject) -> Result<Event, MessageError> {
+        Ok(match kind {
+            EventKind::RequestArrived => Event::RequestArrived(self.arrival(item)?),
+            EventKind::RequestCancelled => Event::RequestCancelled(request(item, "Ref")?),
+            EventKind::TimerFired => Event::TimerFired(gauges(item, &self.gauges)?),
+            EventKind::CallNeeded => Event::CallNeeded(request(item, "Ref")?),
+            EventKind::ShutdownRequested => {
+                Event::ShutdownRequested { time_left: item.required_number("Remaining")? }
+            }
+            EventKind::CallEnded => Event::CallEnded {
                 id: request(item, "Ref")?,
                 outcome: outcome(item)?,
                 duration: item.number("Spent")?,
             },
-            _ => Event::RunEnded {
+            EventKind::RunEnded => Event::RunEnded {
                 id: request(item, "Ref")?,
                 outcome: outcome(item)?,
                 duration: item.number("Spent")?,
@@ -160,7 +200,7 @@
     }
 }
 
-/// The request that this one repeats; 0 stands for none.
+/// The request that this one repeats; the wire writes 0 for none.
 fn original(item: &JsonObject) -> Result<Option<RequestId>, FieldError> {
     match item.get("SameAs") {
         None => Ok(None),
--- a/crates/loomflow-lab/src/caller.rs
+++ b/crates/loomflow-lab/src/caller.rs
@@ -19,7 +19,7 @@
 pub struct CallerPolicy {
     /// Part of the callers that choose the server with the fewest outstanding requests; the others use round robin.
     pub fewest_outstanding_part: f64,
-    /// Most servers that are tried for one attempt of a client.
+    /// Maximum number of servers for one attempt of a client.
     pub max_servers_tried: usize,
     /// Part of the callers that try another server even after a final rejection.
     pub ignores_final_part: f64,
--- a/crates/loomflow-lab/src/clock.rs
+++ b/crates/loomflow-lab/src/clock.rs
@@ -11,7 +11,7 @@
 /// One simulated second.
 pub const SECOND: Micros = 1_000_000;
 
-/// Converts to the milliseconds that the decision module counts in.
+/// Converts to the milliseconds that the controller counts in.
 pub fn to_millis(time: Micros) -> f64 {
     time as f64 / MILLISECOND as f64
 }
--- a/crates/loomflow-lab/src/connections.rs
+++ b/crates/loomflow-lab/src/connections.rs
@@ -109,7 +109,7 @@
     }
 
     /// The longest idle connections that have to be closed for at most a part of the table to stay in use.
-    pub fn longest_idle_beyond(&mut self, part: f64, connections: &Connections) -> Vec<ConnectionId> {
+    pub fn longest_idle_over(&mut self, part: f64, connections: &Connections) -> Vec<ConnectionId> {
         let max_open = (part * self.capacity as f64) as usize;
         let mut excess = Vec::new();
         while self.open - excess.len() > max_open {
--- a/crates/loomflow-lab/src/cores.rs
+++ b/crates/loomflow-lab/src/cores.rs
@@ -1,7 +1,7 @@
 //! The cores of a server, shared evenly among all jobs on them (processor sharing).
 //!
-//! Every job gets the same rate, so one number, the work that a job present from the start would have received, tells how
-//! far all of them have come.
+//! Every job gets the same rate, so one number, the work that a job present from the start would have received, shows the
+//! progress of all of them.
 
 use crate::clock::{Micros, from_millis, to_millis};
 
--- a/crates/loomflow-lab/src/fleet.rs
+++ b/crates/loomflow-lab/src/fleet.rs
@@ -41,7 +41,7 @@
     /// A fault begins.
     FaultStarts { fault: usize },
     /// A fault ends.
-    FaultEnds { fault: usize },
+    FaultCleared { fault: usize },
     /// The state of the servers is sampled, once per second.
     Sample,
 }
@@ -146,7 +146,7 @@
             }
             Event::ServerTimer { server, incarnation, due } => self.server_due(server, incarnation, due),
             Event::FaultStarts { fault } => self.fault_started(fault),
-            Event::FaultEnds { fault } => self.fault_ended(fault),
+            Event::FaultCleared { fault } => self.fault_ended(fault),
             Event::Sample => self.sample(),
         }
     }
--- a/crates/loomflow-lab/src/fleet/faults.rs
+++ b/crates/loomflow-lab/src/fleet/faults.rs
@@ -8,7 +8,7 @@
     pub(super) fn schedule_faults(&mut self) {
         for (index, fault) in self.setup.faults.iter().enumerate() {
             self.events.schedule(fault.starts_at, Event::FaultStarts { fault: index });
-            self.events.schedule(fault.ends_at, Event::FaultEnds { fault: index });
+            self.events.schedule(fault.ends_at, Event::FaultCleared { fault: index });
         }
     }
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// A caller goes down: its connections break, and its clients use other callers.
+    /// A caller fails: its connections break, and its clients use other callers.
     fn lose_caller(&mut self, caller: usize) {
         self.callers[caller].is_up = false;
         let waiting = |index: &RequestIndex| {
@@ -48,7 +48,9 @@
             !request.is_finished && request.caller == caller && request.attempt.is_some()
         };
         let requests: Vec<RequestIndex> = (0..self.requests.len()).filter(waiting).collect();
-        requests.into_iter().for_each(|request| self.caller_lost(request));
+        for request in requests {
+            self.caller_lost(request);
+        }
         for connection in self.connections.filter_open(|connection| connection.caller == caller) {
             self.close(connection);
         }
--- a/crates/loomflow-lab/src/fleet/machines.rs
+++ b/crates/loomflow-lab/src/fleet/machines.rs
@@ -125,9 +125,11 @@
         let limit = server.idle_timeout().min(self.setup.caller_policy.idle_timeout);
         let mut idle = machine.table.overdue(now, limit, &self.connections);
         if server.max_table_fill() < 1.0 {
-            idle.extend(machine.table.longest_idle_beyond(server.max_table_fill(), &self.connections));
+            idle.extend(machine.table.longest_idle_over(server.max_table_fill(), &self.connections));
+        }
+        for id in idle {
+            self.close(id);
         }
-        idle.into_iter().for_each(|id| self.close(id));
     }
 
     /// Advances a server that is up, and carries out its outputs.
--- a/crates/loomflow-lab/src/network.rs
+++ b/crates/loomflow-lab/src/network.rs
@@ -7,9 +7,9 @@
 /// One-way delays of messages.
 #[derive(Clone, Debug)]
 pub struct Network {
-    /// Shortest one-way delay.
+    /// Minimum one-way delay.
     pub min_delay: Micros,
-    /// Longest one-way delay.
+    /// Maximum one-way delay.
     pub max_delay: Micros,
 }
 
--- a/crates/loomflow-lab/src/quota.rs
+++ b/crates/loomflow-lab/src/quota.rs
@@ -1,8 +1,8 @@
-//! Experiment: a steady tenant whose requests fall evenly at random over the servers. How many of them does each server's
-//! decision module judge to be beyond the tenant's quota?
+//! Experiment: a steady tenant whose requests are spread evenly at random over the servers. How many of them does each
+//! server's controller count as over the tenant's quota?
 //!
-//! A module doesn't say how it judged. It shows in what it runs first: a request of the tenant within its quota is worth
-//! more than a probe without a tenant, one beyond it less.
+//! The controller does not report that. It shows in the order of the runs: a request within its tenant's quota has a higher
+//! priority weight than a probe without a tenant, one over the quota a lower one.
 
 use fastrand::Rng;
 use loomflow::choice::Controller;
@@ -17,13 +17,13 @@
 /// The place of the tenant among the tenants, and one that names none.
 const TENANT: usize = 0;
 const NO_TENANT: usize = 1;
-/// The worth of a probe, between that of the tenant's requests within and beyond its quota.
-const PROBE_WORTH: f64 = 0.5;
-const OVER_SHARE_WORTH: f64 = 0.1;
-/// So long an aim that nothing in the experiment is ever late, ms.
-const NEVER: f64 = 1e9;
+/// Priority weight of a probe, between those of the tenant's requests within and over its quota.
+const PROBE_WEIGHT: f64 = 0.5;
+const OVER_QUOTA_WEIGHT: f64 = 0.1;
+/// A latency objective so long that nothing in the experiment is ever late, ms.
+const NEVER_MS: f64 = 1e9;
 /// Seconds before the count begins: saved tokens are used up by then or stay for good.
-const SETTLES: f64 = 60.0;
+const SETTLING_TIME_S: f64 = 60.0;
 
 /// A tenant and the fleet that it sends to.
 #[derive(Clone, Copy, Debug)]
@@ -40,23 +40,23 @@
     pub seed: u64,
 }
 
-/// The part of its requests that the modules judge to be beyond its quota, 0 to 1.
+/// The part of its requests that the controllers count as over its quota, 0 to 1.
 pub fn judged_beyond(tenant: SteadyTenant) -> f64 {
     let mut rng = Rng::with_seed(tenant.seed);
     let settings = settings(&tenant);
     let mut servers: Vec<Judge> =
         (0..tenant.servers).map(|_| Judge::new(settings.clone(), rng.u64(..))).collect();
-    let (mut now, mut sent, mut beyond) = (0.0, 0.0, 0.0);
+    let (mut now, mut sent, mut over_quota) = (0.0, 0.0, 0.0);
     loop {
         now += -(1.0 - rng.f64()).ln() / (tenant.quota_per_s * tenant.sends);
-        if now >= SETTLES + tenant.seconds {
-            return beyond / sent;
+        if now >= SETTLING_TIME_S + tenant.seconds {
+            return over_quota / sent;
         }
         let server = rng.usize(..servers.len());
-        let over = servers[server].judges_beyond(now * 1_000.0);
-        if now >= SETTLES {
+        let is_over = servers[server].classifies_over_quota(now * 1_000.0);
+        if now >= SETTLING_TIME_S {
             sent += 1.0;
-            beyond += f64::from(u8::from(over));
+            over_quota += f64::from(u8::from(is_over));
         }
     }
 }
@@ -64,41 +64,41 @@
 fn settings(tenant: &SteadyTenant) -> Settings {
     let fleet = Setup::fleet(tenant.servers, 1, tenant.seed);
     let mut settings = module_settings(&fleet, false);
-    let class = Class { latency_objective: NEVER, timeout: NEVER, ..settings.classes[0].clone() };
-    let probe = Class { priority_weight: PROBE_WORTH, ..class.clone() };
+    let class = Class { latency_objective: NEVER_MS, timeout: NEVER_MS, ..settings.classes[0].clone() };
+    let probe = Class { priority_weight: PROBE_WEIGHT, ..class.clone() };
     settings.classes = vec![class, probe];
     settings.tenants = vec![Tenant { quota_per_s: tenant.quota_per_s }];
-    settings.over_quota_weight = OVER_SHARE_WORTH;
+    settings.over_quota_weight = OVER_QUOTA_WEIGHT;
     settings.is_weight_per_work = true;
     settings.cores = 1.0;
     settings
 }
 
-/// The module of one server, with one core, and so one request that runs at a time.
+/// The controller of one server with one core, and so one request that runs at a time.
 struct Judge {
-    module: Controller,
+    controller: Controller,
     requests: RequestId,
 }
 
 impl Judge {
     fn new(settings: Settings, seed: u64) -> Judge {
-        Judge { module: Controller::new(settings, seed, 0.0), requests: 0 }
+        Judge { controller: Controller::new(settings, seed, 0.0), requests: 0 }
     }
 
     /// Has a request of the tenant wait beside a probe while another one runs, and sees which of the two comes first.
-    fn judges_beyond(&mut self, now: f64) -> bool {
+    fn classifies_over_quota(&mut self, now: f64) -> bool {
         self.arrives(now, PROBE_CLASS, NO_TENANT);
         let mut running = self.decide(now);
-        let asked = self.arrives(now, TENANT_CLASS, TENANT);
+        let tested = self.arrives(now, TENANT_CLASS, TENANT);
         self.arrives(now, PROBE_CLASS, NO_TENANT);
         let mut order = Vec::new();
         while let Some(id) = running {
             order.push(id);
             let ended = Event::RunEnded { id, outcome: Outcome::Ok, duration: 0.0 };
-            self.module.event(now, ended, &mut Vec::new());
+            self.controller.event(now, ended, &mut Vec::new());
             running = self.decide(now);
         }
-        order.last() == Some(&asked)
+        order.last() == Some(&tested)
     }
 
     fn arrives(&mut self, now: f64, class: usize, tenant: usize) -> RequestId {
@@ -107,7 +107,7 @@
             id: self.requests,
             class,
             tenant,
-            remaining_wait: NEVER,
+            remaining_wait: NEVER_MS,
             estimated_work: None,
             memory_kb: 1.0,
             rank: 0.5,
@@ -117,14 +117,14 @@
             upstream_time: 0.0,
             original: None,
         };
-        self.module.event(now, Event::RequestArrived(arrival), &mut Vec::new());
+        self.controller.event(now, Event::RequestArrived(arrival), &mut Vec::new());
         self.requests
     }
 
     /// Ends a batch, and gives the request that is to run.
     fn decide(&mut self, now: f64) -> Option<RequestId> {
         let mut actions = Vec::new();
-        self.module.decide(now, &mut actions);
+        self.controller.decide(now, &mut actions);
         actions.iter().find_map(|action| match action {
             Action::Run(id) => Some(*id),
             _ => None,
--- a/crates/loomflow-lab/src/recovery.rs
+++ b/crates/loomflow-lab/src/recovery.rs
@@ -18,13 +18,13 @@
 /// When the parts of the experiment begin and end, in whole seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeline {
-    /// The former service is taken from here to an aim before the loss.
+    /// The former service is taken from here to one latency objective before the loss.
     pub settled: usize,
     /// The part is lost.
     pub lost: usize,
     /// The part is back.
     pub returned: usize,
-    /// Clients stop asking.
+    /// Clients stop sending.
     pub end: usize,
 }
 
@@ -70,10 +70,10 @@
     }
 }
 
-/// Plays the setup with that trouble on that timeline.
+/// Plays the setup with that fault on that timeline.
 pub fn recovery(mut setup: Setup, kind: FaultKind, timeline: Timeline) -> Recovery {
     setup.duration = seconds(timeline.end);
-    // What is asked less than an aim before the loss may be struck by it.
+    // A request sent less than one latency objective before the loss may be affected by it.
     let unharmed = timeline.lost - setup.client_policy.objective.div_ceil(SECOND) as usize;
     setup.faults =
         vec![Fault { kind, starts_at: seconds(timeline.lost), ends_at: seconds(timeline.returned) }];
--- a/crates/loomflow-lab/src/server.rs
+++ b/crates/loomflow-lab/src/server.rs
@@ -78,11 +78,11 @@
 enum Stage {
     Unread,
     Reading,
-    /// Known to the module.
+    /// Known to the controller.
     Taken,
 }
 
-struct InHand {
+struct RequestEntry {
     incoming: IncomingRequest,
     reached: Micros,
     stage: Stage,
@@ -92,20 +92,20 @@
 
 /// One incarnation of a server.
 pub struct Server {
-    module: Controller,
+    controller: Controller,
     setup: ServerSetup,
     cores: Cores,
     cores_version: u64,
     unread: VecDeque<AttemptId>,
     reading: usize,
-    in_hand: BTreeMap<AttemptId, InHand>,
+    requests: BTreeMap<AttemptId, RequestEntry>,
     inbox: Vec<Event>,
     batch_at: Option<Micros>,
     last_batch: Micros,
     share: f64,
     idle_timeout: Micros,
     started: Micros,
-    cold: bool,
+    is_slow_start: bool,
     /// Remaining speed under a fault, 0 to 1.
     health: f64,
     speed: f64,
@@ -122,22 +122,22 @@
                 from_millis(settings.idle_timeout)
             }
         };
-        let cold = settings.is_slow_start;
+        let is_slow_start = settings.is_slow_start;
         Server {
-            module: Controller::new(settings, seed, to_millis(now)),
+            controller: Controller::new(settings, seed, to_millis(now)),
             setup: setup.clone(),
             cores: Cores::new(setup.cores, now),
             cores_version: 0,
             unread: VecDeque::new(),
             reading: 0,
-            in_hand: BTreeMap::new(),
+            requests: BTreeMap::new(),
             inbox: Vec::new(),
             batch_at: None,
             last_batch: now,
             share: 1.0,
             idle_timeout,
             started: now,
-            cold,
+            is_slow_start,
             health: 1.0,
             speed: 1.0,
             busy: VecDeque::new(),
@@ -156,7 +156,7 @@
 
     /// The load as the controller measures it.
     pub fn load(&self) -> Load {
-        self.module.load()
+        self.controller.load()
     }
 
     /// Utilization of the cores over the last window; 0 before the first.
@@ -179,8 +179,9 @@
 
     /// A request arrives.
     pub fn reached(&mut self, now: Micros, incoming: IncomingRequest, out: &mut Vec<Output>) {
-        let in_hand = InHand { incoming, reached: now, stage: Stage::Unread, answered: false, began: now };
-        self.in_hand.insert(incoming.attempt, in_hand);
+        let requests =
+            RequestEntry { incoming, reached: now, stage: Stage::Unread, answered: false, began: now };
+        self.requests.insert(incoming.attempt, requests);
         self.unread.push_back(incoming.attempt);
         if self.read_next(now) {
             self.schedule_cores(out);
@@ -189,10 +190,10 @@
 
     /// The caller of an attempt closed its connection.
     pub fn caller_disconnected(&mut self, now: Micros, attempt: AttemptId, out: &mut Vec<Output>) {
-        match self.in_hand.get(&attempt).map(|request| request.stage) {
+        match self.requests.get(&attempt).map(|request| request.stage) {
             // A request that is being read is read to its end: only then the disconnect is noticed.
             Some(Stage::Unread | Stage::Reading) => {
-                self.in_hand.remove(&attempt);
+                self.requests.remove(&attempt);
             }
             Some(Stage::Taken) => {
                 self.unanswerable(attempt);
@@ -241,7 +242,7 @@
 
     fn was_read(&mut self, now: Micros, attempt: AttemptId, out: &mut Vec<Output>) {
         self.reading -= 1;
-        let Some(request) = self.in_hand.get_mut(&attempt) else { return };
+        let Some(request) = self.requests.get_mut(&attempt) else { return };
         request.stage = Stage::Taken;
         let arrival = arrival(&request.incoming, to_millis(now - request.reached));
         self.inbox.push(Event::RequestArrived(arrival));
@@ -249,7 +250,7 @@
     }
 
     fn run_done(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome, out: &mut Vec<Output>) {
-        let Some(request) = self.in_hand.remove(&attempt) else { return };
+        let Some(request) = self.requests.remove(&attempt) else { return };
         if outcome == Outcome::Ok && !request.answered {
             out.push(Output::Answer { attempt, response: ServerResponse::Served, share: self.share });
         }
@@ -263,7 +264,7 @@
         let mut any = false;
         while (self.reading as f64) < self.setup.cores {
             let Some(attempt) = self.unread.pop_front() else { break };
-            let Some(request) = self.in_hand.get_mut(&attempt) else { continue };
+            let Some(request) = self.requests.get_mut(&attempt) else { continue };
             request.stage = Stage::Reading;
             let handshake = if request.incoming.is_new_connection { self.setup.handshake_work } else { 0.0 };
             self.cores.add(now, Job::Read(attempt), self.setup.read_work + handshake);
@@ -294,9 +295,9 @@
         self.last_batch = now;
         let mut actions = Vec::new();
         for event in std::mem::take(&mut self.inbox) {
-            self.module.event(to_millis(now), event, &mut actions);
+            self.controller.event(to_millis(now), event, &mut actions);
         }
-        self.module.decide(to_millis(now), &mut actions);
+        self.controller.decide(to_millis(now), &mut actions);
         let jobs = self.cores.jobs();
         let mut cores_changed = false;
         for action in actions {
@@ -333,7 +334,7 @@
     }
 
     fn run(&mut self, now: Micros, id: AttemptId) -> bool {
-        let Some(request) = self.in_hand.get_mut(&id) else { return false };
+        let Some(request) = self.requests.get_mut(&id) else { return false };
         request.began = now;
         self.cores.add(now, Job::Run(id), request.incoming.work);
         true
@@ -356,9 +357,9 @@
     /// No response is due any more. A request that still runs is tracked until its run ends.
     fn unanswerable(&mut self, attempt: AttemptId) {
         if self.cores.has(Job::Run(attempt)) {
-            self.in_hand.entry(attempt).and_modify(|request| request.answered = true);
+            self.requests.entry(attempt).and_modify(|request| request.answered = true);
         } else {
-            self.in_hand.remove(&attempt);
+            self.requests.remove(&attempt);
         }
     }
 
@@ -374,7 +375,7 @@
     }
 
     fn warmth(&self, now: Micros) -> f64 {
-        if !self.cold {
+        if !self.is_slow_start {
             return 1.0;
         }
         let warmed = (now - self.started) as f64 / self.setup.slow_start_duration.max(1) as f64;
--- a/crates/loomflow-lab/src/setup.rs
+++ b/crates/loomflow-lab/src/setup.rs
@@ -11,7 +11,7 @@
 pub enum IdlePolicy {
     /// The controller sets the idle timeout.
     Controller,
-    /// Baseline: they are kept as long as the callers keep them.
+    /// Baseline: they stay open until the callers close them.
     NeverClose,
     /// Baseline: the longest idle ones are closed when the table fills up.
     CloseWhenFull,
--- a/crates/loomflow-standins/src/broker/mod.rs
+++ b/crates/loomflow-standins/src/broker/mod.rs
@@ -118,7 +118,9 @@
     /// A broker with the queues `jobs`, `replies` and `dead`.
     pub fn with_jobs() -> Broker {
         let broker = Broker::start();
-        ["jobs", "replies", "dead"].into_iter().for_each(|queue| broker.declare(queue));
+        for queue in ["jobs", "replies", "dead"] {
+            broker.declare(queue);
+        }
         broker
     }
 
--- a/crates/loomflow-standins/src/broker/state/frames.rs
+++ b/crates/loomflow-standins/src/broker/state/frames.rs
@@ -1,6 +1,13 @@
 //! Handling of received frames, and delivery to consumers.
 
-use super::*;
+use amq_protocol::frame::{AMQPContentHeader, AMQPFrame};
+use amq_protocol::protocol::basic::{self, AMQPMethod as Basic};
+use amq_protocol::protocol::channel::{self, AMQPMethod as Channels};
+use amq_protocol::protocol::connection::{self, AMQPMethod as Connections};
+use amq_protocol::protocol::{AMQPClass, confirm, exchange, queue};
+use amq_protocol::types::AMQPValue;
+
+use super::{Channel, Connection, ConnectionId, Consumer, Message, Settled, State, Unacked, id_of};
 
 impl State {
     /// Handles a frame of a connection.
--- a/crates/loomflow-standins/src/broker/state/mod.rs
+++ b/crates/loomflow-standins/src/broker/state/mod.rs
@@ -6,11 +6,11 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use amq_protocol::frame::{AMQPContentHeader, AMQPFrame};
+use amq_protocol::protocol::AMQPClass;
 use amq_protocol::protocol::basic::{self, AMQPMethod as Basic, AMQPProperties};
 use amq_protocol::protocol::channel::{self, AMQPMethod as Channels};
 use amq_protocol::protocol::connection::{self, AMQPMethod as Connections};
-use amq_protocol::protocol::{AMQPClass, confirm, exchange, queue};
-use amq_protocol::types::{AMQPValue, FieldTable};
+use amq_protocol::types::FieldTable;
 
 /// Number of a connection.
 pub type ConnectionId = u64;
@@ -331,7 +331,9 @@
     pub fn connection_closed(&mut self, id: ConnectionId) {
         let numbers: Vec<u16> =
             self.connections.get(&id).map(|c| c.channels.keys().copied().collect()).unwrap_or_default();
-        numbers.into_iter().for_each(|number| self.drop_channel(id, number));
+        for number in numbers {
+            self.drop_channel(id, number);
+        }
         self.connections.remove(&id);
         self.pump();
     }
--- a/crates/loomflow-standins/src/fleet.rs
+++ b/crates/loomflow-standins/src/fleet.rs
@@ -2,6 +2,7 @@
 //!
 //! Tests observe the processes and the gateway ports from outside, not what the fleet reports about itself.
 
+use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Write};
 use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
@@ -114,12 +115,12 @@
             text += plan.extra;
             text += "  voters:\n";
             for (voter, address) in addresses.iter().enumerate().take(voters) {
-                text += &format!("    - {{name: {}, address: \"{address}\"}}\n", name(voter));
+                let _ = writeln!(text, "    - {{name: {}, address: \"{address}\"}}", name(voter));
             }
             text += "  via:\n";
             for (to, relay) in relays[member_index].iter().enumerate() {
                 if let Some(relay) = relay {
-                    text += &format!("    {}: \"{}\"\n", name(to), relay.address);
+                    let _ = writeln!(text, "    {}: \"{}\"", name(to), relay.address);
                 }
             }
             fixture.options(&text);
@@ -380,10 +381,11 @@
         let start = self.timeline.first().map_or_else(Instant::now, |(at, _)| *at);
         let mut text = format!("seed {}\n", self.seed);
         for (at, what) in &self.timeline {
-            text += &format!("{:>8.3} {what}\n", at.duration_since(start).as_secs_f64());
+            let _ = writeln!(text, "{:>8.3} {what}", at.duration_since(start).as_secs_f64());
         }
         for (member_index, member) in self.members.iter().enumerate() {
-            text += &format!("--- {} at {}\n{}", name(member_index), member.address, member.fixture.log());
+            let _ =
+                write!(text, "--- {} at {}\n{}", name(member_index), member.address, member.fixture.log());
             text += &self.run_command(member_index, &["status"]).1;
         }
         text
--- a/crates/loomflow-standins/src/lines.rs
+++ b/crates/loomflow-standins/src/lines.rs
@@ -128,7 +128,9 @@
     pub fn accept_attach_replaying(&self, attach: &str, notices: &[(String, &[u8])]) {
         assert_eq!(self.line().text, attach);
         let mut bytes = b"HELLO running 60000\r\n".to_vec();
-        notices.iter().for_each(|(head, body)| bytes.extend(with_body(head, body)));
+        for (head, body) in notices {
+            bytes.extend(with_body(head, body));
+        }
         self.send_bytes(&bytes);
     }
 
--- a/crates/loomflow-standins/src/relay.rs
+++ b/crates/loomflow-standins/src/relay.rs
@@ -1,5 +1,5 @@
 //! Relays between the servers of a fleet, one for each direction of each link. A relay carries complete messages and can
-//! drop, delay, duplicate, reorder or hold them. It knows only the length prefix of a message.
+//! drop, delay, duplicate, reorder or stall them. It knows only the length prefix of a message.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,7 +14,7 @@
 pub struct LinkFault {
     /// Messages are dropped; connections stay open.
     pub is_cut: bool,
-    /// Messages are held; connections stay open.
+    /// Messages are stalled; connections stay open.
     pub is_stalled: bool,
     /// Share of messages that are lost, 0 to 1.
     pub lost: f64,
@@ -37,7 +37,7 @@
     to: SocketAddr,
 }
 
-/// Most messages that are kept for a replay.
+/// Maximum number of messages that are recorded for a replay.
 const MAX_REPLAYED_MESSAGES: usize = 4_096;
 
 impl Relay {
@@ -53,12 +53,12 @@
 
     /// Changes what the relay does to messages.
     pub fn set_fault(&self, fault: LinkFault) {
-        *self.fault.lock().expect("trouble") = fault;
+        *self.fault.lock().expect("the fault") = fault;
     }
 
     /// Sends all messages since the last replay again, on a separate connection.
     pub fn replay(&self) {
-        let recent_messages = std::mem::take(&mut *self.recent_messages.lock().expect("kept"));
+        let recent_messages = std::mem::take(&mut *self.recent_messages.lock().expect("the recent messages"));
         if let Ok(mut stream) = TcpStream::connect(self.to) {
             let _ = recent_messages.iter().try_for_each(|message| stream.write_all(message));
         }
@@ -76,34 +76,34 @@
     fn carry(&self, mut from: TcpStream, rng: &mut fastrand::Rng) {
         let Ok(mut to) = TcpStream::connect(self.to) else { return };
         let _ = to.set_nodelay(true);
-        let mut waits: Option<Vec<u8>> = None;
+        let mut delayed: Option<Vec<u8>> = None;
         while let Some(message) = message(&mut from) {
-            let came = Instant::now();
-            let mut fault = *self.fault.lock().expect("trouble");
-            while fault.is_stalled || came.elapsed() < fault.delay {
+            let received_at = Instant::now();
+            let mut fault = *self.fault.lock().expect("the fault");
+            while fault.is_stalled || received_at.elapsed() < fault.delay {
                 thread::sleep(Duration::from_millis(2));
-                fault = *self.fault.lock().expect("trouble");
+                fault = *self.fault.lock().expect("the fault");
             }
             if fault.is_cut || rng.f64() < fault.lost {
                 continue;
             }
-            let mut say = vec![message];
+            let mut outgoing = vec![message];
             if rng.f64() < fault.duplicated {
-                say.push(say[0].clone());
+                outgoing.push(outgoing[0].clone());
             }
-            match waits.take() {
-                Some(before) => say.push(before),
+            match delayed.take() {
+                Some(before) => outgoing.push(before),
                 None if rng.f64() < fault.reordered => {
-                    waits = say.pop();
+                    delayed = outgoing.pop();
                     continue;
                 }
                 None => {}
             }
-            for one in say {
+            for one in outgoing {
                 if to.write_all(&one).is_err() {
                     return;
                 }
-                let mut recent_messages = self.recent_messages.lock().expect("kept");
+                let mut recent_messages = self.recent_messages.lock().expect("the recent messages");
                 if recent_messages.len() < MAX_REPLAYED_MESSAGES {
                     recent_messages.push(one);
                 }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -68,9 +68,10 @@
     };
     let folder = modules.iter().fold(source, |folder, module| folder.join(module));
     let beside = folder.with_extension("rs");
-    let candidates = match modules.is_empty() {
-        true => [folder.join("lib.rs"), folder.join("main.rs")],
-        false => [beside, folder.join("mod.rs")],
+    let candidates = if modules.is_empty() {
+        [folder.join("lib.rs"), folder.join("main.rs")]
+    } else {
+        [beside, folder.join("mod.rs")]
     };
     let file = candidates.into_iter().find(|file| file.is_file())?;
     Some(CodePath { file, type_name, name })
