--- a/tests/property.rs
+++ b/tests/property.rs
@@ -254,6 +254,10 @@
 /// One step: what happens, to which request, and how long after the step before.
 type Step = (u8, u16, u16);
 
+/// How calls end.
+const CALL_OUTCOMES: [Outcome; 5] =
+    [Outcome::Ok, Outcome::Error, Outcome::Rejected, Outcome::TimedOut, Outcome::Unreachable];
+
 impl World {
     fn new(set: Settings, fault: Fault) -> World {
         let now = 50_000.0;
@@ -371,66 +375,79 @@
         if self.checker.stopped {
             return;
         }
-        let outcomes =
-            [Outcome::Ok, Outcome::Error, Outcome::Rejected, Outcome::TimedOut, Outcome::Unreachable];
         let event = match what % 16 {
             0..=3 => Some(self.arrival(by)),
             4 => {
-                let batch = (0..by % 12).map(|n| self.arrival(by.wrapping_add(n * 37))).collect();
-                self.batch(batch);
+                self.arrive_together(by);
                 None
             }
             5 => self.repeat(by),
-            6..=8 => self.pick(At::Running, by).map(|id| {
-                let outcome = if by.is_multiple_of(9) { Outcome::Error } else { Outcome::Ok };
-                let answered = self.checker.open[&id].answered;
-                if !answered {
-                    self.checker.answer(id, false);
-                }
-                self.checker.open.remove(&id);
-                Event::RunEnded { id, outcome, duration: f64::from(by % 3000) }
-            }),
-            9..=10 => {
-                let callable = self.pick(At::Running, by).filter(|id| !self.checker.open[id].answered);
-                callable.map(|id| {
-                    let s = self.checker.open.get_mut(&id).unwrap();
-                    (s.at, s.call_may_have_run) = (At::Blocked, false);
-                    Event::CallNeeded(id)
-                })
-            }
+            6..=8 => self.pick(At::Running, by).map(|id| self.end_run(id, by)),
+            9..=10 => self.need_call(by),
             11..=13 => {
-                let outcome = outcomes[by as usize % outcomes.len()];
+                let outcome = CALL_OUTCOMES[by as usize % CALL_OUTCOMES.len()];
                 self.pick(At::Calling, by).map(|id| self.end_call(id, outcome, by))
             }
-            14 => {
-                let ids: Vec<RequestId> = self.checker.open.keys().copied().collect();
-                let id = ids.get(by as usize % ids.len().max(1)).copied();
-                id.filter(|id| !self.checker.open[id].answered).map(|id| {
-                    let s = self.checker.open.get_mut(&id).unwrap();
-                    s.answered = true;
-                    if matches!(s.at, At::Held | At::Reusing) {
-                        self.checker.open.remove(&id);
-                    }
-                    Event::RequestCancelled(id)
-                })
-            }
-            _ if by.is_multiple_of(20) && self.checker.notice.is_none() => {
-                let left = f64::from(1000 + by % 4000);
-                self.checker.notice = Some((self.checker.now, self.checker.now + left));
-                Some(Event::ShutdownRequested { time_left: left })
-            }
+            14 => self.cancel(by),
+            _ if by.is_multiple_of(20) => self.request_shutdown(by),
             _ => None,
         };
-        // A request already answered ends by itself where it waits for a call.
+        self.end_answered_calls();
+        if let Some(event) = event {
+            self.batch(vec![event]);
+        }
+    }
+
+    /// Up to eleven requests in one batch.
+    fn arrive_together(&mut self, by: u16) {
+        let batch = (0..by % 12).map(|n| self.arrival(by.wrapping_add(n * 37))).collect();
+        self.batch(batch);
+    }
+
+    fn end_run(&mut self, id: RequestId, by: u16) -> Event {
+        let outcome = if by.is_multiple_of(9) { Outcome::Error } else { Outcome::Ok };
+        if !self.checker.open[&id].answered {
+            self.checker.answer(id, false);
+        }
+        self.checker.open.remove(&id);
+        Event::RunEnded { id, outcome, duration: f64::from(by % 3000) }
+    }
+
+    fn need_call(&mut self, by: u16) -> Option<Event> {
+        let id = self.pick(At::Running, by).filter(|id| !self.checker.open[id].answered)?;
+        let request = self.checker.open.get_mut(&id).unwrap();
+        (request.at, request.call_may_have_run) = (At::Blocked, false);
+        Some(Event::CallNeeded(id))
+    }
+
+    fn cancel(&mut self, by: u16) -> Option<Event> {
+        let ids: Vec<RequestId> = self.checker.open.keys().copied().collect();
+        let id = ids.get(by as usize % ids.len().max(1)).copied()?;
+        let request = self.checker.open.get_mut(&id).filter(|request| !request.answered)?;
+        request.answered = true;
+        if matches!(request.at, At::Held | At::Reusing) {
+            self.checker.open.remove(&id);
+        }
+        Some(Event::RequestCancelled(id))
+    }
+
+    fn request_shutdown(&mut self, by: u16) -> Option<Event> {
+        if self.checker.notice.is_some() {
+            return None;
+        }
+        let time_left = f64::from(1000 + by % 4000);
+        self.checker.notice = Some((self.checker.now, self.checker.now + time_left));
+        Some(Event::ShutdownRequested { time_left })
+    }
+
+    /// A request that is answered already ends by itself where it waits for a call.
+    fn end_answered_calls(&mut self) {
         for id in self.checker.ids(At::Blocked) {
             if self.checker.open[&id].answered {
                 self.checker.open.remove(&id);
                 self.batch(vec![Event::RunEnded { id, outcome: Outcome::Cancelled, duration: 10.0 }]);
             }
         }
-        if let Some(event) = event {
-            self.batch(vec![event]);
-        }
     }
 
     fn play(set: Settings, steps: &[Step], fault: Fault) -> Vec<String> {
