--- a/crates/loomflow-adapter/src/wire.rs
+++ b/crates/loomflow-adapter/src/wire.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use loomflow::choice::Controller;
+use loomflow::controller::Controller;
 use loomflow::interface::*;
 use loomflow_settings::{FieldError, JsonObject, Site};
 use serde_json::{Value, json};
--- a/crates/loomflow-amqp/tests/overload.rs
+++ b/crates/loomflow-amqp/tests/overload.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use common::*;
-use loomflow::choice::Controller;
+use loomflow::controller::Controller;
 use loomflow::interface::{Action, Arrival, Event, Gauges, Outcome, RequestId};
 use loomflow_amqp::idempotency::NoHistory;
 use loomflow_amqp::*;
--- a/crates/loomflow-lab/src/quota.rs
+++ b/crates/loomflow-lab/src/quota.rs
@@ -5,7 +5,7 @@
 //! more than a probe without a tenant, one beyond it less.
 
 use fastrand::Rng;
-use loomflow::choice::Controller;
+use loomflow::controller::Controller;
 use loomflow::interface::{Action, Arrival, Class, Event, Outcome, RequestId, Settings, Tenant};
 
 use crate::settings::module_settings;
--- a/crates/loomflow-lab/src/server.rs
+++ b/crates/loomflow-lab/src/server.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use loomflow::choice::Controller;
+use loomflow::controller::Controller;
 use loomflow::interface::{Action, Arrival, Event, Gauges, Load, Outcome, Settings};
 
 use crate::clock::{MILLISECOND, Micros, SECOND, from_millis, to_millis};
--- a/crates/loomflow-server/src/owner/engine_events.rs
+++ b/crates/loomflow-server/src/owner/engine_events.rs
@@ -1,6 +1,6 @@
 //! What the engine reports about runs, and the commands that are sent to it again after a lost link.
 
-use loomflow::choice::Controller;
+use loomflow::controller::Controller;
 use loomflow::interface::{Event, Idempotency, Outcome, RequestId};
 use loomflow::time::Millis;
 use loomflow_protocol::AttemptId;
--- a/crates/loomflow-server/src/owner/mod.rs
+++ b/crates/loomflow-server/src/owner/mod.rs
@@ -23,7 +23,7 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 
-use loomflow::choice::Controller;
+use loomflow::controller::Controller;
 use loomflow::interface::{Event, Outcome, RequestId};
 use loomflow::time::{Micros, Millis, micros};
 use loomflow_fleet::member::Phase;
--- /dev/null
+++ b/src/controller/arrivals.rs
@@ -0,0 +1,126 @@
+//! Arrivals and cancellations: a request is rejected at once, shares the result of another, or is queued.
+//!
+//! Wires the rules: it passes values on, and fixes the order in which an arrival is judged. Times are in ms.
+
+use super::Controller;
+use super::deadlines;
+use super::key_retention::KeyRetention;
+use super::queue::{QueueKey, weight_per_work};
+use super::request::{Request, Stage};
+use crate::interface::{Action, Arrival, Class, Idempotency, RequestId};
+use crate::time::micros;
+
+impl Controller {
+    /// Judges an arrival: out of time, duplicate, shutdown, memory; else it is queued.
+    pub(super) fn request_arrived(&mut self, arrival: &Arrival, out: &mut Vec<Action>) {
+        let id = arrival.id;
+        let Some(class) = self.settings.classes.get(arrival.class).cloned() else {
+            out.push(Action::Fail(id));
+            return;
+        };
+        self.memory.record_size(arrival.memory_kb);
+        self.share.record_read_delay(arrival.age);
+        self.idle_timeout.record_arrival(arrival.caller, self.now);
+        let request = self.new_request(arrival, &class);
+        // Rule 2: a duplicate of what may have run is never run itself.
+        let is_duplicate =
+            arrival.original.is_some() && KeyRetention::new(&self.settings).shares_result(&class);
+        if request.deadline - self.now <= self.deadlines.margin() {
+            let response = if is_duplicate { Action::Fail(id) } else { self.rejection(id, false) };
+            out.push(response);
+            return;
+        }
+        self.memory.add_queued(request.memory_kb);
+        if is_duplicate {
+            self.await_result(id, request, out);
+        } else if self.cannot_run(&request, &class) {
+            self.memory.remove_queued(request.memory_kb);
+            let rejection = self.rejection(id, false);
+            out.push(rejection);
+        } else {
+            self.retain_key(arrival, &request, &class, out);
+            self.requests.insert(id, request);
+            self.enqueue(id);
+        }
+    }
+
+    fn new_request(&mut self, arrival: &Arrival, class: &Class) -> Request {
+        let arrived_at = self.now - arrival.age;
+        let has_caller_deadlines = self.settings.has_caller_deadlines;
+        let deadline = deadlines::caller_deadline(arrival, class, self.now, has_caller_deadlines);
+        let deadline = deadline.min(self.shutdown.respond_by()).max(self.now);
+        let estimated_work = arrival.estimated_work.unwrap_or(0.0);
+        let objective = self.objective.time_for(arrival, class, estimated_work);
+        Request {
+            class: arrival.class,
+            memory_kb: arrival.memory_kb,
+            arrived_at,
+            deadline,
+            objective_at: (arrived_at + objective).min(deadline),
+            is_over_quota: self.quotas.is_exceeded(arrival.tenant, &self.settings, self.now),
+            is_retry: arrival.is_retry,
+            expected_run: self.run_estimates.expected_run(arrival.class, arrival.estimated_work),
+            estimated_work,
+            queue_key: QueueKey::unranked(arrival.id),
+            ..Request::default()
+        }
+    }
+
+    fn await_result(&mut self, id: RequestId, mut request: Request, out: &mut Vec<Action>) {
+        request.stage = Stage::AwaitingResult;
+        self.deadlines.schedule(self.deadlines.last_check(request.deadline), id);
+        self.requests.insert(id, request);
+        out.push(Action::ReuseResult(id));
+    }
+
+    /// Rule 3: what arrived past the grace period is not run. Rule 2: nor is what has a key without memory
+    /// for the key.
+    fn cannot_run(&self, request: &Request, class: &Class) -> bool {
+        let is_keyed = class.idempotency == Idempotency::ByKey;
+        let lacks_key = is_keyed && self.memory.lacks_key(self.retained_keys.len());
+        lacks_key || self.shutdown.is_too_late(request.arrived_at)
+    }
+
+    fn retain_key(&mut self, arrival: &Arrival, request: &Request, class: &Class, out: &mut Vec<Action>) {
+        let time_left = request.deadline - self.now;
+        let ttl = KeyRetention::new(&self.settings).ttl(class, arrival.age, time_left);
+        if let Some(ttl) = ttl {
+            self.retained_keys.add(arrival.id, micros(self.now + ttl));
+            out.push(Action::RetainKey { id: arrival.id, ttl });
+        }
+    }
+
+    /// Queues a request, and schedules its check for when its objective comes out of reach.
+    pub(super) fn enqueue(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let priority_weight = self.settings.classes[request.class].priority_weight;
+        let expected_run = request.expected_run;
+        let weight = weight_per_work(&self.settings, priority_weight, request.is_over_quota, expected_run);
+        request.queue_key = QueueKey::new(weight, request.objective_at, id);
+        self.queue.insert(request.queue_key, expected_run);
+        let start_by = request.objective_at - expected_run - self.run_estimates.off_cores(request.class);
+        let last_check = self.deadlines.last_check(request.deadline);
+        self.deadlines.schedule(start_by.min(last_check), id);
+    }
+
+    pub(super) fn request_cancelled(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.is_answered = true;
+        if self.settings.has_cancellations && !request.is_retry {
+            let objective = self.settings.classes[request.class].latency_objective;
+            let age = self.now - request.arrived_at;
+            self.objective.record_cancellation(age, objective, self.settings.batch_interval);
+        }
+        match request.stage {
+            Stage::Queued => {
+                self.release_key(id, out);
+                self.remove(id);
+            }
+            Stage::AwaitingResult => {
+                self.remove(id);
+            }
+            Stage::Running => self.preempt(id, out),
+            Stage::AwaitingCall | Stage::Calling => self.call_queue.remove(request.queue_key),
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/load_shedding.rs
@@ -0,0 +1,58 @@
+//! Load shedding: which queued request is hopeless, and what its rejection says.
+//!
+//! Inputs: time (ms), expected wait and expected time of the request (ms), its objective (ms), jitter. A
+//! request that cannot meet its objective is rejected as soon as that is known: its caller has time for
+//! another server, and the cores are free for requests that can.
+
+//TESTS
+use crate::time::Millis;
+
+/// Retry-After, as a part of a newcomer's wait: callers that all stay away for it leave cores idle.
+const RETRY_AFTER_PART: f64 = 0.5;
+
+/// What is expected of a request that is not running yet.
+#[derive(Clone, Copy)]
+pub(super) struct Forecast {
+    /// How long it waits from now on.
+    pub(super) wait: Millis,
+    /// How long its run takes, with its calls.
+    pub(super) expected_time: Millis,
+    /// When its objective ends.
+    pub(super) objective_at: Millis,
+}
+
+impl Forecast {
+    /// Whether the request would miss its objective.
+    pub(super) fn misses_objective(&self, now: Millis) -> bool {
+        now + self.wait + self.expected_time >= self.objective_at
+    }
+
+    /// Whether the request is to be rejected. One that can start now on idle cores costs no other request
+    /// anything, however long it is expected to take.
+    pub(super) fn is_hopeless(&self, now: Millis, starts_on_idle_cores: bool) -> bool {
+        if starts_on_idle_cores && self.wait == 0.0 {
+            return now >= self.objective_at;
+        }
+        self.misses_objective(now)
+    }
+}
+
+/// What a server that rejects a request says about a later attempt.
+#[derive(Clone, Copy)]
+pub(super) struct Availability {
+    /// How long a newcomer would wait, unread or queued.
+    pub(super) wait: Millis,
+    /// The cores are stalled, or the intake has stopped.
+    pub(super) is_unavailable: bool,
+    /// The longest Retry-After that callers honour.
+    pub(super) max_retry_after: Millis,
+}
+
+impl Availability {
+    /// The Retry-After of a rejection; `jitter` is a factor around 1.
+    pub(super) fn retry_after(&self, jitter: f64) -> Millis {
+        let retry_after =
+            if self.is_unavailable { Millis::INFINITY } else { self.wait * jitter * RETRY_AFTER_PART };
+        retry_after.min(self.max_retry_after)
+    }
+}
--- /dev/null
+++ b/src/controller/mod.rs
@@ -0,0 +1,241 @@
+//! The controller of one server: every decision of loomflow. It takes in events and returns actions, and does
+//! no I/O.
+//!
+//! Four rules come before all others; comments name them by number:
+//! 1. Each request gets one final response in time (`deadlines`).
+//! 2. No effect takes place twice (`key_retention`, `call_retry`).
+//! 3. A shutdown loses nothing (`shutdown`).
+//! 4. Neither the server nor what it calls is overloaded (`concurrency_limit`, `memory`, `call_permits`).
+//!
+//! Each rule is a type or function of its own module, which knows nothing of the others. This module,
+//! `arrivals`, `runs`, `calls` and `responses` wire them: they pass values on and carry the results out.
+//! Times are in milliseconds.
+
+mod arrivals;
+mod call_permits;
+mod call_queue;
+mod call_retry;
+mod calls;
+mod concurrency_limit;
+mod deadlines;
+mod idle_timeout;
+mod jitter;
+mod key_retention;
+mod load_shedding;
+mod memory;
+mod objective;
+mod queue;
+mod request;
+mod responses;
+mod run_estimates;
+mod runs;
+mod send_share;
+mod shutdown;
+mod slow_start;
+mod stall_detector;
+mod tenant_quota;
+
+use std::collections::BTreeMap;
+
+use self::call_permits::CallPermits;
+use self::call_queue::CallQueue;
+use self::concurrency_limit::ConcurrencyLimit;
+use self::deadlines::Deadlines;
+use self::idle_timeout::IdleTimeout;
+use self::jitter::Jitter;
+use self::memory::MemoryAccount;
+use self::objective::EffectiveObjective;
+use self::queue::RequestQueue;
+use self::request::Request;
+use self::run_estimates::RunEstimates;
+use self::send_share::SendShare;
+use self::shutdown::Shutdown;
+use self::slow_start::SlowStart;
+use self::stall_detector::StallDetector;
+use self::tenant_quota::TenantQuotas;
+use crate::interface::{Action, Event, Gauges, Load, ReloadableSettings, RequestId, Settings};
+use crate::retained_keys::RetainedKeys;
+use crate::time::{Millis, micros};
+
+/// Interval of the timer that checks deadlines and samples the send share.
+const TICK_MS: Millis = 50.0;
+/// Weight of the newest sample in running means.
+const SMOOTHING_WEIGHT: f64 = 0.15;
+/// Fewer samples than this show nothing.
+const MIN_SAMPLES: u32 = 6;
+
+/// The controller of one server.
+pub struct Controller {
+    settings: Settings,
+    now: Millis,
+    next_tick: Millis,
+    gauges: Gauges,
+    requests: BTreeMap<RequestId, Request>,
+    /// Requests on the cores.
+    running: f64,
+    queue: RequestQueue,
+    deadlines: Deadlines,
+    share: SendShare,
+    slow_start: SlowStart,
+    limit: ConcurrencyLimit,
+    call_permits: CallPermits,
+    call_queue: CallQueue,
+    run_estimates: RunEstimates,
+    objective: EffectiveObjective,
+    quotas: TenantQuotas,
+    memory: MemoryAccount,
+    retained_keys: RetainedKeys,
+    stall_detector: StallDetector,
+    idle_timeout: IdleTimeout,
+    jitter: Jitter,
+    shutdown: Shutdown,
+}
+
+impl Controller {
+    /// A controller that starts at `now`. Instances with different seeds spread their Retry-After
+    /// differently.
+    pub fn new(mut settings: Settings, seed: u64, now: Millis) -> Controller {
+        let shortest_objective = objective::scale_to_tier(&mut settings);
+        let period = send_share::sample_period(&settings);
+        Controller {
+            now,
+            next_tick: Millis::NEG_INFINITY,
+            gauges: Gauges::default(),
+            requests: BTreeMap::new(),
+            running: 0.0,
+            queue: RequestQueue::default(),
+            deadlines: Deadlines::new(settings.batch_interval),
+            share: SendShare::new(shortest_objective, period, now),
+            slow_start: SlowStart::new(&settings, now),
+            limit: ConcurrencyLimit::new(&settings, period, now),
+            call_permits: CallPermits::new(&settings, period, now),
+            call_queue: CallQueue::default(),
+            run_estimates: RunEstimates::new(settings.classes.len()),
+            objective: EffectiveObjective::default(),
+            quotas: TenantQuotas::new(settings.tenants.len(), now),
+            memory: MemoryAccount::new(&settings),
+            retained_keys: RetainedKeys::default(),
+            stall_detector: StallDetector::new(now),
+            idle_timeout: IdleTimeout::new(shortest_objective, &settings, now),
+            jitter: Jitter::new(seed),
+            shutdown: Shutdown::not_requested(),
+            settings,
+        }
+    }
+
+    /// Takes in one event. Only what cannot wait for the end of the batch is decided here.
+    pub fn event(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
+        self.advance(now);
+        match event {
+            Event::RequestArrived(arrival) => self.request_arrived(&arrival, out),
+            Event::RequestCancelled(id) => self.request_cancelled(id, out),
+            Event::TimerFired(gauges) => self.gauges_received(gauges),
+            Event::CallNeeded(id) => self.call_needed(id),
+            Event::CallEnded { id, outcome, duration } => self.call_ended(id, outcome, duration, out),
+            Event::RunEnded { id, outcome, duration } => self.run_ended(id, outcome, duration),
+            Event::SettingsChanged(settings) => self.apply_settings(*settings),
+            Event::ShutdownRequested { time_left } => self.begin_shutdown(time_left, out),
+        }
+    }
+
+    /// Ends a batch: responds where a deadline is due, then issues calls and starts runs.
+    pub fn decide(&mut self, now: Millis, out: &mut Vec<Action>) {
+        self.advance(now);
+        if self.next_tick == Millis::NEG_INFINITY {
+            self.announce_start(out);
+        }
+        if now >= self.next_tick {
+            self.tick(out);
+        }
+        self.check_stall(out);
+        self.shed_hopeless(out);
+        self.issue_calls(out);
+        self.start_runs(out);
+        self.reclaim_memory(0.0, None, out);
+    }
+
+    /// The load as the controller sees it.
+    pub fn load(&self) -> Load {
+        Load {
+            share: self.share.sent(),
+            hold_time_ratio: self.share.queue_time_ratio(),
+            limit: self.run_limit(),
+            running: self.running,
+        }
+    }
+
+    fn advance(&mut self, now: Millis) {
+        self.now = now;
+        self.call_permits.advance(now);
+        self.call_queue.advance(now);
+    }
+
+    fn announce_start(&mut self, out: &mut Vec<Action>) {
+        // Cached responses keep health checks cheap; that a process responds shows the rest.
+        out.push(Action::SetHealth { is_healthy: true, is_cached: true });
+        // In slow start the first response carries the speed: without a signal callers take it for 1.
+        self.send_share(out);
+    }
+
+    fn tick(&mut self, out: &mut Vec<Action>) {
+        self.next_tick = self.now + TICK_MS;
+        out.push(Action::SetTimer(self.next_tick));
+        self.check_deadlines(out);
+        self.retained_keys.expire(micros(self.now - self.settings.batch_interval));
+        if self.share.is_sample_due(self.now) {
+            self.sample(out);
+        }
+    }
+
+    fn sample(&mut self, out: &mut Vec<Action>) {
+        // A stall is no overload: the share goes on from where it was once the cores make progress again.
+        if self.stall_detector.is_stalled() {
+            self.share.skip_sample(self.now);
+        } else {
+            let oldest_queue_time = self.oldest_queue_time();
+            self.share.sample(self.now, oldest_queue_time);
+        }
+        if let Some(timeout) = self.idle_timeout.sample(self.now, &self.gauges) {
+            out.push(Action::SetIdleTimeout(timeout));
+        }
+        if self.share.is_reading_late() {
+            self.limit.reading_is_late(self.now);
+        }
+        self.send_share(out);
+    }
+
+    fn oldest_queue_time(&self) -> Millis {
+        let queued = self.queue.ids().filter_map(|id| self.requests.get(&id));
+        queued.fold(0.0, |oldest: Millis, request| oldest.max(self.now - request.arrived_at))
+    }
+
+    fn send_share(&mut self, out: &mut Vec<Action>) {
+        let speed = self.slow_start.speed(self.now);
+        let has_stopped_intake = self.shutdown.has_stopped_intake(self.now);
+        let share = self.share.requested(speed, self.stall_detector.is_stalled(), has_stopped_intake);
+        if self.share.is_sent(share) {
+            out.extend(send_share::feedback_signal(share, &self.settings).map(Action::SetSignal));
+        }
+    }
+
+    fn gauges_received(&mut self, gauges: Gauges) {
+        self.gauges = gauges;
+        if let Some(runnable) = gauges.runnable {
+            self.idle_timeout.record_overhead(runnable, self.running, self.settings.cores);
+        }
+    }
+
+    /// Requests that are known keep their deadlines; their weights change at once.
+    fn apply_settings(&mut self, new: ReloadableSettings) {
+        if new.classes.len() != self.settings.classes.len() {
+            return;
+        }
+        self.quotas.resize(new.tenants.len(), self.now);
+        self.settings.classes = new.classes;
+        self.settings.tenants = new.tenants;
+        self.settings.drain_grace = new.drain_grace;
+        let shortest_objective = objective::scale_to_tier(&mut self.settings);
+        self.share.set_shortest_objective(shortest_objective);
+        self.idle_timeout.set_shortest_objective(shortest_objective);
+    }
+}
--- /dev/null
+++ b/src/controller/responses.rs
@@ -0,0 +1,171 @@
+//! Final responses to requests that are not served: at their deadline, when they are hopeless, for memory,
+//! and at a shutdown.
+//!
+//! Wires the rules: it passes values on, and fixes which response a request gets in each stage. Times are in
+//! ms.
+
+use super::Controller;
+use super::deadlines::next_queue_check;
+use super::load_shedding::Availability;
+use super::request::{Request, Stage};
+use super::shutdown::{Shutdown, ShutdownTimes};
+use crate::interface::{Action, Preemption, RequestId};
+use crate::time::Millis;
+
+impl Controller {
+    /// Rule 1: checks each request when its objective comes out of reach, and a margin before its deadline.
+    pub(super) fn check_deadlines(&mut self, out: &mut Vec<Action>) {
+        while let Some(id) = self.deadlines.pop_due(self.now) {
+            self.check_deadline(id, out);
+        }
+    }
+
+    fn check_deadline(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id).filter(|request| !request.is_answered) else { return };
+        let is_queued = request.stage == Stage::Queued;
+        let last_check = self.deadlines.last_check(request.deadline);
+        if self.now >= last_check {
+            self.shed(id, false, out);
+        } else if is_queued && self.is_hopeless(request, 0.0) {
+            self.shed(id, true, out);
+        } else if is_queued {
+            let expected_time = self.run_estimates.expected_time(request);
+            let next = next_queue_check(self.now, request.objective_at, expected_time, last_check);
+            self.deadlines.schedule(next, id);
+        } else {
+            self.deadlines.schedule(last_check, id);
+        }
+    }
+
+    /// Sheds from the end of the queue what would miss its objective at the present limit.
+    pub(super) fn shed_hopeless(&mut self, out: &mut Vec<Action>) {
+        while self.queue.len() > 1 {
+            let Some(id) = self.queue.last() else { return };
+            let wait = self.limit.wait_for(self.queue.work());
+            let is_hopeless = |request: &Request| self.is_hopeless(request, wait);
+            if !self.requests.get(&id).is_some_and(is_hopeless) {
+                return;
+            }
+            self.shed(id, true, out);
+        }
+    }
+
+    /// Rule 4: sheds the requests of the lowest weight until `needed_kb` more fit into the memory; else a
+    /// full queue would keep runs from starting. `keep` is not shed. Returns whether the memory suffices.
+    pub(super) fn reclaim_memory(
+        &mut self,
+        needed_kb: f64,
+        keep: Option<RequestId>,
+        out: &mut Vec<Action>,
+    ) -> bool {
+        while self.memory.lacks(needed_kb, self.retained_keys.len()) {
+            let queued = self.queue.last().filter(|last| Some(*last) != keep);
+            let is_for_run = needed_kb != 0.0;
+            let shed = if is_for_run { queued } else { queued.or_else(|| self.newest_awaiting_result()) };
+            let Some(id) = shed else { return false };
+            self.shed(id, false, out);
+        }
+        true
+    }
+
+    /// The newest request that waits for another's result: it takes memory, and no run ends its wait.
+    fn newest_awaiting_result(&self) -> Option<RequestId> {
+        let mut newest_first = self.requests.iter().rev();
+        newest_first.find(|(_, request)| request.stage == Stage::AwaitingResult).map(|(id, _)| *id)
+    }
+
+    /// Gives the final response to a request that is not going to be served, at once, and ends its work.
+    pub(super) fn shed(&mut self, id: RequestId, is_final: bool, out: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.is_answered = true;
+        match request.stage {
+            Stage::Queued => self.shed_queued(id, is_final, out),
+            Stage::AwaitingResult => {
+                out.push(Action::Fail(id));
+                self.remove(id);
+            }
+            Stage::Running => self.shed_running(id, out),
+            Stage::AwaitingCall | Stage::Calling => {
+                self.call_queue.remove(request.queue_key);
+                out.push(Action::Fail(id));
+            }
+        }
+    }
+
+    fn shed_queued(&mut self, id: RequestId, is_final: bool, out: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else { return };
+        if !request.is_retry {
+            self.objective.record_rejection(self.now - request.arrived_at);
+        }
+        let rejection = self.rejection(id, is_final);
+        out.push(rejection);
+        self.release_key(id, out);
+        self.remove(id);
+    }
+
+    fn shed_running(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else { return };
+        // An idempotent request that failed would be retried elsewhere, too late.
+        let is_rejected = self.is_idempotent(request.class);
+        let response = if is_rejected { self.rejection(id, true) } else { Action::Fail(id) };
+        out.push(response);
+        self.preempt(id, out);
+    }
+
+    /// Stops a run that nobody waits for, where the server can.
+    pub(super) fn preempt(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        if self.settings.preemption != Preemption::Unsupported {
+            out.push(Action::Preempt(id));
+        }
+    }
+
+    /// Releases the key of a request that never ran.
+    pub(super) fn release_key(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        if self.retained_keys.remove(id) {
+            out.push(Action::ReleaseKey(id));
+        }
+    }
+
+    /// A rejection with its Retry-After.
+    pub(super) fn rejection(&mut self, id: RequestId, is_final: bool) -> Action {
+        let queue_wait = self.limit.wait_for(self.queue.work());
+        let is_stalled = self.stall_detector.is_stalled();
+        let availability = Availability {
+            wait: queue_wait.max(self.share.read_delay()),
+            is_unavailable: is_stalled || self.shutdown.has_stopped_intake(self.now),
+            max_retry_after: self.settings.max_retry_after,
+        };
+        let retry_after = availability.retry_after(self.jitter.next_factor());
+        Action::Reject { id, retry_after, is_final }
+    }
+
+    /// Rule 3: brings every deadline forward to the end of a shutdown, and the health checks to other
+    /// servers.
+    pub(super) fn begin_shutdown(&mut self, time_left: Millis, out: &mut Vec<Action>) {
+        let times = ShutdownTimes {
+            drain_grace: self.settings.drain_grace,
+            response_slack: self.settings.response_slack,
+        };
+        self.shutdown = Shutdown::requested(self.now, time_left, self.deadlines.margin(), times);
+        // The time left may be over before the next tick.
+        self.next_tick = self.now;
+        out.push(Action::SetHealth { is_healthy: false, is_cached: true });
+        let respond_by = self.shutdown.respond_by();
+        let is_late = |(_, request): &(&RequestId, &Request)| request.deadline > respond_by;
+        let late: Vec<RequestId> = self.requests.iter().filter(is_late).map(|(id, _)| *id).collect();
+        for id in late {
+            self.advance_deadline(id, respond_by);
+        }
+    }
+
+    fn advance_deadline(&mut self, id: RequestId, deadline: Millis) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.deadline = deadline;
+        request.objective_at = request.objective_at.min(deadline);
+        self.deadlines.schedule(self.deadlines.last_check(deadline), id);
+        if request.stage == Stage::Queued {
+            self.queue.remove(request.queue_key, request.expected_run);
+            self.enqueue(id);
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/slow_start.rs
@@ -0,0 +1,39 @@
+//! Slow start: a server with cold caches claims only the speed that it has.
+//!
+//! Inputs: time since the start (ms), the duration of the slow start (ms) and the share of full speed at its
+//! beginning (0 to 1). The speed rises linearly to 1. It bounds the share that callers are asked for and the
+//! survivable concurrency; without it a new server takes a full part of the traffic at a fraction of its
+//! speed.
+
+//TESTS
+use crate::interface::Settings;
+use crate::time::Millis;
+
+/// The speed of a server after its start.
+pub(super) struct SlowStart {
+    is_enabled: bool,
+    started_at: Millis,
+    duration: Millis,
+    initial_share: f64,
+}
+
+impl SlowStart {
+    pub(super) fn new(settings: &Settings, now: Millis) -> SlowStart {
+        SlowStart {
+            is_enabled: settings.is_slow_start,
+            started_at: now,
+            duration: settings.slow_start_duration,
+            initial_share: settings.slow_start_share,
+        }
+    }
+
+    /// The share of its full speed that the server has at least, 0 to 1.
+    pub(super) fn speed(&self, now: Millis) -> f64 {
+        let progress = if self.duration > 0.0 { (now - self.started_at) / self.duration } else { 1.0 };
+        if self.is_enabled && progress < 1.0 {
+            self.initial_share + (1.0 - self.initial_share) * progress
+        } else {
+            1.0
+        }
+    }
+}
--- a/src/estimate.rs
+++ b/src/estimate.rs
@@ -2,7 +2,8 @@
 
 use crate::time::Millis;
 
-/// An exponentially weighted mean. The first samples count alike, so that it does not start at a value of its own.
+/// An exponentially weighted mean. The first samples count alike, so that it does not start at a value of its
+/// own.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Mean {
     /// The mean, in the unit of its samples; 0 before the first.
@@ -40,7 +41,8 @@
     }
 }
 
-/// What the runs of a class have shown: their time against their estimated work, and their time off the cores.
+/// What the runs of a class have shown: their time against their estimated work, and their time off the
+/// cores.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunTimes {
     /// Time of a run on the cores.
@@ -64,8 +66,8 @@
         self.off_cores.add(off_cores, weight);
     }
 
-    /// The time on the cores that is expected of a run, read off the regression line through what was seen: where
-    /// estimates are rough, a large one means less than it states.
+    /// The time on the cores that is expected of a run, read off the regression line through what was seen:
+    /// where estimates are rough, a large one means less than it states.
     pub fn expected(&self, work: Option<Millis>) -> Millis {
         let (on_cores, mean) = (self.on_cores.value, self.work.value);
         let variance = self.work_squared.value - mean * mean;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,4 @@
-//! What the controller is told and what it may decide: settings, events and actions. Plain data; nothing is decided here.
+//! The interface of the controller: settings, events and actions. Plain data without decisions.
 //!
 //! All times are in milliseconds on one monotonic clock, all sizes in kilobytes.
 
@@ -30,7 +30,7 @@
     Tier,
 }
 
-/// What stopping a running request does to its progress.
+/// Whether running requests can be stopped, and what that does to their progress.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Preemption {
     /// A running request cannot be stopped.
@@ -42,17 +42,17 @@
     KeepsProgress,
 }
 
-/// How callers read the number that responses carry.
+/// How callers interpret the feedback signal, the number that responses carry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FeedbackSignal {
-    /// They do not.
+    /// Not at all.
     #[default]
     Unused,
-    /// Nothing that ranks lower is sent.
+    /// As the rank, 0 to 1, below which they send nothing.
     LowestRank,
-    /// So many requests in flight for each caller.
+    /// As the number of requests in flight for each caller.
     Credit,
-    /// The probability that a caller does not pass this server by.
+    /// As the probability, 0 to 1, with which a caller considers this server.
     SendShare,
 }
 
@@ -63,19 +63,19 @@
     pub idempotency: Idempotency,
     /// A response within this time of the first attempt earns the full weight.
     pub latency_objective: Millis,
-    /// The objective grows by this multiple of the request's own work.
+    /// The objective grows by this multiple of the request's estimated work.
     pub objective_per_work: f64,
     /// The client waits no longer than this, over all its attempts.
     pub timeout: Millis,
-    /// What a response in time is worth.
+    /// The weight of a response in time.
     pub priority_weight: f64,
-    /// The share of the weight that a late response still earns.
+    /// The share of the weight that a late response still earns, 0 to 1.
     pub late_weight: f64,
     /// With idempotency keys only: how long after an arrival a duplicate may come.
     pub idempotency_window: Millis,
     /// Its requests may call downstream.
     pub makes_calls: bool,
-    /// The share of the weight that a response without its call still earns.
+    /// The share of the weight that a response without its call still earns, 0 to 1.
     pub degraded_weight: f64,
 }
 
@@ -105,11 +105,11 @@
     pub tier: u32,
     /// Cores of the server.
     pub cores: f64,
-    /// Memory of the server.
+    /// Memory of the server, in KB.
     pub memory_kb: f64,
-    /// Memory of a running request over that of a queued one.
+    /// Memory of a running request, as a multiple of that of a queued one.
     pub run_memory_factor: f64,
-    /// Memory of one retained key.
+    /// Memory of one retained key, in KB.
     pub key_kb: f64,
     /// What requests call.
     pub downstream: Downstream,
@@ -121,11 +121,11 @@
     pub call_linger: Millis,
     /// How long the result of an idempotent request may answer others; 0 for never.
     pub result_cache_ttl: Millis,
-    /// Whether running requests can be stopped.
+    /// Whether running requests can be stopped, and at what loss.
     pub preemption: Preemption,
-    /// How callers read the number that responses carry.
+    /// How callers interpret the feedback signal, the number that responses carry.
     pub feedback_signal: FeedbackSignal,
-    /// How long callers remember that number.
+    /// How long callers remember the feedback signal; 0 where that is unknown.
     pub signal_ttl: Millis,
     /// Callers close connections that are idle for this.
     pub idle_timeout: Millis,
@@ -137,7 +137,7 @@
     pub has_cancellations: bool,
     /// The server was started into a running fleet, with cold caches.
     pub is_slow_start: bool,
-    /// The share of its full speed with which a server starts.
+    /// The share of its full speed with which a server starts, 0 to 1.
     pub slow_start_share: f64,
     /// How long it takes to reach its full speed.
     pub slow_start_duration: Millis,
@@ -179,7 +179,7 @@
     pub remaining_wait: Millis,
     /// Estimated work on one core, where there is an estimate.
     pub estimated_work: Option<Millis>,
-    /// Memory that it takes while it is queued.
+    /// Memory that it takes while it is queued, in KB.
     pub memory_kb: f64,
     /// From 0 to 1: its place by weight among all requests.
     pub rank: f64,
@@ -189,8 +189,8 @@
     pub caller: u64,
     /// Time since it reached the machine.
     pub age: Millis,
-    /// How long its caller had waited before it reached the machine, where that is known; else 0. It counts against
-    /// the latency objective and the timeout, and not as this server's delay.
+    /// How long its caller had waited before it reached the machine, where that is known; else 0. It counts
+    /// against the latency objective and the timeout, and not as this server's delay.
     pub upstream_time: Millis,
     /// The retained request that it repeats.
     pub original: Option<RequestId>,
@@ -220,11 +220,11 @@
 /// Measured on the server when a timer fires; absent where the site does not measure it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Gauges {
-    /// The busy share of the cores in the recent past.
+    /// The busy share of the cores in the recent past, 0 to 1.
     pub core_utilization: Option<f64>,
     /// Everything that runs on or waits for a core.
     pub runnable: Option<f64>,
-    /// The used share of the memory.
+    /// The used share of the memory, 0 to 1.
     pub memory_utilization: Option<f64>,
     /// Open connections.
     pub connections: Option<f64>,
@@ -233,9 +233,9 @@
 /// The server's load as the controller sees it, for reports; nothing is decided by it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// The share of their usual traffic that callers are asked for, 0 to 1.
+    /// The share of their usual traffic that callers are asked to send, 0 to 1.
     pub share: f64,
-    /// Mean hold time over its setpoint, at the last sample.
+    /// Mean queueing time over its setpoint, at the last sample.
     pub hold_time_ratio: f64,
     /// The limit on concurrent runs.
     pub limit: f64,
@@ -292,9 +292,9 @@
     Reject {
         /// The request.
         id: RequestId,
-        /// How long its caller is to stay away.
+        /// After how long its caller may try again.
         retry_after: Millis,
-        /// No other server is to be tried.
+        /// Whether its caller is to try no other server.
         is_final: bool,
     },
     /// Final response: failed.
@@ -308,7 +308,7 @@
         /// When the call is abandoned.
         deadline: Millis,
     },
-    /// Let a run go on without its call.
+    /// Continue a run without its call.
     SkipCall(RequestId),
     /// Retain a request's key.
     RetainKey {
@@ -319,14 +319,14 @@
     },
     /// Release a request's key: it never ran.
     ReleaseKey(RequestId),
-    /// What health checks are told from now on.
+    /// The result of health checks from now on.
     SetHealth {
         /// Whether the server is healthy.
         is_healthy: bool,
-        /// Whether that is told without doing any work.
+        /// Whether health checks get that result without any work.
         is_cached: bool,
     },
-    /// The number that responses carry from now on.
+    /// The feedback signal that responses carry from now on.
     SetSignal(f64),
     /// How long connections may be idle from now on.
     SetIdleTimeout(Millis),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,12 @@
 //! loomflow: an overload controller that lives inside each server of a fleet.
 //!
-//! [`choice`] holds the controller and every decision, [`interface`] the settings, events and actions that it speaks.
-//! [`estimate`] and [`retained_keys`] are the bookkeeping that it rests on, [`time`] the units. None of them does any I/O
-//! or knows a protocol: a front feeds events in and carries actions out.
+//! [`controller`] makes every decision, [`interface`] has its settings, events and actions. [`estimate`] and
+//! [`retained_keys`] are the state that it builds on, [`time`] the units. None of them does any I/O or knows
+//! a protocol: a front passes events in and carries actions out.
 
 #![forbid(unsafe_code)]
 
-pub mod choice;
+pub mod controller;
 pub mod estimate;
 pub mod interface;
 pub mod retained_keys;
--- a/src/retained_keys.rs
+++ b/src/retained_keys.rs
@@ -1,5 +1,5 @@
-//! The keys that are retained, by which a later duplicate finds the request that ran. The controller decides which
-//! requests get one, and for how long.
+//! The keys that are retained, by which a later duplicate finds the request that ran. The controller decides
+//! which requests get one, and for how long.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use common::*;
-use loomflow::choice::Controller;
+use loomflow::controller::Controller;
 use loomflow::interface::*;
 
 /// Step of the model and least time between two batches, ms.
@@ -83,7 +83,7 @@
 
 /// One server: the module, and the machine that it decides for.
 struct Server {
-    choice: Controller,
+    controller: Controller,
     set: Settings,
     born: f64,
     timers: Vec<f64>,
@@ -160,7 +160,7 @@
 impl Server {
     fn new(set: Settings, seed: u64, born: f64) -> Server {
         Server {
-            choice: Controller::new(set.clone(), seed, born),
+            controller: Controller::new(set.clone(), seed, born),
             set,
             born,
             timers: vec![],
@@ -236,9 +236,9 @@
                 self.served += 1;
                 answers.push((over, 0.0, false));
             }
-            self.choice.event(now, event, &mut actions);
+            self.controller.event(now, event, &mut actions);
         }
-        self.choice.decide(now, &mut actions);
+        self.controller.decide(now, &mut actions);
         for action in actions {
             self.act(action, now, &mut answers);
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! What the tests share: settings to vary, and a driver that plays batches and fires the timers asked for.
 #![allow(dead_code)]
 
-use loomflow::choice::Controller;
+use loomflow::controller::Controller;
 use loomflow::interface::*;
 
 pub const SAFE: usize = 0;
@@ -95,7 +95,7 @@
 };
 
 pub struct Driver {
-    pub choice: Controller,
+    pub controller: Controller,
     pub now: f64,
     pub gauges: Gauges,
     timers: Vec<f64>,
@@ -108,8 +108,8 @@
 impl Driver {
     pub fn new(settings: Settings) -> Driver {
         let now = 1_000_000.0;
-        let choice = Controller::new(settings, 7, now);
-        let mut driver = Driver { choice, now, gauges: IDLE, timers: vec![], finished: 0, log: vec![] };
+        let controller = Controller::new(settings, 7, now);
+        let mut driver = Driver { controller, now, gauges: IDLE, timers: vec![], finished: 0, log: vec![] };
         driver.batch(vec![]);
         driver
     }
@@ -118,9 +118,9 @@
     pub fn batch(&mut self, events: Vec<Event>) -> Vec<Action> {
         let mut actions = vec![];
         for event in events {
-            self.choice.event(self.now, event, &mut actions);
+            self.controller.event(self.now, event, &mut actions);
         }
-        self.choice.decide(self.now, &mut actions);
+        self.controller.decide(self.now, &mut actions);
         for action in &actions {
             if let Action::SetTimer(at) = action {
                 self.timers.push(*at);
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use common::*;
-use loomflow::choice::Controller;
+use loomflow::controller::Controller;
 use loomflow::interface::*;
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -245,7 +245,7 @@
 type Fault = fn(&mut Vec<Action>, &Checker);
 
 struct World {
-    choice: Controller,
+    controller: Controller,
     checker: Checker,
     next: RequestId,
     fault: Fault,
@@ -257,8 +257,8 @@
 impl World {
     fn new(set: Settings, fault: Fault) -> World {
         let now = 50_000.0;
-        let choice = Controller::new(set.clone(), 11, now);
-        let mut fixture = World { choice, checker: Checker::new(set, now), next: 1, fault };
+        let controller = Controller::new(set.clone(), 11, now);
+        let mut fixture = World { controller, checker: Checker::new(set, now), next: 1, fault };
         fixture.batch(vec![]);
         fixture
     }
@@ -270,9 +270,9 @@
             if let Event::RequestArrived(a) = &event {
                 self.checker.read(a);
             }
-            self.choice.event(now, event, &mut actions);
+            self.controller.event(now, event, &mut actions);
         }
-        self.choice.decide(now, &mut actions);
+        self.controller.decide(now, &mut actions);
         (self.fault)(&mut actions, &self.checker);
         for action in &actions {
             self.checker.acted(action);
