--- a/src/controller/call_permits.rs
+++ b/src/controller/call_permits.rs
@@ -6,7 +6,9 @@
 //! more permit is borrowed. Slow calls reduce the used part of the quota, since a dependency slows down
 //! before its quota is used up. Calls to a tier are bounded by what may come back to the cores at once.
 
-//TESTS
+#[cfg(test)]
+mod tests;
+
 use super::SMOOTHING_WEIGHT;
 use super::call_retry::CALL_TIMEOUT_FACTOR;
 use super::concurrency_limit::DecreasingValue;
--- a/src/controller/call_queue.rs
+++ b/src/controller/call_queue.rs
@@ -4,7 +4,9 @@
 //! Inputs: queue keys, time of the retry (ms). All of them are off the cores, but count in the concurrency
 //! limit.
 
-//TESTS
+#[cfg(test)]
+mod tests;
+
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::queue::QueueKey;
--- a/src/controller/call_retry.rs
+++ b/src/controller/call_retry.rs
@@ -5,7 +5,9 @@
 //! after a backoff if it cannot take effect twice (rule 2). A response without its call, where the class
 //! allows one, is given as soon as a permit in time is out of reach.
 
-//TESTS
+#[cfg(test)]
+mod tests;
+
 use crate::estimate::Mean;
 use crate::interface::{Class, Outcome};
 use crate::time::Millis;
--- a/src/controller/concurrency_limit.rs
+++ b/src/controller/concurrency_limit.rs
@@ -6,7 +6,9 @@
 //! are idle and requests are queued; it falls when runs end late on busy cores, or when reading is late. The
 //! survivable concurrency is its upper bound.
 
-//TESTS
+#[cfg(test)]
+mod tests;
+
 use crate::interface::{Gauges, Settings};
 use crate::time::Millis;
 
--- a/src/controller/deadlines.rs
+++ b/src/controller/deadlines.rs
@@ -4,7 +4,9 @@
 //! response is due a margin before the deadline, since timers may fire late. A queued request is checked
 //! earlier, when its objective comes out of reach, so that its caller learns of it at once.
 
-//TESTS
+#[cfg(test)]
+mod tests;
+
 use std::collections::BTreeSet;
 
 use super::TICK_MS;
--- /dev/null
+++ b/src/controller/deadlines/tests.rs
@@ -0,0 +1,52 @@
+use super::{Deadlines, caller_deadline, next_queue_check};
+use crate::interface::{Arrival, Class, Idempotency};
+
+#[test]
+fn checks_are_due_in_their_order_and_a_margin_before_the_deadline() {
+    let mut deadlines = Deadlines::new(5.0);
+    assert_eq!(deadlines.last_check(1000.0), 940.0);
+    deadlines.schedule(30.0, 1);
+    deadlines.schedule(20.0, 2);
+    deadlines.schedule(40.0, 3);
+    assert_eq!(deadlines.pop_due(30.0), Some(2));
+    assert_eq!(deadlines.pop_due(30.0), Some(1));
+    assert_eq!(deadlines.pop_due(30.0), None);
+}
+
+#[test]
+fn a_queued_request_is_checked_when_its_objective_comes_out_of_reach() {
+    assert_eq!(next_queue_check(0.0, 800.0, 300.0, 900.0), 500.0);
+    assert_eq!(next_queue_check(480.0, 800.0, 300.0, 900.0), 530.0, "a tick later at the earliest");
+    assert_eq!(next_queue_check(880.0, 800.0, 300.0, 900.0), 900.0, "the last check at the latest");
+}
+
+#[test]
+fn the_deadline_is_that_of_the_caller_or_of_the_class() {
+    let class = Class {
+        idempotency: Idempotency::Never,
+        latency_objective: 500.0,
+        objective_per_work: 0.0,
+        timeout: 2000.0,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        idempotency_window: 0.0,
+        makes_calls: false,
+        degraded_weight: 0.0,
+    };
+    let arrival = Arrival {
+        id: 1,
+        class: 0,
+        tenant: 0,
+        remaining_wait: 300.0,
+        estimated_work: None,
+        memory_kb: 1.0,
+        rank: 0.0,
+        is_retry: false,
+        caller: 0,
+        age: 100.0,
+        upstream_time: 50.0,
+        original: None,
+    };
+    assert_eq!(caller_deadline(&arrival, &class, 1000.0, true), 1300.0);
+    assert_eq!(caller_deadline(&arrival, &class, 1000.0, false), 2850.0);
+}
--- a/src/controller/idle_timeout.rs
+++ b/src/controller/idle_timeout.rs
@@ -7,7 +7,9 @@
 //! turns newcomers away without work, and each newcomer that is accepted costs a connection, a read and a
 //! rejection.
 
-//TESTS
+#[cfg(test)]
+mod tests;
+
 use std::collections::BTreeMap;
 
 use super::{SMOOTHING_WEIGHT, TICK_MS};
--- a/src/controller/key_retention.rs
+++ b/src/controller/key_retention.rs
@@ -4,7 +4,9 @@
 //! Inputs: idempotency of the class, its window (ms), lifetime of cached results (ms), age and time left of
 //! the request (ms). A duplicate of a request that may have run is not run: it shares the result of that run.
 
-//TESTS
+#[cfg(test)]
+mod tests;
+
 use crate::interface::{Class, Idempotency, Settings};
 use crate::time::Millis;
 
--- a/src/controller/load_shedding.rs
+++ b/src/controller/load_shedding.rs
@@ -4,7 +4,9 @@
 //! request that cannot meet its objective is rejected as soon as that is known: its caller has time for
 //! another server, and the cores are free for requests that can.
 
-//TESTS
+#[cfg(test)]
+mod tests;
+
 use crate::time::Millis;
 
 /// Retry-After, as a part of a newcomer's wait: callers that all stay away for it leave cores idle.
--- a/src/controller/memory.rs
+++ b/src/controller/memory.rs
@@ -3,7 +3,9 @@
 //! Inputs: memory of a queued request, of a retained key and of the server (KB), factor of a running request.
 //! The account is exact; a reserve for what the next batch reads is left free.
 
-//TESTS
+#[cfg(test)]
+mod tests;
+
 use crate::interface::Settings;
 
 /// Reserved requests of the largest size for each core: one being read, one in the next batch.
--- a/src/controller/objective.rs
+++ b/src/controller/objective.rs
@@ -5,7 +5,9 @@
 //! things to do in the rest. Where callers cancel before the objective, responses after that are of no use. A
 //! retry has used the time of its first attempt.
 
-//TESTS
+#[cfg(test)]
+mod tests;
+
 use super::{MIN_SAMPLES, SMOOTHING_WEIGHT};
 use crate::estimate::Mean;
 use crate::interface::{Arrival, Class, Settings};
--- a/src/controller/queue.rs
+++ b/src/controller/queue.rs
@@ -4,7 +4,9 @@
 //! Inputs: weight per work, objective (ms), expected run (ms). Under overload the oldest requests are nearest
 //! to missing their objective; run first they would all be late.
 
-//TESTS
+#[cfg(test)]
+mod tests;
+
 use std::collections::BTreeSet;
 
 use crate::interface::{RequestId, Settings};
--- a/src/controller/request.rs
+++ b/src/controller/request.rs
@@ -4,7 +4,9 @@
 //! Inputs: events of the request with their times (ms). Each stage belongs to one account: the queue, the
 //! runs, or the calls.
 
-//TESTS
+#[cfg(test)]
+mod tests;
+
 use super::queue::QueueKey;
 use crate::time::Millis;
 
--- a/src/controller/run_estimates.rs
+++ b/src/controller/run_estimates.rs
@@ -3,7 +3,9 @@
 //! Inputs: estimated work, time on the cores and time off them for calls (all ms). Hopeless requests, the
 //! order of the queue and the detection of stalls depend on these times.
 
-//TESTS
+#[cfg(test)]
+mod tests;
+
 use super::request::Request;
 use super::{MIN_SAMPLES, SMOOTHING_WEIGHT};
 use crate::estimate::RunTimes;
--- a/src/controller/send_share.rs
+++ b/src/controller/send_share.rs
@@ -5,7 +5,9 @@
 //! latency objective). Output: a share from `MIN_SHARE` to 1. Below its setpoint a server asks for all of its
 //! traffic. A share under `OVERLOAD_SHARE` counts as overload.
 
-//TESTS
+#[cfg(test)]
+mod tests;
+
 use crate::estimate::Average;
 use crate::interface::{FeedbackSignal, Settings};
 use crate::time::{MILLIS_PER_SECOND, Millis};
--- a/src/controller/shutdown.rs
+++ b/src/controller/shutdown.rs
@@ -5,7 +5,9 @@
 //! servers would miss this server's part. After it, what arrives is rejected at once, while its caller has
 //! time for another server.
 
-//TESTS
+#[cfg(test)]
+mod tests;
+
 use crate::time::Millis;
 
 /// The times of a shutdown; both infinite before one is requested.
--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -5,7 +5,9 @@
 //! survivable concurrency; without it a new server takes a full part of the traffic at a fraction of its
 //! speed.
 
-//TESTS
+#[cfg(test)]
+mod tests;
+
 use crate::interface::Settings;
 use crate::time::Millis;
 
--- a/src/controller/stall_detector.rs
+++ b/src/controller/stall_detector.rs
@@ -4,7 +4,9 @@
 //! requests. While the cores are stalled, what is queued and what arrives is rejected, and callers are asked
 //! to stay away; the first run to end ends the stall. Late reading is overload rather than a stall.
 
-//TESTS
+#[cfg(test)]
+mod tests;
+
 use crate::time::Millis;
 
 /// So many runs are overdue, by usual run times, when the cores count as stalled: with random ends at their
--- a/src/controller/tenant_quota.rs
+++ b/src/controller/tenant_quota.rs
@@ -3,7 +3,9 @@
 //! Inputs: the tenant's quota (requests a second, over the fleet), the number of servers, the time (ms). Each
 //! server grants an even part of the quota with a token bucket. Only the tier that clients reach does so.
 
-//TESTS
+#[cfg(test)]
+mod tests;
+
 use crate::interface::Settings;
 use crate::time::{MILLIS_PER_SECOND, Millis};
 
