--- a/crates/loomflow-adapter/src/wire.rs
+++ b/crates/loomflow-adapter/src/wire.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use loomflow::choice::Controller;
+use loomflow::controller::Controller;
 use loomflow::interface::{Action, Arrival, Event, Gauges, Outcome, RequestId};
 use loomflow::time::Millis;
 use loomflow_settings::{FieldError, JsonObject, Site};
--- a/crates/loomflow-lab/src/quota.rs
+++ b/crates/loomflow-lab/src/quota.rs
@@ -5,7 +5,7 @@
 //! priority weight than a probe without a tenant, one over the quota a lower one.
 
 use fastrand::Rng;
-use loomflow::choice::Controller;
+use loomflow::controller::Controller;
 use loomflow::interface::{Action, Arrival, Class, Event, Outcome, RequestId, Settings, Tenant};
 
 use crate::settings::module_settings;
