--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,28 +1,41 @@
-//! The pages name only files, packages and types that exist, and every log line has its row.
+//! The pages name only files, packages and identifiers that exist, and every log line has its row.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// Pages that are checked for files, packages and types.
-const PAGES: [&str; 11] = [
-    "README.md",
-    "DEVELOPERS.md",
-    "CONTRIBUTING.md",
-    "docs/architecture.md",
-    "docs/configuration.md",
-    "docs/glossary.md",
-    "docs/on-call.md",
-    "docs/platform.md",
-    "docs/operators/amqp.md",
-    "docs/operators/duties.md",
-    "docs/operators/fleet.md",
-];
+/// Folders of pages; every page in them is checked, but for [`HISTORY`].
+const PAGE_FOLDERS: [&str; 5] = ["", "docs", "docs/design", "docs/operators", "deploy/sites"];
+/// Pages that record what was, in the words of their time.
+const HISTORY: [&str; 3] = ["CHANGELOG.md", "docs/results.md", "docs/ROADMAP.md"];
 /// Where a shortened path may begin.
 const ROOTS: [&str; 2] = ["", "crates/loomflow-server/src"];
+/// Folders of the repository that a path may begin with.
+const FOLDERS: [&str; 6] = ["src/", "crates/", "docs/", "tests/", "scripts/", "deploy/"];
 /// Files that operators write themselves.
 const OPERATORS_FILES: [&str; 2] = ["options.yaml", "credentials.yaml"];
-/// Names in code that are not defined in this repository.
-const FOREIGN: [&str; 4] = ["NotOpened", "Malformed", "BUSY", "DOWN"];
+/// Endings of the files that pages name.
+const FILE_ENDINGS: [&str; 6] = [".rs", ".md", ".toml", ".yaml", ".lock", ".txt"];
+/// Names that no source defines: the page that may name them, the reason, the names.
+const FOREIGN: [(&str, &str, &str); 7] = [
+    (
+        "docs/design/wire.md",
+        "keys of the simulator's wire that the adapter ignores",
+        "Clients MarksRetry Family Tiers MyNumber Localities Readiness ScoreParts CpuUsPerRequest CpuUsPerS \
+         LateFail Waste Origin Reporting How Names Fraction inline on_probe",
+    ),
+    ("docs/design/wire.md", "actions of the simulator's wire that are never sent", "JOURNAL_LINE GIVE_IN"),
+    (
+        "docs/design/fleet.md",
+        "libraries that were weighed and not chosen",
+        "memberlist chitchat openraft fjall",
+    ),
+    ("docs/design/fleet.md", "a program that the build does without", "protoc"),
+    ("docs/design/crossings.md", "an option of the operating system", "TCP_NODELAY"),
+    ("docs/platform.md", "a call of the operating system", "epoll_wait"),
+    ("docs/operators/duties.md", "duties of an operator's example", "filing harm"),
+];
+/// Texts that show the form of a name and are none: the page, the text.
+const FORMS: [(&str, &str); 1] = [("docs/decisions.md", "crate::module::Type::function")];
 
 fn root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -55,58 +68,151 @@
     !text.is_empty() && text.chars().all(|c| c.is_ascii_alphanumeric() || c == '_')
 }
 
-/// Names of types and variants: they begin with a capital and have a small letter.
-fn is_type_name(text: &str) -> bool {
-    is_word(text)
-        && text.starts_with(|c: char| c.is_ascii_uppercase())
-        && text.contains(|c: char| c.is_ascii_lowercase())
+/// The words of a text.
+fn words(text: &str) -> impl Iterator<Item = &str> {
+    text.split(|c: char| !(c.is_ascii_alphanumeric() || c == '_')).filter(|word| !word.is_empty())
+}
+
+/// The identifiers of each source file: those that it defines or uses, in tests and in strings too, and the modules and
+/// the package that it belongs to. What only a comment names does not count, and neither does this file, which lists
+/// foreign names.
+fn identifiers_by_file() -> Vec<BTreeSet<String>> {
+    let files = ["src", "crates", "tests"].into_iter().flat_map(|folder| sources(&root().join(folder)));
+    let files = files.filter(|file| !file.ends_with("tests/documentation.rs"));
+    let identifiers_of_file = |file: PathBuf| {
+        let text = std::fs::read_to_string(&file).expect("a source file");
+        let code = text.lines().filter(|line| !line.trim_start().starts_with("//"));
+        let path = file.strip_prefix(root()).expect("a file of this repository").with_extension("");
+        let modules = path.iter().filter_map(|part| part.to_str());
+        code.flat_map(words).chain(modules).map(str::to_owned).collect()
+    };
+    files.map(identifiers_of_file).collect()
 }
 
-/// Every identifier that the sources define or use.
 fn identifiers() -> BTreeSet<String> {
-    let files = ["src", "crates"].into_iter().flat_map(|folder| sources(&root().join(folder)));
-    let mut all = BTreeSet::new();
-    for file in files {
-        let text = std::fs::read_to_string(file).expect("a source file");
-        let words = text.split(|c: char| !(c.is_ascii_alphanumeric() || c == '_'));
-        all.extend(words.filter(|word| !word.is_empty()).map(str::to_owned));
+    identifiers_by_file().into_iter().flatten().collect()
+}
+
+/// The pages that are checked.
+fn pages() -> Vec<String> {
+    let mut pages = Vec::new();
+    for folder in PAGE_FOLDERS {
+        for entry in std::fs::read_dir(root().join(folder)).expect("a folder of pages") {
+            let path = entry.expect("an entry").path();
+            if path.extension().is_some_and(|extension| extension == "md") {
+                let page = path.strip_prefix(root()).expect("a page of this repository");
+                pages.push(page.to_str().expect("a path").to_owned());
+            }
+        }
+    }
+    pages.retain(|page| !HISTORY.contains(&page.as_str()));
+    pages.sort();
+    pages
+}
+
+fn is_package_name(text: &str) -> bool {
+    text.starts_with("loomflow-") && text.chars().all(|c| c.is_ascii_lowercase() || c == '-')
+}
+
+/// What is wrong with the files, folders and packages that a quoted text names.
+fn missing_file(page: &str, text: &str) -> Option<String> {
+    if is_package_name(text) && !root().join("crates").join(text).is_dir() {
+        return Some(format!("there is no package {text}"));
+    }
+    let is_file = FILE_ENDINGS.iter().any(|ending| text.ends_with(ending))
+        && !text.contains(' ')
+        && !OPERATORS_FILES.contains(&text);
+    // The first word of a command may be a file, as in `scripts/measure NAME`.
+    let path = if is_file { text } else { text.split(' ').next().unwrap_or_default() };
+    let is_path = is_file || (FOLDERS.iter().any(|folder| path.starts_with(folder)) && !path.contains('*'));
+    let folder = Path::new(page).parent().expect("a folder").to_str().expect("a path");
+    let mut places = ROOTS.iter().copied().chain([folder]);
+    let exists = places.any(|place| root().join(place).join(path).exists());
+    (is_path && !exists).then(|| format!("there is no file {path}"))
+}
+
+/// The identifiers of a quoted text: a name, or a path of names such as `Type::function()`, `package::module::CONSTANT`,
+/// `Type.field` and `settings.Classes[]`. None where the text is something else, as a command, a file or a number.
+fn identifiers_of(text: &str) -> Vec<&str> {
+    let separators = ["::", "."];
+    let plain = text.trim_end_matches("()").trim_end_matches("[]").trim_end_matches("[...]");
+    let mut parts = vec![plain];
+    for separator in separators {
+        parts = parts.into_iter().flat_map(|part| part.split(separator)).collect();
     }
-    all
+    let parts: Vec<&str> = parts.into_iter().map(|part| part.trim_end_matches("[]")).collect();
+    let is_package = |part: &&&str| is_package_name(part);
+    let names: Vec<&str> = parts.iter().filter(|part| !is_package(part)).copied().collect();
+    let is_file = FILE_ENDINGS.iter().any(|ending| text.ends_with(ending));
+    let is_name = |name: &&str| is_word(name) && !name.starts_with(|c: char| c.is_ascii_digit());
+    if !is_file && names.iter().all(is_name) { names } else { Vec::new() }
 }
 
 #[test]
 fn files_and_packages_that_pages_name_exist() {
-    for page in PAGES {
-        for text in quoted(&read(page)) {
-            let is_package =
-                text.starts_with("loomflow-") && text.chars().all(|c| c.is_ascii_lowercase() || c == '-');
-            if is_package {
-                assert!(root().join("crates").join(&text).is_dir(), "{page}: there is no package {text}");
-            }
-            let endings = [".rs", ".md", ".toml", ".yaml"];
-            let is_file = endings.iter().any(|ending| text.ends_with(ending))
-                && !text.contains(' ')
-                && !OPERATORS_FILES.contains(&text.as_str());
-            let folder = Path::new(page).parent().expect("a folder").to_str().expect("a path");
-            let mut places = ROOTS.iter().copied().chain([folder]);
-            let mut exists = || places.any(|place| root().join(place).join(&text).exists());
-            assert!(!is_file || exists(), "{page}: there is no file {text}");
+    let mut faults = Vec::new();
+    for page in pages() {
+        for text in quoted(&read(&page)) {
+            faults.extend(missing_file(&page, &text).map(|fault| format!("{page}: {fault}")));
+        }
+    }
+    assert!(faults.is_empty(), "{}", faults.join("\n"));
+}
+
+/// The names of other projects that a page may name.
+fn foreign_names(page: &str) -> impl Iterator<Item = &'static str> {
+    FOREIGN.into_iter().filter(move |(of, _, _)| *of == page).flat_map(|(_, _, names)| names.split(' '))
+}
+
+/// An entry of the list is stale once a source defines the name, or its page does not name it.
+#[test]
+fn foreign_names_are_foreign_and_in_use() {
+    let known = identifiers();
+    for (page, reason, names) in FOREIGN {
+        let quoted = quoted(&read(page));
+        let used: BTreeSet<&str> = quoted.iter().flat_map(|text| identifiers_of(text)).collect();
+        for name in names.split(' ') {
+            assert!(!known.contains(name), "{name}: a source defines it, so it is not one of {reason}");
+            assert!(used.contains(name), "{page} does not name {name}, one of {reason}");
         }
     }
 }
 
+/// Types, variants, functions, constants, fields and keys.
 #[test]
-fn types_and_functions_that_pages_name_exist() {
+fn identifiers_that_pages_name_exist() {
     let known = identifiers();
-    for page in ["docs/architecture.md", "docs/glossary.md"] {
-        for text in quoted(&read(page)) {
-            let parts: Vec<&str> = text.split("::").collect();
-            let is_code = parts.iter().all(|part| is_word(part))
-                && (parts.len() > 1 || is_type_name(&text) || text.contains('_'));
-            let unknown = parts.iter().find(|part| !known.contains(**part) && !FOREIGN.contains(part));
-            assert!(!is_code || unknown.is_none(), "{page}: {text} names nothing in the sources");
+    let mut faults = Vec::new();
+    for page in pages() {
+        let foreign: BTreeSet<&str> = foreign_names(&page).collect();
+        for text in quoted(&read(&page)) {
+            let is_missing = |name: &&str| !known.contains(*name) && !foreign.contains(*name);
+            for name in identifiers_of(&text).into_iter().filter(is_missing) {
+                faults.push(format!("{page}: `{text}`: {name} names nothing in the sources"));
+            }
+        }
+    }
+    assert!(faults.is_empty(), "{}", faults.join("\n"));
+}
+
+/// In `Type::function` and `module::CONSTANT` both stand in one source file.
+#[test]
+fn paths_that_pages_name_belong_together() {
+    let files = identifiers_by_file();
+    let mut faults = Vec::new();
+    for page in pages() {
+        let is_form = |text: &str| FORMS.contains(&(page.as_str(), text));
+        let is_name = |text: &&String| !identifiers_of(text).is_empty() && !is_form(text);
+        for text in quoted(&read(&page)).iter().filter(is_name) {
+            let parts: Vec<&str> = text.trim_end_matches("()").split("::").collect();
+            let is_together =
+                |pair: &[&str]| files.iter().any(|file| pair.iter().all(|name| file.contains(*name)));
+            for pair in parts.windows(2).filter(|pair| !is_together(pair)) {
+                faults.push(format!("{page}: `{text}`: no source has {} with {}", pair[0], pair[1]));
+            }
         }
     }
+    assert!(faults.is_empty(), "{}", faults.join("\n"));
 }
 
 /// The arguments of a macro call: the text up to the parenthesis that closes it.
