--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -84,8 +84,10 @@
         let text = std::fs::read_to_string(&file).expect("a source file");
         let code = text.lines().filter(|line| !line.trim_start().starts_with("//"));
         let path = file.strip_prefix(root()).expect("a file of this repository").with_extension("");
-        let modules = path.iter().filter_map(|part| part.to_str());
-        code.flat_map(words).chain(modules).map(str::to_owned).collect()
+        let modules: Vec<&str> = path.iter().filter_map(|part| part.to_str()).collect();
+        // In code a package's name has underscores.
+        let crates = modules.iter().map(|module| module.replace('-', "_"));
+        code.flat_map(words).chain(modules.iter().copied()).map(str::to_owned).chain(crates).collect()
     };
     files.map(identifiers_of_file).collect()
 }
@@ -123,8 +125,8 @@
     let is_file = FILE_ENDINGS.iter().any(|ending| text.ends_with(ending))
         && !text.contains(' ')
         && !OPERATORS_FILES.contains(&text);
-    // The first word of a command may be a file, as in `scripts/measure NAME`.
-    let path = if is_file { text } else { text.split(' ').next().unwrap_or_default() };
+    // A command begins with a file, as in `scripts/measure NAME`; a test is named as `file::function`.
+    let path = if is_file { text } else { text.split([' ', ':']).next().unwrap_or_default() };
     let is_path = is_file || (FOLDERS.iter().any(|folder| path.starts_with(folder)) && !path.contains('*'));
     let folder = Path::new(page).parent().expect("a folder").to_str().expect("a path");
     let mut places = ROOTS.iter().copied().chain([folder]);
