--- a/src/controller/idle_timeout.rs
+++ b/src/controller/idle_timeout.rs
@@ -3,7 +3,7 @@
 //! Inputs: arrivals with their caller, core utilization (0 to 1), overhead (part of the runnable requests
 //! that is no run: reads, new connections, checks; 0 to 1), open connections. Idle connections are closed at
 //! once where callers rarely return, which frees what a full table costs; sooner while cores idle beside a
-//! table that may be full. Where rejecting takes most of busy cores they are kept open longer: a full table
+//! table that may be full. Where rejections take most of busy cores they are kept open longer: a full table
 //! turns newcomers away without work, and each newcomer that is accepted costs a connection, a read and a
 //! rejection.
 
@@ -21,7 +21,7 @@
 const REUSE_WINDOW_FACTOR: f64 = 4.0;
 /// On busy cores connections stay open while this part of the requests is of callers that returned soon.
 const MIN_REUSE_RATE: f64 = 0.5;
-/// So many arrivals show whether callers return.
+/// Fewer arrivals do not show whether callers return.
 const MIN_ARRIVALS: u32 = 10;
 /// The overhead counts as high above this.
 const MAX_OVERHEAD_PART: f64 = 0.55;
--- a/src/controller/load_shedding.rs
+++ b/src/controller/load_shedding.rs
@@ -1,4 +1,4 @@
-//! Load shedding: which queued request is hopeless, and what its rejection says.
+//! Load shedding: which queued request is hopeless, and the Retry-After of its rejection.
 //!
 //! Inputs: time (ms), expected wait and expected time of the request (ms), its objective (ms), jitter. A
 //! request that cannot meet its objective is rejected as soon as that is known: its caller has time for
@@ -39,7 +39,7 @@
     }
 }
 
-/// What a server that rejects a request says about a later attempt.
+/// When a later attempt of a rejected request has a chance.
 #[derive(Clone, Copy)]
 pub(super) struct Availability {
     /// How long a newcomer would wait, unread or queued.
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -213,7 +213,7 @@
         let speed = self.slow_start.speed(self.now);
         let has_stopped_intake = self.shutdown.has_stopped_intake(self.now);
         let share = self.share.requested(speed, self.stall_detector.is_stalled(), has_stopped_intake);
-        if self.share.is_sent(share) {
+        if self.share.update_sent(share) {
             out.extend(send_share::feedback_signal(share, &self.settings).map(Action::SetSignal));
         }
     }
--- a/src/controller/send_share.rs
+++ b/src/controller/send_share.rs
@@ -172,14 +172,14 @@
         if has_stopped_intake { 0.0 } else { share.max(MIN_SHARE) }
     }
 
-    /// Whether `share` differs enough from the one that was sent last; it counts as sent then.
-    pub(super) fn is_sent(&mut self, share: f64) -> bool {
-        let is_sent =
-            (share - self.sent).abs() >= MIN_SENT_SHARE_CHANGE || (share == 1.0 && self.sent != 1.0);
-        if is_sent {
+    /// Records `share` as sent if it differs enough from the last one that was sent; returns whether it does.
+    pub(super) fn update_sent(&mut self, share: f64) -> bool {
+        let is_recovery = share == 1.0 && self.sent != 1.0;
+        let is_changed = is_recovery || (share - self.sent).abs() >= MIN_SENT_SHARE_CHANGE;
+        if is_changed {
             self.sent = share;
         }
-        is_sent
+        is_changed
     }
 }
 
--- a/src/controller/send_share/tests.rs
+++ b/src/controller/send_share/tests.rs
@@ -66,9 +66,11 @@
     assert_eq!(share.requested(0.3, false, false), 0.3);
     assert_eq!(share.requested(1.0, true, false), 0.05);
     assert_eq!(share.requested(1.0, false, true), 0.0);
-    assert!(!share.is_sent(0.995));
-    assert!(share.is_sent(0.99));
-    assert!(share.is_sent(1.0));
+    assert!(!share.update_sent(0.995));
+    assert!(share.update_sent(0.984));
+    assert!(share.update_sent(0.995));
+    assert!(share.update_sent(1.0), "a full recovery");
+    assert!(!share.update_sent(1.0));
 }
 
 #[test]
--- a/src/controller/stall_detector.rs
+++ b/src/controller/stall_detector.rs
@@ -9,7 +9,7 @@
 
 use crate::time::Millis;
 
-/// So many runs are overdue, by usual run times, when the cores count as stalled: with random ends at their
+/// The cores count as stalled when this many runs are overdue, by usual run times: with random ends at their
 /// usual rate a gap as long comes once in e^6 = 400.
 const STALL_THRESHOLD_ENDS: f64 = 6.0;
 
--- a/src/estimate.rs
+++ b/src/estimate.rs
@@ -1,9 +1,9 @@
-//! Running estimates: what has been measured so far, in constant memory. They decide nothing.
+//! Running estimates of measured times, in constant memory. They decide nothing.
 
 use crate::time::Millis;
 
-/// An exponentially weighted mean. The first samples count alike, so that it does not start at a value of its
-/// own.
+/// An exponentially weighted mean. The first samples count alike, so that it is not biased to an initial
+/// value.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Mean {
     /// The mean, in the unit of its samples; 0 before the first.
@@ -13,7 +13,8 @@
 }
 
 impl Mean {
-    /// Takes in a sample, which counts for `weight`, from 0 to 1, once there are many.
+    /// Takes in a sample. Its weight, 0 to 1, is that of an arithmetic mean until there are `1 / weight`
+    /// samples.
     pub fn add(&mut self, sample: f64, weight: f64) {
         self.samples = self.samples.saturating_add(1);
         self.value += (sample - self.value) * weight.max(1.0 / f64::from(self.samples));
@@ -41,8 +42,7 @@
     }
 }
 
-/// What the runs of a class have shown: their time against their estimated work, and their time off the
-/// cores.
+/// Run times of a class: on the cores against the estimated work, and off the cores (ms).
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunTimes {
     /// Time of a run on the cores.
@@ -66,8 +66,8 @@
         self.off_cores.add(off_cores, weight);
     }
 
-    /// The time on the cores that is expected of a run, read off the regression line through what was seen:
-    /// where estimates are rough, a large one means less than it states.
+    /// The expected time on the cores of a run, by linear regression on the estimated work of finished runs;
+    /// their mean without an estimate.
     pub fn expected(&self, work: Option<Millis>) -> Millis {
         let (on_cores, mean) = (self.on_cores.value, self.work.value);
         let variance = self.work_squared.value - mean * mean;
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,5 +1,6 @@
 //! `docs/decisions.md` names each decision with its constants and its test: all of them exist, with those values.
 
+use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
 /// Columns of the page's tables.
@@ -68,9 +69,10 @@
     };
     let folder = modules.iter().fold(source, |folder, module| folder.join(module));
     let beside = folder.with_extension("rs");
-    let candidates = match modules.is_empty() {
-        true => [folder.join("lib.rs"), folder.join("main.rs")],
-        false => [beside, folder.join("mod.rs")],
+    let candidates = if modules.is_empty() {
+        [folder.join("lib.rs"), folder.join("main.rs")]
+    } else {
+        [beside, folder.join("mod.rs")]
     };
     let file = candidates.into_iter().find(|file| file.is_file())?;
     Some(CodePath { file, type_name, name })
@@ -110,6 +112,27 @@
     Some(normalized(value))
 }
 
+/// The names of the constants that a source text defines at the head of a module.
+fn constants(source: &str) -> BTreeSet<String> {
+    let mut names = BTreeSet::new();
+    for line in source.lines() {
+        let line = line.trim_start_matches("pub(crate) ").trim_start_matches("pub(super) ");
+        let line = line.trim_start_matches("pub ");
+        if let Some((name, _)) = line.strip_prefix("const ").and_then(|rest| rest.split_once(':')) {
+            names.insert(name.to_owned());
+        }
+    }
+    names
+}
+
+/// The files that the deploy file names as those with the controller's decisions.
+fn policy_files() -> Vec<PathBuf> {
+    let deploy = read(&root().join("deploy/balancer.toml"));
+    let (_, list) = deploy.split_once("policy = [").expect("a list of files in the deploy file");
+    let (list, _) = list.split_once(']').expect("the end of the list");
+    list.split('"').skip(1).step_by(2).map(|file| root().join(file)).collect()
+}
+
 #[test]
 fn each_row_is_complete() {
     for row in rows() {
@@ -167,3 +190,27 @@
         }
     }
 }
+
+#[test]
+fn each_constant_of_the_controller_is_on_the_page() {
+    let rows = rows();
+    let on_page: BTreeSet<&str> = rows
+        .iter()
+        .flat_map(|row| row.quoted("constants (unit)"))
+        .filter_map(|constant| constant.split(" = ").next()?.rsplit("::").next())
+        .collect();
+    for file in policy_files() {
+        for name in constants(&read(&file)) {
+            assert!(on_page.contains(name.as_str()), "{}: {name} is on no row", file.display());
+        }
+    }
+}
+
+#[test]
+fn each_file_of_the_controller_has_a_row() {
+    let with_rows: BTreeSet<PathBuf> =
+        rows().iter().filter_map(|row| resolve(row.quoted("decision")[0]).map(|path| path.file)).collect();
+    for file in policy_files() {
+        assert!(with_rows.contains(&file), "{}: no row names a decision of it", file.display());
+    }
+}
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -369,3 +369,32 @@
         assert!((0.45..0.55).contains(&twice), "{servers} servers: {twice} at twice the quota");
     }
 }
+
+#[test]
+fn the_share_keeps_its_value_through_a_stall() {
+    let mut d = Driver::new(settings());
+    d.gauges = Gauges { core_utilization: Some(1.0), runnable: Some(4.0), ..IDLE };
+    load(&mut d, 1, 200, 400.0);
+    let before = d.told();
+    assert!((0.5..0.8).contains(&before), "told {before}");
+    for id in 1001..=1008 {
+        let mut a = arrival(id, SAFE);
+        a.age = 400.0;
+        d.one(Event::RequestArrived(a));
+    }
+    d.pass(5000.0);
+    assert_eq!(d.told(), 0.05, "a stall");
+    d.finish(1001, 5000.0);
+    d.pass(300.0);
+    assert!((d.told() - before).abs() < 0.1, "told {before} before, {} after", d.told());
+}
+
+#[test]
+fn reloaded_settings_with_other_classes_are_not_applied() {
+    let mut d = Driver::new(settings());
+    let mut classes = settings().classes;
+    classes.remove(SAFE);
+    let reload = ReloadableSettings { classes, tenants: Vec::new(), drain_grace: 0.0 };
+    d.one(Event::SettingsChanged(Box::new(reload)));
+    assert_eq!(runs(&d.arrive(1, UNSAFE)), [1]);
+}
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -537,3 +537,28 @@
     assert!(in_hand(20.0) >= 10, "{}", in_hand(20.0));
     assert!((3..=6).contains(&in_hand(200.0)), "{}", in_hand(200.0));
 }
+
+#[test]
+fn the_end_of_the_queue_is_rejected_when_the_work_ahead_takes_too_long() {
+    let mut d = Driver::new(settings());
+    d.gauges = FULL;
+    for id in 1..=10 {
+        d.arrive(id, SAFE);
+        d.pass(100.0);
+        d.finish(id, 100.0);
+    }
+    // A hundred runs of 100 ms on four cores take 2,500 ms, of an objective of 2,000 ms.
+    let actions = d.batch(many(101..=200, SAFE));
+    let rejected = (101..=200).filter(|id| refused(&actions, *id)).count();
+    assert!((20..30).contains(&rejected), "{rejected} rejected at once");
+}
+
+#[test]
+fn no_run_starts_without_memory_for_it() {
+    let mut s = settings();
+    // A run takes 500 KB of the 920 that may be used.
+    (s.memory_kb, s.run_memory_factor) = (1000.0, 50.0);
+    let mut d = Driver::new(s);
+    assert_eq!(runs(&d.batch(many(1..=2, UNSAFE))).len(), 1);
+    assert_eq!(runs(&d.finish_next(100.0)).len(), 1);
+}
