--- a/crates/loomflow-amqp/src/backoff/tests.rs
+++ b/crates/loomflow-amqp/src/backoff/tests.rs
@@ -9,13 +9,13 @@
             (0..3).map(|_| (backoff.disconnected(0.0), backoff.broker()).1).collect();
         assert_eq!(tried.len(), 3);
         backoff.connected(1_000.0);
-        assert!(backoff.disconnected(2_000.0) <= MAX_BOUND_MS);
+        assert!(backoff.disconnected(2_000.0) <= MAX_LIMIT_MS);
         backoff.connected(3_000.0);
-        assert!(backoff.disconnected(3_000.0 + STABLE_AFTER_MS) <= INITIAL_BOUND_MS);
+        assert!(backoff.disconnected(3_000.0 + STABLE_AFTER_MS) <= MIN_LIMIT_MS);
         sequence
     };
     let (one, other) = (delays(1), delays(2));
     assert_ne!(one, other);
-    assert!(one.iter().all(|delay| *delay <= MAX_BOUND_MS) && one[0] <= INITIAL_BOUND_MS);
-    assert!(one[8..].iter().copied().fold(0.0, f64::max) > MAX_BOUND_MS / 2.0);
+    assert!(one.iter().all(|delay| *delay <= MAX_LIMIT_MS) && one[0] <= MIN_LIMIT_MS);
+    assert!(one[8..].iter().copied().fold(0.0, f64::max) > MAX_LIMIT_MS / 2.0);
 }
--- a/crates/loomflow-amqp/src/consumer_pool.rs
+++ b/crates/loomflow-amqp/src/consumer_pool.rs
@@ -6,6 +6,8 @@
 //! once everything it had is settled, so that the messages in flight never exceed the greater of the window and what was
 //! in flight when it shrank.
 
+use loomflow_backoff::ExponentialBackoff;
+
 use crate::Millis;
 
 #[cfg(test)]
@@ -58,7 +60,7 @@
     state: ConsumerState,
     unsettled: usize,
     /// Before its channel is opened, or it is started, the next time.
-    backoff: Millis,
+    backoff: ExponentialBackoff,
     backoff_until: Millis,
 }
 
@@ -68,14 +70,13 @@
             prefetch,
             state: ConsumerState::Closed,
             unsettled: 0,
-            backoff: MIN_BACKOFF_MS,
+            backoff: ExponentialBackoff::new(MIN_BACKOFF_MS, MAX_BACKOFF_MS),
             backoff_until: f64::NEG_INFINITY,
         }
     }
 
     fn back_off(&mut self, now: Millis) {
-        self.backoff_until = now + self.backoff;
-        self.backoff = (self.backoff * 2.0).min(MAX_BACKOFF_MS);
+        self.backoff_until = now + self.backoff.advance();
     }
 
     fn is_consuming(&self) -> bool {
@@ -193,7 +194,7 @@
     /// The broker has cancelled it, as it was asked to.
     pub fn consumer_cancelled(&mut self, index: usize) {
         if self.transition(index, ConsumerState::Cancelling, ConsumerState::Idle) {
-            self.consumers[index].backoff = MIN_BACKOFF_MS;
+            self.consumers[index].backoff.reset();
         }
     }
 
@@ -230,7 +231,7 @@
     pub fn settled(&mut self, index: usize) {
         if let Some(consumer) = self.consumers.get_mut(index) {
             consumer.unsettled = consumer.unsettled.saturating_sub(1);
-            consumer.backoff = MIN_BACKOFF_MS;
+            consumer.backoff.reset();
         }
     }
 }
--- a/crates/loomflow-amqp/src/idempotency.rs
+++ b/crates/loomflow-amqp/src/idempotency.rs
@@ -4,11 +4,16 @@
 //! A broker marks a message as redelivered that it gave to a consumer before. That is a hint: it may have been this one, in
 //! this connection or an earlier one, or another process, and the message may never have been run. What this process
 //! knows of the key counts first; where it knows nothing, work with an effect that may have run is not run.
+//!
+//! The cache of the server's own requests (`loomflow-server`, `idempotency`) goes by the time of arrival; here that says
+//! nothing, since a broker redelivers at any time, and a key is retained for a fixed time after its last change.
 
 use std::collections::{BTreeMap, VecDeque};
-use std::hash::{BuildHasher, RandomState};
 use std::sync::Arc;
 
+pub use loomflow_idempotency::IdempotencyKey;
+use loomflow_idempotency::{BodyHasher, ResultBudget, ResultSequence};
+
 use crate::Millis;
 use crate::retired_keys::RetiredKeys;
 
@@ -20,18 +25,6 @@
 /// Tells messages with one key apart that were republished from here; the sender's own has none.
 pub type CopyId = u64;
 
-/// What makes two messages the same. The same text of another tenant is another key, so that no result of one tenant
-/// reaches another.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct IdempotencyKey {
-    /// Index of the class in the settings.
-    pub class: usize,
-    /// Index of the tenant in the settings.
-    pub tenant: usize,
-    /// The key as the sender stated it.
-    pub text: String,
-}
-
 /// How the run of a key ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunResult {
@@ -117,6 +110,8 @@
 struct Record {
     state: KeyState,
     body_digest: u64,
+    /// Set while a reply is retained.
+    reply_sequence: Option<ResultSequence>,
     expires_at: Millis,
     /// Deliveries that wait for the original.
     waiters: Vec<DeliveryId>,
@@ -150,7 +145,6 @@
     store: Box<dyn IdempotencyStore + Send>,
     retention: Millis,
     max_records: usize,
-    max_reply_bytes: usize,
     records: BTreeMap<IdempotencyKey, Record>,
     /// How many of the records are unfinished.
     unfinished: usize,
@@ -158,11 +152,8 @@
     /// Keys by their expiry. All are retained for as long, so this is in order; a key whose expiry was put off since is
     /// here with an earlier one.
     expiries: VecDeque<(Millis, IdempotencyKey)>,
-    /// Keys whose reply is retained, the oldest first.
-    reply_order: VecDeque<IdempotencyKey>,
-    reply_bytes: usize,
-    /// Randomly seeded at each start, so that nobody can craft two bodies with the same digest.
-    hasher: RandomState,
+    replies: ResultBudget<IdempotencyKey>,
+    body_hasher: BodyHasher,
 }
 
 impl MessageInfo {
@@ -192,20 +183,18 @@
             store,
             retention,
             max_records: capacity.records,
-            max_reply_bytes: capacity.reply_bytes,
             records: BTreeMap::new(),
             unfinished: 0,
             retired_keys: RetiredKeys::new(retention, capacity.retired_keys),
             expiries: VecDeque::new(),
-            reply_order: VecDeque::new(),
-            reply_bytes: 0,
-            hasher: RandomState::new(),
+            replies: ResultBudget::new(capacity.reply_bytes),
+            body_hasher: BodyHasher::default(),
         }
     }
 
     /// Tells this body from others.
     pub fn digest(&self, body: &[u8]) -> u64 {
-        self.hasher.hash_one(body)
+        self.body_hasher.digest(body)
     }
 
     /// Whether there is no capacity for a further unfinished message.
@@ -225,7 +214,7 @@
 
     /// Bytes of retained replies.
     pub fn reply_bytes(&self) -> usize {
-        self.reply_bytes
+        self.replies.bytes()
     }
 
     /// Decides about a message; it waits under `id` where it has to await its original.
@@ -304,6 +293,7 @@
         let record = Record {
             state: KeyState::Queued,
             body_digest,
+            reply_sequence: None,
             expires_at: f64::INFINITY,
             waiters: Vec::new(),
             answered_callers: VecDeque::new(),
@@ -324,9 +314,10 @@
             if let KeyState::Republished { from, to, .. } = *state
                 && to == copy
             {
-                *state = match is_confirmed {
-                    true => KeyState::Republished { from, to, is_confirmed: true },
-                    false => KeyState::NotStarted(from),
+                *state = if is_confirmed {
+                    KeyState::Republished { from, to, is_confirmed: true }
+                } else {
+                    KeyState::NotStarted(from)
                 };
             }
         });
@@ -360,13 +351,11 @@
 
     /// The run of a key has ended. Returns the deliveries that waited for it.
     pub fn run_finished(&mut self, key: &IdempotencyKey, result: RunResult, now: Millis) -> Vec<DeliveryId> {
-        if let RunResult::Served(reply) = &result {
-            self.reply_bytes += reply.len();
-            self.reply_order.push_back(key.clone());
+        if let (RunResult::Served(reply), Some(record)) = (&result, self.records.get_mut(key)) {
+            record.reply_sequence = Some(self.replies.retain(key.clone(), reply.len()));
         }
         let waiters = self.finish(key, KeyState::Finished(result), now);
-        while self.reply_bytes > self.max_reply_bytes {
-            let Some(oldest) = self.reply_order.front().cloned() else { break };
+        while let Some(oldest) = self.replies.evict() {
             self.discard_reply(&oldest);
         }
         waiters
@@ -418,12 +407,9 @@
 
     fn discard_reply(&mut self, key: &IdempotencyKey) {
         let Some(record) = self.records.get_mut(key) else { return };
-        if let KeyState::Finished(RunResult::Served(reply)) = &record.state {
-            self.reply_bytes -= reply.len();
+        if let Some(sequence) = record.reply_sequence.take() {
+            self.replies.release(sequence);
             record.state = KeyState::Finished(RunResult::ReplyDiscarded);
-            if let Some(at) = self.reply_order.iter().position(|other| other == key) {
-                self.reply_order.remove(at);
-            }
         }
     }
 
--- a/crates/loomflow-amqp/src/idempotency/tests.rs
+++ b/crates/loomflow-amqp/src/idempotency/tests.rs
@@ -188,7 +188,7 @@
     let gone = DuplicateDecision::AnswerFromRecord { result: RunResult::ReplyDiscarded, is_answered: false };
     assert_eq!(records.decide(2, Some(&key("a")), message_info(true, true, 0), 1.0), gone);
     records.expire(2_000.0);
-    assert!(records.is_empty() && records.reply_bytes() == 0 && records.reply_order.is_empty());
+    assert!(records.is_empty() && records.reply_bytes() == 0 && records.replies.is_empty());
 }
 
 proptest! {
--- /dev/null
+++ b/crates/loomflow-backoff/src/exponential/tests.rs
@@ -0,0 +1,34 @@
+use super::*;
+
+fn delays(mut backoff: ExponentialBackoff) -> [Millis; 5] {
+    std::array::from_fn(|_| backoff.advance())
+}
+
+#[test]
+fn delays_double_up_to_the_maximum() {
+    assert_eq!(delays(ExponentialBackoff::new(100.0, 500.0)), [100.0, 200.0, 400.0, 500.0, 500.0]);
+}
+
+#[test]
+fn the_delay_of_an_attempt_is_known_by_its_number() {
+    let delays =
+        [0, 1, 2, 3, u32::MAX].map(|attempts| ExponentialBackoff::delay_after(100.0, 500.0, attempts));
+    assert_eq!(delays, [100.0, 200.0, 400.0, 500.0, 500.0]);
+}
+
+#[test]
+fn the_first_delay_may_be_left_out() {
+    assert_eq!(delays(ExponentialBackoff::immediate_first(100.0, 300.0)), [0.0, 100.0, 200.0, 300.0, 300.0]);
+}
+
+#[test]
+fn a_reset_begins_anew() {
+    for initial in [ExponentialBackoff::new(1.0, 8.0), ExponentialBackoff::immediate_first(1.0, 8.0)] {
+        let mut backoff = initial;
+        backoff.advance();
+        backoff.advance();
+        assert_ne!(backoff.delay(), initial.delay());
+        backoff.reset();
+        assert_eq!(backoff, initial);
+    }
+}
--- a/crates/loomflow-server/src/engine.rs
+++ b/crates/loomflow-server/src/engine.rs
@@ -10,6 +10,7 @@
 
 use loomflow::interface::Settings;
 use loomflow::time::Millis;
+use loomflow_backoff::{ExponentialBackoff, ReconnectBackoff};
 use loomflow_protocol::engine::{Command, Notice, Notices};
 
 use crate::close_reason::CloseReason;
@@ -18,8 +19,9 @@
 use crate::mailbox::{LinkId, Mailbox, OwnerEvent};
 pub use pending_command::{Delivery, PendingCommand, SentCommand};
 
-const MIN_BACKOFF: Duration = Duration::from_millis(10);
-const MAX_BACKOFF: Duration = Duration::from_millis(500);
+/// Between two links, the first of which is opened at once.
+const MIN_BACKOFF_MS: Millis = 10.0;
+const MAX_BACKOFF_MS: Millis = 500.0;
 /// After a link that was attached for so long the next one is opened without a backoff.
 const STABLE_AFTER_MS: Millis = 1000.0;
 /// The engine answers the query that closes its replay within this time, or is taken to have done so.
@@ -66,8 +68,7 @@
     handle: Arc<ConnectionHandle>,
     state: LinkState,
     /// Before the next link is opened; grows while links are not stable.
-    backoff: Duration,
-    attached_at: Millis,
+    backoff: ReconnectBackoff,
     /// The loss has been logged, and no link has been attached since.
     is_loss_logged: bool,
     /// Number of the last notice that was read.
@@ -87,8 +88,10 @@
             link: 0,
             handle: Arc::new(ConnectionHandle::new(None)),
             state: LinkState::Connecting,
-            backoff: Duration::ZERO,
-            attached_at: f64::INFINITY,
+            backoff: ReconnectBackoff::new(
+                ExponentialBackoff::immediate_first(MIN_BACKOFF_MS, MAX_BACKOFF_MS),
+                STABLE_AFTER_MS,
+            ),
             is_loss_logged: false,
             last_notice: 0,
             last_tag: 0,
@@ -106,7 +109,8 @@
         self.handle = Arc::new(ConnectionHandle::new(None));
         let last = self.last_notice;
         self.handle.enqueue(|out| Command::Attach { last }.write(out));
-        let (link, address, backoff) = (self.link, self.address, self.backoff);
+        let (link, address, backoff) = (self.link, self.address, self.backoff.advance());
+        let backoff = Duration::from_secs_f64(backoff / 1000.0);
         let (handle, mailbox) = (self.handle.clone(), self.mailbox.clone());
         may::go!(move || {
             let reason = match connection::connect_after(address, backoff, &handle) {
@@ -121,7 +125,6 @@
             };
             mailbox.send(OwnerEvent::EngineDisconnected(link, reason));
         });
-        self.backoff = (self.backoff * 2).clamp(MIN_BACKOFF, MAX_BACKOFF);
     }
 
     /// A link was closed: opens another. Returns the lost link unless it had been replaced already.
@@ -135,10 +138,7 @@
             log!(part = "engine", ending = %reason, "the link was closed");
         }
         let bytes_written = self.handle.bytes_written();
-        if now - self.attached_at >= STABLE_AFTER_MS {
-            self.backoff = Duration::ZERO;
-        }
-        self.attached_at = f64::INFINITY;
+        self.backoff.disconnected(now);
         self.connect();
         Some(LostLink { link, bytes_written })
     }
@@ -151,8 +151,7 @@
         }
         let lost = LostLink { link: self.link, bytes_written: self.handle.abort() };
         self.address = address;
-        self.backoff = Duration::ZERO;
-        self.attached_at = f64::INFINITY;
+        self.backoff.reset();
         self.connect();
         Some(lost)
     }
@@ -174,7 +173,7 @@
 
     /// The engine is up; the notices that it kept follow.
     pub fn attached(&mut self, now: Millis) {
-        self.attached_at = now;
+        self.backoff.connected(now);
         self.is_loss_logged = false;
         let fence = self.send_fence();
         self.state = LinkState::Replaying { fence, deadline: now + REPLAY_TIMEOUT_MS };
--- a/crates/loomflow-server/src/engine/tests.rs
+++ b/crates/loomflow-server/src/engine/tests.rs
@@ -30,13 +30,13 @@
     for _ in 0..10 {
         engine.attached(0.0);
         engine.disconnected(engine.link, CloseReason::ProtocolViolation("x"), STABLE_AFTER_MS - 1.0);
-        backoffs.push(engine.backoff);
+        backoffs.push(engine.backoff.delay());
     }
     assert!(backoffs.is_sorted() && backoffs[0] < backoffs[1]);
-    assert_eq!(backoffs[9], MAX_BACKOFF);
+    assert_eq!(backoffs[9], MAX_BACKOFF_MS);
     engine.attached(0.0);
     engine.disconnected(engine.link, CloseReason::Reset, STABLE_AFTER_MS);
-    assert_eq!(engine.backoff, MIN_BACKOFF);
+    assert_eq!(engine.backoff.delay(), MIN_BACKOFF_MS);
     // The loss of a former link changes nothing.
     let link = engine.link;
     assert_eq!(engine.disconnected(link - 1, CloseReason::Reset, STABLE_AFTER_MS), None);
--- a/crates/loomflow-server/src/idempotency.rs
+++ b/crates/loomflow-server/src/idempotency.rs
@@ -1,26 +1,21 @@
 //! The idempotency cache: connects a duplicate to the request that ran, and keeps the results that answer duplicates.
 //! How long a request is retained is decided by the controller; how much is retained is bounded here.
+//!
+//! A request here arrives once, and its time of arrival decides which original it repeats; a message of a broker may come
+//! again at any time and from elsewhere, so that `loomflow_amqp::idempotency` decides by what the broker marks instead.
 
 use std::collections::{BTreeMap, BTreeSet};
-use std::hash::{BuildHasher, RandomState};
 
 use loomflow::interface::RequestId;
 use loomflow::time::{Micros, Millis, micros};
+pub use loomflow_idempotency::IdempotencyKey;
+use loomflow_idempotency::{BodyHasher, ResultBudget, ResultSequence};
 
 #[cfg(test)]
 mod tests;
 
-/// What makes two requests the same. The same text under another tenant is another key, so that no result of one
-/// tenant reaches another.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct IdempotencyKey {
-    /// Index of the class in the settings.
-    pub class: usize,
-    /// Index of the tenant in the settings.
-    pub tenant: usize,
-    /// The key as the caller stated it.
-    pub text: String,
-}
+/// Digest of a body that is not compared.
+const NO_DIGEST: u64 = 0;
 
 /// A request with a key, as it is received.
 pub struct KeyedRequest<'a> {
@@ -79,6 +74,8 @@
     /// Requests with the key that arrive by then are duplicates; not set until the controller retains the entry.
     window_end: Option<Micros>,
     result: CachedResult,
+    /// Set while a result is retained.
+    result_sequence: Option<ResultSequence>,
     /// Duplicates that wait for the result.
     waiters: Vec<RequestId>,
     /// The request that had the key before: a duplicate of that one may have arrived in time and be unread.
@@ -102,7 +99,6 @@
 }
 
 /// The requests that are retained, by id and by key.
-#[derive(Default)]
 pub struct IdempotencyCache {
     entries: BTreeMap<RequestId, CacheEntry>,
     newest_by_key: BTreeMap<IdempotencyKey, RequestId>,
@@ -110,23 +106,25 @@
     expiries: BTreeSet<(Micros, RequestId)>,
     /// The reads among them, which are evicted first.
     evictable: BTreeSet<(Micros, RequestId)>,
-    /// Results, oldest first.
-    results_by_age: BTreeSet<(u64, RequestId)>,
-    result_sequence: BTreeMap<RequestId, u64>,
-    last_sequence: u64,
-    result_bytes: usize,
-    /// Beyond so many bytes of results the oldest are discarded; a duplicate of one of those gets a failure.
-    max_result_bytes: usize,
+    /// A duplicate of a request whose result was evicted gets a failure.
+    results: ResultBudget<RequestId>,
     /// With so many entries reads are evicted and nothing else: a new request with an effect is rejected.
     max_entries: usize,
-    /// Randomly seeded at each start, so that nobody can craft two bodies with the same digest.
-    hasher: RandomState,
+    body_hasher: BodyHasher,
 }
 
 impl IdempotencyCache {
     /// An empty cache with these bounds.
     pub fn new(max_result_bytes: usize, max_entries: usize) -> IdempotencyCache {
-        IdempotencyCache { max_result_bytes, max_entries, ..IdempotencyCache::default() }
+        IdempotencyCache {
+            entries: BTreeMap::new(),
+            newest_by_key: BTreeMap::new(),
+            expiries: BTreeSet::new(),
+            evictable: BTreeSet::new(),
+            results: ResultBudget::new(max_result_bytes),
+            max_entries,
+            body_hasher: BodyHasher::default(),
+        }
     }
 
     /// Whether a request of this class is retained.
@@ -138,7 +136,7 @@
     pub fn register(&mut self, id: RequestId, request: KeyedRequest, now: Millis) -> Registration {
         self.expire(now);
         let KeyedRequest { key, is_idempotent, body, arrived_at, max_read_delay } = request;
-        let body_digest = if is_idempotent { 0 } else { self.hasher.hash_one(body) };
+        let body_digest = if is_idempotent { NO_DIGEST } else { self.body_hasher.digest(body) };
         if let Some(registration) = self.find_original(&key, body_digest, arrived_at) {
             return registration;
         }
@@ -154,6 +152,7 @@
             max_read_delay,
             window_end: None,
             result: CachedResult::InProgress,
+            result_sequence: None,
             waiters: Vec::new(),
             predecessor,
         };
@@ -218,7 +217,9 @@
     fn remove_entry(&mut self, id: RequestId) -> Option<CacheEntry> {
         self.cancel_expiry(id);
         let entry = self.entries.remove(&id)?;
-        self.discard_result(id, &entry.result);
+        if let Some(sequence) = entry.result_sequence {
+            self.results.release(sequence);
+        }
         self.unlink(&entry.key, id, entry.predecessor);
         Some(entry)
     }
@@ -243,15 +244,6 @@
         }
     }
 
-    fn discard_result(&mut self, id: RequestId, result: &CachedResult) {
-        if let Some(sequence) = self.result_sequence.remove(&id) {
-            self.results_by_age.remove(&(sequence, id));
-        }
-        if let CachedResult::Served(bytes) = result {
-            self.result_bytes -= bytes.len();
-        }
-    }
-
     /// What is known of the request that `id` repeats; while that is in progress, `id` waits for it.
     pub fn join(&mut self, id: RequestId, original: Option<RequestId>) -> CachedResult {
         let Some(entry) = original.and_then(|original| self.entries.get_mut(&original)) else {
@@ -274,23 +266,20 @@
             Completion::Failed | Completion::NotRun => entry.result = CachedResult::Unavailable,
             Completion::Served(bytes) => {
                 entry.result = CachedResult::Served(bytes.to_vec());
-                self.result_bytes += bytes.len();
-                self.last_sequence += 1;
-                self.results_by_age.insert((self.last_sequence, id));
-                self.result_sequence.insert(id, self.last_sequence);
+                entry.result_sequence = Some(self.results.retain(id, bytes.len()));
             }
         }
         self.schedule_expiry(id);
-        self.discard_oldest_results();
+        self.evict_results();
         waiters
     }
 
-    fn discard_oldest_results(&mut self) {
-        while self.result_bytes > self.max_result_bytes {
-            let Some(&(_, oldest)) = self.results_by_age.first() else { break };
-            let Some(entry) = self.entries.get_mut(&oldest) else { break };
-            let result = std::mem::replace(&mut entry.result, CachedResult::Unavailable);
-            self.discard_result(oldest, &result);
+    fn evict_results(&mut self) {
+        while let Some(oldest) = self.results.evict() {
+            if let Some(entry) = self.entries.get_mut(&oldest) {
+                entry.result = CachedResult::Unavailable;
+                entry.result_sequence = None;
+            }
         }
     }
 
--- a/crates/loomflow-server/src/idempotency/tests.rs
+++ b/crates/loomflow-server/src/idempotency/tests.rs
@@ -35,7 +35,7 @@
     assert_eq!(cache.join(3, Some(1)), CachedResult::Served(b"r".into()));
     assert_eq!(receive(&mut cache, 4, "a", 101.0), Registration::New);
     cache.expire(101.0 + MAX_READ_DELAY);
-    assert_eq!((cache.result_bytes, cache.entries.len()), (0, 1));
+    assert_eq!((cache.results.bytes(), cache.entries.len()), (0, 1));
 }
 
 #[test]
@@ -161,7 +161,7 @@
         cache.retain(id, 1e9);
         cache.complete(id, Completion::Served(&large));
     }
-    assert!(cache.result_bytes <= MAX_RESULT_BYTES);
+    assert!(cache.results.bytes() <= MAX_RESULT_BYTES);
     assert_eq!(cache.join(9, Some(1)), CachedResult::Unavailable);
     assert_eq!(cache.join(9, Some(5)), CachedResult::Served(large));
 }
@@ -307,7 +307,7 @@
                     }
                 }
                 cache.expire(now);
-                prop_assert!(cache.entries.len() <= ENTRIES && cache.result_bytes <= BYTES);
+                prop_assert!(cache.entries.len() <= ENTRIES && cache.results.bytes() <= BYTES);
             }
         }
     }
