--- a/crates/loomflow-amqp/src/connection.rs
+++ b/crates/loomflow-amqp/src/connection.rs
@@ -11,7 +11,7 @@
 use loomflow_protocol::Malformed;
 
 use crate::Millis;
-use crate::content::{Assembler, Content};
+use crate::content::{Assembler, BASIC_CLASS_ID, Content};
 use crate::frames::{self, FRAME_MAX, OVERHEAD};
 use crate::settings::Password;
 
@@ -20,10 +20,13 @@
 /// A handshake that takes longer than this is abandoned, ms.
 const HANDSHAKE_TIMEOUT_MS: Millis = 5_000.0;
 
-/// Class id of `basic`, carried by every content header.
-const BASIC_CLASS_ID: u16 = 60;
-/// Reply code of an orderly close.
+/// Reply code and text of an orderly close (specification 1.2).
 const REPLY_SUCCESS: u16 = 200;
+const CLOSE_TEXT: &str = "leaving";
+/// Heartbeat intervals without any frame after which the peer is taken for dead (specification 4.2.7).
+const SILENT_INTERVALS: f64 = 2.0;
+/// Part of the heartbeat interval after which a heartbeat is sent, so that one that is late still comes in time.
+const SEND_INTERVAL_PART: f64 = 0.5;
 /// Client capabilities that are announced to the broker (extensions of the protocol).
 const CAPABILITIES: [&str; 5] = [
     "publisher_confirms",
@@ -215,7 +218,7 @@
             return;
         }
         self.state = ConnectionState::Closing;
-        let reply_text = "leaving".into();
+        let reply_text = CLOSE_TEXT.into();
         let close = connection::Close { reply_code: REPLY_SUCCESS, reply_text, class_id: 0, method_id: 0 };
         self.send_control(connection::AMQPMethod::Close(close));
     }
@@ -236,10 +239,10 @@
             return Err(Malformed("the handshake takes too long"));
         }
         if self.state == ConnectionState::Ready {
-            if now - self.last_received_at >= 2.0 * self.heartbeat_interval {
+            if now - self.last_received_at >= SILENT_INTERVALS * self.heartbeat_interval {
                 return Err(Malformed("no heartbeat has come"));
             }
-            if now - self.last_sent_at >= self.heartbeat_interval / 2.0 {
+            if now - self.last_sent_at >= self.heartbeat_interval * SEND_INTERVAL_PART {
                 self.last_sent_at = now;
                 self.send_frame(&AMQPFrame::Heartbeat);
             }
@@ -320,16 +323,7 @@
                 self.state = ConnectionState::Closed;
                 Ok(Some(ConnectionEvent::Closed))
             }
-            (_, M::Close(close)) => {
-                self.send_control(M::CloseOk(connection::CloseOk {}));
-                let was_closing = self.state == ConnectionState::Closing;
-                self.state = ConnectionState::Closed;
-                if was_closing {
-                    return Ok(Some(ConnectionEvent::Closed));
-                }
-                let reason = format!("{} {}", close.reply_code, close.reply_text);
-                Ok(Some(ConnectionEvent::ClosedByBroker(reason)))
-            }
+            (_, M::Close(close)) => Ok(Some(self.closed_by_broker(&close))),
             (ConnectionState::Ready, M::Blocked(_)) => Ok(Some(ConnectionEvent::Blocked(true))),
             (ConnectionState::Ready, M::Unblocked(_)) => Ok(Some(ConnectionEvent::Blocked(false))),
             (ConnectionState::Closing, _) => Ok(None),
@@ -337,6 +331,17 @@
         }
     }
 
+    /// Confirms a close. Both sides may close at once (specification 2.2.4).
+    fn closed_by_broker(&mut self, close: &connection::Close) -> ConnectionEvent {
+        self.send_control(connection::AMQPMethod::CloseOk(connection::CloseOk {}));
+        let was_closing = self.state == ConnectionState::Closing;
+        self.state = ConnectionState::Closed;
+        if was_closing {
+            return ConnectionEvent::Closed;
+        }
+        ConnectionEvent::ClosedByBroker(format!("{} {}", close.reply_code, close.reply_text))
+    }
+
     fn send_start_ok(&mut self) {
         let mut capabilities = FieldTable::default();
         for name in CAPABILITIES {
@@ -393,11 +398,7 @@
         };
         match (state, class) {
             (_, AMQPClass::Channel(channel::AMQPMethod::Close(close))) => {
-                self.channels.remove(&number);
-                let close_ok = channel::AMQPMethod::CloseOk(channel::CloseOk {});
-                self.send_method(number, AMQPClass::Channel(close_ok));
-                let reason = format!("{} {}", close.reply_code, close.reply_text);
-                Ok(Some(ConnectionEvent::ChannelClosed(number, reason)))
+                Ok(Some(self.channel_closed_by_broker(number, &close)))
             }
             (state @ ChannelState::Opening, AMQPClass::Channel(channel::AMQPMethod::OpenOk(_))) => {
                 *state = ChannelState::Open(Box::new(Assembler::new(self.max_body_bytes)));
@@ -421,6 +422,13 @@
             _ => Err(Malformed("a method out of order")),
         }
     }
+
+    fn channel_closed_by_broker(&mut self, number: Channel, close: &channel::Close) -> ConnectionEvent {
+        self.channels.remove(&number);
+        let close_ok = channel::AMQPMethod::CloseOk(channel::CloseOk {});
+        self.send_method(number, AMQPClass::Channel(close_ok));
+        ConnectionEvent::ChannelClosed(number, format!("{} {}", close.reply_code, close.reply_text))
+    }
 }
 
 /// Checks that the broker speaks this version of the protocol and accepts a user name with a password.
--- a/crates/loomflow-amqp/src/consumer/flow_control.rs
+++ b/crates/loomflow-amqp/src/consumer/flow_control.rs
@@ -67,12 +67,17 @@
         }
     }
 
+    /// Whether further messages are consumed. Not while their replies could not be published, nor while their keys could not
+    /// be recorded.
+    fn may_consume(&self) -> bool {
+        self.is_accepting
+            && self.drain_deadline.is_none()
+            && !self.publisher.has_backpressure()
+            && !self.records.is_full()
+    }
+
     /// Divides the messages that may be in flight among the queues, and brings each pool towards its part.
     fn resize_pools(&mut self, now: Millis) {
-        let has_stopped = !self.is_accepting
-            || self.drain_deadline.is_some()
-            || self.publisher.has_backpressure()
-            || self.records.is_full();
         let max_in_flight = self.settings.max_in_flight;
         let target = |queue: &mut QueueState| {
             queue.window.limit(max_in_flight.min(MAX_PREFETCH) as f64);
@@ -81,7 +86,7 @@
         let queues = self.queues.iter_mut().zip(&self.settings.queues);
         let wants: Vec<(f64, f64)> =
             queues.map(|(queue, settings)| (target(queue), settings.priority_weight)).collect();
-        let parts = divide_by_weight(if has_stopped { 0 } else { max_in_flight }, &wants);
+        let parts = divide_by_weight(if self.may_consume() { max_in_flight } else { 0 }, &wants);
         for (queue, part) in parts.into_iter().enumerate() {
             for (consumer, command) in self.queues[queue].pool.resize(part, now) {
                 self.carry_out(queue, consumer, command);
--- a/crates/loomflow-amqp/src/consumer/inbound.rs
+++ b/crates/loomflow-amqp/src/consumer/inbound.rs
@@ -8,6 +8,7 @@
 use crate::Millis;
 use crate::connection::Channel;
 use crate::content::{Content, Envelope};
+use crate::failure_reason::FailureReason;
 use crate::idempotency::{DeliveryId, DuplicateDecision, IdempotencyKey, MessageInfo};
 use crate::message::{self, Classification};
 use crate::settlement::MessageOutcome;
@@ -75,16 +76,8 @@
             }
             Envelope::Deliver(deliver) => deliver,
         };
-        let Some((queue, consumer)) = self.consumer_of(channel) else {
-            return Err(Malformed("a message on a channel without a consumer"));
-        };
-        if !self.queues[queue].pool.delivered(consumer) {
-            return Err(Malformed("far more messages than were asked for"));
-        }
-        self.last_delivery += 1;
+        let (queue, consumer) = self.count_delivery(channel, deliver.redelivered)?;
         let id = self.last_delivery;
-        self.counts.delivered += 1;
-        self.counts.redelivered += u64::from(deliver.redelivered);
         let delivery = Delivery {
             queue,
             consumer,
@@ -101,13 +94,27 @@
         };
         self.deliveries.insert(id, delivery);
         if content.is_too_large {
-            self.finish(id, &MessageOutcome::Invalid("too-large"), now);
+            self.finish(id, &MessageOutcome::Invalid(FailureReason::TOO_LARGE), now);
         } else {
             self.process(id, now);
         }
         Ok(())
     }
 
+    /// Counts a delivery; returns the index of its queue and of its consumer.
+    fn count_delivery(&mut self, channel: Channel, redelivered: bool) -> Result<(usize, usize), Malformed> {
+        let Some((queue, consumer)) = self.consumer_of(channel) else {
+            return Err(Malformed("a message on a channel without a consumer"));
+        };
+        if !self.queues[queue].pool.delivered(consumer) {
+            return Err(Malformed("far more messages than were asked for"));
+        }
+        self.last_delivery += 1;
+        self.counts.delivered += 1;
+        self.counts.redelivered += u64::from(redelivered);
+        Ok((queue, consumer))
+    }
+
     /// When a message was sent; never later than now, whatever the sender's clock says.
     fn sent_at(&self, queue: usize, properties: &AMQPProperties, now: Millis) -> Option<Millis> {
         let from = self.settings.queues[queue].sent_from.as_ref()?;
@@ -118,7 +125,7 @@
     fn classify(
         &self,
         delivery: &Delivery,
-    ) -> Result<(Classification, Option<IdempotencyKey>), &'static str> {
+    ) -> Result<(Classification, Option<IdempotencyKey>), FailureReason> {
         let queue = &self.settings.queues[delivery.queue];
         let classification = message::classify(&self.settings, queue, &delivery.properties)?;
         let key = message::idempotency_key(&queue.key, classification, &delivery.properties)?;
@@ -159,7 +166,7 @@
             DuplicateDecision::BodyMismatch => {
                 // What becomes of it is nothing to the original of its key.
                 delivery.key = None;
-                self.finish(id, &MessageOutcome::Invalid("key-of-another"), now);
+                self.finish(id, &MessageOutcome::Invalid(FailureReason::KEY_MISMATCH), now);
             }
         }
     }
--- a/crates/loomflow-amqp/src/consumer/outbound.rs
+++ b/crates/loomflow-amqp/src/consumer/outbound.rs
@@ -40,7 +40,7 @@
         };
         if let Some(key) = self.orphaned_runs.remove(&id) {
             let waiters = key.map(|key| self.finish_key(&key, None, &outcome, now)).unwrap_or_default();
-            waiters.into_iter().for_each(|id| self.finish(id, &outcome, now));
+            self.finish_all(waiters, &outcome, now);
         } else if self.deliveries.get(&id).is_some_and(Delivery::is_submitted) {
             self.observe(id, &outcome, now);
             self.finish_with_waiters(id, &outcome, now);
@@ -87,7 +87,13 @@
         let key = delivery.and_then(|delivery| Some((delivery.key.clone()?, delivery.copy())));
         let waiters = key.map(|(key, copy)| self.finish_key(&key, copy, outcome, now)).unwrap_or_default();
         self.finish(id, outcome, now);
-        waiters.into_iter().for_each(|id| self.finish(id, outcome, now));
+        self.finish_all(waiters, outcome, now);
+    }
+
+    fn finish_all(&mut self, ids: Vec<DeliveryId>, outcome: &MessageOutcome, now: Millis) {
+        for id in ids {
+            self.finish(id, outcome, now);
+        }
     }
 
     /// A message has ended: begins to settle it.
--- a/crates/loomflow-amqp/src/consumer_pool/tests.rs
+++ b/crates/loomflow-amqp/src/consumer_pool/tests.rs
@@ -68,7 +68,11 @@
         }
         for _ in 0..60 {
             now += MAX_BACKOFF_MS;
-            (0..12).for_each(|at| while pool.consumers[at].unsettled > 0 { pool.settled(at) });
+            for at in 0..12 {
+                while pool.consumers[at].unsettled > 0 {
+                    pool.settled(at);
+                }
+            }
             commands.extend(pool.resize(window, now));
             apply(&mut pool, &mut commands, usize::MAX);
         }
--- a/crates/loomflow-amqp/src/content.rs
+++ b/crates/loomflow-amqp/src/content.rs
@@ -8,8 +8,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Class `basic`, the only one with content.
-const BASIC: u16 = 60;
+/// Class id of `basic`, the only class with content (specification 1.8).
+pub const BASIC_CLASS_ID: u16 = 60;
 
 /// The method that a message came with.
 #[derive(Clone, Debug, PartialEq)]
@@ -84,7 +84,7 @@
     /// No method announced it, or it is a second one, or of another class.
     pub fn header(&mut self, header: AMQPContentHeader) -> Result<Option<Content>, Malformed> {
         let partial = self.partial.as_mut().ok_or(Malformed("content without its method"))?;
-        if partial.remaining.is_some() || header.class_id != BASIC {
+        if partial.remaining.is_some() || header.class_id != BASIC_CLASS_ID {
             return Err(Malformed("a header where none is due"));
         }
         partial.remaining = Some(header.body_size);
--- a/crates/loomflow-amqp/src/frames.rs
+++ b/crates/loomflow-amqp/src/frames.rs
@@ -14,8 +14,8 @@
 const HEADER_FRAME: u8 = 2;
 const BODY_FRAME: u8 = 3;
 const HEARTBEAT_FRAME: u8 = 8;
-/// Deepest nesting of tables and arrays that is parsed. The parser recurses: 4,000 levels fit into one frame and take
-/// 8 MB of stack (measured), and every publisher can send them.
+/// Deepest nesting of tables and arrays that is parsed. The parser recurses, and every publisher can send as many levels as
+/// fit into a frame.
 const MAX_NESTING: usize = 32;
 
 /// Complete frames that are not parsed yet. Parsing needs a larger stack than the network coroutines have.
--- a/crates/loomflow-amqp/src/frames/tests.rs
+++ b/crates/loomflow-amqp/src/frames/tests.rs
@@ -58,7 +58,9 @@
         cuts in proptest::collection::vec(1usize..40, 1..40)) {
         let sent: Vec<AMQPFrame> = bodies.into_iter().map(|b| AMQPFrame::Body(3, b)).collect();
         let mut bytes = header(3);
-        sent.iter().for_each(|frame| write(&mut bytes, frame));
+        for frame in &sent {
+            write(&mut bytes, frame);
+        }
         let (mut frames, mut got, mut rest) = (Frames::default(), Vec::new(), &bytes[..]);
         for cut in cuts.iter().cycle() {
             let (now, later) = rest.split_at((*cut).min(rest.len()));
--- a/crates/loomflow-amqp/src/lib.rs
+++ b/crates/loomflow-amqp/src/lib.rs
@@ -16,6 +16,7 @@
 pub mod consumer;
 pub mod consumer_pool;
 pub mod content;
+pub mod failure_reason;
 pub mod frames;
 pub mod idempotency;
 pub mod message;
--- a/crates/loomflow-amqp/src/message.rs
+++ b/crates/loomflow-amqp/src/message.rs
@@ -7,6 +7,7 @@
 use amq_protocol::types::{AMQPValue, FieldTable, ShortString};
 
 use crate::Millis;
+use crate::failure_reason::FailureReason;
 use crate::idempotency::{IdempotencyKey, RunResult};
 use crate::publisher::{Publish, PublishId};
 use crate::settings::{KeyFrom, NameFrom, Queue, SentFrom, Settings};
@@ -91,18 +92,19 @@
     settings: &Settings,
     queue: &Queue,
     properties: &AMQPProperties,
-) -> Result<Classification, &'static str> {
+) -> Result<Classification, FailureReason> {
     let name = |from: &NameFrom| match from {
         NameFrom::Fixed(name) => Some(name.clone()),
         NameFrom::Header(name) => text_header(properties, name),
     };
-    let class = name(&queue.class).ok_or("no-class")?;
-    let class = settings.classes.iter().position(|known| known.name == class).ok_or("unknown-class")?;
+    let class = name(&queue.class).ok_or(FailureReason::NO_CLASS)?;
+    let class =
+        settings.classes.iter().position(|known| known.name == class).ok_or(FailureReason::UNKNOWN_CLASS)?;
     let tenant = match &queue.tenant {
         None => 0,
         Some(from) => {
-            let tenant = name(from).ok_or("no-tenant")?;
-            settings.tenants.iter().position(|known| *known == tenant).ok_or("unknown-tenant")?
+            let tenant = name(from).ok_or(FailureReason::NO_TENANT)?;
+            settings.tenants.iter().position(|known| *known == tenant).ok_or(FailureReason::UNKNOWN_TENANT)?
         }
     };
     Ok(Classification { class, tenant, has_effect: settings.classes[class].has_effect })
@@ -117,7 +119,7 @@
     from: &KeyFrom,
     classification: Classification,
     properties: &AMQPProperties,
-) -> Result<Option<IdempotencyKey>, &'static str> {
+) -> Result<Option<IdempotencyKey>, FailureReason> {
     let text = match from {
         KeyFrom::Header(name) => text_header(properties, name),
         KeyFrom::MessageId => properties.message_id().as_ref().map(|id| match properties.app_id() {
@@ -126,7 +128,7 @@
         }),
     };
     match text.filter(|text| !text.is_empty()) {
-        Some(text) if text.len() > MAX_KEY_BYTES => Err("key-too-long"),
+        Some(text) if text.len() > MAX_KEY_BYTES => Err(FailureReason::KEY_TOO_LONG),
         text => Ok(text.map(|text| IdempotencyKey {
             class: classification.class,
             tenant: classification.tenant,
@@ -187,7 +189,7 @@
             if let Some(retry_after) = retry_after {
                 set(RETRY_AFTER_HEADER, AMQPValue::LongLongInt(retry_after.ceil() as i64));
             }
-            set(REASON_HEADER, long_string(reason));
+            set(REASON_HEADER, long_string(reason.as_str()));
             set(MAY_HAVE_RUN_HEADER, long_string(if *may_have_run { "perhaps" } else { "no" }));
             ("failed", Vec::new())
         }
@@ -226,7 +228,7 @@
             (String::new(), queue.to_owned())
         }
         (Republish::DeadLetter(reason), dead_letter) => {
-            headers.insert(REASON_HEADER.into(), AMQPValue::LongString(reason.into()));
+            headers.insert(REASON_HEADER.into(), AMQPValue::LongString(reason.as_str().into()));
             headers.insert(QUEUE_HEADER.into(), AMQPValue::LongString(queue.into()));
             // Dead letters are kept for inspection, whatever delivery mode the sender chose.
             properties = properties.with_delivery_mode(PERSISTENT);
--- a/crates/loomflow-amqp/src/settlement.rs
+++ b/crates/loomflow-amqp/src/settlement.rs
@@ -4,7 +4,10 @@
 //! message is settled, so that nothing is lost wherever the connection breaks. What the broker does not accept is
 //! published again after a growing backoff, while the message stays unsettled and keeps its place in the window.
 
+use loomflow_backoff::ExponentialBackoff;
+
 use crate::Millis;
+use crate::failure_reason::FailureReason;
 use crate::idempotency::RunResult;
 use crate::publisher::PublishResult;
 
@@ -39,7 +42,7 @@
     /// It failed, and nothing was started for it.
     NotRun,
     /// It cannot be handled, for this reason: unknown names, too large.
-    Invalid(&'static str),
+    Invalid(FailureReason),
     /// It may have run elsewhere.
     MayHaveRun,
     /// It is returned without being started, since this server shuts down.
@@ -73,7 +76,7 @@
     /// It failed.
     Failed {
         /// Why.
-        reason: &'static str,
+        reason: FailureReason,
         /// It may have had its effect.
         may_have_run: bool,
         /// How long to stay away before a retry.
@@ -90,7 +93,7 @@
         retry_count: u32,
     },
     /// As a dead letter, for this reason.
-    DeadLetter(&'static str),
+    DeadLetter(FailureReason),
 }
 
 /// The one method by which the broker is told that a delivery has ended.
@@ -134,7 +137,7 @@
 }
 
 impl Plan {
-    fn failed(reason: &'static str, may_have_run: bool, dead_letter: &'static str) -> Plan {
+    fn failed(reason: FailureReason, may_have_run: bool, dead_letter: FailureReason) -> Plan {
         Plan {
             reply: Some(ReplyStatus::Failed { reason, may_have_run, retry_after: None }),
             republish: Some(Republish::DeadLetter(dead_letter)),
@@ -149,35 +152,38 @@
 
     fn new(outcome: &MessageOutcome, context: &SettlementContext) -> Plan {
         match outcome {
-            MessageOutcome::Finished(RunResult::Failed) => Plan::failed("failed", true, "may-have-run"),
+            MessageOutcome::Finished(RunResult::Failed) => {
+                Plan::failed(FailureReason::FAILED, true, FailureReason::MAY_HAVE_RUN)
+            }
             MessageOutcome::Finished(RunResult::ReplyDiscarded) => {
-                Plan::failed("result-gone", true, "result-gone")
+                Plan::failed(FailureReason::RESULT_DISCARDED, true, FailureReason::RESULT_DISCARDED)
             }
             MessageOutcome::MayHaveRun | MessageOutcome::Finished(RunResult::Unknown) => {
-                Plan::failed("run-unknown", true, "run-unknown")
+                Plan::failed(FailureReason::RUN_UNKNOWN, true, FailureReason::RUN_UNKNOWN)
             }
             MessageOutcome::Finished(served) => Plan::acknowledged(Some(ReplyStatus::Served(served.clone()))),
             MessageOutcome::AlreadyAnswered => Plan::acknowledged(None),
             MessageOutcome::Rejected { retry_after, is_final } => {
                 Plan::rejected(*retry_after, *is_final, context)
             }
-            MessageOutcome::NotRun => Plan::failed("not-run", false, "not-run"),
-            MessageOutcome::Invalid(reason) => Plan::failed(reason, false, reason),
+            MessageOutcome::NotRun => Plan::failed(FailureReason::NOT_RUN, false, FailureReason::NOT_RUN),
+            MessageOutcome::Invalid(reason) => Plan::failed(*reason, false, *reason),
             MessageOutcome::Returned => Plan::returned(context),
         }
     }
 
     fn rejected(retry_after: Millis, is_final: bool, context: &SettlementContext) -> Plan {
-        let min_delay = MIN_RETRY_AFTER_MS * 2.0_f64.powi(context.retry_count.min(30) as i32);
-        let delay = retry_after.max(min_delay.min(MAX_RETRY_AFTER_MS));
+        let backoff =
+            ExponentialBackoff::delay_after(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS, context.retry_count);
+        let delay = retry_after.max(backoff);
         if context.time_left.is_some_and(|time_left| is_final || delay >= time_left) {
             // It cannot come again in time: its sender gets a failure at once, and it is never run late.
-            let reason = "out-of-time";
+            let reason = FailureReason::OUT_OF_TIME;
             let reply = ReplyStatus::Failed { reason, may_have_run: false, retry_after: Some(retry_after) };
             return Plan { reply: Some(reply), ..Plan::failed(reason, false, reason) };
         }
         if context.retry_count >= context.max_retries {
-            return Plan::failed("refused-too-often", false, "refused-too-often");
+            return Plan::failed(FailureReason::RETRIES_EXHAUSTED, false, FailureReason::RETRIES_EXHAUSTED);
         }
         Plan {
             reply: Some(ReplyStatus::Rejected(delay)),
@@ -207,7 +213,7 @@
     settlement: Settlement,
     is_settled: bool,
     /// Before the next attempt to publish.
-    backoff: Millis,
+    backoff: ExponentialBackoff,
     reply_attempts: u32,
     has_effect: bool,
     has_dead_letter: bool,
@@ -232,7 +238,7 @@
             republish,
             settlement,
             is_settled: false,
-            backoff: MIN_PUBLISH_BACKOFF_MS,
+            backoff: ExponentialBackoff::new(MIN_PUBLISH_BACKOFF_MS, MAX_PUBLISH_BACKOFF_MS),
             reply_attempts: 0,
             has_effect: context.has_effect,
             has_dead_letter: context.has_dead_letter,
@@ -298,12 +304,12 @@
         }
         let has_failed = matches!(result, PublishResult::Nacked | PublishResult::Unknown);
         if has_failed && self.reply_attempts < MAX_REPLY_ATTEMPTS {
-            self.reply_state = PublishState::Due(now + self.next_backoff());
+            self.reply_state = PublishState::Due(now + self.backoff.advance());
             return;
         }
         self.reply_state = PublishState::Done;
         if has_failed && self.has_dead_letter && self.republish.is_none() {
-            self.republish = Some(Republish::DeadLetter("reply-refused"));
+            self.republish = Some(Republish::DeadLetter(FailureReason::REPLY_REJECTED));
             self.republish_state = PublishState::Due(now);
         }
     }
@@ -322,17 +328,11 @@
             }
             (PublishResult::Unknown, Some(Republish::Requeue { .. })) if self.has_effect => {
                 // There may be a copy in its queue by now, and both would be run.
-                self.republish = Some(Republish::DeadLetter("run-unknown"));
+                self.republish = Some(Republish::DeadLetter(FailureReason::RUN_UNKNOWN));
                 PublishState::Due(now)
             }
             // A place for dead letters that accepts none loses nothing: it is tried for as long as it takes.
-            _ => PublishState::Due(now + self.next_backoff()),
+            _ => PublishState::Due(now + self.backoff.advance()),
         };
     }
-
-    fn next_backoff(&mut self) -> Millis {
-        let backoff = self.backoff;
-        self.backoff = (backoff * 2.0).min(MAX_PUBLISH_BACKOFF_MS);
-        backoff
-    }
 }
--- a/crates/loomflow-amqp/src/settlement/tests.rs
+++ b/crates/loomflow-amqp/src/settlement/tests.rs
@@ -58,12 +58,19 @@
         ),
         (
             MessageOutcome::Finished(RunResult::Failed),
-            vec![failed("failed", true), dead_letter("may-have-run"), ack.clone()],
+            vec![failed(FailureReason::FAILED, true), dead_letter(FailureReason::MAY_HAVE_RUN), ack.clone()],
+        ),
+        (
+            MessageOutcome::NotRun,
+            vec![failed(FailureReason::NOT_RUN, false), dead_letter(FailureReason::NOT_RUN), ack.clone()],
         ),
-        (MessageOutcome::NotRun, vec![failed("not-run", false), dead_letter("not-run"), ack.clone()]),
         (
             MessageOutcome::MayHaveRun,
-            vec![failed("run-unknown", true), dead_letter("run-unknown"), ack.clone()],
+            vec![
+                failed(FailureReason::RUN_UNKNOWN, true),
+                dead_letter(FailureReason::RUN_UNKNOWN),
+                ack.clone(),
+            ],
         ),
         (MessageOutcome::Returned, vec![requeue(0), ack.clone()]),
     ];
@@ -71,7 +78,10 @@
         assert_eq!(play_all_actions(outcome.clone(), context()), actions, "{outcome:?}");
     }
     let at_max_retries = SettlementContext { retry_count: 2, ..context() };
-    assert_eq!(play_all_actions(rejected(1.0), at_max_retries)[1..], [dead_letter("refused-too-often"), ack]);
+    assert_eq!(
+        play_all_actions(rejected(1.0), at_max_retries)[1..],
+        [dead_letter(FailureReason::RETRIES_EXHAUSTED), ack]
+    );
     assert_eq!(
         play_all_actions(MessageOutcome::Returned, SettlementContext { has_effect: false, ..context() }),
         [SettlementAction::Settle(Settlement::Requeue)]
@@ -117,7 +127,7 @@
     let is_dead_lettered = |retry_after, is_final, time_left, retry_count| {
         let context = SettlementContext { time_left, retry_count, max_retries: 9, ..context() };
         play_all_actions(MessageOutcome::Rejected { retry_after, is_final }, context)[1]
-            == SettlementAction::Republish(Republish::DeadLetter("out-of-time"))
+            == SettlementAction::Republish(Republish::DeadLetter(FailureReason::OUT_OF_TIME))
     };
     // The sender has given up by the end of the delay or of the minimum backoff, or the rejection is final.
     assert!(
@@ -132,16 +142,20 @@
         SettlementContext { time_left: Some(9.0), ..context() },
         0.0,
     );
-    let expected =
-        ReplyStatus::Failed { reason: "out-of-time", may_have_run: false, retry_after: Some(40.0) };
+    let expected = ReplyStatus::Failed {
+        reason: FailureReason::OUT_OF_TIME,
+        may_have_run: false,
+        retry_after: Some(40.0),
+    };
     assert_eq!((settling.reply, settling.reply_state), (Some(expected), PublishState::Due(0.0)));
 }
 
 #[test]
 fn an_unconfirmed_copy_is_not_republished_where_both_could_run() {
-    for (has_effect, expected) in
-        [(true, Republish::DeadLetter("run-unknown")), (false, Republish::Requeue { retry_count: 1 })]
-    {
+    for (has_effect, expected) in [
+        (true, Republish::DeadLetter(FailureReason::RUN_UNKNOWN)),
+        (false, Republish::Requeue { retry_count: 1 }),
+    ] {
         let mut settling = Settling::new(
             &rejected(0.0),
             SettlementContext { has_reply_to: false, has_effect, ..context() },
@@ -166,7 +180,7 @@
     }
     assert_eq!(
         settling.next_action(1e9),
-        Some(SettlementAction::Republish(Republish::DeadLetter("reply-refused")))
+        Some(SettlementAction::Republish(Republish::DeadLetter(FailureReason::REPLY_REJECTED)))
     );
     settling.republished(PublishResult::Confirmed, 0.0);
     assert_eq!(settling.next_action(1e9), Some(SettlementAction::Settle(Settlement::Ack)));
--- a/crates/loomflow-amqp/src/window.rs
+++ b/crates/loomflow-amqp/src/window.rs
@@ -16,6 +16,8 @@
 #[cfg(test)]
 mod tests;
 
+/// Smallest size, messages: without one in flight nothing is observed.
+const MIN_SIZE: f64 = 1.0;
 /// A decrease multiplies the size by this, as it does the controller's running limit.
 const DECREASE: f64 = 0.8;
 /// What each message takes from the size where messages tell when they were sent and too much is in flight.
@@ -68,7 +70,7 @@
 impl Default for Window {
     fn default() -> Window {
         Window {
-            size: 1.0,
+            size: MIN_SIZE,
             has_decreased: false,
             total_time: 0.0,
             queue_time: 0.0,
@@ -97,11 +99,11 @@
             self.size += 1.0;
         } else if is_too_much && message.broker_time.is_some() {
             // A decrease by a factor would stop consuming until as much has ended, and let it wait at the broker meanwhile.
-            self.size = (self.size - RELEASED_PART).max(1.0);
+            self.size = (self.size - RELEASED_PART).max(MIN_SIZE);
             self.has_decreased = true;
         } else if is_too_much {
             if now >= self.next_decrease_at {
-                self.size = (self.size * DECREASE).max(1.0);
+                self.size = (self.size * DECREASE).max(MIN_SIZE);
                 self.has_decreased = true;
                 self.next_decrease_at = now + self.total_time;
             }
@@ -126,12 +128,12 @@
 
     /// What may be in flight at the send share that callers get.
     pub fn target(&self, share: f64) -> f64 {
-        (self.size * share.clamp(0.0, 1.0)).max(1.0)
+        (self.size * share.clamp(0.0, 1.0)).max(MIN_SIZE)
     }
 
     /// Nothing beyond `max` is of use.
     pub fn limit(&mut self, max: f64) {
-        self.size = self.size.min(max.max(1.0));
+        self.size = self.size.min(max.max(MIN_SIZE));
     }
 }
 
@@ -144,17 +146,18 @@
     // A queue that wants less than its part leaves the rest to the others, until none does.
     while !open.is_empty() && remaining > 0.0 {
         let weight: f64 = open.iter().map(|queue| wants[*queue].1).sum();
-        let part = |queue: usize| match weight > 0.0 {
-            true => remaining * wants[queue].1 / weight,
-            false => remaining / open.len() as f64,
+        let part = |queue: usize| {
+            if weight > 0.0 { remaining * wants[queue].1 / weight } else { remaining / open.len() as f64 }
         };
-        let (content, others): (Vec<usize>, Vec<usize>) =
+        let (satisfied, others): (Vec<usize>, Vec<usize>) =
             open.iter().copied().partition(|queue| wants[*queue].0 <= part(*queue));
-        if content.is_empty() {
-            others.iter().for_each(|queue| parts[*queue] = part(*queue));
+        if satisfied.is_empty() {
+            for queue in others {
+                parts[queue] = part(queue);
+            }
             break;
         }
-        for queue in content {
+        for queue in satisfied {
             parts[queue] = wants[queue].0;
             remaining -= wants[queue].0;
         }
--- a/crates/loomflow-amqp/src/window/tests.rs
+++ b/crates/loomflow-amqp/src/window/tests.rs
@@ -67,7 +67,9 @@
     window.observe(rejected(0.0), 2e6);
     assert!(window.target(1.0) < before * DECREASE);
     // The window never closes completely, so that a recovery is noticed.
-    (0..100).for_each(|at| window.observe(rejected(1.0), 3e6 + 1e3 * f64::from(at)));
+    for at in 0..100 {
+        window.observe(rejected(1.0), 3e6 + 1e3 * f64::from(at));
+    }
     assert_eq!((window.target(1.0), window.target(0.05)), (1.0, 1.0));
 }
 
@@ -83,7 +85,9 @@
             total_time: 12.0,
             is_limited: false,
         };
-        (0..count).for_each(|at| window.observe(seen, 1e6 + at as f64));
+        for at in 0..count {
+            window.observe(seen, 1e6 + at as f64);
+        }
     };
     // One second at twice the load: the window grows by as many messages as finish, rejected or not.
     let before = window.target(1.0);
--- a/crates/loomflow-amqp/tests/message_bytes.rs
+++ b/crates/loomflow-amqp/tests/message_bytes.rs
@@ -5,6 +5,7 @@
 
 use amq_protocol::protocol::basic::AMQPProperties;
 use amq_protocol::types::{AMQPValue, FieldTable};
+use loomflow_amqp::failure_reason::FailureReason;
 use loomflow_amqp::idempotency::RunResult;
 use loomflow_amqp::message::{publish_id, reply, republished, retry_count};
 use loomflow_amqp::publisher::Publish;
@@ -48,10 +49,17 @@
     reply(&common::settings(true), &original(), status, 9).expect("a reply")
 }
 
+/// The original, republished from its queue.
+fn republished_from_jobs(destination: Republish) -> Publish {
+    republished(&common::settings(true), "jobs", &original(), b"body", destination, 5)
+}
+
 #[test]
 fn replies_have_a_type_and_headers_for_each_status() {
-    let failed =
-        |may_have_run, holdoff| ReplyStatus::Failed { reason: "why", may_have_run, retry_after: holdoff };
+    let failed = |may_have_run, retry_after| {
+        let reason = FailureReason::new("why");
+        ReplyStatus::Failed { reason, may_have_run, retry_after }
+    };
     let all = [
         (ReplyStatus::Served(RunResult::Served(b"ok"[..].into())), "served", &b"ok"[..], vec![]),
         (ReplyStatus::Rejected(12.5), "refused", b"", vec![("x-loomflow-holdoff", number(13))]),
@@ -88,14 +96,7 @@
 
 #[test]
 fn a_message_put_back_keeps_its_properties_and_counts_its_rounds() {
-    let publish = republished(
-        &common::settings(true),
-        "jobs",
-        &original(),
-        b"body",
-        Republish::Requeue { retry_count: 2 },
-        5,
-    );
+    let publish = republished_from_jobs(Republish::Requeue { retry_count: 2 });
     assert_eq!((publish.exchange.as_str(), publish.routing_key.as_str()), ("", "jobs"));
     let headers = table(&[
         ("mine", text("kept")),
@@ -110,14 +111,7 @@
 
 #[test]
 fn a_dead_letter_tells_its_reason_and_queue() {
-    let publish = republished(
-        &common::settings(true),
-        "jobs",
-        &original(),
-        b"body",
-        Republish::DeadLetter("not-run"),
-        5,
-    );
+    let publish = republished_from_jobs(Republish::DeadLetter(FailureReason::NOT_RUN));
     assert_eq!((publish.exchange.as_str(), publish.routing_key.as_str()), ("", "dead"));
     let headers = table(&[
         ("mine", text("kept")),
--- a/crates/loomflow-amqp/tests/model.rs
+++ b/crates/loomflow-amqp/tests/model.rs
@@ -6,6 +6,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use common::*;
+use loomflow_amqp::failure_reason::FailureReason;
 use loomflow_amqp::idempotency::NoHistory;
 use loomflow_amqp::*;
 use loomflow_standins::broker::state::State;
@@ -45,7 +46,9 @@
 impl Simulation {
     fn new(servers: usize, has_effect: bool) -> Simulation {
         let mut broker = State::default();
-        ["jobs", "dead", "replies"].into_iter().for_each(|queue| broker.declare(queue, None));
+        for queue in ["jobs", "dead", "replies"] {
+            broker.declare(queue, None);
+        }
         let mut simulation = Simulation {
             now: 0.0,
             broker,
@@ -207,7 +210,9 @@
     fn run_to_completion(&mut self) {
         self.broker.faults = Default::default();
         // After a lost acknowledgement, the broker redelivers on a new connection.
-        (0..self.servers.len()).for_each(|at| self.disconnect(at));
+        for at in 0..self.servers.len() {
+            self.disconnect(at);
+        }
         for _ in 0..4_000 {
             self.now += 10.0;
             for at in 0..self.servers.len() {
@@ -325,7 +330,7 @@
     let (settings, of) = (settings(true), &first.properties);
     for (to, queue) in [
         (settlement::Republish::Requeue { retry_count: 3 }, "jobs"),
-        (settlement::Republish::DeadLetter("why"), "dead"),
+        (settlement::Republish::DeadLetter(FailureReason::new("why")), "dead"),
     ] {
         let anew = loomflow_amqp::message::republished(&settings, "jobs", of, b"x", to, 7);
         assert_eq!(
--- a/crates/loomflow-amqp/tests/overload.rs
+++ b/crates/loomflow-amqp/tests/overload.rs
@@ -55,10 +55,14 @@
         consumer.start_accepting();
         consumer.connected(0.0);
         let mut broker = State::default();
-        ["jobs", "dead", "replies"].into_iter().for_each(|queue| broker.declare(queue, None));
+        for queue in ["jobs", "dead", "replies"] {
+            broker.declare(queue, None);
+        }
         broker.connection_opened(CONNECTION);
         let mut set = site.settings.clone();
-        set.classes.iter_mut().for_each(|class| class.makes_calls = false);
+        for class in &mut set.classes {
+            class.makes_calls = false;
+        }
         Simulation {
             now: 0.0,
             broker,
@@ -84,18 +88,38 @@
 
     fn step(&mut self) {
         self.now += STEP_MS;
-        let now = self.now;
-        let mut events = Vec::new();
-        for at in 0..self.cores.len() {
-            let (run_ends_at, run) = self.cores[at];
-            if let Some(id) = run.filter(|_| run_ends_at <= now) {
-                let message = self.submitted.remove(&id).expect("a submitted message");
-                self.consumer.respond(message.id, MessageResponse::Served(&message.body), now);
-                events.push(Event::RunEnded { id, outcome: Outcome::Ok, duration: WORK_MS });
-                self.cores[at] = (run_ends_at, None);
-            }
+        let mut events = self.finish_runs();
+        self.exchange_frames();
+        events.extend(self.submit_messages());
+        events.extend(self.fire_timer());
+        let mut actions = Vec::new();
+        for event in events {
+            self.controller.event(self.now, event, &mut actions);
+        }
+        self.controller.decide(self.now, &mut actions);
+        for action in actions {
+            self.carry_out(action);
         }
+        self.start_runs();
         self.exchange_frames();
+        self.take_replies();
+    }
+
+    /// Answers what has run by now.
+    fn finish_runs(&mut self) -> Vec<Event> {
+        let mut events = Vec::new();
+        for core in &mut self.cores {
+            let Some(id) = core.1.take_if(|_| core.0 <= self.now) else { continue };
+            let message = self.submitted.remove(&id).expect("a submitted message");
+            self.consumer.respond(message.id, MessageResponse::Served(&message.body), self.now);
+            events.push(Event::RunEnded { id, outcome: Outcome::Ok, duration: WORK_MS });
+        }
+        events
+    }
+
+    /// The arrivals of the messages that the consumer submits.
+    fn submit_messages(&mut self) -> Vec<Event> {
+        let mut events = Vec::new();
         for request in self.consumer.take_requests() {
             let ConsumerRequest::Submit(message) = request else { continue };
             self.last += 1;
@@ -115,32 +139,36 @@
             }));
             self.submitted.insert(self.last, message);
         }
-        if self.timers.iter().any(|at| *at <= now) {
-            self.timers.retain(|at| *at > now);
-            let busy = self.cores.iter().filter(|core| core.1.is_some()).count() as f64;
-            let on = busy + self.waiting.len() as f64;
-            let gauges = Gauges {
-                core_utilization: Some(busy / CORES as f64),
-                runnable: Some(on),
-                ..Gauges::default()
-            };
-            events.push(Event::TimerFired(gauges));
+        events
+    }
+
+    fn fire_timer(&mut self) -> Option<Event> {
+        if !self.timers.iter().any(|at| *at <= self.now) {
+            return None;
         }
-        let mut actions = Vec::new();
-        events.into_iter().for_each(|event| self.controller.event(now, event, &mut actions));
-        self.controller.decide(now, &mut actions);
-        actions.into_iter().for_each(|action| self.carry_out(action));
+        self.timers.retain(|at| *at > self.now);
+        let busy = self.cores.iter().filter(|core| core.1.is_some()).count() as f64;
+        Some(Event::TimerFired(Gauges {
+            core_utilization: Some(busy / CORES as f64),
+            runnable: Some(busy + self.waiting.len() as f64),
+            ..Gauges::default()
+        }))
+    }
+
+    /// Idle cores take what waits. What could have begun within the step has begun then.
+    fn start_runs(&mut self) {
         for core in self.cores.iter_mut().filter(|core| core.1.is_none()) {
             if let Some(id) = self.waiting.pop_front() {
-                // What it could have begun within the step it has.
-                *core = (core.0.max(now - STEP_MS) + WORK_MS, Some(id));
+                *core = (core.0.max(self.now - STEP_MS) + WORK_MS, Some(id));
             }
         }
-        self.exchange_frames();
+    }
+
+    fn take_replies(&mut self) {
         for reply in self.broker.take("replies") {
             let number: usize = reply.correlation().parse().unwrap();
             assert_ne!(reply.kind(), "refused", "whoever gives up in a second is not asked to wait");
-            let before = self.endings.insert(number, (reply.kind() == "served", now));
+            let before = self.endings.insert(number, (reply.kind() == "served", self.now));
             assert!(before.is_none(), "one final answer");
         }
     }
@@ -180,7 +208,9 @@
         loop {
             self.consumer.tick(self.now).expect("the connection goes on");
             let mut bytes: VecDeque<u8> = self.consumer.take_output(self.now).into();
-            decode(&mut bytes).into_iter().for_each(|frame| self.broker.handle_frame(CONNECTION, frame));
+            for frame in decode(&mut bytes) {
+                self.broker.handle_frame(CONNECTION, frame);
+            }
             let out = self.broker.take_out();
             if out.is_empty() {
                 return;
@@ -219,7 +249,9 @@
             }
             simulation.step();
         }
-        (0..300).for_each(|_| simulation.step());
+        for _ in 0..300 {
+            simulation.step();
+        }
         prop_assert_eq!(simulation.endings.len(), simulation.sent.len(), "each has its ending");
         prop_assert_eq!(simulation.run_late, 0);
         for second in 3..6 {
