--- a/crates/loomflow-amqp/src/lib.rs
+++ b/crates/loomflow-amqp/src/lib.rs
@@ -28,7 +28,5 @@
 
 pub use amq_protocol::frame::AMQPFrame as Frame;
 pub use consumer::{Consumer, ConsumerRequest, MessageResponse, SubmittedMessage};
+pub use loomflow_backoff::Millis;
 pub use settings::{Class, KeyFrom, NameFrom, Queue, SentFrom, Settings, Target};
-
-/// A duration, or a point in time since the start of the process, in milliseconds.
-pub type Millis = f64;
--- a/crates/loomflow-protocol/src/buffer.rs
+++ b/crates/loomflow-protocol/src/buffer.rs
@@ -14,7 +14,7 @@
 }
 
 impl Buffer {
-    /// Creates a buffer that holds a message of `max_message_bytes` and at most one further read.
+    /// Creates a buffer for a message of `max_message_bytes` and one further read.
     pub fn new(max_message_bytes: usize) -> Buffer {
         Buffer { bytes: Vec::new(), start: 0, end: 0, max_bytes: max_message_bytes + READ_BYTES }
     }
--- a/crates/loomflow-protocol/src/engine.rs
+++ b/crates/loomflow-protocol/src/engine.rs
@@ -1,4 +1,4 @@
-//! Protocol of the engine connection: lines of words, some followed by a body of stated length.
+//! Protocol of the engine connection: lines of fields, some followed by a body of stated length.
 
 use crate::attempt_id::AttemptId;
 use crate::buffer::Buffer;
@@ -113,21 +113,21 @@
     }
 
     fn next(&mut self) -> Result<Option<Notice>, Malformed> {
-        let parsed = line_and_body(self.buffer.unread(), MAX_LINE_BYTES, MAX_BODY_BYTES, parse_notice)?;
-        let Some((notice, length)) = parsed else { return Ok(None) };
+        let parsed = line_and_body(self.buffer.unread(), MAX_LINE_BYTES, MAX_BODY_BYTES, parse_line)?;
+        let Some((message, length)) = parsed else { return Ok(None) };
         self.buffer.consume(length);
-        Ok(Some(notice))
+        Ok(Some(message))
     }
 }
 
-/// The words of a notice, with typed access by position.
-struct Words<'a>(&'a [&'a [u8]]);
+/// The fields of a notice, with typed access by position.
+struct Fields<'a>(&'a [&'a [u8]]);
 
-impl Words<'_> {
+impl Fields<'_> {
     const UNREADABLE: Malformed = Malformed("a notice cannot be read");
 
     fn at<T>(&self, position: usize, parse: impl Fn(&[u8]) -> Option<T>) -> Result<T, Malformed> {
-        self.0.get(position).and_then(|word| parse(word)).ok_or(Words::UNREADABLE)
+        self.0.get(position).and_then(|field| parse(field)).ok_or(Fields::UNREADABLE)
     }
 
     fn integer(&self, position: usize) -> Result<u64, Malformed> {
@@ -143,20 +143,20 @@
     }
 
     fn text(&self, position: usize) -> Result<String, Malformed> {
-        self.at(position, |word| String::from_utf8(word.to_vec()).ok())
+        self.at(position, |field| String::from_utf8(field.to_vec()).ok())
     }
 
-    /// A word with two possible values; returns whether it is the first one.
+    /// A field with two possible values; returns whether it is the first one.
     fn flag(&self, position: usize, if_true: &[u8], if_false: &[u8]) -> Result<bool, Malformed> {
-        self.at(position, |word| match word {
-            _ if word == if_true => Some(true),
-            _ if word == if_false => Some(false),
+        self.at(position, |field| match field {
+            _ if field == if_true => Some(true),
+            _ if field == if_false => Some(false),
             _ => None,
         })
     }
 
     fn run_end(&self, position: usize) -> Result<RunEnd, Malformed> {
-        self.at(position, |word| match word {
+        self.at(position, |field| match field {
             b"fine" => Some(RunEnd::Succeeded),
             b"fault" => Some(RunEnd::Failed),
             b"broken_off" => Some(RunEnd::Stopped),
@@ -166,39 +166,39 @@
     }
 }
 
-fn parse_notice(words: &[&[u8]]) -> Result<LineHead<Notice>, Malformed> {
-    let name_and_count = (words[0], words.len());
-    let words = Words(words);
+fn parse_line(fields: &[&[u8]]) -> Result<LineHead<Notice>, Malformed> {
+    let name_and_count = (fields[0], fields.len());
+    let fields = Fields(fields);
     Ok(match name_and_count {
         (b"HELLO", 3) => LineHead::Complete(Notice::Hello {
-            is_starting: words.flag(1, b"starting", b"running")?,
-            age: words.decimal(2)?,
+            is_starting: fields.flag(1, b"starting", b"running")?,
+            age: fields.decimal(2)?,
         }),
         (b"DONE", 6) => {
-            let (number, id) = (words.integer(1)?, words.id(2)?);
-            let (end, duration) = (words.run_end(3)?, words.decimal(4)?);
+            let (number, id) = (fields.integer(1)?, fields.id(2)?);
+            let (end, duration) = (fields.run_end(3)?, fields.decimal(4)?);
             let build = move |result| Notice::Done { number, id, end, duration, result };
-            LineHead::WithBody(words.integer(5)?, Box::new(build))
+            LineHead::WithBody(fields.integer(5)?, Box::new(build))
         }
         (b"NEED", 4) => {
-            let (number, id) = (words.integer(1)?, words.id(2)?);
-            LineHead::WithBody(words.integer(3)?, Box::new(move |body| Notice::Need { number, id, body }))
+            let (number, id) = (fields.integer(1)?, fields.id(2)?);
+            LineHead::WithBody(fields.integer(3)?, Box::new(move |body| Notice::Need { number, id, body }))
         }
         (b"STATS", 2..) => {
-            let values = words.0[2..].iter().map(|word| decimal(word)).collect::<Option<Vec<_>>>();
+            let values = fields.0[2..].iter().map(|field| decimal(field)).collect::<Option<Vec<_>>>();
             LineHead::Complete(Notice::Stats {
-                tag: words.text(1)?,
-                values: values.ok_or(Words::UNREADABLE)?,
+                tag: fields.text(1)?,
+                values: values.ok_or(Fields::UNREADABLE)?,
             })
         }
         (b"TESTED", 3) => LineHead::Complete(Notice::HealthChecked {
-            tag: words.text(1)?,
-            has_passed: words.flag(2, b"fine", b"fault")?,
+            tag: fields.text(1)?,
+            has_passed: fields.flag(2, b"fine", b"fault")?,
         }),
         (b"NO", 2..) => {
-            LineHead::Complete(Notice::CommandRejected { command: words.text(1)?, id: words.id(2).ok() })
+            LineHead::Complete(Notice::CommandRejected { command: fields.text(1)?, id: fields.id(2).ok() })
         }
-        (b"NOTE", 2..) => LineHead::Complete(Notice::Note { number: words.integer(1)? }),
+        (b"NOTE", 2..) => LineHead::Complete(Notice::Note { number: fields.integer(1)? }),
         _ => return Err(Malformed("a notice is not known")),
     })
 }
@@ -242,12 +242,12 @@
         /// The request of the run.
         id: AttemptId,
     },
-    /// Asks for the gauges.
+    /// Requests the gauges.
     Stat {
         /// Tag of the response.
         tag: u64,
     },
-    /// Asks for a health check that does real work.
+    /// Requests a health check that does real work.
     Test {
         /// Tag of the response.
         tag: u64,
--- a/crates/loomflow-protocol/src/gateway.rs
+++ b/crates/loomflow-protocol/src/gateway.rs
@@ -5,17 +5,17 @@
 use crate::decoder::{Decoder, Malformed};
 use crate::text::{decimal, integer, line};
 
-/// Most requests that a gateway may have open on one connection.
+/// Maximum of requests that a gateway may have open on one connection.
 pub const MAX_OPEN_REQUESTS: usize = 32;
 const MAX_BODY_BYTES: usize = 2048;
-/// Longest word of an array other than the body, bytes.
-const MAX_WORD_BYTES: usize = 1024;
-const MAX_WORDS: u64 = 16;
-/// Longest line that states a count or a length, bytes.
+/// Maximum size of an array's element other than the body, bytes.
+const MAX_ELEMENT_BYTES: usize = 1024;
+const MAX_ELEMENTS: u64 = 16;
+/// Maximum size of a line that states a count or a length, bytes.
 const MAX_LINE_BYTES: usize = 16;
-const MAX_ARRAY_BYTES: usize = MAX_BODY_BYTES + 8 * MAX_WORD_BYTES;
-/// Words of a call before its body: verb, tag, class and fields.
-const WORDS_BEFORE_BODY: usize = 4;
+const MAX_ARRAY_BYTES: usize = MAX_BODY_BYTES + 8 * MAX_ELEMENT_BYTES;
+/// Elements of a call before its body: verb, tag, class and fields.
+const ELEMENTS_BEFORE_BODY: usize = 4;
 /// Memory that a request may state, KB (exclusive).
 const MAX_MEMORY_KB: f64 = 2000.0;
 
@@ -69,7 +69,7 @@
     pub estimated_work: Option<f64>,
     /// Memory that it needs, KB.
     pub memory_kb: f64,
-    /// Priority among all requests, from 0 to below 1.
+    /// Priority among all requests, from 0 to 1 (exclusive).
     pub rank: f64,
     /// Whom or what it concerns.
     pub subject: Option<String>,
@@ -103,8 +103,8 @@
     }
 
     fn next(&mut self) -> Result<Option<Request>, Malformed> {
-        let Some((words, length)) = parse_array(self.buffer.unread())? else { return Ok(None) };
-        let request = parse_request(&words)?;
+        let Some((elements, length)) = parse_array(self.buffer.unread())? else { return Ok(None) };
+        let request = parse_request(&elements)?;
         self.buffer.consume(length);
         Ok(Some(request))
     }
@@ -113,21 +113,21 @@
 type Array<'a> = (Vec<&'a [u8]>, usize);
 type Field<'a> = (&'a [u8], &'a [u8]);
 
-/// The words of the array at the start of `bytes` and the number of bytes that it takes; `None` while it is incomplete.
+/// The elements of the array at the start of `bytes` and the number of bytes that it takes; `None` while it is incomplete.
 fn parse_array(bytes: &[u8]) -> Result<Option<Array<'_>>, Malformed> {
     let Some((count, mut at)) = parse_length(bytes, b'*', "no array where one is due")? else {
         return Ok(None);
     };
-    if count == 0 || count > MAX_WORDS {
+    if count == 0 || count > MAX_ELEMENTS {
         return Err(Malformed("an array of no or too many words"));
     }
-    let mut words = Vec::with_capacity(count as usize);
+    let mut elements = Vec::with_capacity(count as usize);
     for _ in 0..count {
         let Some((size, line_len)) = parse_length(&bytes[at..], b'$', "no bulk string where one is due")?
         else {
             return Ok(None);
         };
-        let max_size = if words.len() < WORDS_BEFORE_BODY { MAX_WORD_BYTES } else { MAX_BODY_BYTES };
+        let max_size = if elements.len() < ELEMENTS_BEFORE_BODY { MAX_ELEMENT_BYTES } else { MAX_BODY_BYTES };
         if size > max_size as u64 {
             return Err(Malformed("a bulk string is too long"));
         }
@@ -137,13 +137,13 @@
         if &rest[size..size + 2] != b"\r\n" {
             return Err(Malformed("a bulk string does not end where its length says"));
         }
-        words.push(&rest[..size]);
+        elements.push(&rest[..size]);
         at += size + 2;
         if at > MAX_ARRAY_BYTES {
             return Err(Malformed("an array is too long"));
         }
     }
-    Ok(Some((words, at)))
+    Ok(Some((elements, at)))
 }
 
 /// A line of a prefix and a number; returns the number and the length of the line.
@@ -158,11 +158,12 @@
     Ok(Some((number, text.len() + 2)))
 }
 
-fn parse_request(words: &[&[u8]]) -> Result<Request, Malformed> {
-    let tag = words.get(1).and_then(|word| integer(word)).ok_or(Malformed("a tag that is no number"))?;
-    let parsed = match words[0] {
-        b"RPC.CALL" => parse_call(tag, words).map(Request::Call),
-        b"RPC.HEALTH" => parse_health(tag, words),
+fn parse_request(elements: &[&[u8]]) -> Result<Request, Malformed> {
+    let tag =
+        elements.get(1).and_then(|element| integer(element)).ok_or(Malformed("a tag that is no number"))?;
+    let parsed = match elements[0] {
+        b"RPC.CALL" => parse_call(tag, elements).map(Request::Call),
+        b"RPC.HEALTH" => parse_health(tag, elements),
         _ => Err("the verb is not known"),
     };
     Ok(parsed.unwrap_or_else(|reason| Request::Invalid { tag, reason }))
@@ -179,14 +180,14 @@
         .collect()
 }
 
-fn parse_health(tag: u64, words: &[&[u8]]) -> Result<Request, &'static str> {
-    let fields = parse_fields(words.get(2).copied().unwrap_or_default())?;
+fn parse_health(tag: u64, elements: &[&[u8]]) -> Result<Request, &'static str> {
+    let fields = parse_fields(elements.get(2).copied().unwrap_or_default())?;
     let is_deep = fields.iter().any(|(name, value)| *name == b"real" && *value == b"1");
     Ok(Request::Health { tag, is_deep })
 }
 
-fn parse_call(tag: u64, words: &[&[u8]]) -> Result<Call, &'static str> {
-    let &[_, _, class, field_list, ref body @ ..] = words else { return Err("a word is missing") };
+fn parse_call(tag: u64, elements: &[&[u8]]) -> Result<Call, &'static str> {
+    let &[_, _, class, field_list, ref body @ ..] = elements else { return Err("a word is missing") };
     if body.len() > 1 {
         return Err("too many words");
     }
@@ -292,11 +293,11 @@
     write_array(out, &[b"0", b"BYE"]);
 }
 
-fn write_array(out: &mut Vec<u8>, words: &[&[u8]]) {
-    out.extend_from_slice(format!("*{}\r\n", words.len()).as_bytes());
-    for word in words {
-        out.extend_from_slice(format!("${}\r\n", word.len()).as_bytes());
-        out.extend_from_slice(word);
+fn write_array(out: &mut Vec<u8>, elements: &[&[u8]]) {
+    out.extend_from_slice(format!("*{}\r\n", elements.len()).as_bytes());
+    for element in elements {
+        out.extend_from_slice(format!("${}\r\n", element.len()).as_bytes());
+        out.extend_from_slice(element);
         out.extend_from_slice(b"\r\n");
     }
 }
--- a/crates/loomflow-protocol/src/ledger.rs
+++ b/crates/loomflow-protocol/src/ledger.rs
@@ -59,11 +59,11 @@
     }
 }
 
-fn parse_reply(words: &[&[u8]]) -> Result<LineHead<Reply>, Malformed> {
+fn parse_reply(fields: &[&[u8]]) -> Result<LineHead<Reply>, Malformed> {
     let unreadable = Malformed("a reply cannot be read");
-    let id = AttemptId::parse(words[0]).ok_or(unreadable.clone())?;
+    let id = AttemptId::parse(fields[0]).ok_or(unreadable.clone())?;
     let without_body = |status| Ok(LineHead::Complete(Reply { id, status }));
-    match words[1..] {
+    match fields[1..] {
         [b"posted", length] => {
             let build = move |body| Reply { id, status: ReplyStatus::Posted(body) };
             Ok(LineHead::WithBody(integer(length).ok_or(unreadable)?, Box::new(build)))
@@ -76,9 +76,9 @@
     }
 }
 
-/// Writes a call that may take up to `timeout` ms.
-pub fn write_post(out: &mut Vec<u8>, id: AttemptId, timeout: u64, body: &[u8]) {
-    out.extend_from_slice(format!("post {id} {timeout} {}\r\n", body.len()).as_bytes());
+/// Writes a call that may take up to `timeout_ms`.
+pub fn write_post(out: &mut Vec<u8>, id: AttemptId, timeout_ms: u64, body: &[u8]) {
+    out.extend_from_slice(format!("post {id} {timeout_ms} {}\r\n", body.len()).as_bytes());
     out.extend_from_slice(body);
     out.extend_from_slice(b"\r\n");
 }
--- a/crates/loomflow-protocol/src/text.rs
+++ b/crates/loomflow-protocol/src/text.rs
@@ -3,22 +3,22 @@
 use crate::decoder::Malformed;
 
 const LINE_END: &[u8] = b"\r\n";
-/// Longest text of a 64-bit number, bytes.
+/// Maximum length of a 64-bit number, bytes.
 const MAX_INTEGER_BYTES: usize = 20;
 const MAX_DECIMAL_BYTES: usize = 32;
 
 /// Builds a message from its body.
 type WithBody<T> = Box<dyn FnOnce(Vec<u8>) -> T>;
 
-/// What the line of a message says about the rest of it.
+/// How much of a message its line is.
 pub(crate) enum LineHead<T> {
-    /// The line is the whole message.
+    /// The line is the complete message.
     Complete(T),
     /// A body of this length follows, from which the message is built.
     WithBody(u64, WithBody<T>),
 }
 
-/// Parses a line of words, and the body that follows it if `parse` finds a length in it. Returns the message and the
+/// Parses a line of fields separated by spaces, and the body that follows it if `parse` finds a length in it. Returns the message and the
 /// number of bytes that it takes, or `None` while it is incomplete.
 pub(crate) fn line_and_body<T>(
     bytes: &[u8],
@@ -27,9 +27,9 @@
     parse: impl Fn(&[&[u8]]) -> Result<LineHead<T>, Malformed>,
 ) -> Result<Option<(T, usize)>, Malformed> {
     let Some(text) = line(bytes, max_line_bytes)? else { return Ok(None) };
-    let words: Vec<&[u8]> = text.split(|byte| *byte == b' ').collect();
+    let fields: Vec<&[u8]> = text.split(|byte| *byte == b' ').collect();
     let body_start = text.len() + LINE_END.len();
-    match parse(&words)? {
+    match parse(&fields)? {
         LineHead::Complete(message) => Ok(Some((message, body_start))),
         LineHead::WithBody(length, build) => {
             let length = usize::try_from(length).unwrap_or(usize::MAX);
@@ -67,7 +67,7 @@
     std::str::from_utf8(text).ok()?.parse().ok()
 }
 
-/// A finite decimal number of at least 0.
+/// A finite decimal number that is not negative.
 pub(crate) fn decimal(text: &[u8]) -> Option<f64> {
     let is_part_of_number = |byte: &u8| byte.is_ascii_digit() || b".eE+-".contains(byte);
     if text.is_empty() || text.len() > MAX_DECIMAL_BYTES || !text.iter().all(is_part_of_number) {
--- a/crates/loomflow-server/src/main.rs
+++ b/crates/loomflow-server/src/main.rs
@@ -43,7 +43,7 @@
                 TakesEffect::Immediately => "at once",
                 TakesEffect::AtNextStart => "from the next start on",
             };
-            println!("{}: {} to {}, {when}", change.key, change.old, change.new);
+            println!("{}: {} to {}, {when}", change.key, change.current, change.new);
         }
     }
     println!("{}: good", config.name);
--- a/crates/loomflow-settings/src/compare.rs
+++ b/crates/loomflow-settings/src/compare.rs
@@ -18,7 +18,7 @@
 pub(crate) struct Difference {
     /// Its path; members of lists are named by their `Name`.
     pub(crate) key: String,
-    pub(crate) old: Value,
+    pub(crate) current: Value,
     pub(crate) new: Value,
 }
 
@@ -29,10 +29,10 @@
 }
 
 /// All keys that differ, in the order of their paths; absent counts as null.
-pub(crate) fn compare(old: &Document, new: &Document) -> Vec<Difference> {
+pub(crate) fn compare(current: &Document, new: &Document) -> Vec<Difference> {
     let mut comparison = Comparison::default();
-    if let (Value::Object(before), Value::Object(after)) = (&old.tree, &new.tree) {
-        comparison.objects("", before, after, Some((&old.tenants, &new.tenants)));
+    if let (Value::Object(before), Value::Object(after)) = (&current.tree, &new.tree) {
+        comparison.objects("", before, after, Some((&current.tenants, &new.tenants)));
     }
     comparison.differences
 }
@@ -55,79 +55,79 @@
         }
         for key in keys {
             let child_path = join(path, key);
-            let (old, new) = (before.get(key).unwrap_or(&NULL), after.get(key).unwrap_or(&NULL));
-            match (tenants, old, new) {
-                (Some((old, new)), ..) if path == SETTINGS && key == TENANTS => {
-                    self.tenants(&child_path, old, new);
+            let (current, new) = (before.get(key).unwrap_or(&NULL), after.get(key).unwrap_or(&NULL));
+            match (tenants, current, new) {
+                (Some((current, new)), ..) if path == SETTINGS && key == TENANTS => {
+                    self.tenants(&child_path, current, new);
                 }
-                (Some(_), Value::Object(old), Value::Object(new)) if child_path == SETTINGS => {
-                    self.objects(&child_path, old, new, tenants);
+                (Some(_), Value::Object(current), Value::Object(new)) if child_path == SETTINGS => {
+                    self.objects(&child_path, current, new, tenants);
                 }
-                _ => self.values(&child_path, old, new),
+                _ => self.values(&child_path, current, new),
             }
         }
     }
 
     /// Compares any two values. Lists of named members are matched by name; other lists count as one value.
-    fn values(&mut self, path: &str, old: &Value, new: &Value) {
-        if old == new {
+    fn values(&mut self, path: &str, current: &Value, new: &Value) {
+        if current == new {
             return;
         }
-        match (old, new) {
+        match (current, new) {
             (Value::Object(before), Value::Object(after)) => self.objects(path, before, after, None),
             (Value::Array(before), Value::Array(after)) if before.all_named() && after.all_named() => {
                 self.members(path, before, after);
             }
-            _ => self.differ(path, old.clone(), new.clone()),
+            _ => self.differ(path, current.clone(), new.clone()),
         }
     }
 
     fn members(&mut self, path: &str, before: &[Value], after: &[Value]) {
         pair_members(before, after, |pair| {
-            let old = pair.old.map_or(&NULL, |at| &before[at]);
+            let current = pair.current.map_or(&NULL, |at| &before[at]);
             let new = pair.new.map_or(&NULL, |at| &after[at]);
-            if old != new {
-                self.values(&join_member(path, pair.name), old, new);
+            if current != new {
+                self.values(&join_member(path, pair.name), current, new);
             }
         });
     }
 
-    fn tenants(&mut self, path: &str, old: &Tenants, new: &Tenants) {
-        match (old, new) {
+    fn tenants(&mut self, path: &str, current: &Tenants, new: &Tenants) {
+        match (current, new) {
             (Tenants::List(before), Tenants::List(after)) if before.all_named() && after.all_named() => {
                 self.tenant_members(path, before, after);
             }
-            _ if old == new => {}
-            _ => self.values(path, &old.to_value(), &new.to_value()),
+            _ if current == new => {}
+            _ => self.values(path, &current.to_value(), &new.to_value()),
         }
     }
 
     fn tenant_members(&mut self, path: &str, before: &TenantList, after: &TenantList) {
         let value = |list: &TenantList, at: Option<usize>| at.map(|at| list.value(at)).unwrap_or_default();
         pair_members(before, after, |pair| {
-            if let (Some(old), Some(new)) = (pair.old, pair.new)
-                && before.is_same(old, after, new)
+            if let (Some(current), Some(new)) = (pair.current, pair.new)
+                && before.is_same(current, after, new)
             {
                 return;
             }
-            let (old, new) = (value(before, pair.old), value(after, pair.new));
-            self.values(&join_member(path, pair.name), &old, &new);
+            let (current, new) = (value(before, pair.current), value(after, pair.new));
+            self.values(&join_member(path, pair.name), &current, &new);
         });
     }
 
-    fn differ(&mut self, path: &str, old: Value, new: Value) {
-        self.differences.push(Difference { key: path.to_owned(), old, new });
+    fn differ(&mut self, path: &str, current: Value, new: Value) {
+        self.differences.push(Difference { key: path.to_owned(), current, new });
     }
 }
 
 /// Members of two lists with the same name, by index; one of them may be missing.
 struct MemberPair<'a> {
     name: &'a str,
-    old: Option<usize>,
+    current: Option<usize>,
     new: Option<usize>,
 }
 
-/// Visits the members of both lists by name: first those of the old list in its order, then those of the new list only.
+/// Visits the members of both lists by name: first those of the current list in its order, then those of the new list only.
 fn pair_members<'a, L>(before: &'a L, after: &'a L, mut visit: impl FnMut(MemberPair<'a>))
 where
     L: NamedList + ?Sized,
@@ -141,10 +141,10 @@
         if let Some(new) = new {
             paired[new] = true;
         }
-        visit(MemberPair { name, old: Some(at), new });
+        visit(MemberPair { name, current: Some(at), new });
     }
     for at in (0..after.len()).filter(|at| !paired[*at]) {
-        visit(MemberPair { name: name(after, at), old: None, new: Some(at) });
+        visit(MemberPair { name: name(after, at), current: None, new: Some(at) });
     }
 }
 
--- a/crates/loomflow-settings/src/compare/tests.rs
+++ b/crates/loomflow-settings/src/compare/tests.rs
@@ -84,7 +84,7 @@
     for list in [TENANTS, "Classes"] {
         let found = compare(&document(list, old.clone()), &document(list, new.clone()));
         let named: Vec<(String, String, String)> =
-            found.into_iter().map(|one| (one.key, one.old.to_string(), one.new.to_string())).collect();
+            found.into_iter().map(|one| (one.key, one.current.to_string(), one.new.to_string())).collect();
         let row =
             |key: &str, old: &str, new: &str| (format!("settings.{list}[{key}"), old.into(), new.into());
         assert_eq!(
@@ -101,9 +101,9 @@
 
 #[test]
 fn a_list_without_names_counts_as_one_value() {
-    let (old, new) = (json!([{"QuotaPerS": 1}]), json!([{"Name": "a", "QuotaPerS": 1}]));
-    let found = compare(&document(TENANTS, old.clone()), &document(TENANTS, new.clone()));
-    assert_eq!(found, [Difference { key: "settings.Orgs".into(), old, new }]);
+    let (current, new) = (json!([{"QuotaPerS": 1}]), json!([{"Name": "a", "QuotaPerS": 1}]));
+    let found = compare(&document(TENANTS, current.clone()), &document(TENANTS, new.clone()));
+    assert_eq!(found, [Difference { key: "settings.Orgs".into(), current, new }]);
 }
 
 #[test]
@@ -111,5 +111,5 @@
     assert!(compare(&document("Limits", json!({})), &document(TENANTS, Value::Null)).len() == 1);
     assert!(compare(&document(TENANTS, Value::Null), &document("Rules", Value::Null)).is_empty());
     let found = compare(&document(TENANTS, Value::Null), &document(TENANTS, json!([])));
-    assert_eq!(found, [Difference { key: "settings.Orgs".into(), old: Value::Null, new: json!([]) }]);
+    assert_eq!(found, [Difference { key: "settings.Orgs".into(), current: Value::Null, new: json!([]) }]);
 }
--- a/crates/loomflow-settings/src/config.rs
+++ b/crates/loomflow-settings/src/config.rs
@@ -94,8 +94,8 @@
             seed: u64::from_str_radix(seed, 16)
                 .or_else(|_| root.error("seed", "not a hexadecimal number of 64 bits"))?,
             stop_ms: root.positive("stop_ms")?,
-            sockets: at_least_one(&root.child_or_empty("limits")?, "sockets", DEFAULT_SOCKETS)?,
-            memory_mb: at_least_one(&root.child_or_empty("limits")?, "memory_mb", DEFAULT_MEMORY_MB)?,
+            sockets: positive_limit(&root.child_or_empty("limits")?, "sockets", DEFAULT_SOCKETS)?,
+            memory_mb: positive_limit(&root.child_or_empty("limits")?, "memory_mb", DEFAULT_MEMORY_MB)?,
             cores: cores(&root.child_or_empty("limits")?)?,
             site: Site::parse_with_tenants(&root.child(SETTINGS)?, &document.tenants)?,
             document,
@@ -138,7 +138,7 @@
     Ok(text)
 }
 
-fn at_least_one(limits: &JsonObject, key: &str, default: u64) -> Result<usize, FieldError> {
+fn positive_limit(limits: &JsonObject, key: &str, default: u64) -> Result<usize, FieldError> {
     match limits.integer_or(key, default)? {
         0 => limits.error(key, "not above 0"),
         value => Ok(usize::try_from(value).unwrap_or(usize::MAX)),
--- a/crates/loomflow-settings/src/document.rs
+++ b/crates/loomflow-settings/src/document.rs
@@ -1,4 +1,4 @@
-//! The content of a configuration file, kept for comparisons key by key.
+//! The content of a configuration file, for comparisons key by key.
 //!
 //! The file is deserialized straight from its text. Tenants (`settings.Orgs`), the one list that grows with the size of
 //! the platform, go into a compact [`Tenants`] list; everything else is small and stays a tree of JSON values.
--- a/crates/loomflow-settings/src/duties.rs
+++ b/crates/loomflow-settings/src/duties.rs
@@ -12,10 +12,10 @@
 use crate::campaign::parse_duration;
 use crate::error::OptionFault;
 
-/// Shortest interval and longest run of a job that can be set.
+/// Smallest interval, and smallest maximum of a run, that can be set.
 const MIN_DURATION: Duration = Duration::from_secs(1);
-/// Used should the validated text of `longest` not parse.
-const DEFAULT_LONGEST: Duration = Duration::from_secs(3_600);
+/// Maximum duration of a run whose job sets none.
+const DEFAULT_MAX_DURATION: Duration = Duration::from_secs(3_600);
 /// Duties that every fleet has.
 const BUILT_IN: [&str; 2] = ["summary", "campaign"];
 
@@ -65,7 +65,7 @@
     #[serde(default)]
     pub missed: Missed,
     /// A run that takes longer is killed.
-    #[serde(default = "default_longest")]
+    #[serde(default = "default_max_duration")]
     #[garde(custom(is_job_duration))]
     pub longest: String,
     /// Its load relative to other duties; 1 is usual.
@@ -97,8 +97,8 @@
     5
 }
 
-fn default_longest() -> String {
-    "1h".into()
+fn default_max_duration() -> String {
+    humantime::format_duration(DEFAULT_MAX_DURATION).to_string()
 }
 
 fn default_weight() -> u32 {
@@ -118,37 +118,45 @@
 
     /// How long a run may take.
     pub fn max_duration(&self) -> Duration {
-        parse_duration(&self.longest).unwrap_or(DEFAULT_LONGEST)
+        parse_duration(&self.longest).unwrap_or(DEFAULT_MAX_DURATION)
     }
 }
 
 impl Duties {
     /// Contradictions between the options.
     pub fn faults(&self) -> Vec<OptionFault> {
-        let mut faults = Vec::new();
+        let mut faults: Vec<OptionFault> = self.name_fault().into_iter().collect();
+        for (index, job) in self.jobs.iter().enumerate() {
+            faults.extend(self.job_faults(index, job));
+        }
+        faults
+    }
+
+    fn name_fault(&self) -> Option<OptionFault> {
         let names: BTreeSet<&str> = self.jobs.iter().map(|job| job.name.as_str()).collect();
-        if names.len() < self.jobs.len() || BUILT_IN.iter().any(|name| names.contains(name)) {
-            let problem = "each name once; `summary` and `campaign` are there from the start";
-            faults.push(OptionFault::new("fleet.duties.jobs", problem));
+        let is_unique = names.len() == self.jobs.len() && BUILT_IN.iter().all(|name| !names.contains(name));
+        let problem = "each name once; `summary` and `campaign` are there from the start";
+        (!is_unique).then(|| OptionFault::new("fleet.duties.jobs", problem))
+    }
+
+    fn job_faults(&self, index: usize, job: &Job) -> Vec<OptionFault> {
+        let mut faults = Vec::new();
+        let mut fault = |key: &str, problem: &str| {
+            let key = format!("fleet.duties.jobs[{index}].{key}");
+            faults.push(OptionFault::new(key, format!("{}: {problem}", job.name)));
+        };
+        if job.every.is_some() && job.cron.is_some() {
+            fault("every", "either every or cron");
         }
-        for (index, job) in self.jobs.iter().enumerate() {
-            let mut fault = |key: &str, problem: &str| {
-                let key = format!("fleet.duties.jobs[{index}].{key}");
-                faults.push(OptionFault::new(key, format!("{}: {problem}", job.name)));
-            };
-            if job.every.is_some() && job.cron.is_some() {
-                fault("every", "either every or cron");
-            }
-            if let Some(Err(error)) = job.cron.as_deref().map(Cron::from_str) {
-                fault("cron", &error.to_string());
-            }
-            let is_scheduled = job.every.is_some() || job.cron.is_some();
-            if is_scheduled && job.run.is_empty() {
-                fault("run", "a job with a time needs a program");
-            }
-            if is_scheduled && !self.programs {
-                fault("run", "programs are not switched on: fleet.duties.programs");
-            }
+        if let Some(Err(error)) = job.cron.as_deref().map(Cron::from_str) {
+            fault("cron", &error.to_string());
+        }
+        let is_scheduled = job.every.is_some() || job.cron.is_some();
+        if is_scheduled && job.run.is_empty() {
+            fault("run", "a job with a time needs a program");
+        }
+        if is_scheduled && !self.programs {
+            fault("run", "programs are not switched on: fleet.duties.programs");
         }
         faults
     }
--- a/crates/loomflow-settings/src/fleet.rs
+++ b/crates/loomflow-settings/src/fleet.rs
@@ -53,11 +53,11 @@
     #[garde(range(min = 1, max = 3_600))]
     pub begin_within_s: u64,
     /// A server that is back must carry its load for this long before the next one may go, s.
-    #[serde(default = "default_warm_for")]
+    #[serde(default = "default_recovery")]
     #[garde(range(min = 0, max = 3_600))]
     pub warm_for_s: u64,
     /// Send share from which a server counts as carrying its load.
-    #[serde(default = "default_warm_share")]
+    #[serde(default = "default_recovery_share")]
     #[garde(range(min = 0.0, max = 1.0))]
     pub warm_share: f32,
     /// Periodic work that one server does at a time. Off if absent.
@@ -95,11 +95,11 @@
     30
 }
 
-fn default_warm_for() -> u64 {
+fn default_recovery() -> u64 {
     10
 }
 
-fn default_warm_share() -> f32 {
+fn default_recovery_share() -> f32 {
     0.9
 }
 
--- a/crates/loomflow-settings/src/fleet/tests.rs
+++ b/crates/loomflow-settings/src/fleet/tests.rs
@@ -1,6 +1,8 @@
+use super::*;
 use crate::options::Options;
 
-const GOOD: &str = "
+/// The minimal options of a fleet.
+pub(crate) const GOOD: &str = "
 fleet:
   name: riga
   listen: 127.0.0.1:7401
@@ -11,6 +13,10 @@
     - {name: n3, address: 127.0.0.1:7403}
 ";
 
+pub(crate) fn parse(text: &str) -> Fleet {
+    Options::parse(text).unwrap().fleet.unwrap()
+}
+
 /// Checks that each text is rejected by the parser with an error that contains `key`.
 pub(crate) fn assert_parse_errors(cases: &[(String, &str)]) {
     for (text, key) in cases {
@@ -22,14 +28,14 @@
 /// Checks that each text parses and has a fault that contains `part`.
 pub(crate) fn assert_faults(cases: &[(String, &str)]) {
     for (text, part) in cases {
-        let faults = Options::parse(text).unwrap().fleet.unwrap().faults("n1");
+        let faults = parse(text).faults("n1");
         assert!(faults.iter().any(|fault| fault.to_string().contains(part)), "{part}: {faults:?}");
     }
 }
 
 #[test]
 fn the_minimal_options_of_a_fleet_are_valid() {
-    let fleet = Options::parse(GOOD).unwrap().fleet.unwrap();
+    let fleet = parse(GOOD);
     assert!(fleet.faults("n1").is_empty() && fleet.faults("n9").is_empty());
     assert_eq!(fleet.socket().to_str(), Some("n1.sock"));
 }
--- a/crates/loomflow-settings/src/guard.rs
+++ b/crates/loomflow-settings/src/guard.rs
@@ -27,7 +27,7 @@
     /// Its path; members of lists are named by their `Name`.
     pub key: String,
     /// Value in the current configuration.
-    pub old: Value,
+    pub current: Value,
     /// Value in the new configuration.
     pub new: Value,
     /// When the new value takes effect.
@@ -81,7 +81,7 @@
     retains_idempotency_windows,
     objectives_are_within_timeouts,
     quotas_have_a_sum,
-    drain_grace_ends_before_kill,
+    drain_grace_is_within_stop_time,
 ];
 
 /// The differences between the configurations.
@@ -99,18 +99,18 @@
 }
 
 impl From<Difference> for Change {
-    fn from(Difference { key, old, new }: Difference) -> Change {
-        let takes_effect = takes_effect(&key, &old);
-        Change { key, old, new, takes_effect }
+    fn from(Difference { key, current, new }: Difference) -> Change {
+        let takes_effect = takes_effect(&key, &current);
+        Change { key, current, new, takes_effect }
     }
 }
 
-fn takes_effect(path: &str, old: &Value) -> TakesEffect {
+fn takes_effect(path: &str, current: &Value) -> TakesEffect {
     let member = |list: &str| path.strip_prefix(list)?.strip_prefix('[')?.split_once(']');
     let is_reloadable = match (member("settings.Classes"), member("settings.Orgs")) {
         (Some((_, key)), _) => key.strip_prefix('.').is_some_and(|key| RELOADABLE_CLASS_KEYS.contains(&key)),
         // A new tenant, or a value of an existing one.
-        (_, Some((_, ""))) => old.is_null(),
+        (_, Some((_, ""))) => current.is_null(),
         (_, Some((_, key))) => key.strip_prefix('.').is_some_and(|key| RELOADABLE_TENANT_KEYS.contains(&key)),
         _ => RELOADABLE_KEYS.contains(&path),
     };
@@ -176,9 +176,9 @@
 }
 
 /// A violation if there were names and none of them is retained.
-fn retains_one_name(key: &str, old: &[String], new: &[String], rule: &'static str) -> Vec<RuleViolation> {
+fn retains_one_name(key: &str, current: &[String], new: &[String], rule: &'static str) -> Vec<RuleViolation> {
     let new_names = Lookup::new(new);
-    if old.is_empty() || old.iter().any(|name| new_names.find(name).is_some()) {
+    if current.is_empty() || current.iter().any(|name| new_names.find(name).is_some()) {
         return Vec::new();
     }
     vec![RuleViolation { key: key.into(), value: new.join(", "), rule }]
@@ -253,7 +253,7 @@
     vec![RuleViolation { key: "settings.Orgs".into(), value: format!("a sum of {new}"), rule }]
 }
 
-fn drain_grace_ends_before_kill(check: &ReloadCheck) -> Vec<RuleViolation> {
+fn drain_grace_is_within_stop_time(check: &ReloadCheck) -> Vec<RuleViolation> {
     let (current, new) = (check.current.site.settings.drain_grace, check.new.site.settings.drain_grace);
     if current == new || new < check.current.stop_ms {
         return Vec::new();
--- a/crates/loomflow-settings/src/json_object.rs
+++ b/crates/loomflow-settings/src/json_object.rs
@@ -6,7 +6,7 @@
 
 use crate::error::FieldError;
 
-/// Stands for absent objects.
+/// An absent object.
 static EMPTY: LazyLock<Map<String, Value>> = LazyLock::new(Map::new);
 
 /// A JSON object and its path within the document.
@@ -17,7 +17,7 @@
 }
 
 impl<'a> JsonObject<'a> {
-    /// Wraps an object; an empty `path` stands for the root of the document.
+    /// Wraps an object; an empty `path` is the root of the document.
     ///
     /// # Errors
     ///
--- a/crates/loomflow-settings/src/shaped.rs
+++ b/crates/loomflow-settings/src/shaped.rs
@@ -1,4 +1,4 @@
-//! Deserialization of values that are expected to have one kind, and are kept as a tree of JSON values if they have another.
+//! Deserialization of values that are expected to have one kind, and become a tree of JSON values if they have another.
 
 use std::marker::PhantomData;
 
@@ -6,9 +6,9 @@
 use serde::de::{Deserialize, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use serde_json::Value;
 
-/// A type that is deserialized from one kind of JSON value and keeps values of other kinds as a tree.
+/// A type that is deserialized from one kind of JSON value, and from other kinds as a tree.
 pub(crate) trait Shaped<'de>: Sized {
-    /// Keeps a value of another kind.
+    /// Wraps a value of another kind.
     fn unexpected(value: Value) -> Self;
 
     /// Deserializes an object.
--- a/crates/loomflow-settings/src/site.rs
+++ b/crates/loomflow-settings/src/site.rs
@@ -1,6 +1,8 @@
 //! The settings object of a site: the settings of the decision module, and the names that only the fronts need.
 
-use loomflow::interface::*;
+use loomflow::interface::{
+    Class, Downstream, FeedbackSignal, Gauges, Idempotency, Preemption, ReloadableSettings, Settings,
+};
 use serde_json::Value;
 
 use crate::document::TENANTS;
@@ -110,7 +112,7 @@
     root.children(key)?.iter().map(|child| child.text("Name").map(str::to_owned)).collect()
 }
 
-/// Whether classes make downstream calls, and how much a result without the call is worth.
+/// Whether classes make downstream calls, and the weight of a result without the call.
 struct CallSettings<'a> {
     calls: &'a [Value],
     degraded_weights: &'a [Value],
@@ -183,7 +185,7 @@
     })
 }
 
-/// The longest time that rejected callers are told to back off, ms; 0 if the site does not support it.
+/// The maximum time that rejected callers back off, ms; 0 if the site does not support it.
 fn parse_max_retry_after(limits: &JsonObject) -> Result<f64, FieldError> {
     if limits.boolean("RetryAfter")? { limits.non_negative("MaxRetryAfter") } else { Ok(0.0) }
 }
--- a/crates/loomflow-settings/src/tenants.rs
+++ b/crates/loomflow-settings/src/tenants.rs
@@ -54,7 +54,9 @@
             None | Some(Value::Null) => Tenants::Absent,
             Some(Value::Array(members)) => {
                 let mut list = TenantList::default();
-                members.iter().for_each(|member| list.push(member.clone()));
+                for member in members {
+                    list.push(member.clone());
+                }
                 Tenants::List(list)
             }
             Some(other) => Tenants::Invalid(other.clone()),
@@ -141,11 +143,11 @@
             return JsonObject::new(&member_path(path, index), value)?.non_negative(QUOTA);
         }
         let quota = self.records[index].quota.as_ref().and_then(Number::as_f64).unwrap_or(0.0);
-        if quota < 0.0 || quota.is_nan() {
-            let key = format!("{}.{QUOTA}", member_path(path, index));
-            return Err(FieldError::new(key, "below 0"));
+        if quota >= 0.0 {
+            Ok(quota)
+        } else {
+            Err(FieldError::new(format!("{}.{QUOTA}", member_path(path, index)), "below 0"))
         }
-        Ok(quota)
     }
 
     fn parse_name(&self, index: usize, path: &str) -> Result<String, FieldError> {
