--- a/crates/loomflow-amqp/src/connection.rs
+++ b/crates/loomflow-amqp/src/connection.rs
@@ -453,3 +453,6 @@
         .collect();
     properties.with_headers(own.into())
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/loomflow-amqp/src/connection/tests.rs
@@ -0,0 +1,126 @@
+use amq_protocol::protocol::basic::Publish;
+use loomflow_protocol::Decoder;
+
+use super::*;
+use crate::frames::Frames;
+
+const HEARTBEAT_S: u16 = 10;
+const INTERVAL: Millis = 10_000.0;
+const MAX_BODY_BYTES: usize = 1_000;
+
+fn connection() -> Connection {
+    let login = Login {
+        vhost: "/".into(),
+        user: "guest".into(),
+        password: Password("guest".into()),
+        heartbeat: HEARTBEAT_S,
+    };
+    Connection::open(login, MAX_BODY_BYTES, 0.0)
+}
+
+fn control(method: connection::AMQPMethod) -> AMQPFrame {
+    AMQPFrame::Method(0, AMQPClass::Connection(method))
+}
+
+fn start(version_minor: u8, mechanisms: &str) -> AMQPFrame {
+    control(connection::AMQPMethod::Start(connection::Start {
+        version_major: 0,
+        version_minor,
+        server_properties: FieldTable::default(),
+        mechanisms: mechanisms.into(),
+        locales: "en_US".into(),
+    }))
+}
+
+fn tune(channel_max: u16, frame_max: u32, heartbeat: u16) -> AMQPFrame {
+    control(connection::AMQPMethod::Tune(connection::Tune { channel_max, frame_max, heartbeat }))
+}
+
+/// A connection whose handshake is complete at time 0, with these limits of the broker.
+fn ready(channel_max: u16, frame_max: u32, heartbeat: u16) -> Connection {
+    let mut connection = connection();
+    let open_ok = control(connection::AMQPMethod::OpenOk(connection::OpenOk {}));
+    for frame in [start(9, "PLAIN"), tune(channel_max, frame_max, heartbeat)] {
+        assert_eq!(connection.handle_frame(frame, 0.0), Ok(None));
+    }
+    assert_eq!(connection.handle_frame(open_ok, 0.0), Ok(Some(ConnectionEvent::Ready)));
+    connection.take_output(0.0);
+    connection
+}
+
+#[test]
+fn a_handshake_that_takes_too_long_is_abandoned() {
+    let mut connection = connection();
+    assert_eq!(connection.tick(HANDSHAKE_TIMEOUT_MS - 1.0), Ok(()));
+    assert!(connection.tick(HANDSHAKE_TIMEOUT_MS).is_err());
+    assert_eq!(ready(0, 0, 0).tick(HANDSHAKE_TIMEOUT_MS), Ok(()));
+}
+
+#[test]
+fn only_brokers_of_this_version_that_accept_a_password_are_used() {
+    for (frame, is_accepted) in [
+        (start(9, "EXTERNAL PLAIN"), true),
+        (start(8, "PLAIN"), false),
+        (start(9, "EXTERNAL PLAINTEXT"), false),
+    ] {
+        assert_eq!(connection().handle_frame(frame.clone(), 0.0).is_ok(), is_accepted, "{frame:?}");
+    }
+}
+
+#[test]
+fn the_smaller_limit_of_both_sides_applies_and_zero_is_none() {
+    let limits = |connection: Connection| {
+        (connection.channel_max, connection.frame_max, connection.heartbeat_interval)
+    };
+    assert_eq!(limits(ready(0, 0, 0)), (u16::MAX, FRAME_MAX, INTERVAL));
+    assert_eq!(limits(ready(7, FRAME_MIN, 1)), (7, FRAME_MIN, 1_000.0));
+    assert_eq!(limits(ready(7, u32::MAX, 60)), (7, FRAME_MAX, INTERVAL));
+    let mut short = connection();
+    assert_eq!(short.handle_frame(start(9, "PLAIN"), 0.0), Ok(None));
+    assert!(short.handle_frame(tune(0, FRAME_MIN - 1, 0), 0.0).is_err());
+}
+
+#[test]
+fn a_heartbeat_is_sent_in_time_and_a_silent_broker_is_abandoned() {
+    let mut connection = ready(0, 0, HEARTBEAT_S);
+    let send_at = INTERVAL * SEND_INTERVAL_PART;
+    assert_eq!((connection.tick(send_at - 1.0), connection.take_output(send_at).len()), (Ok(()), 0));
+    assert_eq!((connection.tick(send_at), connection.take_output(send_at).len()), (Ok(()), OVERHEAD));
+    // Whatever is received shows that the broker is alive.
+    assert_eq!(connection.handle_frame(AMQPFrame::Heartbeat, 5.0), Ok(None));
+    let silent_at = 5.0 + SILENT_INTERVALS * INTERVAL;
+    assert_eq!(connection.tick(silent_at - 1.0), Ok(()));
+    assert!(connection.tick(silent_at).is_err());
+}
+
+#[test]
+fn a_header_that_fits_no_frame_is_sent_with_our_own_headers_only() {
+    let published = |text_len: usize| {
+        let mut connection = ready(0, FRAME_MIN, 0);
+        let mut headers = FieldTable::default();
+        headers.insert("theirs".into(), AMQPValue::LongString("x".repeat(text_len).into()));
+        headers.insert("x-loomflow-publish".into(), AMQPValue::LongLongInt(1));
+        let properties = AMQPProperties::default().with_headers(headers);
+        connection.publish(1, Publish::default(), properties, &[0; 5_000]);
+        let mut frames = Frames::default();
+        assert!(frames.buffer().feed(&connection.take_output(0.0)));
+        let raw = frames.next().unwrap().expect("frames");
+        raw.iter().map(Result::unwrap).collect::<Vec<_>>()
+    };
+    for (text_len, expected_headers) in [(100, 2), (FRAME_MIN as usize, 1)] {
+        let frames = published(text_len);
+        let [
+            AMQPFrame::Method(..),
+            AMQPFrame::Header(_, header),
+            AMQPFrame::Body(_, first),
+            AMQPFrame::Body(_, rest),
+        ] = &frames[..]
+        else {
+            panic!("{frames:?}")
+        };
+        let headers = header.properties.headers().as_ref().expect("headers");
+        assert!(headers.inner().contains_key("x-loomflow-publish"));
+        assert_eq!(headers.inner().len(), expected_headers);
+        assert_eq!((first.len(), rest.len()), (FRAME_MIN as usize - OVERHEAD, 5_000 - first.len()));
+    }
+}
--- a/crates/loomflow-amqp/src/consumer_pool/tests.rs
+++ b/crates/loomflow-amqp/src/consumer_pool/tests.rs
@@ -31,7 +31,7 @@
     fn unsettled_deliveries_stay_within_the_window(steps in steps()) {
         let mut pool = ConsumerPool::new(12);
         let (mut window, mut bound, mut now) = (0, 0, 0.0);
-        let mut commands: std::collections::VecDeque<(usize, ConsumerCommand)> = Default::default();
+        let mut commands: std::collections::VecDeque<(usize, ConsumerCommand)> = std::collections::VecDeque::new();
         let apply = |pool: &mut ConsumerPool, commands: &mut std::collections::VecDeque<(usize, ConsumerCommand)>, count: usize| {
             for (at, step) in commands.drain(..count.min(commands.len())) {
                 match step {
@@ -98,3 +98,30 @@
     assert!(pool.delivered(at) && pool.is_full() && pool.delivered(at));
     assert!(!pool.delivered(at));
 }
+
+#[test]
+fn a_closed_consumer_is_opened_again_after_a_backoff_that_grows_until_a_message_is_settled() {
+    let mut pool = ConsumerPool::new(1);
+    let mut now = 0.0;
+    let mut close = |pool: &mut ConsumerPool, backoff: Millis| {
+        pool.channel_closed(0, now);
+        assert_eq!(pool.resize(1, now + backoff - 1.0), []);
+        now += backoff;
+        assert_eq!(pool.resize(1, now), [(0, ConsumerCommand::OpenChannel)]);
+        pool.channel_opened(0);
+        assert_eq!(pool.resize(1, now), [(0, ConsumerCommand::Consume(1))]);
+        pool.consumer_started(0);
+    };
+    for backoff in [1.0, 2.0, 4.0, 8.0, 16.0, 32.0, 64.0].map(|factor| factor * MIN_BACKOFF_MS) {
+        close(&mut pool, backoff);
+    }
+    close(&mut pool, MAX_BACKOFF_MS);
+    close(&mut pool, MAX_BACKOFF_MS);
+    assert!(pool.delivered(0));
+    pool.settled(0);
+    close(&mut pool, MIN_BACKOFF_MS);
+    // A cancel of our own shows that the channel works, too.
+    assert_eq!(pool.resize(0, 1e9), [(0, ConsumerCommand::Cancel)]);
+    pool.consumer_cancelled(0);
+    assert_eq!(pool.consumers[0].backoff.delay(), MIN_BACKOFF_MS);
+}
--- a/crates/loomflow-amqp/src/content/tests.rs
+++ b/crates/loomflow-amqp/src/content/tests.rs
@@ -1,3 +1,5 @@
+use amq_protocol::protocol::basic::QosOk;
+
 use super::*;
 use proptest::prelude::*;
 
@@ -28,9 +30,9 @@
         for piece in pieces {
             let (got, fits) = match &piece {
                 Piece::Deliver => (assembler.method(AMQPMethod::Deliver(Deliver::default())).map(|_| None), !open),
-                Piece::Other => (assembler.method(AMQPMethod::QosOk(Default::default())).map(|_| None), !open),
+                Piece::Other => (assembler.method(AMQPMethod::QosOk(QosOk::default())).map(|_| None), !open),
                 Piece::Header(size) => {
-                    let header = AMQPContentHeader { class_id: 60, body_size: *size, properties: Default::default() };
+                    let header = AMQPContentHeader { class_id: 60, body_size: *size, properties: AMQPProperties::default() };
                     (assembler.header(header), open && left.is_none())
                 }
                 Piece::Body(size) => (assembler.body(&vec![0; *size]), open && left.is_some_and(|l| l >= *size as u64)),
--- a/crates/loomflow-amqp/src/idempotency/tests.rs
+++ b/crates/loomflow-amqp/src/idempotency/tests.rs
@@ -191,6 +191,50 @@
     assert!(records.is_empty() && records.reply_bytes() == 0 && records.replies.is_empty());
 }
 
+#[test]
+fn the_last_answered_callers_of_a_key_are_remembered() {
+    let mut records = records_without_history();
+    let a = key("a");
+    records.decide(1, Some(&a), message_info(true, false, 0), 0.0);
+    records.run_finished(&a, RunResult::Served(b"r"[..].into()), 0.0);
+    let callers = MAX_ANSWERED_CALLERS as u64 + 1;
+    for caller in (1..=callers).chain([callers]) {
+        records.caller_answered(&a, caller);
+    }
+    let mut is_answered = |caller| {
+        let decision = records.decide(2, Some(&a), message_info(true, true, caller), 1.0);
+        matches!(decision, DuplicateDecision::AnswerFromRecord { is_answered: true, .. })
+    };
+    assert!(!is_answered(1) && (2..=callers).all(is_answered));
+}
+
+#[test]
+fn beyond_the_capacity_it_is_remembered_what_has_run_and_nothing_else() {
+    let mut records = IdempotencyRecords::new(1_000.0, capacity(2, 64), Box::new(NoHistory));
+    let redelivered = message_info(true, true, 0);
+    for text in ["ran", "not started", "open"] {
+        assert!(!records.is_full());
+        records.decide(1, Some(&key(text)), message_info(true, false, 0), 0.0);
+        match text {
+            "ran" => drop(records.run_finished(&key(text), RunResult::Served(b"r"[..].into()), 0.0)),
+            "not started" => drop(records.not_started(&key(text), None, 0.0)),
+            _ => {}
+        }
+    }
+    records.decide(1, Some(&key("open too")), message_info(true, false, 0), 0.0);
+    assert!(records.is_full(), "as many are unfinished as may be remembered");
+    records.run_finished(&key("open too"), RunResult::Failed, 0.0);
+    assert!(!records.is_full());
+    let discarded = |result| DuplicateDecision::AnswerFromRecord { result, is_answered: false };
+    assert_eq!(records.decide(2, Some(&key("ran")), redelivered, 1.0), discarded(RunResult::ReplyDiscarded));
+    assert_eq!(
+        records.decide(2, Some(&key("not started")), redelivered, 1.0),
+        DuplicateDecision::MayHaveRun,
+        "it may have run elsewhere meanwhile"
+    );
+    assert_eq!(records.decide(2, Some(&key("open")), redelivered, 1.0), DuplicateDecision::AwaitOriginal);
+}
+
 proptest! {
     /// A key with an external effect never runs a second time within the retention time once it may have started.
     #[test]
--- a/crates/loomflow-amqp/src/message/tests.rs
+++ b/crates/loomflow-amqp/src/message/tests.rs
@@ -18,3 +18,26 @@
     assert_eq!(sent_at(&SentFrom::Timestamp, &property), Some(5_999.0));
     assert_eq!(sent_at(&from, &AMQPProperties::default()), None);
 }
+
+#[test]
+fn a_key_is_the_message_id_within_its_application_and_not_too_long() {
+    let classification = Classification { class: 1, tenant: 2, has_effect: true };
+    let key = |from: &KeyFrom, properties: &AMQPProperties| {
+        idempotency_key(from, classification, properties).map(|key| key.map(|key| key.text))
+    };
+    let properties = AMQPProperties::default().with_message_id("id".into());
+    assert_eq!(key(&KeyFrom::MessageId, &properties), Ok(Some("id".into())));
+    let of_app = properties.clone().with_app_id("app".into());
+    assert_eq!(key(&KeyFrom::MessageId, &of_app), Ok(Some("app/id".into())));
+    assert_eq!(key(&KeyFrom::MessageId, &AMQPProperties::default()), Ok(None));
+    assert_eq!(key(&KeyFrom::MessageId, &AMQPProperties::default().with_message_id("".into())), Ok(None));
+    let from = KeyFrom::Header("key".into());
+    let with_text = |len: usize| {
+        let mut headers = FieldTable::default();
+        headers.insert("key".into(), AMQPValue::LongString("k".repeat(len).into()));
+        properties.clone().with_headers(headers)
+    };
+    assert_eq!(key(&from, &with_text(MAX_KEY_BYTES)), Ok(Some("k".repeat(MAX_KEY_BYTES))));
+    assert_eq!(key(&from, &with_text(MAX_KEY_BYTES + 1)), Err(FailureReason::KEY_TOO_LONG));
+    assert_eq!(key(&from, &properties), Ok(None));
+}
--- a/crates/loomflow-amqp/src/publisher/tests.rs
+++ b/crates/loomflow-amqp/src/publisher/tests.rs
@@ -2,7 +2,12 @@
 use proptest::prelude::*;
 
 fn publish() -> Publish {
-    Publish { exchange: String::new(), routing_key: "q".into(), properties: Default::default(), body: vec![] }
+    Publish {
+        exchange: String::new(),
+        routing_key: "q".into(),
+        properties: AMQPProperties::default(),
+        body: vec![],
+    }
 }
 
 proptest! {
--- a/crates/loomflow-amqp/src/window/tests.rs
+++ b/crates/loomflow-amqp/src/window/tests.rs
@@ -133,3 +133,20 @@
         prop_assert!(parts.iter().sum::<usize>() as f64 >= least);
     }
 }
+
+#[test]
+fn times_are_smoothed_and_a_first_time_is_taken_as_it_is() {
+    let mut window = Window::default();
+    let sample = |broker_time, total_time| Observation {
+        broker_time: Some(broker_time),
+        ..served(2.0, total_time, false)
+    };
+    window.observe(sample(800.0, 10.0), 0.0);
+    assert_eq!((window.broker_time(), window.total_time, window.run_time), (100.0, 10.0, 8.0));
+    assert_eq!(window.queue_time, 2.0 * SMOOTHING);
+    window.observe(sample(800.0, 18.0), 0.0);
+    assert_eq!((window.total_time, window.run_time), (11.0, 9.0));
+    let before = window.clone();
+    window.observe(Observation { outcome: Outcome::Other, ..sample(0.0, 99.0) }, 0.0);
+    assert_eq!((window.total_time, window.size), (before.total_time, before.size));
+}
--- a/crates/loomflow-amqp/tests/model.rs
+++ b/crates/loomflow-amqp/tests/model.rs
@@ -9,7 +9,7 @@
 use loomflow_amqp::failure_reason::FailureReason;
 use loomflow_amqp::idempotency::NoHistory;
 use loomflow_amqp::*;
-use loomflow_standins::broker::state::State;
+use loomflow_standins::broker::state::{Faults, State};
 use loomflow_standins::broker::{Message, Settled, message};
 use proptest::prelude::*;
 
@@ -208,7 +208,7 @@
 
     /// Without further faults, the servers work until no message is left.
     fn run_to_completion(&mut self) {
-        self.broker.faults = Default::default();
+        self.broker.faults = Faults::default();
         // After a lost acknowledgement, the broker redelivers on a new connection.
         for at in 0..self.servers.len() {
             self.disconnect(at);
--- a/crates/loomflow-server/src/control_plane.rs
+++ b/crates/loomflow-server/src/control_plane.rs
@@ -16,9 +16,12 @@
 use crate::connection;
 use crate::log;
 
-/// A server is unlisted 3 s after its last report.
+#[cfg(test)]
+mod tests;
+
+/// Between two reports. A server is unlisted 3 s after its last one.
 const REPORT_INTERVAL: Duration = Duration::from_millis(800);
-/// After a report that failed.
+/// After a report that failed, and between any two.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 /// How long a report may take from its first byte to the last of its response. Together with the time that opening a
 /// connection may take it ends well before the next report is due, and a change of address waits no longer.
@@ -54,6 +57,21 @@
     addresses
 }
 
+/// How long to wait after a report that took so long, before the next.
+fn wait_after_report(has_failed: bool, took: Duration) -> Duration {
+    let interval = if has_failed { RETRY_INTERVAL } else { REPORT_INTERVAL };
+    interval.saturating_sub(took).max(RETRY_INTERVAL)
+}
+
+/// What a response says about the report; none where it is provisional and the final one follows (RFC 9110, 15.2).
+fn report_result(HttpStatus(status): HttpStatus) -> Option<Result<(), ReportError>> {
+    match status {
+        100..=199 => None,
+        200..=299 => Some(Ok(())),
+        _ => Some(Err(ReportError::Status(status))),
+    }
+}
+
 struct Connection {
     stream: TcpStream,
     statuses: HttpResponses,
@@ -75,8 +93,7 @@
             if let Some(address) = self.address {
                 self.report_to(address);
             }
-            let interval = if self.has_failed { RETRY_INTERVAL } else { REPORT_INTERVAL };
-            let wait = interval.saturating_sub(started_at.elapsed()).max(RETRY_INTERVAL);
+            let wait = wait_after_report(self.has_failed, started_at.elapsed());
             let update = address_updates.recv_timeout(connection::to_whole_millis(wait));
             connection::return_to_worker();
             match update {
@@ -123,10 +140,12 @@
     fn read_response(&mut self, deadline: Instant) -> Result<(), ReportError> {
         loop {
             match self.statuses.next().map_err(|Malformed(violation)| ReportError::Malformed(violation))? {
-                Some(HttpStatus(100..=199)) => {}
-                Some(HttpStatus(200..=299)) => return Ok(()),
-                Some(HttpStatus(other)) => return Err(ReportError::Status(other)),
                 None => self.read_more(deadline)?,
+                Some(status) => {
+                    if let Some(result) = report_result(status) {
+                        return result;
+                    }
+                }
             }
         }
     }
--- a/crates/loomflow-server/src/fleet/jobs.rs
+++ b/crates/loomflow-server/src/fleet/jobs.rs
@@ -21,7 +21,7 @@
 use crate::log;
 
 /// Whoever does a duty's work outside of this server asks at least so often; one that is silent for longer has ended, ms.
-const EXTERNAL_WORK_TIMEOUT: Millis = 2_000;
+const EXTERNAL_WORK_TIMEOUT_MILLIS: Millis = 2_000;
 
 /// Why the process of a run cannot be started.
 #[derive(Debug, thiserror::Error)]
@@ -93,7 +93,7 @@
             OwnershipChange::ReleaseRequested(duty, _) if self.owned.contains_key(&duty) => {}
             OwnershipChange::ReleaseRequested(duty, _) => {
                 let last_seen = self.external_work.get(&duty);
-                if last_seen.is_none_or(|at| now > at + EXTERNAL_WORK_TIMEOUT) {
+                if last_seen.is_none_or(|at| now > at + EXTERNAL_WORK_TIMEOUT_MILLIS) {
                     node.release(&duty, now);
                 }
             }
@@ -159,7 +159,7 @@
             self.advance(&duty, node, now, unix_time.as_secs());
         }
         self.former_children.retain_mut(|child| matches!(child.try_wait(), Ok(None)));
-        let is_silent = |at: Millis| now > at + EXTERNAL_WORK_TIMEOUT;
+        let is_silent = |at: Millis| now > at + EXTERNAL_WORK_TIMEOUT_MILLIS;
         let silent = self.external_work.iter().filter(|(_, at)| is_silent(**at));
         let silent: Vec<DutyName> = silent.map(|(duty, _)| duty.clone()).collect();
         for duty in silent {
--- a/crates/loomflow-server/src/fleet/links.rs
+++ b/crates/loomflow-server/src/fleet/links.rs
@@ -13,19 +13,22 @@
 
 use super::{FIRST_CONNECTION, LISTENER};
 
-/// Connections in each direction; those that were silent for longest go first.
+/// Connections in each direction; beyond it those that were silent for longest are closed first.
 const MAX_CONNECTIONS: usize = 1_024;
-/// A connection on which nothing is sent is closed after this, ms.
+/// A connection that we opened is closed after so long without a message, ms.
 const IDLE_TIMEOUT_MILLIS: Millis = 15_000;
-/// One that takes nothing for so long is broken, ms.
+/// One that others opened, ms: later than they close it themselves.
+const INCOMING_IDLE_TIMEOUT_MILLIS: Millis = 4 * IDLE_TIMEOUT_MILLIS;
+/// One that takes nothing of what is queued for so long is broken, ms.
 const STALL_TIMEOUT_MILLIS: Millis = 3_000;
 /// An address that could not be reached is tried again after this, ms.
 const RECONNECT_AFTER_MILLIS: Millis = 300;
 /// Messages that may be queued for one connection, and bytes beyond the first message.
 const MAX_QUEUED_MESSAGES: usize = 512;
 const MAX_QUEUED_BYTES: usize = 1024 * 1024;
-/// Bytes read from one connection before the others are served.
+/// Bytes read from one connection before the others are served, and at once.
 const MAX_READ_BYTES: usize = 64 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 struct IncomingLink {
     stream: TcpStream,
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Puts a message on its way, or drops it.
+    /// Queues a message and writes what the system takes, or drops the message.
     pub fn send(&mut self, to: SocketAddr, bytes: Vec<u8>, now: Millis, registry: &Registry) {
         let token = match self.token_by_address.get(&to) {
             Some(token) => *token,
@@ -146,9 +149,9 @@
         if link.queue.is_empty() {
             link.last_progress_at = now;
         }
-        let full =
+        let is_full =
             link.queue.len() >= MAX_QUEUED_MESSAGES || link.queued_bytes + bytes.len() > MAX_QUEUED_BYTES;
-        if full && !link.queue.is_empty() {
+        if is_full && !link.queue.is_empty() {
             return;
         }
         link.queued_bytes += bytes.len();
@@ -199,18 +202,20 @@
 
     /// Closes what is silent or takes nothing.
     pub fn sweep(&mut self, now: Millis) {
-        self.incoming.retain(|_, link| now < link.last_read_at + 4 * IDLE_TIMEOUT_MILLIS);
+        self.incoming.retain(|_, link| now < link.last_read_at + INCOMING_IDLE_TIMEOUT_MILLIS);
         let is_over = |link: &OutgoingLink| {
-            let patience = if link.queue.is_empty() { IDLE_TIMEOUT_MILLIS } else { STALL_TIMEOUT_MILLIS };
-            now >= link.last_progress_at + patience
+            let timeout = if link.queue.is_empty() { IDLE_TIMEOUT_MILLIS } else { STALL_TIMEOUT_MILLIS };
+            now >= link.last_progress_at + timeout
         };
-        let gone: Vec<Token> =
+        let closed: Vec<Token> =
             self.outgoing.iter().filter(|(_, link)| is_over(link)).map(|(t, _)| *t).collect();
-        gone.into_iter().for_each(|token| self.close(token));
+        for token in closed {
+            self.close(token);
+        }
         self.unreachable_until.retain(|_, until| now < *until);
     }
 
-    /// Gives what waits a last chance to be written.
+    /// Writes what the system takes of all that is queued.
     pub fn flush(&mut self) {
         for link in self.outgoing.values_mut() {
             let _ = write(link, 0);
@@ -231,7 +236,7 @@
     now: Millis,
     handle_message: &mut dyn FnMut(&[u8]) -> Result<(), FrameError>,
 ) -> Result<ReadResult, FrameError> {
-    let mut bytes = [0; 16 * 1024];
+    let mut bytes = [0; READ_BUFFER_BYTES];
     let mut taken = 0;
     while taken < MAX_READ_BYTES {
         match link.stream.read(&mut bytes) {
--- a/crates/loomflow-settings/src/config/tests.rs
+++ b/crates/loomflow-settings/src/config/tests.rs
@@ -74,3 +74,16 @@
     assert_eq!((now.name, now.stop_ms, now.engine), ("n".to_owned(), 3000.0, engine));
     assert!(now.site.tenants.is_empty() && now.document == document);
 }
+
+#[test]
+fn a_file_over_the_limit_is_not_read() {
+    let path = std::env::temp_dir().join(format!("loomflow-config-{}", std::process::id()));
+    let load = |len: u64| {
+        std::fs::write(&path, " ".repeat(len as usize)).unwrap();
+        Config::load(&path).expect_err("it is blank").to_string()
+    };
+    let (at_the_limit, beyond) = (load(MAX_BYTES), load(MAX_BYTES + 1));
+    let _ = std::fs::remove_file(&path);
+    assert!(at_the_limit.contains("not JSON"), "{at_the_limit}");
+    assert!(beyond.contains("longer than 4 MiB"), "{beyond}");
+}
