--- a/crates/loomflow-amqp/src/connection.rs
+++ b/crates/loomflow-amqp/src/connection.rs
@@ -455,4 +455,4 @@
 }
 
 #[cfg(test)]
-mod tests;
+pub(crate) mod tests;
--- a/crates/loomflow-amqp/src/connection/tests.rs
+++ b/crates/loomflow-amqp/src/connection/tests.rs
@@ -37,7 +37,7 @@
 }
 
 /// A connection whose handshake is complete at time 0, with these limits of the broker.
-fn ready(channel_max: u16, frame_max: u32, heartbeat: u16) -> Connection {
+pub(crate) fn ready(channel_max: u16, frame_max: u32, heartbeat: u16) -> Connection {
     let mut connection = connection();
     let open_ok = control(connection::AMQPMethod::OpenOk(connection::OpenOk {}));
     for frame in [start(9, "PLAIN"), tune(channel_max, frame_max, heartbeat)] {
--- a/crates/loomflow-amqp/src/consumer/mod.rs
+++ b/crates/loomflow-amqp/src/consumer/mod.rs
@@ -9,6 +9,8 @@
 mod flow_control;
 mod inbound;
 mod outbound;
+#[cfg(test)]
+mod tests;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- /dev/null
+++ b/crates/loomflow-amqp/src/consumer/tests.rs
@@ -0,0 +1,99 @@
+use amq_protocol::protocol::{AMQPClass, channel};
+use loomflow_protocol::Decoder;
+
+use super::*;
+use crate::connection::tests::ready;
+use crate::frames::Frames;
+use crate::idempotency::{Capacity, MessageInfo, NoHistory};
+use crate::settings::{Class, KeyFrom, NameFrom, Password, Queue};
+
+fn settings() -> Settings {
+    Settings {
+        brokers: vec![([127, 0, 0, 1], 1).into()],
+        vhost: "/".into(),
+        user: "guest".into(),
+        password: Password("guest".into()),
+        heartbeat: 0,
+        max_body_bytes: 100,
+        retention: 1e9,
+        capacity: Capacity { records: 1, reply_bytes: 100, retired_keys: 10 },
+        max_in_flight: 4,
+        max_unconfirmed: 4,
+        max_retries: 1,
+        dead_letter: None,
+        results: None,
+        queues: vec![Queue {
+            name: "jobs".into(),
+            class: NameFrom::Fixed("archive".into()),
+            tenant: None,
+            key: KeyFrom::MessageId,
+            sent_from: None,
+            estimated_work: None,
+            memory_kb: 1.0,
+            rank: 0.0,
+            priority_weight: 1.0,
+        }],
+        classes: vec![Class { name: "archive".into(), has_effect: true, timeout: 1_000.0 }],
+        tenants: Vec::new(),
+    }
+}
+
+/// A consumer that is connected, accepts messages and may publish.
+fn consumer() -> Consumer {
+    let mut consumer = Consumer::new(settings(), Box::new(NoHistory), 7);
+    consumer.start_accepting();
+    consumer.connection = Some(ready(0, 0, 0));
+    consumer.publisher.channel_opened();
+    consumer
+}
+
+/// The frames that a consumer writes.
+fn written(consumer: &mut Consumer) -> Vec<AMQPFrame> {
+    let mut frames = Frames::default();
+    assert!(frames.buffer().feed(&consumer.take_output(0.0)));
+    let raw = frames.next().expect("frames");
+    raw.iter().flat_map(|raw| raw.iter()).map(|frame| frame.expect("a frame")).collect()
+}
+
+/// Channels that a consumer opens to consume.
+fn opened_channels(consumer: &mut Consumer) -> usize {
+    consumer.flush(0.0);
+    let is_open = |frame: &AMQPFrame| {
+        matches!(frame, AMQPFrame::Method(_, AMQPClass::Channel(channel::AMQPMethod::Open(_))))
+    };
+    written(consumer).iter().filter(|frame| is_open(frame)).count()
+}
+
+#[test]
+fn nothing_is_consumed_that_could_not_be_recorded_answered_or_finished() {
+    assert!(opened_channels(&mut consumer()) > 0);
+    let hindrances: [fn(&mut Consumer); 5] = [
+        |consumer| consumer.is_accepting = false,
+        |consumer| consumer.drain_deadline = Some(1e9),
+        |consumer| consumer.publisher.set_blocked(true),
+        |consumer| drop(consumer.publisher.channel_closed()),
+        |consumer| {
+            let key = IdempotencyKey { class: 0, tenant: 0, text: "a".into() };
+            consumer.records.decide(1, Some(&key), MessageInfo::default(), 0.0);
+        },
+    ];
+    for (number, hinder) in hindrances.into_iter().enumerate() {
+        let mut consumer = consumer();
+        hinder(&mut consumer);
+        assert_eq!(opened_channels(&mut consumer), 0, "{number}");
+    }
+}
+
+#[test]
+fn a_closed_publishing_channel_is_opened_again_after_a_backoff() {
+    let mut consumer = consumer();
+    let closed = ConnectionEvent::ChannelClosed(PUBLISH_CHANNEL, "why".into());
+    assert_eq!(consumer.handle_event(closed, 0.0), Ok(()));
+    consumer.flush(REOPEN_BACKOFF_MS - 1.0);
+    assert_eq!(written(&mut consumer), []);
+    consumer.flush(REOPEN_BACKOFF_MS);
+    let open = AMQPClass::Channel(channel::AMQPMethod::Open(channel::Open {}));
+    assert_eq!(written(&mut consumer), [AMQPFrame::Method(PUBLISH_CHANNEL, open)]);
+    consumer.flush(2.0 * REOPEN_BACKOFF_MS);
+    assert_eq!(written(&mut consumer), [], "once");
+}
--- a/crates/loomflow-amqp/src/idempotency/tests.rs
+++ b/crates/loomflow-amqp/src/idempotency/tests.rs
@@ -216,7 +216,10 @@
         assert!(!records.is_full());
         records.decide(1, Some(&key(text)), message_info(true, false, 0), 0.0);
         match text {
-            "ran" => drop(records.run_finished(&key(text), RunResult::Served(b"r"[..].into()), 0.0)),
+            "ran" => {
+                records.run_finished(&key(text), RunResult::Served(b"r"[..].into()), 0.0);
+                records.caller_answered(&key(text), 0);
+            }
             "not started" => drop(records.not_started(&key(text), None, 0.0)),
             _ => {}
         }
@@ -225,8 +228,11 @@
     assert!(records.is_full(), "as many are unfinished as may be remembered");
     records.run_finished(&key("open too"), RunResult::Failed, 0.0);
     assert!(!records.is_full());
-    let discarded = |result| DuplicateDecision::AnswerFromRecord { result, is_answered: false };
-    assert_eq!(records.decide(2, Some(&key("ran")), redelivered, 1.0), discarded(RunResult::ReplyDiscarded));
+    let discarded =
+        |is_answered| DuplicateDecision::AnswerFromRecord { result: RunResult::ReplyDiscarded, is_answered };
+    assert_eq!(records.decide(2, Some(&key("ran")), redelivered, 1.0), discarded(true));
+    let new = message_info(true, false, 0);
+    assert_eq!(records.decide(2, Some(&key("ran")), new, 1.0), discarded(false), "a new message asks again");
     assert_eq!(
         records.decide(2, Some(&key("not started")), redelivered, 1.0),
         DuplicateDecision::MayHaveRun,
--- a/crates/loomflow-amqp/src/retired_keys.rs
+++ b/crates/loomflow-amqp/src/retired_keys.rs
@@ -53,10 +53,7 @@
         let generation = self.current_generation(now);
         let is_new = generation.answered.insert(hash, is_answered).is_none();
         self.count += usize::from(is_new);
-        while self.count > self.max_keys && self.generations.len() > 1 {
-            self.drop_oldest();
-        }
-        // A single generation that is too large goes as a whole.
+        // Each insertion adds one key at most, so that one generation is enough.
         if self.count > self.max_keys {
             self.drop_oldest();
         }
--- a/crates/loomflow-amqp/src/retired_keys/tests.rs
+++ b/crates/loomflow-amqp/src/retired_keys/tests.rs
@@ -16,3 +16,15 @@
         assert!(retired.len() <= 100);
     }
 }
+
+#[test]
+fn beyond_the_bound_the_oldest_generation_is_dropped_and_the_others_stay() {
+    let mut retired = RetiredKeys::new(800.0, 100);
+    for number in 0..110_u32 {
+        let generation = number / 30;
+        retired.insert(&number, true, f64::from(generation) * 100.0);
+    }
+    assert!((0..30).all(|number| retired.get(&number).is_none()));
+    assert!((30..110).all(|number| retired.get(&number) == Some(true)));
+    assert_eq!(retired.len(), 80);
+}
