--- a/crates/loomflow-amqp/src/content/tests.rs
+++ b/crates/loomflow-amqp/src/content/tests.rs
@@ -54,3 +54,17 @@
         }
     }
 }
+
+#[test]
+fn a_body_over_the_limit_is_read_and_discarded() {
+    let assembled = |size: usize| {
+        let mut assembler = Assembler::new(25);
+        assembler.method(AMQPMethod::Deliver(Deliver::default())).unwrap();
+        let properties = AMQPProperties::default();
+        let header = AMQPContentHeader { class_id: BASIC_CLASS_ID, body_size: size as u64, properties };
+        assert_eq!(assembler.header(header), Ok(None));
+        let content = assembler.body(&vec![0; size]).unwrap().expect("a complete message");
+        (content.is_too_large, content.body.len())
+    };
+    assert_eq!((assembled(25), assembled(26)), ((false, 25), (true, 0)));
+}
--- a/crates/loomflow-amqp/src/publisher/tests.rs
+++ b/crates/loomflow-amqp/src/publisher/tests.rs
@@ -62,3 +62,17 @@
     publisher.returned(1);
     assert_eq!(publisher.confirmed(1, false, true, 0.0), [(1, PublishResult::Unroutable)]);
 }
+
+#[test]
+fn a_multiple_confirm_covers_all_up_to_its_number_and_zero_covers_all() {
+    let confirmed = |number| {
+        let mut publisher = Publisher::new(4);
+        publisher.channel_opened();
+        for id in 1..=3 {
+            publisher.enqueue(id, publish());
+            publisher.write_next(0.0);
+        }
+        publisher.confirmed(number, true, true, 0.0).into_iter().map(|(id, _)| id).collect::<Vec<_>>()
+    };
+    assert_eq!((confirmed(2), confirmed(0)), (vec![1, 2], vec![1, 2, 3]));
+}
--- a/crates/loomflow-settings/src/duties/tests.rs
+++ b/crates/loomflow-settings/src/duties/tests.rs
@@ -33,6 +33,7 @@
 fn errors_and_faults_name_the_key() {
     let parsed = [
         (with("longest: 30m", "longest: soon"), "longest"),
+        (with("longest: 30m", "longest: 999ms"), "from a second on"),
         (with("missed: once", "missed: twice"), "skip, once"),
         (with("programs: true", "lease_s: 0"), "lease_s"),
         (with("programs:", "program:"), "program"),
