--- a/crates/loomflow-amqp/src/connection.rs
+++ b/crates/loomflow-amqp/src/connection.rs
@@ -57,7 +57,7 @@
     Content(Channel, Box<Content>),
     /// Publishes on a channel are confirmed from now on.
     ConfirmsEnabled(Channel),
-    /// The broker asks that content on a channel start (true) or stop (specification 1.5.2.3).
+    /// The broker requests that content on a channel start (true) or stop (specification 1.5.2.3).
     Flow(Channel, bool),
     /// The broker blocks (true) or unblocks publishing on this connection (extension).
     Blocked(bool),
@@ -112,7 +112,7 @@
 }
 
 impl Connection {
-    /// Starts the handshake on a newly opened transport. Message bodies are kept up to `max_body_bytes`.
+    /// Starts the handshake on a newly opened transport. Longer bodies than `max_body_bytes` are discarded.
     pub fn open(login: Login, max_body_bytes: usize, now: Millis) -> Connection {
         let mut connection = Connection {
             login,
@@ -168,7 +168,7 @@
 
     // ---- Sending ----
 
-    /// Asks the broker to open a channel.
+    /// Requests a channel.
     pub fn open_channel(&mut self, number: Channel) {
         self.channels.insert(number, ChannelState::Opening);
         self.send_method(number, AMQPClass::Channel(channel::AMQPMethod::Open(channel::Open {})));
@@ -179,14 +179,14 @@
         self.send_method(number, AMQPClass::Basic(method));
     }
 
-    /// Asks for publisher confirms on a channel (extension).
+    /// Requests publisher confirms on a channel (extension).
     pub fn enable_confirms(&mut self, number: Channel) {
         let select = confirm::AMQPMethod::Select(confirm::Select { nowait: false });
         self.send_method(number, AMQPClass::Confirm(select));
     }
 
     /// Publishes a message as method, header and body frames within the negotiated frame size. A header frame cannot be
-    /// split: if it would be too long, only the headers that this program sets are kept.
+    /// split: if it would be too long, only the headers that this program sets are sent.
     pub fn publish(
         &mut self,
         number: Channel,
@@ -211,7 +211,7 @@
         self.send_frame(&AMQPFrame::Header(number, header));
     }
 
-    /// Closes in order: nothing more is accepted, and the connection ends once the broker confirms.
+    /// Closes in order: nothing more is accepted, and the connection is closed once the broker confirms.
     pub fn close(&mut self) {
         if self.state != ConnectionState::Ready {
             self.state = ConnectionState::Closed;
--- a/crates/loomflow-amqp/src/consumer/delivery.rs
+++ b/crates/loomflow-amqp/src/consumer/delivery.rs
@@ -21,7 +21,7 @@
     pub(super) redelivered: bool,
     pub(super) classification: Option<Classification>,
     pub(super) key: Option<IdempotencyKey>,
-    /// When it was sent, where it tells.
+    /// When it was sent, if that is known.
     pub(super) sent_at: Option<Millis>,
     pub(super) received_at: Millis,
     /// When its run may have started.
--- a/crates/loomflow-amqp/src/consumer/flow_control.rs
+++ b/crates/loomflow-amqp/src/consumer/flow_control.rs
@@ -48,7 +48,7 @@
             connection.open_channel(PUBLISH_CHANNEL);
         }
         // Before the backpressure is checked: what is written here causes none, and consumers that were cancelled for it
-        // would leave the engine idle until the next round.
+        // would idle the engine until the next round.
         self.write_publishes(now);
         self.resize_pools(now);
         self.close_if_drained();
--- a/crates/loomflow-amqp/src/consumer/inbound.rs
+++ b/crates/loomflow-amqp/src/consumer/inbound.rs
@@ -1,4 +1,4 @@
-//! Messages in: what a consumer delivers is decided upon and submitted; what goes with its channel is abandoned.
+//! Messages in: what a consumer delivers is decided upon and submitted; what is lost with its channel is abandoned.
 
 use amq_protocol::protocol::basic::AMQPProperties;
 use loomflow_protocol::Malformed;
@@ -29,7 +29,7 @@
         }
     }
 
-    /// A delivery cannot be settled any more; the broker will deliver its message again. A run goes on, for the redelivery;
+    /// A delivery cannot be settled any more; the broker will deliver its message again. A run continues, for the redelivery;
     /// what has not been started is dropped. Returns the deliveries that waited for it.
     pub(super) fn abandon(&mut self, id: DeliveryId, now: Millis) -> Vec<DeliveryId> {
         let Some(delivery) = self.deliveries.remove(&id) else { return Vec::new() };
@@ -132,7 +132,7 @@
         Ok((classification, key))
     }
 
-    /// Decides about a delivery: submits it, lets it wait for its original, or ends it.
+    /// Decides about a delivery: submits it, lets it wait for its original, or finishes it.
     pub(super) fn process(&mut self, id: DeliveryId, now: Millis) {
         let Some(delivery) = self.deliveries.get(&id) else { return };
         let (classification, key) = match self.classify(delivery) {
--- a/crates/loomflow-amqp/src/consumer/mod.rs
+++ b/crates/loomflow-amqp/src/consumer/mod.rs
@@ -52,11 +52,11 @@
     pub body: Vec<u8>,
     /// The broker delivered it before.
     pub redelivered: bool,
-    /// How long ago it was sent; 0 where it does not tell.
+    /// How long ago it was sent, ms; 0 if that is unknown.
     pub upstream_time: Millis,
 }
 
-/// What the consumer asks of its front.
+/// A request of the consumer to its front.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConsumerRequest {
     /// To run a message.
@@ -90,7 +90,7 @@
 enum PublishPurpose {
     Reply(DeliveryId),
     Republish(DeliveryId, Republish),
-    /// The reply to a delivery that is gone meanwhile: once it is confirmed, this caller of the key is answered.
+    /// The reply to a delivery that was abandoned meanwhile: once it is confirmed, this caller of the key is answered.
     LateReply(IdempotencyKey, u64),
 }
 
@@ -137,7 +137,7 @@
     reopen_at: Option<Millis>,
     records: IdempotencyRecords,
     deliveries: BTreeMap<DeliveryId, Delivery>,
-    /// Runs that go on although their delivery is gone, for the redelivery that will come.
+    /// Runs that continue although their delivery was abandoned, for its redelivery.
     orphaned_runs: BTreeMap<DeliveryId, Option<IdempotencyKey>>,
     /// When settlements have something to do, in microseconds.
     deadlines: BTreeSet<(i64, DeliveryId)>,
@@ -166,7 +166,7 @@
 }
 
 impl Consumer {
-    /// A consumer without a connection. `store`: what is known of keys from beyond this process.
+    /// A consumer without a connection. `store`: what is known of keys from before this process, or elsewhere.
     pub fn new(settings: Settings, store: Box<dyn IdempotencyStore + Send>, seed: u64) -> Consumer {
         Consumer {
             connection: None,
@@ -180,7 +180,7 @@
             deadlines: BTreeSet::new(),
             pending_publishes: BTreeMap::new(),
             last_delivery: 0,
-            // Publishes are told apart among those of all servers.
+            // Ids of publishes must differ among all servers.
             last_publish: fastrand::Rng::with_seed(seed).u64(..) >> 8,
             clock_epoch: 0.0,
             is_accepting: false,
@@ -239,7 +239,7 @@
         self.connection.as_mut().map(|connection| connection.take_output(now)).unwrap_or_default()
     }
 
-    /// What is asked of the front since the last time.
+    /// The requests to the front since the last call.
     pub fn take_requests(&mut self) -> Vec<ConsumerRequest> {
         std::mem::take(&mut self.requests)
     }
@@ -455,7 +455,7 @@
         self.queues.iter().map(|queue| queue.window.target(1.0))
     }
 
-    /// How long each queue's recent messages were at the broker, by what they tell.
+    /// How long each queue's recent messages were at the broker, by their sending times.
     pub fn broker_times(&self) -> impl Iterator<Item = Millis> + '_ {
         self.queues.iter().map(|queue| queue.window.broker_time())
     }
--- a/crates/loomflow-amqp/src/consumer/outbound.rs
+++ b/crates/loomflow-amqp/src/consumer/outbound.rs
@@ -236,7 +236,7 @@
         self.publish_finished(id, now);
     }
 
-    /// Records that the caller has its final reply, and goes on with the settlement.
+    /// Records that the caller has its final reply, and continues the settlement.
     fn publish_finished(&mut self, id: DeliveryId, now: Millis) {
         let Some(delivery) = self.deliveries.get(&id) else { return };
         let is_answered =
--- a/crates/loomflow-amqp/src/consumer/tests.rs
+++ b/crates/loomflow-amqp/src/consumer/tests.rs
@@ -3,44 +3,16 @@
 
 use super::*;
 use crate::connection::tests::ready;
-use crate::frames::Frames;
+use crate::frames::{Frames, RawFrames};
 use crate::idempotency::{Capacity, MessageInfo, NoHistory};
-use crate::settings::{Class, KeyFrom, NameFrom, Password, Queue};
+use crate::settings::{Class, KeyFrom, NameFrom, Password, Queue, Target};
 
-fn settings() -> Settings {
-    Settings {
-        brokers: vec![([127, 0, 0, 1], 1).into()],
-        vhost: "/".into(),
-        user: "guest".into(),
-        password: Password("guest".into()),
-        heartbeat: 0,
-        max_body_bytes: 100,
-        retention: 1e9,
-        capacity: Capacity { records: 1, reply_bytes: 100, retired_keys: 10 },
-        max_in_flight: 4,
-        max_unconfirmed: 4,
-        max_retries: 1,
-        dead_letter: None,
-        results: None,
-        queues: vec![Queue {
-            name: "jobs".into(),
-            class: NameFrom::Fixed("archive".into()),
-            tenant: None,
-            key: KeyFrom::MessageId,
-            sent_from: None,
-            estimated_work: None,
-            memory_kb: 1.0,
-            rank: 0.0,
-            priority_weight: 1.0,
-        }],
-        classes: vec![Class { name: "archive".into(), has_effect: true, timeout: 1_000.0 }],
-        tenants: Vec::new(),
-    }
-}
+#[path = "../../tests/common/settings.rs"]
+mod fixture;
 
 /// A consumer that is connected, accepts messages and may publish.
 fn consumer() -> Consumer {
-    let mut consumer = Consumer::new(settings(), Box::new(NoHistory), 7);
+    let mut consumer = Consumer::new(fixture::settings(true), Box::new(NoHistory), 7);
     consumer.start_accepting();
     consumer.connection = Some(ready(0, 0, 0));
     consumer.publisher.channel_opened();
@@ -52,7 +24,7 @@
     let mut frames = Frames::default();
     assert!(frames.buffer().feed(&consumer.take_output(0.0)));
     let raw = frames.next().expect("frames");
-    raw.iter().flat_map(|raw| raw.iter()).map(|frame| frame.expect("a frame")).collect()
+    raw.iter().flat_map(RawFrames::iter).map(|frame| frame.expect("a frame")).collect()
 }
 
 /// Channels that a consumer opens to consume.
@@ -73,8 +45,10 @@
         |consumer| consumer.publisher.set_blocked(true),
         |consumer| drop(consumer.publisher.channel_closed()),
         |consumer| {
-            let key = IdempotencyKey { class: 0, tenant: 0, text: "a".into() };
-            consumer.records.decide(1, Some(&key), MessageInfo::default(), 0.0);
+            for number in 0..consumer.settings.capacity.records as u64 {
+                let key = IdempotencyKey { class: 0, tenant: 0, text: number.to_string() };
+                consumer.records.decide(number, Some(&key), MessageInfo::default(), 0.0);
+            }
         },
     ];
     for (number, hinder) in hindrances.into_iter().enumerate() {
--- a/crates/loomflow-amqp/src/consumer_pool.rs
+++ b/crates/loomflow-amqp/src/consumer_pool.rs
@@ -1,6 +1,6 @@
 //! The consumers of one queue, with fixed prefetch counts, each on a channel of its own.
 //!
-//! `basic.qos` does not reach a consumer that runs (spec: "prefetch-window", applied by brokers to consumers that start
+//! `basic.qos` does not reach a consumer that runs (specification 1.8.3.1; brokers apply it to consumers that start
 //! later), so the window of a queue is changed by starting and cancelling consumers. On a channel of its own a prefetch
 //! count holds for brokers that count by channel and for those that count by consumer. A consumer is started again only
 //! once everything it had is settled, so that the messages in flight never exceed the greater of the window and what was
@@ -191,7 +191,7 @@
         self.transition(index, ConsumerState::Starting, ConsumerState::Consuming);
     }
 
-    /// The broker has cancelled it, as it was asked to.
+    /// The broker has confirmed that it is cancelled.
     pub fn consumer_cancelled(&mut self, index: usize) {
         if self.transition(index, ConsumerState::Cancelling, ConsumerState::Idle) {
             self.consumers[index].backoff.reset();
@@ -203,7 +203,7 @@
         consumer.map(|consumer| consumer.state = to).is_some()
     }
 
-    /// The broker has cancelled it: its queue is deleted or moved.
+    /// The broker has cancelled it: its queue was deleted or migrated.
     pub fn cancelled_by_broker(&mut self, index: usize, now: Millis) {
         if let Some(consumer) = self.consumers.get_mut(index) {
             consumer.state = ConsumerState::Idle;
--- a/crates/loomflow-amqp/src/content.rs
+++ b/crates/loomflow-amqp/src/content.rs
@@ -1,4 +1,4 @@
-//! Messages: a method that carries content, a header and as many bodies as it states (spec 4.2.6), assembled on one
+//! Messages: a method that carries content, a header and as many bodies as it states (specification 4.2.6), assembled on one
 //! channel.
 
 use amq_protocol::frame::AMQPContentHeader;
@@ -53,7 +53,7 @@
         Assembler { max_body_bytes, partial: None }
     }
 
-    /// Whether frames of a message are still to come, so that no method may (spec 4.2.6).
+    /// Whether frames of a message are still to come, so that no method may (specification 4.2.6).
     pub fn is_open(&self) -> bool {
         self.partial.is_some()
     }
--- a/crates/loomflow-amqp/src/idempotency.rs
+++ b/crates/loomflow-amqp/src/idempotency.rs
@@ -1,12 +1,11 @@
-//! What makes two messages the same, and what a duplicate is answered with: the decision that keeps work with an effect from
-//! running twice.
+//! Idempotency records: which messages are duplicates, and what they are answered with, so that work with an effect never
+//! runs twice.
 //!
 //! A broker marks a message as redelivered that it gave to a consumer before. That is a hint: it may have been this one, in
 //! this connection or an earlier one, or another process, and the message may never have been run. What this process
 //! knows of the key counts first; where it knows nothing, work with an effect that may have run is not run.
 //!
-//! The cache of the server's own requests (`loomflow-server`, `idempotency`) goes by the time of arrival; here that says
-//! nothing, since a broker redelivers at any time, and a key is retained for a fixed time after its last change.
+//! The cache of the server's own requests (`loomflow-server`, `idempotency`) decides by the time of arrival; here that is no evidence, since a broker redelivers at any time, and a key is retained for a fixed time after its last change.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -22,7 +21,7 @@
 
 /// Names a delivery for as long as the process lives.
 pub type DeliveryId = u64;
-/// Tells messages with one key apart that were republished from here; the sender's own has none.
+/// Identifies a copy that was republished from here; the sender's own message has none.
 pub type CopyId = u64;
 
 /// How the run of a key ended.
@@ -55,7 +54,7 @@
     },
 }
 
-/// What a message tells beside its key.
+/// What is known of a message beside its key.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MessageInfo {
     /// It must not run twice.
@@ -64,9 +63,9 @@
     pub redelivered: bool,
     /// Which copy it is, where it was republished from here.
     pub copy: Option<CopyId>,
-    /// Tells its caller from others with the same key.
+    /// Identifies its caller among those with the same key.
     pub caller_digest: u64,
-    /// Tells its body from others ([`IdempotencyRecords::digest`]).
+    /// Digest of its body ([`IdempotencyRecords::digest`]).
     pub body_digest: u64,
 }
 
@@ -88,7 +87,7 @@
     Superseded,
     /// It may have run elsewhere.
     MayHaveRun,
-    /// Its key belongs to another message, with another body: it is neither run nor given that one's result.
+    /// Its key belongs to another message, with another body: it is neither run nor answered with that one's result.
     BodyMismatch,
 }
 
@@ -139,7 +138,7 @@
 /// Callers of one key that are remembered as answered.
 const MAX_ANSWERED_CALLERS: usize = 4;
 
-/// The keys of recent messages. Beyond the capacity the oldest that are finished are retired to a hash; where only
+/// The keys of recent messages. At the capacity the oldest that are finished are retired to a hash; where only
 /// unfinished ones are left, no more messages are to be consumed ([`IdempotencyRecords::is_full`]).
 pub struct IdempotencyRecords {
     store: Box<dyn IdempotencyStore + Send>,
@@ -164,7 +163,7 @@
     }
 }
 
-/// What the records say about a message.
+/// What the records decide about a message.
 enum Lookup {
     /// They decide.
     Decided(DuplicateDecision),
@@ -192,7 +191,7 @@
         }
     }
 
-    /// Tells this body from others.
+    /// The digest of a body.
     pub fn digest(&self, body: &[u8]) -> u64 {
         self.body_hasher.digest(body)
     }
--- a/crates/loomflow-amqp/src/message.rs
+++ b/crates/loomflow-amqp/src/message.rs
@@ -31,7 +31,7 @@
 /// copies were routed the first time.
 const CARBON_COPY_HEADERS: [&str; 2] = ["CC", "BCC"];
 const PERSISTENT: u8 = 2;
-/// Longest idempotency key that is accepted, bytes.
+/// Maximum length of an idempotency key, bytes.
 const MAX_KEY_BYTES: usize = 512;
 
 fn header<'a>(properties: &'a AMQPProperties, name: &str) -> Option<&'a AMQPValue> {
@@ -148,7 +148,7 @@
     header_ms.map(|ms| ms as Millis).or_else(end_of_second)
 }
 
-/// Tells the callers of messages with the same key apart: a digest of the reply address and the correlation id.
+/// Identifies the caller among those with the same key: a digest of the reply address and the correlation id.
 pub fn caller_digest(properties: &AMQPProperties) -> u64 {
     let mut hasher = DefaultHasher::new();
     (properties.reply_to(), properties.correlation_id()).hash(&mut hasher);
@@ -230,7 +230,7 @@
         (Republish::DeadLetter(reason), dead_letter) => {
             headers.insert(REASON_HEADER.into(), AMQPValue::LongString(reason.as_str().into()));
             headers.insert(QUEUE_HEADER.into(), AMQPValue::LongString(queue.into()));
-            // Dead letters are kept for inspection, whatever delivery mode the sender chose.
+            // Dead letters must survive a restart of the broker, whatever delivery mode the sender chose.
             properties = properties.with_delivery_mode(PERSISTENT);
             dead_letter.as_ref().map_or_else(Default::default, |destination| {
                 (destination.exchange.clone(), destination.routing_key.clone())
@@ -240,7 +240,7 @@
     Publish { exchange, routing_key, properties: properties.with_headers(headers), body: body.to_vec() }
 }
 
-/// The properties of a message without its user id, which moves to a header: a broker rejects a user id other than that
+/// The properties of a message without its user id, which is sent in a header instead: a broker rejects a user id other than that
 /// of the connection (extension).
 fn without_user_id(original: &AMQPProperties, headers: &mut FieldTable) -> AMQPProperties {
     let Some(user) = original.user_id() else { return original.clone() };
--- a/crates/loomflow-amqp/src/publisher.rs
+++ b/crates/loomflow-amqp/src/publisher.rs
@@ -1,5 +1,5 @@
 //! What is published: on one channel, with confirms (extension), and mandatory, so that what cannot be routed comes back
-//! (spec 1.8.3.7). Nothing counts as published before the broker has confirmed it.
+//! (specification 1.8.3.7). Nothing counts as published before the broker has confirmed it.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -38,7 +38,7 @@
     Unroutable,
     /// The broker could not take it.
     Nacked,
-    /// The channel was closed before the broker said either.
+    /// The channel was closed before the broker confirmed or rejected it.
     Unknown,
 }
 
@@ -152,7 +152,7 @@
     ) -> Vec<(PublishId, PublishResult)> {
         self.last_confirm_at = now;
         let ids: Vec<PublishId> = if is_multiple {
-            // 0 stands for all (spec 1.8.3.13).
+            // 0 is all (specification 1.8.3.13).
             let later = if number == 0 { BTreeMap::new() } else { self.unconfirmed.split_off(&(number + 1)) };
             std::mem::replace(&mut self.unconfirmed, later).into_values().collect()
         } else {
--- a/crates/loomflow-amqp/src/retired_keys.rs
+++ b/crates/loomflow-amqp/src/retired_keys.rs
@@ -53,7 +53,7 @@
         let generation = self.current_generation(now);
         let is_new = generation.answered.insert(hash, is_answered).is_none();
         self.count += usize::from(is_new);
-        // Each insertion adds one key at most, so that one generation is enough.
+        // Each insertion adds one key at most, so that dropping one generation makes room.
         if self.count > self.max_keys {
             self.drop_oldest();
         }
--- a/crates/loomflow-amqp/src/settings.rs
+++ b/crates/loomflow-amqp/src/settings.rs
@@ -26,7 +26,7 @@
     pub capacity: Capacity,
     /// Messages in flight at the same time, over all queues.
     pub max_in_flight: usize,
-    /// Publishes that the broker may leave unconfirmed before no more is consumed.
+    /// Unconfirmed publishes from which on no more is consumed.
     pub max_unconfirmed: usize,
     /// How often a message is requeued after a rejection.
     pub max_retries: u32,
@@ -38,7 +38,7 @@
     pub queues: Vec<Queue>,
     /// The classes; messages name them by name.
     pub classes: Vec<Class>,
-    /// The tenants; empty where there are none to tell apart.
+    /// The tenants; empty where messages name none.
     pub tenants: Vec<String>,
 }
 
@@ -83,7 +83,7 @@
     pub tenant: Option<NameFrom>,
     /// Where a message's idempotency key is read.
     pub key: KeyFrom,
-    /// Where a message tells when it was sent; none where its time begins with its delivery.
+    /// Where the sending time of a message is read; none where its time begins with its delivery.
     pub sent_from: Option<SentFrom>,
     /// Expected work of a message on one core, where there is an estimate.
     pub estimated_work: Option<Millis>,
@@ -95,7 +95,7 @@
     pub priority_weight: f64,
 }
 
-/// Where a name is read: the same for a whole queue, or in a header.
+/// Where a name is read: the same for all messages of a queue, or in a header.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NameFrom {
     /// This name.
@@ -113,7 +113,7 @@
     Header(String),
 }
 
-/// Where a message tells when it was sent.
+/// Where the sending time of a message is read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SentFrom {
     /// The property `timestamp`: whole seconds since 1970.
--- a/crates/loomflow-amqp/src/settlement.rs
+++ b/crates/loomflow-amqp/src/settlement.rs
@@ -1,8 +1,8 @@
-//! How a message ends: what its caller gets, where the message goes, and the one method that settles it with the broker.
+//! How a message is settled: what its caller gets, where the message is published, and the one method that settles it with the broker.
 //!
 //! Whatever is published for a message (its reply, the message itself requeued or dead-lettered) is confirmed before the
 //! message is settled, so that nothing is lost wherever the connection breaks. What the broker does not accept is
-//! published again after a growing backoff, while the message stays unsettled and keeps its place in the window.
+//! published again after a growing backoff, while the message stays unsettled and counts in the window.
 
 use loomflow_backoff::ExponentialBackoff;
 
@@ -21,8 +21,8 @@
 /// never spins in a hot loop, and lasting overload does not use up its retries.
 const MIN_RETRY_AFTER_MS: Millis = 100.0;
 const MAX_RETRY_AFTER_MS: Millis = 30_000.0;
-/// A reply that the broker rejects so often is given up, lest a full queue of one caller hold up all others; its message is
-/// dead-lettered then. One that cannot be routed is given up at once: its caller is gone.
+/// A reply that the broker rejects so often is given up, so that a full queue of one caller does not block all others; its message is
+/// dead-lettered then. One that cannot be routed is given up at once: its caller has disconnected.
 const MAX_REPLY_ATTEMPTS: u32 = 8;
 
 /// What became of a message's work.
@@ -49,10 +49,10 @@
     Returned,
 }
 
-/// What is known of a message when it ends.
+/// What is known of a message that is to be settled.
 #[derive(Clone, Copy, Debug)]
 pub struct SettlementContext {
-    /// It names where its reply goes.
+    /// It names a destination of its reply.
     pub has_reply_to: bool,
     /// There is a place for dead letters with a reason.
     pub has_dead_letter: bool,
@@ -62,7 +62,7 @@
     pub max_retries: u32,
     /// It must not run twice, so that a mark "redelivered" would cost it its run.
     pub has_effect: bool,
-    /// How long its sender will still wait, where it tells when it was sent.
+    /// How long its sender will still wait, if its sending time is known.
     pub time_left: Option<Millis>,
 }
 
@@ -96,7 +96,7 @@
     DeadLetter(FailureReason),
 }
 
-/// The one method by which the broker is told that a delivery has ended.
+/// The one method by which a delivery is settled with the broker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Settlement {
     /// `basic.ack`.
@@ -215,8 +215,7 @@
     /// Before the next attempt to publish.
     backoff: ExponentialBackoff,
     reply_attempts: u32,
-    has_effect: bool,
-    has_dead_letter: bool,
+    context: SettlementContext,
     /// What its caller gets is the end of its key, and not of this attempt.
     is_final_reply: bool,
 }
@@ -226,7 +225,7 @@
     pub fn new(outcome: &MessageOutcome, context: SettlementContext, now: Millis) -> Settling {
         let Plan { reply, republish, settlement, delay } = Plan::new(outcome, &context);
         let reply = reply.filter(|_| context.has_reply_to);
-        // Without a place for dead letters of our own the queue's is used, which tells no reason.
+        // Without a destination of our own the dead letters of the queue are used, which state no reason.
         let republish =
             republish.filter(|to| context.has_dead_letter || matches!(to, Republish::Requeue { .. }));
         let settlement = if republish.is_some() { Settlement::Ack } else { settlement };
@@ -240,8 +239,7 @@
             is_settled: false,
             backoff: ExponentialBackoff::new(MIN_PUBLISH_BACKOFF_MS, MAX_PUBLISH_BACKOFF_MS),
             reply_attempts: 0,
-            has_effect: context.has_effect,
-            has_dead_letter: context.has_dead_letter,
+            context,
             is_final_reply: matches!(outcome, MessageOutcome::Finished(_) | MessageOutcome::MayHaveRun),
         }
     }
@@ -308,7 +306,7 @@
             return;
         }
         self.reply_state = PublishState::Done;
-        if has_failed && self.has_dead_letter && self.republish.is_none() {
+        if has_failed && self.context.has_dead_letter && self.republish.is_none() {
             self.republish = Some(Republish::DeadLetter(FailureReason::REPLY_REJECTED));
             self.republish_state = PublishState::Due(now);
         }
@@ -326,7 +324,7 @@
                 self.settlement = Settlement::Requeue;
                 PublishState::Done
             }
-            (PublishResult::Unknown, Some(Republish::Requeue { .. })) if self.has_effect => {
+            (PublishResult::Unknown, Some(Republish::Requeue { .. })) if self.context.has_effect => {
                 // There may be a copy in its queue by now, and both would be run.
                 self.republish = Some(Republish::DeadLetter(FailureReason::RUN_UNKNOWN));
                 PublishState::Due(now)
--- a/crates/loomflow-amqp/src/window.rs
+++ b/crates/loomflow-amqp/src/window.rs
@@ -1,9 +1,9 @@
 //! How much to consume: the decision of a front that pulls.
 //!
-//! A gateway gets a send share and passes this server by that often. A queue has no caller to tell, so its share is how many
+//! A gateway gets a send share and passes this server by that often. A queue has no caller to signal to, so its share is how many
 //! of its messages may be in flight unacknowledged. The window of a queue follows the design of the controller:
 //!
-//! - its size at a send share of 1 is increased by additions while it is what limits, and decreased by a factor at most
+//! - its size at a send share of 1 is increased by additions while it is the limit, and decreased by a factor at most
 //!   once in the loop's dead time, which is how long a message takes from delivery to answer;
 //! - it is decreased when the controller rejects messages, and when they are queued for longer than they run: by Little's
 //!   law more is then in flight than keeps the work going, and the rest would better wait at the broker;
@@ -20,7 +20,7 @@
 const MIN_SIZE: f64 = 1.0;
 /// A decrease multiplies the size by this, as it does the controller's running limit.
 const DECREASE: f64 = 0.8;
-/// What each message takes from the size where messages tell when they were sent and too much is in flight.
+/// Decrease of the size with each message where sending times are known and too much is in flight, messages.
 const RELEASED_PART: f64 = 0.125;
 /// Weight of the newest sample in the smoothed times.
 const SMOOTHING: f64 = 0.125;
@@ -32,7 +32,7 @@
     Served,
     /// It was rejected.
     Rejected,
-    /// It says nothing about how much is too much.
+    /// It is no evidence of too much or too little.
     Other,
 }
 
@@ -41,7 +41,7 @@
 pub struct Observation {
     /// How it ended.
     pub outcome: Outcome,
-    /// How long it was at the broker, where it tells when it was sent.
+    /// How long it was at the broker, if its sending time is known.
     pub broker_time: Option<Millis>,
     /// From its delivery to the start of its run, where that was started.
     pub queue_time: Option<Millis>,
@@ -81,7 +81,7 @@
     }
 }
 
-/// Moves a mean towards a sample; the first one is taken as it is.
+/// Updates a moving average with a sample; the first one is taken as it is.
 fn smooth(mean: &mut Millis, sample: Millis) {
     *mean += (sample - *mean) * if *mean == 0.0 { 1.0 } else { SMOOTHING };
 }
@@ -121,7 +121,7 @@
         self.broker_time += (message.broker_time.unwrap_or(0.0) - self.broker_time) * SMOOTHING;
     }
 
-    /// How long recent messages were at the broker, by what they tell.
+    /// How long recent messages were at the broker, by their sending times.
     pub fn broker_time(&self) -> Millis {
         self.broker_time
     }
@@ -131,19 +131,19 @@
         (self.size * share.clamp(0.0, 1.0)).max(MIN_SIZE)
     }
 
-    /// Nothing beyond `max` is of use.
+    /// Limits the size to `max`.
     pub fn limit(&mut self, max: f64) {
         self.size = self.size.min(max.max(MIN_SIZE));
     }
 }
 
 /// Divides `total` among queues that want so much at a weight each: each gets what it wants or, where that is too much, a
-/// part by weight (weighted max-min fairness). Whole messages; while there is one for each, each gets one.
+/// part by weight (weighted max-min fairness). Parts are integers; each queue gets at least one while there are as many.
 pub fn divide_by_weight(total: usize, wants: &[(f64, f64)]) -> Vec<usize> {
     let mut parts = vec![0.0; wants.len()];
     let mut remaining = total as f64;
     let mut open: Vec<usize> = (0..wants.len()).collect();
-    // A queue that wants less than its part leaves the rest to the others, until none does.
+    // What a queue does not need of its part is divided among the others.
     while !open.is_empty() && remaining > 0.0 {
         let weight: f64 = open.iter().map(|queue| wants[*queue].1).sum();
         let part = |queue: usize| {
--- a/crates/loomflow-amqp/tests/message_bytes.rs
+++ b/crates/loomflow-amqp/tests/message_bytes.rs
@@ -29,20 +29,9 @@
 
 /// A message with every property.
 fn original() -> AMQPProperties {
-    AMQPProperties::default()
+    without_user()
         .with_headers(table(&[("mine", text("kept")), ("CC", text("elsewhere")), ("BCC", text("elsewhere"))]))
-        .with_content_type("text/plain".into())
-        .with_content_encoding("gzip".into())
-        .with_delivery_mode(1)
-        .with_priority(3)
-        .with_correlation_id("correlation".into())
-        .with_reply_to("replies".into())
-        .with_expiration("1000".into())
-        .with_message_id("message".into())
-        .with_timestamp(77)
-        .with_type("job".into())
         .with_user_id("guest".into())
-        .with_app_id("app".into())
 }
 
 fn replied(status: &ReplyStatus) -> Publish {
--- a/crates/loomflow-server/src/idempotency/tests.rs
+++ b/crates/loomflow-server/src/idempotency/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_duplicate_finds_its_original_window_end_the_window_ends() {
+fn a_duplicate_finds_its_original_until_the_window_ends() {
     let mut cache = cache();
     assert_eq!(receive(&mut cache, 1, "a", 0.0), Registration::New);
     cache.retain(1, 100.0);
