--- a/crates/loomflow-amqp/src/connection.rs
+++ b/crates/loomflow-amqp/src/connection.rs
@@ -92,7 +92,7 @@
     /// Password of the user.
     pub password: Password,
     /// Proposed heartbeat interval, s; 0 disables heartbeats.
-    pub heartbeat: u16,
+    pub heartbeat_s: u16,
 }
 
 /// One connection to a broker.
@@ -368,16 +368,17 @@
             return Err(Malformed("the broker's frames are too short"));
         }
         self.channel_max = smaller(tune.channel_max.into(), Channel::MAX.into()) as Channel;
-        let heartbeat = match (tune.heartbeat, self.login.heartbeat) {
+        let heartbeat_s = match (tune.heartbeat, self.login.heartbeat_s) {
             (0, only) | (only, 0) => only,
             (theirs, ours) => theirs.min(ours),
         };
-        self.heartbeat_interval = if heartbeat == 0 { f64::INFINITY } else { f64::from(heartbeat) * 1000.0 };
+        self.heartbeat_interval =
+            if heartbeat_s == 0 { f64::INFINITY } else { f64::from(heartbeat_s) * 1000.0 };
         let (channel_max, frame_max) = (self.channel_max, self.frame_max);
         self.send_control(connection::AMQPMethod::TuneOk(connection::TuneOk {
             channel_max,
             frame_max,
-            heartbeat,
+            heartbeat: heartbeat_s,
         }));
         let virtual_host = ShortString::try_new(self.login.vhost.as_str()).unwrap_or_default();
         self.send_control(connection::AMQPMethod::Open(connection::Open { virtual_host }));
--- a/crates/loomflow-amqp/src/connection/tests.rs
+++ b/crates/loomflow-amqp/src/connection/tests.rs
@@ -13,7 +13,7 @@
         vhost: "/".into(),
         user: "guest".into(),
         password: Password("guest".into()),
-        heartbeat: HEARTBEAT_S,
+        heartbeat_s: HEARTBEAT_S,
     };
     Connection::open(login, MAX_BODY_BYTES, 0.0)
 }
--- a/crates/loomflow-amqp/src/consumer/mod.rs
+++ b/crates/loomflow-amqp/src/consumer/mod.rs
@@ -210,7 +210,7 @@
             vhost: self.settings.vhost.clone(),
             user: self.settings.user.clone(),
             password: self.settings.password.clone(),
-            heartbeat: self.settings.heartbeat,
+            heartbeat_s: self.settings.heartbeat_s,
         };
         self.connection = Some(Connection::open(login, self.settings.max_body_bytes, now));
     }
--- a/crates/loomflow-amqp/src/settings.rs
+++ b/crates/loomflow-amqp/src/settings.rs
@@ -17,7 +17,7 @@
     /// The user's password.
     pub password: Password,
     /// Time between heartbeats that is proposed, s; 0 is none.
-    pub heartbeat: u16,
+    pub heartbeat_s: u16,
     /// Longer bodies are not accepted, octets.
     pub max_body_bytes: usize,
     /// How long what ran is remembered, so that a redelivery is answered from it.
--- a/crates/loomflow-amqp/tests/common/settings.rs
+++ b/crates/loomflow-amqp/tests/common/settings.rs
@@ -9,7 +9,7 @@
         vhost: "/".into(),
         user: "guest".into(),
         password: Password("guest".into()),
-        heartbeat: 0,
+        heartbeat_s: 0,
         max_body_bytes: 1_000,
         retention: 1e9,
         // Little, so that keys of which only a hash is left take part.
--- a/crates/loomflow-protocol/src/engine.rs
+++ b/crates/loomflow-protocol/src/engine.rs
@@ -1,5 +1,6 @@
 //! Protocol of the engine connection: lines of fields, some followed by a body of stated length.
 
+use crate::Millis;
 use crate::attempt_id::AttemptId;
 use crate::buffer::Buffer;
 use crate::decoder::{Decoder, Malformed};
@@ -28,8 +29,8 @@
     Hello {
         /// Whether the engine is in slow start.
         is_starting: bool,
-        /// How long ago it started, ms.
-        age: f64,
+        /// How long ago it started.
+        age: Millis,
     },
     /// A run has ended.
     Done {
@@ -39,8 +40,8 @@
         id: AttemptId,
         /// How the run ended.
         end: RunEnd,
-        /// How long it ran, ms.
-        duration: f64,
+        /// How long it ran.
+        duration: Millis,
         /// The result, if it succeeded.
         result: Vec<u8>,
     },
--- a/crates/loomflow-protocol/src/gateway.rs
+++ b/crates/loomflow-protocol/src/gateway.rs
@@ -1,5 +1,6 @@
 //! Protocol of the gateway connections: requests and responses as RESP arrays of bulk strings.
 
+use crate::Millis;
 use crate::attempt_id::AttemptId;
 use crate::buffer::Buffer;
 use crate::decoder::{Decoder, Malformed};
@@ -59,14 +60,14 @@
     pub class: String,
     /// Id of this attempt.
     pub id: AttemptId,
-    /// When the request arrived at the machine, Unix ms.
-    pub arrived_at: f64,
+    /// When the request arrived at the machine, since the Unix epoch.
+    pub arrived_at: Millis,
     /// Number of the gateway that sent it.
     pub gateway: u64,
     /// Name of its tenant.
     pub tenant: Option<String>,
-    /// Expected work, ms on one core.
-    pub estimated_work: Option<f64>,
+    /// Expected work on one core.
+    pub estimated_work: Option<Millis>,
     /// Memory that it needs, KB.
     pub memory_kb: f64,
     /// Priority among all requests, from 0 to 1 (exclusive).
@@ -75,8 +76,8 @@
     pub subject: Option<String>,
     /// Idempotency key, if the gateways of the site send one.
     pub key: Option<String>,
-    /// How long its caller still waits, ms, if the gateways of the site send it.
-    pub remaining_wait: Option<f64>,
+    /// How long its caller still waits, if the gateways of the site send it.
+    pub remaining_wait: Option<Millis>,
     /// Whether it is a retry, if the gateways of the site mark retries.
     pub is_retry: bool,
     /// Body of the request.
@@ -258,8 +259,8 @@
 pub struct ResponseFields {
     /// The feedback signal of the site.
     pub signal: Option<f64>,
-    /// How long to back off, ms; 0 is not sent.
-    pub retry_after: f64,
+    /// How long to back off; 0 is not sent.
+    pub retry_after: Millis,
     /// Whether no other server should be tried.
     pub is_final: bool,
 }
--- a/crates/loomflow-protocol/src/lib.rs
+++ b/crates/loomflow-protocol/src/lib.rs
@@ -15,3 +15,6 @@
 pub use attempt_id::AttemptId;
 pub use buffer::Buffer;
 pub use decoder::{Decoder, Malformed};
+
+/// A duration, or a point in time since the Unix epoch, in milliseconds.
+pub type Millis = f64;
--- a/crates/loomflow-server/src/front/amqp/consumer_settings.rs
+++ b/crates/loomflow-server/src/front/amqp/consumer_settings.rs
@@ -22,7 +22,7 @@
         vhost: amqp.vhost.clone(),
         user: credentials.user,
         password: Password(credentials.password),
-        heartbeat: amqp.heartbeat_s,
+        heartbeat_s: amqp.heartbeat_s,
         max_body_bytes: amqp.max_message_bytes,
         retention: amqp.remember_ms,
         capacity: Capacity {
