--- a/crates/loomflow-amqp/src/consumer_pool/tests.rs
+++ b/crates/loomflow-amqp/src/consumer_pool/tests.rs
@@ -1,3 +1,5 @@
+use std::collections::VecDeque;
+
 use super::*;
 use proptest::prelude::*;
 
@@ -24,6 +26,17 @@
     proptest::collection::vec(step, 1..200)
 }
 
+/// The broker carries out commands.
+fn carry_out(pool: &mut ConsumerPool, commands: impl IntoIterator<Item = (usize, ConsumerCommand)>) {
+    for (at, command) in commands {
+        match command {
+            ConsumerCommand::OpenChannel => pool.channel_opened(at),
+            ConsumerCommand::Consume(_) => pool.consumer_started(at),
+            ConsumerCommand::Cancel => pool.consumer_cancelled(at),
+        }
+    }
+}
+
 proptest! {
     /// The unsettled deliveries never exceed the window or their number when it shrank, and at rest more than two
     /// thirds of the window are in use.
@@ -31,16 +44,7 @@
     fn unsettled_deliveries_stay_within_the_window(steps in steps()) {
         let mut pool = ConsumerPool::new(12);
         let (mut window, mut bound, mut now) = (0, 0, 0.0);
-        let mut commands: std::collections::VecDeque<(usize, ConsumerCommand)> = std::collections::VecDeque::new();
-        let apply = |pool: &mut ConsumerPool, commands: &mut std::collections::VecDeque<(usize, ConsumerCommand)>, count: usize| {
-            for (at, step) in commands.drain(..count.min(commands.len())) {
-                match step {
-                    ConsumerCommand::OpenChannel => pool.channel_opened(at),
-                    ConsumerCommand::Consume(_) => pool.consumer_started(at),
-                    ConsumerCommand::Cancel => pool.consumer_cancelled(at),
-                }
-            }
-        };
+        let mut commands = VecDeque::new();
         for step in steps {
             now += 100.0;
             match step {
@@ -48,7 +52,7 @@
                     bound = to.max(pool.consumers.iter().map(PooledConsumer::max_unsettled).sum());
                     window = to;
                 }
-                Step::Answer(count) => apply(&mut pool, &mut commands, count),
+                Step::Answer(count) => carry_out(&mut pool, commands.drain(..count.min(commands.len()))),
                 Step::Deliver(at) => {
                     let consumer = &pool.consumers[at];
                     if matches!(consumer.state, ConsumerState::Consuming | ConsumerState::Cancelling) && consumer.unsettled < usize::from(consumer.prefetch) {
@@ -74,7 +78,7 @@
                 }
             }
             commands.extend(pool.resize(window, now));
-            apply(&mut pool, &mut commands, usize::MAX);
+            carry_out(&mut pool, commands.drain(..));
         }
         prop_assert!(pool.prefetch() <= window && pool.prefetch() * 3 >= window * 2, "{} of {window}", pool.prefetch());
     }
@@ -86,13 +90,8 @@
     assert!(!pool.delivered(0));
     pool.settled(0);
     for _ in 0..3 {
-        for (at, step) in pool.resize(1, 0.0) {
-            match step {
-                ConsumerCommand::OpenChannel => pool.channel_opened(at),
-                ConsumerCommand::Consume(_) => pool.consumer_started(at),
-                ConsumerCommand::Cancel => pool.consumer_cancelled(at),
-            }
-        }
+        let commands = pool.resize(1, 0.0);
+        carry_out(&mut pool, commands);
     }
     let at = pool.consumers.iter().position(|consumer| consumer.state == ConsumerState::Consuming).unwrap();
     assert!(pool.delivered(at) && pool.is_full() && pool.delivered(at));
--- a/crates/loomflow-amqp/src/failure_reason.rs
+++ b/crates/loomflow-amqp/src/failure_reason.rs
@@ -2,6 +2,9 @@
 
 use std::fmt;
 
+#[cfg(test)]
+mod tests;
+
 /// Why a message failed or was dead-lettered, as its `x-loomflow-reason` header states it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailureReason(&'static str);
--- a/crates/loomflow-amqp/src/settlement/tests.rs
+++ b/crates/loomflow-amqp/src/settlement/tests.rs
@@ -36,51 +36,57 @@
     }
 }
 
+fn failed(reason: FailureReason, may_have_run: bool) -> SettlementAction {
+    SettlementAction::Reply(ReplyStatus::Failed { reason, may_have_run, retry_after: None })
+}
+
+fn dead_letter(reason: FailureReason) -> SettlementAction {
+    SettlementAction::Republish(Republish::DeadLetter(reason))
+}
+
+fn requeue(retry_count: u32) -> SettlementAction {
+    SettlementAction::Republish(Republish::Requeue { retry_count })
+}
+
+fn ack() -> SettlementAction {
+    SettlementAction::Settle(Settlement::Ack)
+}
+
 #[test]
 fn each_outcome_has_its_reply_destination_and_settlement() {
     let served = RunResult::Served(b"r"[..].into());
-    let failed = |reason, may_have_run| {
-        SettlementAction::Reply(ReplyStatus::Failed { reason, may_have_run, retry_after: None })
-    };
-    let (ack, dead_letter) = (SettlementAction::Settle(Settlement::Ack), |why| {
-        SettlementAction::Republish(Republish::DeadLetter(why))
-    });
-    let requeue = |retry_count| SettlementAction::Republish(Republish::Requeue { retry_count });
     let cases = [
         (
             MessageOutcome::Finished(served.clone()),
-            vec![SettlementAction::Reply(ReplyStatus::Served(served)), ack.clone()],
-        ),
-        (MessageOutcome::AlreadyAnswered, vec![ack.clone()]),
-        (
-            rejected(300.0),
-            vec![SettlementAction::Reply(ReplyStatus::Rejected(300.0)), requeue(1), ack.clone()],
+            vec![SettlementAction::Reply(ReplyStatus::Served(served)), ack()],
         ),
+        (MessageOutcome::AlreadyAnswered, vec![ack()]),
+        (rejected(300.0), vec![SettlementAction::Reply(ReplyStatus::Rejected(300.0)), requeue(1), ack()]),
         (
             MessageOutcome::Finished(RunResult::Failed),
-            vec![failed(FailureReason::FAILED, true), dead_letter(FailureReason::MAY_HAVE_RUN), ack.clone()],
+            vec![failed(FailureReason::FAILED, true), dead_letter(FailureReason::MAY_HAVE_RUN), ack()],
         ),
         (
             MessageOutcome::NotRun,
-            vec![failed(FailureReason::NOT_RUN, false), dead_letter(FailureReason::NOT_RUN), ack.clone()],
+            vec![failed(FailureReason::NOT_RUN, false), dead_letter(FailureReason::NOT_RUN), ack()],
         ),
         (
             MessageOutcome::MayHaveRun,
-            vec![
-                failed(FailureReason::RUN_UNKNOWN, true),
-                dead_letter(FailureReason::RUN_UNKNOWN),
-                ack.clone(),
-            ],
+            vec![failed(FailureReason::RUN_UNKNOWN, true), dead_letter(FailureReason::RUN_UNKNOWN), ack()],
         ),
-        (MessageOutcome::Returned, vec![requeue(0), ack.clone()]),
+        (MessageOutcome::Returned, vec![requeue(0), ack()]),
     ];
     for (outcome, actions) in cases {
         assert_eq!(play_all_actions(outcome.clone(), context()), actions, "{outcome:?}");
     }
+}
+
+#[test]
+fn a_message_without_retries_effect_or_destinations_is_settled_without_them() {
     let at_max_retries = SettlementContext { retry_count: 2, ..context() };
     assert_eq!(
         play_all_actions(rejected(1.0), at_max_retries)[1..],
-        [dead_letter(FailureReason::RETRIES_EXHAUSTED), ack]
+        [dead_letter(FailureReason::RETRIES_EXHAUSTED), ack()]
     );
     assert_eq!(
         play_all_actions(MessageOutcome::Returned, SettlementContext { has_effect: false, ..context() }),
