--- a/crates/loomflow-amqp/src/consumer/flow_control.rs
+++ b/crates/loomflow-amqp/src/consumer/flow_control.rs
@@ -8,7 +8,7 @@
 use crate::consumer_pool::{ConsumerCommand, MAX_PREFETCH};
 use crate::message;
 use crate::settings::{Class, Queue};
-use crate::window::divide_by_weight;
+use crate::window::{Demand, divide_by_weight};
 
 impl Consumer {
     /// Submitted messages are decided upon from now on.
@@ -84,9 +84,12 @@
             queue.window.target(self.share)
         };
         let queues = self.queues.iter_mut().zip(&self.settings.queues);
-        let wants: Vec<(f64, f64)> =
-            queues.map(|(queue, settings)| (target(queue), settings.priority_weight)).collect();
-        let parts = divide_by_weight(if self.may_consume() { max_in_flight } else { 0 }, &wants);
+        let demand = |(queue, settings): (&mut QueueState, &Queue)| Demand {
+            messages: target(queue),
+            weight: settings.priority_weight,
+        };
+        let demands: Vec<Demand> = queues.map(demand).collect();
+        let parts = divide_by_weight(if self.may_consume() { max_in_flight } else { 0 }, &demands);
         for (queue, part) in parts.into_iter().enumerate() {
             for (consumer, command) in self.queues[queue].pool.resize(part, now) {
                 self.carry_out(queue, consumer, command);
--- a/crates/loomflow-amqp/src/window.rs
+++ b/crates/loomflow-amqp/src/window.rs
@@ -137,20 +137,32 @@
     }
 }
 
-/// Divides `total` among queues that want so much at a weight each: each gets what it wants or, where that is too much, a
-/// part by weight (weighted max-min fairness). Parts are integers; each queue gets at least one while there are as many.
-pub fn divide_by_weight(total: usize, wants: &[(f64, f64)]) -> Vec<usize> {
-    let mut parts = vec![0.0; wants.len()];
+/// What a queue demands of the messages that may be in flight.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Demand {
+    /// Messages that it could have in flight.
+    pub messages: f64,
+    /// Its weight where there is a shortage.
+    pub weight: f64,
+}
+
+/// Divides `total` messages among queues: each gets what it demands or, where that is too much, a part by weight (weighted max-min fairness). Parts are integers; each queue gets at least one while there are as many.
+pub fn divide_by_weight(total: usize, demands: &[Demand]) -> Vec<usize> {
+    let mut parts = vec![0.0; demands.len()];
     let mut remaining = total as f64;
-    let mut open: Vec<usize> = (0..wants.len()).collect();
+    let mut open: Vec<usize> = (0..demands.len()).collect();
     // What a queue does not need of its part is divided among the others.
     while !open.is_empty() && remaining > 0.0 {
-        let weight: f64 = open.iter().map(|queue| wants[*queue].1).sum();
+        let weight: f64 = open.iter().map(|queue| demands[*queue].weight).sum();
         let part = |queue: usize| {
-            if weight > 0.0 { remaining * wants[queue].1 / weight } else { remaining / open.len() as f64 }
+            if weight > 0.0 {
+                remaining * demands[queue].weight / weight
+            } else {
+                remaining / open.len() as f64
+            }
         };
         let (satisfied, others): (Vec<usize>, Vec<usize>) =
-            open.iter().copied().partition(|queue| wants[*queue].0 <= part(*queue));
+            open.iter().copied().partition(|queue| demands[*queue].messages <= part(*queue));
         if satisfied.is_empty() {
             for queue in others {
                 parts[queue] = part(queue);
@@ -158,8 +170,8 @@
             break;
         }
         for queue in satisfied {
-            parts[queue] = wants[queue].0;
-            remaining -= wants[queue].0;
+            parts[queue] = demands[queue].messages;
+            remaining -= demands[queue].messages;
         }
         open = others;
     }
--- a/crates/loomflow-amqp/src/window/tests.rs
+++ b/crates/loomflow-amqp/src/window/tests.rs
@@ -108,13 +108,20 @@
     assert_eq!(window.target(0.25), window.target(1.0) * 0.25);
 }
 
+/// Divides among queues that demand so many messages at a weight.
+fn divide(total: usize, demands: &[(f64, f64)]) -> Vec<usize> {
+    let demands: Vec<Demand> =
+        demands.iter().map(|(messages, weight)| Demand { messages: *messages, weight: *weight }).collect();
+    divide_by_weight(total, &demands)
+}
+
 #[test]
 fn weights_divide_a_shortage_and_no_part_exceeds_its_demand() {
-    assert_eq!(divide_by_weight(12, &[(4.0, 1.0), (4.0, 9.0)]), [4, 4]);
-    assert_eq!(divide_by_weight(12, &[(90.0, 1.0), (90.0, 3.0)]), [3, 9]);
-    assert_eq!(divide_by_weight(12, &[(90.0, 1.0), (2.0, 3.0)]), [10, 2]);
-    assert_eq!(divide_by_weight(3, &[(9.0, 0.0), (9.0, 5.0)]), [0, 3]);
-    assert_eq!(divide_by_weight(0, &[(9.0, 1.0)]), [0]);
+    assert_eq!(divide(12, &[(4.0, 1.0), (4.0, 9.0)]), [4, 4]);
+    assert_eq!(divide(12, &[(90.0, 1.0), (90.0, 3.0)]), [3, 9]);
+    assert_eq!(divide(12, &[(90.0, 1.0), (2.0, 3.0)]), [10, 2]);
+    assert_eq!(divide(3, &[(9.0, 0.0), (9.0, 5.0)]), [0, 3]);
+    assert_eq!(divide(0, &[(9.0, 1.0)]), [0]);
 }
 
 proptest! {
@@ -123,7 +130,7 @@
         total in 0usize..200,
         demands in proptest::collection::vec((1.0f64..80.0, 0.1f64..9.0), 1..6)
     ) {
-        let parts = divide_by_weight(total, &demands);
+        let parts = divide(total, &demands);
         prop_assert!(parts.iter().sum::<usize>() <= total);
         for (part, (demand, _)) in parts.iter().zip(&demands) {
             prop_assert!(*part as f64 <= *demand);
--- a/crates/loomflow-protocol/src/gateway.rs
+++ b/crates/loomflow-protocol/src/gateway.rs
@@ -104,17 +104,28 @@
     }
 
     fn next(&mut self) -> Result<Option<Request>, Malformed> {
-        let Some((elements, length)) = parse_array(self.buffer.unread())? else { return Ok(None) };
-        let request = parse_request(&elements)?;
+        let Some(array) = parse_array(self.buffer.unread())? else { return Ok(None) };
+        let request = parse_request(&array.elements)?;
+        let length = array.length;
         self.buffer.consume(length);
         Ok(Some(request))
     }
 }
 
-type Array<'a> = (Vec<&'a [u8]>, usize);
-type Field<'a> = (&'a [u8], &'a [u8]);
+/// An array at the start of a buffer.
+struct Array<'a> {
+    elements: Vec<&'a [u8]>,
+    /// Bytes that it takes.
+    length: usize,
+}
+
+/// A field of a call or a health check.
+struct Field<'a> {
+    name: &'a [u8],
+    value: &'a [u8],
+}
 
-/// The elements of the array at the start of `bytes` and the number of bytes that it takes; `None` while it is incomplete.
+/// The array at the start of `bytes`; `None` while it is incomplete.
 fn parse_array(bytes: &[u8]) -> Result<Option<Array<'_>>, Malformed> {
     let Some((count, mut at)) = parse_length(bytes, b'*', "no array where one is due")? else {
         return Ok(None);
@@ -144,7 +155,7 @@
             return Err(Malformed("an array is too long"));
         }
     }
-    Ok(Some((elements, at)))
+    Ok(Some(Array { elements, length: at }))
 }
 
 /// A line of a prefix and a number; returns the number and the length of the line.
@@ -176,14 +187,14 @@
         .filter(|field| !field.is_empty())
         .map(|field| {
             let equals = field.iter().position(|byte| *byte == b'=').ok_or("a field has no value")?;
-            Ok((&field[..equals], &field[equals + 1..]))
+            Ok(Field { name: &field[..equals], value: &field[equals + 1..] })
         })
         .collect()
 }
 
 fn parse_health(tag: u64, elements: &[&[u8]]) -> Result<Request, &'static str> {
     let fields = parse_fields(elements.get(2).copied().unwrap_or_default())?;
-    let is_deep = fields.iter().any(|(name, value)| *name == b"real" && *value == b"1");
+    let is_deep = fields.iter().any(|field| field.name == b"real" && field.value == b"1");
     Ok(Request::Health { tag, is_deep })
 }
 
@@ -195,7 +206,7 @@
     // Unknown fields are skipped.
     let fields = parse_fields(field_list)?;
     let field =
-        |name: &str| fields.iter().find(|(known, _)| *known == name.as_bytes()).map(|(_, value)| *value);
+        |name: &str| fields.iter().find(|field| field.name == name.as_bytes()).map(|field| field.value);
     let number = |name: &str, reason| field(name).map(|value| decimal(value).ok_or(reason)).transpose();
     let text = |name: &str, reason| {
         let parse = |value: &[u8]| String::from_utf8(value.to_vec()).map_err(|_| reason);
