--- a/crates/loomflow-amqp/src/connection.rs
+++ b/crates/loomflow-amqp/src/connection.rs
@@ -11,7 +11,7 @@
 use loomflow_protocol::Malformed;
 
 use crate::Millis;
-use crate::content::{Assembler, Content};
+use crate::content::{Assembler, BASIC_CLASS_ID, Content};
 use crate::frames::{self, FRAME_MAX, OVERHEAD};
 use crate::settings::Password;
 
@@ -20,10 +20,13 @@
 /// A handshake that takes longer than this is abandoned, ms.
 const HANDSHAKE_TIMEOUT_MS: Millis = 5_000.0;
 
-/// Class id of `basic`, carried by every content header.
-const BASIC_CLASS_ID: u16 = 60;
-/// Reply code of an orderly close.
+/// Reply code and text of an orderly close (specification 1.2).
 const REPLY_SUCCESS: u16 = 200;
+const CLOSE_TEXT: &str = "leaving";
+/// Heartbeat intervals without any frame after which the peer is taken for dead (specification 4.2.7).
+const SILENT_INTERVALS: f64 = 2.0;
+/// Part of the heartbeat interval after which a heartbeat is sent, so that one that is late still comes in time.
+const SEND_INTERVAL_PART: f64 = 0.5;
 /// Client capabilities that are announced to the broker (extensions of the protocol).
 const CAPABILITIES: [&str; 5] = [
     "publisher_confirms",
@@ -54,7 +57,7 @@
     Content(Channel, Box<Content>),
     /// Publishes on a channel are confirmed from now on.
     ConfirmsEnabled(Channel),
-    /// The broker asks that content on a channel start (true) or stop (specification 1.5.2.3).
+    /// The broker requests that content on a channel start (true) or stop (specification 1.5.2.3).
     Flow(Channel, bool),
     /// The broker blocks (true) or unblocks publishing on this connection (extension).
     Blocked(bool),
@@ -89,7 +92,7 @@
     /// Password of the user.
     pub password: Password,
     /// Proposed heartbeat interval, s; 0 disables heartbeats.
-    pub heartbeat: u16,
+    pub heartbeat_s: u16,
 }
 
 /// One connection to a broker.
@@ -109,7 +112,7 @@
 }
 
 impl Connection {
-    /// Starts the handshake on a newly opened transport. Message bodies are kept up to `max_body_bytes`.
+    /// Starts the handshake on a newly opened transport. Longer bodies than `max_body_bytes` are discarded.
     pub fn open(login: Login, max_body_bytes: usize, now: Millis) -> Connection {
         let mut connection = Connection {
             login,
@@ -165,7 +168,7 @@
 
     // ---- Sending ----
 
-    /// Asks the broker to open a channel.
+    /// Requests a channel.
     pub fn open_channel(&mut self, number: Channel) {
         self.channels.insert(number, ChannelState::Opening);
         self.send_method(number, AMQPClass::Channel(channel::AMQPMethod::Open(channel::Open {})));
@@ -176,14 +179,14 @@
         self.send_method(number, AMQPClass::Basic(method));
     }
 
-    /// Asks for publisher confirms on a channel (extension).
+    /// Requests publisher confirms on a channel (extension).
     pub fn enable_confirms(&mut self, number: Channel) {
         let select = confirm::AMQPMethod::Select(confirm::Select { nowait: false });
         self.send_method(number, AMQPClass::Confirm(select));
     }
 
     /// Publishes a message as method, header and body frames within the negotiated frame size. A header frame cannot be
-    /// split: if it would be too long, only the headers that this program sets are kept.
+    /// split: if it would be too long, only the headers that this program sets are sent.
     pub fn publish(
         &mut self,
         number: Channel,
@@ -208,14 +211,14 @@
         self.send_frame(&AMQPFrame::Header(number, header));
     }
 
-    /// Closes in order: nothing more is accepted, and the connection ends once the broker confirms.
+    /// Closes in order: nothing more is accepted, and the connection is closed once the broker confirms.
     pub fn close(&mut self) {
         if self.state != ConnectionState::Ready {
             self.state = ConnectionState::Closed;
             return;
         }
         self.state = ConnectionState::Closing;
-        let reply_text = "leaving".into();
+        let reply_text = CLOSE_TEXT.into();
         let close = connection::Close { reply_code: REPLY_SUCCESS, reply_text, class_id: 0, method_id: 0 };
         self.send_control(connection::AMQPMethod::Close(close));
     }
@@ -236,10 +239,10 @@
             return Err(Malformed("the handshake takes too long"));
         }
         if self.state == ConnectionState::Ready {
-            if now - self.last_received_at >= 2.0 * self.heartbeat_interval {
+            if now - self.last_received_at >= SILENT_INTERVALS * self.heartbeat_interval {
                 return Err(Malformed("no heartbeat has come"));
             }
-            if now - self.last_sent_at >= self.heartbeat_interval / 2.0 {
+            if now - self.last_sent_at >= self.heartbeat_interval * SEND_INTERVAL_PART {
                 self.last_sent_at = now;
                 self.send_frame(&AMQPFrame::Heartbeat);
             }
@@ -320,16 +323,7 @@
                 self.state = ConnectionState::Closed;
                 Ok(Some(ConnectionEvent::Closed))
             }
-            (_, M::Close(close)) => {
-                self.send_control(M::CloseOk(connection::CloseOk {}));
-                let was_closing = self.state == ConnectionState::Closing;
-                self.state = ConnectionState::Closed;
-                if was_closing {
-                    return Ok(Some(ConnectionEvent::Closed));
-                }
-                let reason = format!("{} {}", close.reply_code, close.reply_text);
-                Ok(Some(ConnectionEvent::ClosedByBroker(reason)))
-            }
+            (_, M::Close(close)) => Ok(Some(self.closed_by_broker(&close))),
             (ConnectionState::Ready, M::Blocked(_)) => Ok(Some(ConnectionEvent::Blocked(true))),
             (ConnectionState::Ready, M::Unblocked(_)) => Ok(Some(ConnectionEvent::Blocked(false))),
             (ConnectionState::Closing, _) => Ok(None),
@@ -337,6 +331,17 @@
         }
     }
 
+    /// Confirms a close. Both sides may close at once (specification 2.2.4).
+    fn closed_by_broker(&mut self, close: &connection::Close) -> ConnectionEvent {
+        self.send_control(connection::AMQPMethod::CloseOk(connection::CloseOk {}));
+        let was_closing = self.state == ConnectionState::Closing;
+        self.state = ConnectionState::Closed;
+        if was_closing {
+            return ConnectionEvent::Closed;
+        }
+        ConnectionEvent::ClosedByBroker(format!("{} {}", close.reply_code, close.reply_text))
+    }
+
     fn send_start_ok(&mut self) {
         let mut capabilities = FieldTable::default();
         for name in CAPABILITIES {
@@ -363,16 +368,17 @@
             return Err(Malformed("the broker's frames are too short"));
         }
         self.channel_max = smaller(tune.channel_max.into(), Channel::MAX.into()) as Channel;
-        let heartbeat = match (tune.heartbeat, self.login.heartbeat) {
+        let heartbeat_s = match (tune.heartbeat, self.login.heartbeat_s) {
             (0, only) | (only, 0) => only,
             (theirs, ours) => theirs.min(ours),
         };
-        self.heartbeat_interval = if heartbeat == 0 { f64::INFINITY } else { f64::from(heartbeat) * 1000.0 };
+        self.heartbeat_interval =
+            if heartbeat_s == 0 { f64::INFINITY } else { f64::from(heartbeat_s) * 1000.0 };
         let (channel_max, frame_max) = (self.channel_max, self.frame_max);
         self.send_control(connection::AMQPMethod::TuneOk(connection::TuneOk {
             channel_max,
             frame_max,
-            heartbeat,
+            heartbeat: heartbeat_s,
         }));
         let virtual_host = ShortString::try_new(self.login.vhost.as_str()).unwrap_or_default();
         self.send_control(connection::AMQPMethod::Open(connection::Open { virtual_host }));
@@ -393,11 +399,7 @@
         };
         match (state, class) {
             (_, AMQPClass::Channel(channel::AMQPMethod::Close(close))) => {
-                self.channels.remove(&number);
-                let close_ok = channel::AMQPMethod::CloseOk(channel::CloseOk {});
-                self.send_method(number, AMQPClass::Channel(close_ok));
-                let reason = format!("{} {}", close.reply_code, close.reply_text);
-                Ok(Some(ConnectionEvent::ChannelClosed(number, reason)))
+                Ok(Some(self.channel_closed_by_broker(number, &close)))
             }
             (state @ ChannelState::Opening, AMQPClass::Channel(channel::AMQPMethod::OpenOk(_))) => {
                 *state = ChannelState::Open(Box::new(Assembler::new(self.max_body_bytes)));
@@ -421,6 +423,13 @@
             _ => Err(Malformed("a method out of order")),
         }
     }
+
+    fn channel_closed_by_broker(&mut self, number: Channel, close: &channel::Close) -> ConnectionEvent {
+        self.channels.remove(&number);
+        let close_ok = channel::AMQPMethod::CloseOk(channel::CloseOk {});
+        self.send_method(number, AMQPClass::Channel(close_ok));
+        ConnectionEvent::ChannelClosed(number, format!("{} {}", close.reply_code, close.reply_text))
+    }
 }
 
 /// Checks that the broker speaks this version of the protocol and accepts a user name with a password.
@@ -445,3 +454,6 @@
         .collect();
     properties.with_headers(own.into())
 }
+
+#[cfg(test)]
+pub(crate) mod tests;
--- a/crates/loomflow-amqp/src/consumer/flow_control.rs
+++ b/crates/loomflow-amqp/src/consumer/flow_control.rs
@@ -8,7 +8,7 @@
 use crate::consumer_pool::{ConsumerCommand, MAX_PREFETCH};
 use crate::message;
 use crate::settings::{Class, Queue};
-use crate::window::divide_by_weight;
+use crate::window::{Demand, divide_by_weight};
 
 impl Consumer {
     /// Submitted messages are decided upon from now on.
@@ -48,7 +48,7 @@
             connection.open_channel(PUBLISH_CHANNEL);
         }
         // Before the backpressure is checked: what is written here causes none, and consumers that were cancelled for it
-        // would leave the engine idle until the next round.
+        // would idle the engine until the next round.
         self.write_publishes(now);
         self.resize_pools(now);
         self.close_if_drained();
@@ -67,21 +67,29 @@
         }
     }
 
+    /// Whether further messages are consumed. Not while their replies could not be published, nor while their keys could not
+    /// be recorded.
+    fn may_consume(&self) -> bool {
+        self.is_accepting
+            && self.drain_deadline.is_none()
+            && !self.publisher.has_backpressure()
+            && !self.records.is_full()
+    }
+
     /// Divides the messages that may be in flight among the queues, and brings each pool towards its part.
     fn resize_pools(&mut self, now: Millis) {
-        let has_stopped = !self.is_accepting
-            || self.drain_deadline.is_some()
-            || self.publisher.has_backpressure()
-            || self.records.is_full();
         let max_in_flight = self.settings.max_in_flight;
         let target = |queue: &mut QueueState| {
             queue.window.limit(max_in_flight.min(MAX_PREFETCH) as f64);
             queue.window.target(self.share)
         };
         let queues = self.queues.iter_mut().zip(&self.settings.queues);
-        let wants: Vec<(f64, f64)> =
-            queues.map(|(queue, settings)| (target(queue), settings.priority_weight)).collect();
-        let parts = divide_by_weight(if has_stopped { 0 } else { max_in_flight }, &wants);
+        let demand = |(queue, settings): (&mut QueueState, &Queue)| Demand {
+            messages: target(queue),
+            weight: settings.priority_weight,
+        };
+        let demands: Vec<Demand> = queues.map(demand).collect();
+        let parts = divide_by_weight(if self.may_consume() { max_in_flight } else { 0 }, &demands);
         for (queue, part) in parts.into_iter().enumerate() {
             for (consumer, command) in self.queues[queue].pool.resize(part, now) {
                 self.carry_out(queue, consumer, command);
--- a/crates/loomflow-amqp/src/consumer_pool.rs
+++ b/crates/loomflow-amqp/src/consumer_pool.rs
@@ -1,11 +1,13 @@
 //! The consumers of one queue, with fixed prefetch counts, each on a channel of its own.
 //!
-//! `basic.qos` does not reach a consumer that runs (spec: "prefetch-window", applied by brokers to consumers that start
+//! `basic.qos` does not reach a consumer that runs (specification 1.8.3.1; brokers apply it to consumers that start
 //! later), so the window of a queue is changed by starting and cancelling consumers. On a channel of its own a prefetch
 //! count holds for brokers that count by channel and for those that count by consumer. A consumer is started again only
 //! once everything it had is settled, so that the messages in flight never exceed the greater of the window and what was
 //! in flight when it shrank.
 
+use loomflow_backoff::ExponentialBackoff;
+
 use crate::Millis;
 
 #[cfg(test)]
@@ -58,7 +60,7 @@
     state: ConsumerState,
     unsettled: usize,
     /// Before its channel is opened, or it is started, the next time.
-    backoff: Millis,
+    backoff: ExponentialBackoff,
     backoff_until: Millis,
 }
 
@@ -68,14 +70,13 @@
             prefetch,
             state: ConsumerState::Closed,
             unsettled: 0,
-            backoff: MIN_BACKOFF_MS,
+            backoff: ExponentialBackoff::new(MIN_BACKOFF_MS, MAX_BACKOFF_MS),
             backoff_until: f64::NEG_INFINITY,
         }
     }
 
     fn back_off(&mut self, now: Millis) {
-        self.backoff_until = now + self.backoff;
-        self.backoff = (self.backoff * 2.0).min(MAX_BACKOFF_MS);
+        self.backoff_until = now + self.backoff.advance();
     }
 
     fn is_consuming(&self) -> bool {
@@ -190,10 +191,10 @@
         self.transition(index, ConsumerState::Starting, ConsumerState::Consuming);
     }
 
-    /// The broker has cancelled it, as it was asked to.
+    /// The broker has confirmed that it is cancelled.
     pub fn consumer_cancelled(&mut self, index: usize) {
         if self.transition(index, ConsumerState::Cancelling, ConsumerState::Idle) {
-            self.consumers[index].backoff = MIN_BACKOFF_MS;
+            self.consumers[index].backoff.reset();
         }
     }
 
@@ -202,7 +203,7 @@
         consumer.map(|consumer| consumer.state = to).is_some()
     }
 
-    /// The broker has cancelled it: its queue is deleted or moved.
+    /// The broker has cancelled it: its queue was deleted or migrated.
     pub fn cancelled_by_broker(&mut self, index: usize, now: Millis) {
         if let Some(consumer) = self.consumers.get_mut(index) {
             consumer.state = ConsumerState::Idle;
@@ -230,7 +231,7 @@
     pub fn settled(&mut self, index: usize) {
         if let Some(consumer) = self.consumers.get_mut(index) {
             consumer.unsettled = consumer.unsettled.saturating_sub(1);
-            consumer.backoff = MIN_BACKOFF_MS;
+            consumer.backoff.reset();
         }
     }
 }
--- a/crates/loomflow-amqp/src/content/tests.rs
+++ b/crates/loomflow-amqp/src/content/tests.rs
@@ -1,3 +1,5 @@
+use amq_protocol::protocol::basic::QosOk;
+
 use super::*;
 use proptest::prelude::*;
 
@@ -28,9 +30,9 @@
         for piece in pieces {
             let (got, fits) = match &piece {
                 Piece::Deliver => (assembler.method(AMQPMethod::Deliver(Deliver::default())).map(|_| None), !open),
-                Piece::Other => (assembler.method(AMQPMethod::QosOk(Default::default())).map(|_| None), !open),
+                Piece::Other => (assembler.method(AMQPMethod::QosOk(QosOk::default())).map(|_| None), !open),
                 Piece::Header(size) => {
-                    let header = AMQPContentHeader { class_id: 60, body_size: *size, properties: Default::default() };
+                    let header = AMQPContentHeader { class_id: 60, body_size: *size, properties: AMQPProperties::default() };
                     (assembler.header(header), open && left.is_none())
                 }
                 Piece::Body(size) => (assembler.body(&vec![0; *size]), open && left.is_some_and(|l| l >= *size as u64)),
@@ -52,3 +54,17 @@
         }
     }
 }
+
+#[test]
+fn a_body_over_the_limit_is_read_and_discarded() {
+    let assembled = |size: usize| {
+        let mut assembler = Assembler::new(25);
+        assembler.method(AMQPMethod::Deliver(Deliver::default())).unwrap();
+        let properties = AMQPProperties::default();
+        let header = AMQPContentHeader { class_id: BASIC_CLASS_ID, body_size: size as u64, properties };
+        assert_eq!(assembler.header(header), Ok(None));
+        let content = assembler.body(&vec![0; size]).unwrap().expect("a complete message");
+        (content.is_too_large, content.body.len())
+    };
+    assert_eq!((assembled(25), assembled(26)), ((false, 25), (true, 0)));
+}
--- a/crates/loomflow-amqp/src/message.rs
+++ b/crates/loomflow-amqp/src/message.rs
@@ -7,6 +7,7 @@
 use amq_protocol::types::{AMQPValue, FieldTable, ShortString};
 
 use crate::Millis;
+use crate::failure_reason::FailureReason;
 use crate::idempotency::{IdempotencyKey, RunResult};
 use crate::publisher::{Publish, PublishId};
 use crate::settings::{KeyFrom, NameFrom, Queue, SentFrom, Settings};
@@ -30,7 +31,7 @@
 /// copies were routed the first time.
 const CARBON_COPY_HEADERS: [&str; 2] = ["CC", "BCC"];
 const PERSISTENT: u8 = 2;
-/// Longest idempotency key that is accepted, bytes.
+/// Maximum length of an idempotency key, bytes.
 const MAX_KEY_BYTES: usize = 512;
 
 fn header<'a>(properties: &'a AMQPProperties, name: &str) -> Option<&'a AMQPValue> {
@@ -91,18 +92,19 @@
     settings: &Settings,
     queue: &Queue,
     properties: &AMQPProperties,
-) -> Result<Classification, &'static str> {
+) -> Result<Classification, FailureReason> {
     let name = |from: &NameFrom| match from {
         NameFrom::Fixed(name) => Some(name.clone()),
         NameFrom::Header(name) => text_header(properties, name),
     };
-    let class = name(&queue.class).ok_or("no-class")?;
-    let class = settings.classes.iter().position(|known| known.name == class).ok_or("unknown-class")?;
+    let class = name(&queue.class).ok_or(FailureReason::NO_CLASS)?;
+    let class =
+        settings.classes.iter().position(|known| known.name == class).ok_or(FailureReason::UNKNOWN_CLASS)?;
     let tenant = match &queue.tenant {
         None => 0,
         Some(from) => {
-            let tenant = name(from).ok_or("no-tenant")?;
-            settings.tenants.iter().position(|known| *known == tenant).ok_or("unknown-tenant")?
+            let tenant = name(from).ok_or(FailureReason::NO_TENANT)?;
+            settings.tenants.iter().position(|known| *known == tenant).ok_or(FailureReason::UNKNOWN_TENANT)?
         }
     };
     Ok(Classification { class, tenant, has_effect: settings.classes[class].has_effect })
@@ -117,7 +119,7 @@
     from: &KeyFrom,
     classification: Classification,
     properties: &AMQPProperties,
-) -> Result<Option<IdempotencyKey>, &'static str> {
+) -> Result<Option<IdempotencyKey>, FailureReason> {
     let text = match from {
         KeyFrom::Header(name) => text_header(properties, name),
         KeyFrom::MessageId => properties.message_id().as_ref().map(|id| match properties.app_id() {
@@ -126,7 +128,7 @@
         }),
     };
     match text.filter(|text| !text.is_empty()) {
-        Some(text) if text.len() > MAX_KEY_BYTES => Err("key-too-long"),
+        Some(text) if text.len() > MAX_KEY_BYTES => Err(FailureReason::KEY_TOO_LONG),
         text => Ok(text.map(|text| IdempotencyKey {
             class: classification.class,
             tenant: classification.tenant,
@@ -146,7 +148,7 @@
     header_ms.map(|ms| ms as Millis).or_else(end_of_second)
 }
 
-/// Tells the callers of messages with the same key apart: a digest of the reply address and the correlation id.
+/// Identifies the caller among those with the same key: a digest of the reply address and the correlation id.
 pub fn caller_digest(properties: &AMQPProperties) -> u64 {
     let mut hasher = DefaultHasher::new();
     (properties.reply_to(), properties.correlation_id()).hash(&mut hasher);
@@ -187,7 +189,7 @@
             if let Some(retry_after) = retry_after {
                 set(RETRY_AFTER_HEADER, AMQPValue::LongLongInt(retry_after.ceil() as i64));
             }
-            set(REASON_HEADER, long_string(reason));
+            set(REASON_HEADER, long_string(reason.as_str()));
             set(MAY_HAVE_RUN_HEADER, long_string(if *may_have_run { "perhaps" } else { "no" }));
             ("failed", Vec::new())
         }
@@ -226,9 +228,9 @@
             (String::new(), queue.to_owned())
         }
         (Republish::DeadLetter(reason), dead_letter) => {
-            headers.insert(REASON_HEADER.into(), AMQPValue::LongString(reason.into()));
+            headers.insert(REASON_HEADER.into(), AMQPValue::LongString(reason.as_str().into()));
             headers.insert(QUEUE_HEADER.into(), AMQPValue::LongString(queue.into()));
-            // Dead letters are kept for inspection, whatever delivery mode the sender chose.
+            // Dead letters must survive a restart of the broker, whatever delivery mode the sender chose.
             properties = properties.with_delivery_mode(PERSISTENT);
             dead_letter.as_ref().map_or_else(Default::default, |destination| {
                 (destination.exchange.clone(), destination.routing_key.clone())
@@ -238,7 +240,7 @@
     Publish { exchange, routing_key, properties: properties.with_headers(headers), body: body.to_vec() }
 }
 
-/// The properties of a message without its user id, which moves to a header: a broker rejects a user id other than that
+/// The properties of a message without its user id, which is sent in a header instead: a broker rejects a user id other than that
 /// of the connection (extension).
 fn without_user_id(original: &AMQPProperties, headers: &mut FieldTable) -> AMQPProperties {
     let Some(user) = original.user_id() else { return original.clone() };
--- a/crates/loomflow-amqp/src/settlement.rs
+++ b/crates/loomflow-amqp/src/settlement.rs
@@ -1,10 +1,13 @@
-//! How a message ends: what its caller gets, where the message goes, and the one method that settles it with the broker.
+//! How a message is settled: what its caller gets, where the message is published, and the one method that settles it with the broker.
 //!
 //! Whatever is published for a message (its reply, the message itself requeued or dead-lettered) is confirmed before the
 //! message is settled, so that nothing is lost wherever the connection breaks. What the broker does not accept is
-//! published again after a growing backoff, while the message stays unsettled and keeps its place in the window.
+//! published again after a growing backoff, while the message stays unsettled and counts in the window.
+
+use loomflow_backoff::ExponentialBackoff;
 
 use crate::Millis;
+use crate::failure_reason::FailureReason;
 use crate::idempotency::RunResult;
 use crate::publisher::PublishResult;
 
@@ -18,8 +21,8 @@
 /// never spins in a hot loop, and lasting overload does not use up its retries.
 const MIN_RETRY_AFTER_MS: Millis = 100.0;
 const MAX_RETRY_AFTER_MS: Millis = 30_000.0;
-/// A reply that the broker rejects so often is given up, lest a full queue of one caller hold up all others; its message is
-/// dead-lettered then. One that cannot be routed is given up at once: its caller is gone.
+/// A reply that the broker rejects so often is given up, so that a full queue of one caller does not block all others; its message is
+/// dead-lettered then. One that cannot be routed is given up at once: its caller has disconnected.
 const MAX_REPLY_ATTEMPTS: u32 = 8;
 
 /// What became of a message's work.
@@ -39,17 +42,17 @@
     /// It failed, and nothing was started for it.
     NotRun,
     /// It cannot be handled, for this reason: unknown names, too large.
-    Invalid(&'static str),
+    Invalid(FailureReason),
     /// It may have run elsewhere.
     MayHaveRun,
     /// It is returned without being started, since this server shuts down.
     Returned,
 }
 
-/// What is known of a message when it ends.
+/// What is known of a message that is to be settled.
 #[derive(Clone, Copy, Debug)]
 pub struct SettlementContext {
-    /// It names where its reply goes.
+    /// It names a destination of its reply.
     pub has_reply_to: bool,
     /// There is a place for dead letters with a reason.
     pub has_dead_letter: bool,
@@ -59,7 +62,7 @@
     pub max_retries: u32,
     /// It must not run twice, so that a mark "redelivered" would cost it its run.
     pub has_effect: bool,
-    /// How long its sender will still wait, where it tells when it was sent.
+    /// How long its sender will still wait, if its sending time is known.
     pub time_left: Option<Millis>,
 }
 
@@ -73,7 +76,7 @@
     /// It failed.
     Failed {
         /// Why.
-        reason: &'static str,
+        reason: FailureReason,
         /// It may have had its effect.
         may_have_run: bool,
         /// How long to stay away before a retry.
@@ -90,10 +93,10 @@
         retry_count: u32,
     },
     /// As a dead letter, for this reason.
-    DeadLetter(&'static str),
+    DeadLetter(FailureReason),
 }
 
-/// The one method by which the broker is told that a delivery has ended.
+/// The one method by which a delivery is settled with the broker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Settlement {
     /// `basic.ack`.
@@ -134,7 +137,7 @@
 }
 
 impl Plan {
-    fn failed(reason: &'static str, may_have_run: bool, dead_letter: &'static str) -> Plan {
+    fn failed(reason: FailureReason, may_have_run: bool, dead_letter: FailureReason) -> Plan {
         Plan {
             reply: Some(ReplyStatus::Failed { reason, may_have_run, retry_after: None }),
             republish: Some(Republish::DeadLetter(dead_letter)),
@@ -149,35 +152,38 @@
 
     fn new(outcome: &MessageOutcome, context: &SettlementContext) -> Plan {
         match outcome {
-            MessageOutcome::Finished(RunResult::Failed) => Plan::failed("failed", true, "may-have-run"),
+            MessageOutcome::Finished(RunResult::Failed) => {
+                Plan::failed(FailureReason::FAILED, true, FailureReason::MAY_HAVE_RUN)
+            }
             MessageOutcome::Finished(RunResult::ReplyDiscarded) => {
-                Plan::failed("result-gone", true, "result-gone")
+                Plan::failed(FailureReason::RESULT_DISCARDED, true, FailureReason::RESULT_DISCARDED)
             }
             MessageOutcome::MayHaveRun | MessageOutcome::Finished(RunResult::Unknown) => {
-                Plan::failed("run-unknown", true, "run-unknown")
+                Plan::failed(FailureReason::RUN_UNKNOWN, true, FailureReason::RUN_UNKNOWN)
             }
             MessageOutcome::Finished(served) => Plan::acknowledged(Some(ReplyStatus::Served(served.clone()))),
             MessageOutcome::AlreadyAnswered => Plan::acknowledged(None),
             MessageOutcome::Rejected { retry_after, is_final } => {
                 Plan::rejected(*retry_after, *is_final, context)
             }
-            MessageOutcome::NotRun => Plan::failed("not-run", false, "not-run"),
-            MessageOutcome::Invalid(reason) => Plan::failed(reason, false, reason),
+            MessageOutcome::NotRun => Plan::failed(FailureReason::NOT_RUN, false, FailureReason::NOT_RUN),
+            MessageOutcome::Invalid(reason) => Plan::failed(*reason, false, *reason),
             MessageOutcome::Returned => Plan::returned(context),
         }
     }
 
     fn rejected(retry_after: Millis, is_final: bool, context: &SettlementContext) -> Plan {
-        let min_delay = MIN_RETRY_AFTER_MS * 2.0_f64.powi(context.retry_count.min(30) as i32);
-        let delay = retry_after.max(min_delay.min(MAX_RETRY_AFTER_MS));
+        let backoff =
+            ExponentialBackoff::delay_after(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS, context.retry_count);
+        let delay = retry_after.max(backoff);
         if context.time_left.is_some_and(|time_left| is_final || delay >= time_left) {
             // It cannot come again in time: its sender gets a failure at once, and it is never run late.
-            let reason = "out-of-time";
+            let reason = FailureReason::OUT_OF_TIME;
             let reply = ReplyStatus::Failed { reason, may_have_run: false, retry_after: Some(retry_after) };
             return Plan { reply: Some(reply), ..Plan::failed(reason, false, reason) };
         }
         if context.retry_count >= context.max_retries {
-            return Plan::failed("refused-too-often", false, "refused-too-often");
+            return Plan::failed(FailureReason::RETRIES_EXHAUSTED, false, FailureReason::RETRIES_EXHAUSTED);
         }
         Plan {
             reply: Some(ReplyStatus::Rejected(delay)),
@@ -207,10 +213,9 @@
     settlement: Settlement,
     is_settled: bool,
     /// Before the next attempt to publish.
-    backoff: Millis,
+    backoff: ExponentialBackoff,
     reply_attempts: u32,
-    has_effect: bool,
-    has_dead_letter: bool,
+    context: SettlementContext,
     /// What its caller gets is the end of its key, and not of this attempt.
     is_final_reply: bool,
 }
@@ -220,7 +225,7 @@
     pub fn new(outcome: &MessageOutcome, context: SettlementContext, now: Millis) -> Settling {
         let Plan { reply, republish, settlement, delay } = Plan::new(outcome, &context);
         let reply = reply.filter(|_| context.has_reply_to);
-        // Without a place for dead letters of our own the queue's is used, which tells no reason.
+        // Without a destination of our own the dead letters of the queue are used, which state no reason.
         let republish =
             republish.filter(|to| context.has_dead_letter || matches!(to, Republish::Requeue { .. }));
         let settlement = if republish.is_some() { Settlement::Ack } else { settlement };
@@ -232,10 +237,9 @@
             republish,
             settlement,
             is_settled: false,
-            backoff: MIN_PUBLISH_BACKOFF_MS,
+            backoff: ExponentialBackoff::new(MIN_PUBLISH_BACKOFF_MS, MAX_PUBLISH_BACKOFF_MS),
             reply_attempts: 0,
-            has_effect: context.has_effect,
-            has_dead_letter: context.has_dead_letter,
+            context,
             is_final_reply: matches!(outcome, MessageOutcome::Finished(_) | MessageOutcome::MayHaveRun),
         }
     }
@@ -298,12 +302,12 @@
         }
         let has_failed = matches!(result, PublishResult::Nacked | PublishResult::Unknown);
         if has_failed && self.reply_attempts < MAX_REPLY_ATTEMPTS {
-            self.reply_state = PublishState::Due(now + self.next_backoff());
+            self.reply_state = PublishState::Due(now + self.backoff.advance());
             return;
         }
         self.reply_state = PublishState::Done;
-        if has_failed && self.has_dead_letter && self.republish.is_none() {
-            self.republish = Some(Republish::DeadLetter("reply-refused"));
+        if has_failed && self.context.has_dead_letter && self.republish.is_none() {
+            self.republish = Some(Republish::DeadLetter(FailureReason::REPLY_REJECTED));
             self.republish_state = PublishState::Due(now);
         }
     }
@@ -320,19 +324,13 @@
                 self.settlement = Settlement::Requeue;
                 PublishState::Done
             }
-            (PublishResult::Unknown, Some(Republish::Requeue { .. })) if self.has_effect => {
+            (PublishResult::Unknown, Some(Republish::Requeue { .. })) if self.context.has_effect => {
                 // There may be a copy in its queue by now, and both would be run.
-                self.republish = Some(Republish::DeadLetter("run-unknown"));
+                self.republish = Some(Republish::DeadLetter(FailureReason::RUN_UNKNOWN));
                 PublishState::Due(now)
             }
             // A place for dead letters that accepts none loses nothing: it is tried for as long as it takes.
-            _ => PublishState::Due(now + self.next_backoff()),
+            _ => PublishState::Due(now + self.backoff.advance()),
         };
     }
-
-    fn next_backoff(&mut self) -> Millis {
-        let backoff = self.backoff;
-        self.backoff = (backoff * 2.0).min(MAX_PUBLISH_BACKOFF_MS);
-        backoff
-    }
 }
--- a/crates/loomflow-amqp/src/window.rs
+++ b/crates/loomflow-amqp/src/window.rs
@@ -1,9 +1,9 @@
 //! How much to consume: the decision of a front that pulls.
 //!
-//! A gateway gets a send share and passes this server by that often. A queue has no caller to tell, so its share is how many
+//! A gateway gets a send share and passes this server by that often. A queue has no caller to signal to, so its share is how many
 //! of its messages may be in flight unacknowledged. The window of a queue follows the design of the controller:
 //!
-//! - its size at a send share of 1 is increased by additions while it is what limits, and decreased by a factor at most
+//! - its size at a send share of 1 is increased by additions while it is the limit, and decreased by a factor at most
 //!   once in the loop's dead time, which is how long a message takes from delivery to answer;
 //! - it is decreased when the controller rejects messages, and when they are queued for longer than they run: by Little's
 //!   law more is then in flight than keeps the work going, and the rest would better wait at the broker;
@@ -16,9 +16,11 @@
 #[cfg(test)]
 mod tests;
 
+/// Smallest size, messages: without one in flight nothing is observed.
+const MIN_SIZE: f64 = 1.0;
 /// A decrease multiplies the size by this, as it does the controller's running limit.
 const DECREASE: f64 = 0.8;
-/// What each message takes from the size where messages tell when they were sent and too much is in flight.
+/// Decrease of the size with each message where sending times are known and too much is in flight, messages.
 const RELEASED_PART: f64 = 0.125;
 /// Weight of the newest sample in the smoothed times.
 const SMOOTHING: f64 = 0.125;
@@ -30,7 +32,7 @@
     Served,
     /// It was rejected.
     Rejected,
-    /// It says nothing about how much is too much.
+    /// It is no evidence of too much or too little.
     Other,
 }
 
@@ -39,7 +41,7 @@
 pub struct Observation {
     /// How it ended.
     pub outcome: Outcome,
-    /// How long it was at the broker, where it tells when it was sent.
+    /// How long it was at the broker, if its sending time is known.
     pub broker_time: Option<Millis>,
     /// From its delivery to the start of its run, where that was started.
     pub queue_time: Option<Millis>,
@@ -68,7 +70,7 @@
 impl Default for Window {
     fn default() -> Window {
         Window {
-            size: 1.0,
+            size: MIN_SIZE,
             has_decreased: false,
             total_time: 0.0,
             queue_time: 0.0,
@@ -79,7 +81,7 @@
     }
 }
 
-/// Moves a mean towards a sample; the first one is taken as it is.
+/// Updates a moving average with a sample; the first one is taken as it is.
 fn smooth(mean: &mut Millis, sample: Millis) {
     *mean += (sample - *mean) * if *mean == 0.0 { 1.0 } else { SMOOTHING };
 }
@@ -97,11 +99,11 @@
             self.size += 1.0;
         } else if is_too_much && message.broker_time.is_some() {
             // A decrease by a factor would stop consuming until as much has ended, and let it wait at the broker meanwhile.
-            self.size = (self.size - RELEASED_PART).max(1.0);
+            self.size = (self.size - RELEASED_PART).max(MIN_SIZE);
             self.has_decreased = true;
         } else if is_too_much {
             if now >= self.next_decrease_at {
-                self.size = (self.size * DECREASE).max(1.0);
+                self.size = (self.size * DECREASE).max(MIN_SIZE);
                 self.has_decreased = true;
                 self.next_decrease_at = now + self.total_time;
             }
@@ -119,44 +121,57 @@
         self.broker_time += (message.broker_time.unwrap_or(0.0) - self.broker_time) * SMOOTHING;
     }
 
-    /// How long recent messages were at the broker, by what they tell.
+    /// How long recent messages were at the broker, by their sending times.
     pub fn broker_time(&self) -> Millis {
         self.broker_time
     }
 
     /// What may be in flight at the send share that callers get.
     pub fn target(&self, share: f64) -> f64 {
-        (self.size * share.clamp(0.0, 1.0)).max(1.0)
+        (self.size * share.clamp(0.0, 1.0)).max(MIN_SIZE)
     }
 
-    /// Nothing beyond `max` is of use.
+    /// Limits the size to `max`.
     pub fn limit(&mut self, max: f64) {
-        self.size = self.size.min(max.max(1.0));
+        self.size = self.size.min(max.max(MIN_SIZE));
     }
 }
 
-/// Divides `total` among queues that want so much at a weight each: each gets what it wants or, where that is too much, a
-/// part by weight (weighted max-min fairness). Whole messages; while there is one for each, each gets one.
-pub fn divide_by_weight(total: usize, wants: &[(f64, f64)]) -> Vec<usize> {
-    let mut parts = vec![0.0; wants.len()];
+/// What a queue demands of the messages that may be in flight.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Demand {
+    /// Messages that it could have in flight.
+    pub messages: f64,
+    /// Its weight where there is a shortage.
+    pub weight: f64,
+}
+
+/// Divides `total` messages among queues: each gets what it demands or, where that is too much, a part by weight (weighted max-min fairness). Parts are integers; each queue gets at least one while there are as many.
+pub fn divide_by_weight(total: usize, demands: &[Demand]) -> Vec<usize> {
+    let mut parts = vec![0.0; demands.len()];
     let mut remaining = total as f64;
-    let mut open: Vec<usize> = (0..wants.len()).collect();
-    // A queue that wants less than its part leaves the rest to the others, until none does.
+    let mut open: Vec<usize> = (0..demands.len()).collect();
+    // What a queue does not need of its part is divided among the others.
     while !open.is_empty() && remaining > 0.0 {
-        let weight: f64 = open.iter().map(|queue| wants[*queue].1).sum();
-        let part = |queue: usize| match weight > 0.0 {
-            true => remaining * wants[queue].1 / weight,
-            false => remaining / open.len() as f64,
+        let weight: f64 = open.iter().map(|queue| demands[*queue].weight).sum();
+        let part = |queue: usize| {
+            if weight > 0.0 {
+                remaining * demands[queue].weight / weight
+            } else {
+                remaining / open.len() as f64
+            }
         };
-        let (content, others): (Vec<usize>, Vec<usize>) =
-            open.iter().copied().partition(|queue| wants[*queue].0 <= part(*queue));
-        if content.is_empty() {
-            others.iter().for_each(|queue| parts[*queue] = part(*queue));
+        let (satisfied, others): (Vec<usize>, Vec<usize>) =
+            open.iter().copied().partition(|queue| demands[*queue].messages <= part(*queue));
+        if satisfied.is_empty() {
+            for queue in others {
+                parts[queue] = part(queue);
+            }
             break;
         }
-        for queue in content {
-            parts[queue] = wants[queue].0;
-            remaining -= wants[queue].0;
+        for queue in satisfied {
+            parts[queue] = demands[queue].messages;
+            remaining -= demands[queue].messages;
         }
         open = others;
     }
--- a/crates/loomflow-amqp/src/window/tests.rs
+++ b/crates/loomflow-amqp/src/window/tests.rs
@@ -67,7 +67,9 @@
     window.observe(rejected(0.0), 2e6);
     assert!(window.target(1.0) < before * DECREASE);
     // The window never closes completely, so that a recovery is noticed.
-    (0..100).for_each(|at| window.observe(rejected(1.0), 3e6 + 1e3 * f64::from(at)));
+    for at in 0..100 {
+        window.observe(rejected(1.0), 3e6 + 1e3 * f64::from(at));
+    }
     assert_eq!((window.target(1.0), window.target(0.05)), (1.0, 1.0));
 }
 
@@ -83,7 +85,9 @@
             total_time: 12.0,
             is_limited: false,
         };
-        (0..count).for_each(|at| window.observe(seen, 1e6 + at as f64));
+        for at in 0..count {
+            window.observe(seen, 1e6 + at as f64);
+        }
     };
     // One second at twice the load: the window grows by as many messages as finish, rejected or not.
     let before = window.target(1.0);
@@ -104,13 +108,20 @@
     assert_eq!(window.target(0.25), window.target(1.0) * 0.25);
 }
 
+/// Divides among queues that demand so many messages at a weight.
+fn divide(total: usize, demands: &[(f64, f64)]) -> Vec<usize> {
+    let demands: Vec<Demand> =
+        demands.iter().map(|(messages, weight)| Demand { messages: *messages, weight: *weight }).collect();
+    divide_by_weight(total, &demands)
+}
+
 #[test]
 fn weights_divide_a_shortage_and_no_part_exceeds_its_demand() {
-    assert_eq!(divide_by_weight(12, &[(4.0, 1.0), (4.0, 9.0)]), [4, 4]);
-    assert_eq!(divide_by_weight(12, &[(90.0, 1.0), (90.0, 3.0)]), [3, 9]);
-    assert_eq!(divide_by_weight(12, &[(90.0, 1.0), (2.0, 3.0)]), [10, 2]);
-    assert_eq!(divide_by_weight(3, &[(9.0, 0.0), (9.0, 5.0)]), [0, 3]);
-    assert_eq!(divide_by_weight(0, &[(9.0, 1.0)]), [0]);
+    assert_eq!(divide(12, &[(4.0, 1.0), (4.0, 9.0)]), [4, 4]);
+    assert_eq!(divide(12, &[(90.0, 1.0), (90.0, 3.0)]), [3, 9]);
+    assert_eq!(divide(12, &[(90.0, 1.0), (2.0, 3.0)]), [10, 2]);
+    assert_eq!(divide(3, &[(9.0, 0.0), (9.0, 5.0)]), [0, 3]);
+    assert_eq!(divide(0, &[(9.0, 1.0)]), [0]);
 }
 
 proptest! {
@@ -119,7 +130,7 @@
         total in 0usize..200,
         demands in proptest::collection::vec((1.0f64..80.0, 0.1f64..9.0), 1..6)
     ) {
-        let parts = divide_by_weight(total, &demands);
+        let parts = divide(total, &demands);
         prop_assert!(parts.iter().sum::<usize>() <= total);
         for (part, (demand, _)) in parts.iter().zip(&demands) {
             prop_assert!(*part as f64 <= *demand);
@@ -129,3 +140,20 @@
         prop_assert!(parts.iter().sum::<usize>() as f64 >= least);
     }
 }
+
+#[test]
+fn times_are_smoothed_and_a_first_time_is_taken_as_it_is() {
+    let mut window = Window::default();
+    let sample = |broker_time, total_time| Observation {
+        broker_time: Some(broker_time),
+        ..served(2.0, total_time, false)
+    };
+    window.observe(sample(800.0, 10.0), 0.0);
+    assert_eq!((window.broker_time(), window.total_time, window.run_time), (100.0, 10.0, 8.0));
+    assert_eq!(window.queue_time, 2.0 * SMOOTHING);
+    window.observe(sample(800.0, 18.0), 0.0);
+    assert_eq!((window.total_time, window.run_time), (11.0, 9.0));
+    let before = window.clone();
+    window.observe(Observation { outcome: Outcome::Other, ..sample(0.0, 99.0) }, 0.0);
+    assert_eq!((window.total_time, window.size), (before.total_time, before.size));
+}
