--- a/crates/loomflow-server/src/connection/partial_message.rs
+++ b/crates/loomflow-server/src/connection/partial_message.rs
@@ -2,6 +2,11 @@
 
 use std::time::{Duration, Instant};
 
+/// The rest of a message is waited for so long after its last byte: a slow peer is waited for, a stalled one is not.
+const STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// The rest of a message is waited for so long after its first byte.
+const TIMEOUT: Duration = Duration::from_secs(10);
+
 /// When a message began to arrive, and how much of it has.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PartialMessage {
@@ -28,8 +33,12 @@
         }
     }
 
-    /// Whether the rest is not to be waited for: nothing came for `stall_timeout`, or it has taken longer than `timeout`.
-    pub fn is_stalled(&self, stall_timeout: Duration, timeout: Duration) -> bool {
-        self.last_byte_at.elapsed() >= stall_timeout || self.started_at.elapsed() >= timeout
+    /// Whether the rest is no longer waited for.
+    pub fn is_stalled(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.last_byte_at) >= STALL_TIMEOUT
+            || now.saturating_duration_since(self.started_at) >= TIMEOUT
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/connection/violations/tests.rs
+++ b/crates/loomflow-server/src/connection/violations/tests.rs
@@ -26,3 +26,14 @@
     assert_eq!(violations.current(now + Duration::from_secs(86_400)), 1);
     assert_eq!(violations.current(now + Duration::from_secs(10 * 365 * 86_400)), 0);
 }
+
+#[test]
+fn each_recent_violation_delays_reading_by_a_step() {
+    let start = Instant::now();
+    let mut violations = Violations::new(start);
+    assert_eq!(violations.throttle_delay(start), Duration::ZERO);
+    violations.record(start);
+    violations.record(start);
+    assert_eq!(violations.throttle_delay(start), THROTTLE_STEP * 2);
+    assert_eq!(violations.throttle_delay(start + DECAY_INTERVAL), THROTTLE_STEP);
+}
--- a/crates/loomflow-server/src/front/resp/classify.rs
+++ b/crates/loomflow-server/src/front/resp/classify.rs
@@ -9,12 +9,15 @@
 use crate::front::interface::{ReplyHandle, Submission};
 use crate::idempotency::IdempotencyKey;
 
+#[cfg(test)]
+mod tests;
+
 /// A timestamp may be older than the class's timeout by so much, after a pause of the machine.
 const MAX_TIMESTAMP_AGE_MS: Millis = 60_000.0;
 /// A timestamp may be ahead of this machine's clock by so much.
 const MAX_CLOCK_SKEW_MS: Millis = 1_000.0;
-/// Expected work, and the wait that a caller states, are at most this multiple of the class's timeout. A larger figure is no
-/// estimate, and a single one in the queue would make all other requests look hopeless.
+/// Estimated work, and the wait that a caller states, are at most this multiple of the class's timeout: a larger figure in the
+/// queue would make all other requests seem too late.
 const MAX_ESTIMATE_FACTOR: f64 = 25.0;
 
 /// Where a request's names are in the settings.
--- a/crates/loomflow-server/src/front/resp/connections.rs
+++ b/crates/loomflow-server/src/front/resp/connections.rs
@@ -1,10 +1,14 @@
 //! The connections of gateways: responses and what each carries, idle connections, and the end of all of them.
 
+mod capacity;
+mod closing;
 mod connection;
 #[cfg(test)]
 mod interleavings;
+mod shutdown;
 #[cfg(test)]
 mod tests;
+mod timeouts;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,19 +17,14 @@
 use loomflow_protocol::gateway::{self, ResponseFields, ResponseStatus};
 
 use crate::close_reason::CloseReason;
-use crate::connection::{ConnectionHandle, LINGER_TIMEOUT};
+use crate::connection::ConnectionHandle;
 use crate::log;
 use crate::mailbox::ConnectionId;
-use connection::{Connection, InputClosed, Timeouts};
-
-/// How long a gateway has to close a connection after a goodbye.
-const GOODBYE_TIMEOUT_MS: Millis = 500.0;
-/// The same where there are too many connections; a request that crosses the close within 50 ms is sent again.
-const GOODBYE_TIMEOUT_NEAR_CAPACITY_MS: Millis = 80.0;
-/// Where there are too many connections, one on which no complete message was ever received is closed after this.
-const FIRST_MESSAGE_TIMEOUT_NEAR_CAPACITY_MS: Millis = 100.0;
-/// The process ends so long before it would be killed, whatever is unwritten.
-const KILL_MARGIN_MS: Millis = 50.0;
+pub use capacity::Limits;
+use capacity::{IdleConnection, Reclaim, UnwrittenResponses};
+use connection::{Connection, InputClosed};
+use shutdown::ShutdownDeadlines;
+use timeouts::Timeouts;
 
 /// The state of a request's tag.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,30 +39,6 @@
     Unreachable,
 }
 
-/// Bounds on the connections.
-#[derive(Clone, Copy, Debug)]
-pub struct Limits {
-    /// With more connections than this the longest idle are closed.
-    pub near_capacity: usize,
-    /// With so many connections, others wait to be accepted.
-    pub max_connections: usize,
-    /// Bytes of responses that gateways have not read, in all.
-    pub max_unwritten_bytes: usize,
-}
-
-/// The deadlines of a graceful shutdown.
-#[derive(Clone, Copy, Debug)]
-struct Shutdown {
-    /// How long a connection is kept after its goodbye.
-    goodbye_timeout: Millis,
-    /// When the rest of a message is waited for no longer, so that its peer can still read the end.
-    partial_message_deadline: Millis,
-    /// When all connections have to be closed.
-    deadline: Millis,
-    /// When the process will be killed.
-    kill_deadline: Millis,
-}
-
 /// All connections of gateways.
 pub struct GatewayConnections {
     connections: BTreeMap<ConnectionId, Connection>,
@@ -73,7 +48,7 @@
     /// The feedback signal of every response, once there is one.
     signal: Option<f64>,
     idle_timeout: Option<Millis>,
-    shutdown: Option<Shutdown>,
+    shutdown: Option<ShutdownDeadlines>,
 }
 
 impl GatewayConnections {
@@ -172,8 +147,8 @@
         &mut self,
         id: ConnectionId,
         tag: u64,
-        word: ResponseStatus,
-        advice: ResponseFields,
+        status: ResponseStatus,
+        fields: ResponseFields,
         body: &[u8],
         now: Millis,
     ) {
@@ -182,8 +157,8 @@
             return;
         }
         connection.idle_since = now;
-        let advice = ResponseFields { signal: self.signal, ..advice };
-        connection.handle.enqueue_response(|out| gateway::write_response(out, tag, word, advice, body));
+        let fields = ResponseFields { signal: self.signal, ..fields };
+        connection.handle.enqueue_response(|out| gateway::write_response(out, tag, status, fields, body));
     }
 
     /// Handles the deadlines of all connections. Returns those on which a partial message has stalled.
@@ -193,7 +168,7 @@
         let timeouts = self.timeouts(now);
         let mut stalled = Vec::new();
         for (id, connection) in &mut self.connections {
-            if connection.check_timeouts(timeouts, now) {
+            if connection.check_timeouts(&timeouts, now) {
                 stalled.push(*id);
             }
         }
@@ -201,8 +176,7 @@
     }
 
     fn timeouts(&self, now: Millis) -> Timeouts {
-        let is_near_capacity = self.connections.len() > self.limits.near_capacity;
-        let goodbye = if is_near_capacity { GOODBYE_TIMEOUT_NEAR_CAPACITY_MS } else { GOODBYE_TIMEOUT_MS };
+        let goodbye = Timeouts::goodbye(self.limits.is_near_capacity(self.connections.len()));
         Timeouts {
             idle: self.idle_timeout.unwrap_or(f64::INFINITY),
             goodbye: self.shutdown.map_or(goodbye, |shutdown| goodbye.min(shutdown.goodbye_timeout)),
@@ -212,56 +186,46 @@
         }
     }
 
-    /// Where there are too many connections, those on which nothing was ever received are closed at once, then the longest
-    /// idle get a goodbye. Where there is no capacity left, others wait to be accepted, and up to half of all are closed:
-    /// gateways with requests may wait behind many that have none.
+    /// Closes idle connections near capacity.
     fn reclaim_capacity(&mut self, now: Millis) {
-        let is_full = self.connections.len() + self.lingering.len() >= self.limits.max_connections;
-        let min = if is_full { self.connections.len() / 2 } else { 0 };
-        let count = self.connections.len().saturating_sub(self.limits.near_capacity).max(min);
+        let count = self.limits.reclaim_count(self.connections.len(), self.lingering.len());
         if count == 0 {
             return;
         }
-        let reclaimable = self.connections.values_mut().filter(|connection| connection.is_reclaimable());
-        let mut reclaimable: Vec<&mut Connection> = reclaimable.collect();
-        let rank = |connection: &Connection| {
-            (connection.has_received_message, connection.handle.partial_message().is_some())
-        };
-        reclaimable.sort_by(|a, b| rank(a).cmp(&rank(b)).then(a.idle_since.total_cmp(&b.idle_since)));
-        for connection in reclaimable.into_iter().take(count) {
-            if connection.has_received_message {
-                connection.send_goodbye(now);
-            } else if now - connection.idle_since >= FIRST_MESSAGE_TIMEOUT_NEAR_CAPACITY_MS {
-                connection.close(connection.idle_close_reason(), now);
+        let idle = self.connections.iter().filter_map(|(id, connection)| connection.as_idle(*id));
+        let mut idle: Vec<IdleConnection> = idle.collect();
+        idle.sort_by(IdleConnection::reclaim_order);
+        for idle in idle.into_iter().take(count) {
+            let Some(connection) = self.connections.get_mut(&idle.id) else { continue };
+            match idle.reclaim(now) {
+                Reclaim::SendGoodbye => connection.send_goodbye(now),
+                Reclaim::Close => connection.close_idle(now),
+                Reclaim::Wait => {}
             }
         }
     }
 
-    /// Where more responses are unread than there is memory for, aborts the connection with the most.
+    /// Aborts the connections with the most unread responses where there is no memory for all.
     fn abort_slow_readers(&mut self) {
-        let mut unread: Vec<(usize, &Connection)> = self
+        let unwritten = self
             .connections
-            .values()
-            .map(|connection| (connection.handle.unwritten_bytes(), connection))
-            .filter(|(bytes, _)| *bytes > 0)
+            .iter()
+            .map(|(id, connection)| UnwrittenResponses {
+                id: *id,
+                bytes: connection.handle.unwritten_bytes(),
+            })
+            .filter(|responses| responses.bytes > 0)
             .collect();
-        let mut total: usize = unread.iter().map(|(bytes, _)| bytes).sum();
-        unread.sort_by_key(|(bytes, _)| *bytes);
-        while total > self.limits.max_unwritten_bytes {
-            let Some((bytes, connection)) = unread.pop() else { return };
+        for id in self.limits.slow_readers(unwritten) {
+            let Some(connection) = self.connections.get(&id) else { continue };
             log!("a gateway does not read its responses: its connection is aborted");
             connection.handle.abort();
-            total -= bytes;
         }
     }
 
-    /// Sends a goodbye on all connections, and on those that are still accepted. Of the time until `deadline` one half is
-    /// for the peers to close them, the other for this server.
+    /// Sends a goodbye on all connections, and on those that are still accepted.
     pub fn begin_shutdown(&mut self, deadline: Millis, kill_deadline: Millis, now: Millis) {
-        let goodbye_timeout = GOODBYE_TIMEOUT_MS.min((deadline - now).max(0.0) / 2.0);
-        let linger = LINGER_TIMEOUT.as_secs_f64() * 1000.0;
-        let partial_message_deadline = (deadline - linger).max(now + goodbye_timeout);
-        self.shutdown = Some(Shutdown { goodbye_timeout, partial_message_deadline, deadline, kill_deadline });
+        self.shutdown = Some(ShutdownDeadlines::new(deadline, kill_deadline, now));
         for connection in self.connections.values_mut() {
             connection.send_goodbye(now);
         }
@@ -269,17 +233,17 @@
 
     /// Whether the process is about to be killed.
     pub fn is_kill_imminent(&self, now: Millis) -> bool {
-        self.shutdown.is_some_and(|shutdown| now >= shutdown.kill_deadline - KILL_MARGIN_MS)
+        self.shutdown.is_some_and(|shutdown| shutdown.is_kill_imminent(now))
     }
 
-    /// Whether the process may end: each connection was closed in order, its last responses read or given the time to be.
-    /// The end of a process closes its connections, too: over unread bytes that would discard responses.
+    /// Whether the process may end: each connection was closed in order, and its last responses were read or had the time
+    /// to be. The end of the process closes connections, which over unread bytes would discard responses.
     pub fn is_drained(&self, now: Millis) -> bool {
         let Some(shutdown) = self.shutdown else { return false };
         let is_flushed =
             |connection: &Connection| connection.open_tags.is_empty() && connection.handle.is_flushed();
         (self.connections.is_empty() && self.lingering.is_empty())
             || (now >= shutdown.deadline && self.connections.values().all(is_flushed))
-            || self.is_kill_imminent(now)
+            || shutdown.is_kill_imminent(now)
     }
 }
--- a/crates/loomflow-server/src/front/resp/connections/connection/tests.rs
+++ b/crates/loomflow-server/src/front/resp/connections/closing/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_closing_connection_is_kept_while_its_peer_reads_slowly_but_not_for_good() {
-    let closing = Closing { started_at: 0.0, bytes_written: 0, stalled_since: 0.0 };
+    let closing = Closing::new(0, 0.0);
     let mut stalled = closing;
     assert!(
         !stalled.is_stalled(0, 0.0, CLOSE_STALL_TIMEOUT_MS - 1.0)
--- a/crates/loomflow-server/src/front/resp/connections/interleavings.rs
+++ b/crates/loomflow-server/src/front/resp/connections/interleavings.rs
@@ -6,7 +6,8 @@
 use loomflow_protocol::gateway::MAX_OPEN_REQUESTS;
 use proptest::prelude::*;
 
-use super::connection::CLOSE_STALL_TIMEOUT_MS;
+use super::closing::CLOSE_STALL_TIMEOUT_MS;
+use super::shutdown::KILL_MARGIN_MS;
 use super::*;
 
 const CONNECTIONS: u64 = 4;
--- /dev/null
+++ b/crates/loomflow-server/src/front/resp/connections/shutdown.rs
@@ -0,0 +1,40 @@
+//! The deadlines of a graceful shutdown, for the gateways' connections.
+
+use loomflow::time::Millis;
+
+use super::timeouts::GOODBYE_TIMEOUT_MS;
+use crate::connection::LINGER_TIMEOUT;
+
+#[cfg(test)]
+mod tests;
+
+/// The process ends so long before it would be killed, whatever is unwritten.
+pub(super) const KILL_MARGIN_MS: Millis = 50.0;
+
+/// The deadlines of a graceful shutdown.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ShutdownDeadlines {
+    /// How long a connection is kept after its goodbye.
+    pub(super) goodbye_timeout: Millis,
+    /// When the rest of a message is waited for no longer, so that its peer can still read the responses.
+    pub(super) partial_message_deadline: Millis,
+    /// When all connections have to be closed.
+    pub(super) deadline: Millis,
+    /// When the process will be killed.
+    kill_deadline: Millis,
+}
+
+impl ShutdownDeadlines {
+    /// Of the time until `deadline`, one half is for the peers to close their connections, the other for this server.
+    pub(super) fn new(deadline: Millis, kill_deadline: Millis, now: Millis) -> ShutdownDeadlines {
+        let goodbye_timeout = GOODBYE_TIMEOUT_MS.min((deadline - now).max(0.0) / 2.0);
+        let linger = LINGER_TIMEOUT.as_secs_f64() * 1000.0;
+        let partial_message_deadline = (deadline - linger).max(now + goodbye_timeout);
+        ShutdownDeadlines { goodbye_timeout, partial_message_deadline, deadline, kill_deadline }
+    }
+
+    /// Whether the process is about to be killed.
+    pub(super) fn is_kill_imminent(&self, now: Millis) -> bool {
+        now >= self.kill_deadline - KILL_MARGIN_MS
+    }
+}
--- a/crates/loomflow-server/src/front/resp/connections/tests.rs
+++ b/crates/loomflow-server/src/front/resp/connections/tests.rs
@@ -1,6 +1,8 @@
 use loomflow_protocol::gateway::MAX_OPEN_REQUESTS;
 
-use super::connection::{CLOSE_STALL_TIMEOUT_MS, FIRST_MESSAGE_TIMEOUT_MS};
+use super::closing::CLOSE_STALL_TIMEOUT_MS;
+use super::shutdown::KILL_MARGIN_MS;
+use super::timeouts::{FIRST_MESSAGE_TIMEOUT_MS, GOODBYE_TIMEOUT_MS, GOODBYE_TIMEOUT_NEAR_CAPACITY_MS};
 use super::*;
 
 const UNLIMITED: Limits =
--- a/crates/loomflow-server/src/front/resp/listener.rs
+++ b/crates/loomflow-server/src/front/resp/listener.rs
@@ -1,5 +1,6 @@
 //! Accepts gateways: one coroutine for the listening socket, one for each connection.
 
+mod connection_limit;
 #[cfg(test)]
 mod tests;
 
@@ -19,14 +20,15 @@
 use crate::connection::{self, ConnectionHandle};
 use crate::log;
 use crate::mailbox::{ConnectionId, FrontEvent, GatewayEvent, Mailbox, OwnerEvent};
+use connection_limit::{ConnectionLimit, ConnectionPermit};
 
-/// Before the next attempt after a failure, and while there is no capacity.
+/// Time between two attempts, after a failure and while there is no capacity.
 const RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// The former process of this server may hold the address until it is killed, and so long after that.
+/// The former process of this server may use the address until it is killed, and so long after that.
 const ADDRESS_RELEASE_MARGIN: Duration = Duration::from_secs(1);
-/// A failure to accept that lasts is logged again after this.
+/// A failure to accept that persists is logged again after this time.
 const FAILURE_LOG_INTERVAL: Duration = Duration::from_secs(60);
-/// Connections that the system holds until they are accepted.
+/// Connections that the system queues until they are accepted.
 const BACKLOG: i32 = 1024;
 
 /// The address for gateways cannot be used.
@@ -50,7 +52,7 @@
         let acceptor = Acceptor { stop: Arc::new(AtomicBool::new(false)), waker: listener.waker() };
         let stop = acceptor.stop.clone();
         may::go!(move || {
-            run_acceptor(&listener, &mailbox, &stop, max_connections);
+            run_acceptor(&listener, &mailbox, &stop, &ConnectionLimit::new(max_connections));
             drop(listener);
             mailbox.send(OwnerEvent::Front(FrontEvent::ListenerClosed));
         });
@@ -142,7 +144,7 @@
     }
 }
 
-/// Keeps a failure that every attempt repeats from filling the log.
+/// Limits the log lines of a failure that every attempt repeats.
 #[derive(Default)]
 struct FailureLog {
     last_logged_at: Option<Instant>,
@@ -161,20 +163,18 @@
     }
 }
 
-fn run_acceptor(listener: &TcpListener, mailbox: &Arc<Mailbox>, stop: &AtomicBool, max_connections: usize) {
+fn run_acceptor(listener: &TcpListener, mailbox: &Arc<Mailbox>, stop: &AtomicBool, limit: &ConnectionLimit) {
     let mut last_id: ConnectionId = 0;
-    // Each connection has a clone of this.
-    let connection_counter = Arc::new(());
     accept_until_drained(
         stop,
-        || Arc::strong_count(&connection_counter) <= max_connections,
+        || limit.has_capacity(),
         || listener.inner().accept(),
         || {
             listener.wait_io();
         },
         |(stream, _)| {
             last_id += 1;
-            spawn_connection(last_id, stream, mailbox.clone(), connection_counter.clone());
+            spawn_connection(last_id, stream, mailbox.clone(), limit.acquire());
         },
     );
 }
@@ -183,7 +183,7 @@
     id: ConnectionId,
     stream: std::net::TcpStream,
     mailbox: Arc<Mailbox>,
-    connection_counter: Arc<()>,
+    permit: ConnectionPermit,
 ) {
     let _ = stream.set_nodelay(true);
     let stream: TcpStream = adopt(stream);
@@ -196,7 +196,7 @@
         let (stream, reason) = connection::drive(stream, &handle, Requests::default(), deliver, input_closed);
         mailbox.send_gateway_event(id, GatewayEvent::Disconnected(reason));
         connection::linger(stream, reason);
-        drop(connection_counter);
+        drop(permit);
         mailbox.send_gateway_event(id, GatewayEvent::DescriptorClosed);
     });
 }
--- a/crates/loomflow-server/src/front/resp/mod.rs
+++ b/crates/loomflow-server/src/front/resp/mod.rs
@@ -94,9 +94,7 @@
         }
         let reply_handle = ReplyHandle::Tag(id, tag);
         requests.push(match request {
-            Request::Health { is_deep: real, .. } => {
-                FrontRequest::HealthCheck { reply_handle, is_deep: real }
-            }
+            Request::Health { is_deep, .. } => FrontRequest::HealthCheck { reply_handle, is_deep },
             Request::Call(call) => self.submit(reply_handle, call, now),
             Request::Invalid { reason, .. } => {
                 log!(why = reason, "a request was not accepted");
@@ -159,7 +157,7 @@
     /// Sends a response.
     pub fn respond(&mut self, id: ConnectionId, tag: u64, response: Response, now: Millis) {
         let none = ResponseFields::default();
-        let (word, advice, body) = match response {
+        let (status, fields, body) = match response {
             Response::Served(result) => (ResponseStatus::Ok, none, result),
             Response::Rejected { retry_after, is_final } => {
                 (ResponseStatus::Busy, ResponseFields { retry_after, is_final, ..none }, &[][..])
@@ -171,7 +169,7 @@
         if response == Response::Failed(Failure::Invalid) {
             self.connections.record_violation(id);
         }
-        self.connections.respond(id, tag, word, advice, body, now);
+        self.connections.respond(id, tag, status, fields, body, now);
     }
 
     /// The feedback signal that every response carries from now on.
