--- a/crates/loomflow-server/src/connection/driver.rs
+++ b/crates/loomflow-server/src/connection/driver.rs
@@ -13,8 +13,12 @@
 use super::runtime::sleep;
 use crate::close_reason::CloseReason;
 
+#[cfg(test)]
+mod tests;
+
 /// Messages that are read from one connection before the others have their turn.
 const MAX_MESSAGES_PER_TURN: usize = 16;
+/// A connection is opened within this time.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Opens a connection after a backoff, unless it has been closed by then.
--- /dev/null
+++ b/crates/loomflow-server/src/connection/driver/tests.rs
@@ -0,0 +1,47 @@
+use std::io::Write;
+use std::net::{TcpListener, TcpStream as StdStream};
+use std::time::Instant;
+
+use loomflow_protocol::gateway::Requests;
+
+use super::*;
+use crate::connection::configure_runtime;
+
+const HEALTH: &[u8] = b"*3\r\n$10\r\nRPC.HEALTH\r\n$1\r\n1\r\n$0\r\n\r\n";
+
+#[test]
+fn a_connection_delivers_a_bounded_number_of_messages_in_one_turn() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
+    let mut peer = StdStream::connect(listener.local_addr().expect("its address")).expect("it listens");
+    let (stream, _) = listener.accept().expect("the connection");
+    let messages = MAX_MESSAGES_PER_TURN + 4;
+    peer.write_all(&HEALTH.repeat(messages)).expect("it is sent");
+    // All is there once the stream ends.
+    peer.shutdown(std::net::Shutdown::Write).expect("it ends");
+    let handle = ConnectionHandle::new(None);
+    let mut decoder = Requests::default();
+    let mut delivered = 0;
+    let outcome = read_messages(&stream, &handle, &mut decoder, &mut |_| delivered += 1);
+    assert!(matches!(outcome, Ok(ReadOutcome::MoreToRead)));
+    assert_eq!(delivered, MAX_MESSAGES_PER_TURN);
+    let outcome = read_messages(&stream, &handle, &mut decoder, &mut |_| delivered += 1);
+    assert!(matches!(outcome, Ok(ReadOutcome::InputClosed(CloseReason::PeerClosed))));
+    assert_eq!(delivered, messages);
+}
+
+#[test]
+fn a_connect_that_is_not_answered_times_out() {
+    configure_runtime();
+    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    socket.bind(&std::net::SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("an address");
+    socket.listen(0).expect("it listens");
+    let address = socket.local_addr().expect("its address").as_socket().expect("an IP address");
+    // A full queue of connections that are not accepted drops further ones.
+    let short = Duration::from_millis(100);
+    let queued: Vec<StdStream> =
+        std::iter::from_fn(|| StdStream::connect_timeout(&address, short).ok()).take(64).collect();
+    assert!(queued.len() < 64, "the queue never fills");
+    let started_at = Instant::now();
+    assert_eq!(connect(address).err(), Some(CloseReason::ConnectFailed));
+    assert!((CONNECT_TIMEOUT..CONNECT_TIMEOUT * 4).contains(&started_at.elapsed()));
+}
--- a/crates/loomflow-server/src/connection/handle.rs
+++ b/crates/loomflow-server/src/connection/handle.rs
@@ -10,7 +10,10 @@
 use super::violations::Violations;
 use crate::close_reason::CloseReason;
 
-/// With more unwritten bytes than this, nothing more is read.
+#[cfg(test)]
+mod tests;
+
+/// With so many unwritten bytes, nothing more is read.
 const MAX_UNWRITTEN_BYTES: usize = 64 * 1024;
 
 /// A connection, to everyone but its driver.
@@ -27,9 +30,9 @@
     close_reason: Option<CloseReason>,
     /// The driver has been woken for what was queued.
     is_wake_pending: bool,
-    /// Wakes the driver, while it waits for nothing but its peer and this handle. `may` keeps a wait with a timeout in a
-    /// list that only the thread of its connections may touch, and removes it where the wait is ended: if another thread
-    /// ended the wait of a linger, that list would break. So the waker is used only under this lock, and is gone by then.
+    /// Wakes the driver, while it waits for nothing but its peer and this handle. `may` has a list of waits with a timeout
+    /// that only the thread of its connections may change: if another thread ended the wait of a linger, that list would
+    /// break. So the waker is used only under this lock, and is removed before a linger.
     waker: Option<WaitIoWaker>,
     partial_message: Option<PartialMessage>,
     violations: Violations,
@@ -233,7 +236,7 @@
         state.close_reason.is_none() && has_capacity && is_read
     }
 
-    /// Why the driver is to close the connection, once nothing more is owed on it.
+    /// Why the driver is to close the connection, once all responses are written.
     pub(super) fn close_due(&self) -> Option<CloseReason> {
         let state = self.lock();
         let is_settled = state.open_requests == 0 && state.write_queue.unwritten().is_empty();
--- /dev/null
+++ b/crates/loomflow-server/src/connection/handle/tests.rs
@@ -0,0 +1,29 @@
+use super::*;
+
+#[test]
+fn reading_pauses_at_the_maximum_of_open_requests() {
+    let handle = ConnectionHandle::new(Some(2));
+    handle.message_received();
+    assert!(handle.may_read());
+    handle.message_received();
+    assert!(!handle.may_read());
+    handle.enqueue_response(|_| {});
+    assert!(handle.may_read());
+    // Where messages need no response any number is read.
+    let unbounded = ConnectionHandle::new(None);
+    unbounded.message_received();
+    assert!(unbounded.may_read());
+}
+
+#[test]
+fn reading_pauses_while_too_much_is_unwritten_and_ends_with_a_close() {
+    let handle = ConnectionHandle::new(None);
+    handle.enqueue(|out| out.resize(MAX_UNWRITTEN_BYTES - 1, 0));
+    assert!(handle.may_read());
+    handle.enqueue(|out| out.push(0));
+    assert!(!handle.may_read());
+    handle.take_written(1);
+    assert!(handle.may_read());
+    handle.close(CloseReason::IdleTimeout);
+    assert!(!handle.may_read());
+}
--- a/crates/loomflow-server/src/engine/tests.rs
+++ b/crates/loomflow-server/src/engine/tests.rs
@@ -42,3 +42,31 @@
     assert_eq!(engine.disconnected(link - 1, CloseReason::Reset, STABLE_AFTER_MS), None);
     assert_eq!(engine.link, link);
 }
+
+fn engine_link() -> EngineLink {
+    connection::configure_runtime();
+    EngineLink::start(([127, 0, 0, 1], 9).into(), Arc::new(Mailbox::default()))
+}
+
+#[test]
+fn gauges_are_used_until_their_maximum_age() {
+    let mut engine = engine_link();
+    engine.gauges_received("1", vec![0.5], 10.0);
+    assert_eq!(engine.gauges(10.0 + GAUGES_MAX_AGE_MS), [Some(0.5)]);
+    assert!(engine.gauges(11.0 + GAUGES_MAX_AGE_MS).is_empty());
+}
+
+#[test]
+fn a_replay_ends_with_its_fence_or_after_its_timeout_and_only_then_commands_are_sent() {
+    let mut engine = engine_link();
+    let id = loomflow_protocol::AttemptId(7);
+    let is_sent = |engine: &EngineLink| engine.send(Command::Halt { id }) != Delivery::NotSent;
+    assert!(!is_sent(&engine) && !engine.check_replay_timeout(1e9), "not attached");
+    engine.attached(0.0);
+    assert!(!is_sent(&engine) && !engine.check_replay_timeout(REPLAY_TIMEOUT_MS - 1.0));
+    assert!(engine.check_replay_timeout(REPLAY_TIMEOUT_MS) && is_sent(&engine));
+    engine.attached(0.0);
+    let fence = engine.last_tag;
+    assert!(!engine.gauges_received(&(fence - 1).to_string(), Vec::new(), 1.0) && !is_sent(&engine));
+    assert!(engine.gauges_received(&fence.to_string(), Vec::new(), 2.0) && is_sent(&engine));
+}
