--- a/crates/loomflow-server/src/arguments.rs
+++ b/crates/loomflow-server/src/arguments.rs
@@ -26,7 +26,7 @@
                   that LOOMFLOW_OPTIONS names, or nothing
 ";
 
-/// What the command line asks for.
+/// The command that the command line names.
 pub enum Command {
     /// Try out a single server.
     #[cfg(feature = "try")]
@@ -82,7 +82,7 @@
     NoCommand,
 }
 
-/// Options and the command's name, as they are given.
+/// Options and the command's name, as they were parsed.
 struct Arguments {
     command: Option<String>,
     config: Option<PathBuf>,
--- a/crates/loomflow-server/src/budget.rs
+++ b/crates/loomflow-server/src/budget.rs
@@ -12,7 +12,7 @@
 /// Descriptors for everything but gateways and ledger: standard streams, the listening socket, the poller, signals, the
 /// engine and the control plane, each former link beside the current one.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Beyond this part of the gateways' connections the longest idle are closed.
+/// Above this part of the gateways' connections the longest idle are closed.
 const NEAR_CAPACITY: (usize, usize) = (3, 4);
 
 /// One in so many bytes is for each of: responses that gateways have not read, cached results, the idempotency cache's
--- a/crates/loomflow-server/src/connection/linger.rs
+++ b/crates/loomflow-server/src/connection/linger.rs
@@ -12,7 +12,7 @@
 
 /// How long a closed connection waits for its peer to close, too.
 pub const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
-/// A single wait counts for at most this much: the peer could not close while the machine was paused.
+/// The maximum time that counts for a single wait: the peer could not close while the machine was paused.
 const MAX_WAIT: Duration = Duration::from_millis(50);
 /// What is read meanwhile is discarded: so much at once, and then an interval, so that a flood costs little.
 const READ_BYTES: usize = 4096;
--- a/crates/loomflow-server/src/connection/runtime.rs
+++ b/crates/loomflow-server/src/connection/runtime.rs
@@ -7,11 +7,11 @@
 
 /// Stack of a connection's coroutine, in words of 8 bytes.
 const STACK_WORDS: usize = 4096;
-/// Stacks that are kept for connections to come. The library allocates all of them at the start and touches the first pages
-/// of each: its default of a thousand was most of a server's memory. Connections beyond these allocate their own.
+/// Stacks in the pool for new connections. The library allocates all of them at the start and touches the first pages of
+/// each, so that its default of a thousand takes much memory. Further connections allocate their own.
 const STACK_POOL_SIZE: usize = 128;
 
-/// Configures the runtime, before the first connection: one thread for all of them. `may` keeps waits with a timeout in
+/// Configures the runtime, before the first connection: one thread for all of them. `may` has waits with a timeout in
 /// lists that only the thread of their connections may touch, and a coroutine may run on any thread.
 pub fn configure_runtime() {
     may::config()
--- a/crates/loomflow-server/src/connection/violations.rs
+++ b/crates/loomflow-server/src/connection/violations.rs
@@ -1,13 +1,12 @@
-//! Protocol violations of a connection, which slow down how fast it is read.
+//! Protocol violations of a connection, and how much they throttle it.
 
 use std::time::{Duration, Instant};
 
-/// Delay before more is read, for each recent violation: a peer that floods is slowed down by its own flood.
+/// Delay before more is read, for each recent violation: a flood throttles its own sender.
 const THROTTLE_STEP: Duration = Duration::from_millis(5);
 /// Further violations make no difference.
 const MAX_VIOLATIONS: u32 = 20;
-/// One violation is forgiven after each of these, so that a connection which lasts for days is slowed down for what it
-/// does and not for what it once did.
+/// One violation decays after each interval: a connection that is open for days is throttled for recent violations only.
 const DECAY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The number of recent violations.
--- a/crates/loomflow-server/src/engine.rs
+++ b/crates/loomflow-server/src/engine.rs
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum LinkState {
     Connecting,
-    /// Notices that the engine kept from before come first, until the query with this tag is answered.
+    /// Notices that the engine retained come first, until the query with this tag is answered.
     Replaying {
         fence: u64,
         deadline: Millis,
@@ -145,8 +145,8 @@
         Some(LostLink { link, bytes_written })
     }
 
-    /// The engine has another address: opens a link there at once. What the old one has not written is dropped, and it
-    /// is closed once the peer has read the rest. Returns the old link, none where the address is the same.
+    /// The engine has another address: opens a link there at once. What the former one has not written is dropped, and
+    /// it is closed once the peer has read the rest. Returns the former link, none where the address is the same.
     pub fn set_address(&mut self, address: SocketAddr) -> Option<LostLink> {
         if address == self.address {
             return None;
@@ -174,7 +174,7 @@
         }
     }
 
-    /// The engine is up; the notices that it kept follow.
+    /// The engine is up; the notices that it retained follow.
     pub fn attached(&mut self, now: Millis) {
         self.attached_at = now;
         self.is_loss_logged = false;
@@ -222,7 +222,7 @@
         self.last_tag
     }
 
-    /// Asks for the gauges.
+    /// Requests the gauges.
     pub fn poll_gauges(&mut self) {
         if self.state == LinkState::Ready {
             self.send_fence();
@@ -247,7 +247,7 @@
         if now - self.gauges_received_at <= GAUGES_MAX_AGE_MS { &self.gauges } else { &[] }
     }
 
-    /// Asks the engine to do the work of a deep health check. Returns its tag, none while there is no engine.
+    /// Requests the work of a deep health check. Returns its tag, none while there is no engine.
     pub fn send_health_check(&mut self) -> Option<u64> {
         if !self.is_up() {
             return None;
--- a/crates/loomflow-server/src/engine/resend.rs
+++ b/crates/loomflow-server/src/engine/resend.rs
@@ -18,7 +18,7 @@
     EndRun,
     /// It is sent again.
     Send,
-    /// It is sent again right behind a fence, which shows whether the run has gone on to another call meanwhile.
+    /// It is sent again right behind a fence, which shows whether the run has reached another call meanwhile.
     SendBehindFence,
 }
 
@@ -44,7 +44,7 @@
     pub fn resend(&self, request: RequestState) -> Resend {
         match (self.delivery, &self.command) {
             (Delivery::InFlight { .. }, _) => Resend::Nothing,
-            // A pause of the machine between the command and the loss makes the loss look later than it was.
+            // After a pause of the machine the loss may be found later than it was.
             (Delivery::Delivered, SentCommand::Run) if !request.is_answered => Resend::Send,
             (Delivery::Delivered, _) => Resend::Confirm,
             _ if request.is_answered => Resend::EndRun,
--- a/crates/loomflow-server/src/front/amqp/consumer_settings.rs
+++ b/crates/loomflow-server/src/front/amqp/consumer_settings.rs
@@ -75,7 +75,7 @@
         estimated_work: options.work_ms,
         memory_kb: options.memory_kb,
         rank: options.rank,
-        priority_weight: worth(options, site),
+        priority_weight: priority_weight(options, site),
     }
 }
 
@@ -92,9 +92,9 @@
 }
 
 /// The priority weight of the queue's class, or the lowest of all where each message names its own.
-fn worth(options: &loomflow_settings::amqp::Queue, site: &Site) -> f64 {
-    let worth = |class: usize| site.settings.classes.get(class).map_or(0.0, |class| class.priority_weight);
+fn priority_weight(options: &loomflow_settings::amqp::Queue, site: &Site) -> f64 {
+    let weight = |class: usize| site.settings.classes.get(class).map_or(0.0, |class| class.priority_weight);
     let fixed = options.class.as_ref().map(|name| &name.value);
     let class = fixed.and_then(|name| site.classes.iter().position(|known| known == name));
-    class.map_or_else(|| (0..site.classes.len()).map(worth).fold(f64::INFINITY, f64::min), worth)
+    class.map_or_else(|| (0..site.classes.len()).map(weight).fold(f64::INFINITY, f64::min), weight)
 }
--- a/crates/loomflow-server/src/front/amqp/mod.rs
+++ b/crates/loomflow-server/src/front/amqp/mod.rs
@@ -91,7 +91,7 @@
         });
     }
 
-    /// Handles what a link's driver reported; what it asks of the owner is added to `requests`.
+    /// Handles what a link's driver reported; its requests to the owner are added to `requests`.
     pub fn handle_event(
         &mut self,
         link: LinkId,
@@ -148,10 +148,10 @@
         }
     }
 
-    /// Passes on what the consumer asks of the owner, and its log lines.
+    /// Passes on the consumer's requests to the owner, and its log lines.
     fn forward_requests(&mut self, requests: &mut Vec<FrontRequest>) {
-        for ask in self.consumer.take_requests() {
-            match ask {
+        for request in self.consumer.take_requests() {
+            match request {
                 ConsumerRequest::Submit(message) => {
                     requests.push(FrontRequest::Submit(Box::new(self.submission(message))));
                 }
@@ -171,7 +171,7 @@
             class,
             tenant,
             key: message.key.map(|text| IdempotencyKey { class, tenant, text }),
-            // Where nothing tells when it was sent its time begins here: how long it was queued was its sender's choice.
+            // Without a time of sending its time begins here: how long it was queued is not known.
             remaining_wait: self.site.settings.classes[class].timeout - message.upstream_time,
             age: 0.0,
             upstream_time: message.upstream_time,
@@ -228,12 +228,12 @@
         }
         let Counts { delivered, redelivered, replied, put_back, dead, acked, requeued, rejected } = counts;
         let windows: Vec<String> = self.consumer.windows().map(|size| format!("{size:.0}")).collect();
-        let stood: Vec<String> = self.consumer.broker_times().map(|ms| format!("{ms:.0}")).collect();
+        let broker_times: Vec<String> = self.consumer.broker_times().map(|ms| format!("{ms:.0}")).collect();
         log!(
             part = "amqp",
             unsettled = self.consumer.unsettled(),
             windows = windows.join(" "),
-            stood = stood.join(" "),
+            stood = broker_times.join(" "),
             share = self.consumer.share(),
             delivered,
             redelivered,
@@ -253,7 +253,7 @@
         self.consumer.next_deadline()
     }
 
-    /// The controller exists, so that messages are worth consuming.
+    /// The controller exists, so that messages are consumed.
     pub fn controller_ready(&mut self) {
         self.consumer.start_accepting();
     }
--- a/crates/loomflow-server/src/front/interface.rs
+++ b/crates/loomflow-server/src/front/interface.rs
@@ -1,4 +1,4 @@
-//! What passes between a front and the owner: requests one way, responses the other. The owner keeps a reply handle for
+//! What passes between a front and the owner: requests one way, responses the other. The owner has a reply handle for
 //! each request and returns it with the response; what the handle means is known to the front alone.
 
 use loomflow::time::Millis;
@@ -16,7 +16,7 @@
     Delivery(u64),
 }
 
-/// What a front asks of the owner.
+/// A front's request to the owner.
 #[derive(Debug)]
 pub enum FrontRequest {
     /// To handle a request.
--- a/crates/loomflow-server/src/front/mod.rs
+++ b/crates/loomflow-server/src/front/mod.rs
@@ -35,7 +35,7 @@
 }
 
 impl Fronts {
-    /// Starts to accept gateways, and to consume from a broker where the options say so.
+    /// Starts to accept gateways, and to consume from a broker where the options configure one.
     pub fn start(
         listener: Listener,
         config: &Config,
@@ -48,7 +48,7 @@
         Ok(Fronts { resp, amqp: amqp.transpose()? })
     }
 
-    /// Handles what a driver reported; what it asks of the owner is added to `requests`.
+    /// Handles what a driver reported; its requests to the owner are added to `requests`.
     pub fn handle_event(&mut self, event: FrontEvent, now: Now, requests: &mut Vec<FrontRequest>) {
         match (event, &mut self.amqp) {
             (FrontEvent::Gateway(id, event), _) => self.resp.handle_event(id, event, now, requests),
@@ -87,14 +87,14 @@
         }
     }
 
-    /// The controller exists, so that requests are worth consuming.
+    /// The controller exists, so that messages are consumed.
     pub fn controller_ready(&mut self) {
         if let Some(amqp) = &mut self.amqp {
             amqp.controller_ready();
         }
     }
 
-    /// The feedback signal that callers get from now on; `is_send_share`: it is the share of traffic that is wanted.
+    /// The feedback signal that callers get from now on; `is_send_share`: it is the share of traffic to send here.
     pub fn set_signal(&mut self, signal: f64, is_send_share: bool) {
         self.resp.set_signal(signal);
         if let Some(amqp) = self.amqp.as_mut().filter(|_| is_send_share) {
--- a/crates/loomflow-server/src/front/resp/classify.rs
+++ b/crates/loomflow-server/src/front/resp/classify.rs
@@ -12,7 +12,7 @@
 #[cfg(test)]
 mod tests;
 
-/// A timestamp may be older than the class's timeout by so much, after a pause of the machine.
+/// A timestamp may be this much older than the class's timeout, after a pause of the machine.
 const MAX_TIMESTAMP_AGE_MS: Millis = 60_000.0;
 /// A timestamp may be ahead of this machine's clock by so much.
 const MAX_CLOCK_SKEW_MS: Millis = 1_000.0;
@@ -83,7 +83,7 @@
     }
 }
 
-/// Keyed classes are identified by their key, reads by their subject; other requests cannot be told apart.
+/// Keyed classes are identified by their key, reads by their subject; duplicates of other requests cannot be recognized.
 fn idempotency_key(
     call: &Call,
     classification: Classification,
--- a/crates/loomflow-server/src/front/resp/connections/capacity.rs
+++ b/crates/loomflow-server/src/front/resp/connections/capacity.rs
@@ -37,7 +37,7 @@
 /// How an idle connection is reclaimed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reclaim {
-    /// Its peer is asked to close it.
+    /// Its peer gets a goodbye, and closes it.
     SendGoodbye,
     /// It is closed without a goodbye: its peer never sent a request.
     Close,
--- a/crates/loomflow-server/src/front/resp/connections/connection.rs
+++ b/crates/loomflow-server/src/front/resp/connections/connection.rs
@@ -64,7 +64,7 @@
         self.close(reason, now);
     }
 
-    /// Asks the peer to close it: no further request is wanted.
+    /// Sends the peer a goodbye, after which it closes the connection.
     pub(super) fn send_goodbye(&mut self, now: Millis) {
         if self.goodbye_sent_at.is_none() {
             self.goodbye_sent_at = Some(now);
--- a/crates/loomflow-server/src/front/resp/connections/shutdown.rs
+++ b/crates/loomflow-server/src/front/resp/connections/shutdown.rs
@@ -14,7 +14,7 @@
 /// The deadlines of a graceful shutdown.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ShutdownDeadlines {
-    /// How long a connection is kept after its goodbye.
+    /// How long a connection stays open after its goodbye.
     pub(super) goodbye_timeout: Millis,
     /// When the rest of a message is waited for no longer, so that its peer can still read the responses.
     pub(super) partial_message_deadline: Millis,
--- a/crates/loomflow-server/src/front/resp/connections/timeouts.rs
+++ b/crates/loomflow-server/src/front/resp/connections/timeouts.rs
@@ -37,14 +37,14 @@
 pub(super) enum IdleAction {
     /// Nothing.
     Wait,
-    /// Its peer is asked to close it.
+    /// Its peer gets a goodbye, and closes it.
     SendGoodbye,
     /// It is closed.
     Close,
 }
 
 impl Timeouts {
-    /// How long a connection is kept after its goodbye.
+    /// How long a connection stays open after its goodbye.
     pub(super) fn goodbye(is_near_capacity: bool) -> Millis {
         if is_near_capacity { GOODBYE_TIMEOUT_NEAR_CAPACITY_MS } else { GOODBYE_TIMEOUT_MS }
     }
--- a/crates/loomflow-server/src/front/resp/mod.rs
+++ b/crates/loomflow-server/src/front/resp/mod.rs
@@ -20,7 +20,7 @@
 use listener::Acceptor;
 pub use listener::{ListenError, Listener};
 
-/// All connections are checked at most so often.
+/// Minimum time between two checks of all connections.
 const MIN_CHECK_INTERVAL_MS: Millis = 20.0;
 
 /// The gateways' front.
@@ -55,7 +55,7 @@
         self.is_listening = false;
     }
 
-    /// Handles what a connection's driver reported; what it asks of the owner is added to `requests`.
+    /// Handles what a connection's driver reported; its requests to the owner are added to `requests`.
     pub fn handle_event(
         &mut self,
         id: ConnectionId,
--- a/crates/loomflow-server/src/ledger.rs
+++ b/crates/loomflow-server/src/ledger.rs
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The connection for a call; it is opened where [`Placement`] says so.
+    /// The connection for a call; opens one where [`Placement`] requires it.
     fn connection_for(&mut self, call: &CallRequest, address: SocketAddr, now: Millis) -> Option<LinkId> {
         let call = PlacedCall { id: call.id, has_effect: call.has_effect };
         match Placement::choose(&self.connections, self.max_connections, call, now) {
--- a/crates/loomflow-server/src/ledger/connection.rs
+++ b/crates/loomflow-server/src/ledger/connection.rs
@@ -64,7 +64,7 @@
             && !self.carried_calls.contains(&id)
     }
 
-    /// Whether it is free for a call without an effect. One with an effect never goes on an idle connection: if the ledger
+    /// Whether it is idle and may carry a call, which has no effect. One with an effect never uses an idle connection: if the ledger
     /// had forgotten that, nothing would prove that the call never ran.
     pub(super) fn is_reusable(&self, id: RequestId, has_effect: bool, now: Millis) -> bool {
         !has_effect
--- a/crates/loomflow-server/src/ledger/placement.rs
+++ b/crates/loomflow-server/src/ledger/placement.rs
@@ -1,5 +1,5 @@
 //! Which connection carries a call. A fault on a connection fails every call on it, so each call has one to itself while
-//! there are enough; beyond that calls share the least loaded.
+//! there is capacity; otherwise calls share the least loaded.
 
 use std::collections::BTreeMap;
 
--- a/crates/loomflow-server/src/mailbox.rs
+++ b/crates/loomflow-server/src/mailbox.rs
@@ -36,7 +36,7 @@
         /// Bytes that were handed to the system.
         bytes_written: u64,
     },
-    /// The drivers have read what was unread when they were asked to.
+    /// The drivers have read what was unread when the owner began to wait for them.
     ReadersDrained,
     /// SIGTERM was received.
     ShutdownRequested,
--- a/crates/loomflow-server/src/owner/admission.rs
+++ b/crates/loomflow-server/src/owner/admission.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// The bound on requests in the table: a limit on memory, far beyond what the controller queues.
+/// The bound on requests in the table: a limit on memory, far above what the controller queues.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AdmissionLimit {
     pub(super) max_requests: usize,
--- a/crates/loomflow-server/src/owner/batch_schedule.rs
+++ b/crates/loomflow-server/src/owner/batch_schedule.rs
@@ -39,7 +39,7 @@
         now - self.deadline > PAUSE_THRESHOLD_MS
     }
 
-    /// How long the batch is delayed, so that batches are at least their interval apart; none where it is due.
+    /// How long the batch is delayed until the interval since the last one has passed; none where it is due.
     pub(super) fn delay(&self, now: Millis) -> Option<Duration> {
         let delay = self.last_batch_at + self.interval - now;
         (delay > 0.0).then(|| Duration::from_micros((delay * 1000.0) as u64))
--- a/crates/loomflow-server/src/owner/draining.rs
+++ b/crates/loomflow-server/src/owner/draining.rs
@@ -12,7 +12,7 @@
         self.shutdown.is_complete(unanswered, || self.fronts.is_drained(self.now.ms))
     }
 
-    /// SIGTERM was received. Requests are served as usual until the grace period ends, because gateways notice late.
+    /// SIGTERM was received. Requests are served as usual until the grace period ends, because gateways learn of it late.
     pub(super) fn begin_shutdown(&mut self) {
         let now = self.now.ms;
         let Some(deadlines) = self.shutdown.request(self.site.settings.drain_grace, now) else { return };
--- a/crates/loomflow-server/src/owner/engine_events.rs
+++ b/crates/loomflow-server/src/owner/engine_events.rs
@@ -114,7 +114,7 @@
     }
 
     /// A new link is ready, and all notices from before it have been read: sends again what may not have arrived.
-    /// `is_replay_complete`: the engine has said that there are no more notices.
+    /// `is_replay_complete`: the engine has reported that there are no more notices.
     pub(super) fn resend_commands(&mut self, is_replay_complete: bool) {
         let mut ended_runs = Vec::new();
         for (id, entry) in self.requests.iter_mut() {
--- a/crates/loomflow-server/src/owner/event_loop.rs
+++ b/crates/loomflow-server/src/owner/event_loop.rs
@@ -35,7 +35,7 @@
     Ok(())
 }
 
-/// Waits for the events of the next batch. Batches are at least the settings' batch interval apart.
+/// Waits for the events of the next batch. [`BatchSchedule`](super::batch_schedule::BatchSchedule) says when.
 fn next_batch(owner: &Owner, mailbox: &Arc<Mailbox>) -> Vec<OwnerEvent> {
     let clock = owner.clock;
     let schedule = owner.batch_schedule();
--- a/crates/loomflow-server/src/owner/fleet_reporter.rs
+++ b/crates/loomflow-server/src/owner/fleet_reporter.rs
@@ -21,7 +21,7 @@
     slow_start_ends_at: Millis,
 }
 
-/// What the fleet is told about this server, besides its load.
+/// What is reported about this server, besides its load.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServerState {
     pub(super) has_controller: bool,
--- a/crates/loomflow-server/src/owner/health_checks.rs
+++ b/crates/loomflow-server/src/owner/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks: what they are told, and deep ones that wait for the engine.
+//! The health that is reported, and deep health checks that wait for the engine.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/loomflow-server/src/owner/mod.rs
+++ b/crates/loomflow-server/src/owner/mod.rs
@@ -2,7 +2,7 @@
 //! to its mailbox; the owner passes them to the controller as one batch, carries out the actions that the controller
 //! decides on, and queues what the drivers are to write.
 //!
-//! - `event_loop`: waits for events and forms batches, as `batch_schedule` says;
+//! - `event_loop`: waits for events and forms batches; `batch_schedule`: when one is due;
 //! - this file: one batch;
 //! - `requests`: requests, from a front's submission to their response; `admission`: whether one is accepted;
 //! - `engine_events`: what the engine reports, and commands that are sent again after a lost link;
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Lets the fronts do something, and handles what they ask for.
+    /// Updates the fronts, and handles their requests.
     fn update_fronts(&mut self, update: impl FnOnce(&mut Fronts, &mut Vec<FrontRequest>)) {
         let mut requests = std::mem::take(&mut self.front_requests);
         update(&mut self.fronts, &mut requests);
--- a/crates/loomflow-server/src/owner/reload.rs
+++ b/crates/loomflow-server/src/owner/reload.rs
@@ -1,4 +1,4 @@
-//! A new configuration, on SIGHUP: taken up as a whole, or not at all where it would break a rule.
+//! A new configuration, on SIGHUP: applied completely, or not at all where it would break a rule.
 
 use loomflow::interface::Event;
 use loomflow_settings::Config;
@@ -8,7 +8,7 @@
 use crate::log;
 
 impl Owner {
-    /// Takes up what may change while serving; the controller gets it before any other event of this batch.
+    /// Applies what may change while serving; the controller gets it before any other event of this batch.
     pub(super) fn reload(&mut self, new: Config) {
         let in_use = |class| self.requests.has_class(class) || self.idempotency.has_class(class);
         let check = ReloadCheck { current: &self.config, new: &new, is_class_in_use: &in_use };
--- a/crates/loomflow-server/src/owner/requests.rs
+++ b/crates/loomflow-server/src/owner/requests.rs
@@ -18,7 +18,7 @@
 }
 
 impl Owner {
-    /// Handles what the fronts ask for, in order.
+    /// Handles the requests of the fronts, in order.
     pub(super) fn handle_front_requests(&mut self, mut requests: Vec<FrontRequest>) {
         for request in requests.drain(..) {
             match request {
--- a/crates/loomflow-server/src/owner/shutdown.rs
+++ b/crates/loomflow-server/src/owner/shutdown.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Stage {
     Serving,
-    /// Requests are served as usual, because gateways notice the shutdown late.
+    /// Requests are served as usual, because gateways learn of the shutdown late.
     GracePeriod {
         intake_stop_at: Millis,
         deadlines: ShutdownDeadlines,
--- a/crates/loomflow-server/src/trial.rs
+++ b/crates/loomflow-server/src/trial.rs
@@ -52,11 +52,7 @@
         to - 1,
         100.0 * in_time / could
     );
-    for (rule, kept) in played.rules {
-        println!("{} {rule}", if kept { "kept  " } else { "BROKEN" });
-    }
-    let kept = played.rules.iter().all(|(_, kept)| *kept);
-    Ok(if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(print_rules(&played.rules))
 }
 
 /// Runs a fleet of five servers: each is maintained once under load, and one is killed in the middle.
@@ -91,55 +87,68 @@
         kill_after: Some(Duration::from_secs(10)),
         limit: Duration::from_secs(300),
     };
-    let seen = rounds::play(&mut fleet, &round);
-    let heard = load.end().total();
-    for (at, what) in &seen.timeline {
+    let results = rounds::play(&mut fleet, &round);
+    let totals = load.end().total();
+    for (at, what) in &results.timeline {
         println!("{:>7.1} s  {what}", at.as_secs_f64());
     }
     println!("\n{}", fleet.run_command(0, &["work", "history"]).1);
     println!(
         "Of {} requests {} were answered in time, {} late, {} refused, {} failed, {} lost.",
-        heard.sent, heard.in_time, heard.late, heard.rejected, heard.failed, heard.lost
+        totals.sent, totals.in_time, totals.late, totals.rejected, totals.failed, totals.lost
     );
     let rules = [
-        ("each went once and came back", seen.complete),
-        ("never more than one out at once", seen.most_out <= 1),
-        ("each ended with code 0", seen.bad_ends == 0),
-        ("every request has one final answer", heard.lost == 0 && heard.wrong == 0),
+        ("each went once and came back", results.complete),
+        ("never more than one out at once", results.most_out <= 1),
+        ("each ended with code 0", results.bad_ends == 0),
+        ("every request has one final answer", totals.lost == 0 && totals.wrong == 0),
     ];
-    for (rule, kept) in rules {
-        println!("{} {rule}", if kept { "kept  " } else { "BROKEN" });
+    Ok(print_rules(&rules))
+}
+
+/// Prints whether each rule holds. The exit code is 1 if one was violated.
+fn print_rules(rules: &[(&str, bool)]) -> ExitCode {
+    for (rule, holds) in rules {
+        println!("{} {rule}", if *holds { "kept  " } else { "BROKEN" });
     }
-    let kept = rules.iter().all(|(_, kept)| *kept);
-    Ok(if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    if rules.iter().all(|(_, holds)| *holds) { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 fn print(played: &ScenarioResults, front: Front) {
     let mut table = Table::new();
     table.load_preset(presets::NOTHING);
-    // What tells callers, or the broker, how much to send.
-    let told = if front == Front::Resp { "share told" } else { "credit told" };
+    // The signal to callers, or the credit of the broker.
+    let signal_heading = if front == Front::Resp { "share told" } else { "credit told" };
     table.set_header([
-        "second", "asked", "in time", "late", "refused", "failed", "lost", "held p50", "p99 ms", told,
+        "second",
+        "asked",
+        "in time",
+        "late",
+        "refused",
+        "failed",
+        "lost",
+        "held p50",
+        "p99 ms",
+        signal_heading,
     ]);
-    let row = |name: String, tally: &Counts, held: [String; 2]| {
+    let row = |name: String, tally: &Counts, queue_times: [String; 2]| {
         let counts = [tally.sent, tally.in_time, tally.late, tally.rejected, tally.failed, tally.lost];
-        // Nothing told is a whole share.
-        let told = match (front, tally.mean_signal()) {
+        // Without a signal all traffic is wanted.
+        let signal = match (front, tally.mean_signal()) {
             (Front::Resp, share) => format!("{:.2}", share.unwrap_or(1.0)),
             (Front::Amqp, credit) => format!("{:.0}", credit.unwrap_or(0.0)),
         };
         let counts = counts.map(|count| count.to_string());
-        std::iter::once(name).chain(counts).chain(held).chain([told]).collect::<Vec<_>>()
+        std::iter::once(name).chain(counts).chain(queue_times).chain([signal]).collect::<Vec<_>>()
     };
     for (second, tally) in played.results.seconds.iter().enumerate().filter(|(_, tally)| tally.sent > 0) {
         let ms = |part: f64| {
-            let held = played.queue_times.get(second).map_or(0, |held| held.value_at_quantile(part));
-            format!("{:.0}", held as f64 / 1000.0)
+            let queue_time = played.queue_times.get(second).map_or(0, |times| times.value_at_quantile(part));
+            format!("{:.0}", queue_time as f64 / 1000.0)
         };
         table.add_row(row(second.to_string(), tally, [ms(0.5), ms(0.99)]));
     }
-    table.add_row(row("all".into(), &played.results.total(), Default::default()));
+    table.add_row(row("all".into(), &played.results.total(), [String::new(), String::new()]));
     for column in table.column_iter_mut().skip(1) {
         column.set_cell_alignment(CellAlignment::Right);
     }
