--- a/crates/loomflow-server/src/engine/tests.rs
+++ b/crates/loomflow-server/src/engine/tests.rs
@@ -70,3 +70,19 @@
     assert!(!engine.gauges_received(&(fence - 1).to_string(), Vec::new(), 1.0) && !is_sent(&engine));
     assert!(engine.gauges_received(&fence.to_string(), Vec::new(), 2.0) && is_sent(&engine));
 }
+
+#[test]
+fn a_notice_is_handled_once_and_only_on_the_current_link() {
+    let mut engine = engine_link();
+    let link = engine.link;
+    let need = |number| {
+        let id = loomflow_protocol::AttemptId(7);
+        Notice::Need { number, id, body: Vec::new() }
+    };
+    assert!(!engine.accept_notice(link - 1, &need(1)));
+    assert!(engine.accept_notice(link, &need(1)) && engine.accept_notice(link, &need(2)));
+    assert!(!engine.accept_notice(link, &need(1)) && !engine.accept_notice(link, &need(2)));
+    // A notice without a number is not repeated by the engine.
+    let without_number = Notice::CommandRejected { command: "RUN".into(), id: None };
+    assert!(engine.accept_notice(link, &without_number) && engine.accept_notice(link, &without_number));
+}
--- a/crates/loomflow-server/src/front/resp/listener.rs
+++ b/crates/loomflow-server/src/front/resp/listener.rs
@@ -77,7 +77,7 @@
         stop_ms: Millis,
         is_shutdown_requested: impl Fn() -> bool,
     ) -> Result<Option<Listener>, ListenError> {
-        let deadline = Instant::now() + ADDRESS_RELEASE_MARGIN + Duration::from_secs_f64(stop_ms / 1000.0);
+        let deadline = Instant::now() + release_timeout(stop_ms);
         let mut is_logged = false;
         loop {
             match bind(address) {
@@ -95,6 +95,11 @@
     }
 }
 
+/// How long an address in use is waited for: until the former process of this server is killed, and a margin.
+fn release_timeout(stop_ms: Millis) -> Duration {
+    ADDRESS_RELEASE_MARGIN + Duration::from_secs_f64(stop_ms / 1000.0)
+}
+
 /// `may`'s own bind would share the port with whoever listens there already.
 fn bind(address: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
--- a/crates/loomflow-server/src/front/resp/listener/tests.rs
+++ b/crates/loomflow-server/src/front/resp/listener/tests.rs
@@ -62,3 +62,8 @@
     assert_eq!(reported, 1, "a minute of failures at every attempt");
     assert!(failures.is_due(start + FAILURE_LOG_INTERVAL));
 }
+
+#[test]
+fn an_address_in_use_is_waited_for_until_the_kill_of_the_former_process_and_a_margin() {
+    assert_eq!(release_timeout(3_000.0), Duration::from_secs(4));
+}
--- a/crates/loomflow-server/tests/control_plane.rs
+++ b/crates/loomflow-server/tests/control_plane.rs
@@ -1,5 +1,8 @@
 //! Reports to a control plane that is down, slow, breaks off, says no, or never comes to an end.
 
+mod common;
+
+use common::{attach, finish_run, start_run};
 use loomflow_standins::*;
 
 const LONG: f64 = 20_000.0;
@@ -28,14 +31,11 @@
     let closed = fixture.ledger.address;
     fixture.config["control"] = closed.to_string().into();
     fixture.start("exec \"$0\" serve");
-    let engine = fixture.engine.link();
-    engine.accept_attach("ATTACH 0");
+    let engine = attach(&fixture, "ATTACH 0");
     std::thread::sleep(QUIET_PERIOD);
     let mut gateway = fixture.gateway();
-    let id = gateway.call(1, "read", b"x");
-    engine.expect("RUN");
-    engine.send_done(1, &id, b"y");
-    assert_eq!(gateway.response().status, "OK");
+    let id = start_run(&mut gateway, &engine, 1, "read");
+    finish_run(&mut gateway, &engine, 1, &id);
     let control = Control::at(std::net::TcpListener::bind(closed).expect("its address"));
     assert!(control.report().ends_with("{\"condition\":\"Ready\"}"));
 }
@@ -48,8 +48,7 @@
         let endless = Control::endless(forever);
         fixture.config["control"] = endless.address.to_string().into();
         fixture.start("exec \"$0\" serve");
-        let engine = fixture.engine.link();
-        engine.accept_attach("ATTACH 0");
+        let _engine = attach(&fixture, "ATTACH 0");
         fixture.wait_for_service();
         endless.report();
         // Reports go on there, on connections of their own.
--- a/crates/loomflow-server/tests/descriptors.rs
+++ b/crates/loomflow-server/tests/descriptors.rs
@@ -1,12 +1,15 @@
 //! Idle clients that take every descriptor while the control plane is down: gateways with work still get in, links are
 //! made anew, reports go out as soon as the control plane is back.
 
+mod common;
+
 use std::net::TcpListener;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::JoinHandle;
 use std::time::Duration;
 
+use common::{attach, finish_run, start_run};
 use loomflow_standins::*;
 
 const LONG: f64 = 20_000.0;
@@ -92,10 +95,8 @@
 /// A gateway that comes while idle clients hold the table, and whose request is run.
 fn is_served(fixture: &ServerFixture, engine: &PeerConnection, number: u64) {
     let mut gateway = fixture.gateway();
-    let id = gateway.call(1, "read", b"x");
-    assert_eq!(engine.expect("RUN").word(1), id);
-    engine.send_done(number, &id, b"y");
-    assert_eq!(gateway.response().body, b"y");
+    let id = start_run(&mut gateway, engine, 1, "read");
+    finish_run(&mut gateway, engine, number, &id);
 }
 
 /// The log says little, however long it lasts.
@@ -107,8 +108,7 @@
 #[test]
 fn gateways_with_requests_are_accepted_among_idle_clients_while_discovery_is_down() {
     let (mut fixture, down) = without_discovery(SOCKETS);
-    let engine = fixture.engine.link();
-    engine.accept_attach("ATTACH 0");
+    let engine = attach(&fixture, "ATTACH 0");
     fixture.wait_for_service();
     let idle = IdleClients::start(&fixture, IDLE);
     wait_until_full(&fixture, SOCKETS / 2);
@@ -130,8 +130,7 @@
 fn engine_and_ledger_connections_are_reopened_with_every_descriptor_in_use() {
     for limit in [SOCKETS, 44] {
         let (mut fixture, _down) = without_discovery(limit);
-        let engine = fixture.engine.link();
-        engine.accept_attach("ATTACH 0");
+        let engine = attach(&fixture, "ATTACH 0");
         fixture.wait_for_service();
         let ledger = fixture.ledger.open();
         let idle = IdleClients::start(&fixture, IDLE);
@@ -146,8 +145,7 @@
         let calls: Vec<PeerConnection> = runs.iter().map(|_| ledger.link()).collect();
         // The engine's link and the ledger's break, and come back.
         engine.disconnect();
-        let engine = fixture.engine.link();
-        engine.accept_attach("ATTACH 4");
+        let engine = attach(&fixture, "ATTACH 4");
         calls.into_iter().for_each(PeerConnection::disconnect);
         let mut open = Vec::new();
         for _ in &runs {
--- a/crates/loomflow-server/tests/gateways.rs
+++ b/crates/loomflow-server/tests/gateways.rs
@@ -1,8 +1,11 @@
 //! Gateways that pipeline, split, stall, break off, open too much or send what cannot be read.
 
+mod common;
+
 use std::io::Write;
 use std::time::Duration;
 
+use common::{attach, finish_run, start_configured, start_run};
 use loomflow_standins::*;
 
 const LONG: f64 = 20_000.0;
@@ -106,8 +109,7 @@
 fn a_reset_connection_affects_no_other() {
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
     let mut gateway = fixture.gateway();
-    let id = gateway.call(1, "read", b"x");
-    engine.expect("RUN");
+    let id = start_run(&mut gateway, &engine, 1, "read");
     gateway.reset();
     engine.send_done(1, &id, b"for nobody");
     serves(&fixture, &engine, 2);
@@ -180,8 +182,7 @@
 fn a_tag_reused_while_open_closes_the_connection() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG));
     let mut gateway = fixture.gateway();
-    let id = gateway.call(5, "read", b"x");
-    engine.expect("RUN");
+    let id = start_run(&mut gateway, &engine, 5, "read");
     gateway.call(5, "read", b"another");
     let answer = gateway.response();
     assert_eq!((answer.tag, answer.status.as_str()), (5, "FAILED"));
@@ -211,8 +212,7 @@
     let mut fixture = ServerFixture::new(site(LONG));
     fixture.config["limits"]["sockets"] = 96.into();
     fixture.start("ulimit -n 96; exec \"$0\" serve");
-    let engine = fixture.engine.link();
-    engine.accept_attach("ATTACH 0");
+    let engine = attach(&fixture, "ATTACH 0");
     let mut kept = fixture.gateway();
     kept.send(&health(1, false));
     assert_eq!(kept.response().status, "UP");
@@ -252,8 +252,7 @@
 fn an_attempt_id_in_use_does_not_run_twice() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG));
     let mut gateway = fixture.gateway();
-    let id = gateway.call(1, "pay", b"x");
-    engine.expect("RUN");
+    let id = start_run(&mut gateway, &engine, 1, "pay");
     gateway.send(&call(2, "pay", &fields(&id), b"x"));
     assert_eq!((gateway.response().tag, gateway.next_response(QUIET_PERIOD)), (2, Err(Silence)));
     engine.expect_quiet();
@@ -292,12 +291,8 @@
 
 #[test]
 fn open_requests_are_bounded_by_memory() {
-    let mut fixture = ServerFixture::new(site(LONG));
-    fixture.config["limits"]["memory_mb"] = 1.into();
-    fixture.start("exec \"$0\" serve");
-    let engine = fixture.engine.link();
-    engine.accept_attach("ATTACH 0");
-    fixture.wait_for_service();
+    let (fixture, _engine) =
+        start_configured(site(LONG), |fixture| fixture.config["limits"]["memory_mb"] = 1.into());
     // 51 requests of 2.5 KB in an eighth of 1 MB.
     let mut all = [fixture.gateway(), fixture.gateway()];
     for gateway in &mut all {
@@ -335,8 +330,7 @@
 fn the_server_survives_descriptor_exhaustion() {
     let mut fixture = ServerFixture::new(site(LONG));
     fixture.start("ulimit -n 40; exec \"$0\" serve");
-    let engine = fixture.engine.link();
-    engine.accept_attach("ATTACH 0");
+    let _engine = attach(&fixture, "ATTACH 0");
     let mut all: Vec<Gateway> = (0..60).map(|_| fixture.gateway()).collect();
     all[0].send(&health(1, false));
     assert_eq!(all[0].response().status, "UP");
@@ -352,8 +346,7 @@
 fn after_a_pause_everything_that_arrived_is_read_first() {
     let (fixture, engine) = ServerFixture::start_serving(site(1_000.0));
     let mut gateway = fixture.gateway();
-    let id = gateway.call(1, "pay", b"x");
-    engine.expect("RUN");
+    let id = start_run(&mut gateway, &engine, 1, "pay");
     fixture.signal("STOP");
     // Its result and new requests arrive while nothing is read, and its time runs out as well.
     engine.send_done(1, &id, b"y");
@@ -374,8 +367,7 @@
     let mut fixture = ServerFixture::new(site(LONG));
     fixture.close_log();
     fixture.start("exec \"$0\" serve");
-    let engine = fixture.engine.link();
-    engine.accept_attach("ATTACH 0");
+    let engine = attach(&fixture, "ATTACH 0");
     for _ in 0..3 {
         let mut gateway = fixture.gateway();
         gateway.send(b"nonsense\r\n");
@@ -424,10 +416,8 @@
     let mut gateway = fixture.gateway();
     heard_bye(&mut gateway);
     for (tag, number) in (2..5).zip(1..) {
-        let id = gateway.call(tag, "pay", b"x");
-        assert_eq!(engine.expect("RUN").word(1), id);
-        engine.send_done(number, &id, b"y");
-        assert_eq!(gateway.response().body, b"y");
+        let id = start_run(&mut gateway, &engine, tag, "pay");
+        finish_run(&mut gateway, &engine, number, &id);
     }
     // Nothing more comes, so it ends; the word was said once.
     gateway.expect_closed();
--- a/crates/loomflow-server/tests/leaving.rs
+++ b/crates/loomflow-server/tests/leaving.rs
@@ -1,30 +1,20 @@
 //! SIGTERM: everything read is answered before the exit, and nothing late is run.
 
+mod common;
+
 use std::io::{Read, Write};
 
+use common::{expect_goodbye, finish_run, idle_gateway, start_configured, start_run};
 use loomflow_standins::*;
 
 const LONG: f64 = 20_000.0;
 
-fn bye(gateway: &mut Gateway) {
-    let said = gateway.response();
-    assert_eq!((said.tag, said.status.as_str()), (0, "BYE"));
-}
-
-/// A gateway that has spoken, and rests.
-fn resting(fixture: &ServerFixture) -> Gateway {
-    let mut gateway = fixture.gateway();
-    gateway.send(&health(1, false));
-    assert_eq!(gateway.response().status, "UP");
-    gateway
-}
-
 #[test]
 fn an_idle_server_sends_goodbyes_and_exits() {
     let (mut fixture, _engine) = ServerFixture::start_serving(site(LONG));
-    let mut gateway = resting(&fixture);
+    let mut gateway = idle_gateway(&fixture);
     fixture.terminate();
-    bye(&mut gateway);
+    expect_goodbye(&mut gateway);
     drop(gateway);
     assert_eq!(fixture.exit_code(), Some(0));
 }
@@ -32,17 +22,15 @@
 #[test]
 fn new_requests_are_served_until_the_end_of_the_grace_period() {
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
-    let old = resting(&fixture);
+    let old = idle_gateway(&fixture);
     fixture.terminate();
     let mut both = [old, fixture.gateway()];
     for (gateway, number) in both.iter_mut().zip(1..) {
-        let id = gateway.call(2, "pay", b"x");
-        assert_eq!(engine.expect("RUN").word(1), id);
-        engine.send_done(number, &id, b"y");
-        assert_eq!(gateway.response().status, "OK");
+        let id = start_run(gateway, &engine, 2, "pay");
+        finish_run(gateway, &engine, number, &id);
     }
     for gateway in &mut both {
-        bye(gateway);
+        expect_goodbye(gateway);
         // A request that comes later never runs; its stamp is in whole ms.
         std::thread::sleep(std::time::Duration::from_millis(5));
         gateway.call(3, "pay", b"x");
@@ -58,7 +46,7 @@
     let (mut fixture, _engine) = ServerFixture::start_serving(site(LONG));
     let mut gateway = fixture.gateway();
     fixture.terminate();
-    bye(&mut gateway);
+    expect_goodbye(&mut gateway);
     assert_eq!(fixture.exit_code(), Some(0));
 }
 
@@ -75,7 +63,7 @@
     let below = ledger.link();
     below.expect("post");
     fixture.terminate();
-    bye(&mut gateway);
+    expect_goodbye(&mut gateway);
     assert!(fixture.is_running());
     below.send_with_body(&format!("{b} posted"), b"ok");
     engine.expect("FEED");
@@ -99,7 +87,7 @@
     engine.disconnect();
     let start = std::time::Instant::now();
     fixture.terminate();
-    bye(&mut gateway);
+    expect_goodbye(&mut gateway);
     let mut tags: Vec<u64> = (0..3).map(|_| gateway.response().tag).collect();
     tags.sort_unstable();
     assert_eq!(tags, [1, 2, 3]);
@@ -112,14 +100,12 @@
 fn a_second_shutdown_request_has_no_effect() {
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
     let mut gateway = fixture.gateway();
-    let id = gateway.call(1, "read", b"x");
-    engine.expect("RUN");
+    let id = start_run(&mut gateway, &engine, 1, "read");
     fixture.terminate();
-    bye(&mut gateway);
+    expect_goodbye(&mut gateway);
     fixture.terminate();
     gateway.expect_quiet();
-    engine.send_done(1, &id, b"y");
-    assert_eq!(gateway.response().body, b"y");
+    finish_run(&mut gateway, &engine, 1, &id);
     drop(gateway);
     assert_eq!(fixture.exit_code(), Some(0));
 }
@@ -129,9 +115,9 @@
     let mut fixture = ServerFixture::new(site(LONG));
     fixture.start("exec \"$0\" serve");
     let _engine = fixture.engine.link();
-    let mut gateway = resting(&fixture);
+    let mut gateway = idle_gateway(&fixture);
     fixture.terminate();
-    bye(&mut gateway);
+    expect_goodbye(&mut gateway);
     drop(gateway);
     assert_eq!(fixture.exit_code(), Some(0));
 }
@@ -184,13 +170,9 @@
 /// received.
 #[test]
 fn requests_in_the_listen_queue_at_its_close_are_answered() {
-    let mut fixture = ServerFixture::new(site(LONG));
     // Half of them are for gateways.
-    fixture.config["limits"]["sockets"] = 50.into();
-    fixture.start("exec \"$0\" serve");
-    let engine = fixture.engine.link();
-    engine.accept_attach("ATTACH 0");
-    fixture.wait_for_service();
+    let (mut fixture, _engine) =
+        start_configured(site(LONG), |fixture| fixture.config["limits"]["sockets"] = 50.into());
     let mut inside: Vec<Gateway> = Vec::new();
     for _ in 0..25 {
         let mut gateway = fixture.gateway();
@@ -202,7 +184,7 @@
     outside.expect_quiet();
     fixture.terminate();
     for gateway in &mut inside {
-        bye(gateway);
+        expect_goodbye(gateway);
     }
     // No room comes at once. Then those inside close, and the last of all hears, too, that it is not served.
     outside.expect_quiet();
@@ -223,9 +205,9 @@
 #[test]
 fn a_gateway_that_writes_at_the_last_moment_reads_all_responses() {
     let (mut fixture, _engine) = ServerFixture::start_serving(site(LONG));
-    let mut gateway = resting(&fixture);
+    let mut gateway = idle_gateway(&fixture);
     fixture.terminate();
-    bye(&mut gateway);
+    expect_goodbye(&mut gateway);
     let over = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
     let (mut writer, told) = (gateway.stream.try_clone().expect("a clone"), over.clone());
     let _ = gateway
@@ -260,13 +242,9 @@
 #[test]
 fn a_very_short_shutdown_answers_all_open_requests() {
     for stop_ms in [200.0, 400.0, 800.0] {
-        let mut fixture = ServerFixture::new(site(LONG));
-        fixture.config["stop_ms"] = stop_ms.into();
-        fixture.start("exec \"$0\" serve");
-        let engine = fixture.engine.link();
-        engine.accept_attach("ATTACH 0");
-        fixture.wait_for_service();
-        let (mut asks, mut rests) = (fixture.gateway(), resting(&fixture));
+        let (mut fixture, engine) =
+            start_configured(site(LONG), |fixture| fixture.config["stop_ms"] = stop_ms.into());
+        let (mut asks, mut rests) = (fixture.gateway(), idle_gateway(&fixture));
         for tag in 1..=8 {
             asks.call(tag, "pay", b"x");
         }
@@ -276,7 +254,7 @@
             (0..9).map(|_| asks.response()).filter(|answer| answer.status != "BYE").map(|a| a.tag).collect();
         tags.sort_unstable();
         assert_eq!(tags, (1..=8).collect::<Vec<u64>>(), "stop_ms {stop_ms}");
-        bye(&mut rests);
+        expect_goodbye(&mut rests);
         assert_eq!(fixture.exit_code(), Some(0));
         rests.expect_closed();
     }
--- a/crates/loomflow-server/tests/links.rs
+++ b/crates/loomflow-server/tests/links.rs
@@ -1,5 +1,8 @@
 //! Engine and ledger breaking, silent, late or talking nonsense, at each stage of a run.
 
+mod common;
+
+use common::{answer_call, attach, finish_run, start_run};
 use loomflow_standins::*;
 
 const LONG: f64 = 20_000.0;
@@ -20,8 +23,7 @@
     let (fixture, engine) = ServerFixture::start_serving(site(limit));
     let ledger = fixture.ledger.open();
     let mut gateway = fixture.gateway();
-    let id = gateway.call(1, class, b"x");
-    engine.expect("RUN");
+    let id = start_run(&mut gateway, &engine, 1, class);
     engine.send_need(1, &id, b"call");
     let below = ledger.link();
     below.expect("post");
@@ -43,8 +45,7 @@
         engine.send_line("HELLO running 60000");
         let run = engine.expect("RUN");
         assert_eq!((run.word(1), run.body.as_slice()), (id.as_str(), &b"x"[..]));
-        engine.send_done(1, &id, b"y");
-        assert_eq!(gateway.response().status, "OK");
+        finish_run(&mut gateway, &engine, 1, &id);
         engine.expect_quiet();
     }
 }
@@ -54,11 +55,9 @@
     for class in ["read", "pay", "book"] {
         let (fixture, engine) = ServerFixture::start_serving(site(LONG));
         let mut gateway = fixture.gateway();
-        let id = gateway.call(1, class, b"x");
-        assert_eq!(engine.expect("RUN").word(1), id);
+        let id = start_run(&mut gateway, &engine, 1, class);
         engine.disconnect();
-        let engine = fixture.engine.link();
-        engine.accept_attach("ATTACH 0");
+        let engine = attach(&fixture, "ATTACH 0");
         let again = engine.expect("RUN");
         assert_eq!((again.word(1), again.body.as_slice()), (id.as_str(), &b"x"[..]));
         // It had been over all the time: the second is answered as late, after the result.
@@ -76,17 +75,14 @@
     let (fixture, engine) = ServerFixture::start_serving(site(LONG));
     let ledger = fixture.ledger.open();
     let mut gateway = fixture.gateway();
-    let fed = gateway.call(1, "read", b"x");
-    engine.expect("RUN");
+    let fed = start_run(&mut gateway, &engine, 1, "read");
     engine.send_need(1, &fed, b"call");
     ledger.link().send_with_body(&format!("{fed} posted"), b"reply");
     engine.expect("FEED");
-    let running = gateway.call(2, "pay", b"x");
-    engine.expect("RUN");
+    let running = start_run(&mut gateway, &engine, 2, "pay");
     std::thread::sleep(std::time::Duration::from_millis(400));
     engine.disconnect();
-    let engine = fixture.engine.link();
-    engine.accept_attach("ATTACH 1");
+    let engine = attach(&fixture, "ATTACH 1");
     let again = engine.expect("RUN");
     assert_eq!((again.word(1), again.body.as_slice()), (running.as_str(), &b"x"[..]));
     engine.expect_quiet();
@@ -133,8 +129,7 @@
     engine.expect_quiet();
     engine.send_line("HELLO running 60000");
     assert_eq!(engine.expect("FEED").body, b"reply");
-    engine.send_done(2, &id, b"y");
-    assert_eq!(gateway.response().status, "OK");
+    finish_run(&mut gateway, &engine, 2, &id);
 }
 
 #[test]
@@ -144,8 +139,7 @@
         below.send_with_body(&format!("{id} posted"), b"reply");
         engine.expect("FEED");
         engine.disconnect();
-        let engine = fixture.engine.link();
-        engine.accept_attach("ATTACH 1");
+        let engine = attach(&fixture, "ATTACH 1");
         // A notice that was read before is not taken for a further call.
         engine.send_need(1, &id, b"call");
         if class == "read" {
@@ -159,8 +153,7 @@
         }
         engine.expect_quiet();
         ledger.has_no_link();
-        engine.send_done(3, &id, b"y");
-        assert_eq!(gateway.response().body, b"y");
+        finish_run(&mut gateway, &engine, 3, &id);
     }
 }
 
@@ -189,8 +182,7 @@
 fn a_partially_read_result_is_repeated_on_the_next_connection() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG));
     let mut gateway = fixture.gateway();
-    let id = gateway.call(1, "pay", b"x");
-    engine.expect("RUN");
+    let id = start_run(&mut gateway, &engine, 1, "pay");
     engine.send_bytes(format!("DONE 1 {id} fine 5 6\r\nres").as_bytes());
     engine.disconnect();
     let engine = fixture.engine.link();
@@ -205,13 +197,10 @@
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
     engine.send_line("THIS IS NO NOTICE");
     engine.expect_closed();
-    let engine = fixture.engine.link();
-    engine.accept_attach("ATTACH 0");
+    let engine = attach(&fixture, "ATTACH 0");
     let mut gateway = fixture.gateway();
-    let id = gateway.call(1, "read", b"x");
-    engine.expect("RUN");
-    engine.send_done(1, &id, b"y");
-    assert_eq!(gateway.response().status, "OK");
+    let id = start_run(&mut gateway, &engine, 1, "read");
+    finish_run(&mut gateway, &engine, 1, &id);
     assert!(fixture.log().contains("engine"));
     assert!(fixture.is_running());
 }
@@ -225,10 +214,8 @@
     engine.send_line("NOTE 3 a remark with no meaning");
     engine.send_line("TESTED 99 fault");
     let mut gateway = fixture.gateway();
-    let id = gateway.call(1, "read", b"x");
-    engine.expect("RUN");
-    engine.send_done(4, &id, b"y");
-    assert_eq!(gateway.response().status, "OK");
+    let id = start_run(&mut gateway, &engine, 1, "read");
+    finish_run(&mut gateway, &engine, 4, &id);
 }
 
 #[test]
@@ -238,10 +225,8 @@
     gateway.expect_quiet();
     below.send_with_body(&format!("{id} posted"), b"ok");
     assert_eq!(engine.expect("FEED").word(1), id);
-    engine.send_done(2, &id, b"y");
-    assert_eq!(gateway.response().body, b"y");
-    let id = gateway.call(2, "pay", b"x");
-    engine.expect("RUN");
+    finish_run(&mut gateway, &engine, 2, &id);
+    let id = start_run(&mut gateway, &engine, 2, "pay");
     engine.send_line(&format!("NO RUN {id}"));
     assert_eq!(gateway.response().status, "FAILED");
     gateway.expect_quiet();
@@ -254,23 +239,20 @@
     let mut gateway = fixture.gateway();
     fixture.engine.answers_by_itself(false);
     engine.disconnect();
-    let replaying = fixture.engine.link();
-    replaying.accept_attach("ATTACH 0");
+    let replaying = attach(&fixture, "ATTACH 0");
     let question = replaying.expect("STAT");
     let id = gateway.call(1, "pay", b"x");
     // It has been taken in.
     gateway.send(&health(2, false));
     assert_eq!(gateway.response().status, "UP");
     replaying.disconnect();
-    let engine = fixture.engine.link();
-    engine.accept_attach("ATTACH 0");
+    let engine = attach(&fixture, "ATTACH 0");
     let next = engine.expect("STAT");
     // An answer to the question of the former link closes nothing.
     engine.send_line(&format!("STATS {} 0 1 0.1 4", question.word(1)));
     engine.send_line(&format!("STATS {} 0 1 0.1 4", next.word(1)));
     assert_eq!(engine.expect("RUN").word(1), id);
-    engine.send_done(1, &id, b"y");
-    assert_eq!(gateway.response().body, b"y");
+    finish_run(&mut gateway, &engine, 1, &id);
 }
 
 // ---- The ledger ----
@@ -279,20 +261,15 @@
 fn a_call_is_retried_after_a_refused_connection() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG));
     let mut gateway = fixture.gateway();
-    let id = gateway.call(1, "pay", b"x");
-    engine.expect("RUN");
+    let id = start_run(&mut gateway, &engine, 1, "pay");
     engine.send_need(1, &id, b"call");
     // It opens while the call is being tried again, or stays shut until the tries are used up.
     let ledger = fixture.ledger.open();
     if let Ok(Some(answer)) = gateway.next_response(QUIET_PERIOD) {
         assert_eq!(answer.status, "FAILED");
     } else {
-        let below = ledger.link();
-        assert_eq!(below.expect("post").body, b"call");
-        below.send_with_body(&format!("{id} posted"), b"ok");
-        engine.expect("FEED");
-        engine.send_done(2, &id, b"y");
-        assert_eq!(gateway.response().status, "OK");
+        let _below = answer_call(&ledger, &engine, &id);
+        finish_run(&mut gateway, &engine, 2, &id);
     }
 }
 
@@ -321,12 +298,8 @@
 fn an_idempotent_call_is_retried_after_a_disconnect() {
     let Calling { fixture: _world, engine, ledger, below, mut gateway, id } = calling("read", LONG);
     below.disconnect();
-    let below = ledger.link();
-    assert_eq!(below.expect("post").body, b"call");
-    below.send_with_body(&format!("{id} posted"), b"ok");
-    engine.expect("FEED");
-    engine.send_done(2, &id, b"y");
-    assert_eq!(gateway.response().status, "OK");
+    let _below = answer_call(&ledger, &engine, &id);
+    finish_run(&mut gateway, &engine, 2, &id);
 }
 
 #[test]
@@ -339,13 +312,9 @@
     below.send_with_body(&format!("{id} posted"), b"late");
     gateway.expect_quiet();
     engine.expect_quiet();
-    let id = gateway.call(2, "pay", b"x");
-    engine.expect("RUN");
+    let id = start_run(&mut gateway, &engine, 2, "pay");
     engine.send_need(3, &id, b"call");
-    let below = ledger.link();
-    assert_eq!(below.expect("post").word(1), id);
-    below.send_with_body(&format!("{id} posted"), b"ok");
-    assert_eq!(engine.expect("FEED").word(1), id);
+    let _below = answer_call(&ledger, &engine, &id);
 }
 
 #[test]
@@ -354,8 +323,7 @@
     below.send_line("what is this");
     assert_eq!(gateway.response().status, "FAILED");
     engine.send_with_body(&format!("DONE 2 {id} broken_off 9"), b"");
-    let id = gateway.call(2, "pay", b"x");
-    engine.expect("RUN");
+    let id = start_run(&mut gateway, &engine, 2, "pay");
     engine.send_need(3, &id, b"call");
     let below = ledger.link();
     assert_eq!(below.expect("post").word(1), id);
@@ -375,8 +343,7 @@
     ];
     for text in spoilt {
         let Calling { fixture: _world, engine, ledger, below, mut gateway, id } = calling("pay", LONG);
-        let other = gateway.call(2, "pay", b"x");
-        engine.expect("RUN");
+        let other = start_run(&mut gateway, &engine, 2, "pay");
         engine.send_need(2, &other, b"call");
         let beside = ledger.link();
         beside.expect("post");
@@ -403,8 +370,7 @@
     second.send_with_body(&format!("{id} posted"), b"other");
     second.send_with_body(&format!("{id} posted"), b"other");
     assert_eq!(engine.expect("FEED").body, b"other");
-    engine.send_done(3, &id, b"y");
-    assert_eq!(gateway.response().status, "OK");
+    finish_run(&mut gateway, &engine, 3, &id);
     engine.expect_quiet();
 }
 
@@ -415,15 +381,10 @@
     let mut gateway = fixture.gateway();
     let mut kept = Vec::new();
     for (number, class) in (0..).zip(["read", "pay", "book"]) {
-        let id = gateway.call(number, class, b"x");
-        engine.expect("RUN");
+        let id = start_run(&mut gateway, &engine, number, class);
         engine.send_need(2 * number + 1, &id, b"call");
-        let below = ledger.link();
-        assert_eq!(below.expect("post").word(1), id);
-        below.send_with_body(&format!("{id} posted"), b"ok");
-        engine.expect("FEED");
-        engine.send_done(2 * number + 2, &id, b"y");
-        assert_eq!(gateway.response().status, "OK");
+        let below = answer_call(&ledger, &engine, &id);
+        finish_run(&mut gateway, &engine, 2 * number + 2, &id);
         kept.push(below);
     }
 }
@@ -434,15 +395,10 @@
     let ledger = fixture.ledger.open();
     let mut gateway = fixture.gateway();
     for number in 0..2u64 {
-        let id = gateway.call(number, "pay", b"x");
-        engine.expect("RUN");
+        let id = start_run(&mut gateway, &engine, number, "pay");
         engine.send_need(3 * number + 1, &id, b"call");
-        let below = ledger.link();
-        below.expect("post");
-        below.send_with_body(&format!("{id} posted"), b"ok");
-        engine.expect("FEED");
-        engine.send_done(3 * number + 2, &id, b"y");
-        assert_eq!(gateway.response().status, "OK");
+        let below = answer_call(&ledger, &engine, &id);
+        finish_run(&mut gateway, &engine, 3 * number + 2, &id);
         below.disconnect();
         std::thread::sleep(QUIET_PERIOD);
     }
@@ -452,12 +408,7 @@
 
 /// As many runs as the module begins at first on the stand-in's four cores.
 fn fill(gateway: &mut Gateway, engine: &PeerConnection) -> Vec<String> {
-    let run = |tag| {
-        let id = gateway.call(tag, "pay", b"x");
-        engine.expect("RUN");
-        id
-    };
-    (1..=4).map(run).collect()
+    (1..=4).map(|tag| start_run(gateway, engine, tag, "pay")).collect()
 }
 
 fn all_fail(gateway: &mut Gateway) {
@@ -467,10 +418,8 @@
 }
 
 fn has_room(gateway: &mut Gateway, engine: &PeerConnection) {
-    let id = gateway.call(9, "pay", b"x");
-    assert_eq!(engine.expect("RUN").word(1), id);
-    engine.send_done(9, &id, b"y");
-    assert_eq!(gateway.response().status, "OK");
+    let id = start_run(gateway, engine, 9, "pay");
+    finish_run(gateway, engine, 9, &id);
 }
 
 #[test]
@@ -480,8 +429,7 @@
     let ids = fill(&mut gateway, &engine);
     all_fail(&mut gateway);
     engine.disconnect();
-    let engine = fixture.engine.link();
-    engine.accept_attach("ATTACH 0");
+    let engine = attach(&fixture, "ATTACH 0");
     // They are known to run, and their ends come with the replay.
     for (id, number) in ids.iter().zip(1..) {
         engine.send_with_body(&format!("DONE {number} {id} broken_off 1500"), b"");
@@ -495,8 +443,7 @@
     let mut gateway = fixture.gateway();
     let ids = fill(&mut gateway, &engine);
     engine.disconnect();
-    let engine = fixture.engine.link();
-    engine.accept_attach("ATTACH 0");
+    let engine = attach(&fixture, "ATTACH 0");
     for _ in &ids {
         engine.expect("RUN");
     }
--- a/crates/loomflow-server/tests/reload.rs
+++ b/crates/loomflow-server/tests/reload.rs
@@ -1,5 +1,8 @@
 //! SIGHUP: new addresses count at once, nothing in hand is lost, and a bad file changes nothing.
 
+mod common;
+
+use common::{attach, finish_run, start_run};
 use loomflow_standins::*;
 
 const LONG: f64 = 20_000.0;
@@ -41,15 +44,12 @@
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
     let mut gateway = fixture.gateway();
     let _old = fixture.move_peers();
-    let id = gateway.call(1, "read", b"x");
-    engine.expect("RUN");
+    let id = start_run(&mut gateway, &engine, 1, "read");
     fixture.signal("HUP");
-    let moved = fixture.engine.link();
-    moved.accept_attach("ATTACH 0");
+    let moved = attach(&fixture, "ATTACH 0");
     // A second RUN of what runs already does nothing, and this one has no effect.
     assert_eq!(moved.expect("RUN").word(1), id);
-    moved.send_done(1, &id, b"y");
-    assert_eq!(gateway.response().status, "OK");
+    finish_run(&mut gateway, &moved, 1, &id);
 }
 
 #[test]
@@ -73,10 +73,8 @@
         }
         fixture.signal("HUP");
         fixture.wait_for_log(why);
-        let id = gateway.call(number, "read", b"x");
-        engine.expect("RUN");
-        engine.send_done(number, &id, b"y");
-        assert_eq!(gateway.response().status, "OK");
+        let id = start_run(&mut gateway, &engine, number, "read");
+        finish_run(&mut gateway, &engine, number, &id);
     }
     // The same file again disturbs nothing; what cannot change is named.
     let mut other = good;
@@ -98,12 +96,9 @@
     fixture.signal("HUP");
     let second = fixture.move_peers();
     fixture.signal("HUP");
-    let engine = fixture.engine.link();
-    engine.accept_attach("ATTACH 0");
-    let id = gateway.call(1, "pay", b"x");
-    assert_eq!(engine.expect("RUN").word(1), id);
-    engine.send_done(1, &id, b"y");
-    assert_eq!(gateway.response().status, "OK");
+    let engine = attach(&fixture, "ATTACH 0");
+    let id = start_run(&mut gateway, &engine, 1, "pay");
+    finish_run(&mut gateway, &engine, 1, &id);
     drop((first, second));
 }
 
@@ -111,16 +106,13 @@
 fn a_move_during_shutdown_still_answers_all_open_requests() {
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
     let mut gateway = fixture.gateway();
-    let id = gateway.call(1, "pay", b"x");
-    engine.expect("RUN");
+    let id = start_run(&mut gateway, &engine, 1, "pay");
     let _old = fixture.move_peers();
     fixture.terminate();
     assert_eq!(gateway.response().status, "BYE");
     fixture.signal("HUP");
-    let moved = fixture.engine.link();
-    moved.accept_attach("ATTACH 0");
-    moved.send_done(1, &id, b"y");
-    assert_eq!(gateway.response().status, "OK");
+    let moved = attach(&fixture, "ATTACH 0");
+    finish_run(&mut gateway, &moved, 1, &id);
     drop(gateway);
     assert_eq!(fixture.exit_code(), Some(0));
 }
@@ -208,14 +200,11 @@
     stranger.has_no_link();
     // What is its own is taken up after that as before, and what waits in the mailbox keeps its class.
     let mut gateway = fixture.gateway();
-    let id = gateway.call(1, "pay", b"x");
-    assert_eq!(engine.expect("RUN").word(1), id);
+    let id = start_run(&mut gateway, &engine, 1, "pay");
     let _old = fixture.move_peers();
     fixture.signal("HUP");
-    let moved = fixture.engine.link();
-    moved.accept_attach("ATTACH 0");
-    moved.send_done(1, &id, b"y");
-    assert_eq!(gateway.response().body, b"y");
+    let moved = attach(&fixture, "ATTACH 0");
+    finish_run(&mut gateway, &moved, 1, &id);
 }
 
 #[test]
@@ -237,13 +226,11 @@
 fn a_simultaneous_reload_and_shutdown_are_both_handled() {
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
     let mut gateway = fixture.gateway();
-    let id = gateway.call(1, "pay", b"x");
-    engine.expect("RUN");
+    let id = start_run(&mut gateway, &engine, 1, "pay");
     let _old = fixture.move_peers();
     fixture.signal("HUP");
     fixture.terminate();
-    let moved = fixture.engine.link();
-    moved.accept_attach("ATTACH 0");
+    let moved = attach(&fixture, "ATTACH 0");
     moved.send_done(1, &id, b"y");
     let mut words = [gateway.response().status, gateway.response().status];
     words.sort();
--- a/crates/loomflow-server/tests/service.rs
+++ b/crates/loomflow-server/tests/service.rs
@@ -1,5 +1,8 @@
 //! The life of a request on real sockets: every message in both directions, for every effect kind.
 
+mod common;
+
+use common::{attach, finish_run, start_run};
 use loomflow_standins::*;
 use serde_json::json;
 
@@ -25,14 +28,12 @@
     let (fixture, engine) = ServerFixture::start_serving(site(LONG));
     let mut gateway = fixture.gateway();
     for (at, end) in (1..).zip(["fault", "broken_off", "late"]) {
-        let id = gateway.call(at, "pay", b"x");
-        engine.expect("RUN");
+        let id = start_run(&mut gateway, &engine, at, "pay");
         engine.send_with_body(&format!("DONE {at} {id} {end} 5"), b"");
         let answer = gateway.response();
         assert_eq!((answer.tag, answer.status.as_str()), (at, "FAILED"));
     }
-    let id = gateway.call(9, "pay", b"x");
-    engine.expect("RUN");
+    let id = start_run(&mut gateway, &engine, 9, "pay");
     engine.send_line(&format!("NO RUN {id}"));
     assert_eq!(gateway.response().status, "FAILED");
 }
@@ -43,8 +44,7 @@
         let (fixture, engine) = ServerFixture::start_serving(site(LONG));
         let ledger = fixture.ledger.open();
         let mut gateway = fixture.gateway();
-        let id = gateway.call(1, class, b"x");
-        engine.expect("RUN");
+        let id = start_run(&mut gateway, &engine, 1, class);
         engine.send_need(1, &id, b"call\r\n\0body");
         let below = ledger.link();
         let post = below.expect("post");
@@ -71,8 +71,7 @@
     let mut fixture = ServerFixture::new(site(1000.0));
     fixture.config.as_object_mut().unwrap().remove("ledger");
     fixture.start("exec \"$0\" serve");
-    let engine = fixture.engine.link();
-    engine.accept_attach("ATTACH 0");
+    let engine = attach(&fixture, "ATTACH 0");
     let mut gateway = fixture.gateway();
     let mut tag = 0;
     let id = loop {
@@ -109,10 +108,8 @@
             break;
         }
     }
-    let id = gateway.call(100, "read", b"x");
-    engine.expect("RUN");
-    engine.send_done(1, &id, b"y");
-    assert_eq!(gateway.response().body, b"y");
+    let id = start_run(&mut gateway, &engine, 100, "read");
+    finish_run(&mut gateway, &engine, 1, &id);
 }
 
 #[test]
@@ -182,8 +179,7 @@
     settings["Domain"]["Halt"] = json!("drop");
     let (fixture, engine) = ServerFixture::start_serving(settings);
     let mut gateway = fixture.gateway();
-    let id = gateway.call(1, "read", b"x");
-    engine.expect("RUN");
+    let id = start_run(&mut gateway, &engine, 1, "read");
     // Nothing comes of it: the request is given up in time, and its run ended.
     assert_ne!(gateway.response().status, "OK");
     assert_eq!(engine.line().text, format!("HALT {id}"));
@@ -198,8 +194,7 @@
     let (fixture, engine) = ServerFixture::start_serving(settings);
     let mut gateway = fixture.gateway();
     // Nobody listens where the calls go: for one with an effect too, that proves that nothing ran.
-    let id = gateway.call(1, "pay", b"x");
-    engine.expect("RUN");
+    let id = start_run(&mut gateway, &engine, 1, "pay");
     engine.send_need(1, &id, b"call");
     assert_eq!(engine.line().text, format!("SKIP {id}"));
     engine.send_done(2, &id, b"poorer");
