--- a/crates/loomflow-server/src/connection/driver.rs
+++ b/crates/loomflow-server/src/connection/driver.rs
@@ -119,9 +119,19 @@
     InputClosed(CloseReason),
 }
 
+/// What has come of a read.
+enum Filled {
+    /// There may be a further message in the buffer.
+    Buffer,
+    /// Nothing has arrived.
+    Nothing,
+    /// Nothing more will be read.
+    InputClosed(CloseReason),
+}
+
 /// Reads and delivers the messages that have arrived.
 fn read_messages<D: Decoder>(
-    mut stream: &std::net::TcpStream,
+    stream: &std::net::TcpStream,
     handle: &ConnectionHandle,
     decoder: &mut D,
     deliver: &mut impl FnMut(D::Message),
@@ -131,35 +141,47 @@
         if delivered >= MAX_MESSAGES_PER_TURN {
             return Ok(ReadOutcome::MoreToRead);
         }
-        let reason = match decoder.next() {
+        let filled = match decoder.next() {
             Ok(Some(message)) => {
                 handle.message_received();
                 deliver(message);
                 delivered += 1;
                 continue;
             }
-            Ok(None) if decoder.buffer().space().is_empty() => {
-                CloseReason::ProtocolViolation("a message is too long")
-            }
-            Ok(None) => match stream.read(decoder.buffer().space()) {
-                Ok(0) => CloseReason::PeerClosed,
-                Ok(count) => {
-                    decoder.buffer().filled(count);
-                    continue;
-                }
-                Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    handle.set_unread(decoder.buffer().unread().len());
-                    let is_throttled = delivered > 0 && !handle.throttle_delay().is_zero();
-                    return Ok(if is_throttled { ReadOutcome::MoreToRead } else { ReadOutcome::Drained });
-                }
-                Err(error) if error.kind() == ErrorKind::Interrupted => continue,
-                Err(_) => return Err(CloseReason::Reset),
-            },
-            Err(malformed) => CloseReason::ProtocolViolation(malformed.0),
+            Ok(None) => fill_buffer(stream, decoder)?,
+            Err(malformed) => Filled::InputClosed(CloseReason::ProtocolViolation(malformed.0)),
         };
-        handle.input_closed(reason);
-        return Ok(ReadOutcome::InputClosed(reason));
+        match filled {
+            Filled::Buffer => {}
+            Filled::Nothing => {
+                handle.set_unread(decoder.buffer().unread().len());
+                let is_throttled = delivered > 0 && !handle.throttle_delay().is_zero();
+                return Ok(if is_throttled { ReadOutcome::MoreToRead } else { ReadOutcome::Drained });
+            }
+            Filled::InputClosed(reason) => {
+                handle.input_closed(reason);
+                return Ok(ReadOutcome::InputClosed(reason));
+            }
+        }
     }
     handle.set_unread(0);
     Ok(ReadOutcome::Drained)
 }
+
+/// Reads once into the decoder's buffer.
+fn fill_buffer<D: Decoder>(mut stream: &std::net::TcpStream, decoder: &mut D) -> Result<Filled, CloseReason> {
+    let buffer = decoder.buffer();
+    if buffer.space().is_empty() {
+        return Ok(Filled::InputClosed(CloseReason::ProtocolViolation("a message is too long")));
+    }
+    match stream.read(buffer.space()) {
+        Ok(0) => Ok(Filled::InputClosed(CloseReason::PeerClosed)),
+        Ok(count) => {
+            buffer.filled(count);
+            Ok(Filled::Buffer)
+        }
+        Err(error) if error.kind() == ErrorKind::WouldBlock => Ok(Filled::Nothing),
+        Err(error) if error.kind() == ErrorKind::Interrupted => Ok(Filled::Buffer),
+        Err(_) => Err(CloseReason::Reset),
+    }
+}
--- a/crates/loomflow-server/src/trial.rs
+++ b/crates/loomflow-server/src/trial.rs
@@ -58,29 +58,14 @@
 /// Runs a fleet of five servers: each is maintained once under load, and one is killed in the middle.
 pub fn run_fleet() -> Result<ExitCode, TrialError> {
     let program = std::env::current_exe().map_err(TrialError::UnknownProgram)?;
-    let plan = fleet::Plan {
-        members: 5,
-        zones: 2,
-        cores: 2,
-        work: Duration::from_millis(20),
-        extra: "  begin_within_s: 10\n  warm_for_s: 1\n",
-        ..fleet::Plan::default()
-    };
     println!("Five servers of two cores that do 100 requests a second each are asked for 250 in all.");
     println!(
         "One may be out at once. Each is taken out for two seconds of work; one is killed in the middle.\n"
     );
+    let plan = fleet_plan();
     let mut fleet = Fleet::start_with(plan, &program).bootstrap(plan);
     let listens = fleet.members.iter().map(|member| member.fixture.listen).collect();
-    let load = Plan {
-        class: "read",
-        rates: vec![(0.0, 250.0)],
-        duration: Duration::from_secs(600),
-        connections: 1,
-        objective: Duration::from_secs(1),
-        prefix: "r",
-    };
-    let load = loomflow_load::fleet::start(listens, load, Duration::from_secs(5));
+    let load = loomflow_load::fleet::start(listens, fleet_load(), Duration::from_secs(5));
     std::thread::sleep(Duration::from_secs(2));
     let round = rounds::Round {
         work: Duration::from_secs(2),
@@ -106,6 +91,28 @@
     Ok(print_rules(&rules))
 }
 
+fn fleet_plan() -> fleet::Plan {
+    fleet::Plan {
+        members: 5,
+        zones: 2,
+        cores: 2,
+        work: Duration::from_millis(20),
+        extra: "  begin_within_s: 10\n  warm_for_s: 1\n",
+        ..fleet::Plan::default()
+    }
+}
+
+fn fleet_load() -> Plan {
+    Plan {
+        class: "read",
+        rates: vec![(0.0, 250.0)],
+        duration: Duration::from_secs(600),
+        connections: 1,
+        objective: Duration::from_secs(1),
+        prefix: "r",
+    }
+}
+
 /// Prints whether each rule holds. The exit code is 1 if one was violated.
 fn print_rules(rules: &[(&str, bool)]) -> ExitCode {
     for (rule, holds) in rules {
--- a/crates/loomflow-server/tests/amqp.rs
+++ b/crates/loomflow-server/tests/amqp.rs
@@ -30,6 +30,12 @@
     message("jobs", &id, id.as_bytes()).reply_to("replies", &format!("c-{id}"))
 }
 
+fn publish_jobs(broker: &Broker, ids: std::ops::Range<usize>) {
+    for id in ids {
+        broker.publish(job(id));
+    }
+}
+
 /// That each of so many jobs ran once, was answered once and is nowhere any more.
 fn all_served_once(broker: &Broker, worker: &Worker, count: usize) {
     broker.wait_until_empty("jobs");
@@ -48,7 +54,7 @@
 #[test]
 fn messages_run_once_and_are_answered_confirmed_and_acked() {
     let (broker, worker, _world) = started();
-    (0..200).for_each(|id| broker.publish(job(id)));
+    publish_jobs(&broker, 0..200);
     all_served_once(&broker, &worker, 200);
     let settled = broker.with_state(|state| state.settled.clone());
     assert_eq!(settled.iter().filter(|(_, how)| *how == Settled::Acked).count(), 200);
@@ -59,7 +65,7 @@
 fn a_redelivery_joins_an_open_run_or_gets_the_recorded_reply() {
     let (broker, worker, _world) = started();
     worker.set_held(true);
-    (0..6).for_each(|id| broker.publish(job(id)));
+    publish_jobs(&broker, 0..6);
     worker.wait_for_runs(1);
     // All that is unacknowledged comes again, while its runs are open.
     broker.disconnect_all();
@@ -103,7 +109,7 @@
     let (broker, worker, _world) = started();
     // A lost ack keeps its place in the consumer's credit, which begins with one and grows to two.
     broker.faults(|faults| faults.forget_acks = 2);
-    (0..2).for_each(|id| broker.publish(job(id)));
+    publish_jobs(&broker, 0..2);
     assert_eq!(broker.wait_for_messages("replies", 2).len(), 2);
     broker.wait_until("the acks are lost", |state| state.faults.forget_acks == 0);
     broker.disconnect_all();
@@ -186,7 +192,7 @@
 fn two_deliveries_of_one_message_run_once_and_each_caller_is_answered() {
     let (broker, worker, _world) = started();
     // Room for several at once comes with the first that are served.
-    (100..160).for_each(|id| broker.publish(job(id)));
+    publish_jobs(&broker, 100..160);
     broker.wait_for_messages("replies", 60);
     worker.set_held(true);
     broker.publish(job(1));
@@ -307,7 +313,7 @@
 fn a_nacked_or_unroutable_publish_is_retried_or_dead_lettered() {
     let (broker, worker, _world) = started();
     broker.faults(|faults| faults.nack = 2);
-    (0..3).for_each(|id| broker.publish(job(id)));
+    publish_jobs(&broker, 0..3);
     all_served_once(&broker, &worker, 3);
     // Nobody is there any more to hear this one.
     broker.publish(message("jobs", "lonely", b"x").reply_to("gone", "x"));
@@ -325,7 +331,7 @@
     broker.wait_until("it consumes no more", |state| state.consumers("jobs") == 0);
     std::thread::sleep(QUIET_PERIOD);
     broker.wait_until("it consumes no more", |state| state.consumers("jobs") == 0);
-    (1..50).for_each(|id| broker.publish(job(id)));
+    publish_jobs(&broker, 1..50);
     std::thread::sleep(QUIET_PERIOD);
     assert_eq!((worker.run_count(), broker.with_state(|s| s.ready("jobs"))), (1, 49));
     broker.with_state(|state| state.block(false));
@@ -342,7 +348,7 @@
     broker.publish(job(1));
     broker.wait_for_messages("replies", 1);
     worker.set_held(true);
-    (2..8).for_each(|id| broker.publish(job(id)));
+    publish_jobs(&broker, 2..8);
     worker.wait_for_runs(3);
     broker.with_state(|state| state.close_channels("jobs", 541));
     worker.set_held(false);
@@ -374,7 +380,9 @@
 #[test]
 fn a_silent_broker_is_abandoned_after_two_heartbeats() {
     let broker = Broker::limited(1, 4_096, 40);
-    ["jobs", "dead", "replies"].into_iter().for_each(|queue| broker.declare(queue));
+    for queue in ["jobs", "dead", "replies"] {
+        broker.declare(queue);
+    }
     let worker = Worker::start(2, WORK);
     let fixture = ServerFixture::start_with(site(LONG), &options(&[&broker], ""), &worker);
     broker.publish(message("jobs", "long", &[7; 10_000]).reply_to("replies", "c"));
@@ -390,10 +398,10 @@
 #[test]
 fn draining_settles_runs_requeues_the_rest_and_closes_in_order() {
     let (broker, worker, mut fixture) = started();
-    (0..40).for_each(|id| broker.publish(job(id)));
+    publish_jobs(&broker, 0..40);
     broker.wait_for_messages("replies", 40);
     worker.set_run_duration(Duration::from_millis(400));
-    (40..70).for_each(|id| broker.publish(job(id)));
+    publish_jobs(&broker, 40..70);
     worker.wait_for_runs(44);
     fixture.terminate();
     assert_eq!(fixture.exit_code(), Some(0));
@@ -412,7 +420,7 @@
     for stalls in [false, true] {
         let (broker, worker, mut fixture) = started();
         worker.set_held(true);
-        (0..8).for_each(|id| broker.publish(job(id)));
+        publish_jobs(&broker, 0..8);
         worker.wait_for_runs(1);
         fixture.terminate();
         std::thread::sleep(Duration::from_millis(100));
@@ -458,11 +466,7 @@
 #[test]
 fn a_missing_queue_does_not_affect_the_others() {
     let (broker, worker) = (Broker::with_jobs(), Worker::start(4, WORK));
-    ["reads", "late"].into_iter().for_each(|queue| {
-        if queue == "reads" {
-            broker.declare(queue);
-        }
-    });
+    broker.declare("reads");
     let more =
         "    - {name: reads, class: read, tenant: other}\n    - {name: late, class: read, tenant: other}\n";
     let text = format!("{}{more}", options(&[&broker], ""));
--- a/crates/loomflow-server/tests/descriptors.rs
+++ b/crates/loomflow-server/tests/descriptors.rs
@@ -17,6 +17,8 @@
 const SOCKETS: usize = 64;
 /// Clients that rest: many times what the server holds.
 const IDLE: usize = 150;
+/// Calls in flight as the links break.
+const CALLS: u64 = 4;
 
 /// Clients that rest until the server ends their connection, and connect again then: half of them ask for health first,
 /// the others never say anything.
@@ -126,6 +128,37 @@
 }
 
 /// The limit of the system is the lower one in the second: what it refuses must not be the links'.
+/// Starts runs that wait for their calls, each on a connection of its own; returns those.
+fn start_calls(gateway: &mut Gateway, engine: &PeerConnection, ledger: &OpenLedger) -> Vec<PeerConnection> {
+    for tag in 1..=CALLS {
+        gateway.call(tag, "read", b"x");
+    }
+    let runs: Vec<String> = (1..=CALLS).map(|_| engine.expect("RUN").word(1).to_owned()).collect();
+    for (id, number) in runs.iter().zip(1..) {
+        engine.send_need(number, id, b"call");
+    }
+    runs.iter().map(|_| ledger.link()).collect()
+}
+
+/// Answers those calls, which are made again on new connections, and ends their runs; returns the connections.
+fn finish_calls(gateway: &mut Gateway, engine: &PeerConnection, ledger: &OpenLedger) -> Vec<PeerConnection> {
+    let mut connections = Vec::new();
+    for _ in 1..=CALLS {
+        let connection = ledger.link();
+        let id = connection.expect("post").word(1).to_owned();
+        connection.send_with_body(&format!("{id} posted"), b"ok");
+        connections.push(connection);
+    }
+    for number in CALLS + 1..=2 * CALLS {
+        let id = engine.expect("FEED").word(1).to_owned();
+        engine.send_done(number, &id, b"y");
+    }
+    for _ in 1..=CALLS {
+        assert_eq!(gateway.response().body, b"y");
+    }
+    connections
+}
+
 #[test]
 fn engine_and_ledger_connections_are_reopened_with_every_descriptor_in_use() {
     for limit in [SOCKETS, 44] {
@@ -136,31 +169,12 @@
         let idle = IdleClients::start(&fixture, IDLE);
         wait_until_full(&fixture, limit / 2);
         let mut gateway = fixture.gateway();
-        // Calls on connections of their own.
-        let ids: Vec<String> = (1..=4).map(|tag| gateway.call(tag, "read", b"x")).collect();
-        let runs: Vec<String> = ids.iter().map(|_| engine.expect("RUN").word(1).to_owned()).collect();
-        for (id, number) in runs.iter().zip(1..) {
-            engine.send_need(number, id, b"call");
-        }
-        let calls: Vec<PeerConnection> = runs.iter().map(|_| ledger.link()).collect();
+        let calls = start_calls(&mut gateway, &engine, &ledger);
         // The engine's link and the ledger's break, and come back.
         engine.disconnect();
         let engine = attach(&fixture, "ATTACH 4");
         calls.into_iter().for_each(PeerConnection::disconnect);
-        let mut open = Vec::new();
-        for _ in &runs {
-            let call = ledger.link();
-            let id = call.expect("post").word(1).to_owned();
-            call.send_with_body(&format!("{id} posted"), b"ok");
-            open.push(call);
-        }
-        for number in 5..=8 {
-            let id = engine.expect("FEED").word(1).to_owned();
-            engine.send_done(number, &id, b"y");
-        }
-        for _ in &ids {
-            assert_eq!(gateway.response().body, b"y");
-        }
+        let _open = finish_calls(&mut gateway, &engine, &ledger);
         assert!(fixture.descriptors() <= limit, "{} of {limit}", fixture.descriptors());
         assert_eq!(fixture.spinning_threads(), Vec::<String>::new());
         log_is_short(&fixture);
--- a/crates/loomflow-server/tests/gateways.rs
+++ b/crates/loomflow-server/tests/gateways.rs
@@ -60,43 +60,48 @@
     assert_eq!(tags, (1..=32).collect::<Vec<u64>>());
 }
 
-#[test]
-fn a_gateway_that_stops_reading_delays_nobody_and_gets_all_responses() {
-    const MANY: u64 = 400;
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
-    let mut slow = fixture.gateway();
-    socket2::SockRef::from(&slow.stream).set_recv_buffer_size(4096).unwrap();
-    let mut sent = 0;
-    let mut number = 0;
-    // Far more answers than its socket takes: reading from it stops in between.
-    slow.stream.set_nonblocking(true).unwrap();
-    let mut rest: Vec<u8> = Vec::new();
-    let mut quiet = 0;
+fn long_call(tag: u64) -> Vec<u8> {
+    call(tag, "no-such-class", &fields(&next_attempt_id()), &[1; 2000])
+}
+
+/// Writes up to `max` requests, until nothing more is read. Returns how many were begun, and the rest of the last one.
+fn write_until_blocked(gateway: &mut Gateway, max: u64) -> (u64, Vec<u8>) {
+    let (mut sent, mut rest, mut quiet) = (0, Vec::new(), 0);
     while quiet < 20 {
-        if rest.is_empty() && sent < MANY {
+        if rest.is_empty() && sent < max {
             sent += 1;
-            rest = call(sent, "no-such-class", &fields(&next_attempt_id()), &[1; 2000]);
+            rest = long_call(sent);
         }
-        if let Ok(count) = slow.stream.write(&rest) {
+        if let Ok(count) = gateway.stream.write(&rest) {
             rest.drain(..count);
         } else {
             quiet += 1;
             std::thread::sleep(Duration::from_millis(5));
         }
-        if sent == MANY && rest.is_empty() {
+        if sent == max && rest.is_empty() {
             break;
         }
     }
-    number += 1;
-    serves(&fixture, &engine, number);
+    (sent, rest)
+}
+
+#[test]
+fn a_gateway_that_stops_reading_delays_nobody_and_gets_all_responses() {
+    const MANY: u64 = 400;
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let mut slow = fixture.gateway();
+    socket2::SockRef::from(&slow.stream).set_recv_buffer_size(4096).unwrap();
+    // Far more answers than its socket takes: reading from it stops in between.
+    slow.stream.set_nonblocking(true).unwrap();
+    let (sent, rest) = write_until_blocked(&mut slow, MANY);
+    serves(&fixture, &engine, 1);
     slow.stream.set_nonblocking(false).unwrap();
     slow.stream.set_write_timeout(Some(RESPONSE_TIMEOUT)).unwrap();
     let mut writer = slow.stream.try_clone().unwrap();
-    let tail = rest;
     let thread = std::thread::spawn(move || {
-        writer.write_all(&tail).unwrap();
+        writer.write_all(&rest).unwrap();
         for tag in sent + 1..=MANY {
-            writer.write_all(&call(tag, "no-such-class", &fields(&next_attempt_id()), &[1; 2000])).unwrap();
+            writer.write_all(&long_call(tag)).unwrap();
         }
     });
     let mut tags: Vec<u64> = (0..MANY).map(|_| slow.response().tag).collect();
--- a/crates/loomflow-server/tests/published_client.rs
+++ b/crates/loomflow-server/tests/published_client.rs
@@ -130,6 +130,24 @@
     assert!(connection.status().connected());
 }
 
+fn options(broker: &Broker) -> String {
+    format!(
+        "amqp:\n  brokers: [\"{}\"]\n  credentials: CREDENTIALS\n  dead_letter: {{routing_key: dead}}\n  queues:\n    - \
+         {{name: jobs, class_header: class, tenant: acme}}\n",
+        broker.address
+    )
+}
+
+fn message_properties(name: &str, class: &str) -> BasicProperties {
+    let mut headers = FieldTable::default();
+    headers.insert("class".into(), AMQPValue::LongString(class.into()));
+    BasicProperties::default()
+        .with_message_id(name.into())
+        .with_correlation_id(name.into())
+        .with_reply_to("mine".into())
+        .with_headers(headers)
+}
+
 #[tokio::test]
 async fn it_calls_a_server_by_queue_and_hears_each_reply_once() {
     let broker = Broker::start();
@@ -139,11 +157,7 @@
     for name in ["jobs", "dead", "mine"] {
         queue(&channel, name, FieldTable::default()).await;
     }
-    let options = format!(
-        "amqp:\n  brokers: [\"{}\"]\n  credentials: CREDENTIALS\n  dead_letter: {{routing_key: dead}}\n  queues:\n    - \
-         {{name: jobs, class_header: class, tenant: acme}}\n",
-        broker.address
-    );
+    let options = options(&broker);
     let fixture = tokio::task::spawn_blocking({
         let worker = worker.clone();
         move || ServerFixture::start_with(site(5_000.0), &options, &worker)
@@ -151,20 +165,13 @@
     let _world = fixture.await.expect("a server");
     channel.confirm_select(ConfirmSelectOptions::default()).await.unwrap();
     for number in 0..50 {
-        let mut headers = FieldTable::default();
+        let name = format!("m{number}");
         // One in ten names a class that is not there.
         let class = if number % 10 == 9 { "none" } else { "book" };
-        headers.insert("class".into(), AMQPValue::LongString(class.into()));
-        let name = format!("m{number}");
-        let properties = BasicProperties::default()
-            .with_message_id(name.as_str().into())
-            .with_correlation_id(name.as_str().into())
-            .with_reply_to("mine".into())
-            .with_headers(headers);
-        publish(&channel, "", "jobs", name.as_bytes(), properties).await;
+        publish(&channel, "", "jobs", name.as_bytes(), message_properties(&name, class)).await;
     }
     let mut replies = consume(&channel, "mine").await;
-    let mut heard = std::collections::BTreeMap::new();
+    let mut kinds = std::collections::BTreeMap::new();
     for _ in 0..50 {
         let reply = next(&mut replies).await;
         let name = reply.properties.correlation_id().clone().expect("its name").to_string();
@@ -173,9 +180,9 @@
         if kind == "served" {
             assert_eq!(reply.data, result_of(name.as_bytes()));
         }
-        assert!(heard.insert(name, kind).is_none(), "one reply each");
+        assert!(kinds.insert(name, kind).is_none(), "one reply each");
     }
     none(&mut replies).await;
-    assert_eq!(heard.values().filter(|kind| *kind == "served").count(), 45);
+    assert_eq!(kinds.values().filter(|kind| *kind == "served").count(), 45);
     assert_eq!((worker.run_count(), broker.wait_for_messages("dead", 5).len()), (45, 5));
 }
--- a/crates/loomflow-server/tests/reload.rs
+++ b/crates/loomflow-server/tests/reload.rs
@@ -7,6 +7,13 @@
 
 const LONG: f64 = 20_000.0;
 
+/// Reloads a configuration, and waits for a line of the log.
+fn reload(fixture: &ServerFixture, config: &serde_json::Value, line: &str) {
+    fixture.write(&config.to_string());
+    fixture.signal("HUP");
+    fixture.wait_for_log(line);
+}
+
 #[test]
 fn a_reload_moves_engine_ledger_and_control_plane_with_runs_and_calls_open() {
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
@@ -80,9 +87,7 @@
     let mut other = good;
     other["seed"] = "1".into();
     other["limits"]["sockets"] = 99.into();
-    fixture.write(&other.to_string());
-    fixture.signal("HUP");
-    fixture.wait_for_log("these keys take effect at the next start keys=\"limits.sockets, seed\"");
+    reload(&fixture, &other, "these keys take effect at the next start keys=\"limits.sockets, seed\"");
     engine.expect_quiet();
     assert!(fixture.is_running());
 }
@@ -117,25 +122,25 @@
     assert_eq!(fixture.exit_code(), Some(0));
 }
 
+/// Sends a request of a tenant.
+fn call_for(gateway: &mut Gateway, tag: u64, tenant: &str) {
+    let fields = fields(&next_attempt_id()).replace("owner=acme", &format!("owner={tenant}"));
+    gateway.send(&call(tag, "read", &fields, b"x"));
+}
+
 #[test]
 fn reloadable_settings_take_effect_and_a_violation_changes_nothing() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG));
     let mut gateway = fixture.gateway();
-    let ask = |gateway: &mut Gateway, tag, owner: &str| {
-        let fields = fields(&next_attempt_id()).replace("owner=acme", &format!("owner={owner}"));
-        gateway.send(&call(tag, "read", &fields, b"x"));
-    };
-    ask(&mut gateway, 1, "newcomer");
+    call_for(&mut gateway, 1, "newcomer");
     assert_eq!(gateway.response().status, "FAILED");
     // A new tenant, and an aim: taken up. The order of the lists does not matter.
     let mut new = fixture.config.clone();
     let tenants = new["settings"]["Orgs"].as_array_mut().unwrap();
     tenants.insert(0, serde_json::json!({"Name": "newcomer", "QuotaPerS": 5.0}));
     new["settings"]["Classes"][0]["OnTime"] = 100.0.into();
-    fixture.write(&new.to_string());
-    fixture.signal("HUP");
-    fixture.wait_for_log("live=\"settings.Classes[read].OnTime, settings.Orgs[newcomer]\"");
-    ask(&mut gateway, 2, "newcomer");
+    reload(&fixture, &new, "live=\"settings.Classes[read].OnTime, settings.Orgs[newcomer]\"");
+    call_for(&mut gateway, 2, "newcomer");
     let run = engine.expect("RUN");
     engine.send_done(1, run.word(1), b"y");
     assert_eq!(gateway.response().status, "OK");
@@ -144,13 +149,13 @@
     bad["settings"]["Classes"][2]["Effect"] = "safe".into();
     bad["settings"]["Rules"]["DrainGrace"] = 3000.0.into();
     bad["engine"] = fixture.ledger.address.to_string().into();
-    fixture.write(&bad.to_string());
-    fixture.signal("HUP");
-    fixture.wait_for_log(
+    reload(
+        &fixture,
+        &bad,
         "key=\"settings.Classes[book].Effect\" value=\"safe\" rule=\"what has run could be run again\"",
     );
     fixture.wait_for_log("settings.Rules.DrainGrace");
-    ask(&mut gateway, 3, "acme");
+    call_for(&mut gateway, 3, "acme");
     let run = engine.expect("RUN");
     engine.send_done(2, run.word(1), b"y");
     assert_eq!(gateway.response().status, "OK");
@@ -159,9 +164,7 @@
     gone["settings"]["Classes"].as_array_mut().unwrap().remove(1);
     gateway.send(&call(4, "pay", &fields(&next_attempt_id()), b"x"));
     engine.expect("RUN");
-    fixture.write(&gone.to_string());
-    fixture.signal("HUP");
-    fixture.wait_for_log("settings.Classes[pay]");
+    reload(&fixture, &gone, "settings.Classes[pay]");
 }
 
 #[test]
@@ -193,9 +196,7 @@
         ),
     ];
     for (file, why) in others {
-        fixture.write(&file.to_string());
-        fixture.signal("HUP");
-        fixture.wait_for_log(why);
+        reload(&fixture, &file, why);
     }
     stranger.has_no_link();
     // What is its own is taken up after that as before, and what waits in the mailbox keeps its class.
