--- a/crates/loomflow-server/src/connection/handle/tests.rs
+++ b/crates/loomflow-server/src/connection/handle/tests.rs
@@ -27,3 +27,12 @@
     handle.close(CloseReason::IdleTimeout);
     assert!(!handle.may_read());
 }
+
+#[test]
+fn a_close_for_another_reason_than_idleness_is_not_cancelled() {
+    let handle = ConnectionHandle::new(None);
+    handle.close(CloseReason::IdleTimeout);
+    assert!(handle.cancel_idle_close() && !handle.is_closing());
+    handle.close(CloseReason::ProtocolViolation("x"));
+    assert!(!handle.cancel_idle_close() && handle.is_closing());
+}
--- a/crates/loomflow-server/src/ledger/tests.rs
+++ b/crates/loomflow-server/src/ledger/tests.rs
@@ -80,6 +80,8 @@
     assert!(
         ledger.connections[&1].handle.bytes_queued() > queued && !ledger.connections[&1].handle.is_closing()
     );
+    let late = CallRequest { id: 3, attempt_id: AttemptId(3), has_effect: true, body: b"x", deadline: 100.0 };
+    assert!(!ledger.call(late, 2.0), "a retired connection carries no further call");
     let handle = ledger.connections[&1].handle.clone();
     ledger.cancel(2, 1.0);
     assert!(handle.is_closing() && ledger.connections.is_empty());
@@ -124,3 +126,14 @@
     assert!(ledger.expire(59.0 + RETIRED_DRAIN_MS).is_empty());
     assert_eq!(ledger.expire(60.0 + RETIRED_DRAIN_MS).len(), 1);
 }
+
+#[test]
+fn an_overdue_call_that_was_written_has_timed_out_and_others_may_have_run() {
+    let mut ledger = ledger(1);
+    call(&mut ledger, 1, true, 0.0);
+    call(&mut ledger, 2, true, 50.0);
+    ledger.connections[&1].handle.take_written(usize::MAX);
+    let finished = ledger.expire(100.0 + EXPIRY_GRACE_MS);
+    let outcomes: Vec<_> = finished.iter().map(|call| (call.id, call.outcome)).collect();
+    assert_eq!(outcomes, [(1, Outcome::TimedOut), (2, Outcome::ConnectionLost)]);
+}
