--- a/crates/loomflow-server/src/engine.rs
+++ b/crates/loomflow-server/src/engine.rs
@@ -1,6 +1,7 @@
 //! The link to the engine: opened again whenever it is lost, with notices read once and commands sent in order.
 
 mod pending_command;
+mod resend;
 #[cfg(test)]
 mod tests;
 
@@ -18,6 +19,7 @@
 use crate::log;
 use crate::mailbox::{LinkId, Mailbox, OwnerEvent};
 pub use pending_command::{Delivery, PendingCommand, SentCommand};
+pub use resend::{RequestState, Resend};
 
 /// Between two links, the first of which is opened at once.
 const MIN_BACKOFF_MS: Millis = 10.0;
@@ -26,7 +28,7 @@
 const STABLE_AFTER_MS: Millis = 1000.0;
 /// The engine answers the query that closes its replay within this time, or is taken to have done so.
 const REPLAY_TIMEOUT_MS: Millis = 300.0;
-/// Older gauges say nothing about the present.
+/// Gauges that are older are not used.
 const GAUGES_MAX_AGE_MS: Millis = 500.0;
 
 /// The settings of an engine that started so long ago, with what is left of its slow start. The speed rises evenly.
@@ -52,7 +54,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum LinkState {
     Connecting,
-    /// Notices that the engine kept from before come first, until the query with this tag is answered.
+    /// Notices that the engine retained come first, until the query with this tag is answered.
     Replaying {
         fence: u64,
         deadline: Millis,
@@ -143,8 +145,8 @@
         Some(LostLink { link, bytes_written })
     }
 
-    /// The engine has another address: opens a link there at once. What the old one has not written is dropped, and it
-    /// is closed once the peer has read the rest. Returns the old link, none where the address is the same.
+    /// The engine has another address: opens a link there at once. What the former one has not written is dropped, and
+    /// it is closed once the peer has read the rest. Returns the former link, none where the address is the same.
     pub fn set_address(&mut self, address: SocketAddr) -> Option<LostLink> {
         if address == self.address {
             return None;
@@ -171,7 +173,7 @@
         }
     }
 
-    /// The engine is up; the notices that it kept follow.
+    /// The engine is up; the notices that it retained follow.
     pub fn attached(&mut self, now: Millis) {
         self.backoff.connected(now);
         self.is_loss_logged = false;
@@ -219,7 +221,7 @@
         self.last_tag
     }
 
-    /// Asks for the gauges.
+    /// Requests the gauges.
     pub fn poll_gauges(&mut self) {
         if self.state == LinkState::Ready {
             self.send_fence();
@@ -244,7 +246,7 @@
         if now - self.gauges_received_at <= GAUGES_MAX_AGE_MS { &self.gauges } else { &[] }
     }
 
-    /// Asks the engine to do the work of a deep health check. Returns its tag, none while there is no engine.
+    /// Requests the work of a deep health check. Returns its tag, none while there is no engine.
     pub fn send_health_check(&mut self) -> Option<u64> {
         if !self.is_up() {
             return None;
--- a/crates/loomflow-server/tests/gateways.rs
+++ b/crates/loomflow-server/tests/gateways.rs
@@ -1,8 +1,11 @@
 //! Gateways that pipeline, split, stall, break off, open too much or send what cannot be read.
 
+mod common;
+
 use std::io::Write;
 use std::time::Duration;
 
+use common::{attach, finish_run, start_configured, start_run};
 use loomflow_standins::*;
 
 const LONG: f64 = 20_000.0;
@@ -57,43 +60,48 @@
     assert_eq!(tags, (1..=32).collect::<Vec<u64>>());
 }
 
-#[test]
-fn a_gateway_that_stops_reading_delays_nobody_and_gets_all_responses() {
-    const MANY: u64 = 400;
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
-    let mut slow = fixture.gateway();
-    socket2::SockRef::from(&slow.stream).set_recv_buffer_size(4096).unwrap();
-    let mut sent = 0;
-    let mut number = 0;
-    // Far more answers than its socket takes: reading from it stops in between.
-    slow.stream.set_nonblocking(true).unwrap();
-    let mut rest: Vec<u8> = Vec::new();
-    let mut quiet = 0;
+fn long_call(tag: u64) -> Vec<u8> {
+    call(tag, "no-such-class", &fields(&next_attempt_id()), &[1; 2000])
+}
+
+/// Writes up to `max` requests, until nothing more is read. Returns how many were begun, and the rest of the last one.
+fn write_until_blocked(gateway: &mut Gateway, max: u64) -> (u64, Vec<u8>) {
+    let (mut sent, mut rest, mut quiet) = (0, Vec::new(), 0);
     while quiet < 20 {
-        if rest.is_empty() && sent < MANY {
+        if rest.is_empty() && sent < max {
             sent += 1;
-            rest = call(sent, "no-such-class", &fields(&next_attempt_id()), &[1; 2000]);
+            rest = long_call(sent);
         }
-        if let Ok(count) = slow.stream.write(&rest) {
+        if let Ok(count) = gateway.stream.write(&rest) {
             rest.drain(..count);
         } else {
             quiet += 1;
             std::thread::sleep(Duration::from_millis(5));
         }
-        if sent == MANY && rest.is_empty() {
+        if sent == max && rest.is_empty() {
             break;
         }
     }
-    number += 1;
-    serves(&fixture, &engine, number);
+    (sent, rest)
+}
+
+#[test]
+fn a_gateway_that_stops_reading_delays_nobody_and_gets_all_responses() {
+    const MANY: u64 = 400;
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let mut slow = fixture.gateway();
+    socket2::SockRef::from(&slow.stream).set_recv_buffer_size(4096).unwrap();
+    // Far more answers than its socket takes: reading from it stops in between.
+    slow.stream.set_nonblocking(true).unwrap();
+    let (sent, rest) = write_until_blocked(&mut slow, MANY);
+    serves(&fixture, &engine, 1);
     slow.stream.set_nonblocking(false).unwrap();
     slow.stream.set_write_timeout(Some(RESPONSE_TIMEOUT)).unwrap();
     let mut writer = slow.stream.try_clone().unwrap();
-    let tail = rest;
     let thread = std::thread::spawn(move || {
-        writer.write_all(&tail).unwrap();
+        writer.write_all(&rest).unwrap();
         for tag in sent + 1..=MANY {
-            writer.write_all(&call(tag, "no-such-class", &fields(&next_attempt_id()), &[1; 2000])).unwrap();
+            writer.write_all(&long_call(tag)).unwrap();
         }
     });
     let mut tags: Vec<u64> = (0..MANY).map(|_| slow.response().tag).collect();
@@ -106,8 +114,7 @@
 fn a_reset_connection_affects_no_other() {
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
     let mut gateway = fixture.gateway();
-    let id = gateway.call(1, "read", b"x");
-    engine.expect("RUN");
+    let id = start_run(&mut gateway, &engine, 1, "read");
     gateway.reset();
     engine.send_done(1, &id, b"for nobody");
     serves(&fixture, &engine, 2);
@@ -180,8 +187,7 @@
 fn a_tag_reused_while_open_closes_the_connection() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG));
     let mut gateway = fixture.gateway();
-    let id = gateway.call(5, "read", b"x");
-    engine.expect("RUN");
+    let id = start_run(&mut gateway, &engine, 5, "read");
     gateway.call(5, "read", b"another");
     let answer = gateway.response();
     assert_eq!((answer.tag, answer.status.as_str()), (5, "FAILED"));
@@ -211,8 +217,7 @@
     let mut fixture = ServerFixture::new(site(LONG));
     fixture.config["limits"]["sockets"] = 96.into();
     fixture.start("ulimit -n 96; exec \"$0\" serve");
-    let engine = fixture.engine.link();
-    engine.accept_attach("ATTACH 0");
+    let engine = attach(&fixture, "ATTACH 0");
     let mut kept = fixture.gateway();
     kept.send(&health(1, false));
     assert_eq!(kept.response().status, "UP");
@@ -252,8 +257,7 @@
 fn an_attempt_id_in_use_does_not_run_twice() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG));
     let mut gateway = fixture.gateway();
-    let id = gateway.call(1, "pay", b"x");
-    engine.expect("RUN");
+    let id = start_run(&mut gateway, &engine, 1, "pay");
     gateway.send(&call(2, "pay", &fields(&id), b"x"));
     assert_eq!((gateway.response().tag, gateway.next_response(QUIET_PERIOD)), (2, Err(Silence)));
     engine.expect_quiet();
@@ -292,12 +296,8 @@
 
 #[test]
 fn open_requests_are_bounded_by_memory() {
-    let mut fixture = ServerFixture::new(site(LONG));
-    fixture.config["limits"]["memory_mb"] = 1.into();
-    fixture.start("exec \"$0\" serve");
-    let engine = fixture.engine.link();
-    engine.accept_attach("ATTACH 0");
-    fixture.wait_for_service();
+    let (fixture, _engine) =
+        start_configured(site(LONG), |fixture| fixture.config["limits"]["memory_mb"] = 1.into());
     // 51 requests of 2.5 KB in an eighth of 1 MB.
     let mut all = [fixture.gateway(), fixture.gateway()];
     for gateway in &mut all {
@@ -335,8 +335,7 @@
 fn the_server_survives_descriptor_exhaustion() {
     let mut fixture = ServerFixture::new(site(LONG));
     fixture.start("ulimit -n 40; exec \"$0\" serve");
-    let engine = fixture.engine.link();
-    engine.accept_attach("ATTACH 0");
+    let _engine = attach(&fixture, "ATTACH 0");
     let mut all: Vec<Gateway> = (0..60).map(|_| fixture.gateway()).collect();
     all[0].send(&health(1, false));
     assert_eq!(all[0].response().status, "UP");
@@ -352,8 +351,7 @@
 fn after_a_pause_everything_that_arrived_is_read_first() {
     let (fixture, engine) = ServerFixture::start_serving(site(1_000.0));
     let mut gateway = fixture.gateway();
-    let id = gateway.call(1, "pay", b"x");
-    engine.expect("RUN");
+    let id = start_run(&mut gateway, &engine, 1, "pay");
     fixture.signal("STOP");
     // Its result and new requests arrive while nothing is read, and its time runs out as well.
     engine.send_done(1, &id, b"y");
@@ -374,8 +372,7 @@
     let mut fixture = ServerFixture::new(site(LONG));
     fixture.close_log();
     fixture.start("exec \"$0\" serve");
-    let engine = fixture.engine.link();
-    engine.accept_attach("ATTACH 0");
+    let engine = attach(&fixture, "ATTACH 0");
     for _ in 0..3 {
         let mut gateway = fixture.gateway();
         gateway.send(b"nonsense\r\n");
@@ -424,10 +421,8 @@
     let mut gateway = fixture.gateway();
     heard_bye(&mut gateway);
     for (tag, number) in (2..5).zip(1..) {
-        let id = gateway.call(tag, "pay", b"x");
-        assert_eq!(engine.expect("RUN").word(1), id);
-        engine.send_done(number, &id, b"y");
-        assert_eq!(gateway.response().body, b"y");
+        let id = start_run(&mut gateway, &engine, tag, "pay");
+        finish_run(&mut gateway, &engine, number, &id);
     }
     // Nothing more comes, so it ends; the word was said once.
     gateway.expect_closed();
--- a/crates/loomflow-server/tests/reload.rs
+++ b/crates/loomflow-server/tests/reload.rs
@@ -1,9 +1,19 @@
 //! SIGHUP: new addresses count at once, nothing in hand is lost, and a bad file changes nothing.
 
+mod common;
+
+use common::{attach, finish_run, start_run};
 use loomflow_standins::*;
 
 const LONG: f64 = 20_000.0;
 
+/// Reloads a configuration, and waits for a line of the log.
+fn reload(fixture: &ServerFixture, config: &serde_json::Value, line: &str) {
+    fixture.write(&config.to_string());
+    fixture.signal("HUP");
+    fixture.wait_for_log(line);
+}
+
 #[test]
 fn a_reload_moves_engine_ledger_and_control_plane_with_runs_and_calls_open() {
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
@@ -41,15 +51,12 @@
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
     let mut gateway = fixture.gateway();
     let _old = fixture.move_peers();
-    let id = gateway.call(1, "read", b"x");
-    engine.expect("RUN");
+    let id = start_run(&mut gateway, &engine, 1, "read");
     fixture.signal("HUP");
-    let moved = fixture.engine.link();
-    moved.accept_attach("ATTACH 0");
+    let moved = attach(&fixture, "ATTACH 0");
     // A second RUN of what runs already does nothing, and this one has no effect.
     assert_eq!(moved.expect("RUN").word(1), id);
-    moved.send_done(1, &id, b"y");
-    assert_eq!(gateway.response().status, "OK");
+    finish_run(&mut gateway, &moved, 1, &id);
 }
 
 #[test]
@@ -73,18 +80,14 @@
         }
         fixture.signal("HUP");
         fixture.wait_for_log(why);
-        let id = gateway.call(number, "read", b"x");
-        engine.expect("RUN");
-        engine.send_done(number, &id, b"y");
-        assert_eq!(gateway.response().status, "OK");
+        let id = start_run(&mut gateway, &engine, number, "read");
+        finish_run(&mut gateway, &engine, number, &id);
     }
     // The same file again disturbs nothing; what cannot change is named.
     let mut other = good;
     other["seed"] = "1".into();
     other["limits"]["sockets"] = 99.into();
-    fixture.write(&other.to_string());
-    fixture.signal("HUP");
-    fixture.wait_for_log("these keys take effect at the next start keys=\"limits.sockets, seed\"");
+    reload(&fixture, &other, "these keys take effect at the next start keys=\"limits.sockets, seed\"");
     engine.expect_quiet();
     assert!(fixture.is_running());
 }
@@ -98,12 +101,9 @@
     fixture.signal("HUP");
     let second = fixture.move_peers();
     fixture.signal("HUP");
-    let engine = fixture.engine.link();
-    engine.accept_attach("ATTACH 0");
-    let id = gateway.call(1, "pay", b"x");
-    assert_eq!(engine.expect("RUN").word(1), id);
-    engine.send_done(1, &id, b"y");
-    assert_eq!(gateway.response().status, "OK");
+    let engine = attach(&fixture, "ATTACH 0");
+    let id = start_run(&mut gateway, &engine, 1, "pay");
+    finish_run(&mut gateway, &engine, 1, &id);
     drop((first, second));
 }
 
@@ -111,39 +111,36 @@
 fn a_move_during_shutdown_still_answers_all_open_requests() {
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
     let mut gateway = fixture.gateway();
-    let id = gateway.call(1, "pay", b"x");
-    engine.expect("RUN");
+    let id = start_run(&mut gateway, &engine, 1, "pay");
     let _old = fixture.move_peers();
     fixture.terminate();
     assert_eq!(gateway.response().status, "BYE");
     fixture.signal("HUP");
-    let moved = fixture.engine.link();
-    moved.accept_attach("ATTACH 0");
-    moved.send_done(1, &id, b"y");
-    assert_eq!(gateway.response().status, "OK");
+    let moved = attach(&fixture, "ATTACH 0");
+    finish_run(&mut gateway, &moved, 1, &id);
     drop(gateway);
     assert_eq!(fixture.exit_code(), Some(0));
 }
 
+/// Sends a request of a tenant.
+fn call_for(gateway: &mut Gateway, tag: u64, tenant: &str) {
+    let fields = fields(&next_attempt_id()).replace("owner=acme", &format!("owner={tenant}"));
+    gateway.send(&call(tag, "read", &fields, b"x"));
+}
+
 #[test]
 fn reloadable_settings_take_effect_and_a_violation_changes_nothing() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG));
     let mut gateway = fixture.gateway();
-    let ask = |gateway: &mut Gateway, tag, owner: &str| {
-        let fields = fields(&next_attempt_id()).replace("owner=acme", &format!("owner={owner}"));
-        gateway.send(&call(tag, "read", &fields, b"x"));
-    };
-    ask(&mut gateway, 1, "newcomer");
+    call_for(&mut gateway, 1, "newcomer");
     assert_eq!(gateway.response().status, "FAILED");
     // A new tenant, and an aim: taken up. The order of the lists does not matter.
     let mut new = fixture.config.clone();
     let tenants = new["settings"]["Orgs"].as_array_mut().unwrap();
     tenants.insert(0, serde_json::json!({"Name": "newcomer", "QuotaPerS": 5.0}));
     new["settings"]["Classes"][0]["OnTime"] = 100.0.into();
-    fixture.write(&new.to_string());
-    fixture.signal("HUP");
-    fixture.wait_for_log("live=\"settings.Classes[read].OnTime, settings.Orgs[newcomer]\"");
-    ask(&mut gateway, 2, "newcomer");
+    reload(&fixture, &new, "live=\"settings.Classes[read].OnTime, settings.Orgs[newcomer]\"");
+    call_for(&mut gateway, 2, "newcomer");
     let run = engine.expect("RUN");
     engine.send_done(1, run.word(1), b"y");
     assert_eq!(gateway.response().status, "OK");
@@ -152,13 +149,13 @@
     bad["settings"]["Classes"][2]["Effect"] = "safe".into();
     bad["settings"]["Rules"]["DrainGrace"] = 3000.0.into();
     bad["engine"] = fixture.ledger.address.to_string().into();
-    fixture.write(&bad.to_string());
-    fixture.signal("HUP");
-    fixture.wait_for_log(
+    reload(
+        &fixture,
+        &bad,
         "key=\"settings.Classes[book].Effect\" value=\"safe\" rule=\"what has run could be run again\"",
     );
     fixture.wait_for_log("settings.Rules.DrainGrace");
-    ask(&mut gateway, 3, "acme");
+    call_for(&mut gateway, 3, "acme");
     let run = engine.expect("RUN");
     engine.send_done(2, run.word(1), b"y");
     assert_eq!(gateway.response().status, "OK");
@@ -167,9 +164,7 @@
     gone["settings"]["Classes"].as_array_mut().unwrap().remove(1);
     gateway.send(&call(4, "pay", &fields(&next_attempt_id()), b"x"));
     engine.expect("RUN");
-    fixture.write(&gone.to_string());
-    fixture.signal("HUP");
-    fixture.wait_for_log("settings.Classes[pay]");
+    reload(&fixture, &gone, "settings.Classes[pay]");
 }
 
 #[test]
@@ -201,21 +196,16 @@
         ),
     ];
     for (file, why) in others {
-        fixture.write(&file.to_string());
-        fixture.signal("HUP");
-        fixture.wait_for_log(why);
+        reload(&fixture, &file, why);
     }
     stranger.has_no_link();
     // What is its own is taken up after that as before, and what waits in the mailbox keeps its class.
     let mut gateway = fixture.gateway();
-    let id = gateway.call(1, "pay", b"x");
-    assert_eq!(engine.expect("RUN").word(1), id);
+    let id = start_run(&mut gateway, &engine, 1, "pay");
     let _old = fixture.move_peers();
     fixture.signal("HUP");
-    let moved = fixture.engine.link();
-    moved.accept_attach("ATTACH 0");
-    moved.send_done(1, &id, b"y");
-    assert_eq!(gateway.response().body, b"y");
+    let moved = attach(&fixture, "ATTACH 0");
+    finish_run(&mut gateway, &moved, 1, &id);
 }
 
 #[test]
@@ -237,13 +227,11 @@
 fn a_simultaneous_reload_and_shutdown_are_both_handled() {
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
     let mut gateway = fixture.gateway();
-    let id = gateway.call(1, "pay", b"x");
-    engine.expect("RUN");
+    let id = start_run(&mut gateway, &engine, 1, "pay");
     let _old = fixture.move_peers();
     fixture.signal("HUP");
     fixture.terminate();
-    let moved = fixture.engine.link();
-    moved.accept_attach("ATTACH 0");
+    let moved = attach(&fixture, "ATTACH 0");
     moved.send_done(1, &id, b"y");
     let mut words = [gateway.response().status, gateway.response().status];
     words.sort();
