--- /dev/null
+++ b/crates/loomflow-fleet/src/consensus/election.rs
@@ -0,0 +1,49 @@
+//! Who leads. The election itself is the library's: Raft with pre-vote and a check of the quorum, so that a leader without a
+//! majority steps down (Ongaro, "Consensus: Bridging Theory and Practice", sections 6.2 and 9.6).
+
+use raft::{RawNode, StateRole};
+
+use super::log::Log;
+use super::{Consensus, StateMachine};
+use crate::member::{Millis, ServerName};
+
+/// The library's tick, ms.
+pub(super) const TICK_MILLIS: Millis = 100;
+/// A leader sends heartbeats every this many ticks.
+pub(super) const HEARTBEAT_TICKS: usize = 2;
+/// A voter without a heartbeat for this many ticks, up to twice as many by chance, stands for election.
+pub(super) const ELECTION_TICKS: usize = 10;
+
+impl<M: StateMachine> Consensus<M> {
+    /// Whether this voter leads, and has applied all that was committed before it did.
+    pub fn is_leader(&self) -> bool {
+        self.raft_node.as_ref().is_some_and(|node| {
+            node.raft.state == StateRole::Leader
+                && node.raft.apply_to_current_term()
+                && node.raft.lead_transferee.is_none()
+        })
+    }
+
+    /// Who leads, as far as this voter knows.
+    pub fn leader(&self) -> Option<&ServerName> {
+        let id = self.raft_node.as_ref()?.raft.leader_id;
+        self.replicas.get(&id)
+    }
+
+    /// Lets another voter lead, the one whose log is most complete among those that `may_lead`. False where there is none.
+    pub fn transfer_leadership(&mut self, may_lead: &dyn Fn(&ServerName) -> bool) -> bool {
+        let is_leader = |node: &&mut RawNode<Log>| node.raft.state == StateRole::Leader;
+        let Some(node) = self.raft_node.as_mut().filter(is_leader) else { return false };
+        let own = self.metadata.replica.id;
+        let voters = node.store().configuration().voters;
+        let candidates =
+            voters.iter().filter(|id| **id != own && self.replicas.get(id).is_some_and(may_lead));
+        let matched = |id: &&u64| node.raft.prs().get(**id).map_or(0, |progress| progress.matched);
+        let best = candidates.max_by_key(matched).copied();
+        if let Some(to) = best {
+            node.transfer_leader(to);
+        }
+        self.process_ready();
+        best.is_some()
+    }
+}
--- a/crates/loomflow-fleet/src/consensus/mod.rs
+++ b/crates/loomflow-fleet/src/consensus/mod.rs
@@ -12,8 +12,10 @@
 //! - `voter_changes`: bringing the configuration to the voters that the settings name;
 //! - `log`: the log as the library reads it;
 //! - [`storage`]: what a voter must not forget;
+//! - `election`: who leads, and when a voter stands for election;
 //! - `error`: what can go wrong.
 
+mod election;
 mod error;
 mod log;
 mod ready;
@@ -24,17 +26,14 @@
 use std::collections::BTreeMap;
 
 use raft::eraftpb::{ConfState, Entry, HardState, Message, Snapshot};
-use raft::{Config, RawNode, SnapshotStatus, StateRole};
+use raft::{Config, RawNode, SnapshotStatus};
 
 use crate::member::{Incarnation, Millis, Replica, ServerName};
+use election::{ELECTION_TICKS, HEARTBEAT_TICKS, TICK_MILLIS};
 pub use error::{ConsensusError, ProposeError, SnapshotError};
 use log::Log;
 use storage::{PersistedState, ReplicaMetadata, Storage, WriteBatch};
 
-/// The library's tick, ms. A leader sends heartbeats every second tick; who receives none for 10 to 20 starts an election.
-const TICK_MILLIS: Millis = 100;
-const HEARTBEAT_TICKS: usize = 2;
-const ELECTION_TICKS: usize = 10;
 /// A storage that failed is tried again after this, ms.
 const STORAGE_RETRY_MILLIS: Millis = 1_000;
 /// A snapshot that did not arrive is sent again after this, ms.
@@ -183,21 +182,6 @@
         self.raft_node.as_ref().map_or(0, |node| node.raft.term)
     }
 
-    /// Whether this voter leads, and has applied all that was committed before it did.
-    pub fn is_leader(&self) -> bool {
-        self.raft_node.as_ref().is_some_and(|node| {
-            node.raft.state == StateRole::Leader
-                && node.raft.apply_to_current_term()
-                && node.raft.lead_transferee.is_none()
-        })
-    }
-
-    /// Who leads, as far as this voter knows.
-    pub fn leader(&self) -> Option<&ServerName> {
-        let id = self.raft_node.as_ref()?.raft.leader_id;
-        self.replicas.get(&id)
-    }
-
     /// Who has a vote, in the order of the replicas.
     pub fn voters(&self) -> Vec<ServerName> {
         let Some(node) = &self.raft_node else { return Vec::new() };
@@ -364,23 +348,6 @@
         Ok(())
     }
 
-    /// Lets another voter lead, the one whose log is most complete among those that `may_lead`. False where there is none.
-    pub fn transfer_leadership(&mut self, may_lead: &dyn Fn(&ServerName) -> bool) -> bool {
-        let is_leader = |node: &&mut RawNode<Log>| node.raft.state == StateRole::Leader;
-        let Some(node) = self.raft_node.as_mut().filter(is_leader) else { return false };
-        let own = self.metadata.replica.id;
-        let voters = node.store().configuration().voters;
-        let candidates =
-            voters.iter().filter(|id| **id != own && self.replicas.get(id).is_some_and(may_lead));
-        let matched = |id: &&u64| node.raft.prs().get(**id).map_or(0, |progress| progress.matched);
-        let best = candidates.max_by_key(matched).copied();
-        if let Some(to) = best {
-            node.transfer_leader(to);
-        }
-        self.process_ready();
-        best.is_some()
-    }
-
     /// What the library believes to be durable may not be: this voter starts again from what the data directory holds.
     fn stop_on_error(&mut self, error: ConsensusError) {
         self.raft_node = None;
--- a/crates/loomflow-fleet/src/duty/assign/tests.rs
+++ b/crates/loomflow-fleet/src/duty/assign/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::duty::load::{MAX_IMBALANCE, imbalance};
 use crate::duty::{DutySpec, LeaseSettings, ServerInstance};
 use proptest::prelude::*;
 
@@ -25,12 +26,12 @@
 fn when_one_dies_only_its_duties_move_and_all_stay_within_the_bound() {
     let mut duties = duties_and_sessions(1_000, 300);
     let all = candidates(300);
-    duties.apply(&Command::Assign(assign_free(&duties, &all, &|_| false)));
+    duties.apply(&Command::Assign(assign_available(&duties, &all, &|_| false)));
     assert!(imbalance(&duties, &all) <= MAX_IMBALANCE, "{}", imbalance(&duties, &all));
     let before = owners(&duties);
     let (dead, rest): (Vec<_>, Vec<_>) = all.into_iter().partition(|duty| duty.name == "n7");
     duties.apply(&Command::End(ServerInstance { name: dead[0].name.clone(), incarnation: 1 }));
-    duties.apply(&Command::Assign(assign_free(&duties, &rest, &|_| false)));
+    duties.apply(&Command::Assign(assign_available(&duties, &rest, &|_| false)));
     let after = owners(&duties);
     let moved = before.iter().filter(|(duty, owner)| after[*duty] != **owner).count();
     assert_eq!(moved, before.values().filter(|owner| **owner == "n7").count());
@@ -42,12 +43,12 @@
     let mut duties = duties_and_sessions(40, 4);
     let mut servers = candidates(4);
     (servers[0].can_acquire, servers[0].weight) = (false, 0.3);
-    duties.apply(&Command::Assign(assign_free(&duties, &servers, &|_| false)));
+    duties.apply(&Command::Assign(assign_available(&duties, &servers, &|_| false)));
     assert!(owners(&duties).values().all(|owner| owner != "n0"));
     assert_eq!(owners(&duties).len(), 40);
     let mut duties = duties_and_sessions(40, 4);
     servers.iter_mut().for_each(|duty| duty.can_acquire = false);
-    duties.apply(&Command::Assign(assign_free(&duties, &servers, &|_| false)));
+    duties.apply(&Command::Assign(assign_available(&duties, &servers, &|_| false)));
     assert_eq!(owners(&duties).len(), 40, "a duty without an owner is worse");
 }
 
@@ -55,7 +56,7 @@
 fn fewer_duties_than_servers_go_to_one_each() {
     let mut duties = duties_and_sessions(5, 20);
     let all = candidates(20);
-    duties.apply(&Command::Assign(assign_free(&duties, &all, &|_| false)));
+    duties.apply(&Command::Assign(assign_available(&duties, &all, &|_| false)));
     let owners = owners(&duties);
     let names: std::collections::BTreeSet<&ServerName> = owners.values().collect();
     assert_eq!((owners.len(), names.len()), (5, 5));
@@ -73,13 +74,13 @@
             .enumerate()
             .map(|(n, (weight, can_acquire))| Candidate { name: format!("n{n}"), weight: *weight, can_acquire: *can_acquire })
             .collect();
-        duties.apply(&Command::Assign(assign_free(&duties, &candidates, &|_| false)));
+        duties.apply(&Command::Assign(assign_available(&duties, &candidates, &|_| false)));
         let owners = owners(&duties);
         prop_assert_eq!(owners.len(), count);
         if candidates.iter().any(|duty| duty.can_acquire) {
             let can_acquire = |name: &ServerName| candidates.iter().any(|duty| duty.name == *name && duty.can_acquire);
             prop_assert!(owners.values().all(can_acquire));
         }
-        prop_assert!(assign_free(&duties, &candidates, &|_| false).is_empty());
+        prop_assert!(assign_available(&duties, &candidates, &|_| false).is_empty());
     }
 }
--- a/crates/loomflow-fleet/src/duty/mod.rs
+++ b/crates/loomflow-fleet/src/duty/mod.rs
@@ -3,7 +3,9 @@
 //! - [`state`]: the state machine applied from the log: sessions, leases, what owners have written, what is parked.
 //! - [`client_session`]: what one member knows of its own session and the duties that it owns, by its own clock.
 //! - [`fence`]: the receiver's check, which refuses what comes from a former owner.
-//! - [`assign`]: who should own what. Only the leader asks; its decisions go into the log.
+//! - [`assign`]: who should own what, by `load`, and what its owner is to release, by `recall`. Only the leader decides; its
+//!   decisions go into the log.
+//! - `attempts`: when a duty that fails again and again is parked.
 //! - [`job`]: the operators' jobs: when a run begins, and what is written about it.
 //! - [`supervisor`]: when the process of a run has to end.
 //! - [`schedule`]: when a duty with a schedule is due, and what happens to missed runs.
@@ -13,9 +15,12 @@
 //! the fencing token and the receiver's fence.
 
 pub mod assign;
+mod attempts;
 pub mod client_session;
 pub mod fence;
 pub mod job;
+pub mod load;
+mod recall;
 pub mod schedule;
 pub mod state;
 pub mod summary;
@@ -80,11 +85,6 @@
     pub fn waiting_duration(&self) -> Millis {
         (self.lease_millis as f64 * (1.0 + MAX_CLOCK_DRIFT)).ceil() as Millis
     }
-
-    /// An owner that was lost before it held a duty for so long may have been brought down by it, ms.
-    pub fn settling_duration(&self) -> Millis {
-        3 * self.lease_millis
-    }
 }
 
 /// A duty as it is declared, by the operators' settings or built in.
--- a/crates/loomflow-fleet/src/duty/state.rs
+++ b/crates/loomflow-fleet/src/duty/state.rs
@@ -103,7 +103,7 @@
 }
 
 impl Duty {
-    fn new(spec: DutySpec, now: FleetMillis) -> Duty {
+    pub(super) fn new(spec: DutySpec, now: FleetMillis) -> Duty {
         Duty {
             spec,
             lease: None,
--- a/crates/loomflow-fleet/src/duty/state/apply.rs
+++ b/crates/loomflow-fleet/src/duty/state/apply.rs
@@ -185,12 +185,10 @@
     }
 
     fn fail_run(&mut self, name: &DutyName, token: Token, run: RunId, reason: &str) -> Result<(), Refusal> {
-        let max_attempts = self.lease_settings().max_attempts as usize;
+        let settings = self.lease_settings();
         let reason = truncate_reason(reason);
         let duty = self.duty_of_run(name, token, run)?;
-        duty.recent_failures.push(reason.clone());
-        // Retried by whoever owns it, until there were as many attempts as there may be.
-        let is_last_attempt = duty.recent_failures.len() >= max_attempts;
+        let is_last_attempt = duty.record_failure(&reason, settings);
         if is_last_attempt {
             duty.unfinished_run = None;
         }
@@ -244,14 +242,7 @@
         let now = self.state.time;
         for name in self.names_owned_by(server) {
             let Ok(duty) = self.duty_mut(&name) else { continue };
-            let since = duty.lease.as_ref().map_or(now, |lease| lease.since);
-            if now.saturating_sub(since) >= settings.settling_duration() {
-                duty.recent_failures.clear();
-            } else {
-                duty.recent_failures.push(format!("{server} was lost while it owned it"));
-            }
-            let is_poison = duty.recent_failures.len() >= settings.max_attempts as usize;
-            let reason = duty.recent_failures.last().cloned().filter(|_| is_poison);
+            let reason = duty.record_lost_owner(server, settings, now);
             self.free(&name, DutyEventKind::Lost);
             if let Some(reason) = reason {
                 let _ = self.park(&name, &reason);
--- a/crates/loomflow-fleet/src/duty/supervisor.rs
+++ b/crates/loomflow-fleet/src/duty/supervisor.rs
@@ -4,10 +4,13 @@
 use super::LeaseSettings;
 use crate::member::Millis;
 
-/// A process is asked to end when this fraction of the lease remains, and killed when [`KILL_AT_LEASE_FRACTION`] does: the
-/// lease is renewed four times in its length, so that neither happens while the fleet answers.
+/// A process is asked to end when this fraction of the lease remains: the lease is renewed four times in its length, so that
+/// this does not happen while the fleet responds.
 const TERMINATE_AT_LEASE_FRACTION: f64 = 0.3;
+/// A process is killed when this fraction of the lease remains.
 const KILL_AT_LEASE_FRACTION: f64 = 0.1;
+/// A process that was asked to end has one lease divided by this before it is killed.
+const GRACE_PERIODS_PER_LEASE: u64 = 2;
 
 /// Why a process was asked to end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -92,7 +95,7 @@
             self.stop_requested.get_or_insert((now, StopReason::TimedOut));
         }
         let (requested_at, _) = self.stop_requested?;
-        let grace_period = self.lease_settings.lease_millis / 2;
+        let grace_period = self.lease_settings.lease_millis / GRACE_PERIODS_PER_LEASE;
         let is_grace_over = now.saturating_sub(requested_at) >= grace_period;
         if !self.is_killed && (is_grace_over || remaining <= lease_millis * KILL_AT_LEASE_FRACTION) {
             self.is_killed = true;
--- a/crates/loomflow-fleet/src/maintenance/scheduling.rs
+++ b/crates/loomflow-fleet/src/maintenance/scheduling.rs
@@ -178,7 +178,7 @@
 
     /// Load and capacity if this server went, beside those that are out.
     fn estimate(&self, server: &str) -> Estimate {
-        let holders = self.maintenance.holders();
-        self.headroom.estimate(self.members, &|name| name != server && !holders.contains_key(name))
+        let stays = |name: &str| name != server && !self.maintenance.is_departing(name);
+        self.headroom.estimate(self.members, &stays)
     }
 }
--- a/crates/loomflow-fleet/src/maintenance/scheduling/checks.rs
+++ b/crates/loomflow-fleet/src/maintenance/scheduling/checks.rs
@@ -1,6 +1,5 @@
 //! The conditions that a ticket has to meet before its server may go.
 
-use std::collections::BTreeSet;
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
@@ -152,12 +151,8 @@
             let finding = Finding::new(Check::Budget, false, f64::from(out) + 1.0, f64::from(limit));
             return Finding { detail: zone, ..finding };
         }
-        let fleet_size = census.zones.iter().map(|(_, count)| count).sum();
-        let limit = self.maintenance.rules().cloned().unwrap_or_default().max_out.of(fleet_size);
-        let mut out: BTreeSet<&str> = census.away.iter().map(|(name, _)| name.as_str()).collect();
-        out.extend(self.maintenance.holders().keys().map(String::as_str));
-        out.insert(server);
-        Finding::new(Check::Budget, true, out.len() as f64, f64::from(limit))
+        let (out, limit) = self.maintenance.out_and_limit(server, zone, census);
+        Finding::new(Check::Budget, true, out as f64, f64::from(limit))
     }
 
     fn check_voters(&self, ticket: &Ticket, census: &Census) -> Finding {
--- a/crates/loomflow-fleet/src/maintenance/state.rs
+++ b/crates/loomflow-fleet/src/maintenance/state.rs
@@ -4,14 +4,15 @@
 //! This file holds the state, what can be read of it, and its snapshot; `apply` changes it.
 
 mod apply;
+mod limits;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use serde::{Deserialize, Serialize};
 
-use super::rules::{Rules, voters_needed};
-use super::ticket::{FleetMillis, GrantNumber, Refusal, Stage, Ticket, TicketId};
-use super::{Census, Entry, Response};
+use super::rules::Rules;
+use super::ticket::{FleetMillis, GrantNumber, Stage, Ticket, TicketId};
+use super::{Entry, Response};
 use crate::consensus::{SnapshotError, StateMachine};
 use crate::member::{RequestId, ServerName, Zone};
 
@@ -123,6 +124,11 @@
         &self.holders
     }
 
+    /// Whether a server holds a place: it is out, or is about to shut down.
+    pub fn is_departing(&self, server: &str) -> bool {
+        self.holders.contains_key(server)
+    }
+
     /// The ticket by which a server holds a place.
     pub fn ticket_held_by(&self, server: &str) -> Option<&Ticket> {
         self.state.open.get(self.holders.get(server)?)
@@ -143,62 +149,6 @@
     pub fn next_deadline(&self) -> Option<FleetMillis> {
         self.deadlines.first().map(|(at, _)| *at)
     }
-
-    /// Checks whether one more server may be out: the limits of fleet and zone, and the voters. Counts servers and not
-    /// tickets, so that one that is down and holds a place is out once.
-    ///
-    /// # Errors
-    /// The limit that would be exceeded.
-    pub fn check_place(&self, server: &str, zone: &str, census: &Census) -> Result<(), Refusal> {
-        let out = self.out_with(server, zone, census);
-        self.check_limits(zone, &out, census)?;
-        self.check_voters(server, &out)
-    }
-
-    /// All that would be out if this server went, with their zones.
-    fn out_with<'a>(
-        &'a self,
-        server: &'a str,
-        zone: &'a str,
-        census: &'a Census,
-    ) -> BTreeMap<&'a str, &'a str> {
-        let mut out: BTreeMap<&str, &str> =
-            census.away.iter().map(|(name, zone)| (name.as_str(), zone.as_str())).collect();
-        for (name, id) in &self.holders {
-            let zone = self.state.open.get(id).map_or("", |ticket| ticket.request.zone.as_str());
-            out.insert(name, zone);
-        }
-        out.insert(server, zone);
-        out
-    }
-
-    fn check_limits(&self, zone: &str, out: &BTreeMap<&str, &str>, census: &Census) -> Result<(), Refusal> {
-        let rules = self.state.rules.clone().unwrap_or_default();
-        let check = |count: usize, limit: u32, zone: Option<Zone>| {
-            if count as u32 <= limit {
-                return Ok(());
-            }
-            Err(Refusal::NoPlace { out: count as u32 - 1, limit, zone })
-        };
-        let fleet_size = census.zones.iter().map(|(_, count)| count).sum();
-        check(out.len(), rules.max_out.of(fleet_size), None)?;
-        if let Some(limit) = rules.max_out_per_zone {
-            let zone_size = census.zones.iter().find(|(name, _)| name == zone).map_or(0, |(_, count)| *count);
-            let count = out.values().filter(|other| **other == zone).count();
-            check(count, limit.of(zone_size), Some(zone.to_owned()))?;
-        }
-        Ok(())
-    }
-
-    fn check_voters(&self, server: &str, out: &BTreeMap<&str, &str>) -> Result<(), Refusal> {
-        let voters = &self.state.voters;
-        if !voters.iter().any(|voter| voter == server) {
-            return Ok(());
-        }
-        let stay = voters.iter().filter(|voter| !out.contains_key(voter.as_str())).count() as u32;
-        let needed = voters_needed(voters.len() as u32);
-        if stay < needed { Err(Refusal::Voters { stay, needed }) } else { Ok(()) }
-    }
 }
 
 impl StateMachine for MaintenanceState {
--- a/crates/loomflow-fleet/src/member.rs
+++ b/crates/loomflow-fleet/src/member.rs
@@ -186,6 +186,11 @@
 /// An older report is not relied on, ms: three were missed.
 pub const REPORT_MAX_AGE_MILLIS: Millis = 3_500;
 
+/// Whether a load report that came at `received_at` is still relied on.
+pub fn is_report_recent(received_at: Millis, now: Millis) -> bool {
+    now.saturating_sub(received_at) <= REPORT_MAX_AGE_MILLIS
+}
+
 /// The state of a member, derived from the membership, its report and the tickets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
--- a/crates/loomflow-fleet/src/membership.rs
+++ b/crates/loomflow-fleet/src/membership.rs
@@ -1,35 +1,26 @@
 //! Who is here: SWIM with suspicion, by `foca`. Fed packets and times; what it wants sent comes out.
 //!
-//! The library decides who is alive, suspect and down, and refutes a false suspicion by itself. Ours is what is remembered of
-//! each member beside that: its last load report with the moment it came, whether it is shutting down, and since when it is in
-//! its state. Members are bounded by [`MAX_MEMBERS`] and forgotten [`FORGET_AFTER_MILLIS`] after they were last here.
+//! The library decides who is alive, suspect and down, and refutes a false suspicion by itself; [`failure_detection`] has the
+//! periods by which it does. This file stores what else is known of each member: its last load report with the moment it came,
+//! whether it is shutting down, and since when it is in its state. Members are bounded by [`MAX_MEMBERS`].
+
+pub mod failure_detection;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
-use std::num::{NonZeroU8, NonZeroUsize};
-use std::time::Duration;
 
 use foca::{
-    AccumulatingRuntime, Config, Foca, NoCustomBroadcast, OwnedNotification, PeriodicParams, PostcardCodec,
-    State as SwimState, Timer,
+    AccumulatingRuntime, Foca, NoCustomBroadcast, OwnedNotification, PostcardCodec, State as SwimState, Timer,
 };
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use crate::member::{
-    LoadReport, MemberIdentity, MemberState, Millis, Phase, REPORT_MAX_AGE_MILLIS, Replica, ServerName,
-};
+use crate::member::{LoadReport, MemberIdentity, Millis, Replica, ServerName};
 
 /// Most members, this one included; a packet that names more is taken without them.
 pub const MAX_MEMBERS: usize = 2_048;
-/// A member that left or died is remembered for so long, ms: until then it counts as missing.
-pub const FORGET_AFTER_MILLIS: Millis = 60 * 60 * 1000;
 /// How often voters that are named in the settings and not here are contacted, ms.
 const REJOIN_PERIOD_MILLIS: Millis = 2_000;
-/// How late a voter may notice a suspicion, ms, while packets arrive at all. Others decide nothing by it, and looking at all
-/// members is what membership costs in a large fleet.
-const REFRESH_PERIOD_OF_VOTERS_MILLIS: Millis = 500;
-const REFRESH_PERIOD_OF_OTHERS_MILLIS: Millis = 5_000;
 /// Most timers: a few for each member.
 const MAX_TIMERS: usize = 4 * MAX_MEMBERS;
 
@@ -48,28 +39,6 @@
     pub since: Millis,
 }
 
-impl KnownMember {
-    /// Its state by its own report and the membership; tickets are not considered.
-    pub fn state(&self) -> MemberState {
-        let phase = self.load_report.map(|(_, report)| report.phase);
-        match (self.swim_state, phase) {
-            (SwimState::Down, Some(Phase::Draining)) => MemberState::Gone,
-            (SwimState::Down, _) => MemberState::Down,
-            (SwimState::Suspect, _) => MemberState::Suspect,
-            (SwimState::Alive, Some(Phase::Serving)) => MemberState::Serving,
-            (SwimState::Alive, Some(Phase::Draining)) => MemberState::Draining,
-            (SwimState::Alive, Some(Phase::Cold) | None) => MemberState::Cold,
-        }
-    }
-
-    /// Its load report, if that is recent, and the member is here.
-    pub fn recent_report(&self, now: Millis) -> Option<LoadReport> {
-        let (at, report) = self.load_report?;
-        let is_recent = now.saturating_sub(at) <= REPORT_MAX_AGE_MILLIS;
-        (self.swim_state != SwimState::Down && is_recent).then_some(report)
-    }
-}
-
 /// The members of the fleet as this one sees them.
 pub struct Membership {
     foca: Foca<MemberIdentity, PostcardCodec, SmallRng, NoCustomBroadcast>,
@@ -95,35 +64,6 @@
     timer: Timer<MemberIdentity>,
 }
 
-/// The library's settings. Periods are those it recommends for a local network; how long a suspect has to answer and how often
-/// an update is passed on grow with the logarithm of the fleet, and are set for the largest there may be.
-fn config() -> Config {
-    let non_zero = |n| NonZeroUsize::new(n).expect("not zero");
-    Config {
-        probe_period: Duration::from_secs(1),
-        probe_rtt: Duration::from_millis(500),
-        num_indirect_probes: non_zero(3),
-        max_transmissions: NonZeroU8::new(12).expect("not zero"),
-        suspect_to_down_after: Duration::from_secs(4),
-        remove_down_after: Some(Duration::from_millis(FORGET_AFTER_MILLIS)),
-        max_packet_size: non_zero(1_400),
-        notify_down_members: true,
-        periodic_announce: Some(PeriodicParams {
-            frequency: Duration::from_secs(30),
-            num_members: non_zero(1),
-        }),
-        // After a partition heals both sides hold the other for down: without this they would not speak again.
-        periodic_announce_to_down_members: Some(PeriodicParams {
-            frequency: Duration::from_secs(3),
-            num_members: non_zero(2),
-        }),
-        periodic_gossip: Some(PeriodicParams {
-            frequency: Duration::from_millis(200),
-            num_members: non_zero(3),
-        }),
-    }
-}
-
 impl Membership {
     /// `seeds`: name and address of the voters, to join by; this member may be among them.
     pub fn new(
@@ -134,7 +74,12 @@
     ) -> Membership {
         let is_voter = seeds.iter().any(|voter| voter.name == identity.name);
         let seeds = seeds.into_iter().filter(|other| other.name != identity.name).collect();
-        let foca = Foca::new(identity, config(), SmallRng::seed_from_u64(random_seed), PostcardCodec);
+        let foca = Foca::new(
+            identity,
+            failure_detection::swim_config(),
+            SmallRng::seed_from_u64(random_seed),
+            PostcardCodec,
+        );
         Membership {
             foca,
             runtime: AccumulatingRuntime::new(),
@@ -144,11 +89,7 @@
             seeds,
             next_rejoin_at: now,
             next_refresh_at: now,
-            refresh_period: if is_voter {
-                REFRESH_PERIOD_OF_VOTERS_MILLIS
-            } else {
-                REFRESH_PERIOD_OF_OTHERS_MILLIS
-            },
+            refresh_period: failure_detection::refresh_period(is_voter),
             malformed: 0,
             outgoing: Vec::new(),
         }
@@ -214,7 +155,7 @@
     fn announce_to_missing_seeds(&mut self) {
         for seed in self.seeds.clone() {
             let known = self.known.get(&seed.name);
-            if known.is_none_or(|known| known.swim_state == SwimState::Down) {
+            if known.is_none_or(KnownMember::is_down) {
                 let _ = self.foca.announce(seed, &mut self.runtime);
             }
         }
@@ -273,9 +214,7 @@
         for member in self.foca.iter_membership_state() {
             update_member(&mut self.known, member.id(), member.state(), now);
         }
-        self.known.retain(|_, known| {
-            known.swim_state != SwimState::Down || now < known.since + FORGET_AFTER_MILLIS
-        });
+        self.known.retain(|_, known| !known.is_forgotten(now));
     }
 }
 
--- a/crates/loomflow-fleet/src/node/duties.rs
+++ b/crates/loomflow-fleet/src/node/duties.rs
@@ -3,6 +3,7 @@
 
 use rand::RngExt;
 
+use super::requests::ReceivedResponse;
 use super::{Effect, Node};
 use crate::duty::client_session::{ClientSession, OwnershipChange};
 use crate::duty::fence::{Fence, FenceError};
@@ -279,13 +280,8 @@
     }
 
     /// Handles the response to a request of this member's part in duties; true where it was one.
-    pub(super) fn handle_duty_response(
-        &mut self,
-        id: RequestId,
-        response: &Response,
-        sent_at: Millis,
-        now: Millis,
-    ) -> bool {
+    pub(super) fn handle_duty_response(&mut self, received: &ReceivedResponse, now: Millis) -> bool {
+        let ReceivedResponse { id, response, sent_at } = *received;
         if self.duties.session_end == SessionEnd::Pending(id) {
             self.duties.session_end = SessionEnd::Ended;
             return true;
@@ -326,7 +322,7 @@
 
     fn send_summary(&mut self, token: Token, summary: Summary, now: Millis) {
         let known = self.membership.known().values();
-        let alive = known.filter(|known| known.swim_state != foca::State::Down);
+        let alive = known.filter(|known| !known.is_down());
         let names: Vec<ServerName> = alive.map(|known| known.identity.name.clone()).collect();
         for name in names {
             self.send(&name, Body::Summary { token, summary: summary.clone() });
--- a/crates/loomflow-fleet/src/node/duty_leadership.rs
+++ b/crates/loomflow-fleet/src/node/duty_leadership.rs
@@ -119,8 +119,7 @@
             }
         }
         let members = self.member_views(now);
-        let holders = state.maintenance.holders();
-        let is_departing = |name: &str| holders.contains_key(name);
+        let is_departing = |name: &str| state.maintenance.is_departing(name);
         let commands = assign::commands(&state.duties, &members, &is_departing);
         commands.into_iter().map(Command::Duty).collect()
     }
@@ -129,8 +128,7 @@
     pub(super) fn choose_successor(&self, duty: &str, now: Millis) -> Option<ServerName> {
         let state = self.fleet_state()?;
         let owner = &state.duties.duties().get(duty)?.lease.as_ref()?.owner;
-        let holders = state.maintenance.holders();
-        let is_departing = |name: &str| holders.contains_key(name);
+        let is_departing = |name: &str| state.maintenance.is_departing(name);
         let candidates = assign::candidates(&state.duties, &self.member_views(now), &is_departing);
         assign::successor(&state.duties, &candidates, duty, owner)
     }
--- a/crates/loomflow-fleet/src/node/leadership.rs
+++ b/crates/loomflow-fleet/src/node/leadership.rs
@@ -10,8 +10,7 @@
 use crate::maintenance::scheduling::{Decision, SchedulerView};
 use crate::maintenance::state::MaintenanceState;
 use crate::maintenance::{Command, Entry, Issuer, observation};
-use crate::member::{FleetMillis, MemberState, Millis, Phase, RequestId, ServerName};
-use crate::membership::KnownMember;
+use crate::member::{FleetMillis, MemberState, Millis, RequestId, ServerName};
 
 /// How often the leader decides, ms.
 const ROUND_PERIOD_MILLIS: Millis = 250;
@@ -152,21 +151,4 @@
             self.leadership.pending.remove(&id);
         }
     }
-
-    /// Lets another voter lead: one that serves and holds no place, with the most complete log.
-    pub(super) fn transfer_leadership(&mut self) {
-        let Some(consensus) = &self.consensus else { return };
-        let holders = consensus.machine().maintenance.holders();
-        let may_lead = |known: &&KnownMember| {
-            let is_draining = known.load_report.is_some_and(|(_, report)| report.phase == Phase::Draining);
-            let is_alive = known.swim_state == foca::State::Alive;
-            is_alive && !is_draining && !holders.contains_key(&known.identity.name)
-        };
-        let candidates = self.membership.known().values().filter(may_lead);
-        let candidates: BTreeSet<ServerName> = candidates.map(|known| known.identity.name.clone()).collect();
-        let Some(consensus) = &mut self.consensus else { return };
-        if consensus.transfer_leadership(&|name| candidates.contains(name)) {
-            self.log("hands the lead over".into());
-        }
-    }
 }
--- a/crates/loomflow-fleet/src/node/mod.rs
+++ b/crates/loomflow-fleet/src/node/mod.rs
@@ -6,6 +6,7 @@
 //! - `requests`: requests on their way to the leader and responses on their way back;
 //! - `own_ticket`: what it does about a ticket of its own: begin, drain, depart;
 //! - `leadership`: the leader's round: voters, transitions, the next grant;
+//! - `leadership_transfer`: who leads after it;
 //! - [`duties`]: its session, and the duties that it owns;
 //! - `duty_leadership`: the leader's part in them;
 //! - `status`: what it tells operators.
@@ -13,6 +14,7 @@
 pub mod duties;
 mod duty_leadership;
 mod leadership;
+mod leadership_transfer;
 mod outgoing;
 mod own_ticket;
 mod requests;
@@ -34,8 +36,8 @@
 use crate::maintenance::ticket::TicketId;
 use crate::maintenance::{Issuer, Request, Response};
 use crate::member::{
-    LoadReport, MemberIdentity, MemberState, MemberView, Millis, Phase, REPORT_MAX_AGE_MILLIS,
-    REPORT_PERIOD_MILLIS, RequestId, ServerName, Zone,
+    LoadReport, MemberIdentity, MemberState, MemberView, Millis, Phase, REPORT_PERIOD_MILLIS, RequestId,
+    ServerName, Zone, is_report_recent,
 };
 use crate::membership::Membership;
 use crate::wire::{self, Body, FrameError, Message, Notice};
@@ -229,9 +231,8 @@
 
     /// The server's last load report, if that is recent.
     fn own_load_report(&self, now: Millis) -> Option<LoadReport> {
-        let (at, load_report) = self.load?;
-        let is_recent = now.saturating_sub(at) <= REPORT_MAX_AGE_MILLIS;
-        is_recent.then_some(LoadReport { phase: self.phase, ..load_report })
+        let (reported_at, load_report) = self.load?;
+        is_report_recent(reported_at, now).then_some(LoadReport { phase: self.phase, ..load_report })
     }
 
     /// Takes a message's bytes, without the length.
--- a/crates/loomflow-fleet/src/node/outgoing.rs
+++ b/crates/loomflow-fleet/src/node/outgoing.rs
@@ -42,7 +42,7 @@
 
     pub(super) fn handle_notice(&mut self, notice: Notice, now: Millis) {
         // What was asked before a long stop may have changed since.
-        if now.saturating_sub(notice.sent_at) > own_ticket::MAX_NOTICE_AGE_MILLIS {
+        if !own_ticket::is_notice_recent(notice.sent_at, now) {
             return;
         }
         let is_newer = self.last_notice.as_ref().is_none_or(|(_, last)| {
--- a/crates/loomflow-fleet/src/node/own_ticket.rs
+++ b/crates/loomflow-fleet/src/node/own_ticket.rs
@@ -3,6 +3,7 @@
 
 use rand::RngExt;
 
+use super::requests::ReceivedResponse;
 use super::{Effect, Node};
 use crate::consensus::storage::{ReplicaMetadata, Storage, StorageError, WriteBatch};
 use crate::maintenance::ticket::{GrantNumber, Refusal, Stage, Ticket, TicketId, Transition};
@@ -11,7 +12,12 @@
 
 /// A response or notice is relied on for so long after its request, ms. A place is not freed by time once the server has begun,
 /// so this only bounds how an operator's giving it up may cross a stopped server's draining.
-pub const MAX_NOTICE_AGE_MILLIS: Millis = 2_000;
+const MAX_NOTICE_AGE_MILLIS: Millis = 2_000;
+
+/// Whether a response or notice to what was sent at `sent_at` is still relied on.
+pub(super) fn is_notice_recent(sent_at: Millis, now: Millis) -> bool {
+    now.saturating_sub(sent_at) <= MAX_NOTICE_AGE_MILLIS
+}
 
 /// Counts this start in the data directory of a server that is not a voter.
 ///
@@ -50,8 +56,7 @@
             return consensus.machine().maintenance.ticket_held_by(&self.config.name).cloned();
         }
         let (_, notice) = self.last_notice.as_ref()?;
-        let is_recent = now.saturating_sub(notice.sent_at) <= MAX_NOTICE_AGE_MILLIS;
-        is_recent.then(|| notice.ticket.clone())?
+        is_notice_recent(notice.sent_at, now).then(|| notice.ticket.clone())?
     }
 
     /// Takes up a grant, or drains on a begin that is committed.
@@ -78,13 +83,8 @@
     }
 
     /// Handles the response to a transition of this server's own ticket; true where it was one.
-    pub(super) fn handle_ticket_response(
-        &mut self,
-        id: RequestId,
-        response: &Response,
-        sent_at: Millis,
-        now: Millis,
-    ) -> bool {
+    pub(super) fn handle_ticket_response(&mut self, received: &ReceivedResponse, now: Millis) -> bool {
+        let ReceivedResponse { id, response, sent_at } = *received;
         if self.own_ticket.pending_departure == Some(id) {
             self.own_ticket.pending_departure = None;
             self.own_ticket.is_departure_reported = true;
@@ -92,9 +92,8 @@
         }
         let pending = self.own_ticket.pending_begin.filter(|(begin, _)| *begin == id);
         let Some((_, grant)) = pending else { return false };
-        let is_recent = now.saturating_sub(sent_at) <= MAX_NOTICE_AGE_MILLIS;
         match response {
-            Response::Done(tickets) if is_recent => {
+            Response::Done(tickets) if is_notice_recent(sent_at, now) => {
                 if let Some(ticket) = tickets.first() {
                     self.drain_by_ticket(*ticket, grant, now);
                 }
--- a/crates/loomflow-fleet/src/node/requests.rs
+++ b/crates/loomflow-fleet/src/node/requests.rs
@@ -28,6 +28,16 @@
     attempts: usize,
 }
 
+/// A response to a request of our own.
+pub(super) struct ReceivedResponse<'a> {
+    /// The request.
+    pub id: RequestId,
+    /// Its response.
+    pub response: &'a Response,
+    /// When the request was sent first.
+    pub sent_at: Millis,
+}
+
 /// Where a response is to go.
 struct ReturnAddress {
     member: ServerName,
@@ -96,13 +106,8 @@
             let name = self.config.name.clone();
             return self.handle_request(name, id, 0, request, now);
         }
-        let others = self.other_voters();
-        // The leader first; then the voters in turn, as what is known of the leader may be outdated.
-        let to = match leader.filter(|_| attempts % 2 == 1) {
-            Some(leader) if leader != self.config.name => Some(leader),
-            _ => others.get((attempts / 2) % others.len().max(1)).cloned(),
-        };
-        if let Some(to) = to {
+        let leader = leader.filter(|leader| *leader != self.config.name);
+        if let Some(to) = receiver_of_attempt(attempts, leader, &self.other_voters()) {
             self.send(&to, Body::Request { id, hops: 0, request });
         }
     }
@@ -167,9 +172,8 @@
     pub(super) fn handle_response(&mut self, id: RequestId, response: Response, now: Millis) {
         if let Some(pending) = self.requests.own.remove(&id) {
             let sent_at = pending.expires_at - REQUEST_TIMEOUT_MILLIS;
-            if !self.handle_ticket_response(id, &response, sent_at, now)
-                && !self.handle_duty_response(id, &response, sent_at, now)
-            {
+            let received = ReceivedResponse { id, response: &response, sent_at };
+            if !self.handle_ticket_response(&received, now) && !self.handle_duty_response(&received, now) {
                 self.effects.push(Effect::Responded(id, response));
             }
         } else if let Some(address) = self.requests.forwarded.remove(&id)
@@ -184,3 +188,17 @@
         consensus.propose(postcard::to_stdvec(entry).map_err(|_| ProposeError::Dropped)?)
     }
 }
+
+/// To whom a request is sent: the leader first; then the voters in turn, as what is known of the leader may be outdated.
+/// `attempts`: sent so often, with this time.
+fn receiver_of_attempt(
+    attempts: usize,
+    leader: Option<ServerName>,
+    other_voters: &[ServerName],
+) -> Option<ServerName> {
+    let next_voter = || other_voters.get((attempts / 2) % other_voters.len().max(1)).cloned();
+    leader.filter(|_| attempts % 2 == 1).or_else(next_voter)
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-measure/src/owner/simulated.rs
+++ b/crates/loomflow-measure/src/owner/simulated.rs
@@ -1,7 +1,8 @@
 //! What duties cost a large fleet, how they are spread, and how little moves, in virtual time.
 
 use loomflow_fleet::duty::LeaseSettings;
-use loomflow_fleet::duty::assign::{Candidate, imbalance};
+use loomflow_fleet::duty::assign::Candidate;
+use loomflow_fleet::duty::load::imbalance;
 use loomflow_simulation::config::{duty_name, server_name};
 use loomflow_simulation::{Fault, Scenario, Simulation, SimulationConfig, core_count, run_parallel};
 
