--- a/crates/loomflow-fleet/src/consensus/election.rs
+++ b/crates/loomflow-fleet/src/consensus/election.rs
@@ -15,6 +15,18 @@
 pub(super) const ELECTION_TICKS: usize = 10;
 
 impl<M: StateMachine> Consensus<M> {
+    /// The library draws its election time-outs from the thread's generator; here they follow from the replica, the term and
+    /// the role, so that a simulation is the same every time.
+    pub(super) fn set_election_timeout(&mut self) {
+        let Some(node) = &mut self.raft_node else { return };
+        let raft = &mut node.raft;
+        let hash = [raft.id, raft.term, raft.state as u64]
+            .iter()
+            .fold(self.seed, |sum, part| (sum ^ part).wrapping_mul(0x9E37_79B9_7F4A_7C15).rotate_left(29));
+        let extra_ticks = (hash % ELECTION_TICKS as u64) as usize;
+        raft.set_randomized_election_timeout(ELECTION_TICKS + extra_ticks);
+    }
+
     /// Whether this voter leads, and has applied all that was committed before it did.
     pub fn is_leader(&self) -> bool {
         self.raft_node.as_ref().is_some_and(|node| {
--- a/crates/loomflow-fleet/src/consensus/ready.rs
+++ b/crates/loomflow-fleet/src/consensus/ready.rs
@@ -4,7 +4,7 @@
 use raft::{Ready, SnapshotStatus};
 
 use super::storage::WriteBatch;
-use super::{Consensus, ConsensusError, ELECTION_TICKS, StateMachine, decode, encode};
+use super::{Consensus, ConsensusError, StateMachine, decode, encode};
 use crate::member::ServerName;
 
 /// A snapshot is written after so many entries: what a restart reads again at the most.
@@ -26,18 +26,6 @@
         }
     }
 
-    /// The library draws its election time-outs from the thread's generator; here they follow from the replica, the term and
-    /// the role, so that a simulation is the same every time.
-    fn set_election_timeout(&mut self) {
-        let Some(node) = &mut self.raft_node else { return };
-        let raft = &mut node.raft;
-        let hash = [raft.id, raft.term, raft.state as u64]
-            .iter()
-            .fold(self.seed, |sum, part| (sum ^ part).wrapping_mul(0x9E37_79B9_7F4A_7C15).rotate_left(29));
-        let extra_ticks = (hash % ELECTION_TICKS as u64) as usize;
-        raft.set_randomized_election_timeout(ELECTION_TICKS + extra_ticks);
-    }
-
     fn process_one_ready(&mut self) -> Result<(), ConsensusError> {
         let Some(node) = &mut self.raft_node else { return Ok(()) };
         let mut ready = node.ready();
--- a/crates/loomflow-fleet/src/duty/assign/tests.rs
+++ b/crates/loomflow-fleet/src/duty/assign/tests.rs
@@ -62,6 +62,31 @@
     assert_eq!((owners.len(), names.len()), (5, 5));
 }
 
+#[test]
+fn first_owners_wait_for_one_lease_and_only_servers_that_stay_are_candidates() {
+    let report = |share| crate::member::LoadReport { share, healthy: true, ..Default::default() };
+    let view = |share| MemberView {
+        zone: String::new(),
+        state: crate::member::MemberState::Serving,
+        incarnation: 1,
+        load_report: Some(report(share)),
+    };
+    let mut duties = duties_and_sessions(1, 4);
+    let mut members: BTreeMap<ServerName, MemberView> = [("n0", 0.89), ("n1", 0.9), ("n2", 0.0), ("n3", 1.0)]
+        .map(|(name, share)| (name.into(), view(share)))
+        .into();
+    members.insert("without a session".into(), view(1.0));
+    let candidates = super::candidates(&duties, &members, &|name| name == "n3");
+    let summary: Vec<_> =
+        candidates.iter().map(|one| (one.name.as_str(), one.weight as f32, one.can_acquire)).collect();
+    assert_eq!(summary, [("n0", 0.89, false), ("n1", 0.9, true), ("n2", 0.01, false)]);
+    let lease = duties.lease_settings().lease_millis;
+    duties.advance_time(lease - 1);
+    assert_eq!(commands(&duties, &members, &|_| false), []);
+    duties.advance_time(lease);
+    assert!(matches!(commands(&duties, &members, &|_| false)[..], [Command::Assign(_)]));
+}
+
 proptest! {
     #[test]
     fn every_free_duty_has_an_owner_that_takes(
--- a/crates/loomflow-fleet/src/duty/client_session/tests.rs
+++ b/crates/loomflow-fleet/src/duty/client_session/tests.rs
@@ -85,3 +85,13 @@
         .count();
     assert_eq!((requests, session.grant("d").map(|g| g.is_recalled)), (1, Some(true)));
 }
+
+#[test]
+fn a_session_is_renewed_four_times_within_its_lease() {
+    let mut session = ClientSession::default();
+    session.renewal_sent(1, 0);
+    session.renewed(ownership(1, &[]), 0, 1);
+    session.renewal_sent(2, 1_000);
+    assert_eq!((session.is_renewal_due(1_249), session.is_renewal_due(1_250)), (false, true));
+    assert_eq!(session.renewal_sent(3, 1_250), Some(2), "the unanswered one");
+}
--- a/crates/loomflow-fleet/src/duty/job/tests.rs
+++ b/crates/loomflow-fleet/src/duty/job/tests.rs
@@ -79,3 +79,15 @@
     grant.is_run_requested = true;
     assert_eq!(runs.step(Some(&grant), 4, 702), Some(JobAction::Write(OwnerUpdate::Began(702))));
 }
+
+#[test]
+fn a_run_that_failed_is_retried_after_a_second() {
+    let grant = grant(600, true);
+    let mut runs = JobRuns::new(&grant);
+    runs.step(Some(&grant), 0, 700);
+    runs.begin_answered(Some(&Ok(())), Some(&grant), 0);
+    let failed = OwnerUpdate::Failed(600, "exit code 1".into());
+    assert_eq!(runs.process_ended(Exit::Failed("exit code 1".into()), 10), Some(JobAction::Write(failed)));
+    assert_eq!(runs.step(Some(&grant), 1_009, 701), None);
+    assert_eq!(runs.step(Some(&grant), 1_010, 701), Some(JobAction::Write(OwnerUpdate::Began(600))));
+}
--- a/crates/loomflow-fleet/src/duty/recall.rs
+++ b/crates/loomflow-fleet/src/duty/recall.rs
@@ -49,3 +49,6 @@
     }
     recalled
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-fleet/src/maintenance/observation.rs
+++ b/crates/loomflow-fleet/src/maintenance/observation.rs
@@ -67,3 +67,6 @@
     member.is_serving()
         && member.load_report.is_some_and(|report| report.healthy && report.share >= rules.min_warm_share)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-fleet/src/maintenance/scheduling.rs
+++ b/crates/loomflow-fleet/src/maintenance/scheduling.rs
@@ -182,3 +182,6 @@
         self.headroom.estimate(self.members, &stays)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-fleet/src/membership.rs
+++ b/crates/loomflow-fleet/src/membership.rs
@@ -252,3 +252,6 @@
         None => {}
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-fleet/src/node/leadership_transfer.rs
+++ b/crates/loomflow-fleet/src/node/leadership_transfer.rs
@@ -28,3 +28,6 @@
     let is_alive = known.swim_state == foca::State::Alive;
     is_alive && !is_draining && !maintenance.is_departing(&known.identity.name)
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/loomflow-fleet/src/node/leadership_transfer/tests.rs
@@ -0,0 +1,54 @@
+use super::*;
+use crate::consensus::StateMachine;
+use crate::maintenance::ticket::{TicketRequest, Urgency};
+use crate::maintenance::{Census, Command, Entry, Issuer};
+use crate::member::{LoadReport, MemberIdentity, Zone};
+use foca::State::{Alive, Down, Suspect};
+
+/// A state in which the server "a" holds a place.
+fn maintenance() -> MaintenanceState {
+    let request = TicketRequest {
+        server: "a".into(),
+        zone: Zone::new(),
+        reason: String::new(),
+        urgency: Urgency::Routine,
+        duration_millis: 60_000,
+        window: None,
+    };
+    let census = Census { zones: vec![(Zone::new(), 3)], away: Vec::new() };
+    let commands =
+        [Command::CreateTickets(vec![request]), Command::Grant { ticket: 1, incarnation: 1, census }];
+    let mut maintenance = MaintenanceState::default();
+    for (id, command) in (1..).zip(commands) {
+        let entry = Entry { id, at: 0, issuer: Issuer::Leader, command };
+        maintenance.apply(&postcard::to_stdvec(&entry).unwrap());
+    }
+    assert!(maintenance.is_departing("a"));
+    maintenance
+}
+
+fn known(name: &str, swim_state: foca::State, phase: Phase) -> KnownMember {
+    KnownMember {
+        identity: MemberIdentity::new(name.into(), Zone::new(), ([127, 0, 0, 1], 1).into(), 1),
+        swim_state,
+        load_report: Some((0, LoadReport { phase, ..LoadReport::default() })),
+        replica: None,
+        since: 0,
+    }
+}
+
+#[test]
+fn only_a_voter_that_is_alive_and_stays_is_to_lead() {
+    let maintenance = maintenance();
+    for (name, swim_state, phase, expected) in [
+        ("b", Alive, Phase::Serving, true),
+        ("b", Alive, Phase::Cold, true),
+        ("b", Alive, Phase::Draining, false),
+        ("b", Suspect, Phase::Serving, false),
+        ("b", Down, Phase::Serving, false),
+        ("a", Alive, Phase::Serving, false),
+    ] {
+        let known = known(name, swim_state, phase);
+        assert_eq!(may_lead(&known, &maintenance), expected, "{name} {swim_state:?} {phase:?}");
+    }
+}
