--- a/crates/loomflow-fleet/src/consensus/mod.rs
+++ b/crates/loomflow-fleet/src/consensus/mod.rs
@@ -94,7 +94,7 @@
     outgoing: Vec<(ServerName, Vec<u8>)>,
     outputs: Vec<M::Output>,
     /// Messages of another group, or that could not be taken.
-    pub refused: u64,
+    pub rejected: u64,
 }
 
 impl<M: StateMachine> Consensus<M> {
@@ -124,7 +124,7 @@
             next_snapshot_check_at: now,
             outgoing: Vec::new(),
             outputs: Vec::new(),
-            refused: 0,
+            rejected: 0,
         };
         if let Ok(persisted) = consensus.storage.read() {
             let next = persisted.metadata.incarnation + 1;
@@ -280,7 +280,7 @@
     /// Takes a message of another voter of this fleet.
     pub fn step(&mut self, from: &ServerName, group: u64, bytes: &[u8]) {
         let Ok(message) = decode::<Message>(bytes) else {
-            self.refused += 1;
+            self.rejected += 1;
             return;
         };
         let replica = self.metadata.replica;
@@ -288,7 +288,7 @@
         let joins_group = replica.group == 0 && message.to == replica.id && group != 0;
         let is_ours = message.to == replica.id && (group == replica.group || joins_group);
         if self.raft_node.is_none() || !is_ours {
-            self.refused += 1;
+            self.rejected += 1;
             return;
         }
         if joins_group {
@@ -304,7 +304,7 @@
         let Some(node) = &mut self.raft_node else { return };
         // The library's local messages must not come from the network.
         if raft::raw_node::is_local_msg(message.get_msg_type()) || node.step(message).is_err() {
-            self.refused += 1;
+            self.rejected += 1;
         }
         self.process_ready();
     }
--- a/crates/loomflow-fleet/src/consensus/tests.rs
+++ b/crates/loomflow-fleet/src/consensus/tests.rs
@@ -23,11 +23,11 @@
     let replica = consensus.replica();
     assert!(consensus.is_leader());
     consensus.step(&"n1".into(), GROUP + 1, &heartbeat(replica.id));
-    assert_eq!((consensus.replica(), consensus.refused), (replica, 1), "another group");
+    assert_eq!((consensus.replica(), consensus.rejected), (replica, 1), "another group");
     consensus.step(&"n1".into(), GROUP, &heartbeat(replica.id + 1));
-    assert_eq!((consensus.replica(), consensus.refused), (replica, 2), "another replica");
+    assert_eq!((consensus.replica(), consensus.rejected), (replica, 2), "another replica");
     consensus.step(&"n1".into(), GROUP, b"no message");
-    assert_eq!(consensus.refused, 3, "unreadable");
+    assert_eq!(consensus.rejected, 3, "unreadable");
     assert!(consensus.is_leader());
 }
 
@@ -37,7 +37,7 @@
         Consensus::start("n0".into(), Box::new(MemoryStorage::default()), 7, 1, 0);
     let id = consensus.replica().id;
     consensus.step(&"n1".into(), GROUP, &heartbeat(id + 1));
-    assert_eq!((consensus.replica().group, consensus.refused), (0, 1), "for another replica");
+    assert_eq!((consensus.replica().group, consensus.rejected), (0, 1), "for another replica");
     consensus.step(&"n1".into(), GROUP, &heartbeat(id));
     assert_eq!(consensus.replica().group, GROUP);
     assert!(matches!(consensus.bootstrap(GROUP + 1), Err(ConsensusError::AlreadyInFleet)));
--- a/crates/loomflow-fleet/src/duty/assign.rs
+++ b/crates/loomflow-fleet/src/duty/assign.rs
@@ -53,7 +53,7 @@
     // In a fleet that forms the first owners are chosen when all servers had time to open a session.
     let lease_millis = duties.lease_settings().lease_millis;
     let must_wait =
-        |duty: &Duty| duty.token == 0 && duties.time().saturating_sub(duty.free_since) < lease_millis;
+        |duty: &Duty| duty.token == 0 && duties.time().saturating_sub(duty.available_since) < lease_millis;
     let assignments = assign_available(duties, &candidates, &must_wait);
     if !assignments.is_empty() {
         return vec![Command::Assign(assignments)];
@@ -67,13 +67,16 @@
     candidates: &[Candidate],
     must_wait: &dyn Fn(&Duty) -> bool,
 ) -> Vec<(DutyName, ServerName)> {
-    let free = duties.duties().iter().filter(|(_, duty)| duty.is_free() && !must_wait(duty));
-    let free: Vec<(&DutyName, u32)> = free.map(|(name, duty)| (name, duty.spec.weight)).collect();
-    if free.is_empty() {
+    let available = duties.duties().iter().filter(|(_, duty)| duty.is_available() && !must_wait(duty));
+    let available: Vec<(&DutyName, u32)> = available.map(|(name, duty)| (name, duty.spec.weight)).collect();
+    if available.is_empty() {
         return Vec::new();
     }
     let mut loads = Loads::new(duties, candidates);
-    free.into_iter().filter_map(|(name, weight)| Some((name.clone(), loads.place(name, weight)?))).collect()
+    available
+        .into_iter()
+        .filter_map(|(name, weight)| Some((name.clone(), loads.place(name, weight)?)))
+        .collect()
 }
 
 /// Who gets a duty that its owner releases.
--- a/crates/loomflow-fleet/src/duty/fence.rs
+++ b/crates/loomflow-fleet/src/duty/fence.rs
@@ -35,7 +35,7 @@
     highest: BTreeMap<DutyName, Token>,
     /// Effects refused since this was created.
     #[serde(skip)]
-    refused: u64,
+    rejected: u64,
 }
 
 impl Fence {
@@ -45,8 +45,8 @@
     }
 
     /// Effects refused since this was created.
-    pub fn refused(&self) -> u64 {
-        self.refused
+    pub fn rejected(&self) -> u64 {
+        self.rejected
     }
 
     /// Asks whether an effect with this token may be done. `store` writes the fence, where the token is higher than any before:
@@ -62,7 +62,7 @@
     ) -> Result<(), FenceError<E>> {
         let highest = self.highest_token(duty);
         if token < highest {
-            self.refused += 1;
+            self.rejected += 1;
             return Err(FenceError::Stale { token, highest });
         }
         if token == highest && highest > 0 {
--- a/crates/loomflow-fleet/src/duty/fence/tests.rs
+++ b/crates/loomflow-fleet/src/duty/fence/tests.rs
@@ -13,7 +13,7 @@
     assert_eq!(fence.admit("d", 5, |_| -> Result<(), &str> { panic!("it is kept already") }), Ok(()));
     assert_eq!(fence.admit("d", 4, store), Err(FenceError::Stale { token: 4, highest: 5 }));
     assert_eq!(fence.admit("other", 4, store), Ok(()), "each duty for itself");
-    assert_eq!((fence.highest_token("d"), fence.refused()), (5, 1));
+    assert_eq!((fence.highest_token("d"), fence.rejected()), (5, 1));
 }
 
 #[test]
--- a/crates/loomflow-fleet/src/duty/job.rs
+++ b/crates/loomflow-fleet/src/duty/job.rs
@@ -3,7 +3,7 @@
 //!
 //! A run begins only when its number is committed: so no time is run twice.
 
-use super::{DutyName, Grant, OwnerUpdate, Refusal, RunId, Token};
+use super::{DutyName, Grant, OwnerUpdate, Rejection, RunId, Token};
 use crate::member::Millis;
 
 /// A run that failed is retried after this, ms.
@@ -120,7 +120,7 @@
     /// The answer to writing that a run begins; none where nothing is known.
     pub fn begin_answered(
         &mut self,
-        answer: Option<&Result<(), Refusal>>,
+        answer: Option<&Result<(), Rejection>>,
         grant: Option<&Grant>,
         now: Millis,
     ) -> Option<JobAction> {
@@ -138,7 +138,7 @@
                 self.state = State::Running { run, is_terminating: false };
                 Some(JobAction::Start(run))
             }
-            Some(Err(Refusal::Begun { run, .. })) => {
+            Some(Err(Rejection::Begun { run, .. })) => {
                 self.last_run = *run;
                 self.has_unfinished_run = false;
                 None
--- a/crates/loomflow-fleet/src/duty/job/tests.rs
+++ b/crates/loomflow-fleet/src/duty/job/tests.rs
@@ -26,7 +26,7 @@
     assert_eq!(runs.step(Some(&grant), 3, 665), None);
     // Another owner had begun it: the record says so, and it is not started.
     assert_eq!(runs.step(Some(&grant), 3, 721), Some(JobAction::Write(OwnerUpdate::Began(720))));
-    let begun = Err(Refusal::Begun { duty: "d".into(), run: 720 });
+    let begun = Err(Rejection::Begun { duty: "d".into(), run: 720 });
     assert_eq!(runs.begin_answered(Some(&begun), Some(&grant), 4), None);
     assert_eq!(runs.step(Some(&grant), 5, 722), None);
 }
--- a/crates/loomflow-fleet/src/duty/mod.rs
+++ b/crates/loomflow-fleet/src/duty/mod.rs
@@ -168,7 +168,8 @@
     #[serde(rename = "Kept")]
     Ownership(Ownership),
     /// Not done, and nothing has changed.
-    Refused(Refusal),
+    #[serde(rename = "Refused")]
+    Rejected(Rejection),
     /// All duties.
     List(Box<DutyList>),
 }
@@ -212,7 +213,7 @@
 
 /// Why a command on a duty is not done. It changes nothing then.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-pub enum Refusal {
+pub enum Rejection {
     /// No duty has this name.
     #[error("no duty is called {0:?}")]
     Unknown(DutyName),
@@ -274,7 +275,7 @@
     pub is_run_requested: bool,
     /// Writes that were refused for a stale token.
     #[serde(rename = "refused")]
-    pub refused_writes: u64,
+    pub rejected_writes: u64,
 }
 
 /// All duties and their history.
@@ -313,7 +314,8 @@
     /// It may be owned again.
     Resumed,
     /// A write with a stale token.
-    Refused,
+    #[serde(rename = "Refused")]
+    Rejected,
 }
 
 impl DutyEventKind {
@@ -328,7 +330,7 @@
             DutyEventKind::Failed => "failed",
             DutyEventKind::Parked => "parked",
             DutyEventKind::Resumed => "resumed",
-            DutyEventKind::Refused => "refused",
+            DutyEventKind::Rejected => "refused",
         }
     }
 }
@@ -355,11 +357,11 @@
 ///
 /// # Errors
 /// What is wrong with it.
-pub fn check_name(name: &str) -> Result<(), Refusal> {
+pub fn check_name(name: &str) -> Result<(), Rejection> {
     if (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.contains(char::is_control) {
         Ok(())
     } else {
-        Err(Refusal::Invalid("a duty's name has 1 to 64 bytes, none of them a control".into()))
+        Err(Rejection::Invalid("a duty's name has 1 to 64 bytes, none of them a control".into()))
     }
 }
 
--- a/crates/loomflow-fleet/src/duty/state.rs
+++ b/crates/loomflow-fleet/src/duty/state.rs
@@ -61,7 +61,7 @@
     /// The highest token ever given for it.
     pub token: Token,
     /// Since when it was last without an owner.
-    pub free_since: FleetMillis,
+    pub available_since: FleetMillis,
     /// Why nobody is to own it; none where somebody may.
     pub parked: Option<String>,
     /// Owners lost or runs failed in a row.
@@ -75,7 +75,7 @@
     is_run_requested: bool,
     /// The last requests for a run.
     run_requests: VecDeque<u64>,
-    refused_writes: u64,
+    rejected_writes: u64,
 }
 
 /// What a snapshot holds; the indexes follow from it.
@@ -108,7 +108,7 @@
             spec,
             lease: None,
             token: 0,
-            free_since: now,
+            available_since: now,
             parked: None,
             recent_failures: Vec::new(),
             checkpoint: Vec::new(),
@@ -116,7 +116,7 @@
             unfinished_run: None,
             is_run_requested: false,
             run_requests: VecDeque::new(),
-            refused_writes: 0,
+            rejected_writes: 0,
         }
     }
 
@@ -126,7 +126,7 @@
     }
 
     /// Whether it has no owner and may have one.
-    pub fn is_free(&self) -> bool {
+    pub fn is_available(&self) -> bool {
         self.lease.is_none() && self.parked.is_none()
     }
 
@@ -229,14 +229,14 @@
                 incarnation: incarnation(&lease.owner),
             }),
             token: duty.token,
-            since: lease.map_or(duty.free_since, |lease| lease.since),
+            since: lease.map_or(duty.available_since, |lease| lease.since),
             is_recalled: lease.is_some_and(|lease| lease.is_recalled),
             parked: duty.parked.clone(),
             recent_failures: duty.recent_failures.clone(),
             last_run: duty.last_run,
             has_unfinished_run: duty.unfinished_run.is_some(),
             is_run_requested: duty.is_run_requested,
-            refused_writes: duty.refused_writes,
+            rejected_writes: duty.rejected_writes,
         }
     }
 
--- a/crates/loomflow-fleet/src/duty/state/apply.rs
+++ b/crates/loomflow-fleet/src/duty/state/apply.rs
@@ -3,7 +3,7 @@
 use super::{Duties, Duty, Lease, MAX_EVENTS, MAX_RUN_REQUESTS, PersistentState, Session};
 use crate::duty::{
     Command, DutyEvent, DutyEventKind, DutyName, DutySpec, LeaseSettings, MAX_CHECKPOINT_BYTES, MAX_DUTIES,
-    OwnerUpdate, Refusal, Response, RunId, ServerInstance, Token, check_name, truncate_reason,
+    OwnerUpdate, Rejection, Response, RunId, ServerInstance, Token, check_name, truncate_reason,
 };
 use crate::member::{FleetMillis, ServerName};
 use crate::membership::MAX_MEMBERS;
@@ -23,10 +23,10 @@
 
     /// Applies one command, at the time that was last set.
     pub fn apply(&mut self, command: &Command) -> Response {
-        self.execute(command).map_or_else(Response::Refused, |()| Response::Done)
+        self.execute(command).map_or_else(Response::Rejected, |()| Response::Done)
     }
 
-    fn execute(&mut self, command: &Command) -> Result<(), Refusal> {
+    fn execute(&mut self, command: &Command) -> Result<(), Rejection> {
         match command {
             Command::Declare(lease_settings, specs) => return self.declare(*lease_settings, specs),
             Command::KeepAlive(instances) => instances.iter().for_each(|one| self.renew_session(one)),
@@ -44,9 +44,9 @@
         Ok(())
     }
 
-    fn declare(&mut self, lease_settings: LeaseSettings, specs: &[DutySpec]) -> Result<(), Refusal> {
+    fn declare(&mut self, lease_settings: LeaseSettings, specs: &[DutySpec]) -> Result<(), Rejection> {
         if specs.len() > MAX_DUTIES {
-            return Err(Refusal::Invalid(format!("at most {MAX_DUTIES} duties")));
+            return Err(Rejection::Invalid(format!("at most {MAX_DUTIES} duties")));
         }
         specs.iter().try_for_each(|spec| check_name(&spec.name))?;
         self.state.lease_settings = Some(lease_settings);
@@ -97,7 +97,7 @@
             self.expirations.remove(&(session.expires_at, instance.name.clone()));
         }
         for duty in self.names_owned_by(&instance.name) {
-            self.free(&duty, DutyEventKind::Released);
+            self.end_lease(&duty, DutyEventKind::Released);
         }
     }
 
@@ -109,7 +109,7 @@
     fn assign(&mut self, name: &DutyName, owner: &ServerName) {
         let PersistentState { duties, sessions, last_token, time, quiet_until, .. } = &mut self.state;
         let Some(duty) = duties.get_mut(name) else { return };
-        if !duty.is_free() || *time < *quiet_until || !sessions.contains_key(owner) {
+        if !duty.is_available() || *time < *quiet_until || !sessions.contains_key(owner) {
             return;
         }
         *last_token += 1;
@@ -125,20 +125,20 @@
         duty: &DutyName,
         token: Token,
         successor: Option<&ServerName>,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), Rejection> {
         self.check_token(duty, token)?;
-        self.free(duty, DutyEventKind::Released);
+        self.end_lease(duty, DutyEventKind::Released);
         if let Some(successor) = successor {
             self.assign(duty, successor);
         }
         Ok(())
     }
 
-    fn write(&mut self, name: &DutyName, token: Token, update: &OwnerUpdate) -> Result<(), Refusal> {
+    fn write(&mut self, name: &DutyName, token: Token, update: &OwnerUpdate) -> Result<(), Rejection> {
         self.check_token(name, token)?;
         match update {
             OwnerUpdate::Checkpoint(bytes) if bytes.len() > MAX_CHECKPOINT_BYTES => {
-                Err(Refusal::Invalid(format!("a checkpoint has at most {MAX_CHECKPOINT_BYTES} bytes")))
+                Err(Rejection::Invalid(format!("a checkpoint has at most {MAX_CHECKPOINT_BYTES} bytes")))
             }
             OwnerUpdate::Checkpoint(bytes) => {
                 self.duty_mut(name)?.checkpoint.clone_from(bytes);
@@ -150,12 +150,12 @@
         }
     }
 
-    fn begin_run(&mut self, name: &DutyName, token: Token, run: RunId) -> Result<(), Refusal> {
+    fn begin_run(&mut self, name: &DutyName, token: Token, run: RunId) -> Result<(), Rejection> {
         let duty = self.duty_mut(name)?;
         // Written twice by the same owner it has begun once; of another owner's that did not end it is a retry.
         let is_retry = run == duty.last_run && duty.unfinished_run.is_some();
         if run < duty.last_run || (run == duty.last_run && !is_retry) {
-            return Err(Refusal::Begun { duty: name.clone(), run: duty.last_run });
+            return Err(Rejection::Begun { duty: name.clone(), run: duty.last_run });
         }
         let is_repeated = is_retry && duty.unfinished_run == Some(token);
         duty.last_run = run;
@@ -168,15 +168,15 @@
     }
 
     /// The duty, if this run is the one that its owner has begun.
-    fn duty_of_run(&mut self, name: &DutyName, token: Token, run: RunId) -> Result<&mut Duty, Refusal> {
+    fn duty_of_run(&mut self, name: &DutyName, token: Token, run: RunId) -> Result<&mut Duty, Rejection> {
         let duty = self.duty_mut(name)?;
         if run != duty.last_run || duty.unfinished_run != Some(token) {
-            return Err(Refusal::Begun { duty: name.clone(), run: duty.last_run });
+            return Err(Rejection::Begun { duty: name.clone(), run: duty.last_run });
         }
         Ok(duty)
     }
 
-    fn finish_run(&mut self, name: &DutyName, token: Token, run: RunId) -> Result<(), Refusal> {
+    fn finish_run(&mut self, name: &DutyName, token: Token, run: RunId) -> Result<(), Rejection> {
         let duty = self.duty_of_run(name, token, run)?;
         duty.unfinished_run = None;
         duty.recent_failures.clear();
@@ -184,7 +184,7 @@
         Ok(())
     }
 
-    fn fail_run(&mut self, name: &DutyName, token: Token, run: RunId, reason: &str) -> Result<(), Refusal> {
+    fn fail_run(&mut self, name: &DutyName, token: Token, run: RunId, reason: &str) -> Result<(), Rejection> {
         let settings = self.lease_settings();
         let reason = truncate_reason(reason);
         let duty = self.duty_of_run(name, token, run)?;
@@ -196,7 +196,7 @@
         if is_last_attempt { self.park(name, &reason) } else { Ok(()) }
     }
 
-    fn park(&mut self, name: &DutyName, reason: &str) -> Result<(), Refusal> {
+    fn park(&mut self, name: &DutyName, reason: &str) -> Result<(), Rejection> {
         let duty = self.duty_mut(name)?;
         // Its owner releases it first: it is working until it says that it is not.
         duty.recall();
@@ -208,7 +208,7 @@
         Ok(())
     }
 
-    fn resume(&mut self, name: &DutyName) -> Result<(), Refusal> {
+    fn resume(&mut self, name: &DutyName) -> Result<(), Rejection> {
         let duty = self.duty_mut(name)?;
         duty.recent_failures.clear();
         if duty.parked.take().is_some() {
@@ -217,23 +217,23 @@
         Ok(())
     }
 
-    fn duty_mut(&mut self, name: &str) -> Result<&mut Duty, Refusal> {
-        self.state.duties.get_mut(name).ok_or_else(|| Refusal::Unknown(name.to_owned()))
+    fn duty_mut(&mut self, name: &str) -> Result<&mut Duty, Rejection> {
+        self.state.duties.get_mut(name).ok_or_else(|| Rejection::Unknown(name.to_owned()))
     }
 
     /// The fence of the fleet's own state: only the token of the current lease passes. Each refusal is counted and recorded.
     ///
     /// # Errors
     /// The duty is unknown, or the token is not of its current lease.
-    pub fn check_token(&mut self, name: &str, token: Token) -> Result<(), Refusal> {
+    pub fn check_token(&mut self, name: &str, token: Token) -> Result<(), Rejection> {
         let duty = self.duty_mut(name)?;
         if duty.lease.as_ref().is_some_and(|lease| lease.token == token) {
             return Ok(());
         }
-        duty.refused_writes += 1;
-        let refusal = Refusal::Stale { duty: name.to_owned(), token, current: duty.token };
-        self.record_event(name, DutyEventKind::Refused, format!("token {token}"));
-        Err(refusal)
+        duty.rejected_writes += 1;
+        let rejection = Rejection::Stale { duty: name.to_owned(), token, current: duty.token };
+        self.record_event(name, DutyEventKind::Rejected, format!("token {token}"));
+        Err(rejection)
     }
 
     /// A server's session expired: it owns nothing any more.
@@ -243,7 +243,7 @@
         for name in self.names_owned_by(server) {
             let Ok(duty) = self.duty_mut(&name) else { continue };
             let reason = duty.record_lost_owner(server, settings, now);
-            self.free(&name, DutyEventKind::Lost);
+            self.end_lease(&name, DutyEventKind::Lost);
             if let Some(reason) = reason {
                 let _ = self.park(&name, &reason);
             }
@@ -251,11 +251,11 @@
     }
 
     /// Takes a duty from its owner.
-    fn free(&mut self, name: &DutyName, kind: DutyEventKind) {
+    fn end_lease(&mut self, name: &DutyName, kind: DutyEventKind) {
         self.record_event(name, kind, String::new());
         let now = self.state.time;
         let Some(duty) = self.state.duties.get_mut(name) else { return };
-        duty.free_since = now;
+        duty.available_since = now;
         if let Some(lease) = duty.lease.take()
             && let Some(owned) = self.duties_by_owner.get_mut(&lease.owner)
         {
--- a/crates/loomflow-fleet/src/fleet_state.rs
+++ b/crates/loomflow-fleet/src/fleet_state.rs
@@ -3,10 +3,10 @@
 
 use crate::consensus::{SnapshotError, StateMachine};
 use crate::duty::state::Duties;
-use crate::duty::{self, Refusal};
+use crate::duty::{self, Rejection};
 use crate::maintenance::campaign::{self, Campaigns};
 use crate::maintenance::state::MaintenanceState;
-use crate::maintenance::ticket::Refusal as TicketRefusal;
+use crate::maintenance::ticket::Rejection as TicketRejection;
 use crate::maintenance::{Command, Entry, Issuer, Response};
 use crate::member::{RequestId, ServerName};
 
@@ -31,12 +31,12 @@
             (Issuer::Operator(operator), None) => operator,
             (Issuer::Server { name, .. }, Some(token)) => match self.duties.check_token(CAMPAIGN, token) {
                 Ok(()) => name,
-                Err(refusal) => return Response::Duty(duty::Response::Refused(refusal)),
+                Err(rejection) => return Response::Duty(duty::Response::Rejected(rejection)),
             },
-            _ => return Response::Refused(TicketRefusal::NotPermitted),
+            _ => return Response::Rejected(TicketRejection::NotPermitted),
         };
         let result = self.campaigns.apply(&mut self.maintenance, entry.id, requested_by, command);
-        result.map_or_else(Response::Refused, Response::Done)
+        result.map_or_else(Response::Rejected, Response::Done)
     }
 
     /// Applies a command on a duty if its issuer may issue it.
@@ -44,7 +44,7 @@
         if is_permitted(&entry.issuer, command) {
             self.duties.apply(command)
         } else {
-            duty::Response::Refused(Refusal::Invalid("that is not this hand's to say".into()))
+            duty::Response::Rejected(Rejection::Invalid("that is not this hand's to say".into()))
         }
     }
 }
@@ -107,3 +107,6 @@
         })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-fleet/src/maintenance/campaign.rs
+++ b/crates/loomflow-fleet/src/maintenance/campaign.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::state::MaintenanceState;
-use super::ticket::{Refusal, Stage, TicketId, TicketRequest};
+use super::ticket::{Rejection, Stage, TicketId, TicketRequest};
 use crate::duty::{Token, truncate_reason};
 use crate::member::{MAX_NAME_BYTES, MemberView, RequestId, ServerName};
 
@@ -213,7 +213,7 @@
         request_id: RequestId,
         requested_by: &str,
         command: &Command,
-    ) -> Result<Vec<TicketId>, Refusal> {
+    ) -> Result<Vec<TicketId>, Rejection> {
         match command {
             Command::Start { name, requests, batch_size } => {
                 self.start(name, requests, *batch_size, requested_by)?;
@@ -247,8 +247,8 @@
         requests: &[TicketRequest],
         batch_size: u32,
         requested_by: &str,
-    ) -> Result<(), Refusal> {
-        let invalid = |what: &str| Err(Refusal::Invalid(format!("campaign {name:?}: {what}")));
+    ) -> Result<(), Rejection> {
+        let invalid = |what: &str| Err(Rejection::Invalid(format!("campaign {name:?}: {what}")));
         if !(1..=MAX_NAME_BYTES).contains(&name.len()) {
             return invalid("a name has 1 to 64 bytes");
         }
@@ -259,7 +259,7 @@
             return invalid("it is there already");
         }
         requests.iter().try_for_each(TicketRequest::check)?;
-        self.make_room_for(name)?;
+        self.evict_finished(name)?;
         let campaign = Campaign {
             requested_by: requested_by.to_owned(),
             requests: requests.to_vec(),
@@ -274,27 +274,27 @@
     }
 
     /// Drops a finished campaign where there are as many as may be.
-    fn make_room_for(&mut self, name: &str) -> Result<(), Refusal> {
+    fn evict_finished(&mut self, name: &str) -> Result<(), Rejection> {
         if self.0.len() < MAX_CAMPAIGNS || self.0.contains_key(name) {
             return Ok(());
         }
         let finished = self.0.iter().find(|(_, campaign)| campaign.status == CampaignStatus::Done);
         let finished = finished.map(|(name, _)| name.clone());
-        self.0.remove(&finished.ok_or(Refusal::TooMany(MAX_CAMPAIGNS as u32))?);
+        self.0.remove(&finished.ok_or(Rejection::TooMany(MAX_CAMPAIGNS as u32))?);
         Ok(())
     }
 
-    fn campaign(&mut self, name: &str) -> Result<&mut Campaign, Refusal> {
+    fn campaign(&mut self, name: &str) -> Result<&mut Campaign, Rejection> {
         self.0.get_mut(name).ok_or_else(|| unknown(name))
     }
 
     /// A campaign that runs, and has come as far as the command believes: said twice, the second time is refused.
-    fn running_campaign(&mut self, name: &str, from_index: u32) -> Result<&mut Campaign, Refusal> {
+    fn running_campaign(&mut self, name: &str, from_index: u32) -> Result<&mut Campaign, Rejection> {
         let campaign = self.campaign(name)?;
         let next_index = campaign.next_index;
         if campaign.status != CampaignStatus::Running || next_index != from_index {
             let what = format!("campaign {name:?} stands at {next_index} and not at {from_index}");
-            return Err(Refusal::Invalid(what));
+            return Err(Rejection::Invalid(what));
         }
         Ok(campaign)
     }
@@ -330,7 +330,7 @@
         request_id: RequestId,
         name: &str,
         share_before: f32,
-    ) -> Result<Vec<TicketId>, Refusal> {
+    ) -> Result<Vec<TicketId>, Rejection> {
         let batch = self.next_batch();
         if batch.is_empty() {
             self.status = CampaignStatus::Done;
@@ -374,8 +374,8 @@
     (!shares.is_empty()).then(|| shares.iter().sum::<f32>() / shares.len() as f32)
 }
 
-fn unknown(name: &str) -> Refusal {
-    Refusal::Invalid(format!("no campaign is called {name:?}"))
+fn unknown(name: &str) -> Rejection {
+    Rejection::Invalid(format!("no campaign is called {name:?}"))
 }
 
 #[cfg(test)]
--- a/crates/loomflow-fleet/src/maintenance/mod.rs
+++ b/crates/loomflow-fleet/src/maintenance/mod.rs
@@ -22,7 +22,7 @@
 use crate::duty::{self, Token, summary::Summary};
 use crate::member::{FleetMillis, Incarnation, LoadReport, MemberState, Millis, RequestId, ServerName, Zone};
 use rules::Rules;
-use ticket::{GrantNumber, Refusal, Stage, Ticket, TicketId, TicketRequest, Transition};
+use ticket::{GrantNumber, Rejection, Stage, Ticket, TicketId, TicketRequest, Transition};
 
 /// Who issued a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -137,7 +137,8 @@
     /// Done, with the tickets that it was about.
     Done(Vec<TicketId>),
     /// Not done, and nothing has changed.
-    Refused(Refusal),
+    #[serde(rename = "Refused")]
+    Rejected(Rejection),
     /// To [`Request::Status`].
     Status(Box<Status>),
     /// To [`Request::Tickets`].
@@ -197,7 +198,7 @@
     pub summary: Option<SummaryReport>,
     /// Messages of former owners of duties that the responding server refused.
     #[serde(rename = "refused")]
-    pub refused_messages: u64,
+    pub rejected_messages: u64,
 }
 
 /// A summary as a member received it.
--- a/crates/loomflow-fleet/src/maintenance/observation.rs
+++ b/crates/loomflow-fleet/src/maintenance/observation.rs
@@ -10,15 +10,16 @@
 /// The transitions that are called for, at most one for each ticket.
 pub fn transitions(view: &SchedulerView) -> Vec<Command> {
     let rules = view.maintenance.rules().cloned().unwrap_or_default();
-    let held = view.maintenance.holders().keys().filter_map(|server| {
-        let ticket = view.maintenance.ticket_held_by(server)?;
+    let with_place = view.maintenance.holders().keys().filter_map(|server| {
+        let ticket = view.maintenance.ticket_with_place(server)?;
         Some((ticket, view.members.get(server)))
     });
-    held.filter_map(|(ticket, member)| {
-        let (transition, incarnation) = transition_of(view, &rules, ticket, member)?;
-        Some(Command::Transition { ticket: ticket.id, transition, grant: ticket.grant, incarnation })
-    })
-    .collect()
+    with_place
+        .filter_map(|(ticket, member)| {
+            let (transition, incarnation) = transition_of(view, &rules, ticket, member)?;
+            Some(Command::Transition { ticket: ticket.id, transition, grant: ticket.grant, incarnation })
+        })
+        .collect()
 }
 
 /// The transition of one ticket, with the start of the server that it is about.
@@ -36,9 +37,9 @@
     let is_alive = member.is_alive();
     let is_later_start = is_alive && member.incarnation > last;
     let is_same_start = member.incarnation == last;
-    let is_warm = is_warm(member, rules);
+    let is_ready = is_ready(member, rules);
     match ticket.stage {
-        Stage::Begun | Stage::Draining | Stage::Out | Stage::Overdue | Stage::Back | Stage::Warm
+        Stage::Begun | Stage::Draining | Stage::Out | Stage::Overdue | Stage::Back | Stage::Ready
             if is_later_start =>
         {
             Some((Transition::Return, member.incarnation))
@@ -47,15 +48,15 @@
         Stage::Out | Stage::Overdue if is_same_start && is_alive && ticket.returned_incarnation == last => {
             Some((Transition::Return, last))
         }
-        Stage::Begun | Stage::Draining | Stage::Back | Stage::Warm if is_same_start && !is_alive => {
+        Stage::Begun | Stage::Draining | Stage::Back | Stage::Ready if is_same_start && !is_alive => {
             Some((Transition::Depart, last))
         }
-        Stage::Back if is_same_start && is_warm => Some((Transition::Warm, ticket.returned_incarnation)),
+        Stage::Back if is_same_start && is_ready => Some((Transition::Ready, ticket.returned_incarnation)),
         // One that is only suspect, or whose report is late, is given the time that the membership gives it.
-        Stage::Warm if is_same_start && member.load_report.is_some() && !is_warm => {
-            Some((Transition::Cool, ticket.returned_incarnation))
+        Stage::Ready if is_same_start && member.load_report.is_some() && !is_ready => {
+            Some((Transition::Unready, ticket.returned_incarnation))
         }
-        Stage::Warm if is_same_start && is_warm && view.now >= ticket.since + rules.warm_for_millis => {
+        Stage::Ready if is_same_start && is_ready && view.now >= ticket.since + rules.ready_for_millis => {
             Some((Transition::Finish, ticket.returned_incarnation))
         }
         _ => None,
@@ -63,9 +64,9 @@
 }
 
 /// Whether a server takes its part of the load, and asks for enough of it.
-fn is_warm(member: &MemberView, rules: &Rules) -> bool {
+fn is_ready(member: &MemberView, rules: &Rules) -> bool {
     member.is_serving()
-        && member.load_report.is_some_and(|report| report.healthy && report.share >= rules.min_warm_share)
+        && member.load_report.is_some_and(|report| report.healthy && report.share >= rules.min_ready_share)
 }
 
 #[cfg(test)]
--- a/crates/loomflow-fleet/src/maintenance/observation/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/observation/tests.rs
@@ -27,7 +27,7 @@
         since: SINCE,
         grant: 1,
         incarnation: 1,
-        returned_incarnation: if matches!(stage, Stage::Back | Stage::Warm) { 2 } else { 0 },
+        returned_incarnation: if matches!(stage, Stage::Back | Stage::Ready) { 2 } else { 0 },
         lapses: 0,
         deadline: 0,
     }
@@ -64,12 +64,12 @@
         (soon, Stage::Overdue, member(Serving, 2, 1.0, true), Some((Transition::Return, 2))),
         (soon, Stage::Back, member(Serving, 2, 0.89, true), None),
         (soon, Stage::Back, member(Serving, 2, 1.0, false), None),
-        (soon, Stage::Back, member(Serving, 2, 0.9, true), Some((Transition::Warm, 2))),
+        (soon, Stage::Back, member(Serving, 2, 0.9, true), Some((Transition::Ready, 2))),
         (soon, Stage::Back, member(Down, 2, 1.0, true), Some((Transition::Depart, 2))),
-        (soon, Stage::Warm, member(Serving, 2, 0.89, true), Some((Transition::Cool, 2))),
-        (soon, Stage::Warm, member(Serving, 2, 1.0, true), None),
-        (settled, Stage::Warm, member(Serving, 2, 1.0, true), Some((Transition::Finish, 2))),
-        (settled, Stage::Warm, member(Serving, 3, 1.0, true), Some((Transition::Return, 3))),
+        (soon, Stage::Ready, member(Serving, 2, 0.89, true), Some((Transition::Unready, 2))),
+        (soon, Stage::Ready, member(Serving, 2, 1.0, true), None),
+        (settled, Stage::Ready, member(Serving, 2, 1.0, true), Some((Transition::Finish, 2))),
+        (settled, Stage::Ready, member(Serving, 3, 1.0, true), Some((Transition::Return, 3))),
     ] {
         assert_eq!(transition_at(now, stage, &member), expected, "{stage:?} at {now}, {member:?}");
     }
--- a/crates/loomflow-fleet/src/maintenance/rules.rs
+++ b/crates/loomflow-fleet/src/maintenance/rules.rs
@@ -37,10 +37,10 @@
     pub begin_within_millis: FleetMillis,
     /// How long a server carries its load before its place is free, ms.
     #[serde(rename = "warm_for")]
-    pub warm_for_millis: FleetMillis,
+    pub ready_for_millis: FleetMillis,
     /// The send share from which on a server carries its load.
     #[serde(rename = "warm_share")]
-    pub min_warm_share: f32,
+    pub min_ready_share: f32,
 }
 
 impl Default for Rules {
@@ -49,8 +49,8 @@
             max_out: Limit::Count(1),
             max_out_per_zone: None,
             begin_within_millis: 30_000,
-            warm_for_millis: 10_000,
-            min_warm_share: 0.9,
+            ready_for_millis: 10_000,
+            min_ready_share: 0.9,
         }
     }
 }
--- a/crates/loomflow-fleet/src/maintenance/scheduling.rs
+++ b/crates/loomflow-fleet/src/maintenance/scheduling.rs
@@ -114,7 +114,7 @@
 
     /// Why a server waits, check by check.
     pub fn explain(&self, server: &str) -> Explanation {
-        let ticket = self.maintenance.ticket_held_by(server);
+        let ticket = self.maintenance.ticket_with_place(server);
         let ticket = ticket.or_else(|| self.maintenance.tickets_of(server).next());
         let findings = match ticket {
             Some(ticket) if ticket.stage == Stage::Requested => self.findings(ticket),
--- a/crates/loomflow-fleet/src/maintenance/scheduling/checks.rs
+++ b/crates/loomflow-fleet/src/maintenance/scheduling/checks.rs
@@ -8,7 +8,7 @@
 use crate::maintenance::Census;
 use crate::maintenance::headroom::MAX_FILL;
 use crate::maintenance::rules::voters_needed;
-use crate::maintenance::ticket::{Refusal, Ticket};
+use crate::maintenance::ticket::{Rejection, Ticket};
 use crate::member::MemberState;
 
 /// One condition, in the order in which they are checked.
@@ -123,12 +123,12 @@
     }
 
     fn check_server(&self, server: &str) -> Finding {
-        use MemberState::{Down, Gone, Suspect};
+        use MemberState::{Down, Left, Suspect};
         let obstacle = match (self.members.get(server), self.maintenance.holders().get(server)) {
             (_, Some(other)) => Some(format!("it holds a place by ticket {other}")),
             (None, _) => Some("no server of that name was ever here".into()),
             // It could not receive the grant; one that is suspect may be back at once.
-            (Some(member), _) if matches!(member.state, Down | Gone | Suspect) => {
+            (Some(member), _) if matches!(member.state, Down | Left | Suspect) => {
                 Some(format!("the server is {}", member.state.as_str()))
             }
             _ => None,
@@ -146,7 +146,8 @@
 
     fn check_budget(&self, ticket: &Ticket, census: &Census) -> Finding {
         let (server, zone) = (&ticket.request.server, &ticket.request.zone);
-        if let Err(Refusal::NoPlace { out, limit, zone }) = self.maintenance.check_place(server, zone, census)
+        if let Err(Rejection::NoPlace { out, limit, zone }) =
+            self.maintenance.check_place(server, zone, census)
         {
             let finding = Finding::new(Check::Budget, false, f64::from(out) + 1.0, f64::from(limit));
             return Finding { detail: zone, ..finding };
@@ -157,7 +158,7 @@
 
     fn check_voters(&self, ticket: &Ticket, census: &Census) -> Finding {
         let (server, zone) = (&ticket.request.server, &ticket.request.zone);
-        if let Err(Refusal::Voters { stay, needed }) = self.maintenance.check_place(server, zone, census) {
+        if let Err(Rejection::Voters { stay, needed }) = self.maintenance.check_place(server, zone, census) {
             return Finding::new(Check::Voters, false, f64::from(stay), f64::from(needed));
         }
         let total = self.maintenance.voter_names().len() as u32;
--- a/crates/loomflow-fleet/src/maintenance/state.rs
+++ b/crates/loomflow-fleet/src/maintenance/state.rs
@@ -130,7 +130,7 @@
     }
 
     /// The ticket by which a server holds a place.
-    pub fn ticket_held_by(&self, server: &str) -> Option<&Ticket> {
+    pub fn ticket_with_place(&self, server: &str) -> Option<&Ticket> {
         self.state.open.get(self.holders.get(server)?)
     }
 
@@ -188,7 +188,9 @@
             postcard::from_bytes(bytes).map_err(|source| SnapshotError { part: "state", source })?;
         let mut maintenance = MaintenanceState { state, ..MaintenanceState::default() };
         let open: Vec<Ticket> = maintenance.state.open.values().cloned().collect();
-        open.iter().for_each(|ticket| maintenance.index(ticket));
+        for ticket in &open {
+            maintenance.index(ticket);
+        }
         Ok(maintenance)
     }
 }
--- a/crates/loomflow-fleet/src/maintenance/state/apply.rs
+++ b/crates/loomflow-fleet/src/maintenance/state/apply.rs
@@ -7,7 +7,8 @@
     TicketEvent,
 };
 use crate::maintenance::ticket::{
-    Actor, FleetMillis, GrantNumber, Refusal, Stage, Ticket, TicketId, TicketRequest, Transition, next_stage,
+    Actor, FleetMillis, GrantNumber, Rejection, Stage, Ticket, TicketId, TicketRequest, Transition,
+    next_stage,
 };
 use crate::maintenance::{Census, Command, Entry, Issuer, Response};
 use crate::member::{Incarnation, RequestId, ServerName};
@@ -26,7 +27,7 @@
             return response.clone();
         }
         self.advance_time(entry.at);
-        let response = self.execute(entry).map_or_else(Response::Refused, Response::Done);
+        let response = self.execute(entry).map_or_else(Response::Rejected, Response::Done);
         if !matches!(entry.issuer, Issuer::Leader) {
             self.state.responses.push_back((entry.id, response.clone()));
             if self.state.responses.len() > MAX_REMEMBERED_RESPONSES {
@@ -36,7 +37,7 @@
         response
     }
 
-    fn execute(&mut self, entry: &Entry) -> Result<Vec<TicketId>, Refusal> {
+    fn execute(&mut self, entry: &Entry) -> Result<Vec<TicketId>, Rejection> {
         match &entry.command {
             Command::CreateTickets(requests) => {
                 let requested_by = match &entry.issuer {
@@ -63,7 +64,7 @@
             Command::Rules(rules) => self.state.rules = Some(rules.clone()),
             Command::DrainedWithoutTicket(_) => self.state.drains_without_ticket += 1,
             Command::Clock => {}
-            Command::Duty(_) | Command::Campaign(_) => return Err(Refusal::NotPermitted),
+            Command::Duty(_) | Command::Campaign(_) => return Err(Rejection::NotPermitted),
         }
         Ok(Vec::new())
     }
@@ -77,13 +78,13 @@
         request_id: RequestId,
         requested_by: &str,
         requests: &[TicketRequest],
-    ) -> Result<Vec<TicketId>, Refusal> {
+    ) -> Result<Vec<TicketId>, Rejection> {
         if self.state.open.len() + requests.len() > MAX_OPEN_TICKETS {
-            return Err(Refusal::TooMany(self.state.open.len() as u32));
+            return Err(Rejection::TooMany(self.state.open.len() as u32));
         }
         let servers: BTreeSet<&ServerName> = requests.iter().map(|request| &request.server).collect();
         if requests.is_empty() || servers.len() < requests.len() {
-            return Err(Refusal::Invalid("each server once, and at least one".into()));
+            return Err(Rejection::Invalid("each server once, and at least one".into()));
         }
         requests.iter().try_for_each(TicketRequest::check)?;
         let now = self.state.time;
@@ -116,18 +117,18 @@
         id: TicketId,
         incarnation: Incarnation,
         census: &Census,
-    ) -> Result<Vec<TicketId>, Refusal> {
+    ) -> Result<Vec<TicketId>, Rejection> {
         let ticket = self.open_ticket(id)?;
         let stage = next_stage(ticket.stage, Transition::Grant, actor(issuer, ticket)?)?;
         let (server, zone) = (ticket.request.server.clone(), ticket.request.zone.clone());
         if self.state.paused.is_some() {
-            return Err(Refusal::Paused);
+            return Err(Rejection::Paused);
         }
         if ticket.opens_in(self.state.time) > 0 {
-            return Err(Refusal::WindowNotOpen);
+            return Err(Rejection::WindowNotOpen);
         }
         if let Some(other) = self.holders.get(&server) {
-            return Err(Refusal::HoldsPlace(*other));
+            return Err(Rejection::HasPlace(*other));
         }
         self.check_place(&server, &zone, census)?;
         self.state.last_grant += 1;
@@ -151,17 +152,17 @@
         transition: Transition,
         grant: GrantNumber,
         incarnation: Incarnation,
-    ) -> Result<Vec<TicketId>, Refusal> {
+    ) -> Result<Vec<TicketId>, Rejection> {
         use Transition::*;
         let ticket = self.open_ticket(id)?;
         // A grant comes with a census, and deadlines are not reported by anybody.
         if matches!(transition, Grant | Lapse | Expire | Overrun) {
-            return Err(Refusal::NotPermitted);
+            return Err(Rejection::NotPermitted);
         }
         let actor = actor(issuer, ticket)?;
         // Whatever rests on a grant is void once that grant is not the current one.
         if matches!(transition, Begin | Recall | Drain | Depart) && grant != ticket.grant {
-            return Err(Refusal::Superseded { grant, current: ticket.grant });
+            return Err(Rejection::Superseded { grant, current: ticket.grant });
         }
         let stage = next_stage(ticket.stage, transition, actor)?;
         check_incarnation(ticket, transition, actor, incarnation)?;
@@ -200,11 +201,11 @@
         }
     }
 
-    fn open_ticket(&self, id: TicketId) -> Result<&Ticket, Refusal> {
+    fn open_ticket(&self, id: TicketId) -> Result<&Ticket, Rejection> {
         match self.find(id) {
-            Some(ticket) if ticket.stage.is_closed() => Err(Refusal::Closed(ticket.stage)),
+            Some(ticket) if ticket.stage.is_closed() => Err(Rejection::Closed(ticket.stage)),
             Some(ticket) => Ok(ticket),
-            None => Err(Refusal::Unknown),
+            None => Err(Rejection::Unknown),
         }
     }
 
@@ -248,7 +249,7 @@
         if let Some(at) = deadline(ticket) {
             self.deadlines.insert((at, ticket.id));
         }
-        if ticket.stage.holds_place() {
+        if ticket.stage.has_place() {
             self.holders.insert(server.clone(), ticket.id);
         }
         self.tickets_by_server.entry(server.clone()).or_default().insert(ticket.id);
@@ -259,7 +260,7 @@
         if let Some(at) = deadline(ticket) {
             self.deadlines.remove(&(at, ticket.id));
         }
-        if ticket.stage.holds_place() {
+        if ticket.stage.has_place() {
             self.holders.remove(server);
         }
         if let Some(ids) = self.tickets_by_server.get_mut(server) {
@@ -280,17 +281,17 @@
     }
 }
 
-fn require_operator(issuer: &Issuer) -> Result<(), Refusal> {
-    if matches!(issuer, Issuer::Operator(_)) { Ok(()) } else { Err(Refusal::NotPermitted) }
+fn require_operator(issuer: &Issuer) -> Result<(), Rejection> {
+    if matches!(issuer, Issuer::Operator(_)) { Ok(()) } else { Err(Rejection::NotPermitted) }
 }
 
 /// As whom an issuer acts on a ticket. Errors: it is another server's.
-fn actor(issuer: &Issuer, ticket: &Ticket) -> Result<Actor, Refusal> {
+fn actor(issuer: &Issuer, ticket: &Ticket) -> Result<Actor, Rejection> {
     match issuer {
         Issuer::Leader => Ok(Actor::Leader),
         Issuer::Operator(_) => Ok(Actor::Operator),
         Issuer::Server { name, .. } if *name == ticket.request.server => Ok(Actor::Server),
-        Issuer::Server { .. } => Err(Refusal::NotPermitted),
+        Issuer::Server { .. } => Err(Rejection::NotPermitted),
     }
 }
 
@@ -300,18 +301,21 @@
     transition: Transition,
     actor: Actor,
     incarnation: Incarnation,
-) -> Result<(), Refusal> {
+) -> Result<(), Rejection> {
     let expected = match transition {
         // A server that came back is another incarnation than the one that went.
         Transition::Return
             if incarnation <= ticket.incarnation || incarnation < ticket.returned_incarnation =>
         {
-            return Err(Refusal::OtherIncarnation);
+            return Err(Rejection::OtherIncarnation);
         }
         Transition::Begin | Transition::Drain => ticket.incarnation,
         Transition::Depart if actor == Actor::Server => ticket.last_incarnation(),
-        Transition::Warm | Transition::Cool | Transition::Finish => ticket.returned_incarnation,
+        Transition::Ready | Transition::Unready | Transition::Finish => ticket.returned_incarnation,
         _ => incarnation,
     };
-    if expected == incarnation { Ok(()) } else { Err(Refusal::OtherIncarnation) }
+    if expected == incarnation { Ok(()) } else { Err(Rejection::OtherIncarnation) }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/loomflow-fleet/src/maintenance/state/apply/tests.rs
@@ -0,0 +1,31 @@
+use super::*;
+use crate::maintenance::ticket::Urgency;
+
+#[test]
+fn a_ticket_whose_third_grant_lapses_is_closed() {
+    let request = TicketRequest {
+        server: "a".into(),
+        zone: String::new(),
+        reason: String::new(),
+        urgency: Urgency::Routine,
+        duration_millis: 60_000,
+        window: None,
+    };
+    let census = Census { zones: vec![(String::new(), 3)], away: Vec::new() };
+    let mut maintenance = MaintenanceState::default();
+    let mut apply = |id: u64, at, command| {
+        let entry = Entry { id: u128::from(id), at, issuer: Issuer::Leader, command };
+        let response = maintenance.apply_entry(&entry);
+        assert!(matches!(response, Response::Done(_)), "{response:?}");
+        maintenance.find(1).map(|ticket| (ticket.stage, ticket.lapses))
+    };
+    apply(1, 0, Command::CreateTickets(vec![request]));
+    for lapses in 1..=3 {
+        let granted_at = u64::from(lapses) * 60_000;
+        apply(2, granted_at, Command::Grant { ticket: 1, incarnation: 1, census: census.clone() });
+        let before = apply(3, granted_at + 29_999, Command::Clock);
+        assert_eq!(before, Some((Stage::Granted, lapses - 1)));
+        let expected = if lapses < 3 { Stage::Requested } else { Stage::Lapsed };
+        assert_eq!(apply(4, granted_at + 30_000, Command::Clock), Some((expected, lapses)));
+    }
+}
--- a/crates/loomflow-fleet/src/maintenance/state/limits.rs
+++ b/crates/loomflow-fleet/src/maintenance/state/limits.rs
@@ -6,7 +6,7 @@
 use super::MaintenanceState;
 use crate::maintenance::Census;
 use crate::maintenance::rules::voters_needed;
-use crate::maintenance::ticket::Refusal;
+use crate::maintenance::ticket::Rejection;
 use crate::member::Zone;
 
 impl MaintenanceState {
@@ -15,7 +15,7 @@
     ///
     /// # Errors
     /// The limit that would be exceeded.
-    pub fn check_place(&self, server: &str, zone: &str, census: &Census) -> Result<(), Refusal> {
+    pub fn check_place(&self, server: &str, zone: &str, census: &Census) -> Result<(), Rejection> {
         let out = self.out_with(server, zone, census);
         self.check_limits(zone, &out, census)?;
         self.check_voters(server, &out)
@@ -49,7 +49,7 @@
         self.state.rules.clone().unwrap_or_default().max_out.of(fleet_size)
     }
 
-    fn check_limits(&self, zone: &str, out: &BTreeMap<&str, &str>, census: &Census) -> Result<(), Refusal> {
+    fn check_limits(&self, zone: &str, out: &BTreeMap<&str, &str>, census: &Census) -> Result<(), Rejection> {
         check_limit(out.len(), self.fleet_limit(census), None)?;
         let rules = self.state.rules.clone().unwrap_or_default();
         if let Some(limit) = rules.max_out_per_zone {
@@ -60,21 +60,21 @@
         Ok(())
     }
 
-    fn check_voters(&self, server: &str, out: &BTreeMap<&str, &str>) -> Result<(), Refusal> {
+    fn check_voters(&self, server: &str, out: &BTreeMap<&str, &str>) -> Result<(), Rejection> {
         let voters = &self.state.voters;
         if !voters.iter().any(|voter| voter == server) {
             return Ok(());
         }
         let stay = voters.iter().filter(|voter| !out.contains_key(voter.as_str())).count() as u32;
         let needed = voters_needed(voters.len() as u32);
-        if stay < needed { Err(Refusal::Voters { stay, needed }) } else { Ok(()) }
+        if stay < needed { Err(Rejection::Voters { stay, needed }) } else { Ok(()) }
     }
 }
 
 /// `count`: servers that would be out, with the one that is to go.
-fn check_limit(count: usize, limit: u32, zone: Option<Zone>) -> Result<(), Refusal> {
+fn check_limit(count: usize, limit: u32, zone: Option<Zone>) -> Result<(), Rejection> {
     if count as u32 <= limit {
         return Ok(());
     }
-    Err(Refusal::NoPlace { out: count as u32 - 1, limit, zone })
+    Err(Rejection::NoPlace { out: count as u32 - 1, limit, zone })
 }
--- a/crates/loomflow-fleet/src/maintenance/ticket.rs
+++ b/crates/loomflow-fleet/src/maintenance/ticket.rs
@@ -40,7 +40,8 @@
     /// Its next incarnation is here.
     Back,
     /// It carries its load; its place is free when that has held for a while.
-    Warm,
+    #[serde(rename = "Warm")]
+    Ready,
     /// Not back in time. Its place is kept.
     Overdue,
     /// Its place is free again.
@@ -63,7 +64,7 @@
         Stage::Draining,
         Stage::Out,
         Stage::Back,
-        Stage::Warm,
+        Stage::Ready,
         Stage::Overdue,
         Stage::Done,
         Stage::Withdrawn,
@@ -72,7 +73,7 @@
     ];
 
     /// Whether its server counts as out because of it.
-    pub fn holds_place(self) -> bool {
+    pub fn has_place(self) -> bool {
         matches!(
             self,
             Stage::Granted
@@ -80,7 +81,7 @@
                 | Stage::Draining
                 | Stage::Out
                 | Stage::Back
-                | Stage::Warm
+                | Stage::Ready
                 | Stage::Overdue
         )
     }
@@ -99,7 +100,7 @@
             Stage::Draining => "draining",
             Stage::Out => "out",
             Stage::Back => "back",
-            Stage::Warm => "warm",
+            Stage::Ready => "warm",
             Stage::Overdue => "overdue",
             Stage::Done => "done",
             Stage::Withdrawn => "withdrawn",
@@ -126,9 +127,11 @@
     /// A later incarnation is here.
     Return,
     /// It carries its load.
-    Warm,
+    #[serde(rename = "Warm")]
+    Ready,
     /// It does not after all.
-    Cool,
+    #[serde(rename = "Cool")]
+    Unready,
     /// It has carried its load for long enough.
     Finish,
     /// An operator takes the ticket back.
@@ -153,8 +156,8 @@
         Transition::Drain,
         Transition::Depart,
         Transition::Return,
-        Transition::Warm,
-        Transition::Cool,
+        Transition::Ready,
+        Transition::Unready,
         Transition::Finish,
         Transition::Withdraw,
         Transition::Abandon,
@@ -186,7 +189,7 @@
 
 /// Why a command on a ticket is not done. It changes nothing then.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-pub enum Refusal {
+pub enum Rejection {
     /// No ticket of that number is known: it never was, or is long closed.
     #[error("no such ticket is known")]
     Unknown,
@@ -246,7 +249,8 @@
     WindowNotOpen,
     /// Its server holds a place under another ticket.
     #[error("it holds a place by ticket {0}")]
-    HoldsPlace(TicketId),
+    #[serde(rename = "HoldsPlace")]
+    HasPlace(TicketId),
     /// So many are open, as many as there may be.
     #[error("{0} are open, as many as there may be")]
     TooMany(u32),
@@ -304,17 +308,17 @@
         rule(Out, Transition::Return, Leader, Back),
         rule(Out, Transition::Overrun, Leader, Overdue),
         rule(Out, Transition::Abandon, Operator, Abandoned),
-        rule(Back, Transition::Warm, Leader, Warm),
+        rule(Back, Transition::Ready, Leader, Ready),
         rule(Back, Transition::Depart, ServerOrLeader, Out),
         // It started once more before it was warm.
         rule(Back, Transition::Return, Leader, Back),
         rule(Back, Transition::Abandon, Operator, Abandoned),
-        rule(Warm, Transition::Finish, Leader, Done),
-        rule(Warm, Transition::Cool, Leader, Back),
-        rule(Warm, Transition::Depart, ServerOrLeader, Out),
-        rule(Warm, Transition::Abandon, Operator, Abandoned),
+        rule(Ready, Transition::Finish, Leader, Done),
+        rule(Ready, Transition::Unready, Leader, Back),
+        rule(Ready, Transition::Depart, ServerOrLeader, Out),
+        rule(Ready, Transition::Abandon, Operator, Abandoned),
         rule(Overdue, Transition::Return, Leader, Back),
-        rule(Warm, Transition::Return, Leader, Back),
+        rule(Ready, Transition::Return, Leader, Back),
         rule(Overdue, Transition::Depart, ServerOrLeader, Overdue),
         rule(Overdue, Transition::Drain, Server, Overdue),
         rule(Overdue, Transition::Abandon, Operator, Abandoned),
@@ -326,16 +330,16 @@
 ///
 /// # Errors
 /// Why the transition is not legal.
-pub fn next_stage(from: Stage, transition: Transition, actor: Actor) -> Result<Stage, Refusal> {
+pub fn next_stage(from: Stage, transition: Transition, actor: Actor) -> Result<Stage, Rejection> {
     match TABLE.iter().find(|rule| rule.from == from && rule.transition == transition) {
         Some(rule) if rule.actor.includes(actor) => Ok(rule.to),
-        Some(_) => Err(Refusal::NotPermitted),
-        None => Err(refusal(from, transition)),
+        Some(_) => Err(Rejection::NotPermitted),
+        None => Err(rejection(from, transition)),
     }
 }
 
 /// Why a transition that is not in the table is refused.
-fn refusal(from: Stage, transition: Transition) -> Refusal {
+fn rejection(from: Stage, transition: Transition) -> Rejection {
     use Stage::*;
     // The first stage in which each transition is possible, on the way from requested to done.
     let earliest = match transition {
@@ -343,13 +347,13 @@
         Transition::Begin | Transition::Recall | Transition::Lapse => Granted,
         Transition::Drain | Transition::Depart | Transition::Abandon | Transition::Overrun => Begun,
         Transition::Return => Draining,
-        Transition::Warm => Back,
-        Transition::Cool | Transition::Finish => Warm,
+        Transition::Ready => Back,
+        Transition::Unready | Transition::Finish => Ready,
     };
     match from {
-        Done | Withdrawn | Lapsed | Abandoned => Refusal::Closed(from),
-        _ if from < earliest => Refusal::TooEarly(from),
-        _ => Refusal::TooLate(from),
+        Done | Withdrawn | Lapsed | Abandoned => Rejection::Closed(from),
+        _ if from < earliest => Rejection::TooEarly(from),
+        _ => Rejection::TooLate(from),
     }
 }
 
@@ -383,8 +387,8 @@
     ///
     /// # Errors
     /// What is wrong with it, naming the field.
-    pub fn check(&self) -> Result<(), Refusal> {
-        let invalid = |what: &str| Err(Refusal::Invalid(format!("{}: {what}", self.server)));
+    pub fn check(&self) -> Result<(), Rejection> {
+        let invalid = |what: &str| Err(Rejection::Invalid(format!("{}: {what}", self.server)));
         if !(1..=MAX_NAME_BYTES).contains(&self.server.len()) || self.zone.len() > MAX_NAME_BYTES {
             return invalid("server: a name has 1 to 64 bytes");
         }
--- a/crates/loomflow-fleet/src/maintenance/ticket/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/ticket/tests.rs
@@ -21,9 +21,9 @@
                 let made = next_stage(from, transition, actor);
                 match (rule, made) {
                     (Some(rule), Ok(to)) => assert!(rule.to == to && rule.actor.includes(actor)),
-                    (Some(rule), Err(Refusal::NotPermitted)) => assert!(!rule.actor.includes(actor)),
-                    (None, Err(Refusal::Closed(stage))) => assert!(stage == from && from.is_closed()),
-                    (None, Err(Refusal::TooLate(stage) | Refusal::TooEarly(stage))) => {
+                    (Some(rule), Err(Rejection::NotPermitted)) => assert!(!rule.actor.includes(actor)),
+                    (None, Err(Rejection::Closed(stage))) => assert!(stage == from && from.is_closed()),
+                    (None, Err(Rejection::TooLate(stage) | Rejection::TooEarly(stage))) => {
                         assert!(stage == from && !from.is_closed());
                     }
                     (_, other) => panic!("{from:?} {transition:?} {actor:?}: {other:?}"),
@@ -37,26 +37,26 @@
 fn what_has_begun_is_not_withdrawn_and_what_is_asked_is_not_written_off() {
     assert_eq!(
         next_stage(Stage::Begun, Transition::Withdraw, Actor::Operator),
-        Err(Refusal::TooLate(Stage::Begun))
+        Err(Rejection::TooLate(Stage::Begun))
     );
     assert_eq!(
         next_stage(Stage::Requested, Transition::Abandon, Actor::Operator),
-        Err(Refusal::TooEarly(Stage::Requested))
+        Err(Rejection::TooEarly(Stage::Requested))
     );
     assert_eq!(
         next_stage(Stage::Requested, Transition::Begin, Actor::Server),
-        Err(Refusal::TooEarly(Stage::Requested))
+        Err(Rejection::TooEarly(Stage::Requested))
     );
 }
 
 #[test]
 fn a_place_is_kept_from_the_grant_until_it_is_warm_for_good_or_written_off() {
     // No way leads from a stage that holds a place to one that does not, but these.
-    for rule in TABLE.iter().filter(|rule| rule.from.holds_place() && !rule.to.holds_place()) {
+    for rule in TABLE.iter().filter(|rule| rule.from.has_place() && !rule.to.has_place()) {
         let free = matches!(
             (rule.from, rule.transition),
             (Stage::Granted, Transition::Recall | Transition::Lapse | Transition::Withdraw)
-                | (Stage::Warm, Transition::Finish)
+                | (Stage::Ready, Transition::Finish)
                 | (_, Transition::Abandon)
         );
         assert!(free, "{:?} by {:?}", rule.from, rule.transition);
--- a/crates/loomflow-fleet/src/member.rs
+++ b/crates/loomflow-fleet/src/member.rs
@@ -177,7 +177,7 @@
 
     /// Whether the membership does not know it to be gone.
     pub fn is_alive(&self) -> bool {
-        !matches!(self.state, MemberState::Down | MemberState::Gone)
+        !matches!(self.state, MemberState::Down | MemberState::Left)
     }
 }
 
@@ -208,7 +208,8 @@
     /// Declared dead.
     Down,
     /// Shut down by itself, in order.
-    Gone,
+    #[serde(rename = "Gone")]
+    Left,
 }
 
 impl MemberState {
@@ -221,7 +222,7 @@
             MemberState::Out => "out",
             MemberState::Suspect => "suspect",
             MemberState::Down => "down",
-            MemberState::Gone => "gone",
+            MemberState::Left => "gone",
         }
     }
 }
--- a/crates/loomflow-fleet/src/membership.rs
+++ b/crates/loomflow-fleet/src/membership.rs
@@ -232,7 +232,7 @@
         replica: None,
         since: now,
     };
-    let has_room = known.len() < MAX_MEMBERS - 1;
+    let has_capacity = known.len() < MAX_MEMBERS - 1;
     match known.get_mut(&identity.name) {
         Some(member) if member.identity.incarnation == identity.incarnation => {
             if member.swim_state != swim_state {
@@ -246,7 +246,7 @@
         // A new start: nothing that the former one reported is true of it.
         Some(member) if member.identity.incarnation < identity.incarnation => *member = new_member(),
         Some(_) => {}
-        None if has_room => {
+        None if has_capacity => {
             known.insert(identity.name.clone(), new_member());
         }
         None => {}
--- a/crates/loomflow-fleet/src/membership/failure_detection.rs
+++ b/crates/loomflow-fleet/src/membership/failure_detection.rs
@@ -75,7 +75,7 @@
     pub fn state(&self) -> MemberState {
         let phase = self.load_report.map(|(_, report)| report.phase);
         match (self.swim_state, phase) {
-            (SwimState::Down, Some(Phase::Draining)) => MemberState::Gone,
+            (SwimState::Down, Some(Phase::Draining)) => MemberState::Left,
             (SwimState::Down, _) => MemberState::Down,
             (SwimState::Suspect, _) => MemberState::Suspect,
             (SwimState::Alive, Some(Phase::Serving)) => MemberState::Serving,
--- a/crates/loomflow-fleet/src/membership/tests.rs
+++ b/crates/loomflow-fleet/src/membership/tests.rs
@@ -86,7 +86,7 @@
     pair.report(Phase::Draining);
     assert_eq!(pair.state(), Some(MemberState::Draining));
     pair.is_connected = false;
-    pair.millis_until(MemberState::Gone);
+    pair.millis_until(MemberState::Left);
     let since = pair.known().unwrap().since;
     let hour = 3_600_000;
     for (at, is_known) in [(since + hour - 1, true), (since + hour + 1_000, false)] {
--- a/crates/loomflow-fleet/src/node/duties.rs
+++ b/crates/loomflow-fleet/src/node/duties.rs
@@ -356,8 +356,8 @@
     }
 
     /// Messages of former owners that this member refused.
-    pub(super) fn refused_messages(&self) -> u64 {
-        self.duties.fence.refused()
+    pub(super) fn rejected_messages(&self) -> u64 {
+        self.duties.fence.rejected()
     }
 }
 
--- a/crates/loomflow-fleet/src/node/duty_leadership.rs
+++ b/crates/loomflow-fleet/src/node/duty_leadership.rs
@@ -49,8 +49,8 @@
     pub(super) fn queue_renewal(&mut self, id: RequestId, instances: Vec<ServerInstance>, now: Millis) {
         let waiting = &mut self.leadership.sessions.waiting;
         let is_known = waiting.iter().any(|(other, _)| *other == id);
-        let has_room = waiting.len() < MAX_MEMBERS;
-        if let Some(instance) = instances.into_iter().next().filter(|_| !is_known && has_room) {
+        let has_capacity = waiting.len() < MAX_MEMBERS;
+        if let Some(instance) = instances.into_iter().next().filter(|_| !is_known && has_capacity) {
             waiting.push((id, instance));
         }
         self.propose_renewals(now);
@@ -99,7 +99,7 @@
             return Some(duty::Response::Ownership(duties.ownership(&instance.name)));
         }
         let remaining = session.map_or(0, |session| session.expires_at.saturating_sub(duties.time()));
-        Some(duty::Response::Refused(duty::Refusal::EarlierIncarnation(remaining)))
+        Some(duty::Response::Rejected(duty::Rejection::EarlierIncarnation(remaining)))
     }
 
     /// What is to be committed about duties now.
--- a/crates/loomflow-fleet/src/node/leadership.rs
+++ b/crates/loomflow-fleet/src/node/leadership.rs
@@ -119,8 +119,8 @@
         if maintenance.rules() != Some(&self.config.rules) {
             return vec![Command::Rules(self.config.rules.clone())];
         }
-        let is_clock_old = time >= maintenance.time() + CLOCK_PERIOD_MILLIS;
-        if self.next_deadline().is_some_and(|deadline| deadline <= time || is_clock_old) {
+        let is_clock_due = time >= maintenance.time() + CLOCK_PERIOD_MILLIS;
+        if self.next_deadline().is_some_and(|deadline| deadline <= time || is_clock_due) {
             return vec![Command::Clock];
         }
         let leader = self.config.name.as_str();
--- a/crates/loomflow-fleet/src/node/mod.rs
+++ b/crates/loomflow-fleet/src/node/mod.rs
@@ -40,7 +40,7 @@
     ServerName, Zone, is_report_recent,
 };
 use crate::membership::Membership;
-use crate::wire::{self, Body, FrameError, Message, Notice};
+use crate::wire::{self, Body, FrameError, Message, Notification};
 
 use duties::DutyClient;
 use leadership::Leadership;
@@ -125,7 +125,7 @@
     phase: Phase,
     next_report_at: Millis,
     /// The newest notice of a voter, and when it came.
-    last_notice: Option<(Millis, Notice)>,
+    last_notification: Option<(Millis, Notification)>,
     own_ticket: OwnTicket,
     requests: PendingRequests,
     leadership: Leadership,
@@ -167,7 +167,7 @@
             load: None,
             phase: Phase::Cold,
             next_report_at: now,
-            last_notice: None,
+            last_notification: None,
             own_ticket: OwnTicket::default(),
             requests: PendingRequests::default(),
             leadership: Leadership::default(),
@@ -218,7 +218,7 @@
     /// Who leads, as far as this member knows.
     pub fn leader(&self) -> Option<&ServerName> {
         let own = self.consensus.as_ref().filter(|consensus| consensus.replica().group != 0);
-        own.and_then(Consensus::leader).or_else(|| self.last_notice.as_ref()?.1.leader.as_ref())
+        own.and_then(Consensus::leader).or_else(|| self.last_notification.as_ref()?.1.leader.as_ref())
     }
 
     /// Sets the server's load, every second or so. Without it this member reports nothing of itself.
@@ -251,9 +251,9 @@
             }
             Body::LoadReport { sent_at, load_report, replica } => {
                 self.membership.handle_load_report(&from, load_report, replica, now);
-                self.send_notice(&from.name, sent_at);
+                self.send_notification(&from.name, sent_at);
             }
-            Body::Notice(notice) => self.handle_notice(notice, now),
+            Body::Notification(notification) => self.handle_notification(notification, now),
             Body::Request { id, hops, request } => self.handle_request(from.name, id, hops, request, now),
             Body::Response { id, response } => self.handle_response(id, response, now),
             Body::Duties(ownership) => self.handle_ownership(ownership, now),
@@ -410,3 +410,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-fleet/src/node/outgoing.rs
+++ b/crates/loomflow-fleet/src/node/outgoing.rs
@@ -5,7 +5,7 @@
 use super::{Effect, Node, own_ticket};
 use crate::consensus::Consensus;
 use crate::member::{Millis, REPORT_MAX_AGE_MILLIS, Replica, ServerName};
-use crate::wire::{self, Body, Message, Notice};
+use crate::wire::{self, Body, Message, Notification};
 
 impl Node {
     /// Voters by the settings, except this one.
@@ -27,30 +27,30 @@
     }
 
     /// Tells a member what this voter knows of it.
-    pub(super) fn send_notice(&mut self, to: &ServerName, sent_at: Millis) {
+    pub(super) fn send_notification(&mut self, to: &ServerName, sent_at: Millis) {
         let has_fleet = |consensus: &&Consensus<_>| consensus.replica().group != 0;
         let Some(consensus) = self.consensus.as_ref().filter(has_fleet) else { return };
-        let notice = Notice {
+        let notification = Notification {
             sent_at,
             leader: consensus.leader().cloned(),
             term: consensus.term(),
             index: consensus.applied_index(),
-            ticket: consensus.machine().maintenance.ticket_held_by(to).cloned(),
+            ticket: consensus.machine().maintenance.ticket_with_place(to).cloned(),
         };
-        self.send(to, Body::Notice(notice));
+        self.send(to, Body::Notification(notification));
     }
 
-    pub(super) fn handle_notice(&mut self, notice: Notice, now: Millis) {
+    pub(super) fn handle_notification(&mut self, notification: Notification, now: Millis) {
         // What was asked before a long stop may have changed since.
-        if !own_ticket::is_notice_recent(notice.sent_at, now) {
+        if !own_ticket::is_notification_recent(notification.sent_at, now) {
             return;
         }
-        let is_newer = self.last_notice.as_ref().is_none_or(|(_, last)| {
-            (notice.term, notice.index) >= (last.term, last.index)
+        let is_newer = self.last_notification.as_ref().is_none_or(|(_, last)| {
+            (notification.term, notification.index) >= (last.term, last.index)
                 || now > last.sent_at + REPORT_MAX_AGE_MILLIS
         });
         if is_newer {
-            self.last_notice = Some((now, notice));
+            self.last_notification = Some((now, notification));
         }
     }
 
--- a/crates/loomflow-fleet/src/node/own_ticket.rs
+++ b/crates/loomflow-fleet/src/node/own_ticket.rs
@@ -6,17 +6,17 @@
 use super::requests::ReceivedResponse;
 use super::{Effect, Node};
 use crate::consensus::storage::{ReplicaMetadata, Storage, StorageError, WriteBatch};
-use crate::maintenance::ticket::{GrantNumber, Refusal, Stage, Ticket, TicketId, Transition};
+use crate::maintenance::ticket::{GrantNumber, Rejection, Stage, Ticket, TicketId, Transition};
 use crate::maintenance::{Command, Request, Response};
 use crate::member::{Incarnation, Millis, Phase, RequestId};
 
 /// A response or notice is relied on for so long after its request, ms. A place is not freed by time once the server has begun,
 /// so this only bounds how an operator's giving it up may cross a stopped server's draining.
-const MAX_NOTICE_AGE_MILLIS: Millis = 2_000;
+const MAX_NOTIFICATION_AGE_MILLIS: Millis = 2_000;
 
 /// Whether a response or notice to what was sent at `sent_at` is still relied on.
-pub(super) fn is_notice_recent(sent_at: Millis, now: Millis) -> bool {
-    now.saturating_sub(sent_at) <= MAX_NOTICE_AGE_MILLIS
+pub(super) fn is_notification_recent(sent_at: Millis, now: Millis) -> bool {
+    now.saturating_sub(sent_at) <= MAX_NOTIFICATION_AGE_MILLIS
 }
 
 /// Counts this start in the data directory of a server that is not a voter.
@@ -53,10 +53,10 @@
     /// The ticket by which this server holds a place, as far as is known here.
     fn own_ticket(&self, now: Millis) -> Option<Ticket> {
         if let Some(consensus) = self.consensus.as_ref().filter(|consensus| consensus.is_leader()) {
-            return consensus.machine().maintenance.ticket_held_by(&self.config.name).cloned();
+            return consensus.machine().maintenance.ticket_with_place(&self.config.name).cloned();
         }
-        let (_, notice) = self.last_notice.as_ref()?;
-        is_notice_recent(notice.sent_at, now).then(|| notice.ticket.clone())?
+        let (_, notification) = self.last_notification.as_ref()?;
+        is_notification_recent(notification.sent_at, now).then(|| notification.ticket.clone())?
     }
 
     /// Takes up a grant, or drains on a begin that is committed.
@@ -93,16 +93,16 @@
         let pending = self.own_ticket.pending_begin.filter(|(begin, _)| *begin == id);
         let Some((_, grant)) = pending else { return false };
         match response {
-            Response::Done(tickets) if is_notice_recent(sent_at, now) => {
+            Response::Done(tickets) if is_notification_recent(sent_at, now) => {
                 if let Some(ticket) = tickets.first() {
                     self.drain_by_ticket(*ticket, grant, now);
                 }
             }
             // Late, or nothing is known: what a recent notice shows is asked again.
-            Response::Done(_) | Response::Refused(Refusal::NoLeader) => {
+            Response::Done(_) | Response::Rejected(Rejection::NoLeader) => {
                 self.own_ticket.pending_begin = None;
             }
-            Response::Refused(refusal) => self.log(format!("a grant was not taken up: {refusal}")),
+            Response::Rejected(rejection) => self.log(format!("a grant was not taken up: {rejection}")),
             _ => {}
         }
         true
--- a/crates/loomflow-fleet/src/node/requests.rs
+++ b/crates/loomflow-fleet/src/node/requests.rs
@@ -6,7 +6,7 @@
 use super::{Effect, Node};
 use crate::consensus::ProposeError;
 use crate::duty;
-use crate::maintenance::ticket::Refusal;
+use crate::maintenance::ticket::Rejection;
 use crate::maintenance::{Command, Entry, Request, Response};
 use crate::member::{Millis, RequestId, ServerName};
 use crate::wire::Body;
@@ -62,8 +62,8 @@
 impl Node {
     pub(super) fn submit_as(&mut self, id: RequestId, request: Request, now: Millis) {
         if self.requests.own.len() >= MAX_OWN {
-            let refusal = Refusal::TooMany(MAX_OWN as u32);
-            self.effects.push(Effect::Responded(id, Response::Refused(refusal)));
+            let rejection = Rejection::TooMany(MAX_OWN as u32);
+            self.effects.push(Effect::Responded(id, Response::Rejected(rejection)));
             return;
         }
         let expires_at = now + REQUEST_TIMEOUT_MILLIS;
@@ -88,7 +88,7 @@
             .collect();
         for (id, has_expired) in due {
             if has_expired {
-                self.handle_response(id, Response::Refused(Refusal::NoLeader), now);
+                self.handle_response(id, Response::Rejected(Rejection::NoLeader), now);
             } else {
                 self.send_request(id, now);
             }
--- a/crates/loomflow-fleet/src/node/status.rs
+++ b/crates/loomflow-fleet/src/node/status.rs
@@ -77,7 +77,7 @@
             time: maintenance.time(),
             storage_error: self.storage_error.clone(),
             summary: self.summary_report(now),
-            refused_messages: self.refused_messages(),
+            rejected_messages: self.rejected_messages(),
         }
     }
 
@@ -91,7 +91,7 @@
     ) -> MemberRow {
         let known = self.membership.get(&name);
         let last_report = known.map_or(self.load, |known| known.load_report);
-        let ticket = maintenance.ticket_held_by(&name).map(|ticket| (ticket.id, ticket.stage));
+        let ticket = maintenance.ticket_with_place(&name).map(|ticket| (ticket.id, ticket.stage));
         let has_begun = ticket.is_some_and(|(_, stage)| stage != Stage::Granted);
         let is_out = has_begun && !view.is_alive();
         MemberRow {
--- /dev/null
+++ b/crates/loomflow-fleet/src/node/tests.rs
@@ -0,0 +1,99 @@
+use super::*;
+use crate::consensus::storage::MemoryStorage;
+use crate::maintenance::ticket::{Rejection, Stage, Ticket, TicketRequest, Urgency};
+use crate::wire::LENGTH_BYTES;
+
+const FLEET: &str = "f";
+const VOTER: &str = "voter";
+
+fn address(port: u16) -> SocketAddr {
+    ([127, 0, 0, 1], port).into()
+}
+
+/// A member without a vote, in a fleet with one voter.
+fn member() -> Node {
+    let config = NodeConfig {
+        fleet: FLEET.into(),
+        name: "a".into(),
+        zone: Zone::new(),
+        address: address(1),
+        voters: vec![(VOTER.into(), address(2))],
+        via: BTreeMap::new(),
+        rules: Rules::default(),
+        duties: None,
+        seed: 7,
+        unix_millis: 1,
+    };
+    Node::start(config, Box::new(MemoryStorage::default()), 0)
+}
+
+/// The ticket by which the member has begun.
+fn begun_ticket(node: &Node) -> Ticket {
+    Ticket {
+        id: 4,
+        request_id: 1,
+        request: TicketRequest {
+            server: "a".into(),
+            zone: Zone::new(),
+            reason: String::new(),
+            urgency: Urgency::Routine,
+            duration_millis: 60_000,
+            window: None,
+        },
+        requested_by: "ops".into(),
+        stage: Stage::Begun,
+        requested_at: 0,
+        since: 0,
+        grant: 1,
+        incarnation: node.identity().incarnation,
+        returned_incarnation: 0,
+        lapses: 0,
+        deadline: 60_000,
+    }
+}
+
+/// Whether the member drains by a notification that it receives at this time.
+fn drains(sent_at: Millis, now: Millis) -> bool {
+    let mut node = member();
+    let ticket = Some(begun_ticket(&node));
+    let notification = Notification { sent_at, leader: Some(VOTER.into()), term: 1, index: 1, ticket };
+    let from = MemberIdentity::new(VOTER.into(), Zone::new(), address(2), 1);
+    let message = Message { fleet: FLEET.into(), from, body: Body::Notification(notification) };
+    let bytes = wire::encode(&message).unwrap();
+    node.handle_message(&bytes[LENGTH_BYTES..], now).unwrap();
+    node.take_effects().contains(&Effect::Drain(4))
+}
+
+#[test]
+fn a_server_drains_only_by_a_notification_of_the_last_two_seconds() {
+    assert_eq!([5_000, 7_000, 7_001].map(|now| drains(5_000, now)), [true, true, false]);
+}
+
+/// Requests that the member sends now, and responses that it gives.
+fn requests_and_responses(node: &mut Node, now: Millis) -> (usize, Vec<Response>) {
+    node.tick(now);
+    let (mut requests, mut responses) = (0, Vec::new());
+    for effect in node.take_effects() {
+        match effect {
+            Effect::Send { bytes, .. } => {
+                let message = wire::decode(FLEET, &bytes[LENGTH_BYTES..]).unwrap();
+                requests += usize::from(matches!(message.body, Body::Request { .. }));
+            }
+            Effect::Responded(_, response) => responses.push(response),
+            _ => {}
+        }
+    }
+    (requests, responses)
+}
+
+#[test]
+fn a_request_is_repeated_after_700_ms_and_fails_after_ten_seconds() {
+    let mut node = member();
+    node.submit(Request::Status, 0);
+    assert_eq!(requests_and_responses(&mut node, 1).0, 1);
+    let repeated = [699, 700, 701, 1_399, 1_400].map(|now| requests_and_responses(&mut node, now).0);
+    assert_eq!(repeated, [0, 1, 0, 0, 1]);
+    assert_eq!(requests_and_responses(&mut node, 9_999).1, []);
+    let responses = requests_and_responses(&mut node, 10_000).1;
+    assert_eq!(responses, [Response::Rejected(Rejection::NoLeader)]);
+}
--- a/crates/loomflow-fleet/src/wire.rs
+++ b/crates/loomflow-fleet/src/wire.rs
@@ -50,7 +50,7 @@
         replica: Option<Replica>,
     },
     /// A voter's reply to a load report.
-    Notice(Notice),
+    Notification(Notification),
     /// A request on its way to the leader.
     Request {
         /// Identifies the request; a retry carries the same.
@@ -80,7 +80,7 @@
 
 /// What a voter tells a member in reply to its load report: who leads, and the ticket by which the member is to go.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Notice {
+pub struct Notification {
     /// When the load report that this answers was sent, by its sender's clock: a late notice is known by it.
     pub sent_at: Millis,
     /// The leader as far as the voter knows.
--- a/crates/loomflow-fleet/tests/maintenance.rs
+++ b/crates/loomflow-fleet/tests/maintenance.rs
@@ -5,7 +5,7 @@
 use loomflow_fleet::maintenance::state::{
     MAX_CLOSED_TICKETS, MAX_EVENTS, MAX_OPEN_TICKETS, MaintenanceState,
 };
-use loomflow_fleet::maintenance::ticket::{Refusal, Stage, TicketRequest, Transition, Urgency};
+use loomflow_fleet::maintenance::ticket::{Rejection, Stage, TicketRequest, Transition, Urgency};
 use loomflow_fleet::maintenance::{Census, Command, Entry, Issuer, Response};
 use proptest::prelude::*;
 
@@ -85,7 +85,7 @@
             // Each server holds at most one place; of each zone at most one is out, of the voters at most one.
             let holders: Vec<&str> = maintenance.holders().keys().map(String::as_str).collect();
             prop_assert!(holders.len() <= 2, "{holders:?}");
-            let held = maintenance.open().values().filter(|ticket| ticket.stage.holds_place()).count();
+            let held = maintenance.open().values().filter(|ticket| ticket.stage.has_place()).count();
             prop_assert_eq!(held, holders.len());
             for zone in ["z0", "z1"] {
                 let here = maintenance.holders().values().filter(|id| maintenance.open()[*id].request.zone == zone).count();
@@ -128,8 +128,8 @@
         Some(Response::Done(tickets)) => assert_eq!(tickets.len(), 10_000),
         other => panic!("{other:?}"),
     }
-    let refused = put(&mut maintenance, &ask(2, many(20_000, 3_000)));
-    assert_eq!(refused, Some(Response::Refused(Refusal::TooMany(10_000))));
+    let rejected = put(&mut maintenance, &ask(2, many(20_000, 3_000)));
+    assert_eq!(rejected, Some(Response::Rejected(Rejection::TooMany(10_000))));
     assert_eq!(maintenance.open().len(), 10_000);
     assert!(maintenance.events().count() <= MAX_EVENTS && MAX_OPEN_TICKETS >= 10_000);
     let back = MaintenanceState::load(&maintenance.save()).unwrap();
--- a/crates/loomflow-fleet/tests/ticket_model.rs
+++ b/crates/loomflow-fleet/tests/ticket_model.rs
@@ -174,9 +174,9 @@
                 }
                 _ => {}
             }
-            if ticket.stage.holds_place() && ticket.stage != Stage::Granted {
+            if ticket.stage.has_place() && ticket.stage != Stage::Granted {
                 // A server may be taken for dead that is not.
-                let seen = [Transition::Depart, Transition::Return, Transition::Warm, Transition::Finish];
+                let seen = [Transition::Depart, Transition::Return, Transition::Ready, Transition::Finish];
                 actions.extend(seen.map(|by| Action::See(id, by)));
             }
         }
--- a/crates/loomflow-fleet/tests/wire_format.rs
+++ b/crates/loomflow-fleet/tests/wire_format.rs
@@ -19,13 +19,13 @@
 use loomflow_fleet::maintenance::rules::{Limit, Rules};
 use loomflow_fleet::maintenance::scheduling::{Check, Explanation, Finding};
 use loomflow_fleet::maintenance::state::TicketEvent;
-use loomflow_fleet::maintenance::ticket::{Refusal, Stage, Ticket, TicketRequest, Transition, Urgency};
+use loomflow_fleet::maintenance::ticket::{Rejection, Stage, Ticket, TicketRequest, Transition, Urgency};
 use loomflow_fleet::maintenance::{
     Census, Command, Entry, Issuer, MemberRow, Request, Response, Status, SummaryReport,
 };
 use loomflow_fleet::member::{LoadReport, MemberIdentity, MemberState, Phase, Replica};
 use loomflow_fleet::operator::{OperatorRequest, OperatorResponse, OwnedDuty};
-use loomflow_fleet::wire::{self, Body, Message, Notice};
+use loomflow_fleet::wire::{self, Body, Message, Notification};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -149,7 +149,7 @@
 }
 
 fn duty_answers() -> Vec<duty::Response> {
-    use duty::Refusal;
+    use duty::Rejection;
     let row = DutyStatus {
         duty: "d".into(),
         owner: Some(holder()),
@@ -161,7 +161,7 @@
         last_run: 6,
         has_unfinished_run: true,
         is_run_requested: true,
-        refused_writes: 7,
+        rejected_writes: 7,
     };
     let kinds = [
         DutyEventKind::Taken,
@@ -172,7 +172,7 @@
         DutyEventKind::Failed,
         DutyEventKind::Parked,
         DutyEventKind::Resumed,
-        DutyEventKind::Refused,
+        DutyEventKind::Rejected,
     ];
     let event = |kind| duty::DutyEvent {
         at: 1,
@@ -182,12 +182,12 @@
         kind,
         detail: "why".into(),
     };
-    let refusals = [
-        Refusal::Unknown("d".into()),
-        Refusal::Stale { duty: "d".into(), token: 1, current: 2 },
-        Refusal::EarlierIncarnation(3),
-        Refusal::Begun { duty: "d".into(), run: 4 },
-        Refusal::Invalid("no".into()),
+    let rejections = [
+        Rejection::Unknown("d".into()),
+        Rejection::Stale { duty: "d".into(), token: 1, current: 2 },
+        Rejection::EarlierIncarnation(3),
+        Rejection::Begun { duty: "d".into(), run: 4 },
+        Rejection::Invalid("no".into()),
     ];
     let listed = DutyList {
         duties: vec![row],
@@ -197,7 +197,7 @@
         events: kinds.map(event).to_vec(),
     };
     let mut answers = vec![duty::Response::Done, duty::Response::Ownership(kept())];
-    answers.extend(refusals.map(duty::Response::Refused));
+    answers.extend(rejections.map(duty::Response::Rejected));
     answers.push(duty::Response::List(Box::new(listed)));
     answers
 }
@@ -262,23 +262,23 @@
     commands
 }
 
-fn refusals() -> Vec<Refusal> {
+fn rejections() -> Vec<Rejection> {
     vec![
-        Refusal::Unknown,
-        Refusal::Closed(Stage::Done),
-        Refusal::TooLate(Stage::Out),
-        Refusal::TooEarly(Stage::Requested),
-        Refusal::Superseded { grant: 1, current: 2 },
-        Refusal::OtherIncarnation,
-        Refusal::NotPermitted,
-        Refusal::NoPlace { out: 1, limit: 1, zone: Some("z1".into()) },
-        Refusal::Voters { stay: 1, needed: 2 },
-        Refusal::Paused,
-        Refusal::WindowNotOpen,
-        Refusal::HoldsPlace(3),
-        Refusal::TooMany(4),
-        Refusal::Invalid("no".into()),
-        Refusal::NoLeader,
+        Rejection::Unknown,
+        Rejection::Closed(Stage::Done),
+        Rejection::TooLate(Stage::Out),
+        Rejection::TooEarly(Stage::Requested),
+        Rejection::Superseded { grant: 1, current: 2 },
+        Rejection::OtherIncarnation,
+        Rejection::NotPermitted,
+        Rejection::NoPlace { out: 1, limit: 1, zone: Some("z1".into()) },
+        Rejection::Voters { stay: 1, needed: 2 },
+        Rejection::Paused,
+        Rejection::WindowNotOpen,
+        Rejection::HasPlace(3),
+        Rejection::TooMany(4),
+        Rejection::Invalid("no".into()),
+        Rejection::NoLeader,
     ]
 }
 
@@ -290,7 +290,7 @@
         MemberState::Out,
         MemberState::Suspect,
         MemberState::Down,
-        MemberState::Gone,
+        MemberState::Left,
     ];
     let member = |state| MemberRow {
         name: "n1".into(),
@@ -319,7 +319,7 @@
         time: 6,
         storage_error: Some("full".into()),
         summary: Some(SummaryReport { owner: "n1".into(), token: 7, age_millis: 8, summary: summary() }),
-        refused_messages: 9,
+        rejected_messages: 9,
     }
 }
 
@@ -359,7 +359,7 @@
         Response::Explanation(explained()),
         Response::Campaigns(campaign_views()),
     ];
-    answers.extend(refusals().into_iter().map(Response::Refused));
+    answers.extend(rejections().into_iter().map(Response::Rejected));
     answers.extend(duty_answers().into_iter().map(Response::Duty));
     answers
 }
@@ -424,12 +424,13 @@
 #[test]
 fn member_messages_keep_their_bytes() {
     let replica = Replica { id: 1, group: 2 };
-    let notice = Notice { sent_at: 1, leader: Some("n1".into()), term: 2, index: 3, ticket: Some(ticket()) };
+    let notification =
+        Notification { sent_at: 1, leader: Some("n1".into()), term: 2, index: 3, ticket: Some(ticket()) };
     let bodies = [
         Body::Swim(vec![1]),
         Body::Raft { group: 2, bytes: vec![3] },
         Body::LoadReport { sent_at: 1, load_report: load_report(), replica: Some(replica) },
-        Body::Notice(notice),
+        Body::Notification(notification),
         Body::Request { id: 1, hops: 1, request: Request::Status },
         Body::Response { id: 1, response: Response::Done(vec![4]) },
         Body::Duties(kept()),
--- a/crates/loomflow-server/src/fleet/command/client.rs
+++ b/crates/loomflow-server/src/fleet/command/client.rs
@@ -44,7 +44,7 @@
     /// Sends one request to the leader.
     pub fn request(&self, request: Request) -> Result<Response, CommandError> {
         match self.call(&OperatorRequest::Fleet(request))? {
-            OperatorResponse::Response(Response::Refused(refusal)) => Err(refusal.into()),
+            OperatorResponse::Response(Response::Rejected(rejection)) => Err(rejection.into()),
             OperatorResponse::Response(response) => Ok(response),
             other => Err(CommandError::unexpected(&other)),
         }
--- a/crates/loomflow-server/src/fleet/command/duties.rs
+++ b/crates/loomflow-server/src/fleet/command/duties.rs
@@ -41,7 +41,7 @@
         }
         DutyCommand::Execute(command) => match client.execute(maintenance::Command::Duty(command))? {
             Response::Duty(duty::Response::Done) => client.print(&"done", || "done".to_owned()),
-            Response::Duty(duty::Response::Refused(refusal)) => Err(refusal.into()),
+            Response::Duty(duty::Response::Rejected(rejection)) => Err(rejection.into()),
             other => Err(CommandError::unexpected(&other)),
         },
         DutyCommand::Run(options) => job_process::run(&client.socket, &options),
--- a/crates/loomflow-server/src/fleet/command/error.rs
+++ b/crates/loomflow-server/src/fleet/command/error.rs
@@ -7,7 +7,7 @@
 
 use loomflow_fleet::duty;
 use loomflow_fleet::duty::fence::FenceError;
-use loomflow_fleet::maintenance::ticket::Refusal;
+use loomflow_fleet::maintenance::ticket::Rejection;
 use loomflow_settings::error::{SpanError, YamlError};
 
 /// An unexpected response is printed up to this length, bytes.
@@ -87,10 +87,10 @@
     Server(String),
     /// The fleet refuses.
     #[error(transparent)]
-    Refused(#[from] Refusal),
+    Rejected(#[from] Rejection),
     /// The fleet refuses a command on a duty.
     #[error(transparent)]
-    DutyRefused(#[from] duty::Refusal),
+    DutyRejected(#[from] duty::Rejection),
     /// A response to something else.
     #[error("{0}")]
     UnexpectedResponse(String),
--- a/crates/loomflow-server/src/fleet/command/output.rs
+++ b/crates/loomflow-server/src/fleet/command/output.rs
@@ -53,8 +53,8 @@
     if let Some(report) = &status.summary {
         text += &summary(report);
     }
-    if status.refused_messages > 0 {
-        text += &format!("{} orders of old owners were refused here\n", status.refused_messages);
+    if status.rejected_messages > 0 {
+        text += &format!("{} orders of old owners were refused here\n", status.rejected_messages);
     }
     if let Some(error) = &status.storage_error {
         text += &format!("this server takes no part in the agreement: {error}\n");
@@ -194,7 +194,7 @@
             span(list.time.saturating_sub(duty.since)),
             if duty.last_run > 0 { duty.last_run.to_string() } else { NONE.into() },
             duty.recent_failures.len().to_string(),
-            duty.refused_writes.to_string(),
+            duty.rejected_writes.to_string(),
         ]
     });
     let header = ["duty", "owner", "token", "state", "since", "last run", "strikes", "refused"];
--- a/crates/loomflow-server/src/fleet/command/progress.rs
+++ b/crates/loomflow-server/src/fleet/command/progress.rs
@@ -52,7 +52,7 @@
 }
 
 fn servers_out(open: &[Ticket]) -> String {
-    let out = open.iter().filter(|ticket| ticket.stage.holds_place());
+    let out = open.iter().filter(|ticket| ticket.stage.has_place());
     let out = out.map(|ticket| format!("{} {}", ticket.request.server, ticket.stage.as_str()));
     out.collect::<Vec<_>>().join(", ")
 }
--- a/crates/loomflow-server/src/fleet/driver.rs
+++ b/crates/loomflow-server/src/fleet/driver.rs
@@ -27,40 +27,27 @@
 pub const WAKE: Token = Token(0);
 
 /// The end of the thread: the owner waits for it until the deadline.
-struct Shutdown {
+pub(super) struct Shutdown {
     done: SyncSender<()>,
     deadline: Millis,
 }
 
-/// The thread's state.
+/// The thread's state. `Fleet::start` sets its parts up one by one, as each of them can fail.
 pub struct Driver {
-    poll: Poll,
-    links: Links,
-    operators: OperatorSocket,
-    inbox: Arc<Inbox>,
-    node: Node,
-    mailbox: Arc<Mailbox>,
-    jobs: Jobs,
-    shutdown_timeout: Duration,
-    shutdown: Option<Shutdown>,
+    pub(super) poll: Poll,
+    pub(super) links: Links,
+    pub(super) operators: OperatorSocket,
+    pub(super) inbox: Arc<Inbox>,
+    pub(super) node: Node,
+    pub(super) mailbox: Arc<Mailbox>,
+    pub(super) jobs: Jobs,
+    /// How long the owner waits at the end.
+    pub(super) shutdown_timeout: Duration,
+    /// None until the server has drained.
+    pub(super) shutdown: Option<Shutdown>,
 }
 
 impl Driver {
-    // Its parts are set up one by one in `Fleet::start`, where each can fail.
-    #[allow(clippy::too_many_arguments)]
-    pub fn new(
-        poll: Poll,
-        links: Links,
-        operators: OperatorSocket,
-        inbox: Arc<Inbox>,
-        node: Node,
-        mailbox: Arc<Mailbox>,
-        jobs: Jobs,
-        shutdown_timeout: Duration,
-    ) -> Driver {
-        Driver { poll, links, operators, inbox, node, mailbox, jobs, shutdown_timeout, shutdown: None }
-    }
-
     /// Runs until the server has drained, or the poller fails.
     pub fn run(mut self) {
         let mut events = Events::with_capacity(MAX_EVENTS);
--- a/crates/loomflow-server/src/fleet/jobs.rs
+++ b/crates/loomflow-server/src/fleet/jobs.rs
@@ -140,7 +140,7 @@
         if let Some(job) = job {
             let result = match response {
                 Response::Duty(duty::Response::Done) => Some(Ok(())),
-                Response::Duty(duty::Response::Refused(refusal)) => Some(Err(refusal.clone())),
+                Response::Duty(duty::Response::Rejected(rejection)) => Some(Err(rejection.clone())),
                 _ => None,
             };
             let grant = valid_grant(node, &duty, now);
--- a/crates/loomflow-server/src/fleet/mod.rs
+++ b/crates/loomflow-server/src/fleet/mod.rs
@@ -117,7 +117,8 @@
         let shutdown_timeout = shutdown_timeout(options);
         let run = move || {
             let node = Node::start(node_config, storage, boot_millis());
-            Driver::new(poll, links, operators, inbox, node, mailbox, jobs, shutdown_timeout).run();
+            let shutdown = None;
+            Driver { poll, links, operators, inbox, node, mailbox, jobs, shutdown_timeout, shutdown }.run();
         };
         let thread = std::thread::Builder::new().name("fleet".into()).stack_size(STACK_BYTES);
         thread.spawn(run).map_err(StartError::system("fleet"))?;
--- a/crates/loomflow-server/src/fleet/node_config.rs
+++ b/crates/loomflow-server/src/fleet/node_config.rs
@@ -40,8 +40,8 @@
         max_out: limit(options.out),
         max_out_per_zone: options.zone_out.map(limit),
         begin_within_millis: options.begin_within_s * MILLIS_PER_SECOND,
-        warm_for_millis: options.warm_for_s * MILLIS_PER_SECOND,
-        min_warm_share: options.warm_share,
+        ready_for_millis: options.warm_for_s * MILLIS_PER_SECOND,
+        min_ready_share: options.warm_share,
     }
 }
 
--- a/crates/loomflow-simulation/src/invariants.rs
+++ b/crates/loomflow-simulation/src/invariants.rs
@@ -141,7 +141,7 @@
     /// Effects that were admitted.
     pub accepted: u64,
     /// Effects of former owners that were refused.
-    pub refused: u64,
+    pub rejected: u64,
     violation: Option<Violation>,
 }
 
@@ -162,7 +162,7 @@
                 *highest = token;
                 self.accepted += 1;
             }
-            Err(_) => self.refused += 1,
+            Err(_) => self.rejected += 1,
         }
     }
 }
--- a/crates/loomflow-simulation/tests/duties.rs
+++ b/crates/loomflow-simulation/tests/duties.rs
@@ -97,9 +97,9 @@
     go_until(&mut simulation, "a third", |simulation| !simulation.owners("d0").is_empty());
     let third = owner(&simulation, 0);
     assert!(third != first && third != second);
-    let refused = simulation.invariants.receiver.refused;
+    let rejected = simulation.invariants.receiver.rejected;
     go(&mut simulation, 95_000);
-    assert_eq!(simulation.invariants.receiver.refused, refused + 1, "{}", timeline(&simulation));
+    assert_eq!(simulation.invariants.receiver.rejected, rejected + 1, "{}", timeline(&simulation));
     assert_eq!(owner(&simulation, 0), third);
 }
 
@@ -177,7 +177,7 @@
     simulation.inject(&Stop(one, 3_600_000));
     go(&mut simulation, 30_000 + 3_600_000 + 30_000);
     all_owned(&simulation);
-    assert!(simulation.invariants.receiver.refused > 0);
+    assert!(simulation.invariants.receiver.rejected > 0);
 }
 
 #[test]
