--- a/crates/loomflow-fleet/src/consensus/election.rs
+++ b/crates/loomflow-fleet/src/consensus/election.rs
@@ -11,7 +11,7 @@
 pub(super) const TICK_MILLIS: Millis = 100;
 /// A leader sends heartbeats every this many ticks.
 pub(super) const HEARTBEAT_TICKS: usize = 2;
-/// A voter without a heartbeat for this many ticks, up to twice as many by chance, stands for election.
+/// A voter without a heartbeat for this many ticks, up to twice as many by chance, starts an election.
 pub(super) const ELECTION_TICKS: usize = 10;
 
 impl<M: StateMachine> Consensus<M> {
--- a/crates/loomflow-fleet/src/consensus/error.rs
+++ b/crates/loomflow-fleet/src/consensus/error.rs
@@ -47,13 +47,13 @@
     /// A snapshot's state cannot be read.
     #[error(transparent)]
     SnapshotState(#[from] SnapshotError),
-    /// What the data directory holds is not a log.
+    /// The data directory does not contain a log.
     #[error("the log: {0}")]
     Log(raft::Error),
-    /// The Raft library refuses.
+    /// The Raft library rejects it.
     #[error(transparent)]
     Raft(#[from] raft::Error),
-    /// The log holds a change of configuration in a form that is no longer written.
+    /// The log contains a change of configuration in a form that is no longer written.
     #[error("a change of an old form is in the log")]
     UnsupportedConfigurationChange,
 }
--- a/crates/loomflow-fleet/src/consensus/log.rs
+++ b/crates/loomflow-fleet/src/consensus/log.rs
@@ -1,4 +1,4 @@
-//! The log as the Raft library reads it: in memory, with the last snapshot and what it holds beside it.
+//! The log as the Raft library reads it: in memory, with the last snapshot and what follows it.
 
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::storage::MemStorage;
@@ -7,7 +7,7 @@
 /// Entries that stay in memory behind a snapshot, so that a voter that is a little late needs none.
 const RETAINED_ENTRIES: u64 = 256;
 
-/// The library's own log in memory, except for snapshots: those that it creates hold no state.
+/// The library's own log in memory, except for snapshots: those that it creates have no state.
 pub(super) struct Log {
     entries: MemStorage,
     snapshot: Snapshot,
@@ -97,8 +97,8 @@
         self.entries.last_index()
     }
 
-    /// The last snapshot. Not available where it is older than asked for, or where its configuration does not know the
-    /// replica that it is for, which would refuse it.
+    /// The last snapshot. Not available where it is older than requested, or where its configuration does not know the
+    /// replica that it is for, which would reject it.
     fn snapshot(&self, request_index: u64, to: u64) -> Result<Snapshot> {
         let metadata = self.snapshot.get_metadata();
         let configuration = metadata.get_conf_state();
--- a/crates/loomflow-fleet/src/consensus/mod.rs
+++ b/crates/loomflow-fleet/src/consensus/mod.rs
@@ -1,10 +1,10 @@
-//! A replicated log among a few voters: Raft, by the library `raft`. Fed messages and times; it knows no socket, and of its
+//! A replicated log among several voters: Raft, by the library `raft`. Fed messages and times; it knows no socket, and of its
 //! disk only [`Storage`].
 //!
 //! Election with pre-vote and a check of the quorum, transfer of leadership, snapshots and changes of configuration are the
-//! library's. Ours is the order of things around it: a step is durable before anything that follows from it is sent; a storage
-//! that fails takes this voter out of the consensus until it can be read and written again, with what it then holds; and a
-//! voter is its data directory, so that one whose directory is lost is another voter.
+//! library's. Ours is the order of things around it: a step is durable before anything that follows from it is sent; a
+//! storage that fails takes this voter out of the consensus until it can be read and written again, with its contents then;
+//! and a voter is its data directory, so that one whose directory is lost is another voter.
 //!
 //! - this file: starting, creating and recovering a fleet, what comes in;
 //! - `ready`: carrying out what the library wants done;
@@ -12,7 +12,7 @@
 //! - `voter_changes`: bringing the configuration to the voters that the settings name;
 //! - `log`: the log as the library reads it;
 //! - [`storage`]: what a voter must not forget;
-//! - `election`: who leads, and when a voter stands for election;
+//! - `election`: who leads, and when a voter starts an election;
 //! - `error`: what can go wrong.
 
 mod election;
@@ -58,10 +58,10 @@
     /// Applies one entry; none where it cannot be read.
     fn apply(&mut self, entry: &[u8]) -> Option<Self::Output>;
 
-    /// Tells it who has a vote from now on.
+    /// Sets who has a vote from now on.
     fn set_voters(&mut self, names: Vec<ServerName>);
 
-    /// Tells it that the fleet was recovered from one data directory: numbers that others may know must not come again.
+    /// Called when the fleet was recovered from one data directory: numbers that others may know must not be assigned again.
     fn reset_after_recovery(&mut self);
 
     /// A snapshot of the state.
@@ -98,8 +98,8 @@
 }
 
 impl<M: StateMachine> Consensus<M> {
-    /// Continues from what the data directory holds. An empty one is a new replica, with an id drawn from `seed`. Where it
-    /// cannot be read or written this voter takes no part and tries again; [`Consensus::error`] says why. `unix_millis`: the
+    /// Continues from the data directory. An empty one is a new replica, with an id drawn from `seed`. Where it cannot be
+    /// read or written this voter takes no part and tries again; [`Consensus::error`] has the reason. `unix_millis`: the
     /// wall clock.
     pub fn start(
         name: ServerName,
@@ -134,7 +134,7 @@
         consensus
     }
 
-    /// Reads the data directory, counts this start in it, and starts from what it holds.
+    /// Reads the data directory, counts this start in it, and starts from its contents.
     fn open_storage(&mut self) -> Result<(), ConsensusError> {
         let persisted = self.storage.read()?;
         let known = persisted.metadata.replica;
@@ -200,7 +200,7 @@
         self.begin_group(group, FIRST_INDEX, 1)
     }
 
-    /// Recreates the fleet from what this data directory holds, with this voter alone: for when a majority of the directories
+    /// Recreates the fleet from this data directory, with this voter alone: for when a majority of the directories
     /// is lost. What only the lost ones had committed is lost.
     ///
     /// # Errors
@@ -243,7 +243,7 @@
         Ok(())
     }
 
-    /// Starts from what the data directory holds. On an error this voter takes no part.
+    /// Starts from the data directory. On an error this voter takes no part.
     fn start_raft(&mut self, persisted: PersistedState) -> Result<(), ConsensusError> {
         self.raft_node = None;
         let PersistedState { hard_state, snapshot, entries, .. } = persisted;
@@ -348,7 +348,7 @@
         Ok(())
     }
 
-    /// What the library believes to be durable may not be: this voter starts again from what the data directory holds.
+    /// What the library believes to be durable may not be: this voter starts again from the data directory.
     fn stop_on_error(&mut self, error: ConsensusError) {
         self.raft_node = None;
         self.error = Some(error);
@@ -370,7 +370,7 @@
     }
 }
 
-/// Tells the library that snapshots that are still on their way are lost: it sends them again.
+/// Reports snapshots that are still in transit as lost: the library sends them again.
 fn report_pending_snapshots(node: &mut RawNode<Log>) {
     let is_pending = |state| state == raft::ProgressState::Snapshot;
     let pending = node.raft.prs().iter().filter(|(_, progress)| is_pending(progress.state));
--- a/crates/loomflow-fleet/src/consensus/ready.rs
+++ b/crates/loomflow-fleet/src/consensus/ready.rs
@@ -7,7 +7,7 @@
 use super::{Consensus, ConsensusError, StateMachine, decode, encode};
 use crate::member::ServerName;
 
-/// A snapshot is written after so many entries: what a restart reads again at the most.
+/// A snapshot is written after so many entries: what a restart reads again at most.
 const SNAPSHOT_EVERY_ENTRIES: u64 = 512;
 
 impl<M: StateMachine> Consensus<M> {
@@ -127,10 +127,10 @@
         Ok(())
     }
 
-    /// Tells the state machine who has a vote.
+    /// Passes the voters to the state machine.
     pub(super) fn update_machine_voters(&mut self) {
         let mut voters = self.voters();
-        // The library keeps them in no order, and the state must be the same everywhere.
+        // The library stores them in no order, and the state must be the same everywhere.
         voters.sort();
         if !voters.is_empty() {
             self.machine.set_voters(voters);
--- a/crates/loomflow-fleet/src/consensus/snapshot.rs
+++ b/crates/loomflow-fleet/src/consensus/snapshot.rs
@@ -9,7 +9,7 @@
 use super::{Consensus, ConsensusError, StateMachine, encode};
 use crate::member::ServerName;
 
-/// What a snapshot's data holds.
+/// The contents of a snapshot's data.
 #[derive(Serialize, Deserialize)]
 pub(super) struct SnapshotPayload {
     pub replicas: BTreeMap<u64, ServerName>,
--- a/crates/loomflow-fleet/src/consensus/storage.rs
+++ b/crates/loomflow-fleet/src/consensus/storage.rs
@@ -6,7 +6,7 @@
 
 use crate::member::{Incarnation, Replica};
 
-/// All that a data directory holds.
+/// The contents of a data directory.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistedState {
     /// What belongs to the data directory itself.
@@ -29,7 +29,7 @@
 }
 
 impl ReplicaMetadata {
-    /// The bytes that a storage keeps.
+    /// The bytes of a storage.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
@@ -97,7 +97,7 @@
     }
 }
 
-/// Keeps a [`PersistedState`] beyond the process.
+/// Stores a [`PersistedState`] beyond the process.
 pub trait Storage: Send {
     /// Reads all.
     ///
--- a/crates/loomflow-fleet/src/consensus/voter_changes.rs
+++ b/crates/loomflow-fleet/src/consensus/voter_changes.rs
@@ -1,4 +1,4 @@
-//! Who should have a vote: the settings name the voters, their data directories say which replicas they are. The leader brings
+//! Who should have a vote: the settings name the voters, their data directories identify their replicas. The leader brings
 //! the configuration there one change at a time.
 //!
 //! A voter whose data directory was lost comes back as another replica. It is admitted as a learner, which has no vote; when
--- a/crates/loomflow-fleet/src/duty/assign.rs
+++ b/crates/loomflow-fleet/src/duty/assign.rs
@@ -1,5 +1,5 @@
-//! Who should own what. [`super::load`] ranks the servers and bounds their load; [`super::recall`] has the reasons for which an
-//! owner is to release a duty.
+//! Who should own what. [`super::load`] ranks the servers and bounds their load; [`super::recall`] has the reasons for
+//! which an owner is to release a duty.
 //!
 //! A server's weight is the share that it requests, by its decision module: one in overload acquires nothing new.
 
@@ -11,7 +11,7 @@
 use super::{Command, DutyName};
 use crate::member::{MemberView, ServerName};
 
-/// A server that asks for less than this share acquires nothing new.
+/// A server that requests less than this share acquires nothing new.
 const MIN_SHARE_TO_ACQUIRE: f32 = 0.9;
 /// No weight is below this.
 const MIN_WEIGHT: f32 = 0.01;
@@ -23,7 +23,7 @@
     pub name: ServerName,
     /// How much it may own beside the others; above 0, up to 1.
     pub weight: f64,
-    /// Whether it may acquire what is free.
+    /// Whether it may acquire further duties.
     pub can_acquire: bool,
 }
 
@@ -43,7 +43,8 @@
     candidates.collect()
 }
 
-/// What the leader puts into the log: owners for free duties; where none is free, recalls of a few that are better elsewhere.
+/// What the leader puts into the log: owners for duties without one; where there are none, recalls of some that are better
+/// elsewhere.
 pub fn commands(
     duties: &Duties,
     members: &BTreeMap<ServerName, MemberView>,
@@ -61,7 +62,7 @@
     recalls(duties, members, &candidates, is_departing).into_iter().map(Command::Recall).collect()
 }
 
-/// Owners for the duties that are free and need not wait.
+/// Owners for the duties that are available and need not wait.
 pub fn assign_available(
     duties: &Duties,
     candidates: &[Candidate],
--- a/crates/loomflow-fleet/src/duty/client_session.rs
+++ b/crates/loomflow-fleet/src/duty/client_session.rs
@@ -1,5 +1,6 @@
-//! What a member knows of its own session and of the duties that it owns. It goes by its own boot-time clock alone, counted
-//! from before it asked: an answer that comes late is worth what is left of it, and after a long sleep nothing is left.
+//! What a member knows of its own session and of the duties that it owns. It relies on its own boot-time clock alone,
+//! counted from before a renewal was sent: an answer that comes late is valid for the rest of its lease, and not at all
+//! after a long sleep.
 
 use std::collections::BTreeMap;
 
@@ -39,7 +40,7 @@
 }
 
 impl ClientSession {
-    /// The token by which the server owns a duty at this moment. Nobody else owns it, as far as clocks keep to
+    /// The token by which the server owns a duty at this moment. Nobody else owns it, as far as clocks stay within
     /// [`super::MAX_CLOCK_DRIFT`].
     pub fn owned_token(&self, duty: &str, now: Millis) -> Option<Token> {
         if now >= self.valid_until {
@@ -137,7 +138,7 @@
         }
     }
 
-    /// The server ends the session: it is given nothing more.
+    /// The server ends the session: it is assigned nothing more.
     pub fn end(&mut self) {
         self.lose_all();
         self.valid_until = 0;
--- a/crates/loomflow-fleet/src/duty/fence.rs
+++ b/crates/loomflow-fleet/src/duty/fence.rs
@@ -1,7 +1,7 @@
-//! The receiver's half: the highest fencing token that was ever seen of each duty, and a refusal for every lower one.
+//! The receiver's part: the highest fencing token of each duty so far, and a rejection of every lower one.
 //!
-//! A lease cannot stop a process that stands still between its check and its effect. So each effect carries its owner's token,
-//! and whoever receives it asks a fence first. The fence is stored where the effect is stored, and written before the effect:
+//! A lease cannot stop a process that stalls between its check and its effect. So each effect carries its owner's token,
+//! and its receiver checks the fence first. The fence is stored where the effect is stored, and written before the effect:
 //! [`Fence::admit`] takes the writing as a step that must succeed.
 
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 
 use super::{DutyName, MAX_DUTIES, Token};
 
-/// Why an effect is refused. Nothing of it is to be done.
+/// Why an effect is rejected. Nothing of it is to be done.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FenceError<E> {
     /// A later owner was here.
@@ -18,7 +18,7 @@
     Stale {
         /// The token of the effect.
         token: Token,
-        /// The highest token seen.
+        /// The highest token so far.
         highest: Token,
     },
     /// As many duties as a fence stores.
@@ -29,28 +29,28 @@
     Storage(E),
 }
 
-/// Highest tokens by duty. Holds at most [`MAX_DUTIES`].
+/// Highest tokens by duty. Stores at most [`MAX_DUTIES`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Fence {
     highest: BTreeMap<DutyName, Token>,
-    /// Effects refused since this was created.
+    /// Effects rejected since this was created.
     #[serde(skip)]
     rejected: u64,
 }
 
 impl Fence {
-    /// The highest token seen of a duty; 0 before there was one.
+    /// The highest token so far of a duty; 0 before there was one.
     pub fn highest_token(&self, duty: &str) -> Token {
         self.highest.get(duty).copied().unwrap_or(0)
     }
 
-    /// Effects refused since this was created.
+    /// Effects rejected since this was created.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
 
-    /// Asks whether an effect with this token may be done. `store` writes the fence, where the token is higher than any before:
-    /// it has to be durable when it returns.
+    /// Checks whether an effect with this token may be done. `store` writes the fence, where the token is higher than any
+    /// before: it has to be durable when it returns.
     ///
     /// # Errors
     /// The effect must not be done, and the fence is as it was.
--- a/crates/loomflow-fleet/src/duty/job.rs
+++ b/crates/loomflow-fleet/src/duty/job.rs
@@ -27,7 +27,7 @@
     Write(OwnerUpdate),
     /// Start the process of this run.
     Start(RunId),
-    /// Ask the process to end.
+    /// Send the process SIGTERM.
     Terminate,
     /// Release the duty: no process runs any more.
     Release,
@@ -78,7 +78,7 @@
         matches!(self.state, State::Running { .. })
     }
 
-    /// Whether a process runs that was asked to end.
+    /// Whether a process runs that has to end.
     pub fn is_terminating(&self) -> bool {
         matches!(self.state, State::Running { is_terminating: true, .. })
     }
--- a/crates/loomflow-fleet/src/duty/load.rs
+++ b/crates/loomflow-fleet/src/duty/load.rs
@@ -1,6 +1,6 @@
-//! How much a server may own: weighted rendezvous hashing with a bound on load. Each duty ranks all servers by a number drawn
-//! from both names and the server's weight, and is placed on the first of its ranking that has capacity. So a server that joins
-//! or leaves changes the owners of little more than its own part.
+//! How much a server may own: weighted rendezvous hashing with a bound on load. Each duty ranks all servers by a number
+//! drawn from both names and the server's weight, and is placed on the first of its ranking that has capacity. So a server
+//! that joins or leaves changes the owners of little more than its own part.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -64,7 +64,8 @@
             && self.acquirers().any(|other| other.name != name && self.has_capacity(other, weight))
     }
 
-    /// Places a duty on the first of its ranking with capacity; where none has it, on the one that owns the least by its weight.
+    /// Places a duty on the first of its ranking with capacity; where none has it, on the one that owns the least by its
+    /// weight.
     pub fn place(&mut self, duty: &str, weight: u32) -> Option<ServerName> {
         let weight = f64::from(weight);
         let relative_load = |candidate: &Candidate| self.owned[candidate.name.as_str()] / candidate.weight;
@@ -82,7 +83,7 @@
     candidates.iter().map(|candidate| candidate.weight).sum()
 }
 
-/// A server's place in a duty's ranking: the greatest goes first. Weighted rendezvous hashing, `-w / ln u`, with u drawn
+/// A server's place in a duty's ranking: the greatest is first. Weighted rendezvous hashing, `-w / ln u`, with u drawn
 /// evenly between 0 and 1 from both names (Schindelhauer and Schomaker, "Weighted distributed hash tables").
 fn score(duty: &str, candidate: &Candidate) -> f64 {
     let mut hasher = DefaultHasher::new();
@@ -91,7 +92,7 @@
     -candidate.weight / u.ln()
 }
 
-/// How unevenly duties are spread: the most that a server owns over the mean, by weight; for measurements.
+/// How unevenly duties are spread: the maximum that a server owns over the mean, by weight; for measurements.
 pub fn imbalance(duties: &Duties, candidates: &[Candidate]) -> f64 {
     let loads = Loads::new(duties, candidates);
     let total: f64 = loads.owned.values().sum();
--- a/crates/loomflow-fleet/src/duty/mod.rs
+++ b/crates/loomflow-fleet/src/duty/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`state`]: the state machine applied from the log: sessions, leases, what owners have written, what is parked.
 //! - [`client_session`]: what one member knows of its own session and the duties that it owns, by its own clock.
-//! - [`fence`]: the receiver's check, which refuses what comes from a former owner.
+//! - [`fence`]: the receiver's check, which rejects what comes from a former owner.
 //! - [`assign`]: who should own what, by `load`, and what its owner is to release, by `recall`. Only the leader decides; its
 //!   decisions go into the log.
 //! - `attempts`: when a duty that fails again and again is parked.
@@ -11,7 +11,7 @@
 //! - [`schedule`]: when a duty with a schedule is due, and what happens to missed runs.
 //! - [`summary`]: the duty that sums the fleet up.
 //!
-//! Time keeps two owners apart while clocks behave, and only to spare them useless work: what protects the fleet's effects is
+//! Time separates two owners while clocks behave, and only to spare them useless work: what protects the fleet's effects is
 //! the fencing token and the receiver's fence.
 
 pub mod assign;
@@ -39,14 +39,14 @@
 /// Numbers a run: the Unix time at which it was due, s.
 pub type RunId = u64;
 
-/// Most duties.
+/// Maximum number of duties.
 pub const MAX_DUTIES: usize = 2_048;
 /// What an owner may write for the next one, bytes.
 pub const MAX_CHECKPOINT_BYTES: usize = 1_024;
 /// A longer reason is truncated, bytes.
 pub const MAX_REASON_BYTES: usize = 256;
-/// The rates of two machines' boot-time clocks differ by at most this fraction. Beyond it two may believe that they own a duty;
-/// the fence then still lets only the later one through.
+/// The rates of two machines' boot-time clocks differ by at most this fraction. Beyond it two may believe that they own a
+/// duty; the fence then still lets only the later one through.
 pub const MAX_CLOCK_DRIFT: f64 = 0.01;
 
 /// One start of a server, as an owner of duties.
@@ -76,7 +76,7 @@
 }
 
 impl LeaseSettings {
-    /// How long the owner relies on its session, from before it asked, ms: the lease less the bound on drift.
+    /// How long the owner relies on its session, from before the renewal was sent, ms: the lease less the bound on drift.
     pub fn holder_duration(&self) -> Millis {
         (self.lease_millis as f64 * (1.0 - MAX_CLOCK_DRIFT)) as Millis
     }
@@ -123,15 +123,15 @@
 pub enum Command {
     /// By the leader, from its settings: all duties there are.
     Declare(LeaseSettings, Vec<DutySpec>),
-    /// Servers that renewed their sessions. One renewal keeps all that a server owns.
+    /// Servers that renewed their sessions. One renewal extends all that a server owns.
     KeepAlive(Vec<ServerInstance>),
     /// A server shuts down, and owns nothing that it has to finish.
     End(ServerInstance),
-    /// By the leader: owners for free duties.
+    /// By the leader: owners for duties without one.
     Assign(Vec<(DutyName, ServerName)>),
     /// By the leader or an operator: its owner is to release it.
     Recall(DutyName),
-    /// By its owner: it is free again.
+    /// By its owner: it is available again.
     Release {
         /// The duty.
         duty: DutyName,
@@ -253,9 +253,9 @@
     pub duty: DutyName,
     /// Its owner.
     pub owner: Option<ServerInstance>,
-    /// The highest token ever given for it.
+    /// The highest token ever assigned for it.
     pub token: Token,
-    /// Since when it is owned, or free.
+    /// Since when it is owned, or available.
     pub since: FleetMillis,
     /// Its owner is to release it.
     #[serde(rename = "recalled")]
@@ -273,7 +273,7 @@
     /// An operator requested a run that has not begun.
     #[serde(rename = "wanted")]
     pub is_run_requested: bool,
-    /// Writes that were refused for a stale token.
+    /// Writes that were rejected for a stale token.
     #[serde(rename = "refused")]
     pub rejected_writes: u64,
 }
@@ -319,7 +319,7 @@
 }
 
 impl DutyEventKind {
-    /// The word that operators see.
+    /// Its name as operators see it.
     pub fn as_str(self) -> &'static str {
         match self {
             DutyEventKind::Taken => "taken",
@@ -349,7 +349,7 @@
     /// What happened.
     #[serde(rename = "what")]
     pub kind: DutyEventKind,
-    /// A reason, a run, or the token that was refused.
+    /// A reason, a run, or the token that was rejected.
     pub detail: String,
 }
 
@@ -365,7 +365,7 @@
     }
 }
 
-/// A reason, as far as it is kept: [`MAX_REASON_BYTES`].
+/// A reason, as far as it is stored: [`MAX_REASON_BYTES`].
 pub fn truncate_reason(reason: &str) -> String {
     let mut end = reason.len().min(MAX_REASON_BYTES);
     while !reason.is_char_boundary(end) {
--- a/crates/loomflow-fleet/src/duty/recall.rs
+++ b/crates/loomflow-fleet/src/duty/recall.rs
@@ -1,5 +1,5 @@
-//! Which owners are to release a duty. What is owned stays where it is unless its owner shuts down, is in overload, or owns more
-//! than its bound: each change of the owner interrupts the work.
+//! Which owners are to release a duty. What is owned stays where it is unless its owner shuts down, is in overload, or owns
+//! more than its bound: each change of the owner interrupts the work.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
 /// Duties that are recalled for balance at once.
 const MAX_RECALLED_AT_ONCE: usize = 4;
 
-/// Duties to be released: all of a server that shuts down; a few of one that is in overload, or over its bound by more than
+/// Duties to be released: all of a server that shuts down; several of one that is in overload, or over its bound by more than
 /// one duty.
 pub(super) fn recalls(
     duties: &Duties,
--- a/crates/loomflow-fleet/src/duty/schedule.rs
+++ b/crates/loomflow-fleet/src/duty/schedule.rs
@@ -1,6 +1,6 @@
-//! When a duty with a schedule is to be run. Times are Unix seconds by the owner's wall clock, and a run is numbered by the time
-//! at which it was due: a number that began before is refused, so a clock that is set back runs nothing twice. One that is set
-//! ahead runs once too early and then not until that time has come.
+//! When a duty with a schedule is to be run. Times are Unix seconds by the owner's wall clock, and a run is numbered by the
+//! time at which it was due: a number that began before is rejected, so a clock that is set back runs nothing twice. One
+//! that is set ahead runs once too early and then not until that time has come.
 
 use std::str::FromStr;
 
--- a/crates/loomflow-fleet/src/duty/state.rs
+++ b/crates/loomflow-fleet/src/duty/state.rs
@@ -1,11 +1,12 @@
 //! The state machine that the log is applied to, for duties. It checks every command by itself: what the leader or an owner
-//! went by may be outdated when it is committed.
+//! relied on may be outdated when it is committed.
 //!
-//! A server has a session while it renews it; a lease of a duty lasts as long as its owner's session. Time is the fleet's own,
-//! which never runs ahead of any real clock by more than [`super::MAX_CLOCK_DRIFT`] and stands still without a leader: sessions
-//! expire late and never early, whoever leads. So a new leader has nothing more to wait for than what is committed.
+//! A server has a session while it renews it; a lease of a duty lasts as long as its owner's session. Time is the fleet's
+//! own, which never runs ahead of any real clock by more than [`super::MAX_CLOCK_DRIFT`] and stops without a leader:
+//! sessions expire late and never early, whoever leads. So a new leader has nothing more to wait for than what is
+//! committed.
 //!
-//! This file holds the state, what can be read of it, and its snapshot; `apply` changes it.
+//! This file has the state, what can be read of it, and its snapshot; `apply` changes it.
 
 mod apply;
 
@@ -20,11 +21,11 @@
 use crate::consensus::SnapshotError;
 use crate::member::{FleetMillis, Incarnation, ServerName};
 
-/// Events that are kept.
+/// Events that are retained.
 pub const MAX_EVENTS: usize = 2_000;
 /// Requests for a run that are remembered, so that none counts twice.
 const MAX_RUN_REQUESTS: usize = 16;
-/// How far numbers jump when a fleet is recovered: beyond any that the lost data directories may have given out.
+/// How far numbers jump when a fleet is recovered: above any that the lost data directories may have assigned.
 const RECOVERY_ID_GAP: u64 = 1 << 20;
 
 /// A server's session.
@@ -58,7 +59,7 @@
     pub spec: DutySpec,
     /// Its owner, if it has one.
     pub lease: Option<Lease>,
-    /// The highest token ever given for it.
+    /// The highest token ever assigned for it.
     pub token: Token,
     /// Since when it was last without an owner.
     pub available_since: FleetMillis,
@@ -78,7 +79,7 @@
     rejected_writes: u64,
 }
 
-/// What a snapshot holds; the indexes follow from it.
+/// The contents of a snapshot; the indexes follow from it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct PersistentState {
     time: FleetMillis,
@@ -166,7 +167,7 @@
         &self.state.sessions
     }
 
-    /// The highest token ever given.
+    /// The highest token ever assigned.
     pub fn last_token(&self) -> Token {
         self.state.last_token
     }
@@ -240,8 +241,8 @@
         }
     }
 
-    /// The fleet was recovered from one data directory: no token that was ever given comes again. Who owned what by what was
-    /// lost is not known, so nothing is assigned until that must have expired.
+    /// The fleet was recovered from one data directory: no token that was ever assigned comes again. Who owned what by what
+    /// was lost is not known, so nothing is assigned until that must have expired.
     pub fn reset_after_recovery(&mut self) {
         self.state.last_token += RECOVERY_ID_GAP;
         self.state.last_session += RECOVERY_ID_GAP;
--- a/crates/loomflow-fleet/src/duty/state/apply.rs
+++ b/crates/loomflow-fleet/src/duty/state/apply.rs
@@ -9,7 +9,7 @@
 use crate::membership::MAX_MEMBERS;
 
 impl Duties {
-    /// Moves the fleet's time on: sessions whose end has come expire, in the order of their ends.
+    /// Advances the fleet's time: sessions whose end has come expire, in the order of their ends.
     pub fn advance_time(&mut self, time: FleetMillis) {
         self.state.time = self.state.time.max(time);
         while let Some((at, server)) =
@@ -52,7 +52,7 @@
         self.state.lease_settings = Some(lease_settings);
         let is_declared = |name: &str| specs.iter().any(|spec| spec.name == name);
         self.state.duties.retain(|name, duty| duty.lease.is_some() || is_declared(name));
-        // One that is owned and no longer declared goes when its owner has released it.
+        // One that is owned and no longer declared is removed when its owner has released it.
         for (name, duty) in &mut self.state.duties {
             if !is_declared(name) {
                 duty.recall();
@@ -66,8 +66,8 @@
         Ok(())
     }
 
-    /// Renews a server's session, or opens one. What an earlier start of it owns is not touched: that one may still be running
-    /// somewhere, until its own session expires.
+    /// Renews a server's session, or opens one. What an earlier start of it owns is not touched: that one may still be
+    /// running somewhere, until its own session expires.
     fn renew_session(&mut self, instance: &ServerInstance) {
         let expires_at = self.state.time + self.lease_settings().waiting_duration();
         let is_full = self.state.sessions.len() >= MAX_MEMBERS;
@@ -105,7 +105,7 @@
         self.duties_by_owner.get(server).into_iter().flatten().cloned().collect()
     }
 
-    /// Assigns a free duty to a server with a session; nothing where it is not free, or there is none.
+    /// Assigns an available duty to a server with a session; nothing where it is not available, or there is none.
     fn assign(&mut self, name: &DutyName, owner: &ServerName) {
         let PersistentState { duties, sessions, last_token, time, quiet_until, .. } = &mut self.state;
         let Some(duty) = duties.get_mut(name) else { return };
@@ -198,7 +198,7 @@
 
     fn park(&mut self, name: &DutyName, reason: &str) -> Result<(), Rejection> {
         let duty = self.duty_mut(name)?;
-        // Its owner releases it first: it is working until it says that it is not.
+        // Its owner releases it first: it is working until it reports that it is not.
         duty.recall();
         if duty.parked.is_none() {
             let reason = truncate_reason(reason);
@@ -221,7 +221,8 @@
         self.state.duties.get_mut(name).ok_or_else(|| Rejection::Unknown(name.to_owned()))
     }
 
-    /// The fence of the fleet's own state: only the token of the current lease passes. Each refusal is counted and recorded.
+    /// The fence of the fleet's own state: only the token of the current lease passes. Each rejection is counted and
+    /// recorded.
     ///
     /// # Errors
     /// The duty is unknown, or the token is not of its current lease.
@@ -284,7 +285,7 @@
 }
 
 impl Duty {
-    /// Asks the owner, if there is one, to release it.
+    /// Requires the owner, if there is one, to release it.
     fn recall(&mut self) {
         if let Some(lease) = &mut self.lease {
             lease.is_recalled = true;
--- a/crates/loomflow-fleet/src/duty/supervisor.rs
+++ b/crates/loomflow-fleet/src/duty/supervisor.rs
@@ -1,21 +1,21 @@
 //! When the process of an owner has to end: before its lease can expire, first by a signal that it may handle, then by force.
-//! What still runs after that, such as a process that left its group, is refused by the fences of its receivers.
+//! What still runs after that, such as a process that left its group, is rejected by the fences of its receivers.
 
 use super::LeaseSettings;
 use crate::member::Millis;
 
-/// A process is asked to end when this fraction of the lease remains: the lease is renewed four times in its length, so that
+/// A process is sent SIGTERM when this fraction of the lease remains: the lease is renewed four times in its length, so that
 /// this does not happen while the fleet responds.
 const TERMINATE_AT_LEASE_FRACTION: f64 = 0.3;
 /// A process is killed when this fraction of the lease remains.
 const KILL_AT_LEASE_FRACTION: f64 = 0.1;
-/// A process that was asked to end has one lease divided by this before it is killed.
+/// A process that was sent SIGTERM has one lease divided by this before it is killed.
 const GRACE_PERIODS_PER_LEASE: u64 = 2;
 
-/// Why a process was asked to end.
+/// Why a process has to end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
-    /// Its owner is to release the duty, or was told to end.
+    /// Its owner is to release the duty, or is shutting down.
     HandOver,
     /// Its lease was about to expire, or was lost.
     LeaseExpiring,
@@ -78,7 +78,7 @@
         self.stop_requested.get_or_insert((now, StopReason::LeaseExpiring));
     }
 
-    /// Why the process was asked to end; none where it was not.
+    /// Why the process has to end; none where it may go on.
     pub fn stop_reason(&self) -> Option<StopReason> {
         self.stop_requested.map(|(_, reason)| reason)
     }
--- a/crates/loomflow-fleet/src/fleet_state.rs
+++ b/crates/loomflow-fleet/src/fleet_state.rs
@@ -1,5 +1,5 @@
 //! The state machine that the log is applied to: maintenance, duties and campaigns. Each checks its own commands; this module
-//! checks who may issue which command on duties and campaigns, and moves all three on by the same time.
+//! checks who may issue which command on duties and campaigns, and advances all three by the same time.
 
 use crate::consensus::{SnapshotError, StateMachine};
 use crate::duty::state::Duties;
--- a/crates/loomflow-fleet/src/lib.rs
+++ b/crates/loomflow-fleet/src/lib.rs
@@ -6,14 +6,14 @@
 //! - [`member`]: who a server is, and the report of its load.
 //! - [`wire`]: the one envelope that members exchange, and its bounds.
 //! - [`membership`]: who is here (SWIM, by `foca`).
-//! - [`consensus`]: a replicated log among a few voters (Raft, by `raft`).
+//! - [`consensus`]: a replicated log among several voters (Raft, by `raft`).
 //! - [`maintenance`]: the state machine that schedules maintenance: tickets, whose turn it is, how many, and whether at all.
 //! - [`duty`]: work that one server does for the whole fleet: sessions, leases, fences, assignment.
 //! - [`fleet_state`]: maintenance, duties and campaigns as the one state machine that the log is applied to.
 //! - [`operator`]: requests and responses on the operators' socket.
 //! - [`node`]: one member, made of all of these.
 //!
-//! Times are milliseconds on a clock that only moves forward and does not stop while the machine sleeps (boot time).
+//! Times are milliseconds on a clock that only advances and does not stop while the machine sleeps (boot time).
 //!
 //! Members exchange postcard, which carries no names; operators are answered in JSON, which does. Where a name in the code
 //! differs from the one in JSON, a serde attribute gives the latter. `tests/wire_format.rs` pins both.
--- a/crates/loomflow-fleet/src/maintenance/campaign.rs
+++ b/crates/loomflow-fleet/src/maintenance/campaign.rs
@@ -1,5 +1,6 @@
-//! Campaigns: many tickets in batches, carried out by whoever owns the duty for it. The fleet's state holds how far each has
-//! come, so that an owner that takes over continues where the last one stopped, and a batch that is requested again is refused.
+//! Campaigns: many tickets in batches, carried out by whoever owns the duty for it. The fleet's state records how far each
+//! has come, so that an owner that takes over continues where the last one stopped, and a batch that is requested again is
+//! rejected.
 //!
 //! A batch is requested when all tickets of the one before are done. A campaign halts when one of its tickets did not end in
 //! order, or when the servers that came back ask for clearly less of their usual traffic than before: what was rolled out is
@@ -14,14 +15,14 @@
 use crate::duty::{Token, truncate_reason};
 use crate::member::{MAX_NAME_BYTES, MemberView, RequestId, ServerName};
 
-/// Campaigns that are kept, finished ones included.
+/// Campaigns that are retained, finished ones included.
 pub const MAX_CAMPAIGNS: usize = 16;
 /// Tickets of one campaign.
 pub const MAX_TICKETS: usize = 10_000;
 /// A batch came back worse when its servers' mean share fell by more than this.
 pub const MAX_SHARE_DROP: f32 = 0.1;
 
-/// How a campaign stands.
+/// The status of a campaign.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CampaignStatus {
     /// The next batch is requested when the last one is done.
@@ -47,7 +48,7 @@
     last_tickets: Vec<TicketId>,
     /// Mean share of the last batch's servers before it was requested.
     share_before: f32,
-    /// How it stands.
+    /// Its status.
     pub status: CampaignStatus,
 }
 
@@ -114,7 +115,7 @@
     /// Who started it.
     #[serde(rename = "by")]
     pub requested_by: String,
-    /// How it stands.
+    /// Its status.
     #[serde(rename = "stand")]
     pub status: CampaignStatus,
     /// Index of the first request that has no ticket yet.
@@ -123,7 +124,7 @@
     /// Requests in all.
     #[serde(rename = "all")]
     pub total: u32,
-    /// Servers of the last batch with the stages of their tickets; none where a ticket is no longer kept.
+    /// Servers of the last batch with the stages of their tickets; none where a ticket is no longer retained.
     #[serde(rename = "last")]
     pub last_batch: Vec<(ServerName, Option<Stage>)>,
     /// Mean share of the last batch's servers before it was requested.
@@ -182,7 +183,7 @@
     Some(CampaignStep::Next { from_index, share_before })
 }
 
-/// What went wrong with the first ticket of the last batch that did not end in order.
+/// The failure of the first ticket of the last batch that did not end in order.
 fn failed_ticket(view: &CampaignView) -> Option<String> {
     view.last_batch.iter().find_map(|(server, stage)| match stage {
         Some(Stage::Overdue) => Some(format!("{server} is overdue")),
@@ -206,7 +207,7 @@
     /// Applies one command; an owner's token was checked before. Tickets are created under `request_id`, the entry's own.
     ///
     /// # Errors
-    /// The campaign is unknown, or not where the command believes it to be; or the tickets are refused.
+    /// The campaign is unknown, or not where the command believes it to be; or the tickets are rejected.
     pub fn apply(
         &mut self,
         maintenance: &mut MaintenanceState,
@@ -288,7 +289,7 @@
         self.0.get_mut(name).ok_or_else(|| unknown(name))
     }
 
-    /// A campaign that runs, and has come as far as the command believes: said twice, the second time is refused.
+    /// A campaign that runs, and has come as far as the command believes: a repeated command is rejected.
     fn running_campaign(&mut self, name: &str, from_index: u32) -> Result<&mut Campaign, Rejection> {
         let campaign = self.campaign(name)?;
         let next_index = campaign.next_index;
--- a/crates/loomflow-fleet/src/maintenance/headroom.rs
+++ b/crates/loomflow-fleet/src/maintenance/headroom.rs
@@ -1,11 +1,11 @@
 //! Whether those who stay can carry the fleet's load: judged from load reports, by the figures that the decision modules
 //! themselves use.
 //!
-//! The **load** of a server is the number of its concurrent runs, times the hold time ratio where that is above 1: what is held
-//! longer than the set point waits for runs that cannot begin. Its **capacity** is its running limit, which rises only on runs
-//! that ended well and is cut when they do not, times the share that it asks for: a server that wants half of its usual
-//! traffic can carry half. A server may go when those who stay would be filled to at most [`MAX_FILL`], with the most that was
-//! carried in the last [`BURST_WINDOW_MILLIS`], and none of this rests on old reports.
+//! The **load** of a server is the number of its concurrent runs, times the hold time ratio where that is above 1: requests
+//! that wait longer than the set point waits for runs that cannot begin. Its **capacity** is its running limit, which rises
+//! only on runs that ended well and is cut when they do not, times the share that it requests: a server that wants half of
+//! its usual traffic can carry half. A server may go when those who stay would be filled to at most [`MAX_FILL`], with the
+//! maximum that was carried in the last [`BURST_WINDOW_MILLIS`], and none of this rests on old reports.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -23,8 +23,8 @@
 /// A zone that carries this fraction of its highest recent load is busy.
 const BUSY_FRACTION: f64 = 0.9;
 
-/// The recent load, averaged over each bucket of the last [`BURST_WINDOW_MILLIS`]: what moves from one server to another is in
-/// both their reports for a moment, and must not look like a burst.
+/// The recent load, averaged over each bucket of the last [`BURST_WINDOW_MILLIS`]: what is migrated from one server to
+/// another is in both their reports for a moment, and must not look like a burst.
 #[derive(Clone, Debug, Default)]
 pub struct Headroom {
     buckets: VecDeque<Bucket>,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Load and remaining capacity if some servers went, in concurrent runs.
+/// Load and remaining capacity if some servers left, in concurrent runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Estimate {
     /// The fleet's load now.
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The fleet's load, and the capacity of those for whom `stays` holds.
+    /// The fleet's load, and the capacity of those for whom `stays` is true.
     pub fn estimate(
         &self,
         members: &BTreeMap<ServerName, MemberView>,
--- a/crates/loomflow-fleet/src/maintenance/mod.rs
+++ b/crates/loomflow-fleet/src/maintenance/mod.rs
@@ -3,11 +3,12 @@
 //!
 //! - [`ticket`]: stages and transitions, and the table of what is legal.
 //! - [`rules`]: how many may be out, as the operators set it.
-//! - [`state`]: the state machine: applies entries, keeps its bounds, and acts when deadlines pass.
+//! - [`state`]: the state machine: applies entries, enforces its bounds, and acts when deadlines pass.
 //! - [`headroom`]: whether those who stay can carry the fleet's load, judged from their load reports.
-//! - [`scheduling`]: who goes next, and why each of the others waits. Only the leader asks; its decisions go into the log.
+//! - [`scheduling`]: which server is next, and why each of the others waits. Used by the leader alone; its decisions go
+//!   into the log.
 //! - [`campaign`]: many tickets in batches, and when a campaign halts.
-//! - [`observation`]: the transitions that follow from what the leader sees of members: gone, back, warm.
+//! - [`observation`]: the transitions that follow from what the leader sees of members: down, back, ready.
 
 pub mod campaign;
 pub mod headroom;
@@ -59,7 +60,7 @@
     /// One ticket for each request, all or none.
     #[serde(rename = "Ask")]
     CreateTickets(Vec<TicketRequest>),
-    /// Moves a ticket on: reported by its server, seen by the leader, or wanted by an operator.
+    /// Advances a ticket: reported by its server, seen by the leader, or wanted by an operator.
     #[serde(rename = "Move")]
     Transition {
         /// The ticket.
@@ -103,7 +104,7 @@
 pub struct Census {
     /// How many members there are, by zone, missing ones included.
     pub zones: Vec<(Zone, u32)>,
-    /// Those that count as out whatever their tickets: down, suspect, cold, draining, gone, or with no recent load report.
+    /// Those that count as out whatever their tickets: down, suspect, cold, draining, left, or with no recent load report.
     pub away: Vec<(ServerName, Zone)>,
 }
 
@@ -184,7 +185,7 @@
     pub paused: Option<String>,
     /// Open tickets.
     pub open: u32,
-    /// Servers that hold a place.
+    /// Servers that have a place.
     pub out: u32,
     /// Servers that were shut down without a ticket, since the fleet began.
     #[serde(rename = "unasked")]
@@ -196,7 +197,7 @@
     pub storage_error: Option<String>,
     /// The summary that the responding server received last.
     pub summary: Option<SummaryReport>,
-    /// Messages of former owners of duties that the responding server refused.
+    /// Messages of former owners of duties that the responding server rejected.
     #[serde(rename = "refused")]
     pub rejected_messages: u64,
 }
@@ -239,6 +240,6 @@
     /// Age of that report, ms.
     #[serde(rename = "age")]
     pub report_age_millis: Option<Millis>,
-    /// The ticket by which it holds a place, and its stage.
+    /// The ticket by which it has a place, and its stage.
     pub ticket: Option<(TicketId, Stage)>,
 }
--- a/crates/loomflow-fleet/src/maintenance/observation.rs
+++ b/crates/loomflow-fleet/src/maintenance/observation.rs
@@ -1,5 +1,5 @@
-//! The transitions that follow from what the leader sees of servers that hold places: gone, back, warm, and a grant whose
-//! conditions no longer hold.
+//! The transitions that follow from what the leader sees of servers that have places: down, back, ready, and a grant whose
+//! conditions are no longer met.
 
 use super::Command;
 use super::rules::Rules;
@@ -52,7 +52,7 @@
             Some((Transition::Depart, last))
         }
         Stage::Back if is_same_start && is_ready => Some((Transition::Ready, ticket.returned_incarnation)),
-        // One that is only suspect, or whose report is late, is given the time that the membership gives it.
+        // One that is only suspect, or whose report is late, waits until the membership declares it down.
         Stage::Ready if is_same_start && member.load_report.is_some() && !is_ready => {
             Some((Transition::Unready, ticket.returned_incarnation))
         }
@@ -63,7 +63,7 @@
     }
 }
 
-/// Whether a server takes its part of the load, and asks for enough of it.
+/// Whether a server takes its part of the load, and requests enough of it.
 fn is_ready(member: &MemberView, rules: &Rules) -> bool {
     member.is_serving()
         && member.load_report.is_some_and(|report| report.healthy && report.share >= rules.min_ready_share)
--- a/crates/loomflow-fleet/src/maintenance/rules.rs
+++ b/crates/loomflow-fleet/src/maintenance/rules.rs
@@ -35,7 +35,7 @@
     /// A grant that is not taken up for so long lapses, ms.
     #[serde(rename = "begin_within")]
     pub begin_within_millis: FleetMillis,
-    /// How long a server carries its load before its place is free, ms.
+    /// How long a server carries its load before its place is available, ms.
     #[serde(rename = "warm_for")]
     pub ready_for_millis: FleetMillis,
     /// The send share from which on a server carries its load.
--- a/crates/loomflow-fleet/src/maintenance/scheduling.rs
+++ b/crates/loomflow-fleet/src/maintenance/scheduling.rs
@@ -1,7 +1,7 @@
-//! Who goes next, and why each of the others waits. Asked by the leader alone; its decision is checked again when it is
+//! Which server is next, and why each of the others waits. Used by the leader alone; its decision is checked again when it is
 //! applied.
 //!
-//! This file puts the tickets in their order and decides; `checks` holds the conditions that a ticket has to meet.
+//! This file puts the tickets in their order and decides; `checks` has the conditions that a ticket has to meet.
 
 mod checks;
 
@@ -19,7 +19,7 @@
 
 /// A ticket rises by one urgency for each so long that it waits, ms.
 pub const AGEING_MILLIS: FleetMillis = 30 * 60 * 1000;
-/// One that has waited so long for a place is not overtaken, ms: a place that comes free is kept for it.
+/// One that has waited so long for a place is not overtaken, ms: a place that becomes available is reserved for it.
 pub const NO_OVERTAKING_AFTER_MILLIS: FleetMillis = 2 * AGEING_MILLIS;
 /// Tickets that are considered in one round.
 const MAX_TICKETS_CONSIDERED: usize = 256;
@@ -36,7 +36,7 @@
     pub ticket: Option<(TicketId, Stage)>,
     /// Every check, where the ticket waits.
     pub findings: Vec<Finding>,
-    /// Load and capacity if this one went.
+    /// Load and capacity if this one left.
     pub estimate: Estimate,
 }
 
@@ -106,8 +106,8 @@
         None
     }
 
-    /// Whether the conditions of a grant that was not taken up yet still hold. What has been committed since is in the limits
-    /// already.
+    /// Whether the conditions of a grant that was not taken up yet are still met. What has been committed since is in the
+    /// limits already.
     pub fn is_grant_still_valid(&self, ticket: &Ticket) -> bool {
         self.check_evidence().is_satisfied && self.estimate(&ticket.request.server).is_sufficient()
     }
@@ -176,7 +176,7 @@
         waiting
     }
 
-    /// Load and capacity if this server went, beside those that are out.
+    /// Load and capacity if this server left, beside those that are out.
     fn estimate(&self, server: &str) -> Estimate {
         let stays = |name: &str| name != server && !self.maintenance.is_departing(name);
         self.headroom.estimate(self.members, &stays)
--- a/crates/loomflow-fleet/src/maintenance/scheduling/checks.rs
+++ b/crates/loomflow-fleet/src/maintenance/scheduling/checks.rs
@@ -18,7 +18,7 @@
     Pause,
     /// Its window is open.
     Window,
-    /// The server is known and does not hold a place by another ticket.
+    /// The server is known and does not have a place by another ticket.
     Server,
     /// All members that are alive send load reports.
     Evidence,
@@ -93,7 +93,7 @@
 }
 
 impl SchedulerView<'_> {
-    /// Every check but that of the queue, one after the other; each is only made when it is asked for.
+    /// Every check but that of the queue, one after the other; each is only made when it is needed.
     pub(super) fn checks<'a>(
         &'a self,
         ticket: &'a Ticket,
--- a/crates/loomflow-fleet/src/maintenance/state.rs
+++ b/crates/loomflow-fleet/src/maintenance/state.rs
@@ -1,7 +1,7 @@
 //! The state machine that the log is applied to, for maintenance. It checks every transition against the table and the limits
-//! by itself: what the leader saw may be outdated when it is committed, and the limits hold all the same.
+//! by itself: what the leader saw may be outdated when it is committed, and the limits are enforced again.
 //!
-//! This file holds the state, what can be read of it, and its snapshot; `apply` changes it.
+//! This file has the state, what can be read of it, and its snapshot; `apply` changes it.
 
 mod apply;
 mod limits;
@@ -16,17 +16,17 @@
 use crate::consensus::{SnapshotError, StateMachine};
 use crate::member::{RequestId, ServerName, Zone};
 
-/// Most open tickets; further ones are refused.
+/// Maximum number of open tickets; further ones are rejected.
 pub const MAX_OPEN_TICKETS: usize = 12_000;
-/// Closed tickets that are kept.
+/// Closed tickets that are retained.
 pub const MAX_CLOSED_TICKETS: usize = 1_000;
-/// Events that are kept.
+/// Events that are retained.
 pub const MAX_EVENTS: usize = 2_000;
-/// Responses that are kept for retries.
+/// Responses that are retained for retries.
 const MAX_REMEMBERED_RESPONSES: usize = 1_024;
 /// A ticket whose grants lapsed so often is closed.
 const MAX_LAPSES: u8 = 3;
-/// How far numbers jump when a fleet is recovered: beyond any that the lost data directories may have given out.
+/// How far numbers jump when a fleet is recovered: above any that the lost data directories may have assigned.
 const RECOVERY_ID_GAP: u64 = 1 << 20;
 
 /// A ticket came to a stage.
@@ -44,7 +44,7 @@
     pub grant: GrantNumber,
 }
 
-/// What a snapshot holds; the indexes follow from it.
+/// The contents of a snapshot; the indexes follow from it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct PersistentState {
     time: FleetMillis,
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct MaintenanceState {
     state: PersistentState,
-    /// Servers that hold a place, with the ticket by which.
+    /// Servers that have a place, with the ticket by which.
     holders: BTreeMap<ServerName, TicketId>,
     /// Tickets with a deadline, the next first.
     deadlines: BTreeSet<(FleetMillis, TicketId)>,
@@ -119,17 +119,17 @@
         (&self.state.last_granted.0, &self.state.last_granted.1)
     }
 
-    /// Servers that hold a place, with the ticket by which.
+    /// Servers that have a place, with the ticket by which.
     pub fn holders(&self) -> &BTreeMap<ServerName, TicketId> {
         &self.holders
     }
 
-    /// Whether a server holds a place: it is out, or is about to shut down.
+    /// Whether a server has a place: it is out, or is about to shut down.
     pub fn is_departing(&self, server: &str) -> bool {
         self.holders.contains_key(server)
     }
 
-    /// The ticket by which a server holds a place.
+    /// The ticket by which a server has a place.
     pub fn ticket_with_place(&self, server: &str) -> Option<&Ticket> {
         self.state.open.get(self.holders.get(server)?)
     }
@@ -140,7 +140,7 @@
         ids.filter_map(|id| self.state.open.get(id))
     }
 
-    /// Any ticket that is open or still kept.
+    /// Any ticket that is open or still retained.
     pub fn find(&self, id: TicketId) -> Option<&Ticket> {
         self.state.open.get(&id).or_else(|| self.state.closed.iter().find(|ticket| ticket.id == id))
     }
--- a/crates/loomflow-fleet/src/maintenance/state/apply.rs
+++ b/crates/loomflow-fleet/src/maintenance/state/apply.rs
@@ -14,7 +14,7 @@
 use crate::member::{Incarnation, RequestId, ServerName};
 
 impl MaintenanceState {
-    /// Moves the fleet's time on, and lets what is due happen.
+    /// Advances the fleet's time, and applies the deadlines that are due.
     pub fn advance_time(&mut self, time: FleetMillis) {
         self.state.time = self.state.time.max(time);
         self.apply_deadlines();
@@ -303,7 +303,7 @@
     incarnation: Incarnation,
 ) -> Result<(), Rejection> {
     let expected = match transition {
-        // A server that came back is another incarnation than the one that went.
+        // A server that came back is another incarnation than the one that left.
         Transition::Return
             if incarnation <= ticket.incarnation || incarnation < ticket.returned_incarnation =>
         {
--- a/crates/loomflow-fleet/src/maintenance/state/limits.rs
+++ b/crates/loomflow-fleet/src/maintenance/state/limits.rs
@@ -1,5 +1,5 @@
-//! How many servers may be out at once: the operators' limits for the fleet and each zone, and the majority of the voters. The
-//! leader asks before it grants, and the state machine checks again when the grant is applied.
+//! How many servers may be out at once: the operators' limits for the fleet and each zone, and the majority of the voters.
+//! The leader checks before it grants, and the state machine checks again when the grant is applied.
 
 use std::collections::BTreeMap;
 
@@ -21,12 +21,12 @@
         self.check_voters(server, &out)
     }
 
-    /// How many servers would be out if this one went, and how many may be in the fleet.
+    /// How many servers would be out if this one left, and how many may be in the fleet.
     pub fn out_and_limit(&self, server: &str, zone: &str, census: &Census) -> (usize, u32) {
         (self.out_with(server, zone, census).len(), self.fleet_limit(census))
     }
 
-    /// All that would be out if this server went, with their zones.
+    /// All that would be out if this server left, with their zones.
     fn out_with<'a>(
         &'a self,
         server: &'a str,
--- a/crates/loomflow-fleet/src/maintenance/ticket.rs
+++ b/crates/loomflow-fleet/src/maintenance/ticket.rs
@@ -1,5 +1,5 @@
-//! A ticket: one server's turn to be out for maintenance. [`TABLE`] says which transition is legal in which stage and who may
-//! make it; every other one is refused with a reason.
+//! A ticket: one server's turn to be out for maintenance. [`TABLE`] defines which transition is legal in which stage and
+//! who may make it; every other one is rejected with a reason.
 
 use serde::{Deserialize, Serialize};
 
@@ -29,7 +29,7 @@
     /// Waits for its turn.
     #[serde(rename = "Asked")]
     Requested,
-    /// May go: its place is kept until it begins, or the grant lapses.
+    /// May go: its place is reserved until it begins, or the grant lapses.
     Granted,
     /// It will go: committed before it does.
     Begun,
@@ -39,12 +39,12 @@
     Out,
     /// Its next incarnation is here.
     Back,
-    /// It carries its load; its place is free when that has held for a while.
+    /// It carries its load; its place is available when that has lasted for a while.
     #[serde(rename = "Warm")]
     Ready,
-    /// Not back in time. Its place is kept.
+    /// Not back in time. Its place stays reserved.
     Overdue,
-    /// Its place is free again.
+    /// Its place is available again.
     Done,
     /// An operator took it back before it began.
     Withdrawn,
@@ -91,7 +91,7 @@
         matches!(self, Stage::Done | Stage::Withdrawn | Stage::Lapsed | Stage::Abandoned)
     }
 
-    /// The word that operators see.
+    /// Its name as operators see it.
     pub fn as_str(self) -> &'static str {
         match self {
             Stage::Requested => "asked",
@@ -115,13 +115,13 @@
 pub enum Transition {
     /// The leader lets its server go.
     Grant,
-    /// The leader takes a grant back before it was taken up: its conditions no longer hold.
+    /// The leader takes a grant back before it was taken up: its conditions are no longer met.
     Recall,
     /// The server takes up the grant.
     Begin,
     /// The server drains.
     Drain,
-    /// The server has drained and shut down, or is seen to be gone.
+    /// The server has drained and shut down, or is seen to be down.
     #[serde(rename = "Leave")]
     Depart,
     /// A later incarnation is here.
@@ -197,7 +197,7 @@
     #[error("the ticket is {}", .0.as_str())]
     #[serde(rename = "Over")]
     Closed(Stage),
-    /// It has gone too far for this.
+    /// Its stage is too late for this.
     #[error("it has gone too far for this: {}", .0.as_str())]
     #[serde(rename = "UnderWay")]
     TooLate(Stage),
@@ -221,7 +221,7 @@
     #[error("that is not this hand's to do")]
     #[serde(rename = "NotYours")]
     NotPermitted,
-    /// No place is free.
+    /// No place is available.
     #[error("{out} are out{}, {limit} may be", zone_suffix(.zone.as_deref()))]
     NoPlace {
         /// Servers that are out.
@@ -247,7 +247,7 @@
     #[error("its window is not open")]
     #[serde(rename = "Window")]
     WindowNotOpen,
-    /// Its server holds a place under another ticket.
+    /// Its server has a place under another ticket.
     #[error("it holds a place by ticket {0}")]
     #[serde(rename = "HoldsPlace")]
     HasPlace(TicketId),
@@ -283,7 +283,7 @@
     Rule { from, transition, actor, to }
 }
 
-/// All that is legal. Anything else is refused.
+/// All that is legal. Anything else is rejected.
 pub const TABLE: [Rule; 33] = {
     use Actor::{Leader, Operator, Server, ServerOrLeader};
     use Stage::*;
@@ -302,7 +302,7 @@
         rule(Draining, Transition::Depart, ServerOrLeader, Out),
         rule(Draining, Transition::Overrun, Leader, Overdue),
         rule(Draining, Transition::Abandon, Operator, Abandoned),
-        // A server may be back before anybody saw it gone.
+        // A server may be back before anybody saw it down.
         rule(Begun, Transition::Return, Leader, Back),
         rule(Draining, Transition::Return, Leader, Back),
         rule(Out, Transition::Return, Leader, Back),
@@ -338,7 +338,7 @@
     }
 }
 
-/// Why a transition that is not in the table is refused.
+/// Why a transition that is not in the table is rejected.
 fn rejection(from: Stage, transition: Transition) -> Rejection {
     use Stage::*;
     // The first stage in which each transition is possible, on the way from requested to done.
@@ -375,11 +375,11 @@
     pub window: Option<(FleetMillis, FleetMillis)>,
 }
 
-/// The longest reason, bytes.
+/// Maximum length of a reason, bytes.
 pub const MAX_REASON_BYTES: usize = 256;
-/// The shortest maintenance, ms: a second.
+/// Minimum duration of a maintenance, ms: a second.
 const MIN_DURATION_MILLIS: FleetMillis = 1_000;
-/// The longest maintenance, ms: a week.
+/// Maximum duration of a maintenance, ms: a week.
 pub const MAX_DURATION_MILLIS: FleetMillis = 7 * 24 * 3_600_000;
 
 impl TicketRequest {
--- a/crates/loomflow-fleet/src/maintenance/ticket/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/ticket/tests.rs
@@ -51,7 +51,7 @@
 
 #[test]
 fn a_place_is_kept_from_the_grant_until_it_is_warm_for_good_or_written_off() {
-    // No way leads from a stage that holds a place to one that does not, but these.
+    // No way leads from a stage that has a place to one that does not, but these.
     for rule in TABLE.iter().filter(|rule| rule.from.has_place() && !rule.to.has_place()) {
         let free = matches!(
             (rule.from, rule.transition),
--- a/crates/loomflow-fleet/src/member.rs
+++ b/crates/loomflow-fleet/src/member.rs
@@ -9,7 +9,7 @@
 /// Milliseconds on the boot-time clock of one machine. Never compared between machines.
 pub type Millis = u64;
 
-/// Milliseconds of the fleet's own time: it moves with the log, and stands still while there is no leader.
+/// Milliseconds of the fleet's own time: it advances with the log, and stops while there is no leader.
 pub type FleetMillis = u64;
 
 /// The name of a server, as in its configuration. At most [`MAX_NAME_BYTES`] bytes.
@@ -18,7 +18,7 @@
 /// The name of a zone; empty where the fleet has none.
 pub type Zone = String;
 
-/// Longest name of a server, a zone or a fleet, bytes: a member's own data fits into a packet many times.
+/// Maximum length of the name of a server, a zone or a fleet, bytes: a member's own data fits into a packet many times.
 pub const MAX_NAME_BYTES: usize = 64;
 
 /// One start of a server. Rises with every start, so that a restart is never taken for the process before it.
@@ -112,7 +112,7 @@
     Cold,
     /// Taking its part of the load.
     Serving,
-    /// Told to shut down: it drains.
+    /// It drains before it shuts down.
     #[serde(rename = "Leaving")]
     Draining,
 }
@@ -150,7 +150,7 @@
         f64::from(self.running) * f64::from(self.hold_time_ratio).max(1.0)
     }
 
-    /// The load that the server can carry, in concurrent runs: its running limit times the share that it asks for.
+    /// The load that the server can carry, in concurrent runs: its running limit times the share that it requests.
     pub fn capacity(&self) -> f64 {
         f64::from(self.limit) * f64::from(self.share)
     }
@@ -175,7 +175,7 @@
         self.state == MemberState::Serving && self.load_report.is_some()
     }
 
-    /// Whether the membership does not know it to be gone.
+    /// Whether the membership does not count it as down or left.
     pub fn is_alive(&self) -> bool {
         !matches!(self.state, MemberState::Down | MemberState::Left)
     }
@@ -213,7 +213,7 @@
 }
 
 impl MemberState {
-    /// The word that operators see.
+    /// Its name as operators see it.
     pub fn as_str(self) -> &'static str {
         match self {
             MemberState::Cold => "cold",
--- a/crates/loomflow-fleet/src/membership.rs
+++ b/crates/loomflow-fleet/src/membership.rs
@@ -1,8 +1,8 @@
 //! Who is here: SWIM with suspicion, by `foca`. Fed packets and times; what it wants sent comes out.
 //!
-//! The library decides who is alive, suspect and down, and refutes a false suspicion by itself; [`failure_detection`] has the
-//! periods by which it does. This file stores what else is known of each member: its last load report with the moment it came,
-//! whether it is shutting down, and since when it is in its state. Members are bounded by [`MAX_MEMBERS`].
+//! The library decides who is alive, suspect and down, and refutes a false suspicion by itself; [`failure_detection`] has
+//! the periods by which it does. This file stores what else is known of each member: its last load report with the moment
+//! it came, whether it is shutting down, and since when it is in its state. Members are bounded by [`MAX_MEMBERS`].
 
 pub mod failure_detection;
 
@@ -17,11 +17,11 @@
 
 use crate::member::{LoadReport, MemberIdentity, Millis, Replica, ServerName};
 
-/// Most members, this one included; a packet that names more is taken without them.
+/// Maximum number of members, this one included; a packet that names more is taken without them.
 pub const MAX_MEMBERS: usize = 2_048;
 /// How often voters that are named in the settings and not here are contacted, ms.
 const REJOIN_PERIOD_MILLIS: Millis = 2_000;
-/// Most timers: a few for each member.
+/// Maximum number of timers: several for each member.
 const MAX_TIMERS: usize = 4 * MAX_MEMBERS;
 
 /// What is known of one member.
@@ -167,7 +167,7 @@
         next_timer.map_or(self.next_rejoin_at, |at| at.min(self.next_rejoin_at))
     }
 
-    /// Tells the others that this member goes. It is of no further use then.
+    /// Notifies the others that this member leaves. It is of no further use then.
     pub fn leave(&mut self, now: Millis) {
         let _ = self.foca.leave_cluster(&mut self.runtime);
         self.process_events(now);
@@ -202,14 +202,14 @@
                 _ => {}
             }
         }
-        // Suspicion is not notified, so all members are looked at every so often.
+        // Suspicion is not notified, so the state of all members is read periodically.
         if now >= self.next_refresh_at {
             self.next_refresh_at = now + self.refresh_period;
             self.refresh(now);
         }
     }
 
-    /// Looks at all members, and forgets those that have been gone for long.
+    /// Reads the state of all members, and forgets those that have been down for long.
     fn refresh(&mut self, now: Millis) {
         for member in self.foca.iter_membership_state() {
             update_member(&mut self.known, member.id(), member.state(), now);
--- a/crates/loomflow-fleet/src/membership/failure_detection.rs
+++ b/crates/loomflow-fleet/src/membership/failure_detection.rs
@@ -1,8 +1,8 @@
 //! When a member counts as suspect and as down, and what its state follows from.
 //!
-//! The SWIM protocol itself is the library's. The probe periods are those that it recommends for a local network. How long a
-//! suspect has to answer and how often an update is passed on grow with the logarithm of the fleet's size, and are set for the
-//! largest fleet there may be.
+//! The SWIM protocol itself is the library's. The probe periods are those that it recommends for a local network. How long
+//! a suspect has to answer and how often an update is passed on grow with the logarithm of the fleet's size, and are set
+//! for the largest fleet there may be.
 
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
@@ -35,8 +35,8 @@
 const ANNOUNCE_TO_DOWN_MEMBERS: usize = 2;
 /// Largest packet, bytes: it fits into one Ethernet frame.
 const MAX_PACKET_BYTES: usize = 1_400;
-/// How late a voter may learn of a suspicion, ms, while packets arrive. The other members decide nothing by it, and reading the
-/// state of all members is the main cost of membership in a large fleet.
+/// How late a voter may learn of a suspicion, ms, while packets arrive. The other members decide nothing by it, and reading
+/// the state of all members is the main cost of membership in a large fleet.
 const REFRESH_PERIOD_OF_VOTERS_MILLIS: Millis = 500;
 const REFRESH_PERIOD_OF_OTHERS_MILLIS: Millis = 5_000;
 
--- a/crates/loomflow-fleet/src/node/duties.rs
+++ b/crates/loomflow-fleet/src/node/duties.rs
@@ -1,4 +1,4 @@
-//! What a member does about duties: it renews its session, acquires what it is assigned, releases what it is asked to, and
+//! What a member does about duties: it renews its session, acquires what it is assigned, releases what is recalled, and
 //! carries out the built-in duties.
 
 use rand::RngExt;
@@ -18,12 +18,12 @@
 use crate::member::{Millis, Phase, RequestId, ServerName};
 use crate::wire::Body;
 
-/// How often the owner of campaigns looks at them, ms.
+/// How often the owner of campaigns checks them, ms.
 const CAMPAIGN_PERIOD_MILLIS: Millis = 1_000;
 /// The duty that sums the fleet up.
 pub const SUMMARY: &str = "summary";
 
-/// What a member is told of duties at its start; the same on all members.
+/// A member's configuration of duties; the same on all members.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DutyConfig {
     /// The operators' settings for all duties.
@@ -46,12 +46,12 @@
 #[derive(Default)]
 struct PeriodicQuery {
     next_at: Millis,
-    /// The question that has no answer yet, and the token that it was asked with.
+    /// The question that has no answer yet, and the token that it was sent with.
     pending: Option<(RequestId, Token)>,
 }
 
 impl PeriodicQuery {
-    /// The question is asked; the next one is due at `next_at`.
+    /// The question is sent; the next one is due at `next_at`.
     fn start(&mut self, id: RequestId, token: Token, next_at: Millis) {
         self.next_at = next_at;
         self.pending = Some((id, token));
@@ -243,7 +243,7 @@
                 OwnershipChange::Lost(duty, token) => {
                     self.log(format!("no longer owns {duty}, token {token}"));
                 }
-                // Nothing of these has to be finished: the fleet's state holds how far they are.
+                // Nothing of these has to be finished: the fleet's state records how far they are.
                 OwnershipChange::ReleaseRequested(duty, _) if duty == SUMMARY || duty == CAMPAIGN => {
                     let duty = duty.clone();
                     self.release(&duty, now);
@@ -330,7 +330,7 @@
         self.handle_summary(self.identity().name.clone(), token, summary, now);
     }
 
-    /// Handles the summary of its owner; a former owner is refused by its token.
+    /// Handles the summary of its owner; a former owner is rejected by its token.
     pub(super) fn handle_summary(&mut self, owner: ServerName, token: Token, summary: Summary, now: Millis) {
         // The fence is stored where the summary is: in this member's memory.
         match self.duties.fence.admit(SUMMARY, token, |_| Ok::<(), ()>(())) {
@@ -355,7 +355,7 @@
         })
     }
 
-    /// Messages of former owners that this member refused.
+    /// Messages of former owners that this member rejected.
     pub(super) fn rejected_messages(&self) -> u64 {
         self.duties.fence.rejected()
     }
--- a/crates/loomflow-fleet/src/node/duty_leadership.rs
+++ b/crates/loomflow-fleet/src/node/duty_leadership.rs
@@ -1,5 +1,5 @@
-//! The leader's part in duties: renewals are committed in batches, free duties are assigned, owners are notified of changes at
-//! once.
+//! The leader's part in duties: renewals are committed in batches, duties without an owner are assigned, owners are
+//! notified of changes at once.
 
 use std::collections::BTreeMap;
 
@@ -45,7 +45,7 @@
 }
 
 impl Node {
-    /// Takes a server's renewal; it goes into the log with those of others.
+    /// Takes a server's renewal; it is added to the log with those of others.
     pub(super) fn queue_renewal(&mut self, id: RequestId, instances: Vec<ServerInstance>, now: Millis) {
         let waiting = &mut self.leadership.sessions.waiting;
         let is_known = waiting.iter().any(|(other, _)| *other == id);
@@ -78,7 +78,7 @@
         }
     }
 
-    /// An entry is applied; true where it was the pending batch, whose servers are then told what they own.
+    /// An entry is applied; true where it was the pending batch, whose servers are then notified of what they own.
     pub(super) fn renewals_applied(&mut self, id: RequestId, now: Millis) -> bool {
         let pending = self.leadership.sessions.pending.take_if(|pending| pending.id == id);
         let Some(PendingBatch { renewals, .. }) = pending else { return false };
--- a/crates/loomflow-fleet/src/node/leadership.rs
+++ b/crates/loomflow-fleet/src/node/leadership.rs
@@ -1,5 +1,5 @@
-//! The leader's round: who votes, what is seen of servers that are out, and who goes next. Everything it decides goes through
-//! the log, one thing after the other: nothing new is decided before the last is committed.
+//! The leader's round: who votes, what is known of servers that are out, and which server is next. Everything it decides is
+//! committed in the log, one thing after the other: nothing new is decided before the last is committed.
 
 use std::collections::BTreeSet;
 
@@ -19,7 +19,7 @@
 /// How often the fleet's time is committed while a deadline is ahead, ms: a new leader counts on from there.
 const CLOCK_PERIOD_MILLIS: Millis = 5_000;
 
-/// What a member keeps while it leads.
+/// The state of a member while it leads.
 #[derive(Default)]
 pub(super) struct Leadership {
     /// When this member began to lead, and the fleet's time then.
--- a/crates/loomflow-fleet/src/node/leadership_transfer/tests.rs
+++ b/crates/loomflow-fleet/src/node/leadership_transfer/tests.rs
@@ -5,7 +5,7 @@
 use crate::member::{LoadReport, MemberIdentity, Zone};
 use foca::State::{Alive, Down, Suspect};
 
-/// A state in which the server "a" holds a place.
+/// A state in which the server "a" has a place.
 fn maintenance() -> MaintenanceState {
     let request = TicketRequest {
         server: "a".into(),
--- a/crates/loomflow-fleet/src/node/mod.rs
+++ b/crates/loomflow-fleet/src/node/mod.rs
@@ -9,7 +9,7 @@
 //! - `leadership_transfer`: who leads after it;
 //! - [`duties`]: its session, and the duties that it owns;
 //! - `duty_leadership`: the leader's part in them;
-//! - `status`: what it tells operators.
+//! - `status`: the fleet as operators see it.
 
 pub mod duties;
 mod duty_leadership;
@@ -47,7 +47,7 @@
 use own_ticket::OwnTicket;
 use requests::PendingRequests;
 
-/// What a member is told at its start.
+/// The configuration of a member.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
     /// The fleet's name.
@@ -106,7 +106,7 @@
     /// The data directory cannot be used, in words.
     #[error("{0}")]
     StorageUnavailable(String),
-    /// The voter refuses.
+    /// The consensus rejects it.
     #[error(transparent)]
     Consensus(#[from] ConsensusError),
 }
@@ -137,7 +137,7 @@
 }
 
 impl Node {
-    /// A member that joins by the voters. `storage` holds what must outlast it; a voter whose data directory cannot be used
+    /// A member that joins by the voters. `storage` has what must outlast it; a voter whose data directory cannot be used
     /// continues without a vote.
     pub fn start(config: NodeConfig, storage: Box<dyn Storage>, now: Millis) -> Node {
         let mut rng = SmallRng::seed_from_u64(config.seed);
@@ -344,7 +344,7 @@
         self.effects.push(Effect::Log(text));
     }
 
-    /// All members as they are seen from here, this one included.
+    /// All members as they are known here, this one included.
     fn member_views(&self, now: Millis) -> BTreeMap<ServerName, MemberView> {
         let others = self.membership.known().iter().map(|(name, known)| {
             let view = MemberView {
--- a/crates/loomflow-fleet/src/node/outgoing.rs
+++ b/crates/loomflow-fleet/src/node/outgoing.rs
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Tells a member what this voter knows of it.
+    /// Notifies a member of what this voter knows about it.
     pub(super) fn send_notification(&mut self, to: &ServerName, sent_at: Millis) {
         let has_fleet = |consensus: &&Consensus<_>| consensus.replica().group != 0;
         let Some(consensus) = self.consensus.as_ref().filter(has_fleet) else { return };
@@ -41,7 +41,7 @@
     }
 
     pub(super) fn handle_notification(&mut self, notification: Notification, now: Millis) {
-        // What was asked before a long stop may have changed since.
+        // What was requested before a long stop may have changed since.
         if !own_ticket::is_notification_recent(notification.sent_at, now) {
             return;
         }
--- a/crates/loomflow-fleet/src/node/own_ticket.rs
+++ b/crates/loomflow-fleet/src/node/own_ticket.rs
@@ -1,5 +1,5 @@
 //! What a server does about a ticket of its own. It drains only on a begin that it knows to be committed, by a response or a
-//! notice that is recent by its own clock: what it receives after a long stop is asked again.
+//! notice that is recent by its own clock: what it receives after a long stop is requested again.
 
 use rand::RngExt;
 
@@ -10,8 +10,8 @@
 use crate::maintenance::{Command, Request, Response};
 use crate::member::{Incarnation, Millis, Phase, RequestId};
 
-/// A response or notice is relied on for so long after its request, ms. A place is not freed by time once the server has begun,
-/// so this only bounds how an operator's giving it up may cross a stopped server's draining.
+/// A response or notice is relied on for so long after its request, ms. A place is not freed by time once the server has
+/// begun, so this only bounds how an operator's giving it up may cross a stopped server's draining.
 const MAX_NOTIFICATION_AGE_MILLIS: Millis = 2_000;
 
 /// Whether a response or notice to what was sent at `sent_at` is still relied on.
@@ -50,7 +50,7 @@
 }
 
 impl Node {
-    /// The ticket by which this server holds a place, as far as is known here.
+    /// The ticket by which this server has a place, as far as is known here.
     fn own_ticket(&self, now: Millis) -> Option<Ticket> {
         if let Some(consensus) = self.consensus.as_ref().filter(|consensus| consensus.is_leader()) {
             return consensus.machine().maintenance.ticket_with_place(&self.config.name).cloned();
@@ -98,7 +98,7 @@
                     self.drain_by_ticket(*ticket, grant, now);
                 }
             }
-            // Late, or nothing is known: what a recent notice shows is asked again.
+            // Late, or nothing is known: what a recent notice shows is requested again.
             Response::Done(_) | Response::Rejected(Rejection::NoLeader) => {
                 self.own_ticket.pending_begin = None;
             }
@@ -117,7 +117,7 @@
         self.hand_everything_over(now);
     }
 
-    /// The server was told from outside to shut down, and obeys. Counted where it has no ticket for it.
+    /// The server received SIGTERM from outside, and shuts down. Counted where it has no ticket for it.
     pub fn begin_drain(&mut self, now: Millis) {
         if self.phase == Phase::Draining {
             return;
@@ -137,7 +137,7 @@
         self.send_load_report(now);
     }
 
-    /// Every request that the server took is answered. Reports that it is out; [`Node::is_finished`] tells when that is done.
+    /// Every request that the server took is answered. Reports that it is out; see [`Node::is_finished`].
     pub fn drained(&mut self, now: Millis) {
         self.phase = Phase::Draining;
         self.own_ticket.has_drained = true;
--- a/crates/loomflow-fleet/src/node/requests.rs
+++ b/crates/loomflow-fleet/src/node/requests.rs
@@ -1,5 +1,5 @@
-//! Requests on their way to the leader, and responses on their way back. A request is retried under its id until it is answered
-//! or times out, and the log applies it once.
+//! Requests on their way to the leader, and responses on their way back. A request is retried under its id until it is
+//! answered or times out, and the log applies it once.
 
 use std::collections::BTreeMap;
 
--- a/crates/loomflow-fleet/src/node/status.rs
+++ b/crates/loomflow-fleet/src/node/status.rs
@@ -1,4 +1,4 @@
-//! What operators are told of the fleet.
+//! The fleet as operators see it.
 
 use super::Node;
 use crate::consensus::Consensus;
@@ -11,7 +11,7 @@
 
 /// Most open tickets in one response.
 const MAX_OPEN_IN_RESPONSE: usize = 12_000;
-/// Most closed tickets, and most events, in one response.
+/// Maximum number of closed tickets, and of events, in one response.
 const MAX_HISTORY_IN_RESPONSE: usize = 500;
 
 impl Node {
--- a/crates/loomflow-fleet/src/operator.rs
+++ b/crates/loomflow-fleet/src/operator.rs
@@ -9,7 +9,7 @@
 /// The longest line, bytes: a campaign over as many servers as there may be.
 pub const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
 
-/// What a command line asks the server on its machine.
+/// A request of a command line to the server on its machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum OperatorRequest {
     /// For the leader, wherever it is.
@@ -39,7 +39,7 @@
     /// The lease is valid for at least so long from when the request was sent, ms.
     #[serde(rename = "left")]
     pub remaining_millis: Millis,
-    /// The owner has been asked to release it.
+    /// The owner is to release it.
     #[serde(rename = "recalled")]
     pub is_recalled: bool,
     /// The lease settings of the fleet.
@@ -64,7 +64,7 @@
     Owned(OwnedDuty),
     /// The server does not own the duty, or cannot be sure of it.
     NotOwned,
-    /// What went wrong, in words.
+    /// The error, in words.
     #[serde(rename = "Fault")]
     Error(String),
 }
--- a/crates/loomflow-fleet/src/wire.rs
+++ b/crates/loomflow-fleet/src/wire.rs
@@ -1,5 +1,5 @@
 //! What members exchange: envelopes behind a length. Payloads are written by the libraries' own codecs; ours are the length,
-//! the envelope's few fields and the bounds.
+//! the envelope's fields and the bounds.
 //!
 //! A stream is cut into messages by [`FrameReader`]. A message that is too long, cannot be read, or comes from another fleet
 //! is an error that ends its connection: nothing after it on that stream can be trusted. [`encode`] and [`decode`] are the
@@ -20,7 +20,7 @@
 /// One message between two members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// The fleet's name: messages of another fleet are refused.
+    /// The fleet's name: messages of another fleet are rejected.
     pub fleet: String,
     /// Who sends it.
     pub from: MemberIdentity,
@@ -67,9 +67,9 @@
         /// The response.
         response: Response,
     },
-    /// The leader tells a member which duties it owns, as soon as that is committed.
+    /// The leader notifies a member of the duties that it owns, as soon as that is committed.
     Duties(duty::Ownership),
-    /// The owner of the summary tells all members.
+    /// The owner of the summary sends it to all members.
     Summary {
         /// The owner's fencing token.
         token: Token,
@@ -78,7 +78,7 @@
     },
 }
 
-/// What a voter tells a member in reply to its load report: who leads, and the ticket by which the member is to go.
+/// A voter's reply to a member's load report: who leads, and the ticket by which the member is to leave.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Notification {
     /// When the load report that this answers was sent, by its sender's clock: a late notice is known by it.
@@ -89,7 +89,7 @@
     pub term: u64,
     /// The index up to which the voter has applied its log.
     pub index: u64,
-    /// The ticket by which the receiver holds a place.
+    /// The ticket by which the receiver has a place.
     pub ticket: Option<Ticket>,
 }
 
@@ -130,7 +130,7 @@
     Ok(message)
 }
 
-/// Cuts a stream into messages. Holds no more than the longest message and one read.
+/// Splits a stream into messages. Buffers no more than one message of maximum size and one read.
 #[derive(Default)]
 pub struct FrameReader {
     buffer: Vec<u8>,
--- a/crates/loomflow-server/src/trial.rs
+++ b/crates/loomflow-server/src/trial.rs
@@ -103,8 +103,8 @@
     );
     let rules = [
         ("each went once and came back", seen.complete),
-        ("never more than one out at once", seen.most_out <= 1),
-        ("each ended with code 0", seen.bad_ends == 0),
+        ("never more than one out at once", seen.max_out <= 1),
+        ("each ended with code 0", seen.failed_exits == 0),
         ("every request has one final answer", heard.lost == 0 && heard.wrong == 0),
     ];
     for (rule, kept) in rules {
