--- a/crates/loomflow-fleet/src/fleet_state.rs
+++ b/crates/loomflow-fleet/src/fleet_state.rs
@@ -51,7 +51,7 @@
 
 /// Whether this issuer may issue this command on a duty. What an owner writes is checked by its token as well.
 fn is_permitted(issuer: &Issuer, command: &duty::Command) -> bool {
-    use duty::Command::*;
+    use duty::Command::{Assign, Declare, End, KeepAlive, Park, Recall, Release, Resume, Run, Write};
     match (issuer, command) {
         (Issuer::Leader, Declare(..) | KeepAlive(_) | Assign(_) | Recall(_)) => true,
         (Issuer::Server { name, incarnation }, End(instance)) => {
--- a/crates/loomflow-fleet/src/maintenance/state/apply.rs
+++ b/crates/loomflow-fleet/src/maintenance/state/apply.rs
@@ -153,7 +153,7 @@
         grant: GrantNumber,
         incarnation: Incarnation,
     ) -> Result<Vec<TicketId>, Rejection> {
-        use Transition::*;
+        use Transition::{Begin, Depart, Drain, Expire, Grant, Lapse, Overrun, Recall, Return};
         let ticket = self.open_ticket(id)?;
         // A grant comes with a census, and deadlines are not reported by anybody.
         if matches!(transition, Grant | Lapse | Expire | Overrun) {
--- a/crates/loomflow-fleet/src/maintenance/ticket.rs
+++ b/crates/loomflow-fleet/src/maintenance/ticket.rs
@@ -286,7 +286,9 @@
 /// All that is legal. Anything else is rejected.
 pub const TABLE: [Rule; 33] = {
     use Actor::{Leader, Operator, Server, ServerOrLeader};
-    use Stage::*;
+    use Stage::{
+        Abandoned, Back, Begun, Done, Draining, Granted, Lapsed, Out, Overdue, Ready, Requested, Withdrawn,
+    };
     [
         rule(Requested, Transition::Grant, Leader, Granted),
         rule(Requested, Transition::Withdraw, Operator, Withdrawn),
@@ -340,7 +342,7 @@
 
 /// Why a transition that is not in the table is rejected.
 fn rejection(from: Stage, transition: Transition) -> Rejection {
-    use Stage::*;
+    use Stage::{Abandoned, Back, Begun, Done, Draining, Granted, Lapsed, Ready, Requested, Withdrawn};
     // The first stage in which each transition is possible, on the way from requested to done.
     let earliest = match transition {
         Transition::Grant | Transition::Withdraw | Transition::Expire => Requested,
--- a/crates/loomflow-fleet/tests/ownership_model.rs
+++ b/crates/loomflow-fleet/tests/ownership_model.rs
@@ -150,6 +150,51 @@
     }
 }
 
+impl Owners {
+    /// A message arrives.
+    fn deliver(&self, state: &mut State, message: Message) {
+        match message {
+            Message::Here { server, at } => {
+                let holder = ServerInstance { name: name(server), incarnation: 1 };
+                state.duties.advance_time(state.fleet_time());
+                state.duties.apply(&Command::KeepAlive(vec![holder]));
+                let ownership = Owners::session_of(state, server);
+                let token = ownership.grants.first().map_or(0, |_| state.told);
+                state.sent.insert(Message::Owns { server, at, session: ownership.session, token });
+            }
+            Message::Owns { server, at, session, token } => {
+                let ownership = ownership(session, token);
+                let from = if self.0 == Fault::FromTheAnswer { state.now } else { at };
+                state.servers[server].0.renewed(ownership, from, state.now);
+                state.servers[server].0.take_changes();
+            }
+            Message::Given { server, session, token } => {
+                state.servers[server].0.notified(ownership(session, token), state.now);
+                state.servers[server].0.take_changes();
+            }
+        }
+    }
+
+    /// The leader assigns the duty; none where it has an owner.
+    fn assign(&self, state: &mut State, server: usize) -> Option<()> {
+        state.duties.advance_time(state.fleet_time());
+        let before = state.duties.last_token();
+        state.duties.apply(&Command::Assign(vec![(DUTY.into(), name(server))]));
+        if state.duties.last_token() == before {
+            return None;
+        }
+        state.given += 1;
+        state.counted += 1;
+        let ownership = Owners::session_of(state, server);
+        state.told = match self.0 {
+            Fault::TokenFromMemory => state.counted,
+            _ => ownership.grants[0].token,
+        };
+        state.sent.insert(Message::Given { server, session: ownership.session, token: state.told });
+        Some(())
+    }
+}
+
 impl Model for Owners {
     type State = State;
     type Action = Action;
@@ -219,40 +264,8 @@
                 state.renewals[server] += 1;
                 state.sent.insert(Message::Here { server, at: state.now });
             }
-            Action::Deliver(Message::Here { server, at }) => {
-                let holder = ServerInstance { name: name(server), incarnation: 1 };
-                state.duties.advance_time(state.fleet_time());
-                state.duties.apply(&Command::KeepAlive(vec![holder]));
-                let ownership = Owners::session_of(&state, server);
-                let token = ownership.grants.first().map_or(0, |_| state.told);
-                state.sent.insert(Message::Owns { server, at, session: ownership.session, token });
-            }
-            Action::Deliver(Message::Owns { server, at, session, token }) => {
-                let ownership = ownership(session, token);
-                let from = if self.0 == Fault::FromTheAnswer { state.now } else { at };
-                state.servers[server].0.renewed(ownership, from, state.now);
-                state.servers[server].0.take_changes();
-            }
-            Action::Deliver(Message::Given { server, session, token }) => {
-                state.servers[server].0.notified(ownership(session, token), state.now);
-                state.servers[server].0.take_changes();
-            }
-            Action::Give(server) => {
-                state.duties.advance_time(state.fleet_time());
-                let before = state.duties.last_token();
-                state.duties.apply(&Command::Assign(vec![(DUTY.into(), name(server))]));
-                if state.duties.last_token() == before {
-                    return None;
-                }
-                state.given += 1;
-                state.counted += 1;
-                let ownership = Owners::session_of(&state, server);
-                state.told = match self.0 {
-                    Fault::TokenFromMemory => state.counted,
-                    _ => ownership.grants[0].token,
-                };
-                state.sent.insert(Message::Given { server, session: ownership.session, token: state.told });
-            }
+            Action::Deliver(message) => self.deliver(&mut state, message),
+            Action::Give(server) => self.assign(&mut state, server)?,
             Action::NewLeader => {
                 state.leaders += 1;
                 state.counted = 0;
--- a/crates/loomflow-fleet/tests/ticket_model.rs
+++ b/crates/loomflow-fleet/tests/ticket_model.rs
@@ -101,7 +101,7 @@
     Withdraw(TicketId),
     /// What the leader sees of a server that holds a place.
     See(TicketId, Transition),
-    OperatorResponse(Message),
+    Deliver(Message),
     /// A server that leaves is gone.
     End(usize),
     Start(usize),
@@ -130,6 +130,61 @@
     name[1..].parse().unwrap()
 }
 
+/// The command that makes a transition of a ticket by its current grant.
+fn transition_of(state: &State, transition: Transition, id: TicketId, incarnation: u64) -> Command {
+    let grant = state.maintenance.open().get(&id).map_or(0, |ticket| ticket.grant);
+    Command::Transition { ticket: id, transition, grant, incarnation }
+}
+
+/// The leader reports what it sees of a server; none where it cannot see that.
+fn observe(state: &mut State, last: &State, id: TicketId, transition: Transition) -> Option<bool> {
+    let ticket = last.maintenance.open().get(&id)?;
+    let (process, incarnation) = last.servers[number(&ticket.request.server)];
+    let is_up = matches!(process, Process::Up | Process::Leaving(_));
+    // As the observation has it: one that is back is up, with another start than the one that left.
+    let incarnation = match transition {
+        Transition::Depart => ticket.incarnation.max(ticket.returned_incarnation),
+        _ if !is_up => return None,
+        Transition::Return if incarnation == ticket.incarnation => return None,
+        _ => incarnation,
+    };
+    Some(state.agree(Issuer::Leader, transition_of(last, transition, id, incarnation), 1))
+}
+
+impl Fleet {
+    /// A message arrives; whether that changes anything.
+    fn deliver(&self, state: &mut State, last: &State, message: Message) -> Option<bool> {
+        let changed = match message {
+            Message::Granted { server, ticket, grant, incarnation } => {
+                let (process, own) = last.servers[server];
+                if process != Process::Up || own != incarnation {
+                    return None;
+                }
+                if self.fault == Fault::LeavesOnTheGrant {
+                    state.servers[server].0 = Process::Leaving(ticket);
+                    true
+                } else {
+                    state.said.insert(Message::Begin { server, ticket, grant, incarnation })
+                }
+            }
+            Message::Begin { server, ticket, grant, incarnation } => {
+                let by = Issuer::Server { name: name(server), incarnation };
+                let command =
+                    Command::Transition { ticket, transition: Transition::Begin, grant, incarnation };
+                state.agree(by, command, 1)
+                    && state.said.insert(Message::Begun { server, ticket, incarnation })
+            }
+            Message::Begun { server, ticket, incarnation } => {
+                let (process, own) = last.servers[server];
+                let meant = own == incarnation || self.fault == Fault::ForgetsItsStart;
+                state.servers[server].0 = Process::Leaving(ticket);
+                process == Process::Up && meant
+            }
+        };
+        Some(changed)
+    }
+}
+
 impl Model for Fleet {
     type State = State;
     type Action = Action;
@@ -180,7 +235,7 @@
                 actions.extend(seen.map(|by| Action::See(id, by)));
             }
         }
-        actions.extend(state.said.iter().map(|message| Action::OperatorResponse(*message)));
+        actions.extend(state.said.iter().map(|message| Action::Deliver(*message)));
         for (server, (process, incarnation)) in state.servers.iter().enumerate() {
             match process {
                 Process::Leaving(_) => actions.push(Action::End(server)),
@@ -196,10 +251,7 @@
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         let of = |id: TicketId| last.maintenance.open().get(&id);
-        let moved = |transition, id: TicketId, incarnation| {
-            let grant = of(id).map_or(0, |ticket| ticket.grant);
-            Command::Transition { ticket: id, transition, grant, incarnation }
-        };
+        let transition = |transition, id, incarnation| transition_of(last, transition, id, incarnation);
         let changed = match action {
             Action::Grant(id) => {
                 let incarnation = last.servers[number(&of(id)?.request.server)].1;
@@ -218,51 +270,14 @@
             }
             Action::Recall(id) => {
                 state.void += 1;
-                state.agree(Issuer::Leader, moved(Transition::Recall, id, of(id)?.incarnation), 1)
+                state.agree(Issuer::Leader, transition(Transition::Recall, id, of(id)?.incarnation), 1)
             }
             Action::Withdraw(id) => {
                 state.withdrawn = true;
-                state.agree(Issuer::Operator("ops".into()), moved(Transition::Withdraw, id, 0), 1)
-            }
-            Action::See(id, by) => {
-                let ticket = of(id)?;
-                let (process, incarnation) = last.servers[number(&ticket.request.server)];
-                let up = matches!(process, Process::Up | Process::Leaving(_));
-                // What `watch` makes of a sight: back is one that is up, with a start that is not the one that went.
-                let went = ticket.incarnation.max(ticket.returned_incarnation);
-                let seen = match by {
-                    Transition::Depart => went,
-                    _ if !up => return None,
-                    Transition::Return if incarnation == ticket.incarnation => return None,
-                    _ => incarnation,
-                };
-                state.agree(Issuer::Leader, moved(by, id, seen), 1)
-            }
-            Action::OperatorResponse(Message::Granted { server, ticket, grant, incarnation }) => {
-                let (process, own) = last.servers[server];
-                if process != Process::Up || own != incarnation {
-                    return None;
-                }
-                if self.fault == Fault::LeavesOnTheGrant {
-                    state.servers[server].0 = Process::Leaving(ticket);
-                    true
-                } else {
-                    state.said.insert(Message::Begin { server, ticket, grant, incarnation })
-                }
-            }
-            Action::OperatorResponse(Message::Begin { server, ticket, grant, incarnation }) => {
-                let by = Issuer::Server { name: name(server), incarnation };
-                let command =
-                    Command::Transition { ticket, transition: Transition::Begin, grant, incarnation };
-                state.agree(by, command, 1)
-                    && state.said.insert(Message::Begun { server, ticket, incarnation })
-            }
-            Action::OperatorResponse(Message::Begun { server, ticket, incarnation }) => {
-                let (process, own) = last.servers[server];
-                let meant = own == incarnation || self.fault == Fault::ForgetsItsStart;
-                state.servers[server].0 = Process::Leaving(ticket);
-                process == Process::Up && meant
+                state.agree(Issuer::Operator("ops".into()), transition(Transition::Withdraw, id, 0), 1)
             }
+            Action::See(id, transition) => observe(&mut state, last, id, transition)?,
+            Action::Deliver(message) => self.deliver(&mut state, last, message)?,
             Action::End(server) => {
                 let Process::Leaving(ticket) = last.servers[server].0 else { return None };
                 state.servers[server].0 = Process::Out(ticket);
--- a/crates/loomflow-load/src/resp.rs
+++ b/crates/loomflow-load/src/resp.rs
@@ -12,7 +12,7 @@
 
 use crate::{Plan, RequestOutcome, Results};
 
-/// Most requests that a gateway may have open on one connection.
+/// Maximum number of open requests on one connection.
 const MAX_OPEN_REQUESTS: usize = 32;
 
 struct OpenRequest {
@@ -32,31 +32,48 @@
 pub fn play(listen: SocketAddr, plan: &Plan, response_timeout: Duration) -> Results {
     assert!(listen.ip().is_loopback(), "load goes to loopback only");
     let start = Instant::now();
+    let until = start + plan.duration + response_timeout;
     let results = Arc::new(Mutex::new(Results::new(start, plan.objective)));
     let mut connections: VecDeque<Connection> = VecDeque::new();
     let mut readers = Vec::new();
     for _ in 0..plan.connections {
-        let mut gateway = Gateway::open(listen);
+        let gateway = Gateway::open(listen);
         let (open, for_reader) = (OpenRequests::default(), results.clone());
         let writer = gateway.stream.try_clone().expect("a clone");
         connections.push_back(Connection { gateway: writer, open: open.clone(), tag: 0 });
-        let until = start + plan.duration + response_timeout;
-        readers.push(thread::spawn(move || {
-            while let Ok(Some(response)) =
-                gateway.next_response(until.saturating_duration_since(Instant::now()))
-            {
-                record_response(&response, &open, &for_reader);
-                if Instant::now() >= until {
-                    break;
-                }
-            }
-            let lost = std::mem::take(&mut *open.lock().expect("open"));
-            let mut results = for_reader.lock().expect("heard");
-            for request in lost.into_values() {
-                results.record_outcome(request.sent_at, RequestOutcome::Lost, Instant::now());
-            }
-        }));
+        readers.push(thread::spawn(move || read_responses(gateway, until, &open, &for_reader)));
+    }
+    send_all(&mut connections, plan, start, &results);
+    let has_open = |connection: &Connection| !connection.open.lock().expect("open").is_empty();
+    while Instant::now() < until && connections.iter().any(has_open) {
+        thread::sleep(Duration::from_millis(5));
+    }
+    for connection in &connections {
+        let _ = connection.gateway.shutdown(std::net::Shutdown::Both);
+    }
+    for reader in readers {
+        reader.join().expect("a reader");
+    }
+    Arc::try_unwrap(results).expect("readers have ended").into_inner().expect("results")
+}
+
+/// Records responses until the connection ends; what is open then is lost.
+fn read_responses(mut gateway: Gateway, until: Instant, open: &OpenRequests, results: &Mutex<Results>) {
+    while let Ok(Some(response)) = gateway.next_response(until.saturating_duration_since(Instant::now())) {
+        record_response(&response, open, results);
+        if Instant::now() >= until {
+            break;
+        }
     }
+    let lost = std::mem::take(&mut *open.lock().expect("open"));
+    let mut results = results.lock().expect("results");
+    for request in lost.into_values() {
+        results.record_outcome(request.sent_at, RequestOutcome::Lost, Instant::now());
+    }
+}
+
+/// Sends each request of a plan when it is due.
+fn send_all(connections: &mut VecDeque<Connection>, plan: &Plan, start: Instant, results: &Mutex<Results>) {
     let (mut due, mut number) = (0.0, 0);
     while start.elapsed() < plan.duration {
         let now = start.elapsed().as_secs_f64();
@@ -66,26 +83,14 @@
         }
         due += 1.0 / plan.rate(due).max(0.1);
         number += 1;
-        send(&mut connections, plan.class, plan.body(number), &results);
-    }
-    let until = start + plan.duration + response_timeout;
-    let open = |connection: &Connection| !connection.open.lock().expect("open").is_empty();
-    while Instant::now() < until && connections.iter().any(open) {
-        thread::sleep(Duration::from_millis(5));
-    }
-    for connection in &connections {
-        let _ = connection.gateway.shutdown(std::net::Shutdown::Both);
-    }
-    for reader in readers {
-        reader.join().expect("a reader");
+        send(connections, plan.class, plan.body(number), results);
     }
-    Arc::try_unwrap(results).expect("readers have ended").into_inner().expect("heard")
 }
 
 /// Sends a request on the next connection with capacity.
 fn send(connections: &mut VecDeque<Connection>, class: &str, body: Vec<u8>, results: &Mutex<Results>) {
     let sent_at = Instant::now();
-    results.lock().expect("heard").record_sent(body.clone(), sent_at);
+    results.lock().expect("results").record_sent(body.clone(), sent_at);
     for _ in 0..connections.len() {
         connections.rotate_left(1);
         let connection = &mut connections[0];
@@ -104,12 +109,12 @@
         return;
     }
     // No connection has capacity: the gateway abandons the request.
-    results.lock().expect("heard").record_outcome(sent_at, RequestOutcome::Lost, sent_at);
+    results.lock().expect("results").record_outcome(sent_at, RequestOutcome::Lost, sent_at);
 }
 
 fn record_response(response: &GatewayResponse, open: &OpenRequests, results: &Mutex<Results>) {
     let request = open.lock().expect("open").remove(&response.tag);
-    let (mut results, now) = (results.lock().expect("heard"), Instant::now());
+    let (mut results, now) = (results.lock().expect("results"), Instant::now());
     let Some(request) = request else { return results.record_outcome(now, RequestOutcome::Wrong, now) };
     if let Some(share) = response.fields.split(',').find_map(|field| field.strip_prefix("signal=")) {
         results.second(request.sent_at).record_signal(share.parse().unwrap_or(0.0));
--- a/crates/loomflow-measure/src/order/simulated.rs
+++ b/crates/loomflow-measure/src/order/simulated.rs
@@ -104,50 +104,12 @@
 
 /// How soon a death is known to all, and who is taken for dead that is not.
 fn deaths(report: &mut Report, quick: bool) {
-    let known: Vec<f64> = run_parallel(core_count(), 0..if quick { 30 } else { 200 }, |seed| {
-        let mut simulation = Simulation::new(
-            SimulationConfig { machines: 30, voters: 5, ..SimulationConfig::default() },
-            seed,
-        );
-        simulation.invariants.compares_states = false;
-        let _ = simulation.run_until(20_000);
-        simulation.inject(&Fault::SetLoss(0.02, 0.0));
-        let died = simulation.now;
-        simulation.inject(&Fault::Kill(29));
-        while simulation.now < died + 60_000 && !simulation.is_known_dead(29) {
-            let next = simulation.now + 50;
-            let _ = simulation.run_until(next);
-        }
-        (simulation.now - died) as f64 / 1000.0
-    });
-    let mut known = known;
+    let mut known: Vec<f64> = run_parallel(core_count(), 0..if quick { 30 } else { 200 }, death_known_s);
     known.sort_by(f64::total_cmp);
     let at = |part: f64| known[((known.len() as f64 * part) as usize).min(known.len() - 1)];
-    // Hours of a fleet with loss and short stops, in pieces side by side.
+    // In pieces side by side.
     let hours = if quick { 4 } else { 100 };
-    let false_deaths: u64 = run_parallel(core_count(), 0..hours, |seed| {
-        let mut simulation = Simulation::new(
-            SimulationConfig { machines: 10, voters: 3, ..SimulationConfig::default() },
-            seed,
-        );
-        simulation.invariants.compares_states = false;
-        let _ = simulation.run_until(20_000);
-        simulation.inject(&Fault::SetLoss(0.02, 0.0));
-        let mut rng = fastrand::Rng::with_seed(seed);
-        let mut taken = 0;
-        let mut before = simulation.believed_dead();
-        for _ in 0..720 {
-            simulation.inject(&Fault::Stop(rng.usize(0..10), 300));
-            let next = simulation.now + 5_000;
-            let _ = simulation.run_until(next);
-            let now = simulation.believed_dead();
-            taken += now.difference(&before).count() as u64;
-            before = now;
-        }
-        taken
-    })
-    .into_iter()
-    .sum();
+    let false_deaths: u64 = run_parallel(core_count(), 0..hours, false_deaths_in_an_hour).into_iter().sum();
     report.table(
         "Deaths among 30 members, with 2% loss; and an hour of ten with stops of 300 ms each 5 s",
         &["known to all p50 s", "p99 s", "hours", "taken for dead that were not"],
@@ -162,6 +124,45 @@
     report.require_max("false_deaths", false_deaths as f64, 0.0);
 }
 
+/// A fleet that has formed, on a network that loses one packet in fifty.
+fn lossy_fleet(machines: usize, voters: usize, seed: u64) -> Simulation {
+    let config = SimulationConfig { machines, voters, ..SimulationConfig::default() };
+    let mut simulation = Simulation::new(config, seed);
+    simulation.invariants.compares_states = false;
+    let _ = simulation.run_until(20_000);
+    simulation.inject(&Fault::SetLoss(0.02, 0.0));
+    simulation
+}
+
+/// How long it takes until the death of one of 30 members is known to all, s.
+fn death_known_s(seed: u64) -> f64 {
+    let mut simulation = lossy_fleet(30, 5, seed);
+    let died = simulation.now;
+    simulation.inject(&Fault::Kill(29));
+    while simulation.now < died + 60_000 && !simulation.is_known_dead(29) {
+        let next = simulation.now + 50;
+        let _ = simulation.run_until(next);
+    }
+    (simulation.now - died) as f64 / 1000.0
+}
+
+/// How often one of ten members is taken for dead in an hour with short stops.
+fn false_deaths_in_an_hour(seed: u64) -> u64 {
+    let mut simulation = lossy_fleet(10, 3, seed);
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let mut count = 0;
+    let mut before = simulation.believed_dead();
+    for _ in 0..720 {
+        simulation.inject(&Fault::Stop(rng.usize(0..10), 300));
+        let next = simulation.now + 5_000;
+        let _ = simulation.run_until(next);
+        let now = simulation.believed_dead();
+        count += now.difference(&before).count() as u64;
+        before = now;
+    }
+    count
+}
+
 /// How the day with a burst is made: ten servers of eight runs at once, 30 minutes, a burst of ten minutes in it; each
 /// server is asked for in the fourth minute and is out for 30 s. Seconds.
 const MACHINES: usize = 10;
--- a/crates/loomflow-measure/src/order/work.rs
+++ b/crates/loomflow-measure/src/order/work.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use loomflow_load::rounds::{self, Round};
+use loomflow_load::rounds::{self, Round, RoundReport};
 use loomflow_load::{Plan, Results, fleet};
 use loomflow_standins::fleet::{Fleet, Plan as Made};
 
@@ -47,23 +47,79 @@
     f64::from(all.in_time) / f64::from(all.sent.max(1))
 }
 
+/// What one play of the load shows.
+struct Played {
+    /// In time over requested.
+    in_time: f64,
+    took: Duration,
+}
+
 pub fn measure(report: &mut Report, quick: bool, program: &Path) {
-    // The same load without work, for as long as the script takes.
-    let (fleet, load) = started(program);
-    std::thread::sleep(Duration::from_secs(if quick { 8 } else { 30 }));
-    let quiet = in_time(&load.end());
-    drop(fleet);
-    // In the order that the servers settle.
+    let quiet = play_without_maintenance(program, Duration::from_secs(if quick { 8 } else { 30 }));
+    let settled = play_settled(program);
+    let thirds = play_thirds(program);
+    print(report, quiet, &settled, &thirds);
+    let round = &settled.round;
+    let is_complete = round.complete && round.failed_exits == 0;
+    report.require_min("round_complete", f64::from(u8::from(is_complete)), 1.0);
+    report.require_max("out_at_once", round.max_out as f64, 1.0);
+    report.require_min("in_time_over_quiet", settled.in_time / quiet, 0.99);
+    report.figure("thirds_over_quiet", thirds.in_time / quiet);
+    report.require_max("lost", f64::from(settled.lost_or_wrong), 0.0);
+    let shortest_s = settled.cycle_s * MEMBERS as f64;
+    report.require_max("time_over_least", round.took.as_secs_f64() / shortest_s, 1.3);
+}
+
+fn print(report: &Report, quiet: f64, settled: &Settled, thirds: &Played) {
+    let row = |name: &str, in_time: f64, out: String, took: Duration| {
+        vec![name.into(), format!("{in_time:.4}"), out, format!("{:.1}", took.as_secs_f64())]
+    };
+    let round = &settled.round;
+    report.table(
+        "Nine servers in three zones at 0.7 of what they do, each out for two seconds once",
+        &["order", "in time", "out at once", "took s"],
+        vec![
+            row("none goes", quiet, "0".into(), Duration::ZERO),
+            row("settled by the servers", settled.in_time, round.max_out.to_string(), round.took),
+            row("thirds, unasked", thirds.in_time, "3".into(), thirds.took),
+        ],
+    );
+}
+
+/// The same load without maintenance, for as long as the script takes: in time over requested.
+fn play_without_maintenance(program: &Path, span: Duration) -> f64 {
+    let (_fleet, load) = started(program);
+    std::thread::sleep(span);
+    in_time(&load.end())
+}
+
+/// A round in the order that the servers settle.
+struct Settled {
+    round: RoundReport,
+    in_time: f64,
+    lost_or_wrong: u32,
+    /// From a grant to the place being available, in the mean, s.
+    cycle_s: f64,
+}
+
+fn play_settled(program: &Path) -> Settled {
     let (mut fleet, load) = started(program);
     let round = Round { work: OUT_FOR, kill_after: None, limit: Duration::from_secs(400) };
-    let round_report = rounds::play(&mut fleet, &round);
+    let round = rounds::play(&mut fleet, &round);
     let results = load.end();
-    let (settled, rules) = (in_time(&results), results.total());
-    let cycle = cycle(&fleet);
-    drop(fleet);
-    // A third at once, by SIGTERM.
+    let total = results.total();
+    Settled {
+        round,
+        in_time: in_time(&results),
+        lost_or_wrong: total.lost + total.wrong,
+        cycle_s: cycle(&fleet),
+    }
+}
+
+/// A third at once, by SIGTERM.
+fn play_thirds(program: &Path) -> Played {
     let (mut fleet, load) = started(program);
-    let begun = Instant::now();
+    let began = Instant::now();
     for third in 0..3 {
         let out: Vec<usize> = (0..MEMBERS).filter(|one| one % 3 == third).collect();
         for one in &out {
@@ -78,36 +134,8 @@
         }
         std::thread::sleep(Duration::from_secs(1));
     }
-    let thirds_took = begun.elapsed();
-    let thirds = in_time(&load.end());
-    let shortest = cycle * MEMBERS as f64;
-    let row = |name: &str, in_time: f64, out: String, took: f64| {
-        vec![name.into(), format!("{in_time:.4}"), out, format!("{took:.1}")]
-    };
-    report.table(
-        "Nine servers in three zones at 0.7 of what they do, each out for two seconds once",
-        &["order", "in time", "out at once", "took s"],
-        vec![
-            row("none goes", quiet, "0".into(), 0.0),
-            row(
-                "settled by the servers",
-                settled,
-                round_report.max_out.to_string(),
-                round_report.took.as_secs_f64(),
-            ),
-            row("thirds, unasked", thirds, "3".into(), thirds_took.as_secs_f64()),
-        ],
-    );
-    report.require_min(
-        "round_complete",
-        f64::from(u8::from(round_report.complete && round_report.failed_exits == 0)),
-        1.0,
-    );
-    report.require_max("out_at_once", round_report.max_out as f64, 1.0);
-    report.require_min("in_time_over_quiet", settled / quiet, 0.99);
-    report.figure("thirds_over_quiet", thirds / quiet);
-    report.require_max("lost", f64::from(rules.lost + rules.wrong), 0.0);
-    report.require_max("time_over_least", round_report.took.as_secs_f64() / shortest, 1.3);
+    let took = began.elapsed();
+    Played { in_time: in_time(&load.end()), took }
 }
 
 /// A machine's turn from its grant to its place being free, in the mean of all, s.
--- a/crates/loomflow-measure/src/owner/rounds.rs
+++ b/crates/loomflow-measure/src/owner/rounds.rs
@@ -40,18 +40,42 @@
     diagnostics: Vec<String>,
 }
 
+impl Sum {
+    /// Duties that changed hands over those that had to.
+    fn migration_ratio(&self) -> f64 {
+        self.migrated as f64 / self.owned_by_dead.max(1) as f64
+    }
+}
+
 pub fn measure(report: &mut Report, quick: bool, program: &Path) {
     let rounds = if quick { 50 } else { 1_000 };
-    let sum = play(rounds, true, program);
-    let bare = play(if quick { 10 } else { 100 }, false, program);
-    let p = |of: &[f64], part: f64| {
-        let mut sorted = of.to_vec();
-        sorted.sort_by(f64::total_cmp);
-        sorted
-            .get(((sorted.len() as f64 * part) as usize).min(sorted.len().max(1) - 1))
-            .copied()
-            .unwrap_or(0.0)
-    };
+    let fenced = play(rounds, true, program);
+    let unfenced = play(if quick { 10 } else { 100 }, false, program);
+    print_violations(report, &fenced, &unfenced);
+    print_times(report, &fenced);
+    for diagnostics in fenced.diagnostics.iter().take(1) {
+        println!("{diagnostics}");
+    }
+    report.figure("owner_rounds", fenced.rounds as f64);
+    report.require_max("of_old_owners", fenced.wrong.by_former_owners as f64, 0.0);
+    report.require_max("interleaved", fenced.wrong.interleaved as f64, 0.0);
+    report.require_max("not_linearizable", fenced.wrong.not_linear as f64, 0.0);
+    report.require_max("without_owner", fenced.without_owner as f64, 0.0);
+    report.require_min("harm_without_fence", unfenced.wrong.by_former_owners as f64, 1.0);
+    report.require_max("killed_p99_leases", quantile(&fenced.killed, 0.99) / LEASE_S, 1.5);
+    report.require_max("left_p99_s", quantile(&fenced.left, 0.99), 0.2);
+    report.require_max("moves_over_least", fenced.migration_ratio(), 1.2);
+}
+
+/// The value below which this part of the values is; 0 where there are none.
+fn quantile(values: &[f64], part: f64) -> f64 {
+    let mut sorted = values.to_vec();
+    sorted.sort_by(f64::total_cmp);
+    let at = ((sorted.len() as f64 * part) as usize).min(sorted.len().max(1) - 1);
+    sorted.get(at).copied().unwrap_or(0.0)
+}
+
+fn print_violations(report: &Report, fenced: &Sum, unfenced: &Sum) {
     let row = |name: &str, sum: &Sum| {
         vec![
             name.to_owned(),
@@ -74,29 +98,22 @@
             "refused",
             "no owner after 10 s",
         ],
-        vec![row("with its fence", &sum), row("without comparing", &bare)],
+        vec![row("with its fence", fenced), row("without comparing", unfenced)],
     );
+}
+
+fn print_times(report: &Report, sum: &Sum) {
     report.table(
         "Without an owner, over the lease of two seconds; and moves when one dies",
         &["after a kill p50", "p99", "after leaving, s p50", "p99", "moves over the least"],
         vec![vec![
-            format!("{:.2}", p(&sum.killed, 0.5) / LEASE_S),
-            format!("{:.2}", p(&sum.killed, 0.99) / LEASE_S),
-            format!("{:.3}", p(&sum.left, 0.5)),
-            format!("{:.3}", p(&sum.left, 0.99)),
-            format!("{:.2}", sum.migrated as f64 / sum.owned_by_dead.max(1) as f64),
+            format!("{:.2}", quantile(&sum.killed, 0.5) / LEASE_S),
+            format!("{:.2}", quantile(&sum.killed, 0.99) / LEASE_S),
+            format!("{:.3}", quantile(&sum.left, 0.5)),
+            format!("{:.3}", quantile(&sum.left, 0.99)),
+            format!("{:.2}", sum.migration_ratio()),
         ]],
     );
-    sum.diagnostics.iter().take(1).for_each(|diagnostics| println!("{diagnostics}"));
-    report.figure("owner_rounds", sum.rounds as f64);
-    report.require_max("of_old_owners", sum.wrong.by_former_owners as f64, 0.0);
-    report.require_max("interleaved", sum.wrong.interleaved as f64, 0.0);
-    report.require_max("not_linearizable", sum.wrong.not_linear as f64, 0.0);
-    report.require_max("without_owner", sum.without_owner as f64, 0.0);
-    report.require_min("harm_without_fence", bare.wrong.by_former_owners as f64, 1.0);
-    report.require_max("killed_p99_leases", p(&sum.killed, 0.99) / LEASE_S, 1.5);
-    report.require_max("left_p99_s", p(&sum.left, 0.99), 0.2);
-    report.require_max("moves_over_least", sum.migrated as f64 / sum.owned_by_dead.max(1) as f64, 1.2);
 }
 
 fn play(rounds: u64, compares: bool, program: &Path) -> Sum {
