--- a/crates/loomflow-fleet/src/consensus/mod.rs
+++ b/crates/loomflow-fleet/src/consensus/mod.rs
@@ -1,10 +1,10 @@
-//! A replicated log among a few voters: Raft, by the library `raft`. Fed messages and times; it knows no socket, and of its
+//! A replicated log among several voters: Raft, by the library `raft`. Fed messages and times; it knows no socket, and of its
 //! disk only [`Storage`].
 //!
 //! Election with pre-vote and a check of the quorum, transfer of leadership, snapshots and changes of configuration are the
-//! library's. Ours is the order of things around it: a step is durable before anything that follows from it is sent; a storage
-//! that fails takes this voter out of the consensus until it can be read and written again, with what it then holds; and a
-//! voter is its data directory, so that one whose directory is lost is another voter.
+//! library's. Ours is the order of things around it: a step is durable before anything that follows from it is sent; a
+//! storage that fails takes this voter out of the consensus until it can be read and written again, with its contents then;
+//! and a voter is its data directory, so that one whose directory is lost is another voter.
 //!
 //! - this file: starting, creating and recovering a fleet, what comes in;
 //! - `ready`: carrying out what the library wants done;
@@ -12,8 +12,10 @@
 //! - `voter_changes`: bringing the configuration to the voters that the settings name;
 //! - `log`: the log as the library reads it;
 //! - [`storage`]: what a voter must not forget;
+//! - `election`: who leads, and when a voter starts an election;
 //! - `error`: what can go wrong.
 
+mod election;
 mod error;
 mod log;
 mod ready;
@@ -24,17 +26,14 @@
 use std::collections::BTreeMap;
 
 use raft::eraftpb::{ConfState, Entry, HardState, Message, Snapshot};
-use raft::{Config, RawNode, SnapshotStatus, StateRole};
+use raft::{Config, RawNode, SnapshotStatus};
 
 use crate::member::{Incarnation, Millis, Replica, ServerName};
+use election::{ELECTION_TICKS, HEARTBEAT_TICKS, TICK_MILLIS};
 pub use error::{ConsensusError, ProposeError, SnapshotError};
 use log::Log;
 use storage::{PersistedState, ReplicaMetadata, Storage, WriteBatch};
 
-/// The library's tick, ms. A leader sends heartbeats every second tick; who receives none for 10 to 20 starts an election.
-const TICK_MILLIS: Millis = 100;
-const HEARTBEAT_TICKS: usize = 2;
-const ELECTION_TICKS: usize = 10;
 /// A storage that failed is tried again after this, ms.
 const STORAGE_RETRY_MILLIS: Millis = 1_000;
 /// A snapshot that did not arrive is sent again after this, ms.
@@ -59,10 +58,10 @@
     /// Applies one entry; none where it cannot be read.
     fn apply(&mut self, entry: &[u8]) -> Option<Self::Output>;
 
-    /// Tells it who has a vote from now on.
+    /// Sets who has a vote from now on.
     fn set_voters(&mut self, names: Vec<ServerName>);
 
-    /// Tells it that the fleet was recovered from one data directory: numbers that others may know must not come again.
+    /// Called when the fleet was recovered from one data directory: numbers that others may know must not be assigned again.
     fn reset_after_recovery(&mut self);
 
     /// A snapshot of the state.
@@ -95,12 +94,12 @@
     outgoing: Vec<(ServerName, Vec<u8>)>,
     outputs: Vec<M::Output>,
     /// Messages of another group, or that could not be taken.
-    pub refused: u64,
+    pub rejected: u64,
 }
 
 impl<M: StateMachine> Consensus<M> {
-    /// Continues from what the data directory holds. An empty one is a new replica, with an id drawn from `seed`. Where it
-    /// cannot be read or written this voter takes no part and tries again; [`Consensus::error`] says why. `unix_millis`: the
+    /// Continues from the data directory. An empty one is a new replica, with an id drawn from `seed`. Where it cannot be
+    /// read or written this voter takes no part and tries again; [`Consensus::error`] has the reason. `unix_millis`: the
     /// wall clock.
     pub fn start(
         name: ServerName,
@@ -125,7 +124,7 @@
             next_snapshot_check_at: now,
             outgoing: Vec::new(),
             outputs: Vec::new(),
-            refused: 0,
+            rejected: 0,
         };
         if let Ok(persisted) = consensus.storage.read() {
             let next = persisted.metadata.incarnation + 1;
@@ -135,7 +134,7 @@
         consensus
     }
 
-    /// Reads the data directory, counts this start in it, and starts from what it holds.
+    /// Reads the data directory, counts this start in it, and starts from its contents.
     fn open_storage(&mut self) -> Result<(), ConsensusError> {
         let persisted = self.storage.read()?;
         let known = persisted.metadata.replica;
@@ -183,21 +182,6 @@
         self.raft_node.as_ref().map_or(0, |node| node.raft.term)
     }
 
-    /// Whether this voter leads, and has applied all that was committed before it did.
-    pub fn is_leader(&self) -> bool {
-        self.raft_node.as_ref().is_some_and(|node| {
-            node.raft.state == StateRole::Leader
-                && node.raft.apply_to_current_term()
-                && node.raft.lead_transferee.is_none()
-        })
-    }
-
-    /// Who leads, as far as this voter knows.
-    pub fn leader(&self) -> Option<&ServerName> {
-        let id = self.raft_node.as_ref()?.raft.leader_id;
-        self.replicas.get(&id)
-    }
-
     /// Who has a vote, in the order of the replicas.
     pub fn voters(&self) -> Vec<ServerName> {
         let Some(node) = &self.raft_node else { return Vec::new() };
@@ -216,7 +200,7 @@
         self.begin_group(group, FIRST_INDEX, 1)
     }
 
-    /// Recreates the fleet from what this data directory holds, with this voter alone: for when a majority of the directories
+    /// Recreates the fleet from this data directory, with this voter alone: for when a majority of the directories
     /// is lost. What only the lost ones had committed is lost.
     ///
     /// # Errors
@@ -259,7 +243,7 @@
         Ok(())
     }
 
-    /// Starts from what the data directory holds. On an error this voter takes no part.
+    /// Starts from the data directory. On an error this voter takes no part.
     fn start_raft(&mut self, persisted: PersistedState) -> Result<(), ConsensusError> {
         self.raft_node = None;
         let PersistedState { hard_state, snapshot, entries, .. } = persisted;
@@ -296,7 +280,7 @@
     /// Takes a message of another voter of this fleet.
     pub fn step(&mut self, from: &ServerName, group: u64, bytes: &[u8]) {
         let Ok(message) = decode::<Message>(bytes) else {
-            self.refused += 1;
+            self.rejected += 1;
             return;
         };
         let replica = self.metadata.replica;
@@ -304,7 +288,7 @@
         let joins_group = replica.group == 0 && message.to == replica.id && group != 0;
         let is_ours = message.to == replica.id && (group == replica.group || joins_group);
         if self.raft_node.is_none() || !is_ours {
-            self.refused += 1;
+            self.rejected += 1;
             return;
         }
         if joins_group {
@@ -320,7 +304,7 @@
         let Some(node) = &mut self.raft_node else { return };
         // The library's local messages must not come from the network.
         if raft::raw_node::is_local_msg(message.get_msg_type()) || node.step(message).is_err() {
-            self.refused += 1;
+            self.rejected += 1;
         }
         self.process_ready();
     }
@@ -364,24 +348,7 @@
         Ok(())
     }
 
-    /// Lets another voter lead, the one whose log is most complete among those that `may_lead`. False where there is none.
-    pub fn transfer_leadership(&mut self, may_lead: &dyn Fn(&ServerName) -> bool) -> bool {
-        let is_leader = |node: &&mut RawNode<Log>| node.raft.state == StateRole::Leader;
-        let Some(node) = self.raft_node.as_mut().filter(is_leader) else { return false };
-        let own = self.metadata.replica.id;
-        let voters = node.store().configuration().voters;
-        let candidates =
-            voters.iter().filter(|id| **id != own && self.replicas.get(id).is_some_and(may_lead));
-        let matched = |id: &&u64| node.raft.prs().get(**id).map_or(0, |progress| progress.matched);
-        let best = candidates.max_by_key(matched).copied();
-        if let Some(to) = best {
-            node.transfer_leader(to);
-        }
-        self.process_ready();
-        best.is_some()
-    }
-
-    /// What the library believes to be durable may not be: this voter starts again from what the data directory holds.
+    /// What the library believes to be durable may not be: this voter starts again from the data directory.
     fn stop_on_error(&mut self, error: ConsensusError) {
         self.raft_node = None;
         self.error = Some(error);
@@ -403,7 +370,7 @@
     }
 }
 
-/// Tells the library that snapshots that are still on their way are lost: it sends them again.
+/// Reports snapshots that are still in transit as lost: the library sends them again.
 fn report_pending_snapshots(node: &mut RawNode<Log>) {
     let is_pending = |state| state == raft::ProgressState::Snapshot;
     let pending = node.raft.prs().iter().filter(|(_, progress)| is_pending(progress.state));
--- a/crates/loomflow-fleet/src/duty/mod.rs
+++ b/crates/loomflow-fleet/src/duty/mod.rs
@@ -2,20 +2,25 @@
 //!
 //! - [`state`]: the state machine applied from the log: sessions, leases, what owners have written, what is parked.
 //! - [`client_session`]: what one member knows of its own session and the duties that it owns, by its own clock.
-//! - [`fence`]: the receiver's check, which refuses what comes from a former owner.
-//! - [`assign`]: who should own what. Only the leader asks; its decisions go into the log.
+//! - [`fence`]: the receiver's check, which rejects what comes from a former owner.
+//! - [`assign`]: who should own what, by `load`, and what its owner is to release, by `recall`. Only the leader decides; its
+//!   decisions go into the log.
+//! - `attempts`: when a duty that fails again and again is parked.
 //! - [`job`]: the operators' jobs: when a run begins, and what is written about it.
 //! - [`supervisor`]: when the process of a run has to end.
 //! - [`schedule`]: when a duty with a schedule is due, and what happens to missed runs.
 //! - [`summary`]: the duty that sums the fleet up.
 //!
-//! Time keeps two owners apart while clocks behave, and only to spare them useless work: what protects the fleet's effects is
+//! Time separates two owners while clocks behave, and only to spare them useless work: what protects the fleet's effects is
 //! the fencing token and the receiver's fence.
 
 pub mod assign;
+mod attempts;
 pub mod client_session;
 pub mod fence;
 pub mod job;
+pub mod load;
+mod recall;
 pub mod schedule;
 pub mod state;
 pub mod summary;
@@ -34,14 +39,14 @@
 /// Numbers a run: the Unix time at which it was due, s.
 pub type RunId = u64;
 
-/// Most duties.
+/// Maximum number of duties.
 pub const MAX_DUTIES: usize = 2_048;
 /// What an owner may write for the next one, bytes.
 pub const MAX_CHECKPOINT_BYTES: usize = 1_024;
 /// A longer reason is truncated, bytes.
 pub const MAX_REASON_BYTES: usize = 256;
-/// The rates of two machines' boot-time clocks differ by at most this fraction. Beyond it two may believe that they own a duty;
-/// the fence then still lets only the later one through.
+/// The rates of two machines' boot-time clocks differ by at most this fraction. Beyond it two may believe that they own a
+/// duty; the fence then still lets only the later one through.
 pub const MAX_CLOCK_DRIFT: f64 = 0.01;
 
 /// One start of a server, as an owner of duties.
@@ -71,7 +76,7 @@
 }
 
 impl LeaseSettings {
-    /// How long the owner relies on its session, from before it asked, ms: the lease less the bound on drift.
+    /// How long the owner relies on its session, from before the renewal was sent, ms: the lease less the bound on drift.
     pub fn holder_duration(&self) -> Millis {
         (self.lease_millis as f64 * (1.0 - MAX_CLOCK_DRIFT)) as Millis
     }
@@ -80,11 +85,6 @@
     pub fn waiting_duration(&self) -> Millis {
         (self.lease_millis as f64 * (1.0 + MAX_CLOCK_DRIFT)).ceil() as Millis
     }
-
-    /// An owner that was lost before it held a duty for so long may have been brought down by it, ms.
-    pub fn settling_duration(&self) -> Millis {
-        3 * self.lease_millis
-    }
 }
 
 /// A duty as it is declared, by the operators' settings or built in.
@@ -123,15 +123,15 @@
 pub enum Command {
     /// By the leader, from its settings: all duties there are.
     Declare(LeaseSettings, Vec<DutySpec>),
-    /// Servers that renewed their sessions. One renewal keeps all that a server owns.
+    /// Servers that renewed their sessions. One renewal extends all that a server owns.
     KeepAlive(Vec<ServerInstance>),
     /// A server shuts down, and owns nothing that it has to finish.
     End(ServerInstance),
-    /// By the leader: owners for free duties.
+    /// By the leader: owners for duties without one.
     Assign(Vec<(DutyName, ServerName)>),
     /// By the leader or an operator: its owner is to release it.
     Recall(DutyName),
-    /// By its owner: it is free again.
+    /// By its owner: it is available again.
     Release {
         /// The duty.
         duty: DutyName,
@@ -168,7 +168,8 @@
     #[serde(rename = "Kept")]
     Ownership(Ownership),
     /// Not done, and nothing has changed.
-    Refused(Refusal),
+    #[serde(rename = "Refused")]
+    Rejected(Rejection),
     /// All duties.
     List(Box<DutyList>),
 }
@@ -212,7 +213,7 @@
 
 /// Why a command on a duty is not done. It changes nothing then.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-pub enum Refusal {
+pub enum Rejection {
     /// No duty has this name.
     #[error("no duty is called {0:?}")]
     Unknown(DutyName),
@@ -252,9 +253,9 @@
     pub duty: DutyName,
     /// Its owner.
     pub owner: Option<ServerInstance>,
-    /// The highest token ever given for it.
+    /// The highest token ever assigned for it.
     pub token: Token,
-    /// Since when it is owned, or free.
+    /// Since when it is owned, or available.
     pub since: FleetMillis,
     /// Its owner is to release it.
     #[serde(rename = "recalled")]
@@ -272,9 +273,9 @@
     /// An operator requested a run that has not begun.
     #[serde(rename = "wanted")]
     pub is_run_requested: bool,
-    /// Writes that were refused for a stale token.
+    /// Writes that were rejected for a stale token.
     #[serde(rename = "refused")]
-    pub refused_writes: u64,
+    pub rejected_writes: u64,
 }
 
 /// All duties and their history.
@@ -313,11 +314,12 @@
     /// It may be owned again.
     Resumed,
     /// A write with a stale token.
-    Refused,
+    #[serde(rename = "Refused")]
+    Rejected,
 }
 
 impl DutyEventKind {
-    /// The word that operators see.
+    /// Its name as operators see it.
     pub fn as_str(self) -> &'static str {
         match self {
             DutyEventKind::Taken => "taken",
@@ -328,7 +330,7 @@
             DutyEventKind::Failed => "failed",
             DutyEventKind::Parked => "parked",
             DutyEventKind::Resumed => "resumed",
-            DutyEventKind::Refused => "refused",
+            DutyEventKind::Rejected => "refused",
         }
     }
 }
@@ -347,7 +349,7 @@
     /// What happened.
     #[serde(rename = "what")]
     pub kind: DutyEventKind,
-    /// A reason, a run, or the token that was refused.
+    /// A reason, a run, or the token that was rejected.
     pub detail: String,
 }
 
@@ -355,15 +357,15 @@
 ///
 /// # Errors
 /// What is wrong with it.
-pub fn check_name(name: &str) -> Result<(), Refusal> {
+pub fn check_name(name: &str) -> Result<(), Rejection> {
     if (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.contains(char::is_control) {
         Ok(())
     } else {
-        Err(Refusal::Invalid("a duty's name has 1 to 64 bytes, none of them a control".into()))
+        Err(Rejection::Invalid("a duty's name has 1 to 64 bytes, none of them a control".into()))
     }
 }
 
-/// A reason, as far as it is kept: [`MAX_REASON_BYTES`].
+/// A reason, as far as it is stored: [`MAX_REASON_BYTES`].
 pub fn truncate_reason(reason: &str) -> String {
     let mut end = reason.len().min(MAX_REASON_BYTES);
     while !reason.is_char_boundary(end) {
--- a/crates/loomflow-fleet/src/duty/state/apply.rs
+++ b/crates/loomflow-fleet/src/duty/state/apply.rs
@@ -3,13 +3,13 @@
 use super::{Duties, Duty, Lease, MAX_EVENTS, MAX_RUN_REQUESTS, PersistentState, Session};
 use crate::duty::{
     Command, DutyEvent, DutyEventKind, DutyName, DutySpec, LeaseSettings, MAX_CHECKPOINT_BYTES, MAX_DUTIES,
-    OwnerUpdate, Refusal, Response, RunId, ServerInstance, Token, check_name, truncate_reason,
+    OwnerUpdate, Rejection, Response, RunId, ServerInstance, Token, check_name, truncate_reason,
 };
 use crate::member::{FleetMillis, ServerName};
 use crate::membership::MAX_MEMBERS;
 
 impl Duties {
-    /// Moves the fleet's time on: sessions whose end has come expire, in the order of their ends.
+    /// Advances the fleet's time: sessions whose end has come expire, in the order of their ends.
     pub fn advance_time(&mut self, time: FleetMillis) {
         self.state.time = self.state.time.max(time);
         while let Some((at, server)) =
@@ -23,10 +23,10 @@
 
     /// Applies one command, at the time that was last set.
     pub fn apply(&mut self, command: &Command) -> Response {
-        self.execute(command).map_or_else(Response::Refused, |()| Response::Done)
+        self.execute(command).map_or_else(Response::Rejected, |()| Response::Done)
     }
 
-    fn execute(&mut self, command: &Command) -> Result<(), Refusal> {
+    fn execute(&mut self, command: &Command) -> Result<(), Rejection> {
         match command {
             Command::Declare(lease_settings, specs) => return self.declare(*lease_settings, specs),
             Command::KeepAlive(instances) => instances.iter().for_each(|one| self.renew_session(one)),
@@ -44,15 +44,15 @@
         Ok(())
     }
 
-    fn declare(&mut self, lease_settings: LeaseSettings, specs: &[DutySpec]) -> Result<(), Refusal> {
+    fn declare(&mut self, lease_settings: LeaseSettings, specs: &[DutySpec]) -> Result<(), Rejection> {
         if specs.len() > MAX_DUTIES {
-            return Err(Refusal::Invalid(format!("at most {MAX_DUTIES} duties")));
+            return Err(Rejection::Invalid(format!("at most {MAX_DUTIES} duties")));
         }
         specs.iter().try_for_each(|spec| check_name(&spec.name))?;
         self.state.lease_settings = Some(lease_settings);
         let is_declared = |name: &str| specs.iter().any(|spec| spec.name == name);
         self.state.duties.retain(|name, duty| duty.lease.is_some() || is_declared(name));
-        // One that is owned and no longer declared goes when its owner has released it.
+        // One that is owned and no longer declared is removed when its owner has released it.
         for (name, duty) in &mut self.state.duties {
             if !is_declared(name) {
                 duty.recall();
@@ -66,8 +66,8 @@
         Ok(())
     }
 
-    /// Renews a server's session, or opens one. What an earlier start of it owns is not touched: that one may still be running
-    /// somewhere, until its own session expires.
+    /// Renews a server's session, or opens one. What an earlier start of it owns is not touched: that one may still be
+    /// running somewhere, until its own session expires.
     fn renew_session(&mut self, instance: &ServerInstance) {
         let expires_at = self.state.time + self.lease_settings().waiting_duration();
         let is_full = self.state.sessions.len() >= MAX_MEMBERS;
@@ -97,7 +97,7 @@
             self.expirations.remove(&(session.expires_at, instance.name.clone()));
         }
         for duty in self.names_owned_by(&instance.name) {
-            self.free(&duty, DutyEventKind::Released);
+            self.end_lease(&duty, DutyEventKind::Released);
         }
     }
 
@@ -105,11 +105,11 @@
         self.duties_by_owner.get(server).into_iter().flatten().cloned().collect()
     }
 
-    /// Assigns a free duty to a server with a session; nothing where it is not free, or there is none.
+    /// Assigns an available duty to a server with a session; nothing where it is not available, or there is none.
     fn assign(&mut self, name: &DutyName, owner: &ServerName) {
         let PersistentState { duties, sessions, last_token, time, quiet_until, .. } = &mut self.state;
         let Some(duty) = duties.get_mut(name) else { return };
-        if !duty.is_free() || *time < *quiet_until || !sessions.contains_key(owner) {
+        if !duty.is_available() || *time < *quiet_until || !sessions.contains_key(owner) {
             return;
         }
         *last_token += 1;
@@ -125,20 +125,20 @@
         duty: &DutyName,
         token: Token,
         successor: Option<&ServerName>,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), Rejection> {
         self.check_token(duty, token)?;
-        self.free(duty, DutyEventKind::Released);
+        self.end_lease(duty, DutyEventKind::Released);
         if let Some(successor) = successor {
             self.assign(duty, successor);
         }
         Ok(())
     }
 
-    fn write(&mut self, name: &DutyName, token: Token, update: &OwnerUpdate) -> Result<(), Refusal> {
+    fn write(&mut self, name: &DutyName, token: Token, update: &OwnerUpdate) -> Result<(), Rejection> {
         self.check_token(name, token)?;
         match update {
             OwnerUpdate::Checkpoint(bytes) if bytes.len() > MAX_CHECKPOINT_BYTES => {
-                Err(Refusal::Invalid(format!("a checkpoint has at most {MAX_CHECKPOINT_BYTES} bytes")))
+                Err(Rejection::Invalid(format!("a checkpoint has at most {MAX_CHECKPOINT_BYTES} bytes")))
             }
             OwnerUpdate::Checkpoint(bytes) => {
                 self.duty_mut(name)?.checkpoint.clone_from(bytes);
@@ -150,12 +150,12 @@
         }
     }
 
-    fn begin_run(&mut self, name: &DutyName, token: Token, run: RunId) -> Result<(), Refusal> {
+    fn begin_run(&mut self, name: &DutyName, token: Token, run: RunId) -> Result<(), Rejection> {
         let duty = self.duty_mut(name)?;
         // Written twice by the same owner it has begun once; of another owner's that did not end it is a retry.
         let is_retry = run == duty.last_run && duty.unfinished_run.is_some();
         if run < duty.last_run || (run == duty.last_run && !is_retry) {
-            return Err(Refusal::Begun { duty: name.clone(), run: duty.last_run });
+            return Err(Rejection::Begun { duty: name.clone(), run: duty.last_run });
         }
         let is_repeated = is_retry && duty.unfinished_run == Some(token);
         duty.last_run = run;
@@ -168,15 +168,15 @@
     }
 
     /// The duty, if this run is the one that its owner has begun.
-    fn duty_of_run(&mut self, name: &DutyName, token: Token, run: RunId) -> Result<&mut Duty, Refusal> {
+    fn duty_of_run(&mut self, name: &DutyName, token: Token, run: RunId) -> Result<&mut Duty, Rejection> {
         let duty = self.duty_mut(name)?;
         if run != duty.last_run || duty.unfinished_run != Some(token) {
-            return Err(Refusal::Begun { duty: name.clone(), run: duty.last_run });
+            return Err(Rejection::Begun { duty: name.clone(), run: duty.last_run });
         }
         Ok(duty)
     }
 
-    fn finish_run(&mut self, name: &DutyName, token: Token, run: RunId) -> Result<(), Refusal> {
+    fn finish_run(&mut self, name: &DutyName, token: Token, run: RunId) -> Result<(), Rejection> {
         let duty = self.duty_of_run(name, token, run)?;
         duty.unfinished_run = None;
         duty.recent_failures.clear();
@@ -184,13 +184,11 @@
         Ok(())
     }
 
-    fn fail_run(&mut self, name: &DutyName, token: Token, run: RunId, reason: &str) -> Result<(), Refusal> {
-        let max_attempts = self.lease_settings().max_attempts as usize;
+    fn fail_run(&mut self, name: &DutyName, token: Token, run: RunId, reason: &str) -> Result<(), Rejection> {
+        let settings = self.lease_settings();
         let reason = truncate_reason(reason);
         let duty = self.duty_of_run(name, token, run)?;
-        duty.recent_failures.push(reason.clone());
-        // Retried by whoever owns it, until there were as many attempts as there may be.
-        let is_last_attempt = duty.recent_failures.len() >= max_attempts;
+        let is_last_attempt = duty.record_failure(&reason, settings);
         if is_last_attempt {
             duty.unfinished_run = None;
         }
@@ -198,9 +196,9 @@
         if is_last_attempt { self.park(name, &reason) } else { Ok(()) }
     }
 
-    fn park(&mut self, name: &DutyName, reason: &str) -> Result<(), Refusal> {
+    fn park(&mut self, name: &DutyName, reason: &str) -> Result<(), Rejection> {
         let duty = self.duty_mut(name)?;
-        // Its owner releases it first: it is working until it says that it is not.
+        // Its owner releases it first: it is working until it reports that it is not.
         duty.recall();
         if duty.parked.is_none() {
             let reason = truncate_reason(reason);
@@ -210,7 +208,7 @@
         Ok(())
     }
 
-    fn resume(&mut self, name: &DutyName) -> Result<(), Refusal> {
+    fn resume(&mut self, name: &DutyName) -> Result<(), Rejection> {
         let duty = self.duty_mut(name)?;
         duty.recent_failures.clear();
         if duty.parked.take().is_some() {
@@ -219,23 +217,24 @@
         Ok(())
     }
 
-    fn duty_mut(&mut self, name: &str) -> Result<&mut Duty, Refusal> {
-        self.state.duties.get_mut(name).ok_or_else(|| Refusal::Unknown(name.to_owned()))
+    fn duty_mut(&mut self, name: &str) -> Result<&mut Duty, Rejection> {
+        self.state.duties.get_mut(name).ok_or_else(|| Rejection::Unknown(name.to_owned()))
     }
 
-    /// The fence of the fleet's own state: only the token of the current lease passes. Each refusal is counted and recorded.
+    /// The fence of the fleet's own state: only the token of the current lease passes. Each rejection is counted and
+    /// recorded.
     ///
     /// # Errors
     /// The duty is unknown, or the token is not of its current lease.
-    pub fn check_token(&mut self, name: &str, token: Token) -> Result<(), Refusal> {
+    pub fn check_token(&mut self, name: &str, token: Token) -> Result<(), Rejection> {
         let duty = self.duty_mut(name)?;
         if duty.lease.as_ref().is_some_and(|lease| lease.token == token) {
             return Ok(());
         }
-        duty.refused_writes += 1;
-        let refusal = Refusal::Stale { duty: name.to_owned(), token, current: duty.token };
-        self.record_event(name, DutyEventKind::Refused, format!("token {token}"));
-        Err(refusal)
+        duty.rejected_writes += 1;
+        let rejection = Rejection::Stale { duty: name.to_owned(), token, current: duty.token };
+        self.record_event(name, DutyEventKind::Rejected, format!("token {token}"));
+        Err(rejection)
     }
 
     /// A server's session expired: it owns nothing any more.
@@ -244,15 +243,8 @@
         let now = self.state.time;
         for name in self.names_owned_by(server) {
             let Ok(duty) = self.duty_mut(&name) else { continue };
-            let since = duty.lease.as_ref().map_or(now, |lease| lease.since);
-            if now.saturating_sub(since) >= settings.settling_duration() {
-                duty.recent_failures.clear();
-            } else {
-                duty.recent_failures.push(format!("{server} was lost while it owned it"));
-            }
-            let is_poison = duty.recent_failures.len() >= settings.max_attempts as usize;
-            let reason = duty.recent_failures.last().cloned().filter(|_| is_poison);
-            self.free(&name, DutyEventKind::Lost);
+            let reason = duty.record_lost_owner(server, settings, now);
+            self.end_lease(&name, DutyEventKind::Lost);
             if let Some(reason) = reason {
                 let _ = self.park(&name, &reason);
             }
@@ -260,11 +252,11 @@
     }
 
     /// Takes a duty from its owner.
-    fn free(&mut self, name: &DutyName, kind: DutyEventKind) {
+    fn end_lease(&mut self, name: &DutyName, kind: DutyEventKind) {
         self.record_event(name, kind, String::new());
         let now = self.state.time;
         let Some(duty) = self.state.duties.get_mut(name) else { return };
-        duty.free_since = now;
+        duty.available_since = now;
         if let Some(lease) = duty.lease.take()
             && let Some(owned) = self.duties_by_owner.get_mut(&lease.owner)
         {
@@ -293,7 +285,7 @@
 }
 
 impl Duty {
-    /// Asks the owner, if there is one, to release it.
+    /// Requires the owner, if there is one, to release it.
     fn recall(&mut self) {
         if let Some(lease) = &mut self.lease {
             lease.is_recalled = true;
--- a/crates/loomflow-fleet/src/maintenance/campaign.rs
+++ b/crates/loomflow-fleet/src/maintenance/campaign.rs
@@ -1,5 +1,6 @@
-//! Campaigns: many tickets in batches, carried out by whoever owns the duty for it. The fleet's state holds how far each has
-//! come, so that an owner that takes over continues where the last one stopped, and a batch that is requested again is refused.
+//! Campaigns: many tickets in batches, carried out by whoever owns the duty for it. The fleet's state records how far each
+//! has come, so that an owner that takes over continues where the last one stopped, and a batch that is requested again is
+//! rejected.
 //!
 //! A batch is requested when all tickets of the one before are done. A campaign halts when one of its tickets did not end in
 //! order, or when the servers that came back ask for clearly less of their usual traffic than before: what was rolled out is
@@ -10,18 +11,18 @@
 use serde::{Deserialize, Serialize};
 
 use super::state::MaintenanceState;
-use super::ticket::{Refusal, Stage, TicketId, TicketRequest};
+use super::ticket::{Rejection, Stage, TicketId, TicketRequest};
 use crate::duty::{Token, truncate_reason};
 use crate::member::{MAX_NAME_BYTES, MemberView, RequestId, ServerName};
 
-/// Campaigns that are kept, finished ones included.
+/// Campaigns that are retained, finished ones included.
 pub const MAX_CAMPAIGNS: usize = 16;
 /// Tickets of one campaign.
 pub const MAX_TICKETS: usize = 10_000;
 /// A batch came back worse when its servers' mean share fell by more than this.
 pub const MAX_SHARE_DROP: f32 = 0.1;
 
-/// How a campaign stands.
+/// The status of a campaign.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CampaignStatus {
     /// The next batch is requested when the last one is done.
@@ -47,7 +48,7 @@
     last_tickets: Vec<TicketId>,
     /// Mean share of the last batch's servers before it was requested.
     share_before: f32,
-    /// How it stands.
+    /// Its status.
     pub status: CampaignStatus,
 }
 
@@ -114,7 +115,7 @@
     /// Who started it.
     #[serde(rename = "by")]
     pub requested_by: String,
-    /// How it stands.
+    /// Its status.
     #[serde(rename = "stand")]
     pub status: CampaignStatus,
     /// Index of the first request that has no ticket yet.
@@ -123,7 +124,7 @@
     /// Requests in all.
     #[serde(rename = "all")]
     pub total: u32,
-    /// Servers of the last batch with the stages of their tickets; none where a ticket is no longer kept.
+    /// Servers of the last batch with the stages of their tickets; none where a ticket is no longer retained.
     #[serde(rename = "last")]
     pub last_batch: Vec<(ServerName, Option<Stage>)>,
     /// Mean share of the last batch's servers before it was requested.
@@ -182,7 +183,7 @@
     Some(CampaignStep::Next { from_index, share_before })
 }
 
-/// What went wrong with the first ticket of the last batch that did not end in order.
+/// The failure of the first ticket of the last batch that did not end in order.
 fn failed_ticket(view: &CampaignView) -> Option<String> {
     view.last_batch.iter().find_map(|(server, stage)| match stage {
         Some(Stage::Overdue) => Some(format!("{server} is overdue")),
@@ -206,14 +207,14 @@
     /// Applies one command; an owner's token was checked before. Tickets are created under `request_id`, the entry's own.
     ///
     /// # Errors
-    /// The campaign is unknown, or not where the command believes it to be; or the tickets are refused.
+    /// The campaign is unknown, or not where the command believes it to be; or the tickets are rejected.
     pub fn apply(
         &mut self,
         maintenance: &mut MaintenanceState,
         request_id: RequestId,
         requested_by: &str,
         command: &Command,
-    ) -> Result<Vec<TicketId>, Refusal> {
+    ) -> Result<Vec<TicketId>, Rejection> {
         match command {
             Command::Start { name, requests, batch_size } => {
                 self.start(name, requests, *batch_size, requested_by)?;
@@ -247,8 +248,8 @@
         requests: &[TicketRequest],
         batch_size: u32,
         requested_by: &str,
-    ) -> Result<(), Refusal> {
-        let invalid = |what: &str| Err(Refusal::Invalid(format!("campaign {name:?}: {what}")));
+    ) -> Result<(), Rejection> {
+        let invalid = |what: &str| Err(Rejection::Invalid(format!("campaign {name:?}: {what}")));
         if !(1..=MAX_NAME_BYTES).contains(&name.len()) {
             return invalid("a name has 1 to 64 bytes");
         }
@@ -259,7 +260,7 @@
             return invalid("it is there already");
         }
         requests.iter().try_for_each(TicketRequest::check)?;
-        self.make_room_for(name)?;
+        self.evict_finished(name)?;
         let campaign = Campaign {
             requested_by: requested_by.to_owned(),
             requests: requests.to_vec(),
@@ -274,27 +275,27 @@
     }
 
     /// Drops a finished campaign where there are as many as may be.
-    fn make_room_for(&mut self, name: &str) -> Result<(), Refusal> {
+    fn evict_finished(&mut self, name: &str) -> Result<(), Rejection> {
         if self.0.len() < MAX_CAMPAIGNS || self.0.contains_key(name) {
             return Ok(());
         }
         let finished = self.0.iter().find(|(_, campaign)| campaign.status == CampaignStatus::Done);
         let finished = finished.map(|(name, _)| name.clone());
-        self.0.remove(&finished.ok_or(Refusal::TooMany(MAX_CAMPAIGNS as u32))?);
+        self.0.remove(&finished.ok_or(Rejection::TooMany(MAX_CAMPAIGNS as u32))?);
         Ok(())
     }
 
-    fn campaign(&mut self, name: &str) -> Result<&mut Campaign, Refusal> {
+    fn campaign(&mut self, name: &str) -> Result<&mut Campaign, Rejection> {
         self.0.get_mut(name).ok_or_else(|| unknown(name))
     }
 
-    /// A campaign that runs, and has come as far as the command believes: said twice, the second time is refused.
-    fn running_campaign(&mut self, name: &str, from_index: u32) -> Result<&mut Campaign, Refusal> {
+    /// A campaign that runs, and has come as far as the command believes: a repeated command is rejected.
+    fn running_campaign(&mut self, name: &str, from_index: u32) -> Result<&mut Campaign, Rejection> {
         let campaign = self.campaign(name)?;
         let next_index = campaign.next_index;
         if campaign.status != CampaignStatus::Running || next_index != from_index {
             let what = format!("campaign {name:?} stands at {next_index} and not at {from_index}");
-            return Err(Refusal::Invalid(what));
+            return Err(Rejection::Invalid(what));
         }
         Ok(campaign)
     }
@@ -330,7 +331,7 @@
         request_id: RequestId,
         name: &str,
         share_before: f32,
-    ) -> Result<Vec<TicketId>, Refusal> {
+    ) -> Result<Vec<TicketId>, Rejection> {
         let batch = self.next_batch();
         if batch.is_empty() {
             self.status = CampaignStatus::Done;
@@ -374,8 +375,8 @@
     (!shares.is_empty()).then(|| shares.iter().sum::<f32>() / shares.len() as f32)
 }
 
-fn unknown(name: &str) -> Refusal {
-    Refusal::Invalid(format!("no campaign is called {name:?}"))
+fn unknown(name: &str) -> Rejection {
+    Rejection::Invalid(format!("no campaign is called {name:?}"))
 }
 
 #[cfg(test)]
--- a/crates/loomflow-fleet/src/maintenance/scheduling.rs
+++ b/crates/loomflow-fleet/src/maintenance/scheduling.rs
@@ -1,7 +1,7 @@
-//! Who goes next, and why each of the others waits. Asked by the leader alone; its decision is checked again when it is
+//! Which server is next, and why each of the others waits. Used by the leader alone; its decision is checked again when it is
 //! applied.
 //!
-//! This file puts the tickets in their order and decides; `checks` holds the conditions that a ticket has to meet.
+//! This file puts the tickets in their order and decides; `checks` has the conditions that a ticket has to meet.
 
 mod checks;
 
@@ -19,7 +19,7 @@
 
 /// A ticket rises by one urgency for each so long that it waits, ms.
 pub const AGEING_MILLIS: FleetMillis = 30 * 60 * 1000;
-/// One that has waited so long for a place is not overtaken, ms: a place that comes free is kept for it.
+/// One that has waited so long for a place is not overtaken, ms: a place that becomes available is reserved for it.
 pub const NO_OVERTAKING_AFTER_MILLIS: FleetMillis = 2 * AGEING_MILLIS;
 /// Tickets that are considered in one round.
 const MAX_TICKETS_CONSIDERED: usize = 256;
@@ -36,7 +36,7 @@
     pub ticket: Option<(TicketId, Stage)>,
     /// Every check, where the ticket waits.
     pub findings: Vec<Finding>,
-    /// Load and capacity if this one went.
+    /// Load and capacity if this one left.
     pub estimate: Estimate,
 }
 
@@ -106,15 +106,15 @@
         None
     }
 
-    /// Whether the conditions of a grant that was not taken up yet still hold. What has been committed since is in the limits
-    /// already.
+    /// Whether the conditions of a grant that was not taken up yet are still met. What has been committed since is in the
+    /// limits already.
     pub fn is_grant_still_valid(&self, ticket: &Ticket) -> bool {
         self.check_evidence().is_satisfied && self.estimate(&ticket.request.server).is_sufficient()
     }
 
     /// Why a server waits, check by check.
     pub fn explain(&self, server: &str) -> Explanation {
-        let ticket = self.maintenance.ticket_held_by(server);
+        let ticket = self.maintenance.ticket_with_place(server);
         let ticket = ticket.or_else(|| self.maintenance.tickets_of(server).next());
         let findings = match ticket {
             Some(ticket) if ticket.stage == Stage::Requested => self.findings(ticket),
@@ -176,9 +176,12 @@
         waiting
     }
 
-    /// Load and capacity if this server went, beside those that are out.
+    /// Load and capacity if this server left, beside those that are out.
     fn estimate(&self, server: &str) -> Estimate {
-        let holders = self.maintenance.holders();
-        self.headroom.estimate(self.members, &|name| name != server && !holders.contains_key(name))
+        let stays = |name: &str| name != server && !self.maintenance.is_departing(name);
+        self.headroom.estimate(self.members, &stays)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-fleet/src/maintenance/scheduling/checks.rs
+++ b/crates/loomflow-fleet/src/maintenance/scheduling/checks.rs
@@ -1,6 +1,5 @@
 //! The conditions that a ticket has to meet before its server may go.
 
-use std::collections::BTreeSet;
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
@@ -9,7 +8,7 @@
 use crate::maintenance::Census;
 use crate::maintenance::headroom::MAX_FILL;
 use crate::maintenance::rules::voters_needed;
-use crate::maintenance::ticket::{Refusal, Ticket};
+use crate::maintenance::ticket::{Rejection, Ticket};
 use crate::member::MemberState;
 
 /// One condition, in the order in which they are checked.
@@ -19,7 +18,7 @@
     Pause,
     /// Its window is open.
     Window,
-    /// The server is known and does not hold a place by another ticket.
+    /// The server is known and does not have a place by another ticket.
     Server,
     /// All members that are alive send load reports.
     Evidence,
@@ -94,7 +93,7 @@
 }
 
 impl SchedulerView<'_> {
-    /// Every check but that of the queue, one after the other; each is only made when it is asked for.
+    /// Every check but that of the queue, one after the other; each is only made when it is needed.
     pub(super) fn checks<'a>(
         &'a self,
         ticket: &'a Ticket,
@@ -124,12 +123,12 @@
     }
 
     fn check_server(&self, server: &str) -> Finding {
-        use MemberState::{Down, Gone, Suspect};
+        use MemberState::{Down, Left, Suspect};
         let obstacle = match (self.members.get(server), self.maintenance.holders().get(server)) {
             (_, Some(other)) => Some(format!("it holds a place by ticket {other}")),
             (None, _) => Some("no server of that name was ever here".into()),
             // It could not receive the grant; one that is suspect may be back at once.
-            (Some(member), _) if matches!(member.state, Down | Gone | Suspect) => {
+            (Some(member), _) if matches!(member.state, Down | Left | Suspect) => {
                 Some(format!("the server is {}", member.state.as_str()))
             }
             _ => None,
@@ -147,22 +146,19 @@
 
     fn check_budget(&self, ticket: &Ticket, census: &Census) -> Finding {
         let (server, zone) = (&ticket.request.server, &ticket.request.zone);
-        if let Err(Refusal::NoPlace { out, limit, zone }) = self.maintenance.check_place(server, zone, census)
+        if let Err(Rejection::NoPlace { out, limit, zone }) =
+            self.maintenance.check_place(server, zone, census)
         {
             let finding = Finding::new(Check::Budget, false, f64::from(out) + 1.0, f64::from(limit));
             return Finding { detail: zone, ..finding };
         }
-        let fleet_size = census.zones.iter().map(|(_, count)| count).sum();
-        let limit = self.maintenance.rules().cloned().unwrap_or_default().max_out.of(fleet_size);
-        let mut out: BTreeSet<&str> = census.away.iter().map(|(name, _)| name.as_str()).collect();
-        out.extend(self.maintenance.holders().keys().map(String::as_str));
-        out.insert(server);
-        Finding::new(Check::Budget, true, out.len() as f64, f64::from(limit))
+        let (out, limit) = self.maintenance.out_and_limit(server, zone, census);
+        Finding::new(Check::Budget, true, out as f64, f64::from(limit))
     }
 
     fn check_voters(&self, ticket: &Ticket, census: &Census) -> Finding {
         let (server, zone) = (&ticket.request.server, &ticket.request.zone);
-        if let Err(Refusal::Voters { stay, needed }) = self.maintenance.check_place(server, zone, census) {
+        if let Err(Rejection::Voters { stay, needed }) = self.maintenance.check_place(server, zone, census) {
             return Finding::new(Check::Voters, false, f64::from(stay), f64::from(needed));
         }
         let total = self.maintenance.voter_names().len() as u32;
--- a/crates/loomflow-fleet/src/maintenance/state.rs
+++ b/crates/loomflow-fleet/src/maintenance/state.rs
@@ -1,31 +1,32 @@
 //! The state machine that the log is applied to, for maintenance. It checks every transition against the table and the limits
-//! by itself: what the leader saw may be outdated when it is committed, and the limits hold all the same.
+//! by itself: what the leader saw may be outdated when it is committed, and the limits are enforced again.
 //!
-//! This file holds the state, what can be read of it, and its snapshot; `apply` changes it.
+//! This file has the state, what can be read of it, and its snapshot; `apply` changes it.
 
 mod apply;
+mod limits;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use serde::{Deserialize, Serialize};
 
-use super::rules::{Rules, voters_needed};
-use super::ticket::{FleetMillis, GrantNumber, Refusal, Stage, Ticket, TicketId};
-use super::{Census, Entry, Response};
+use super::rules::Rules;
+use super::ticket::{FleetMillis, GrantNumber, Stage, Ticket, TicketId};
+use super::{Entry, Response};
 use crate::consensus::{SnapshotError, StateMachine};
 use crate::member::{RequestId, ServerName, Zone};
 
-/// Most open tickets; further ones are refused.
+/// Maximum number of open tickets; further ones are rejected.
 pub const MAX_OPEN_TICKETS: usize = 12_000;
-/// Closed tickets that are kept.
+/// Closed tickets that are retained.
 pub const MAX_CLOSED_TICKETS: usize = 1_000;
-/// Events that are kept.
+/// Events that are retained.
 pub const MAX_EVENTS: usize = 2_000;
-/// Responses that are kept for retries.
+/// Responses that are retained for retries.
 const MAX_REMEMBERED_RESPONSES: usize = 1_024;
 /// A ticket whose grants lapsed so often is closed.
 const MAX_LAPSES: u8 = 3;
-/// How far numbers jump when a fleet is recovered: beyond any that the lost data directories may have given out.
+/// How far numbers jump when a fleet is recovered: above any that the lost data directories may have assigned.
 const RECOVERY_ID_GAP: u64 = 1 << 20;
 
 /// A ticket came to a stage.
@@ -43,7 +44,7 @@
     pub grant: GrantNumber,
 }
 
-/// What a snapshot holds; the indexes follow from it.
+/// The contents of a snapshot; the indexes follow from it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct PersistentState {
     time: FleetMillis,
@@ -64,7 +65,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct MaintenanceState {
     state: PersistentState,
-    /// Servers that hold a place, with the ticket by which.
+    /// Servers that have a place, with the ticket by which.
     holders: BTreeMap<ServerName, TicketId>,
     /// Tickets with a deadline, the next first.
     deadlines: BTreeSet<(FleetMillis, TicketId)>,
@@ -118,13 +119,18 @@
         (&self.state.last_granted.0, &self.state.last_granted.1)
     }
 
-    /// Servers that hold a place, with the ticket by which.
+    /// Servers that have a place, with the ticket by which.
     pub fn holders(&self) -> &BTreeMap<ServerName, TicketId> {
         &self.holders
     }
 
-    /// The ticket by which a server holds a place.
-    pub fn ticket_held_by(&self, server: &str) -> Option<&Ticket> {
+    /// Whether a server has a place: it is out, or is about to shut down.
+    pub fn is_departing(&self, server: &str) -> bool {
+        self.holders.contains_key(server)
+    }
+
+    /// The ticket by which a server has a place.
+    pub fn ticket_with_place(&self, server: &str) -> Option<&Ticket> {
         self.state.open.get(self.holders.get(server)?)
     }
 
@@ -134,7 +140,7 @@
         ids.filter_map(|id| self.state.open.get(id))
     }
 
-    /// Any ticket that is open or still kept.
+    /// Any ticket that is open or still retained.
     pub fn find(&self, id: TicketId) -> Option<&Ticket> {
         self.state.open.get(&id).or_else(|| self.state.closed.iter().find(|ticket| ticket.id == id))
     }
@@ -143,62 +149,6 @@
     pub fn next_deadline(&self) -> Option<FleetMillis> {
         self.deadlines.first().map(|(at, _)| *at)
     }
-
-    /// Checks whether one more server may be out: the limits of fleet and zone, and the voters. Counts servers and not
-    /// tickets, so that one that is down and holds a place is out once.
-    ///
-    /// # Errors
-    /// The limit that would be exceeded.
-    pub fn check_place(&self, server: &str, zone: &str, census: &Census) -> Result<(), Refusal> {
-        let out = self.out_with(server, zone, census);
-        self.check_limits(zone, &out, census)?;
-        self.check_voters(server, &out)
-    }
-
-    /// All that would be out if this server went, with their zones.
-    fn out_with<'a>(
-        &'a self,
-        server: &'a str,
-        zone: &'a str,
-        census: &'a Census,
-    ) -> BTreeMap<&'a str, &'a str> {
-        let mut out: BTreeMap<&str, &str> =
-            census.away.iter().map(|(name, zone)| (name.as_str(), zone.as_str())).collect();
-        for (name, id) in &self.holders {
-            let zone = self.state.open.get(id).map_or("", |ticket| ticket.request.zone.as_str());
-            out.insert(name, zone);
-        }
-        out.insert(server, zone);
-        out
-    }
-
-    fn check_limits(&self, zone: &str, out: &BTreeMap<&str, &str>, census: &Census) -> Result<(), Refusal> {
-        let rules = self.state.rules.clone().unwrap_or_default();
-        let check = |count: usize, limit: u32, zone: Option<Zone>| {
-            if count as u32 <= limit {
-                return Ok(());
-            }
-            Err(Refusal::NoPlace { out: count as u32 - 1, limit, zone })
-        };
-        let fleet_size = census.zones.iter().map(|(_, count)| count).sum();
-        check(out.len(), rules.max_out.of(fleet_size), None)?;
-        if let Some(limit) = rules.max_out_per_zone {
-            let zone_size = census.zones.iter().find(|(name, _)| name == zone).map_or(0, |(_, count)| *count);
-            let count = out.values().filter(|other| **other == zone).count();
-            check(count, limit.of(zone_size), Some(zone.to_owned()))?;
-        }
-        Ok(())
-    }
-
-    fn check_voters(&self, server: &str, out: &BTreeMap<&str, &str>) -> Result<(), Refusal> {
-        let voters = &self.state.voters;
-        if !voters.iter().any(|voter| voter == server) {
-            return Ok(());
-        }
-        let stay = voters.iter().filter(|voter| !out.contains_key(voter.as_str())).count() as u32;
-        let needed = voters_needed(voters.len() as u32);
-        if stay < needed { Err(Refusal::Voters { stay, needed }) } else { Ok(()) }
-    }
 }
 
 impl StateMachine for MaintenanceState {
@@ -238,7 +188,9 @@
             postcard::from_bytes(bytes).map_err(|source| SnapshotError { part: "state", source })?;
         let mut maintenance = MaintenanceState { state, ..MaintenanceState::default() };
         let open: Vec<Ticket> = maintenance.state.open.values().cloned().collect();
-        open.iter().for_each(|ticket| maintenance.index(ticket));
+        for ticket in &open {
+            maintenance.index(ticket);
+        }
         Ok(maintenance)
     }
 }
--- a/crates/loomflow-fleet/src/maintenance/ticket.rs
+++ b/crates/loomflow-fleet/src/maintenance/ticket.rs
@@ -1,5 +1,5 @@
-//! A ticket: one server's turn to be out for maintenance. [`TABLE`] says which transition is legal in which stage and who may
-//! make it; every other one is refused with a reason.
+//! A ticket: one server's turn to be out for maintenance. [`TABLE`] defines which transition is legal in which stage and
+//! who may make it; every other one is rejected with a reason.
 
 use serde::{Deserialize, Serialize};
 
@@ -29,7 +29,7 @@
     /// Waits for its turn.
     #[serde(rename = "Asked")]
     Requested,
-    /// May go: its place is kept until it begins, or the grant lapses.
+    /// May go: its place is reserved until it begins, or the grant lapses.
     Granted,
     /// It will go: committed before it does.
     Begun,
@@ -39,11 +39,12 @@
     Out,
     /// Its next incarnation is here.
     Back,
-    /// It carries its load; its place is free when that has held for a while.
-    Warm,
-    /// Not back in time. Its place is kept.
+    /// It carries its load; its place is available when that has lasted for a while.
+    #[serde(rename = "Warm")]
+    Ready,
+    /// Not back in time. Its place stays reserved.
     Overdue,
-    /// Its place is free again.
+    /// Its place is available again.
     Done,
     /// An operator took it back before it began.
     Withdrawn,
@@ -63,7 +64,7 @@
         Stage::Draining,
         Stage::Out,
         Stage::Back,
-        Stage::Warm,
+        Stage::Ready,
         Stage::Overdue,
         Stage::Done,
         Stage::Withdrawn,
@@ -72,7 +73,7 @@
     ];
 
     /// Whether its server counts as out because of it.
-    pub fn holds_place(self) -> bool {
+    pub fn has_place(self) -> bool {
         matches!(
             self,
             Stage::Granted
@@ -80,7 +81,7 @@
                 | Stage::Draining
                 | Stage::Out
                 | Stage::Back
-                | Stage::Warm
+                | Stage::Ready
                 | Stage::Overdue
         )
     }
@@ -90,7 +91,7 @@
         matches!(self, Stage::Done | Stage::Withdrawn | Stage::Lapsed | Stage::Abandoned)
     }
 
-    /// The word that operators see.
+    /// Its name as operators see it.
     pub fn as_str(self) -> &'static str {
         match self {
             Stage::Requested => "asked",
@@ -99,7 +100,7 @@
             Stage::Draining => "draining",
             Stage::Out => "out",
             Stage::Back => "back",
-            Stage::Warm => "warm",
+            Stage::Ready => "warm",
             Stage::Overdue => "overdue",
             Stage::Done => "done",
             Stage::Withdrawn => "withdrawn",
@@ -114,21 +115,23 @@
 pub enum Transition {
     /// The leader lets its server go.
     Grant,
-    /// The leader takes a grant back before it was taken up: its conditions no longer hold.
+    /// The leader takes a grant back before it was taken up: its conditions are no longer met.
     Recall,
     /// The server takes up the grant.
     Begin,
     /// The server drains.
     Drain,
-    /// The server has drained and shut down, or is seen to be gone.
+    /// The server has drained and shut down, or is seen to be down.
     #[serde(rename = "Leave")]
     Depart,
     /// A later incarnation is here.
     Return,
     /// It carries its load.
-    Warm,
+    #[serde(rename = "Warm")]
+    Ready,
     /// It does not after all.
-    Cool,
+    #[serde(rename = "Cool")]
+    Unready,
     /// It has carried its load for long enough.
     Finish,
     /// An operator takes the ticket back.
@@ -153,8 +156,8 @@
         Transition::Drain,
         Transition::Depart,
         Transition::Return,
-        Transition::Warm,
-        Transition::Cool,
+        Transition::Ready,
+        Transition::Unready,
         Transition::Finish,
         Transition::Withdraw,
         Transition::Abandon,
@@ -186,7 +189,7 @@
 
 /// Why a command on a ticket is not done. It changes nothing then.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-pub enum Refusal {
+pub enum Rejection {
     /// No ticket of that number is known: it never was, or is long closed.
     #[error("no such ticket is known")]
     Unknown,
@@ -194,7 +197,7 @@
     #[error("the ticket is {}", .0.as_str())]
     #[serde(rename = "Over")]
     Closed(Stage),
-    /// It has gone too far for this.
+    /// Its stage is too late for this.
     #[error("it has gone too far for this: {}", .0.as_str())]
     #[serde(rename = "UnderWay")]
     TooLate(Stage),
@@ -218,7 +221,7 @@
     #[error("that is not this hand's to do")]
     #[serde(rename = "NotYours")]
     NotPermitted,
-    /// No place is free.
+    /// No place is available.
     #[error("{out} are out{}, {limit} may be", zone_suffix(.zone.as_deref()))]
     NoPlace {
         /// Servers that are out.
@@ -244,9 +247,10 @@
     #[error("its window is not open")]
     #[serde(rename = "Window")]
     WindowNotOpen,
-    /// Its server holds a place under another ticket.
+    /// Its server has a place under another ticket.
     #[error("it holds a place by ticket {0}")]
-    HoldsPlace(TicketId),
+    #[serde(rename = "HoldsPlace")]
+    HasPlace(TicketId),
     /// So many are open, as many as there may be.
     #[error("{0} are open, as many as there may be")]
     TooMany(u32),
@@ -279,10 +283,12 @@
     Rule { from, transition, actor, to }
 }
 
-/// All that is legal. Anything else is refused.
+/// All that is legal. Anything else is rejected.
 pub const TABLE: [Rule; 33] = {
     use Actor::{Leader, Operator, Server, ServerOrLeader};
-    use Stage::*;
+    use Stage::{
+        Abandoned, Back, Begun, Done, Draining, Granted, Lapsed, Out, Overdue, Ready, Requested, Withdrawn,
+    };
     [
         rule(Requested, Transition::Grant, Leader, Granted),
         rule(Requested, Transition::Withdraw, Operator, Withdrawn),
@@ -298,23 +304,23 @@
         rule(Draining, Transition::Depart, ServerOrLeader, Out),
         rule(Draining, Transition::Overrun, Leader, Overdue),
         rule(Draining, Transition::Abandon, Operator, Abandoned),
-        // A server may be back before anybody saw it gone.
+        // A server may be back before anybody saw it down.
         rule(Begun, Transition::Return, Leader, Back),
         rule(Draining, Transition::Return, Leader, Back),
         rule(Out, Transition::Return, Leader, Back),
         rule(Out, Transition::Overrun, Leader, Overdue),
         rule(Out, Transition::Abandon, Operator, Abandoned),
-        rule(Back, Transition::Warm, Leader, Warm),
+        rule(Back, Transition::Ready, Leader, Ready),
         rule(Back, Transition::Depart, ServerOrLeader, Out),
         // It started once more before it was warm.
         rule(Back, Transition::Return, Leader, Back),
         rule(Back, Transition::Abandon, Operator, Abandoned),
-        rule(Warm, Transition::Finish, Leader, Done),
-        rule(Warm, Transition::Cool, Leader, Back),
-        rule(Warm, Transition::Depart, ServerOrLeader, Out),
-        rule(Warm, Transition::Abandon, Operator, Abandoned),
+        rule(Ready, Transition::Finish, Leader, Done),
+        rule(Ready, Transition::Unready, Leader, Back),
+        rule(Ready, Transition::Depart, ServerOrLeader, Out),
+        rule(Ready, Transition::Abandon, Operator, Abandoned),
         rule(Overdue, Transition::Return, Leader, Back),
-        rule(Warm, Transition::Return, Leader, Back),
+        rule(Ready, Transition::Return, Leader, Back),
         rule(Overdue, Transition::Depart, ServerOrLeader, Overdue),
         rule(Overdue, Transition::Drain, Server, Overdue),
         rule(Overdue, Transition::Abandon, Operator, Abandoned),
@@ -326,30 +332,30 @@
 ///
 /// # Errors
 /// Why the transition is not legal.
-pub fn next_stage(from: Stage, transition: Transition, actor: Actor) -> Result<Stage, Refusal> {
+pub fn next_stage(from: Stage, transition: Transition, actor: Actor) -> Result<Stage, Rejection> {
     match TABLE.iter().find(|rule| rule.from == from && rule.transition == transition) {
         Some(rule) if rule.actor.includes(actor) => Ok(rule.to),
-        Some(_) => Err(Refusal::NotPermitted),
-        None => Err(refusal(from, transition)),
+        Some(_) => Err(Rejection::NotPermitted),
+        None => Err(rejection(from, transition)),
     }
 }
 
-/// Why a transition that is not in the table is refused.
-fn refusal(from: Stage, transition: Transition) -> Refusal {
-    use Stage::*;
+/// Why a transition that is not in the table is rejected.
+fn rejection(from: Stage, transition: Transition) -> Rejection {
+    use Stage::{Abandoned, Back, Begun, Done, Draining, Granted, Lapsed, Ready, Requested, Withdrawn};
     // The first stage in which each transition is possible, on the way from requested to done.
     let earliest = match transition {
         Transition::Grant | Transition::Withdraw | Transition::Expire => Requested,
         Transition::Begin | Transition::Recall | Transition::Lapse => Granted,
         Transition::Drain | Transition::Depart | Transition::Abandon | Transition::Overrun => Begun,
         Transition::Return => Draining,
-        Transition::Warm => Back,
-        Transition::Cool | Transition::Finish => Warm,
+        Transition::Ready => Back,
+        Transition::Unready | Transition::Finish => Ready,
     };
     match from {
-        Done | Withdrawn | Lapsed | Abandoned => Refusal::Closed(from),
-        _ if from < earliest => Refusal::TooEarly(from),
-        _ => Refusal::TooLate(from),
+        Done | Withdrawn | Lapsed | Abandoned => Rejection::Closed(from),
+        _ if from < earliest => Rejection::TooEarly(from),
+        _ => Rejection::TooLate(from),
     }
 }
 
@@ -371,11 +377,11 @@
     pub window: Option<(FleetMillis, FleetMillis)>,
 }
 
-/// The longest reason, bytes.
+/// Maximum length of a reason, bytes.
 pub const MAX_REASON_BYTES: usize = 256;
-/// The shortest maintenance, ms: a second.
+/// Minimum duration of a maintenance, ms: a second.
 const MIN_DURATION_MILLIS: FleetMillis = 1_000;
-/// The longest maintenance, ms: a week.
+/// Maximum duration of a maintenance, ms: a week.
 pub const MAX_DURATION_MILLIS: FleetMillis = 7 * 24 * 3_600_000;
 
 impl TicketRequest {
@@ -383,8 +389,8 @@
     ///
     /// # Errors
     /// What is wrong with it, naming the field.
-    pub fn check(&self) -> Result<(), Refusal> {
-        let invalid = |what: &str| Err(Refusal::Invalid(format!("{}: {what}", self.server)));
+    pub fn check(&self) -> Result<(), Rejection> {
+        let invalid = |what: &str| Err(Rejection::Invalid(format!("{}: {what}", self.server)));
         if !(1..=MAX_NAME_BYTES).contains(&self.server.len()) || self.zone.len() > MAX_NAME_BYTES {
             return invalid("server: a name has 1 to 64 bytes");
         }
--- a/crates/loomflow-fleet/src/node/duty_leadership.rs
+++ b/crates/loomflow-fleet/src/node/duty_leadership.rs
@@ -1,5 +1,5 @@
-//! The leader's part in duties: renewals are committed in batches, free duties are assigned, owners are notified of changes at
-//! once.
+//! The leader's part in duties: renewals are committed in batches, duties without an owner are assigned, owners are
+//! notified of changes at once.
 
 use std::collections::BTreeMap;
 
@@ -45,12 +45,12 @@
 }
 
 impl Node {
-    /// Takes a server's renewal; it goes into the log with those of others.
+    /// Takes a server's renewal; it is added to the log with those of others.
     pub(super) fn queue_renewal(&mut self, id: RequestId, instances: Vec<ServerInstance>, now: Millis) {
         let waiting = &mut self.leadership.sessions.waiting;
         let is_known = waiting.iter().any(|(other, _)| *other == id);
-        let has_room = waiting.len() < MAX_MEMBERS;
-        if let Some(instance) = instances.into_iter().next().filter(|_| !is_known && has_room) {
+        let has_capacity = waiting.len() < MAX_MEMBERS;
+        if let Some(instance) = instances.into_iter().next().filter(|_| !is_known && has_capacity) {
             waiting.push((id, instance));
         }
         self.propose_renewals(now);
@@ -78,7 +78,7 @@
         }
     }
 
-    /// An entry is applied; true where it was the pending batch, whose servers are then told what they own.
+    /// An entry is applied; true where it was the pending batch, whose servers are then notified of what they own.
     pub(super) fn renewals_applied(&mut self, id: RequestId, now: Millis) -> bool {
         let pending = self.leadership.sessions.pending.take_if(|pending| pending.id == id);
         let Some(PendingBatch { renewals, .. }) = pending else { return false };
@@ -99,7 +99,7 @@
             return Some(duty::Response::Ownership(duties.ownership(&instance.name)));
         }
         let remaining = session.map_or(0, |session| session.expires_at.saturating_sub(duties.time()));
-        Some(duty::Response::Refused(duty::Refusal::EarlierIncarnation(remaining)))
+        Some(duty::Response::Rejected(duty::Rejection::EarlierIncarnation(remaining)))
     }
 
     /// What is to be committed about duties now.
@@ -119,8 +119,7 @@
             }
         }
         let members = self.member_views(now);
-        let holders = state.maintenance.holders();
-        let is_departing = |name: &str| holders.contains_key(name);
+        let is_departing = |name: &str| state.maintenance.is_departing(name);
         let commands = assign::commands(&state.duties, &members, &is_departing);
         commands.into_iter().map(Command::Duty).collect()
     }
@@ -129,8 +128,7 @@
     pub(super) fn choose_successor(&self, duty: &str, now: Millis) -> Option<ServerName> {
         let state = self.fleet_state()?;
         let owner = &state.duties.duties().get(duty)?.lease.as_ref()?.owner;
-        let holders = state.maintenance.holders();
-        let is_departing = |name: &str| holders.contains_key(name);
+        let is_departing = |name: &str| state.maintenance.is_departing(name);
         let candidates = assign::candidates(&state.duties, &self.member_views(now), &is_departing);
         assign::successor(&state.duties, &candidates, duty, owner)
     }
--- a/crates/loomflow-fleet/src/node/leadership.rs
+++ b/crates/loomflow-fleet/src/node/leadership.rs
@@ -1,5 +1,5 @@
-//! The leader's round: who votes, what is seen of servers that are out, and who goes next. Everything it decides goes through
-//! the log, one thing after the other: nothing new is decided before the last is committed.
+//! The leader's round: who votes, what is known of servers that are out, and which server is next. Everything it decides is
+//! committed in the log, one thing after the other: nothing new is decided before the last is committed.
 
 use std::collections::BTreeSet;
 
@@ -10,8 +10,7 @@
 use crate::maintenance::scheduling::{Decision, SchedulerView};
 use crate::maintenance::state::MaintenanceState;
 use crate::maintenance::{Command, Entry, Issuer, observation};
-use crate::member::{FleetMillis, MemberState, Millis, Phase, RequestId, ServerName};
-use crate::membership::KnownMember;
+use crate::member::{FleetMillis, MemberState, Millis, RequestId, ServerName};
 
 /// How often the leader decides, ms.
 const ROUND_PERIOD_MILLIS: Millis = 250;
@@ -20,7 +19,7 @@
 /// How often the fleet's time is committed while a deadline is ahead, ms: a new leader counts on from there.
 const CLOCK_PERIOD_MILLIS: Millis = 5_000;
 
-/// What a member keeps while it leads.
+/// The state of a member while it leads.
 #[derive(Default)]
 pub(super) struct Leadership {
     /// When this member began to lead, and the fleet's time then.
@@ -120,8 +119,8 @@
         if maintenance.rules() != Some(&self.config.rules) {
             return vec![Command::Rules(self.config.rules.clone())];
         }
-        let is_clock_old = time >= maintenance.time() + CLOCK_PERIOD_MILLIS;
-        if self.next_deadline().is_some_and(|deadline| deadline <= time || is_clock_old) {
+        let is_clock_due = time >= maintenance.time() + CLOCK_PERIOD_MILLIS;
+        if self.next_deadline().is_some_and(|deadline| deadline <= time || is_clock_due) {
             return vec![Command::Clock];
         }
         let leader = self.config.name.as_str();
@@ -152,21 +151,4 @@
             self.leadership.pending.remove(&id);
         }
     }
-
-    /// Lets another voter lead: one that serves and holds no place, with the most complete log.
-    pub(super) fn transfer_leadership(&mut self) {
-        let Some(consensus) = &self.consensus else { return };
-        let holders = consensus.machine().maintenance.holders();
-        let may_lead = |known: &&KnownMember| {
-            let is_draining = known.load_report.is_some_and(|(_, report)| report.phase == Phase::Draining);
-            let is_alive = known.swim_state == foca::State::Alive;
-            is_alive && !is_draining && !holders.contains_key(&known.identity.name)
-        };
-        let candidates = self.membership.known().values().filter(may_lead);
-        let candidates: BTreeSet<ServerName> = candidates.map(|known| known.identity.name.clone()).collect();
-        let Some(consensus) = &mut self.consensus else { return };
-        if consensus.transfer_leadership(&|name| candidates.contains(name)) {
-            self.log("hands the lead over".into());
-        }
-    }
 }
--- a/crates/loomflow-fleet/src/node/mod.rs
+++ b/crates/loomflow-fleet/src/node/mod.rs
@@ -6,13 +6,15 @@
 //! - `requests`: requests on their way to the leader and responses on their way back;
 //! - `own_ticket`: what it does about a ticket of its own: begin, drain, depart;
 //! - `leadership`: the leader's round: voters, transitions, the next grant;
+//! - `leadership_transfer`: who leads after it;
 //! - [`duties`]: its session, and the duties that it owns;
 //! - `duty_leadership`: the leader's part in them;
-//! - `status`: what it tells operators.
+//! - `status`: the fleet as operators see it.
 
 pub mod duties;
 mod duty_leadership;
 mod leadership;
+mod leadership_transfer;
 mod outgoing;
 mod own_ticket;
 mod requests;
@@ -34,18 +36,18 @@
 use crate::maintenance::ticket::TicketId;
 use crate::maintenance::{Issuer, Request, Response};
 use crate::member::{
-    LoadReport, MemberIdentity, MemberState, MemberView, Millis, Phase, REPORT_MAX_AGE_MILLIS,
-    REPORT_PERIOD_MILLIS, RequestId, ServerName, Zone,
+    LoadReport, MemberIdentity, MemberState, MemberView, Millis, Phase, REPORT_PERIOD_MILLIS, RequestId,
+    ServerName, Zone, is_report_recent,
 };
 use crate::membership::Membership;
-use crate::wire::{self, Body, FrameError, Message, Notice};
+use crate::wire::{self, Body, FrameError, Message, Notification};
 
 use duties::DutyClient;
 use leadership::Leadership;
 use own_ticket::OwnTicket;
 use requests::PendingRequests;
 
-/// What a member is told at its start.
+/// The configuration of a member.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
     /// The fleet's name.
@@ -104,7 +106,7 @@
     /// The data directory cannot be used, in words.
     #[error("{0}")]
     StorageUnavailable(String),
-    /// The voter refuses.
+    /// The consensus rejects it.
     #[error(transparent)]
     Consensus(#[from] ConsensusError),
 }
@@ -123,7 +125,7 @@
     phase: Phase,
     next_report_at: Millis,
     /// The newest notice of a voter, and when it came.
-    last_notice: Option<(Millis, Notice)>,
+    last_notification: Option<(Millis, Notification)>,
     own_ticket: OwnTicket,
     requests: PendingRequests,
     leadership: Leadership,
@@ -135,7 +137,7 @@
 }
 
 impl Node {
-    /// A member that joins by the voters. `storage` holds what must outlast it; a voter whose data directory cannot be used
+    /// A member that joins by the voters. `storage` has what must outlast it; a voter whose data directory cannot be used
     /// continues without a vote.
     pub fn start(config: NodeConfig, storage: Box<dyn Storage>, now: Millis) -> Node {
         let mut rng = SmallRng::seed_from_u64(config.seed);
@@ -165,7 +167,7 @@
             load: None,
             phase: Phase::Cold,
             next_report_at: now,
-            last_notice: None,
+            last_notification: None,
             own_ticket: OwnTicket::default(),
             requests: PendingRequests::default(),
             leadership: Leadership::default(),
@@ -216,7 +218,7 @@
     /// Who leads, as far as this member knows.
     pub fn leader(&self) -> Option<&ServerName> {
         let own = self.consensus.as_ref().filter(|consensus| consensus.replica().group != 0);
-        own.and_then(Consensus::leader).or_else(|| self.last_notice.as_ref()?.1.leader.as_ref())
+        own.and_then(Consensus::leader).or_else(|| self.last_notification.as_ref()?.1.leader.as_ref())
     }
 
     /// Sets the server's load, every second or so. Without it this member reports nothing of itself.
@@ -229,9 +231,8 @@
 
     /// The server's last load report, if that is recent.
     fn own_load_report(&self, now: Millis) -> Option<LoadReport> {
-        let (at, load_report) = self.load?;
-        let is_recent = now.saturating_sub(at) <= REPORT_MAX_AGE_MILLIS;
-        is_recent.then_some(LoadReport { phase: self.phase, ..load_report })
+        let (reported_at, load_report) = self.load?;
+        is_report_recent(reported_at, now).then_some(LoadReport { phase: self.phase, ..load_report })
     }
 
     /// Takes a message's bytes, without the length.
@@ -250,9 +251,9 @@
             }
             Body::LoadReport { sent_at, load_report, replica } => {
                 self.membership.handle_load_report(&from, load_report, replica, now);
-                self.send_notice(&from.name, sent_at);
+                self.send_notification(&from.name, sent_at);
             }
-            Body::Notice(notice) => self.handle_notice(notice, now),
+            Body::Notification(notification) => self.handle_notification(notification, now),
             Body::Request { id, hops, request } => self.handle_request(from.name, id, hops, request, now),
             Body::Response { id, response } => self.handle_response(id, response, now),
             Body::Duties(ownership) => self.handle_ownership(ownership, now),
@@ -343,7 +344,7 @@
         self.effects.push(Effect::Log(text));
     }
 
-    /// All members as they are seen from here, this one included.
+    /// All members as they are known here, this one included.
     fn member_views(&self, now: Millis) -> BTreeMap<ServerName, MemberView> {
         let others = self.membership.known().iter().map(|(name, known)| {
             let view = MemberView {
@@ -409,3 +410,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-fleet/src/node/own_ticket.rs
+++ b/crates/loomflow-fleet/src/node/own_ticket.rs
@@ -1,17 +1,23 @@
 //! What a server does about a ticket of its own. It drains only on a begin that it knows to be committed, by a response or a
-//! notice that is recent by its own clock: what it receives after a long stop is asked again.
+//! notice that is recent by its own clock: what it receives after a long stop is requested again.
 
 use rand::RngExt;
 
+use super::requests::ReceivedResponse;
 use super::{Effect, Node};
 use crate::consensus::storage::{ReplicaMetadata, Storage, StorageError, WriteBatch};
-use crate::maintenance::ticket::{GrantNumber, Refusal, Stage, Ticket, TicketId, Transition};
+use crate::maintenance::ticket::{GrantNumber, Rejection, Stage, Ticket, TicketId, Transition};
 use crate::maintenance::{Command, Request, Response};
 use crate::member::{Incarnation, Millis, Phase, RequestId};
 
-/// A response or notice is relied on for so long after its request, ms. A place is not freed by time once the server has begun,
-/// so this only bounds how an operator's giving it up may cross a stopped server's draining.
-pub const MAX_NOTICE_AGE_MILLIS: Millis = 2_000;
+/// A response or notice is relied on for so long after its request, ms. A place is not freed by time once the server has
+/// begun, so this only bounds how an operator's giving it up may cross a stopped server's draining.
+const MAX_NOTIFICATION_AGE_MILLIS: Millis = 2_000;
+
+/// Whether a response or notice to what was sent at `sent_at` is still relied on.
+pub(super) fn is_notification_recent(sent_at: Millis, now: Millis) -> bool {
+    now.saturating_sub(sent_at) <= MAX_NOTIFICATION_AGE_MILLIS
+}
 
 /// Counts this start in the data directory of a server that is not a voter.
 ///
@@ -44,14 +50,13 @@
 }
 
 impl Node {
-    /// The ticket by which this server holds a place, as far as is known here.
+    /// The ticket by which this server has a place, as far as is known here.
     fn own_ticket(&self, now: Millis) -> Option<Ticket> {
         if let Some(consensus) = self.consensus.as_ref().filter(|consensus| consensus.is_leader()) {
-            return consensus.machine().maintenance.ticket_held_by(&self.config.name).cloned();
+            return consensus.machine().maintenance.ticket_with_place(&self.config.name).cloned();
         }
-        let (_, notice) = self.last_notice.as_ref()?;
-        let is_recent = now.saturating_sub(notice.sent_at) <= MAX_NOTICE_AGE_MILLIS;
-        is_recent.then(|| notice.ticket.clone())?
+        let (_, notification) = self.last_notification.as_ref()?;
+        is_notification_recent(notification.sent_at, now).then(|| notification.ticket.clone())?
     }
 
     /// Takes up a grant, or drains on a begin that is committed.
@@ -78,13 +83,8 @@
     }
 
     /// Handles the response to a transition of this server's own ticket; true where it was one.
-    pub(super) fn handle_ticket_response(
-        &mut self,
-        id: RequestId,
-        response: &Response,
-        sent_at: Millis,
-        now: Millis,
-    ) -> bool {
+    pub(super) fn handle_ticket_response(&mut self, received: &ReceivedResponse, now: Millis) -> bool {
+        let ReceivedResponse { id, response, sent_at } = *received;
         if self.own_ticket.pending_departure == Some(id) {
             self.own_ticket.pending_departure = None;
             self.own_ticket.is_departure_reported = true;
@@ -92,18 +92,17 @@
         }
         let pending = self.own_ticket.pending_begin.filter(|(begin, _)| *begin == id);
         let Some((_, grant)) = pending else { return false };
-        let is_recent = now.saturating_sub(sent_at) <= MAX_NOTICE_AGE_MILLIS;
         match response {
-            Response::Done(tickets) if is_recent => {
+            Response::Done(tickets) if is_notification_recent(sent_at, now) => {
                 if let Some(ticket) = tickets.first() {
                     self.drain_by_ticket(*ticket, grant, now);
                 }
             }
-            // Late, or nothing is known: what a recent notice shows is asked again.
-            Response::Done(_) | Response::Refused(Refusal::NoLeader) => {
+            // Late, or nothing is known: what a recent notice shows is requested again.
+            Response::Done(_) | Response::Rejected(Rejection::NoLeader) => {
                 self.own_ticket.pending_begin = None;
             }
-            Response::Refused(refusal) => self.log(format!("a grant was not taken up: {refusal}")),
+            Response::Rejected(rejection) => self.log(format!("a grant was not taken up: {rejection}")),
             _ => {}
         }
         true
@@ -118,7 +117,7 @@
         self.hand_everything_over(now);
     }
 
-    /// The server was told from outside to shut down, and obeys. Counted where it has no ticket for it.
+    /// The server received SIGTERM from outside, and shuts down. Counted where it has no ticket for it.
     pub fn begin_drain(&mut self, now: Millis) {
         if self.phase == Phase::Draining {
             return;
@@ -138,7 +137,7 @@
         self.send_load_report(now);
     }
 
-    /// Every request that the server took is answered. Reports that it is out; [`Node::is_finished`] tells when that is done.
+    /// Every request that the server took is answered. Reports that it is out; see [`Node::is_finished`].
     pub fn drained(&mut self, now: Millis) {
         self.phase = Phase::Draining;
         self.own_ticket.has_drained = true;
--- a/crates/loomflow-fleet/src/node/status.rs
+++ b/crates/loomflow-fleet/src/node/status.rs
@@ -1,4 +1,4 @@
-//! What operators are told of the fleet.
+//! The fleet as operators see it.
 
 use super::Node;
 use crate::consensus::Consensus;
@@ -11,7 +11,7 @@
 
 /// Most open tickets in one response.
 const MAX_OPEN_IN_RESPONSE: usize = 12_000;
-/// Most closed tickets, and most events, in one response.
+/// Maximum number of closed tickets, and of events, in one response.
 const MAX_HISTORY_IN_RESPONSE: usize = 500;
 
 impl Node {
@@ -77,7 +77,7 @@
             time: maintenance.time(),
             storage_error: self.storage_error.clone(),
             summary: self.summary_report(now),
-            refused_messages: self.refused_messages(),
+            rejected_messages: self.rejected_messages(),
         }
     }
 
@@ -91,7 +91,7 @@
     ) -> MemberRow {
         let known = self.membership.get(&name);
         let last_report = known.map_or(self.load, |known| known.load_report);
-        let ticket = maintenance.ticket_held_by(&name).map(|ticket| (ticket.id, ticket.stage));
+        let ticket = maintenance.ticket_with_place(&name).map(|ticket| (ticket.id, ticket.stage));
         let has_begun = ticket.is_some_and(|(_, stage)| stage != Stage::Granted);
         let is_out = has_begun && !view.is_alive();
         MemberRow {
--- a/crates/loomflow-server/src/trial.rs
+++ b/crates/loomflow-server/src/trial.rs
@@ -84,8 +84,8 @@
     );
     let rules = [
         ("each went once and came back", results.complete),
-        ("never more than one out at once", results.most_out <= 1),
-        ("each ended with code 0", results.bad_ends == 0),
+        ("never more than one out at once", results.max_out <= 1),
+        ("each ended with code 0", results.failed_exits == 0),
         ("every request has one final answer", totals.lost == 0 && totals.wrong == 0),
     ];
     Ok(print_rules(&rules))
