--- a/crates/loomflow-settings/src/compare.rs
+++ b/crates/loomflow-settings/src/compare.rs
@@ -8,9 +8,6 @@
 use crate::lookup::{Lookup, NamedList};
 use crate::tenants::{TenantList, Tenants};
 
-#[cfg(test)]
-mod tests;
-
 static NULL: Value = Value::Null;
 
 /// A key whose values differ.
@@ -155,3 +152,6 @@
 fn join_member(path: &str, name: &str) -> String {
     format!("{path}[{name}]")
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-settings/src/config.rs
+++ b/crates/loomflow-settings/src/config.rs
@@ -9,9 +9,6 @@
 use crate::json_object::JsonObject;
 use crate::site::Site;
 
-#[cfg(test)]
-mod tests;
-
 const DEFAULT_SOCKETS: u64 = 1024;
 const DEFAULT_MEMORY_MB: u64 = 192;
 const DEFAULT_CORES: f64 = 1.0;
@@ -168,3 +165,6 @@
 fn optional_address(root: &JsonObject, key: &str) -> Result<Option<SocketAddr>, FieldError> {
     if root.text(key)?.is_empty() { Ok(None) } else { address(root, key).map(Some) }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-settings/src/document.rs
+++ b/crates/loomflow-settings/src/document.rs
@@ -9,9 +9,6 @@
 use crate::shaped::{Shaped, deserialize_shaped};
 use crate::tenants::Tenants;
 
-#[cfg(test)]
-mod tests;
-
 /// Key of the object that holds the tenants.
 pub(crate) const SETTINGS: &str = "settings";
 /// Key of the list of tenants in the settings.
@@ -82,3 +79,6 @@
         deserialize_shaped(deserializer)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-settings/src/guard.rs
+++ b/crates/loomflow-settings/src/guard.rs
@@ -9,9 +9,6 @@
 use crate::config::Config;
 use crate::lookup::Lookup;
 
-#[cfg(test)]
-mod tests;
-
 /// When a changed value takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakesEffect {
@@ -261,3 +258,6 @@
     let rule = "the server is killed before (stop_ms)";
     vec![RuleViolation { key: "settings.Rules.DrainGrace".into(), value: new.to_string(), rule }]
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-settings/src/options.rs
+++ b/crates/loomflow-settings/src/options.rs
@@ -13,9 +13,6 @@
 use crate::fleet::Fleet;
 use crate::site::Site;
 
-#[cfg(test)]
-mod tests;
-
 /// The options file.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
@@ -101,3 +98,6 @@
         serde_json::to_string_pretty(&schema).unwrap_or_default()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-settings/src/site.rs
+++ b/crates/loomflow-settings/src/site.rs
@@ -11,9 +11,6 @@
 use crate::lookup::Lookup;
 use crate::tenants::Tenants;
 
-#[cfg(test)]
-mod tests;
-
 /// Settings of a site.
 #[derive(Clone, Debug)]
 pub struct Site {
@@ -229,3 +226,6 @@
         batch_interval: root.non_negative("Period")?,
     })
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/controller/aimd.rs
@@ -0,0 +1,48 @@
+//! Additive increase, multiplicative decrease: the rule by which limits follow what a server turns out to
+//! bear.
+//!
+//! Inputs: time (ms) and the period between two decreases (ms). A decrease takes place at most once a
+//! period, so that its effect shows before the next one.
+
+#[cfg(test)]
+mod tests;
+
+use crate::time::Millis;
+
+/// A decrease multiplies the value by this.
+const DECREASE_FACTOR: f64 = 0.8;
+
+/// A value that rises by steps and falls by a factor.
+pub(super) struct AimdValue {
+    value: f64,
+    period: Millis,
+    decreased_at: Millis,
+}
+
+impl AimdValue {
+    pub(super) fn new(value: f64, period: Millis, now: Millis) -> AimdValue {
+        AimdValue { value, period, decreased_at: now }
+    }
+
+    pub(super) fn value(&self) -> f64 {
+        self.value
+    }
+
+    /// Increases the value by a step.
+    pub(super) fn increase(&mut self, step: f64) {
+        self.value += step;
+    }
+
+    /// Decreases the value, but not below `min`.
+    pub(super) fn decrease(&mut self, now: Millis, min: f64) {
+        if now - self.decreased_at >= self.period {
+            self.decreased_at = now;
+            self.value = (self.value * DECREASE_FACTOR).max(min);
+        }
+    }
+
+    /// Lowers the value to `max` if it is higher.
+    pub(super) fn cap(&mut self, max: f64) {
+        self.value = self.value.min(max);
+    }
+}
--- a/src/controller/arrivals.rs
+++ b/src/controller/arrivals.rs
@@ -1,6 +1,7 @@
 //! Arrivals and cancellations: a request is rejected at once, shares the result of another, or is queued.
 //!
-//! Wires the rules: it passes values on, and fixes the order in which an arrival is judged. Times are in ms.
+//! Wires the rules: it passes values on, and fixes the order in which an arrival is judged. Times are in
+//! ms.
 
 use super::Controller;
 use super::deadlines;
@@ -22,7 +23,7 @@
         self.share.record_read_delay(arrival.age);
         self.idle_timeout.record_arrival(arrival.caller, self.now);
         let request = self.new_request(arrival, &class);
-        // Rule 2: a duplicate of what may have run is never run itself.
+        // Rule 2 (no effect twice): a duplicate of what may have run is never run itself.
         let is_duplicate =
             arrival.original.is_some() && KeyRetention::new(&self.settings).shares_result(&class);
         if request.deadline - self.now <= self.deadlines.margin() {
@@ -61,7 +62,7 @@
             is_retry: arrival.is_retry,
             expected_run: self.run_estimates.expected_run(arrival.class, arrival.estimated_work),
             estimated_work,
-            queue_key: QueueKey::unranked(arrival.id),
+            queue_key: QueueKey::unqueued(arrival.id),
             ..Request::default()
         }
     }
@@ -73,8 +74,8 @@
         out.push(Action::ReuseResult(id));
     }
 
-    /// Rule 3: what arrived past the grace period is not run. Rule 2: nor is what has a key without memory
-    /// for the key.
+    /// Rule 3 (safe shutdown): what arrived past the grace period is not run. Rule 2 (no effect twice):
+    /// nor is a keyed request for whose key there is no memory.
     fn cannot_run(&self, request: &Request, class: &Class) -> bool {
         let is_keyed = class.idempotency == Idempotency::ByKey;
         let lacks_key = is_keyed && self.memory.lacks_key(self.retained_keys.len());
--- a/src/controller/call_permits.rs
+++ b/src/controller/call_permits.rs
@@ -1,25 +1,24 @@
-//! Call permits (rule 4): how many downstream calls may be in flight.
+//! Call permits (rule 4, no overload): how many downstream calls may be in flight.
 //!
-//! Inputs: call quota (mean number of calls in flight) and its window (ms), linger of abandoned calls (ms),
-//! call times (ms), survivable concurrency. Calls to a shared dependency hold one permit each, also while an
-//! abandoned call lingers there. What the quota leaves beyond full permits accrues as credit, on which one
-//! more permit is borrowed. Slow calls reduce the used part of the quota, since a dependency slows down
-//! before its quota is used up. Calls to a tier are bounded by what may come back to the cores at once.
-
-#[cfg(test)]
-mod tests;
+//! Inputs: call quota (mean number of calls in flight) and its window (ms), linger of abandoned calls
+//! (ms), call times (ms), survivable concurrency. Calls to a shared dependency hold one permit each, also
+//! while an abandoned call lingers there. What the quota leaves beyond full permits accrues as credit, on
+//! which one more permit is borrowed. Slow calls reduce the used part of the quota, since a dependency
+//! slows down before its quota is used up. Calls to a tier are bounded by what may come back to the cores
+//! at once.
 
 use super::SMOOTHING_WEIGHT;
+use super::aimd::AimdValue;
 use super::call_retry::CALL_TIMEOUT_FACTOR;
-use super::concurrency_limit::DecreasingValue;
 use crate::estimate::Mean;
 use crate::interface::{Downstream, Settings};
 use crate::time::Millis;
 
 /// Part of the call quota that full permits may use: at a mean of all of it the dependency is overloaded.
 const CALL_QUOTA_USED_PART: f64 = 0.85;
-/// Part of what the call quota leaves beyond full permits that accrues; the rest bounds one borrowed permit.
-const BORROWED_PART: f64 = 0.5;
+/// Of the quota beyond full permits, the part that accrues as credit over time; the rest is the size of
+/// the credit.
+const ACCRUING_PART: f64 = 0.5;
 /// The credit covers at least so many lingering calls.
 const MIN_CREDIT_LINGERS: f64 = 2.0;
 /// Batches after which the end of a call is reported at the latest.
@@ -28,8 +27,10 @@
 const MIN_CALL_SAMPLES: u32 = 20;
 /// Calls that take more than this multiple of the best call time overload the dependency.
 const SLOW_CALL_FACTOR: f64 = 3.0;
-/// The used part of the quota is not reduced below this; each call that is not slow restores half as much.
+/// The used part of the quota is not reduced below this.
 const MIN_CALL_QUOTA_PART: f64 = 0.4;
+/// Each call that is not slow raises the used part of the quota by this.
+const CALL_QUOTA_PART_STEP: f64 = 0.2;
 /// An abandoned call would have taken longer: it counts as this multiple of its duration.
 const ABANDONED_CALL_FACTOR: f64 = 2.0;
 
@@ -42,7 +43,7 @@
     /// When abandoned calls have left the dependency at the latest.
     lingering_until: Vec<Millis>,
     /// The part of the quota that is used.
-    quota_part: DecreasingValue,
+    quota_part: AimdValue,
     call_time: Mean,
     best_call_time: Millis,
     /// Permits that do not depend on the credit.
@@ -65,7 +66,7 @@
     fn new(extra: f64, settings: &Settings, now: Millis) -> CallCredit {
         let window = settings.call_quota_window;
         let min_part = MIN_CREDIT_LINGERS * settings.call_linger / window.max(1.0);
-        let max = (extra * (1.0 - BORROWED_PART)).max(min_part).min(extra) * window;
+        let max = (extra * (1.0 - ACCRUING_PART)).max(min_part).min(extra) * window;
         CallCredit { available: max, max, rate: extra - max / window.max(1.0), updated_at: now }
     }
 
@@ -85,7 +86,7 @@
             batch_interval: settings.batch_interval,
             in_flight: 0.0,
             lingering_until: Vec::new(),
-            quota_part: DecreasingValue::new(1.0, period, now),
+            quota_part: AimdValue::new(1.0, period, now),
             call_time: Mean::default(),
             best_call_time: Millis::INFINITY,
             full_permits,
@@ -96,7 +97,7 @@
     /// Accounts for the time since the last event.
     pub(super) fn advance(&mut self, now: Millis) {
         let borrowed = (self.occupied() - self.full_permits).max(0.0);
-        self.credit.advance(self.quota_part.value, borrowed, now);
+        self.credit.advance(self.quota_part.value(), borrowed, now);
         self.lingering_until.retain(|until| *until > now);
     }
 
@@ -124,7 +125,7 @@
     }
 
     fn quota_permits(&self) -> f64 {
-        let permits = (self.full_permits * self.quota_part.value).ceil();
+        let permits = (self.full_permits * self.quota_part.value()).ceil();
         if self.may_borrow() && permits >= self.full_permits { permits + 1.0 } else { permits }
     }
 
@@ -136,7 +137,8 @@
         has_credit && self.max_borrow_time() >= self.batch_interval
     }
 
-    /// How long a call on a borrowed permit may last: it may linger after that, and its end is reported late.
+    /// How long a call on a borrowed permit may last: it may linger after that, and its end is reported
+    /// late.
     fn max_borrow_time(&self) -> Millis {
         self.credit.available - self.linger - REPORT_BATCHES * self.batch_interval
     }
@@ -162,7 +164,8 @@
         if self.call_time.value > SLOW_CALL_FACTOR * self.best_call_time {
             self.quota_part.decrease(now, MIN_CALL_QUOTA_PART);
         } else {
-            self.quota_part.value = (self.quota_part.value + MIN_CALL_QUOTA_PART / 2.0).min(1.0);
+            self.quota_part.increase(CALL_QUOTA_PART_STEP);
+            self.quota_part.cap(1.0);
         }
     }
 
@@ -176,14 +179,17 @@
     /// Takes in a call that was abandoned. Where only short calls succeed, the mean would know of those
     /// alone.
     pub(super) fn record_abandoned(&mut self, duration: Millis, now: Millis) {
-        self.linger(now);
+        self.occupy_until_lingered(now);
         if self.downstream == Downstream::Shared {
             self.call_time.add(ABANDONED_CALL_FACTOR * duration, SMOOTHING_WEIGHT);
         }
     }
 
     /// Lets an abandoned call occupy a permit for as long as it may stay in the dependency.
-    pub(super) fn linger(&mut self, now: Millis) {
+    pub(super) fn occupy_until_lingered(&mut self, now: Millis) {
         self.lingering_until.push(now + self.linger);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/call_queue.rs
+++ b/src/controller/call_queue.rs
@@ -1,11 +1,8 @@
-//! Order of calls: runs that wait for a permit get one in the order of the queue; those that back off from a
-//! failed attempt come back to that order when their time has come.
+//! Order of calls: runs that wait for a permit get one in the order of the queue; those that back off
+//! from a failed attempt come back to that order when their time has come.
 //!
-//! Inputs: queue keys, time of the retry (ms). All of them are off the cores, but count in the concurrency
-//! limit.
-
-#[cfg(test)]
-mod tests;
+//! Inputs: queue keys, time of the retry (ms). All of them are off the cores, but count in the
+//! concurrency limit.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -61,3 +58,6 @@
         (self.ready.len() + self.retry_at.len()) as f64
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/call_retry.rs
+++ b/src/controller/call_retry.rs
@@ -1,27 +1,23 @@
 //! Timeout, retries and omission of downstream calls.
 //!
-//! Inputs: usual call time, interval between batches, objective and last response time of the request (all
-//! ms), attempts so far. An idempotent call is abandoned while there is time for a retry. A call is retried
-//! after a backoff if it cannot take effect twice (rule 2). A response without its call, where the class
-//! allows one, is given as soon as a permit in time is out of reach.
-
-#[cfg(test)]
-mod tests;
+//! Inputs: usual call time, interval between batches, objective and last response time of the request
+//! (all ms), attempts so far. An idempotent call is abandoned while there is time for a retry. A call is
+//! retried after a backoff if it cannot take effect twice (rule 2, no effect twice). A response without
+//! its call, where the class allows one, is given as soon as a permit in time is out of reach.
 
 use crate::estimate::Mean;
 use crate::interface::{Class, Outcome};
 use crate::time::Millis;
 
-/// An idempotent call times out after this multiple of the usual call time, or half the time left if that is
-/// longer.
+/// An idempotent call times out after this multiple of the usual call time, or after half the time to its
+/// objective if that is longer.
 pub(super) const CALL_TIMEOUT_FACTOR: f64 = 4.0;
-const TIME_LEFT_DIVISOR: f64 = 2.0;
+const OBJECTIVE_TIME_DIVISOR: f64 = 2.0;
 const MAX_CALL_ATTEMPTS: u32 = 4;
-/// The backoff is half the usual call time, doubled for each attempt, at most so many times.
-const MAX_BACKOFF_DOUBLINGS: u32 = 5;
+/// The backoff after the n-th attempt is 2^n usual call times, divided by this.
 const BACKOFF_DIVISOR: f64 = 2.0;
-/// A call is omitted where so many times its wait for a permit would not fit: the queue for permits goes on
-/// growing.
+/// A call is skipped unless its wait for a permit, multiplied by this, fits before the objective: the
+/// queue for permits grows while it waits.
 const PERMIT_WAIT_FACTOR: f64 = 4.0;
 
 /// What the rules for a call depend on.
@@ -45,18 +41,20 @@
             return last_response;
         }
         let usual = CALL_TIMEOUT_FACTOR * self.usual.value;
-        let timeout = usual.max((objective_at - now) / TIME_LEFT_DIVISOR);
+        let timeout = usual.max((objective_at - now) / OBJECTIVE_TIME_DIVISOR);
         (now + timeout).min(last_response).max(now + self.batch_interval)
     }
 
     /// When a call is made again after `attempts`; none if there is no attempt or no time left.
     pub(super) fn retry_at(&self, now: Millis, attempts: u32, last_response: Millis) -> Option<Millis> {
+        if attempts >= MAX_CALL_ATTEMPTS {
+            return None;
+        }
         let usual = self.usual.value.max(self.batch_interval);
-        let doublings = attempts.min(MAX_BACKOFF_DOUBLINGS);
-        let backoff = usual * f64::from(1u32 << doublings) / BACKOFF_DIVISOR;
+        let backoff = usual * f64::from(1u32 << attempts) / BACKOFF_DIVISOR;
         let retry_at = now + backoff;
         let is_in_time = retry_at + self.usual.value < last_response;
-        (is_in_time && attempts < MAX_CALL_ATTEMPTS).then_some(retry_at)
+        is_in_time.then_some(retry_at)
     }
 
     /// How long the last of `waiting` runs waits for one of `permits`, and for its call.
@@ -81,3 +79,6 @@
 pub(super) fn may_be_omitted(class: &Class) -> bool {
     class.degraded_weight > 0.0
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/deadlines.rs
+++ b/src/controller/deadlines.rs
@@ -1,12 +1,10 @@
-//! Deadlines (rule 1): when each request gets its response at the latest, and when it is checked before that.
+//! Deadlines (rule 1, one response in time): when each request gets its response at the latest, and when
+//! it is checked before that.
 //!
 //! Inputs: deadline and objective of the request, its expected time, interval between batches (all ms). A
 //! response is due a margin before the deadline, since timers may fire late. A queued request is checked
 //! earlier, when its objective comes out of reach, so that its caller learns of it at once.
 
-#[cfg(test)]
-mod tests;
-
 use std::collections::BTreeSet;
 
 use super::TICK_MS;
@@ -69,8 +67,8 @@
     arrived_at + class.timeout - arrival.upstream_time
 }
 
-/// When a queued request is checked next. Its expected time may have fallen since the last check, so that its
-/// objective is within reach for longer.
+/// When a queued request is checked next. Its expected time may have fallen since the last check, so that
+/// its objective is within reach for longer.
 pub(super) fn next_queue_check(
     now: Millis,
     objective_at: Millis,
@@ -80,3 +78,6 @@
     let start_by = (objective_at - expected_time).max(now + TICK_MS);
     last_check.min(start_by)
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/idle_timeout.rs
+++ b/src/controller/idle_timeout.rs
@@ -1,14 +1,12 @@
 //! Idle timeout: how long connections may be idle.
 //!
 //! Inputs: arrivals with their caller, core utilization (0 to 1), overhead (part of the runnable requests
-//! that is no run: reads, new connections, checks; 0 to 1), open connections. Idle connections are closed at
-//! once where callers rarely return, which frees what a full table costs; sooner while cores idle beside a
-//! table that may be full. Where rejections take most of busy cores they are kept open longer: a full table
-//! turns newcomers away without work, and each newcomer that is accepted costs a connection, a read and a
-//! rejection.
-
-#[cfg(test)]
-mod tests;
+//! that is no run: reads, new connections, checks; 0 to 1), open connections. Three cases set the
+//! timeout:
+//! - Callers return soon: connections stay open for reuse; otherwise they are closed at once.
+//! - The table may be full while cores are idle: idle connections are closed sooner, to admit newcomers.
+//! - Rejections take most of busy cores: connections stay open longer. A full table keeps newcomers out
+//!   without work, while each newcomer that is accepted costs a connection, a read and a rejection.
 
 use std::collections::BTreeMap;
 
@@ -85,6 +83,7 @@
     /// Takes in how many of the runnable requests are runs.
     pub(super) fn record_overhead(&mut self, runnable: f64, running: f64, cores: f64) {
         let overhead = (runnable - running).max(0.0) / runnable.max(cores);
+        // Without a minimum weight the mean is the arithmetic one.
         self.recent_overhead.add(overhead, 0.0);
     }
 
@@ -103,7 +102,8 @@
         now - self.started_at < self.reuse_window
     }
 
-    /// The probability that a new caller returns within the window: as often as all do at the present rate.
+    /// The probability that a new caller returns within the window: as often as all do at the present
+    /// rate.
     fn expected_reuse(&self, now: Millis) -> f64 {
         let in_window = self.arrivals * self.reuse_window / (now - self.started_at).max(TICK_MS);
         (in_window / self.caller_count.max(1.0)).min(1.0)
@@ -136,8 +136,8 @@
         !self.is_new(now) && is_near_max && has_few_callers
     }
 
-    /// Judges once in a reuse window, and first after a few arrivals, whether callers return often enough:
-    /// what an open connection costs matters only on busy cores.
+    /// Judges once in a reuse window, and first after a few arrivals, whether callers return often
+    /// enough: what an open connection costs matters only on busy cores.
     fn evaluate_reuse(&mut self, utilization: f64, now: Millis) {
         let has_arrivals = self.reuse_rate.samples >= MIN_ARRIVALS;
         let is_first = self.is_new(now) && self.reuse_evaluated_at == self.started_at && has_arrivals;
@@ -162,3 +162,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/jitter.rs
+++ b/src/controller/jitter.rs
@@ -4,9 +4,6 @@
 //! Inputs: a seed for each instance. Output: a factor without a unit. The numbers come from a linear
 //! congruential generator and repeat for the same seed.
 
-#[cfg(test)]
-mod tests;
-
 /// Multiplier and increment of the generator: Knuth, MMIX.
 const MULTIPLIER: u64 = 6_364_136_223_846_793_005;
 const INCREMENT: u64 = 1_442_695_040_888_963_407;
@@ -36,3 +33,6 @@
         MIN_FACTOR + FACTOR_RANGE * (number as f64 / numbers as f64)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/key_retention.rs
+++ b/src/controller/key_retention.rs
@@ -1,11 +1,9 @@
-//! Retained keys (rule 2): which requests have a key by which a later duplicate finds their result, and for
-//! how long.
+//! Retained keys (rule 2, no effect twice): which requests have a key by which a later duplicate finds
+//! their result, and for how long.
 //!
-//! Inputs: idempotency of the class, its window (ms), lifetime of cached results (ms), age and time left of
-//! the request (ms). A duplicate of a request that may have run is not run: it shares the result of that run.
-
-#[cfg(test)]
-mod tests;
+//! Inputs: idempotency of the class, its window (ms), lifetime of cached results (ms), age and time left
+//! of the request (ms). A duplicate of a request that may have run is not run: it shares the result of
+//! that run.
 
 use crate::interface::{Class, Idempotency, Settings};
 use crate::time::Millis;
@@ -30,8 +28,8 @@
         class.idempotency == Idempotency::ByKey || self.result_cache_ttl > 0.0
     }
 
-    /// For how long the key of a request is retained; none for a request without a key. The key outlives its
-    /// request, which must not run beside a later duplicate while it is queued.
+    /// For how long the key of a request is retained; none for a request without a key. The key outlives
+    /// its request, which must not run beside a later duplicate while it is queued.
     pub(super) fn ttl(&self, class: &Class, age: Millis, time_left: Millis) -> Option<Millis> {
         let ttl = match class.idempotency {
             Idempotency::ByKey => (class.idempotency_window - age).max(time_left),
@@ -41,3 +39,6 @@
         Some(ttl.max(0.0) + KEY_EXTRA_BATCHES * self.batch_interval)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/load_shedding.rs
+++ b/src/controller/load_shedding.rs
@@ -4,12 +4,10 @@
 //! request that cannot meet its objective is rejected as soon as that is known: its caller has time for
 //! another server, and the cores are free for requests that can.
 
-#[cfg(test)]
-mod tests;
-
 use crate::time::Millis;
 
-/// Retry-After, as a part of a newcomer's wait: callers that all stay away for it leave cores idle.
+/// Retry-After, as a part of a newcomer's wait: if all callers stayed away for all of it, the cores would
+/// be idle before they return.
 const RETRY_AFTER_PART: f64 = 0.5;
 
 /// What is expected of a request that is not running yet.
@@ -58,3 +56,6 @@
         retry_after.min(self.max_retry_after)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/memory.rs
+++ b/src/controller/memory.rs
@@ -1,10 +1,8 @@
-//! Memory account (rule 4): what requests and retained keys take, and how much more may be admitted.
+//! Memory account (rule 4, no overload): what requests and retained keys take, and how much more may be
+//! admitted.
 //!
-//! Inputs: memory of a queued request, of a retained key and of the server (KB), factor of a running request.
-//! The account is exact; a reserve for what the next batch reads is left free.
-
-#[cfg(test)]
-mod tests;
+//! Inputs: memory of a queued request, of a retained key and of the server (KB), factor of a running
+//! request. The account is exact; a reserve for what the next batch reads is left free.
 
 use crate::interface::Settings;
 
@@ -82,3 +80,6 @@
         self.total_kb - RESERVED_REQUESTS_PER_CORE * self.cores * self.largest_kb
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,5 +1,5 @@
-//! The controller of one server: every decision of loomflow. It takes in events and returns actions, and does
-//! no I/O.
+//! The controller of one server: every decision of loomflow. It takes in events and returns actions, and
+//! does no I/O.
 //!
 //! Four rules come before all others; comments name them by number:
 //! 1. Each request gets one final response in time (`deadlines`).
@@ -11,6 +11,7 @@
 //! `arrivals`, `runs`, `calls` and `responses` wire them: they pass values on and carry the results out.
 //! Times are in milliseconds.
 
+mod aimd;
 mod arrivals;
 mod call_permits;
 mod call_queue;
@@ -174,7 +175,7 @@
         // Cached responses keep health checks cheap; that a process responds shows the rest.
         out.push(Action::SetHealth { is_healthy: true, is_cached: true });
         // In slow start the first response carries the speed: without a signal callers take it for 1.
-        self.send_share(out);
+        self.announce_share(out);
     }
 
     fn tick(&mut self, out: &mut Vec<Action>) {
@@ -201,7 +202,7 @@
         if self.share.is_reading_late() {
             self.limit.reading_is_late(self.now);
         }
-        self.send_share(out);
+        self.announce_share(out);
     }
 
     fn oldest_queue_time(&self) -> Millis {
@@ -209,7 +210,7 @@
         queued.fold(0.0, |oldest: Millis, request| oldest.max(self.now - request.arrived_at))
     }
 
-    fn send_share(&mut self, out: &mut Vec<Action>) {
+    fn announce_share(&mut self, out: &mut Vec<Action>) {
         let speed = self.slow_start.speed(self.now);
         let has_stopped_intake = self.shutdown.has_stopped_intake(self.now);
         let share = self.share.requested(speed, self.stall_detector.is_stalled(), has_stopped_intake);
--- a/src/controller/objective.rs
+++ b/src/controller/objective.rs
@@ -1,12 +1,9 @@
 //! Effective objective: by when a response is still of use.
 //!
 //! Inputs: latency objective of the class (ms), tier, when callers cancel (part of the objective), age of
-//! rejected first attempts (ms). A tier downstream has a part of the objective, since its caller has other
-//! things to do in the rest. Where callers cancel before the objective, responses after that are of no use. A
-//! retry has used the time of its first attempt.
-
-#[cfg(test)]
-mod tests;
+//! rejected first attempts (ms). A tier downstream has a part of the objective, since its caller has
+//! other things to do in the rest. Where callers cancel before the objective, responses after that are of
+//! no use. A retry has used the time of its first attempt.
 
 use super::{MIN_SAMPLES, SMOOTHING_WEIGHT};
 use crate::estimate::Mean;
@@ -70,3 +67,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/queue.rs
+++ b/src/controller/queue.rs
@@ -1,11 +1,8 @@
-//! Order of the queue: highest weight per unit of work first; within a level of weight the nearest objective,
-//! or under overload the farthest.
+//! Order of the queue: highest weight per unit of work first; within a level of weight the nearest
+//! objective, or under overload the farthest.
 //!
-//! Inputs: weight per work, objective (ms), expected run (ms). Under overload the oldest requests are nearest
-//! to missing their objective; run first they would all be late.
-
-#[cfg(test)]
-mod tests;
+//! Inputs: weight per work, objective (ms), expected run (ms). Under overload the oldest requests are
+//! nearest to missing their objective; run first they would all be late.
 
 use std::collections::BTreeSet;
 
@@ -18,8 +15,8 @@
 /// Place of a request in the queue: a smaller key runs first and is shed last.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueKey {
-    /// The negated level of the weight per work.
-    rank: i64,
+    /// The level of the weight per work, negated so that the highest level comes first.
+    negated_level: i64,
     objective_at: Micros,
     pub(super) id: RequestId,
 }
@@ -31,17 +28,17 @@
         } else {
             i64::MIN + 1
         };
-        QueueKey { rank: -level, objective_at: micros(objective_at), id }
+        QueueKey { negated_level: -level, objective_at: micros(objective_at), id }
     }
 
     /// The key of a request that was never queued.
-    pub(super) fn unranked(id: RequestId) -> QueueKey {
+    pub(super) fn unqueued(id: RequestId) -> QueueKey {
         QueueKey { id, ..QueueKey::default() }
     }
 
     /// The bound of all keys with this weight.
     fn end_of_level(self) -> QueueKey {
-        QueueKey { rank: self.rank + 1, objective_at: Micros::MIN, id: 0 }
+        QueueKey { negated_level: self.negated_level + 1, objective_at: Micros::MIN, id: 0 }
     }
 }
 
@@ -95,8 +92,9 @@
         self.keys.range(..first.end_of_level()).next_back().map(|key| key.id)
     }
 
-    /// Whether the cores take longer than the setpoint of the queueing time for what is queued. It is a sign
-    /// of overload of its own: with the newest first, the queueing time of what runs does not show it.
+    /// Whether the cores take longer than the setpoint of the queueing time for what is queued. It is a
+    /// sign of overload of its own: with the newest first, the queueing time of what runs does not show
+    /// it.
     pub(super) fn has_backlog(&self, cores: f64, setpoint: Millis) -> bool {
         self.work / cores > setpoint
     }
@@ -115,3 +113,6 @@
     let work = if has_work { expected_run } else { 1.0 };
     priority_weight * quota_factor / work
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/request.rs
+++ b/src/controller/request.rs
@@ -1,12 +1,9 @@
-//! The state of a request that has no response yet, or whose run has not ended: its times, its stage and the
-//! steps between stages.
+//! The state of a request that has no response yet, or whose run has not ended: its times, its stage and
+//! the steps between stages.
 //!
 //! Inputs: events of the request with their times (ms). Each stage belongs to one account: the queue, the
 //! runs, or the calls.
 
-#[cfg(test)]
-mod tests;
-
 use super::queue::QueueKey;
 use crate::time::Millis;
 
@@ -103,3 +100,6 @@
         (duration - self.off_cores_time - stall_time).max(0.0)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/responses.rs
+++ b/src/controller/responses.rs
@@ -1,8 +1,8 @@
-//! Final responses to requests that are not served: at their deadline, when they are hopeless, for memory,
-//! and at a shutdown.
+//! Final responses to requests that are not served: at their deadline, when they are hopeless, for
+//! memory, and at a shutdown.
 //!
-//! Wires the rules: it passes values on, and fixes which response a request gets in each stage. Times are in
-//! ms.
+//! Wires the rules: it passes values on, and fixes which response a request gets in each stage. Times are
+//! in ms.
 
 use super::Controller;
 use super::deadlines::next_queue_check;
@@ -13,7 +13,8 @@
 use crate::time::Millis;
 
 impl Controller {
-    /// Rule 1: checks each request when its objective comes out of reach, and a margin before its deadline.
+    /// Rule 1 (one response in time): checks each request when its objective comes out of reach, and a
+    /// margin before its deadline.
     pub(super) fn check_deadlines(&mut self, out: &mut Vec<Action>) {
         while let Some(id) = self.deadlines.pop_due(self.now) {
             self.check_deadline(id, out);
@@ -50,8 +51,9 @@
         }
     }
 
-    /// Rule 4: sheds the requests of the lowest weight until `needed_kb` more fit into the memory; else a
-    /// full queue would keep runs from starting. `keep` is not shed. Returns whether the memory suffices.
+    /// Rule 4 (no overload): sheds the requests of the lowest weight until `needed_kb` more fit into the
+    /// memory; else a full queue would keep runs from starting. `keep` is not shed. Returns whether the
+    /// memory suffices.
     pub(super) fn reclaim_memory(
         &mut self,
         needed_kb: f64,
@@ -139,8 +141,8 @@
         Action::Reject { id, retry_after, is_final }
     }
 
-    /// Rule 3: brings every deadline forward to the end of a shutdown, and the health checks to other
-    /// servers.
+    /// Rule 3 (safe shutdown): brings every deadline forward to the end of a shutdown, and the health
+    /// checks to other servers.
     pub(super) fn begin_shutdown(&mut self, time_left: Millis, out: &mut Vec<Action>) {
         let times = ShutdownTimes {
             drain_grace: self.settings.drain_grace,
--- a/src/controller/run_estimates.rs
+++ b/src/controller/run_estimates.rs
@@ -1,11 +1,9 @@
-//! Expected run times: what a run of a class is expected to take, from the runs of its class that succeeded.
+//! Expected run times: what a run of a class is expected to take, from the runs of its class that
+//! succeeded.
 //!
 //! Inputs: estimated work, time on the cores and time off them for calls (all ms). Hopeless requests, the
 //! order of the queue and the detection of stalls depend on these times.
 
-#[cfg(test)]
-mod tests;
-
 use super::request::Request;
 use super::{MIN_SAMPLES, SMOOTHING_WEIGHT};
 use crate::estimate::RunTimes;
@@ -47,9 +45,13 @@
     }
 
     /// The time that a run like this one takes with its usual overrun; none while too little is known.
+    /// The mean square of the overrun weighs long overruns, which a stall must not be mistaken for.
     pub(super) fn usual_run(&self, request: &Request) -> Option<Millis> {
         let times = &self.by_class[request.class];
         let expected = request.expected_run.max(times.on_cores.value) * times.overrun_squared.value.max(1.0);
         (times.on_cores.samples >= MIN_SAMPLES && expected > 0.0).then_some(expected)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/runs.rs
+++ b/src/controller/runs.rs
@@ -88,7 +88,7 @@
         let Some(request) = self.remove(id) else { return };
         if request.stage == Stage::Calling {
             // It was answered before, and its call is abandoned with it.
-            self.call_permits.linger(self.now);
+            self.call_permits.occupy_until_lingered(self.now);
         }
         let has_run = matches!(outcome, Outcome::Ok | Outcome::Error);
         if has_run && request.stage != Stage::AwaitingResult {
@@ -139,8 +139,8 @@
         }
     }
 
-    /// How many runs ought to have ended since the last one did. Everything runnable shares the cores alike,
-    /// reads and new connections too.
+    /// How many runs ought to have ended since the last one did. Everything runnable shares the cores
+    /// alike, reads and new connections too.
     fn overdue_ends(&self) -> f64 {
         let runnable = self.gauges.runnable.unwrap_or(0.0).max(self.running);
         let runs = self.requests.values().filter(|request| request.stage == Stage::Running);
--- a/src/controller/send_share.rs
+++ b/src/controller/send_share.rs
@@ -1,12 +1,9 @@
-//! Send share: a PID controller on the queueing time sets the share of their usual traffic that callers are
-//! asked for.
+//! Send share: a PID controller on the queueing time sets the share of their usual traffic that callers
+//! are asked for.
 //!
-//! Inputs: queueing time of finished runs, read delay of arrivals (ms), setpoint (ms, a part of the shortest
-//! latency objective). Output: a share from `MIN_SHARE` to 1. Below its setpoint a server asks for all of its
-//! traffic. A share under `OVERLOAD_SHARE` counts as overload.
-
-#[cfg(test)]
-mod tests;
+//! Inputs: queueing time of finished runs, read delay of arrivals (ms), setpoint (ms, a part of the
+//! shortest latency objective). Output: a share from `MIN_SHARE` to 1. Below its setpoint a server asks
+//! for all of its traffic. A share under `OVERLOAD_SHARE` counts as overload.
 
 use crate::estimate::Average;
 use crate::interface::{FeedbackSignal, Settings};
@@ -33,8 +30,8 @@
 /// Reading is late if a request was unread for longer than this multiple of the setpoint.
 const LATE_READ_FACTOR: f64 = 1.5;
 
-/// Time between two samples of the send share; the concurrency limit and the call quota decrease once in it
-/// at most.
+/// Time between two samples of the send share; the concurrency limit and the call quota decrease once in
+/// it at most.
 pub(super) fn sample_period(settings: &Settings) -> Millis {
     let signal_ttl = if settings.signal_ttl > 0.0 { settings.signal_ttl } else { DEFAULT_SIGNAL_TTL_MS };
     signal_ttl * SAMPLE_PERIOD_PART
@@ -105,8 +102,8 @@
         self.read_delay = read_delay;
     }
 
-    /// Takes in how long a finished run was queued. A failed run counts as queued for its objective: failures
-    /// empty the queue as quickly as success does.
+    /// Takes in how long a finished run was queued. A failed run counts as queued for its objective:
+    /// failures empty the queue as quickly as success does.
     pub(super) fn record_run(&mut self, has_succeeded: bool, queue_time: Millis, objective: Millis) {
         self.queue_times.add(if has_succeeded { queue_time } else { objective });
     }
@@ -157,7 +154,8 @@
         (without_integral + KI_PER_S * self.integral_s).clamp(min, max).clamp(MIN_SHARE, 1.0)
     }
 
-    /// Anti-windup: the integral never moves past the point where it alone would reach a clamp of the share.
+    /// Anti-windup: the integral never moves past the point where it alone would reach a clamp of the
+    /// share.
     fn integrate(&mut self, increment_s: f64, without_integral: f64) {
         let low = (MIN_SHARE - without_integral) / KI_PER_S;
         let high = (1.0 - without_integral) / KI_PER_S;
@@ -165,14 +163,15 @@
         self.integral_s = integral_s.clamp(low.min(self.integral_s), high.max(self.integral_s));
     }
 
-    /// The share to ask for: no more than the speed of a server in slow start, the least while the cores are
-    /// stalled, nothing once the intake has stopped.
+    /// The share to ask for: no more than the speed of a server in slow start, the least while the cores
+    /// are stalled, nothing once the intake has stopped.
     pub(super) fn requested(&self, speed: f64, is_stalled: bool, has_stopped_intake: bool) -> f64 {
         let share = if is_stalled { 0.0 } else { self.value.min(speed) };
         if has_stopped_intake { 0.0 } else { share.max(MIN_SHARE) }
     }
 
-    /// Records `share` as sent if it differs enough from the last one that was sent; returns whether it does.
+    /// Records `share` as sent if it differs enough from the last one that was sent; returns whether it
+    /// does.
     pub(super) fn update_sent(&mut self, share: f64) -> bool {
         let is_recovery = share == 1.0 && self.sent != 1.0;
         let is_changed = is_recovery || (share - self.sent).abs() >= MIN_SENT_SHARE_CHANGE;
@@ -193,3 +192,6 @@
         FeedbackSignal::Credit => Some(share * credit),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/shutdown.rs
+++ b/src/controller/shutdown.rs
@@ -1,12 +1,10 @@
-//! Graceful shutdown (rule 3): everything that was read gets its response before the process is killed.
+//! Graceful shutdown (rule 3, safe shutdown): everything that was read gets its response before the
+//! process is killed.
 //!
-//! Inputs: time left until the kill, grace period, margin and slack of responses (all ms). Until the grace
-//! period ends, new requests are run and the share stays: callers learn of the shutdown late, and the other
-//! servers would miss this server's part. After it, what arrives is rejected at once, while its caller has
-//! time for another server.
-
-#[cfg(test)]
-mod tests;
+//! Inputs: time left until the kill, grace period, margin and slack of responses (all ms). Until the
+//! grace period ends, new requests are run and the share stays: callers learn of the shutdown late, and
+//! the other servers would miss this server's part. After it, what arrives is rejected at once, while its
+//! caller has time for another server.
 
 use crate::time::Millis;
 
@@ -58,3 +56,6 @@
     pub(super) drain_grace: Millis,
     pub(super) response_slack: Millis,
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -1,12 +1,9 @@
 //! Slow start: a server with cold caches claims only the speed that it has.
 //!
-//! Inputs: time since the start (ms), the duration of the slow start (ms) and the share of full speed at its
-//! beginning (0 to 1). The speed rises linearly to 1. It bounds the share that callers are asked for and the
-//! survivable concurrency; without it a new server takes a full part of the traffic at a fraction of its
-//! speed.
-
-#[cfg(test)]
-mod tests;
+//! Inputs: time since the start (ms), the duration of the slow start (ms) and the speed at its beginning
+//! (part of the full speed, 0 to 1). The speed rises linearly to 1. It bounds the share that callers are
+//! asked for and the survivable concurrency; without it a new server takes a full part of the traffic at
+//! a fraction of its speed.
 
 use crate::interface::Settings;
 use crate::time::Millis;
@@ -16,7 +13,7 @@
     is_enabled: bool,
     started_at: Millis,
     duration: Millis,
-    initial_share: f64,
+    initial_speed: f64,
 }
 
 impl SlowStart {
@@ -25,17 +22,20 @@
             is_enabled: settings.is_slow_start,
             started_at: now,
             duration: settings.slow_start_duration,
-            initial_share: settings.slow_start_share,
+            initial_speed: settings.slow_start_share,
         }
     }
 
-    /// The share of its full speed that the server has at least, 0 to 1.
+    /// The part of its full speed that the server has at least, 0 to 1.
     pub(super) fn speed(&self, now: Millis) -> f64 {
         let progress = if self.duration > 0.0 { (now - self.started_at) / self.duration } else { 1.0 };
         if self.is_enabled && progress < 1.0 {
-            self.initial_share + (1.0 - self.initial_share) * progress
+            self.initial_speed + (1.0 - self.initial_speed) * progress
         } else {
             1.0
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/stall_detector.rs
+++ b/src/controller/stall_detector.rs
@@ -1,16 +1,13 @@
 //! Stall detection: cores that have work and finish none of it.
 //!
 //! Inputs: time since a run last ended or reached a call (ms), usual run times (ms), runs and runnable
-//! requests. While the cores are stalled, what is queued and what arrives is rejected, and callers are asked
-//! to stay away; the first run to end ends the stall. Late reading is overload rather than a stall.
-
-#[cfg(test)]
-mod tests;
+//! requests. While the cores are stalled, what is queued and what arrives is rejected, and callers are
+//! asked to stay away; the first run to end ends the stall. Late reading is overload rather than a stall.
 
 use crate::time::Millis;
 
-/// The cores count as stalled when this many runs are overdue, by usual run times: with random ends at their
-/// usual rate a gap as long comes once in e^6 = 400.
+/// The cores count as stalled when this many ends are overdue by usual run times. If ends are random at
+/// their usual rate, a gap this long is expected once in e^6, about 400, gaps.
 const STALL_THRESHOLD_ENDS: f64 = 6.0;
 
 /// Whether the cores make progress.
@@ -40,8 +37,8 @@
         now - self.progress_at < span
     }
 
-    /// How often a run that usually takes `usual_run` would have ended since the last progress, on a core of
-    /// its own.
+    /// How often a run that usually takes `usual_run` would have ended since the last progress, on a core
+    /// of its own.
     pub(super) fn overdue_ends(&self, usual_run: Millis, on_cores_since: Millis, now: Millis) -> f64 {
         let elapsed = now - self.progress_at.max(on_cores_since);
         elapsed / usual_run
@@ -64,3 +61,6 @@
         self.progress_at = now;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/tenant_quota.rs
+++ b/src/controller/tenant_quota.rs
@@ -1,10 +1,8 @@
 //! Tenant quotas: a request beyond the quota of its tenant counts with a reduced weight in the queue.
 //!
-//! Inputs: the tenant's quota (requests a second, over the fleet), the number of servers, the time (ms). Each
-//! server grants an even part of the quota with a token bucket. Only the tier that clients reach does so.
-
-#[cfg(test)]
-mod tests;
+//! Inputs: the tenant's quota (requests a second, over the fleet), the number of servers, the time (ms).
+//! Each server grants an even part of the quota with a token bucket. Only the tier that clients reach
+//! does so.
 
 use crate::interface::Settings;
 use crate::time::{MILLIS_PER_SECOND, Millis};
@@ -67,3 +65,6 @@
         !bucket.try_take(rate_per_s, now)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -9,7 +9,7 @@
 };
 use crate::time::Millis;
 
-/// Names one request for as long as the server lives.
+/// Names one request while it is known to the controller or its key is retained.
 pub type RequestId = u32;
 
 /// A request as it was read.
@@ -21,13 +21,13 @@
     pub class: usize,
     /// Index of its tenant.
     pub tenant: usize,
-    /// How long its caller will wait, where callers state that.
+    /// How long its caller will wait, where callers state that (`Settings::has_caller_deadlines`).
     pub remaining_wait: Millis,
     /// Estimated work on one core, where there is an estimate.
     pub estimated_work: Option<Millis>,
     /// Memory that it takes while it is queued, in KB.
     pub memory_kb: f64,
-    /// From 0 to 1: its place by weight among all requests.
+    /// From 0 to 1: its place by weight among all requests. No decision depends on it.
     pub rank: f64,
     /// A marked retry, or a hedged request.
     pub is_retry: bool,
@@ -35,8 +35,8 @@
     pub caller: u64,
     /// Time since it reached the machine.
     pub age: Millis,
-    /// How long its caller had waited before it reached the machine, where that is known; else 0. It counts
-    /// against the latency objective and the timeout, and not as this server's delay.
+    /// How long its caller had waited before it reached the machine, where that is known; else 0. It
+    /// counts against the latency objective and the timeout, and not as this server's delay.
     pub upstream_time: Millis,
     /// The retained request that it repeats.
     pub original: Option<RequestId>,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -7,7 +7,8 @@
 pub enum Idempotency {
     /// It may run any number of times (settings: `safe`).
     Always,
-    /// It has an idempotency key, and runs at most once here within its class's window (settings: `keyed`).
+    /// It has an idempotency key, and runs at most once here within its class's window (settings:
+    /// `keyed`).
     ByKey,
     /// It has an effect, and nothing to recognize a duplicate by (settings: `unsafe`).
     Never,
@@ -64,7 +65,7 @@
     pub timeout: Millis,
     /// The weight of a response in time.
     pub priority_weight: f64,
-    /// The share of the weight that a late response still earns, 0 to 1.
+    /// The share of the weight that a late response still earns, 0 to 1. No decision depends on it.
     pub late_weight: f64,
     /// With idempotency keys only: how long after an arrival a duplicate may come.
     pub idempotency_window: Millis,
@@ -124,7 +125,7 @@
     pub signal_ttl: Millis,
     /// Callers close connections that are idle for this.
     pub idle_timeout: Millis,
-    /// Weight lost for each new connection per first attempt.
+    /// Weight lost for each new connection per first attempt. No decision depends on it.
     pub handshake_price: f64,
     /// Requests state how long their caller will wait.
     pub has_caller_deadlines: bool,
@@ -140,17 +141,19 @@
     pub response_slack: Millis,
     /// What arrives later than this after the shutdown was requested is not run.
     pub drain_grace: Millis,
-    /// Runnable requests for each core that a warm server survives, in the mean of `concurrency_window`.
+    /// Runnable requests for each core at which a server at full speed still does not fail, in the mean
+    /// of `concurrency_window`.
     pub core_concurrency: f64,
     /// Time over which that mean is taken.
     pub concurrency_window: Millis,
-    /// The longest retry-after that callers honor; 0 where none is passed on.
+    /// The longest Retry-After that callers honor; 0 where none is passed on.
     pub max_retry_after: Millis,
     /// Minimum time between two batches.
     pub batch_interval: Millis,
 }
 
-/// The settings that may change while serving. Classes and tenants keep their indices; tenants may be added.
+/// The settings that may change while serving. Classes and tenants keep their indices; tenants may be
+/// added.
 #[derive(Clone, Debug)]
 pub struct ReloadableSettings {
     /// All classes.
