--- a/crates/loomflow-server/src/connection/handle.rs
+++ b/crates/loomflow-server/src/connection/handle.rs
@@ -129,6 +129,11 @@
         self.enqueue(write);
     }
 
+    /// One request gets no response: the driver may read another.
+    pub fn release_request_slot(&self) {
+        self.enqueue_response(|_| {});
+    }
+
     /// Closes the connection once no request is open and everything is written.
     pub fn close(&self, reason: CloseReason) {
         let mut state = self.lock();
--- a/crates/loomflow-server/src/engine.rs
+++ b/crates/loomflow-server/src/engine.rs
@@ -21,7 +21,7 @@
 pub use pending_command::{Delivery, PendingCommand, SentCommand};
 pub use resend::{RequestState, Resend};
 
-/// Between two links, the first of which is opened at once.
+/// Delay before a link is opened again; the first attempt has none.
 const MIN_BACKOFF_MS: Millis = 10.0;
 const MAX_BACKOFF_MS: Millis = 500.0;
 /// After a link that was attached for so long the next one is opened without a backoff.
@@ -51,6 +51,15 @@
     pub bytes_written: u64,
 }
 
+/// How the replay of notices on a new link ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReplayEnd {
+    /// The engine answered the query behind its last notice.
+    Confirmed,
+    /// It did not answer in time, and may still send notices.
+    TimedOut,
+}
+
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum LinkState {
     Connecting,
@@ -181,28 +190,32 @@
         self.state = LinkState::Replaying { fence, deadline: now + REPLAY_TIMEOUT_MS };
     }
 
-    /// Gauges were received. Returns true where they also close the replay.
-    pub fn gauges_received(&mut self, tag: &str, values: Vec<f64>, now: Millis) -> bool {
+    /// Gauges were received: the answer to a fence. Returns the end of the replay where they close it.
+    pub fn gauges_received(&mut self, tag: &str, values: Vec<f64>, now: Millis) -> Option<ReplayEnd> {
         self.gauges = values.into_iter().map(Some).collect();
         self.gauges_received_at = now;
         self.last_answered_tag = tag.parse().unwrap_or(self.last_answered_tag);
         match self.state {
-            LinkState::Replaying { fence, .. } if tag == fence.to_string() => self.finish_replay(),
-            _ => false,
+            LinkState::Replaying { fence, .. } if tag == fence.to_string() => {
+                Some(self.finish_replay(ReplayEnd::Confirmed))
+            }
+            _ => None,
         }
     }
 
-    /// Closes a replay that has taken too long. Returns true where it did.
-    pub fn check_replay_timeout(&mut self, now: Millis) -> bool {
+    /// Closes a replay that has taken too long. Returns its end where it did.
+    pub fn check_replay_timeout(&mut self, now: Millis) -> Option<ReplayEnd> {
         match self.state {
-            LinkState::Replaying { deadline, .. } if now >= deadline => self.finish_replay(),
-            _ => false,
+            LinkState::Replaying { deadline, .. } if now >= deadline => {
+                Some(self.finish_replay(ReplayEnd::TimedOut))
+            }
+            _ => None,
         }
     }
 
-    fn finish_replay(&mut self) -> bool {
+    fn finish_replay(&mut self, end: ReplayEnd) -> ReplayEnd {
         self.state = LinkState::Ready;
-        true
+        end
     }
 
     /// The link that is open or being opened.
@@ -221,7 +234,8 @@
         self.last_tag
     }
 
-    /// Requests the gauges.
+    /// Requests the gauges. The query is a fence as well: its answer has the gauges, and shows that everything sent before
+    /// has been read.
     pub fn poll_gauges(&mut self) {
         if self.state == LinkState::Ready {
             self.send_fence();
--- a/crates/loomflow-server/src/engine/tests.rs
+++ b/crates/loomflow-server/src/engine/tests.rs
@@ -61,14 +61,17 @@
     let mut engine = engine_link();
     let id = loomflow_protocol::AttemptId(7);
     let is_sent = |engine: &EngineLink| engine.send(Command::Halt { id }) != Delivery::NotSent;
-    assert!(!is_sent(&engine) && !engine.check_replay_timeout(1e9), "not attached");
+    assert!(!is_sent(&engine) && engine.check_replay_timeout(1e9).is_none(), "not attached");
     engine.attached(0.0);
-    assert!(!is_sent(&engine) && !engine.check_replay_timeout(REPLAY_TIMEOUT_MS - 1.0));
-    assert!(engine.check_replay_timeout(REPLAY_TIMEOUT_MS) && is_sent(&engine));
+    assert!(!is_sent(&engine) && engine.check_replay_timeout(REPLAY_TIMEOUT_MS - 1.0).is_none());
+    assert_eq!(engine.check_replay_timeout(REPLAY_TIMEOUT_MS), Some(ReplayEnd::TimedOut));
+    assert!(is_sent(&engine));
     engine.attached(0.0);
     let fence = engine.last_tag;
-    assert!(!engine.gauges_received(&(fence - 1).to_string(), Vec::new(), 1.0) && !is_sent(&engine));
-    assert!(engine.gauges_received(&fence.to_string(), Vec::new(), 2.0) && is_sent(&engine));
+    assert_eq!(engine.gauges_received(&(fence - 1).to_string(), Vec::new(), 1.0), None);
+    assert!(!is_sent(&engine));
+    assert_eq!(engine.gauges_received(&fence.to_string(), Vec::new(), 2.0), Some(ReplayEnd::Confirmed));
+    assert!(is_sent(&engine));
 }
 
 #[test]
--- a/crates/loomflow-server/src/front/resp/connections.rs
+++ b/crates/loomflow-server/src/front/resp/connections.rs
@@ -23,7 +23,7 @@
 pub use capacity::Limits;
 use capacity::{IdleConnection, Reclaim, UnwrittenResponses};
 use connection::{Connection, InputClosed};
-use shutdown::ShutdownDeadlines;
+use shutdown::ConnectionDeadlines;
 use timeouts::Timeouts;
 
 /// The state of a request's tag.
@@ -48,7 +48,7 @@
     /// The feedback signal of every response, once there is one.
     signal: Option<f64>,
     idle_timeout: Option<Millis>,
-    shutdown: Option<ShutdownDeadlines>,
+    shutdown: Option<ConnectionDeadlines>,
 }
 
 impl GatewayConnections {
@@ -102,11 +102,11 @@
         connection.has_received_message = true;
         match connection.input_closed {
             Some(InputClosed { peer_reads: false }) => {
-                connection.handle.enqueue_response(|_| {});
+                connection.handle.release_request_slot();
                 TagState::Unreachable
             }
             _ if !connection.open_tags.insert(tag) => {
-                connection.handle.enqueue_response(|_| {});
+                connection.handle.release_request_slot();
                 TagState::Duplicate
             }
             Some(_) => TagState::InputClosed,
@@ -131,7 +131,7 @@
     pub fn discard_tag(&mut self, id: ConnectionId, tag: u64) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         if connection.open_tags.remove(&tag) {
-            connection.handle.enqueue_response(|_| {});
+            connection.handle.release_request_slot();
         }
     }
 
@@ -225,7 +225,7 @@
 
     /// Sends a goodbye on all connections, and on those that are still accepted.
     pub fn begin_shutdown(&mut self, deadline: Millis, kill_deadline: Millis, now: Millis) {
-        self.shutdown = Some(ShutdownDeadlines::new(deadline, kill_deadline, now));
+        self.shutdown = Some(ConnectionDeadlines::new(deadline, kill_deadline, now));
         for connection in self.connections.values_mut() {
             connection.send_goodbye(now);
         }
@@ -237,7 +237,8 @@
     }
 
     /// Whether the process may end: each connection was closed in order, and its last responses were read or had the time
-    /// to be. The end of the process closes connections, which over unread bytes would discard responses.
+    /// to be. When the process exits, the kernel resets a connection that has unread input, and discards responses that are
+    /// still on their way.
     pub fn is_drained(&self, now: Millis) -> bool {
         let Some(shutdown) = self.shutdown else { return false };
         let is_flushed =
--- a/crates/loomflow-server/src/front/resp/connections/connection.rs
+++ b/crates/loomflow-server/src/front/resp/connections/connection.rs
@@ -94,7 +94,7 @@
             // The driver has cancelled the close: the peer had sent something before it.
             self.closing = None;
         }
-        if self.is_closing_settled(now) || self.input_closed.is_some() {
+        if self.check_closing(now) || self.input_closed.is_some() {
             return false;
         }
         match self.handle.partial_message() {
@@ -107,9 +107,9 @@
         false
     }
 
-    /// Whether it is being closed and all its requests are answered: then it is aborted where its peer does not read,
-    /// whichever side has closed it.
-    fn is_closing_settled(&mut self, now: Millis) -> bool {
+    /// Whether it is being closed and all its requests are answered. Then it is aborted if its peer does not read, whichever
+    /// side has closed it.
+    fn check_closing(&mut self, now: Millis) -> bool {
         let Some(closing) = self.closing.as_mut().filter(|_| self.open_tags.is_empty()) else { return false };
         if closing.is_stalled(self.handle.bytes_written(), self.idle_since, now) {
             self.handle.abort();
--- a/crates/loomflow-server/src/front/resp/connections/shutdown.rs
+++ b/crates/loomflow-server/src/front/resp/connections/shutdown.rs
@@ -13,7 +13,7 @@
 
 /// The deadlines of a graceful shutdown.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ShutdownDeadlines {
+pub(super) struct ConnectionDeadlines {
     /// How long a connection stays open after its goodbye.
     pub(super) goodbye_timeout: Millis,
     /// When the rest of a message is waited for no longer, so that its peer can still read the responses.
@@ -24,13 +24,13 @@
     kill_deadline: Millis,
 }
 
-impl ShutdownDeadlines {
+impl ConnectionDeadlines {
     /// Of the time until `deadline`, one half is for the peers to close their connections, the other for this server.
-    pub(super) fn new(deadline: Millis, kill_deadline: Millis, now: Millis) -> ShutdownDeadlines {
+    pub(super) fn new(deadline: Millis, kill_deadline: Millis, now: Millis) -> ConnectionDeadlines {
         let goodbye_timeout = GOODBYE_TIMEOUT_MS.min((deadline - now).max(0.0) / 2.0);
         let linger = LINGER_TIMEOUT.as_secs_f64() * 1000.0;
         let partial_message_deadline = (deadline - linger).max(now + goodbye_timeout);
-        ShutdownDeadlines { goodbye_timeout, partial_message_deadline, deadline, kill_deadline }
+        ConnectionDeadlines { goodbye_timeout, partial_message_deadline, deadline, kill_deadline }
     }
 
     /// Whether the process is about to be killed.
--- a/crates/loomflow-server/src/front/resp/listener.rs
+++ b/crates/loomflow-server/src/front/resp/listener.rs
@@ -80,8 +80,11 @@
         let deadline = Instant::now() + release_timeout(stop_ms);
         let mut is_logged = false;
         loop {
-            match bind(address) {
-                _ if is_shutdown_requested() => return Ok(None),
+            let socket = bind(address);
+            if is_shutdown_requested() {
+                return Ok(None);
+            }
+            match socket {
                 Ok(socket) => return Ok(Some(Listener(socket))),
                 Err(error) if error.kind() == ErrorKind::AddrInUse && Instant::now() < deadline => {
                     if !std::mem::replace(&mut is_logged, true) {
--- a/crates/loomflow-server/src/front/resp/mod.rs
+++ b/crates/loomflow-server/src/front/resp/mod.rs
@@ -95,7 +95,7 @@
         let reply_handle = ReplyHandle::Tag(id, tag);
         requests.push(match request {
             Request::Health { is_deep, .. } => FrontRequest::HealthCheck { reply_handle, is_deep },
-            Request::Call(call) => self.submit(reply_handle, call, now),
+            Request::Call(call) => self.to_front_request(reply_handle, call, now),
             Request::Invalid { reason, .. } => {
                 log!(why = reason, "a request was not accepted");
                 return self.respond(id, tag, Response::Failed(Failure::Invalid), now.ms);
@@ -103,7 +103,7 @@
         });
     }
 
-    fn submit(&self, reply_handle: ReplyHandle, call: Call, now: Now) -> FrontRequest {
+    fn to_front_request(&self, reply_handle: ReplyHandle, call: Call, now: Now) -> FrontRequest {
         match classify::classify(&self.site, &call, now) {
             Ok(classification) => {
                 let submission = classify::submission(&self.site, reply_handle, call, classification, now);
--- a/crates/loomflow-server/src/ledger.rs
+++ b/crates/loomflow-server/src/ledger.rs
@@ -206,10 +206,13 @@
             // What has not been written by now never will be: those calls finish here.
             let bytes_written =
                 self.connections.remove(&link).map_or(0, |connection| connection.handle.abort());
-            finished.extend(self.finish_where(now, |call| match call.end <= bytes_written {
-                _ if call.link != link => None,
-                true if is_overdue(call) => Some(Outcome::TimedOut),
-                is_sent => Some(CloseReason::Aborted.outcome(is_sent)),
+            finished.extend(self.finish_where(now, |call| {
+                if call.link != link {
+                    return None;
+                }
+                let is_sent = call.end <= bytes_written;
+                let has_timed_out = is_sent && is_overdue(call);
+                Some(if has_timed_out { Outcome::TimedOut } else { CloseReason::Aborted.outcome(is_sent) })
             }));
         }
         finished
--- a/crates/loomflow-server/src/ledger/connection.rs
+++ b/crates/loomflow-server/src/ledger/connection.rs
@@ -64,8 +64,8 @@
             && !self.carried_calls.contains(&id)
     }
 
-    /// Whether it is idle and may carry a call, which has no effect. One with an effect never uses an idle connection: if the ledger
-    /// had forgotten that, nothing would prove that the call never ran.
+    /// Whether it is idle and may carry this call. Only calls without an effect reuse an idle connection: if the ledger had
+    /// forgotten the connection, nothing would prove that the call never ran.
     pub(super) fn is_reusable(&self, id: RequestId, has_effect: bool, now: Millis) -> bool {
         !has_effect
             && self.calls_in_flight == 0
--- a/crates/loomflow-server/src/mailbox.rs
+++ b/crates/loomflow-server/src/mailbox.rs
@@ -37,7 +37,7 @@
         bytes_written: u64,
     },
     /// The drivers have read what was unread when the owner began to wait for them.
-    ReadersDrained,
+    ReadersCaughtUp,
     /// SIGTERM was received.
     ShutdownRequested,
     /// SIGHUP was received: the configuration as it is now, or why it cannot be used.
--- a/crates/loomflow-server/src/owner/admission.rs
+++ b/crates/loomflow-server/src/owner/admission.rs
@@ -71,7 +71,7 @@
 }
 
 /// The request that a keyed request repeats, none where it is the first; or why it is not accepted.
-pub(super) fn original(registration: Registration) -> Result<Option<RequestId>, Rejection> {
+pub(super) fn accept_registration(registration: Registration) -> Result<Option<RequestId>, Rejection> {
     match registration {
         Registration::New => Ok(None),
         Registration::Duplicate(original) => Ok(Some(original)),
--- a/crates/loomflow-server/src/owner/admission/tests.rs
+++ b/crates/loomflow-server/src/owner/admission/tests.rs
@@ -20,8 +20,8 @@
 
 #[test]
 fn a_keyed_request_is_new_or_a_duplicate_or_not_accepted() {
-    assert_eq!(original(Registration::New), Ok(None));
-    assert_eq!(original(Registration::Duplicate(7)), Ok(Some(7)));
-    assert_eq!(original(Registration::BodyMismatch), Err(Rejection::KeyInUse));
-    assert_eq!(original(Registration::CacheFull), Err(Rejection::IdempotencyCacheFull));
+    assert_eq!(accept_registration(Registration::New), Ok(None));
+    assert_eq!(accept_registration(Registration::Duplicate(7)), Ok(Some(7)));
+    assert_eq!(accept_registration(Registration::BodyMismatch), Err(Rejection::KeyInUse));
+    assert_eq!(accept_registration(Registration::CacheFull), Err(Rejection::IdempotencyCacheFull));
 }
--- a/crates/loomflow-server/src/owner/engine_events.rs
+++ b/crates/loomflow-server/src/owner/engine_events.rs
@@ -7,7 +7,7 @@
 use loomflow_protocol::engine::{Command, Notice, RunEnd};
 
 use super::Owner;
-use crate::engine::{self, LostLink, PendingCommand, RequestState, Resend, SentCommand};
+use crate::engine::{self, LostLink, PendingCommand, ReplayEnd, RequestState, Resend, SentCommand};
 use crate::front::interface::{Failure, Response};
 use crate::idempotency::Completion;
 use crate::ledger::FinishedCall;
@@ -19,8 +19,8 @@
         match notice {
             Notice::Hello { is_starting, age } => self.engine_attached(is_starting, age),
             Notice::Stats { tag, values } => {
-                if self.peers.engine.gauges_received(&tag, values, self.now.ms) {
-                    self.resend_commands(true);
+                if let Some(end) = self.peers.engine.gauges_received(&tag, values, self.now.ms) {
+                    self.resend_commands(end);
                 }
             }
             Notice::HealthChecked { tag, has_passed } => {
@@ -105,7 +105,7 @@
             }
         };
         let Some(entry) = self.requests.get_mut(id) else { return };
-        // The run has ended: the response does not have to end it.
+        // Marked as running, so that `release` leaves the removal to this function, which knows how the run ended.
         entry.progress = Progress::Running;
         entry.pending_command = None;
         self.respond(id, response);
@@ -113,9 +113,8 @@
         self.remove(id, completion);
     }
 
-    /// A new link is ready, and all notices from before it have been read: sends again what may not have arrived.
-    /// `is_replay_complete`: the engine has reported that there are no more notices.
-    pub(super) fn resend_commands(&mut self, is_replay_complete: bool) {
+    /// A new link is ready, and its replay of notices has ended: sends again what may not have arrived.
+    pub(super) fn resend_commands(&mut self, replay_end: ReplayEnd) {
         let mut ended_runs = Vec::new();
         for (id, entry) in self.requests.iter_mut() {
             let Some(pending) = &mut entry.pending_command else { continue };
@@ -123,7 +122,7 @@
                 is_answered: entry.is_answered,
                 idempotency: entry.idempotency,
                 has_resent_reply: entry.resent_reply_fence.is_some(),
-                is_replay_complete,
+                is_replay_complete: replay_end == ReplayEnd::Confirmed,
             };
             match pending.resend(request) {
                 Resend::Nothing => continue,
--- a/crates/loomflow-server/src/owner/event_loop.rs
+++ b/crates/loomflow-server/src/owner/event_loop.rs
@@ -14,10 +14,10 @@
 use crate::mailbox::{Mailbox, OwnerEvent};
 use crate::signals::Signals;
 
-/// How long the drivers' thread sleeps, which shows that they have read what was unread.
-const DRAIN_SLEEP_MS: Millis = 2.0;
+/// A coroutine that sleeps for this on the drivers' thread wakes after each driver had a turn to read its socket.
+const READER_TURN_MS: Millis = 2.0;
 /// The maximum time that the owner waits for that.
-const MAX_DRAIN_MS: Millis = 100.0;
+const MAX_READER_WAIT_MS: Millis = 100.0;
 
 /// Serves until a shutdown was requested and is complete.
 pub fn serve(config: Config, options: &Options, file: PathBuf, signals: Signals) -> Result<(), ServeError> {
@@ -41,7 +41,7 @@
     let schedule = owner.batch_schedule();
     let mut events = mailbox.receive(schedule.timeout(clock.now().ms));
     if schedule.follows_pause(clock.now().ms) {
-        drain_readers(mailbox, &mut events, clock);
+        wait_for_readers(mailbox, &mut events, clock);
     }
     if let Some(delay) = schedule.delay(clock.now().ms) {
         std::thread::sleep(delay);
@@ -52,19 +52,19 @@
 
 /// Waits until the drivers have read what arrived during a pause of the machine. They share one thread, so a sleep that
 /// begins and ends there does so after they have read what was unread; a wait on this thread would race with them.
-fn drain_readers(mailbox: &Arc<Mailbox>, events: &mut Vec<OwnerEvent>, clock: Clock) {
-    let deadline = clock.now().ms + MAX_DRAIN_MS;
+fn wait_for_readers(mailbox: &Arc<Mailbox>, events: &mut Vec<OwnerEvent>, clock: Clock) {
+    let deadline = clock.now().ms + MAX_READER_WAIT_MS;
     let sender = mailbox.clone();
     may::go!(move || {
-        connection::sleep(Duration::from_micros((DRAIN_SLEEP_MS * 1000.0) as u64));
-        sender.send(OwnerEvent::ReadersDrained);
+        connection::sleep(Duration::from_micros((READER_TURN_MS * 1000.0) as u64));
+        sender.send(OwnerEvent::ReadersCaughtUp);
     });
     loop {
         let remaining = deadline - clock.now().ms;
         let received = mailbox.receive(Duration::from_micros((remaining.max(0.0) * 1000.0) as u64));
-        let is_drained = received.iter().any(|event| matches!(event, OwnerEvent::ReadersDrained));
+        let have_caught_up = received.iter().any(|event| matches!(event, OwnerEvent::ReadersCaughtUp));
         events.extend(received);
-        if is_drained || remaining <= 0.0 {
+        if have_caught_up || remaining <= 0.0 {
             return;
         }
     }
--- a/crates/loomflow-server/src/owner/health_checks.rs
+++ b/crates/loomflow-server/src/owner/health_checks.rs
@@ -23,7 +23,7 @@
 /// The server's health, and the checks that wait for the engine.
 pub(super) struct HealthChecks {
     is_healthy: bool,
-    /// Checks are answered without the engine.
+    /// Checks are answered without the engine: so from the first decision of the controller on, which caches the health.
     is_cached: bool,
     /// What is reported to the control plane.
     ready: Arc<AtomicBool>,
--- a/crates/loomflow-server/src/owner/mod.rs
+++ b/crates/loomflow-server/src/owner/mod.rs
@@ -1,5 +1,5 @@
-//! The owner of the controller, the request table and the state of every peer, on the main thread. Drivers report events
-//! to its mailbox; the owner passes them to the controller as one batch, carries out the actions that the controller
+//! The owner of the controller, the request table and the state of every peer, on the main thread. A driver is the coroutine
+//! that reads and writes one socket. Drivers report events to the owner's mailbox; the owner passes them to the controller as one batch, carries out the actions that the controller
 //! decides on, and queues what the drivers are to write.
 //!
 //! - `event_loop`: waits for events and forms batches; `batch_schedule`: when one is due;
@@ -199,8 +199,8 @@
         self.update_fronts(|fronts, requests| fronts.check_timeouts(now, requests));
         self.idempotency.expire(now);
         self.end_lost_runs();
-        if self.peers.engine.check_replay_timeout(now) {
-            self.resend_commands(false);
+        if let Some(end) = self.peers.engine.check_replay_timeout(now) {
+            self.resend_commands(end);
         }
         while let Some(reply_handle) = self.health.take_expired(now) {
             self.respond_to_health_check(reply_handle, false);
@@ -264,7 +264,7 @@
                     self.call_finished(finished);
                 }
             }
-            OwnerEvent::ReadersDrained => {}
+            OwnerEvent::ReadersCaughtUp => {}
             OwnerEvent::ShutdownRequested => self.begin_shutdown(),
             OwnerEvent::ConfigReloaded(Ok(config)) => self.reload(*config),
             OwnerEvent::ConfigReloaded(Err(error)) => {
--- a/crates/loomflow-server/src/owner/requests.rs
+++ b/crates/loomflow-server/src/owner/requests.rs
@@ -84,7 +84,7 @@
             max_read_delay: class.timeout,
         };
         let registration = self.idempotency.register(id, request, self.now.ms);
-        Ok(Admission { id, original: admission::original(registration)? })
+        Ok(Admission { id, original: admission::accept_registration(registration)? })
     }
 
     fn check_health(&mut self, reply_handle: ReplyHandle, is_deep: bool) {
@@ -116,7 +116,8 @@
         self.respond(id, Response::Failed(failure));
     }
 
-    /// Ends what is done for a request that has been answered.
+    /// Ends the work for a request that has been answered: one that is not running is removed, the call of one that runs is
+    /// cancelled, and its entry stays until the engine reports the end of the run.
     pub(super) fn release(&mut self, id: RequestId) {
         let Some(entry) = self.requests.get_mut(id) else { return };
         entry.body = Vec::new();
