--- a/crates/loomflow-server/src/fleet/command/arguments.rs
+++ b/crates/loomflow-server/src/fleet/command/arguments.rs
@@ -103,7 +103,7 @@
 /// The command behind `--`, and a parser of what stands before it.
 fn split_command(parser: &mut lexopt::Parser) -> Result<(lexopt::Parser, Vec<OsString>), UsageError> {
     let mut words: Vec<OsString> = parser.raw_args()?.collect();
-    let at = words.iter().position(|word| word == "--").unwrap_or(words.len());
+    let at = words.iter().position(|argument| argument == "--").unwrap_or(words.len());
     let command = words.split_off(at).into_iter().skip(1).collect();
     Ok((lexopt::Parser::from_args(words), command))
 }
@@ -134,7 +134,7 @@
                     let name = name.to_owned();
                     arguments.set(&name, parser.value()?)?;
                 }
-                Value(word) => arguments.words.push(word.to_string_lossy().into_owned()),
+                Value(argument) => arguments.words.push(argument.to_string_lossy().into_owned()),
                 other => return Err(other.unexpected().into()),
             }
         }
@@ -265,7 +265,7 @@
 }
 
 fn owned(words: &[&str]) -> Vec<String> {
-    words.iter().map(|word| (*word).to_owned()).collect()
+    words.iter().map(|argument| (*argument).to_owned()).collect()
 }
 
 fn span(text: &str) -> Result<Duration, UsageError> {
@@ -276,7 +276,7 @@
     if words.is_empty() {
         return Err(UsageError::Missing("which ticket?"));
     }
-    let id = |word: &&str| word.parse().map_err(|_| UsageError::NotATicket((*word).to_owned()));
+    let id = |argument: &&str| argument.parse().map_err(|_| UsageError::NotATicket((*argument).to_owned()));
     words.iter().map(id).collect()
 }
 
--- a/crates/loomflow-server/src/fleet/command/job_process.rs
+++ b/crates/loomflow-server/src/fleet/command/job_process.rs
@@ -78,11 +78,11 @@
 }
 
 /// Asks whether the server owns a duty now; the lease counts from before it was asked.
-fn ask_ownership(socket: &Path, duty: &str) -> OwnershipAnswer {
-    let asked_at = boot_millis();
+fn query_ownership(socket: &Path, duty: &str) -> OwnershipAnswer {
+    let queried_at = boot_millis();
     match call(socket, &OperatorRequest::CheckOwnership(duty.to_owned()))? {
         OperatorResponse::Owned(duty) => {
-            let valid_until = asked_at + duty.remaining_millis;
+            let valid_until = queried_at + duty.remaining_millis;
             Ok(Some(Ownership { duty, valid_until }))
         }
         OperatorResponse::NotOwned => Ok(None),
@@ -95,7 +95,7 @@
     let deadline = Instant::now() + options.ownership_timeout;
     let has_token = |token: Token| options.token.is_none_or(|wanted| wanted == token);
     loop {
-        let answer = ask_ownership(socket, &options.duty)?;
+        let answer = query_ownership(socket, &options.duty)?;
         let usable = answer.filter(|one| !one.duty.is_recalled && has_token(one.duty.token));
         if usable.is_some() || Instant::now() >= deadline || stop_requested.load(Ordering::Relaxed) {
             return Ok(usable);
@@ -124,7 +124,7 @@
     let interval = Duration::from_millis(lease_millis / OWNERSHIP_POLLS_PER_LEASE);
     let (socket, duty) = (socket.to_owned(), duty.to_owned());
     std::thread::spawn(move || {
-        while sender.send(ask_ownership(&socket, &duty)).is_ok() {
+        while sender.send(query_ownership(&socket, &duty)).is_ok() {
             std::thread::sleep(interval);
         }
     });
--- a/crates/loomflow-server/src/fleet/command/output.rs
+++ b/crates/loomflow-server/src/fleet/command/output.rs
@@ -68,7 +68,7 @@
     let leader = status.leader.as_deref().unwrap_or("none");
     let source = if status.is_from_leader { "" } else { " (as seen here, which does not lead)" };
     let per_zone = status.rules.max_out_per_zone;
-    let per_zone = per_zone.map_or(String::new(), |most| format!(", {} in a zone", limit(most)));
+    let per_zone = per_zone.map_or(String::new(), |max| format!(", {} in a zone", limit(max)));
     let fleet = format!(
         "fleet {}: {} members, leader {leader}, term {}, log at {}{source}\n",
         status.fleet,
--- a/crates/loomflow-server/src/fleet/command/progress.rs
+++ b/crates/loomflow-server/src/fleet/command/progress.rs
@@ -15,7 +15,7 @@
 /// Failed polls in a row after which the command fails.
 const MAX_FAILED_POLLS: usize = 40;
 /// Failed polls in a row after which a server that drains counts as gone: it may be the one that is asked.
-const FAILED_POLLS_OF_GONE: usize = 4;
+const FAILED_POLLS_OF_STOPPED_SERVER: usize = 4;
 
 const EXIT_DRAINED: u8 = 0;
 const EXIT_MAY_NOT_GO: u8 = 3;
@@ -26,15 +26,15 @@
     let bar = ProgressBar::new(0);
     let style = ProgressStyle::with_template("{bar:30} {pos}/{len} done  {msg}");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
-    let mut seen: BTreeSet<TicketId> = BTreeSet::new();
+    let mut known_tickets: BTreeSet<TicketId> = BTreeSet::new();
     let mut failed_polls = 0;
     loop {
         match client.tickets() {
             Ok(TicketLists { open, .. }) => {
                 failed_polls = 0;
-                seen.extend(open.iter().map(|ticket| ticket.id));
-                bar.set_length(seen.len() as u64);
-                bar.set_position((seen.len() - open.len()) as u64);
+                known_tickets.extend(open.iter().map(|ticket| ticket.id));
+                bar.set_length(known_tickets.len() as u64);
+                bar.set_position((known_tickets.len() - open.len()) as u64);
                 bar.set_message(servers_out(&open));
                 if open.is_empty() {
                     bar.finish();
@@ -97,8 +97,8 @@
             // The server that is asked may be the one that goes: its socket ends with it.
             Err(_) if self.has_begun && !self.client.is_reachable() => {
                 self.failed_polls += 1;
-                let is_gone = self.failed_polls >= FAILED_POLLS_OF_GONE;
-                Ok(is_gone.then_some((EXIT_DRAINED, "drained, and gone")))
+                let has_stopped = self.failed_polls >= FAILED_POLLS_OF_STOPPED_SERVER;
+                Ok(has_stopped.then_some((EXIT_DRAINED, "drained, and gone")))
             }
             Err(error) => {
                 self.failed_polls += 1;
--- a/crates/loomflow-server/src/fleet/command/tickets.rs
+++ b/crates/loomflow-server/src/fleet/command/tickets.rs
@@ -36,7 +36,7 @@
     /// How many of the options that choose servers are given; one has to be.
     pub fn ways_to_choose_servers(&self) -> usize {
         let ways = [!self.servers.is_empty(), self.zone.is_some(), self.is_for_all, self.file.is_some()];
-        ways.into_iter().filter(|is_given| *is_given).count()
+        ways.into_iter().filter(|is_present| *is_present).count()
     }
 }
 
--- a/crates/loomflow-server/src/fleet/driver.rs
+++ b/crates/loomflow-server/src/fleet/driver.rs
@@ -19,7 +19,7 @@
 use crate::mailbox::{Mailbox, OwnerEvent};
 
 /// Longest sleep: the clock is looked at as often.
-pub const LONGEST_SLEEP: Duration = Duration::from_millis(200);
+pub const MAX_SLEEP: Duration = Duration::from_millis(200);
 /// The same while a job that was told to end has not ended.
 const SLEEP_WHILE_TERMINATING: Duration = Duration::from_millis(10);
 const MAX_EVENTS: usize = 256;
@@ -91,8 +91,8 @@
 
     fn wait(&mut self, events: &mut Events, now: Millis) -> io::Result<()> {
         let until_wake = Duration::from_millis(self.node.next_wake().saturating_sub(now).max(1));
-        let longest = if self.jobs.is_terminating() { SLEEP_WHILE_TERMINATING } else { LONGEST_SLEEP };
-        match self.poll.poll(events, Some(until_wake.min(longest))) {
+        let max_sleep = if self.jobs.is_terminating() { SLEEP_WHILE_TERMINATING } else { MAX_SLEEP };
+        match self.poll.poll(events, Some(until_wake.min(max_sleep))) {
             Err(error) if error.kind() != io::ErrorKind::Interrupted => Err(error),
             _ => Ok(()),
         }
--- a/crates/loomflow-server/src/fleet/mod.rs
+++ b/crates/loomflow-server/src/fleet/mod.rs
@@ -38,7 +38,7 @@
 use mio::{Poll, Token, Waker};
 
 use crate::mailbox::Mailbox;
-use driver::{Driver, LONGEST_SLEEP, WAKE};
+use driver::{Driver, MAX_SLEEP, WAKE};
 use jobs::Jobs;
 use links::Links;
 pub use load::{Meter, load_report};
@@ -141,7 +141,7 @@
     pub fn drained(&self) {
         let (sender, receiver) = sync_channel(1);
         self.post(|messages| messages.drained = Some(sender));
-        let _ = receiver.recv_timeout(self.shutdown_timeout + LONGEST_SLEEP);
+        let _ = receiver.recv_timeout(self.shutdown_timeout + MAX_SLEEP);
     }
 
     fn post(&self, write: impl FnOnce(&mut OwnerMessages)) {
