--- a/crates/loomflow-server/src/budget.rs
+++ b/crates/loomflow-server/src/budget.rs
@@ -3,9 +3,6 @@
 use loomflow_settings::Config;
 use rustix::process::{Resource, getrlimit};
 
-#[cfg(test)]
-mod tests;
-
 /// One in so many descriptors is for connections to the ledger.
 const LEDGER_PART: usize = 8;
 const MIN_LEDGER_CONNECTIONS: usize = 2;
@@ -96,3 +93,6 @@
 pub fn open_files_limit() -> Option<usize> {
     getrlimit(Resource::Nofile).current.and_then(|limit| usize::try_from(limit).ok())
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/close_reason.rs
+++ b/crates/loomflow-server/src/close_reason.rs
@@ -5,9 +5,6 @@
 
 use loomflow::interface::Outcome;
 
-#[cfg(test)]
-mod tests;
-
 /// Why a connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
@@ -71,3 +68,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/connection.rs
+++ b/crates/loomflow-server/src/connection.rs
@@ -11,8 +11,6 @@
 mod linger;
 mod partial_message;
 mod runtime;
-#[cfg(test)]
-mod tests;
 mod violations;
 
 pub use driver::{connect, connect_after, drive};
@@ -21,3 +19,6 @@
 pub use runtime::{
     configure_runtime, is_timeout, return_to_worker, set_read_timeout, sleep, to_whole_millis,
 };
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/connection/driver.rs
+++ b/crates/loomflow-server/src/connection/driver.rs
@@ -13,9 +13,6 @@
 use super::runtime::sleep;
 use crate::close_reason::CloseReason;
 
-#[cfg(test)]
-mod tests;
-
 /// Messages that are read from one connection before the others have their turn.
 const MAX_MESSAGES_PER_TURN: usize = 16;
 /// A connection is opened within this time.
@@ -185,3 +182,6 @@
         Err(_) => Err(CloseReason::Reset),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/connection/handle.rs
+++ b/crates/loomflow-server/src/connection/handle.rs
@@ -10,9 +10,6 @@
 use super::violations::Violations;
 use crate::close_reason::CloseReason;
 
-#[cfg(test)]
-mod tests;
-
 /// With so many unwritten bytes, nothing more is read.
 const MAX_UNWRITTEN_BYTES: usize = 64 * 1024;
 
@@ -277,3 +274,6 @@
         (self.may_read(), self.close_due())
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/control_plane.rs
+++ b/crates/loomflow-server/src/control_plane.rs
@@ -16,9 +16,6 @@
 use crate::connection;
 use crate::log;
 
-#[cfg(test)]
-mod tests;
-
 /// Between two reports. A server is unlisted 3 s after its last one.
 const REPORT_INTERVAL: Duration = Duration::from_millis(800);
 /// After a report that failed, and between any two.
@@ -172,3 +169,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/engine.rs
+++ b/crates/loomflow-server/src/engine.rs
@@ -2,8 +2,6 @@
 
 mod pending_command;
 mod resend;
-#[cfg(test)]
-mod tests;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -279,3 +277,6 @@
         Delivery::InFlight { link: self.link, end }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/engine/pending_command.rs
+++ b/crates/loomflow-server/src/engine/pending_command.rs
@@ -7,9 +7,6 @@
 use super::LostLink;
 use crate::mailbox::LinkId;
 
-#[cfg(test)]
-mod tests;
-
 /// A command that was sent this long before its link was lost is taken to have arrived. Only commands of the last 50 ms
 /// can be lost; the rest covers how late they may have been written and the loss be noticed.
 const UNCERTAIN_WINDOW_MS: Millis = 250.0;
@@ -82,3 +79,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/engine/resend.rs
+++ b/crates/loomflow-server/src/engine/resend.rs
@@ -4,9 +4,6 @@
 
 use super::pending_command::{Delivery, PendingCommand, SentCommand};
 
-#[cfg(test)]
-mod tests;
-
 /// What becomes of an unconfirmed command once a new link is ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resend {
@@ -73,3 +70,6 @@
         self.is_replay_complete && self.idempotency == Idempotency::Always
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/fleet/mod.rs
+++ b/crates/loomflow-server/src/fleet/mod.rs
@@ -19,8 +19,6 @@
 mod node_config;
 mod operator_socket;
 mod storage;
-#[cfg(test)]
-mod tests;
 
 use std::io;
 use std::net::SocketAddr;
@@ -169,3 +167,6 @@
 const OPERATORS: Token = Token(2);
 /// Connections have the tokens from here on.
 const FIRST_CONNECTION: usize = 16;
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/front/resp/classify.rs
+++ b/crates/loomflow-server/src/front/resp/classify.rs
@@ -9,9 +9,6 @@
 use crate::front::interface::{ReplyHandle, Submission};
 use crate::idempotency::IdempotencyKey;
 
-#[cfg(test)]
-mod tests;
-
 /// A timestamp may be this much older than the class's timeout, after a pause of the machine.
 const MAX_TIMESTAMP_AGE_MS: Millis = 60_000.0;
 /// A timestamp may be ahead of this machine's clock by so much.
@@ -97,3 +94,6 @@
     let Classification { class, tenant } = classification;
     text.map(|text| IdempotencyKey { class, tenant, text })
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/front/resp/connections.rs
+++ b/crates/loomflow-server/src/front/resp/connections.rs
@@ -3,11 +3,7 @@
 mod capacity;
 mod closing;
 mod connection;
-#[cfg(test)]
-mod interleavings;
 mod shutdown;
-#[cfg(test)]
-mod tests;
 mod timeouts;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -248,3 +244,8 @@
             || shutdown.is_kill_imminent(now)
     }
 }
+
+#[cfg(test)]
+mod interleavings;
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/front/resp/connections/capacity.rs
+++ b/crates/loomflow-server/src/front/resp/connections/capacity.rs
@@ -6,9 +6,6 @@
 
 use crate::mailbox::ConnectionId;
 
-#[cfg(test)]
-mod tests;
-
 /// Near capacity, a connection on which no complete message was ever received is closed after this time.
 pub(super) const FIRST_MESSAGE_TIMEOUT_NEAR_CAPACITY_MS: Millis = 100.0;
 
@@ -99,3 +96,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/front/resp/connections/closing.rs
+++ b/crates/loomflow-server/src/front/resp/connections/closing.rs
@@ -2,9 +2,6 @@
 
 use loomflow::time::Millis;
 
-#[cfg(test)]
-mod tests;
-
 /// A connection that is being closed is aborted once its peer has read nothing for so long: a slow reader is waited for,
 /// one that does not read is not.
 pub(super) const CLOSE_STALL_TIMEOUT_MS: Millis = 2_000.0;
@@ -37,3 +34,6 @@
         is_stalled || now - started_at >= CLOSE_TIMEOUT_MS
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/front/resp/connections/shutdown.rs
+++ b/crates/loomflow-server/src/front/resp/connections/shutdown.rs
@@ -5,9 +5,6 @@
 use super::timeouts::GOODBYE_TIMEOUT_MS;
 use crate::connection::LINGER_TIMEOUT;
 
-#[cfg(test)]
-mod tests;
-
 /// The process ends so long before it would be killed, whatever is unwritten.
 pub(super) const KILL_MARGIN_MS: Millis = 50.0;
 
@@ -38,3 +35,6 @@
         now >= self.kill_deadline - KILL_MARGIN_MS
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/front/resp/connections/timeouts.rs
+++ b/crates/loomflow-server/src/front/resp/connections/timeouts.rs
@@ -2,9 +2,6 @@
 
 use loomflow::time::Millis;
 
-#[cfg(test)]
-mod tests;
-
 /// A connection on which no complete message was ever received is closed after this time.
 pub(super) const FIRST_MESSAGE_TIMEOUT_MS: Millis = 1_500.0;
 /// How long a gateway has to close a connection after a goodbye.
@@ -62,3 +59,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/front/resp/listener.rs
+++ b/crates/loomflow-server/src/front/resp/listener.rs
@@ -1,8 +1,6 @@
 //! Accepts gateways: one coroutine for the listening socket, one for each connection.
 
 mod connection_limit;
-#[cfg(test)]
-mod tests;
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -208,3 +206,6 @@
         mailbox.send_gateway_event(id, GatewayEvent::DescriptorClosed);
     });
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/front/resp/listener/connection_limit.rs
+++ b/crates/loomflow-server/src/front/resp/listener/connection_limit.rs
@@ -2,9 +2,6 @@
 
 use std::sync::Arc;
 
-#[cfg(test)]
-mod tests;
-
 /// Counts the open connections by their permits.
 pub(super) struct ConnectionLimit {
     max_connections: usize,
@@ -32,3 +29,6 @@
         ConnectionPermit { _permits: self.permits.clone() }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/idempotency.rs
+++ b/crates/loomflow-server/src/idempotency.rs
@@ -11,9 +11,6 @@
 pub use loomflow_idempotency::IdempotencyKey;
 use loomflow_idempotency::{BodyHasher, ResultBudget, ResultSequence};
 
-#[cfg(test)]
-mod tests;
-
 /// Digest of a body that is not compared.
 const NO_DIGEST: u64 = 0;
 
@@ -298,3 +295,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/ledger.rs
+++ b/crates/loomflow-server/src/ledger.rs
@@ -2,8 +2,6 @@
 
 mod connection;
 mod placement;
-#[cfg(test)]
-mod tests;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -241,3 +239,6 @@
         self.calls.values().map(|call| call.deadline + EXPIRY_GRACE_MS).reduce(f64::min)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/ledger/connection.rs
+++ b/crates/loomflow-server/src/ledger/connection.rs
@@ -7,9 +7,6 @@
 
 use crate::connection::ConnectionHandle;
 
-#[cfg(test)]
-mod tests;
-
 /// A connection that has been idle for so long carries no further call and is closed: the ledger may have forgotten it.
 pub(super) const MAX_IDLE_MS: Millis = 120.0;
 /// A connection is retired after so many calls, which bounds the requests that are checked before a call is placed on it.
@@ -85,3 +82,6 @@
         is_unused || self.retire_at.is_some_and(|retire_at| now >= retire_at)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/ledger/placement.rs
+++ b/crates/loomflow-server/src/ledger/placement.rs
@@ -9,9 +9,6 @@
 use super::connection::Connection;
 use crate::mailbox::LinkId;
 
-#[cfg(test)]
-mod tests;
-
 /// Which connection carries a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Placement {
@@ -53,3 +50,6 @@
         least_loaded.map_or(Placement::Unavailable, |(link, _)| Placement::Existing(*link))
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/log.rs
+++ b/crates/loomflow-server/src/log.rs
@@ -1,8 +1,5 @@
 //! The log on standard error, behind one macro that limits it to a few lines a second.
 
-#[cfg(test)]
-mod tests;
-
 use std::io::Write;
 use std::sync::{Mutex, PoisonError};
 use std::time::Instant;
@@ -97,3 +94,6 @@
         }
     };
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/owner/admission.rs
+++ b/crates/loomflow-server/src/owner/admission.rs
@@ -5,9 +5,6 @@
 use crate::front::interface::{Failure, Response};
 use crate::idempotency::Registration;
 
-#[cfg(test)]
-mod tests;
-
 /// Why a request is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Rejection {
@@ -79,3 +76,6 @@
         Registration::CacheFull => Err(Rejection::IdempotencyCacheFull),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/owner/batch_schedule.rs
+++ b/crates/loomflow-server/src/owner/batch_schedule.rs
@@ -4,9 +4,6 @@
 
 use loomflow::time::Millis;
 
-#[cfg(test)]
-mod tests;
-
 /// The maximum time between two batches: idle connections and deadlines are checked as often.
 const MAX_SLEEP_MS: Millis = 100.0;
 /// A batch that is this late follows a pause of the machine.
@@ -45,3 +42,6 @@
         (delay > 0.0).then(|| Duration::from_micros((delay * 1000.0) as u64))
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/owner/fleet_reporter.rs
+++ b/crates/loomflow-server/src/owner/fleet_reporter.rs
@@ -10,9 +10,6 @@
 use crate::fleet::{self, Fleet, Meter, StartError};
 use crate::mailbox::Mailbox;
 
-#[cfg(test)]
-mod tests;
-
 /// Reports the load to the fleet.
 pub(super) struct FleetReporter {
     fleet: Option<(Fleet, Meter)>,
@@ -84,3 +81,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/owner/health_checks.rs
+++ b/crates/loomflow-server/src/owner/health_checks.rs
@@ -8,9 +8,6 @@
 
 use crate::front::interface::ReplyHandle;
 
-#[cfg(test)]
-mod tests;
-
 /// A deep health check that the engine has not answered within this time has failed.
 const HEALTH_CHECK_TIMEOUT_MS: Millis = 1000.0;
 
@@ -75,3 +72,6 @@
         Some(check.remove().reply_handle)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/owner/mod.rs
+++ b/crates/loomflow-server/src/owner/mod.rs
@@ -19,8 +19,6 @@
 mod event_loop;
 mod fleet_reporter;
 mod health_checks;
-#[cfg(test)]
-mod interleavings;
 mod peers;
 mod reload;
 mod requests;
@@ -273,3 +271,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod interleavings;
--- a/crates/loomflow-server/src/owner/shutdown.rs
+++ b/crates/loomflow-server/src/owner/shutdown.rs
@@ -3,9 +3,6 @@
 
 use loomflow::time::Millis;
 
-#[cfg(test)]
-mod tests;
-
 /// What is owed to peers that do not respond is abandoned so long before the process is killed.
 const SHUTDOWN_MARGIN_MS: Millis = 300.0;
 /// The margin is at most this share of the time until the kill.
@@ -89,3 +86,6 @@
         matches!(self.stage, Stage::IntakeStopped) && unanswered_count == 0 && is_drained()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/owner/timers.rs
+++ b/crates/loomflow-server/src/owner/timers.rs
@@ -4,9 +4,6 @@
 
 use loomflow::time::{Micros, Millis, micros};
 
-#[cfg(test)]
-mod tests;
-
 /// Gauges are polled so long before the timer that passes them on.
 const GAUGE_POLL_LEAD_MS: Millis = 8.0;
 
@@ -52,3 +49,6 @@
         is_due
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/request_table.rs
+++ b/crates/loomflow-server/src/request_table.rs
@@ -9,9 +9,6 @@
 use crate::engine::{Delivery, PendingCommand, SentCommand};
 use crate::front::interface::ReplyHandle;
 
-#[cfg(test)]
-mod tests;
-
 /// How far a request has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
@@ -192,3 +189,6 @@
         self.entries.iter_mut().map(|(id, entry)| (*id, entry))
     }
 }
+
+#[cfg(test)]
+mod tests;
