--- a/crates/loomflow-server/src/connection/partial_message/tests.rs
+++ b/crates/loomflow-server/src/connection/partial_message/tests.rs
@@ -4,14 +4,14 @@
 fn a_partial_message_stalls_without_further_bytes_and_is_slow_for_a_bounded_time() {
     let start = Instant::now();
     let first = PartialMessage::updated(None, 1, start).expect("a partial message");
-    assert!(!first.is_stalled(start + STALL_TIMEOUT - Duration::from_millis(1)));
+    assert!(!first.is_stalled(start + STALL_TIMEOUT.saturating_sub(Duration::from_millis(1))));
     assert!(first.is_stalled(start + STALL_TIMEOUT));
     // The same length is no progress, a further byte is.
     assert_eq!(PartialMessage::updated(Some(first), 1, start + STALL_TIMEOUT), Some(first));
     let mut slow = first;
     let mut now = start;
     for length in 2.. {
-        now += STALL_TIMEOUT - Duration::from_millis(1);
+        now += STALL_TIMEOUT.saturating_sub(Duration::from_millis(1));
         slow = PartialMessage::updated(Some(slow), length, now).expect("a partial message");
         if slow.is_stalled(now) {
             break;
--- a/crates/loomflow-server/src/connection/violations/tests.rs
+++ b/crates/loomflow-server/src/connection/violations/tests.rs
@@ -10,7 +10,7 @@
     (0..1_000).for_each(|_| violations.record(start));
     assert_eq!(violations.current(start), MAX_VIOLATIONS);
     // Asking for them does not make them decay.
-    let almost = DECAY_INTERVAL - Duration::from_millis(1);
+    let almost = DECAY_INTERVAL.saturating_sub(Duration::from_millis(1));
     assert_eq!((0..5).map(|_| violations.current(start + almost)).last(), Some(MAX_VIOLATIONS));
     assert_eq!(violations.current(start + DECAY_INTERVAL), MAX_VIOLATIONS - 1);
     // A flood that goes on as fast as it is throttled to does not decay.
--- a/crates/loomflow-server/src/idempotency/tests.rs
+++ b/crates/loomflow-server/src/idempotency/tests.rs
@@ -229,6 +229,13 @@
     }
 
     /// A request that was registered as new.
+    #[derive(Debug, PartialEq)]
+    enum RunState {
+        InProgress,
+        WithoutResult,
+        Finished(Vec<u8>),
+    }
+
     struct Registered {
         id: RequestId,
         tenant: usize,
@@ -237,8 +244,7 @@
         /// The end of its window.
         window_end: f64,
         waiters: BTreeSet<RequestId>,
-        /// None while it is in progress; then its result, where it has one.
-        finished: Option<Option<Vec<u8>>>,
+        state: RunState,
     }
 
     fn result(request: &Registered) -> Vec<u8> {
@@ -263,25 +269,25 @@
                         let request = KeyedRequest { key, is_idempotent: false, body: &bytes, arrived_at, max_read_delay: MAX_READ_DELAY };
                         let registration = cache.register(id, request, now);
                         let mut same = all.iter_mut().filter(|t| {
-                            (t.tenant, t.text) == (tenant, text) && (t.finished.is_none() || t.window_end >= arrived_at)
+                            (t.tenant, t.text) == (tenant, text) && (t.state == RunState::InProgress || t.window_end >= arrived_at)
                         });
                         match registration {
                             Registration::New => {
                                 prop_assert!(same.next().is_none(), "it is in progress, or has run within its window");
                                 let window_end = arrived_at + WINDOW;
                                 cache.retain(id, window_end);
-                                let (waiters, finished) = (BTreeSet::new(), None);
-                                all.push(Registered { id, tenant, text, body, window_end, waiters, finished });
+                                let (waiters, state) = (BTreeSet::new(), RunState::InProgress);
+                                all.push(Registered { id, tenant, text, body, window_end, waiters, state });
                             }
                             Registration::Duplicate(original) => {
                                 let original = same.find(|t| t.id == original).expect("one of its key");
                                 prop_assert_eq!(original.body, body);
-                                match (cache.join(id, Some(original.id)), &original.finished) {
-                                    (CachedResult::InProgress, None) => drop(original.waiters.insert(id)),
-                                    (CachedResult::Served(found), Some(Some(result))) => prop_assert_eq!(&found, result),
+                                match (cache.join(id, Some(original.id)), &original.state) {
+                                    (CachedResult::InProgress, RunState::InProgress) => drop(original.waiters.insert(id)),
+                                    (CachedResult::Served(found), RunState::Finished(result)) => prop_assert_eq!(&found, result),
                                     // Its result may have been discarded for later ones.
-                                    (CachedResult::Unavailable, Some(_)) => {}
-                                    (found, finished) => prop_assert!(false, "{found:?} of {finished:?}"),
+                                    (CachedResult::Unavailable, RunState::WithoutResult | RunState::Finished(_)) => {}
+                                    (found, state) => prop_assert!(false, "{found:?} of {state:?}"),
                                 }
                             }
                             Registration::BodyMismatch => prop_assert!(same.any(|t| t.body != body)),
@@ -289,7 +295,7 @@
                         }
                     }
                     Step::Finish { which, how } => {
-                        let running: Vec<usize> = (0..all.len()).filter(|at| all[*at].finished.is_none()).collect();
+                        let running: Vec<usize> = (0..all.len()).filter(|at| all[*at].state == RunState::InProgress).collect();
                         let Some(at) = running.get(which % running.len().max(1)).copied() else { continue };
                         let served = result(&all[at]);
                         let completion = match how {
@@ -301,8 +307,8 @@
                         prop_assert_eq!(&released, &std::mem::take(&mut all[at].waiters));
                         match completion {
                             Completion::NotRun => drop(all.remove(at)),
-                            Completion::Failed => all[at].finished = Some(None),
-                            Completion::Served(_) => all[at].finished = Some(Some(served)),
+                            Completion::Failed => all[at].state = RunState::WithoutResult,
+                            Completion::Served(_) => all[at].state = RunState::Finished(served),
                         }
                     }
                 }
--- a/crates/loomflow-settings/src/campaign.rs
+++ b/crates/loomflow-settings/src/campaign.rs
@@ -73,10 +73,12 @@
     Ok((parse_duration(from)?, parse_duration(before)?))
 }
 
+#[expect(clippy::trivially_copy_pass_by_ref, reason = "garde passes its context by reference")]
 fn is_duration(text: &str, _: &()) -> garde::Result {
     parse_duration(text).map(|_| ()).map_err(garde::Error::new)
 }
 
+#[expect(clippy::trivially_copy_pass_by_ref, reason = "garde passes its context by reference")]
 fn is_window(text: &str, _: &()) -> garde::Result {
     parse_window(text).map(|_| ()).map_err(garde::Error::new)
 }
--- a/crates/loomflow-settings/src/duties.rs
+++ b/crates/loomflow-settings/src/duties.rs
@@ -105,6 +105,7 @@
     1
 }
 
+#[expect(clippy::trivially_copy_pass_by_ref, reason = "garde passes its context by reference")]
 fn is_job_duration(text: &str, _: &()) -> garde::Result {
     let duration = parse_duration(text).map_err(garde::Error::new)?;
     if duration < MIN_DURATION { Err(garde::Error::new("from a second on")) } else { Ok(()) }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -84,6 +84,7 @@
 
 /// The settings of one server.
 #[derive(Clone, Debug, Default)]
+#[expect(clippy::struct_excessive_bools, reason = "each is an independent fact")]
 pub struct Settings {
     /// The classes of requests; events name them by their index.
     pub classes: Vec<Class>,
