--- a/crates/loomflow-amqp/src/consumer/mod.rs
+++ b/crates/loomflow-amqp/src/consumer/mod.rs
@@ -114,16 +114,16 @@
     pub redelivered: u64,
     /// Replies that were confirmed.
     pub replied: u64,
-    /// Messages that were requeued after a rejection.
-    pub put_back: u64,
-    /// Dead letters.
-    pub dead: u64,
+    /// Messages that were published to their queue again, and confirmed.
+    pub republished: u64,
+    /// Messages that were published as dead letters, and confirmed.
+    pub dead_lettered: u64,
     /// Messages settled by `basic.ack`.
-    pub acked: u64,
+    pub acks: u64,
     /// Messages settled by `basic.nack`.
-    pub requeued: u64,
+    pub nacks: u64,
     /// Messages settled by `basic.reject`.
-    pub rejected: u64,
+    pub rejects: u64,
 }
 
 /// The consumer of one broker's queues.
--- a/crates/loomflow-amqp/src/consumer/outbound.rs
+++ b/crates/loomflow-amqp/src/consumer/outbound.rs
@@ -173,15 +173,15 @@
         let delivery_tag = delivery.tag;
         let (method, count) = match settlement {
             Settlement::Ack => {
-                (AMQPMethod::Ack(basic::Ack { delivery_tag, multiple: false }), &mut self.counts.acked)
+                (AMQPMethod::Ack(basic::Ack { delivery_tag, multiple: false }), &mut self.counts.acks)
             }
             Settlement::Requeue => {
                 let nack = basic::Nack { delivery_tag, multiple: false, requeue: true };
-                (AMQPMethod::Nack(nack), &mut self.counts.requeued)
+                (AMQPMethod::Nack(nack), &mut self.counts.nacks)
             }
             Settlement::Reject => {
                 let reject = basic::Reject { delivery_tag, requeue: false };
-                (AMQPMethod::Reject(reject), &mut self.counts.rejected)
+                (AMQPMethod::Reject(reject), &mut self.counts.rejects)
             }
         };
         *count += 1;
@@ -229,8 +229,8 @@
             self.records.republished(key, publish_id, is_confirmed);
         }
         let count = match to {
-            Republish::Requeue { .. } => &mut self.counts.put_back,
-            Republish::DeadLetter(_) => &mut self.counts.dead,
+            Republish::Requeue { .. } => &mut self.counts.republished,
+            Republish::DeadLetter(_) => &mut self.counts.dead_lettered,
         };
         *count += u64::from(is_confirmed);
         self.publish_finished(id, now);
--- a/crates/loomflow-server/src/front/amqp/mod.rs
+++ b/crates/loomflow-server/src/front/amqp/mod.rs
@@ -226,7 +226,8 @@
         if std::mem::replace(&mut self.reported_counts, counts) == counts {
             return;
         }
-        let Counts { delivered, redelivered, replied, put_back, dead, acked, requeued, rejected } = counts;
+        let Counts { delivered, redelivered, replied, republished, dead_lettered, acks, nacks, rejects } =
+            counts;
         let windows: Vec<String> = self.consumer.windows().map(|size| format!("{size:.0}")).collect();
         let broker_times: Vec<String> = self.consumer.broker_times().map(|ms| format!("{ms:.0}")).collect();
         log!(
@@ -238,11 +239,11 @@
             delivered,
             redelivered,
             replied,
-            acked,
-            put_back,
-            dead,
-            requeued,
-            rejected,
+            acked = acks,
+            put_back = republished,
+            dead = dead_lettered,
+            requeued = nacks,
+            rejected = rejects,
             remembered = self.consumer.remembered(),
             "in hand"
         );
