--- a/crates/loomflow-amqp/src/consumer/inbound.rs
+++ b/crates/loomflow-amqp/src/consumer/inbound.rs
@@ -94,7 +94,7 @@
         };
         self.deliveries.insert(id, delivery);
         if content.is_too_large {
-            self.finish(id, &MessageOutcome::Invalid(FailureReason::TOO_LARGE), now);
+            self.begin_settlement(id, &MessageOutcome::Invalid(FailureReason::TOO_LARGE), now);
         } else {
             self.process(id, now);
         }
@@ -137,7 +137,7 @@
         let Some(delivery) = self.deliveries.get(&id) else { return };
         let (classification, key) = match self.classify(delivery) {
             Ok(classified) => classified,
-            Err(why) => return self.finish(id, &MessageOutcome::Invalid(why), now),
+            Err(why) => return self.begin_settlement(id, &MessageOutcome::Invalid(why), now),
         };
         let info = MessageInfo {
             has_effect: classification.has_effect,
@@ -152,21 +152,21 @@
         delivery.key = key;
         match decision {
             DuplicateDecision::Run if self.is_intake_stopped || !self.is_accepting => {
-                self.finish_with_waiters(id, &MessageOutcome::Returned, now);
+                self.begin_settlement_with_waiters(id, &MessageOutcome::Returned, now);
             }
             DuplicateDecision::Run => self.submit(id, classification, now),
             DuplicateDecision::AwaitOriginal => delivery.phase = Phase::AwaitingOriginal,
             DuplicateDecision::Superseded | DuplicateDecision::AnswerFromRecord { is_answered: true, .. } => {
-                self.finish(id, &MessageOutcome::AlreadyAnswered, now);
+                self.begin_settlement(id, &MessageOutcome::AlreadyAnswered, now);
             }
             DuplicateDecision::AnswerFromRecord { result, .. } => {
-                self.finish(id, &MessageOutcome::Finished(result), now);
+                self.begin_settlement(id, &MessageOutcome::Finished(result), now);
             }
-            DuplicateDecision::MayHaveRun => self.finish(id, &MessageOutcome::MayHaveRun, now),
+            DuplicateDecision::MayHaveRun => self.begin_settlement(id, &MessageOutcome::MayHaveRun, now),
             DuplicateDecision::BodyMismatch => {
                 // What becomes of it is nothing to the original of its key.
                 delivery.key = None;
-                self.finish(id, &MessageOutcome::Invalid(FailureReason::KEY_MISMATCH), now);
+                self.begin_settlement(id, &MessageOutcome::Invalid(FailureReason::KEY_MISMATCH), now);
             }
         }
     }
--- a/crates/loomflow-amqp/src/consumer/mod.rs
+++ b/crates/loomflow-amqp/src/consumer/mod.rs
@@ -274,7 +274,7 @@
                 self.log(&format!("the publishing channel was closed: {why}"));
                 self.reopen_at = Some(now + REOPEN_BACKOFF_MS);
                 let results = self.publisher.channel_closed();
-                self.publishes_finished(results, now);
+                self.handle_publish_results(results, now);
             }
             ConnectionEvent::ChannelClosed(channel, why) => {
                 self.log(&format!("a consumer's channel was closed: {why}"));
@@ -355,11 +355,11 @@
             }
             AMQPMethod::Ack(ack) if channel == PUBLISH_CHANNEL => {
                 let results = self.publisher.confirmed(ack.delivery_tag, ack.multiple, true, now);
-                self.publishes_finished(results, now);
+                self.handle_publish_results(results, now);
             }
             AMQPMethod::Nack(nack) if channel == PUBLISH_CHANNEL => {
                 let results = self.publisher.confirmed(nack.delivery_tag, nack.multiple, false, now);
-                self.publishes_finished(results, now);
+                self.handle_publish_results(results, now);
             }
             _ => return Err(Malformed("a method out of order")),
         }
@@ -428,7 +428,7 @@
             |delivery: &Delivery| delivery.is_submitted() && delivery.run_started_at.is_none();
         for id in self.deliveries_where(is_not_started) {
             self.requests.push(ConsumerRequest::Cancel(id));
-            self.finish_with_waiters(id, &MessageOutcome::Returned, now);
+            self.begin_settlement_with_waiters(id, &MessageOutcome::Returned, now);
         }
         self.flush(now);
     }
--- a/crates/loomflow-amqp/src/consumer/outbound.rs
+++ b/crates/loomflow-amqp/src/consumer/outbound.rs
@@ -39,17 +39,17 @@
             MessageResponse::NotRun => MessageOutcome::NotRun,
         };
         if let Some(key) = self.orphaned_runs.remove(&id) {
-            let waiters = key.map(|key| self.finish_key(&key, None, &outcome, now)).unwrap_or_default();
-            self.finish_all(waiters, &outcome, now);
+            let waiters = key.map(|key| self.record_outcome(&key, None, &outcome, now)).unwrap_or_default();
+            self.begin_settlements(waiters, &outcome, now);
         } else if self.deliveries.get(&id).is_some_and(Delivery::is_submitted) {
             self.observe(id, &outcome, now);
-            self.finish_with_waiters(id, &outcome, now);
+            self.begin_settlement_with_waiters(id, &outcome, now);
         }
         self.is_dirty = true;
     }
 
     /// Records an outcome for a key; returns the deliveries that waited for it.
-    fn finish_key(
+    fn record_outcome(
         &mut self,
         key: &IdempotencyKey,
         copy: Option<CopyId>,
@@ -81,23 +81,29 @@
         queue.window.observe(observation, now);
     }
 
-    /// A message has ended, and all that waited for it with it.
-    pub(super) fn finish_with_waiters(&mut self, id: DeliveryId, outcome: &MessageOutcome, now: Millis) {
+    /// A message has ended: records its outcome, and begins to settle it and all that waited for it.
+    pub(super) fn begin_settlement_with_waiters(
+        &mut self,
+        id: DeliveryId,
+        outcome: &MessageOutcome,
+        now: Millis,
+    ) {
         let delivery = self.deliveries.get(&id);
         let key = delivery.and_then(|delivery| Some((delivery.key.clone()?, delivery.copy())));
-        let waiters = key.map(|(key, copy)| self.finish_key(&key, copy, outcome, now)).unwrap_or_default();
-        self.finish(id, outcome, now);
-        self.finish_all(waiters, outcome, now);
+        let waiters =
+            key.map(|(key, copy)| self.record_outcome(&key, copy, outcome, now)).unwrap_or_default();
+        self.begin_settlement(id, outcome, now);
+        self.begin_settlements(waiters, outcome, now);
     }
 
-    fn finish_all(&mut self, ids: Vec<DeliveryId>, outcome: &MessageOutcome, now: Millis) {
+    fn begin_settlements(&mut self, ids: Vec<DeliveryId>, outcome: &MessageOutcome, now: Millis) {
         for id in ids {
-            self.finish(id, outcome, now);
+            self.begin_settlement(id, outcome, now);
         }
     }
 
     /// A message has ended: begins to settle it.
-    pub(super) fn finish(&mut self, id: DeliveryId, outcome: &MessageOutcome, now: Millis) {
+    pub(super) fn begin_settlement(&mut self, id: DeliveryId, outcome: &MessageOutcome, now: Millis) {
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
         let classes = &self.settings.classes;
         let deadline = delivery
@@ -188,14 +194,14 @@
         self.send(Consumer::channel_of(delivery.queue, delivery.consumer), method);
     }
 
-    /// What became of publishes.
-    pub(super) fn publishes_finished(&mut self, results: Vec<(PublishId, PublishResult)>, now: Millis) {
+    /// Handles what became of publishes.
+    pub(super) fn handle_publish_results(&mut self, results: Vec<(PublishId, PublishResult)>, now: Millis) {
         for (publish_id, result) in results {
             match self.pending_publishes.remove(&publish_id) {
                 None => {}
-                Some(PublishPurpose::Reply(id)) => self.reply_finished(id, result, now),
+                Some(PublishPurpose::Reply(id)) => self.handle_reply_result(id, result, now),
                 Some(PublishPurpose::Republish(id, to)) => {
-                    self.republish_finished(id, to, publish_id, result, now);
+                    self.handle_republish_result(id, to, publish_id, result, now);
                 }
                 Some(PublishPurpose::LateReply(key, caller_digest)) if result == PublishResult::Confirmed => {
                     self.records.caller_answered(&key, caller_digest);
@@ -205,15 +211,15 @@
         }
     }
 
-    fn reply_finished(&mut self, id: DeliveryId, result: PublishResult, now: Millis) {
+    fn handle_reply_result(&mut self, id: DeliveryId, result: PublishResult, now: Millis) {
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
         let Phase::Settling(settling) = &mut delivery.phase else { return };
         settling.reply_published(result, now);
         self.counts.replied += u64::from(result == PublishResult::Confirmed);
-        self.publish_finished(id, now);
+        self.continue_settlement(id, now);
     }
 
-    fn republish_finished(
+    fn handle_republish_result(
         &mut self,
         id: DeliveryId,
         to: Republish,
@@ -233,11 +239,11 @@
             Republish::DeadLetter(_) => &mut self.counts.dead_lettered,
         };
         *count += u64::from(is_confirmed);
-        self.publish_finished(id, now);
+        self.continue_settlement(id, now);
     }
 
     /// Records that the caller has its final reply, and continues the settlement.
-    fn publish_finished(&mut self, id: DeliveryId, now: Millis) {
+    fn continue_settlement(&mut self, id: DeliveryId, now: Millis) {
         let Some(delivery) = self.deliveries.get(&id) else { return };
         let is_answered =
             matches!(&delivery.phase, Phase::Settling(settling) if settling.is_caller_answered());
