--- a/crates/loomflow-amqp/src/consumer/outbound.rs
+++ b/crates/loomflow-amqp/src/consumer/outbound.rs
@@ -242,11 +242,10 @@
         self.continue_settlement(id, now);
     }
 
-    /// Records that the caller has its final reply, and continues the settlement.
+    /// Records that the caller needs no further reply, where that is so, and continues the settlement.
     fn continue_settlement(&mut self, id: DeliveryId, now: Millis) {
         let Some(delivery) = self.deliveries.get(&id) else { return };
-        let is_answered =
-            matches!(&delivery.phase, Phase::Settling(settling) if settling.is_caller_answered());
+        let is_answered = matches!(&delivery.phase, Phase::Settling(settling) if settling.is_reply_settled());
         if let (Some(key), true) = (&delivery.key, is_answered) {
             self.records.caller_answered(key, message::caller_digest(&delivery.properties));
         }
--- a/crates/loomflow-amqp/src/settlement.rs
+++ b/crates/loomflow-amqp/src/settlement.rs
@@ -60,7 +60,8 @@
     pub retry_count: u32,
     /// How often it may be.
     pub max_retries: u32,
-    /// It must not run twice, so that a mark "redelivered" would cost it its run.
+    /// It must not run twice. If it were returned by nack, the broker would mark it as redelivered, and no server that
+    /// does not know its key would run it.
     pub has_effect: bool,
     /// How long its sender will still wait, if its sending time is known.
     pub time_left: Option<Millis>,
@@ -176,6 +177,7 @@
         let backoff =
             ExponentialBackoff::delay_after(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS, context.retry_count);
         let delay = retry_after.max(backoff);
+        // `is_final` counts only where the time left is known: other messages are retried.
         if context.time_left.is_some_and(|time_left| is_final || delay >= time_left) {
             // It cannot come again in time: its sender gets a failure at once, and it is never run late.
             let reason = FailureReason::OUT_OF_TIME;
@@ -193,7 +195,8 @@
         }
     }
 
-    /// Its caller gets its reply from whoever runs it. A mark "redelivered" would keep work with an effect from running.
+    /// No reply: whoever runs the message replies. A message with an effect is republished instead of nacked, because a
+    /// redelivered one would not be run (see [`SettlementContext::has_effect`]).
     fn returned(context: &SettlementContext) -> Plan {
         if context.has_effect {
             let republish = Some(Republish::Requeue { retry_count: context.retry_count });
@@ -283,8 +286,9 @@
         [due_at(self.reply_state), due_at(self.republish_state)].into_iter().flatten().reduce(f64::min)
     }
 
-    /// Whether its caller has its final reply and everything is published, so that it only has to be settled.
-    pub fn is_caller_answered(&self) -> bool {
+    /// Whether its final reply is dealt with and everything is published, so that it only has to be settled. A message
+    /// without a destination of a reply has none to deal with.
+    pub fn is_reply_settled(&self) -> bool {
         self.is_final_reply && self.is_everything_published()
     }
 
--- a/crates/loomflow-amqp/src/settlement/tests.rs
+++ b/crates/loomflow-amqp/src/settlement/tests.rs
@@ -200,7 +200,7 @@
         settling.reply_published(PublishResult::Confirmed, 1e6);
         settling.next_action(1e6);
         settling.republished(PublishResult::Confirmed, 1e6);
-        settling.is_caller_answered()
+        settling.is_reply_settled()
     };
     assert!(expected(MessageOutcome::Finished(RunResult::Failed)) && expected(MessageOutcome::MayHaveRun));
     assert!(!expected(rejected(0.0)) && !expected(MessageOutcome::NotRun));
