--- a/crates/loomflow-amqp/src/window.rs
+++ b/crates/loomflow-amqp/src/window.rs
@@ -1,7 +1,8 @@
-//! How much to consume: the decision of a front that pulls.
+//! How many messages of a queue may be in flight.
 //!
-//! A gateway gets a send share and passes this server by that often. A queue has no caller to signal to, so its share is how many
-//! of its messages may be in flight unacknowledged. The window of a queue follows the design of the controller:
+//! A gateway gets a send share, and sends that part of its usual traffic. A queue has no caller to signal to, so its share
+//! limits its window instead: how many of its messages may be delivered and not acknowledged. The window of a queue follows
+//! the design of the controller:
 //!
 //! - its size at a send share of 1 is increased by additions while it is the limit, and decreased by a factor at most
 //!   once in the loop's dead time, which is how long a message takes from delivery to answer;
@@ -18,10 +19,11 @@
 
 /// Smallest size, messages: without one in flight nothing is observed.
 const MIN_SIZE: f64 = 1.0;
-/// A decrease multiplies the size by this, as it does the controller's running limit.
+/// A decrease multiplies the size by this, as it does the controller's concurrency limit.
 const DECREASE: f64 = 0.8;
-/// Decrease of the size with each message where sending times are known and too much is in flight, messages.
-const RELEASED_PART: f64 = 0.125;
+/// The number of messages by which the size falls with each message that ends while too much is in flight, where sending
+/// times are known. An absolute step: [`DECREASE`] is the factor that is used where they are not.
+const DECREASE_STEP: f64 = 0.125;
 /// Weight of the newest sample in the smoothed times.
 const SMOOTHING: f64 = 0.125;
 
@@ -81,7 +83,7 @@
     }
 }
 
-/// Updates a moving average with a sample; the first one is taken as it is.
+/// Updates a moving average with a sample. A mean of exactly 0 counts as no sample yet: the next one is taken as it is.
 fn smooth(mean: &mut Millis, sample: Millis) {
     *mean += (sample - *mean) * if *mean == 0.0 { 1.0 } else { SMOOTHING };
 }
@@ -99,7 +101,7 @@
             self.size += 1.0;
         } else if is_too_much && message.broker_time.is_some() {
             // A decrease by a factor would stop consuming until as much has ended, and let it wait at the broker meanwhile.
-            self.size = (self.size - RELEASED_PART).max(MIN_SIZE);
+            self.size = (self.size - DECREASE_STEP).max(MIN_SIZE);
             self.has_decreased = true;
         } else if is_too_much {
             if now >= self.next_decrease_at {
