--- a/crates/loomflow-amqp/src/consumer/flow_control.rs
+++ b/crates/loomflow-amqp/src/consumer/flow_control.rs
@@ -47,8 +47,7 @@
         if self.reopen_at.take_if(|at| now >= *at).is_some() {
             connection.open_channel(PUBLISH_CHANNEL);
         }
-        // Before the backpressure is checked: what is written here causes none, and consumers that were cancelled for it
-        // would idle the engine until the next round.
+        // Written first: a publish that fits now must not count as backpressure and cancel consumers.
         self.write_publishes(now);
         self.resize_pools(now);
         self.close_if_drained();
--- a/crates/loomflow-amqp/src/consumer/inbound.rs
+++ b/crates/loomflow-amqp/src/consumer/inbound.rs
@@ -76,8 +76,9 @@
             }
             Envelope::Deliver(deliver) => deliver,
         };
-        let (queue, consumer) = self.count_delivery(channel, deliver.redelivered)?;
-        let id = self.last_delivery;
+        let (queue, consumer) =
+            self.consumer_of(channel).ok_or(Malformed("a message on a channel without a consumer"))?;
+        let id = self.count_delivery(queue, consumer, deliver.redelivered)?;
         let delivery = Delivery {
             queue,
             consumer,
@@ -101,18 +102,20 @@
         Ok(())
     }
 
-    /// Counts a delivery; returns the index of its queue and of its consumer.
-    fn count_delivery(&mut self, channel: Channel, redelivered: bool) -> Result<(usize, usize), Malformed> {
-        let Some((queue, consumer)) = self.consumer_of(channel) else {
-            return Err(Malformed("a message on a channel without a consumer"));
-        };
+    /// Counts a delivery to a consumer of a queue; returns its id.
+    fn count_delivery(
+        &mut self,
+        queue: usize,
+        consumer: usize,
+        redelivered: bool,
+    ) -> Result<DeliveryId, Malformed> {
         if !self.queues[queue].pool.delivered(consumer) {
             return Err(Malformed("far more messages than were asked for"));
         }
         self.last_delivery += 1;
         self.counts.delivered += 1;
         self.counts.redelivered += u64::from(redelivered);
-        Ok((queue, consumer))
+        Ok(self.last_delivery)
     }
 
     /// When a message was sent; never later than now, whatever the sender's clock says.
--- a/crates/loomflow-amqp/src/idempotency.rs
+++ b/crates/loomflow-amqp/src/idempotency.rs
@@ -5,7 +5,10 @@
 //! this connection or an earlier one, or another process, and the message may never have been run. What this process
 //! knows of the key counts first; where it knows nothing, work with an effect that may have run is not run.
 //!
-//! The cache of the server's own requests (`loomflow-server`, `idempotency`) decides by the time of arrival; here that is no evidence, since a broker redelivers at any time, and a key is retained for a fixed time after its last change.
+//! The cache of the server's own requests (`loomflow-server`, `idempotency`) decides by the time of arrival; here that is no
+//! evidence, since a broker
+//! redelivers at any time, and a key is retained for a fixed time after its message ended here, by a run or without one.
+//! Unfinished keys do not expire, and republishing a message or answering its caller does not extend the time.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -43,7 +46,7 @@
     Queued,
     Running,
     Finished(RunResult),
-    /// It was here, as this copy, and never started.
+    /// This server had it (as this copy, if it is one) and never started it.
     NotStarted(Option<CopyId>),
     /// It never started here and was republished: to its queue, or as a dead letter. Until the broker has confirmed that,
     /// there may be a second message or not.
@@ -172,7 +175,8 @@
 }
 
 impl IdempotencyRecords {
-    /// Keys are remembered for `retention` after their last change.
+    /// A key is remembered for `retention` after its message finished or is known not to have been started here; while it is
+    /// queued or running it does not expire.
     pub fn new(
         retention: Millis,
         capacity: Capacity,
@@ -371,8 +375,8 @@
         waiters
     }
 
-    /// Retires the oldest finished keys: only that they have run is remembered. One that has not is forgotten: if it comes
-    /// again it is marked as redelivered, and nobody knows of it.
+    /// Retires the oldest finished keys: only that they have run is remembered. One that has not is forgotten: if its
+    /// message is redelivered, it counts as one that may have run elsewhere.
     fn retire_oldest(&mut self, now: Millis) {
         while self.records.len() > self.max_records {
             let Some((expires_at, key)) = self.expiries.pop_front() else { return };
--- a/crates/loomflow-amqp/src/retired_keys.rs
+++ b/crates/loomflow-amqp/src/retired_keys.rs
@@ -1,8 +1,8 @@
 //! Keys that finished a while ago, as a hash of 64 bits each: that they have run is remembered long after there is no
 //! capacity for more than that. In generations, so that forgetting the oldest costs nothing.
 //!
-//! Two keys with the same hash would be taken for one; among a million keys that is one chance in ten million million for
-//! each look-up, and it costs a message its run, never a second run.
+//! Two keys with the same hash would be taken for one. With a million keys the chance is about 5e-14 per look-up; it costs a
+//! message its run, and never causes a second run.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::{BuildHasher, Hash, RandomState};
