--- a/crates/loomflow-fleet/src/duty/supervisor.rs
+++ b/crates/loomflow-fleet/src/duty/supervisor.rs
@@ -9,8 +9,8 @@
 const TERMINATE_AT_LEASE_FRACTION: f64 = 0.3;
 /// A process is killed when this fraction of the lease remains.
 const KILL_AT_LEASE_FRACTION: f64 = 0.1;
-/// A process that was sent SIGTERM has one lease divided by this before it is killed.
-pub const GRACE_PERIODS_PER_LEASE: u64 = 2;
+/// A process that was sent SIGTERM is killed after this fraction of the lease.
+pub const GRACE_LEASE_FRACTION: f64 = 0.5;
 
 /// Why a process has to end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -95,7 +95,7 @@
             self.stop_requested.get_or_insert((now, StopReason::TimedOut));
         }
         let (requested_at, _) = self.stop_requested?;
-        let grace_period = self.lease_settings.lease_millis / GRACE_PERIODS_PER_LEASE;
+        let grace_period = (lease_millis * GRACE_LEASE_FRACTION) as Millis;
         let is_grace_over = now.saturating_sub(requested_at) >= grace_period;
         if !self.is_killed && (is_grace_over || remaining <= lease_millis * KILL_AT_LEASE_FRACTION) {
             self.is_killed = true;
--- a/crates/loomflow-server/src/fleet/mod.rs
+++ b/crates/loomflow-server/src/fleet/mod.rs
@@ -29,7 +29,7 @@
 use std::sync::{Arc, Mutex, PoisonError, Weak};
 use std::time::Duration;
 
-use loomflow_fleet::duty::supervisor::GRACE_PERIODS_PER_LEASE;
+use loomflow_fleet::duty::supervisor::GRACE_LEASE_FRACTION;
 use loomflow_fleet::member::{LoadReport, Millis};
 use loomflow_fleet::node::Node;
 use loomflow_settings::Config;
@@ -155,7 +155,7 @@
 /// How long the member may take at the end: jobs that have to end have their grace period as well.
 fn shutdown_timeout(options: &Options) -> Duration {
     let programs = options.duties.as_ref().filter(|duties| duties.programs);
-    let grace_period = |duties: &Duties| Duration::from_secs(duties.lease_s) / GRACE_PERIODS_PER_LEASE as u32;
+    let grace_period = |duties: &Duties| Duration::from_secs(duties.lease_s).mul_f64(GRACE_LEASE_FRACTION);
     SHUTDOWN_TIMEOUT + programs.map_or(Duration::ZERO, grace_period)
 }
 
