--- a/crates/loomflow-fleet/src/duty/mod.rs
+++ b/crates/loomflow-fleet/src/duty/mod.rs
@@ -13,6 +13,9 @@
 //!
 //! Time separates two owners while clocks behave, and only to spare them useless work: what protects the fleet's effects is
 //! the fencing token and the receiver's fence.
+//!
+//! Many fields and variants have another name in JSON, which operators' tools read: `#[serde(rename)]` keeps that name. The
+//! log and snapshots are postcard, which holds no names.
 
 pub mod assign;
 mod attempts;
@@ -361,7 +364,9 @@
     if (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.contains(char::is_control) {
         Ok(())
     } else {
-        Err(Rejection::Invalid("a duty's name has 1 to 64 bytes, none of them a control".into()))
+        Err(Rejection::Invalid(format!(
+            "a duty's name has 1 to {MAX_NAME_BYTES} bytes, none of them a control"
+        )))
     }
 }
 
--- a/crates/loomflow-fleet/src/duty/state/tests.rs
+++ b/crates/loomflow-fleet/src/duty/state/tests.rs
@@ -22,3 +22,11 @@
     assert_eq!(duties.apply(&write(2)), Response::Done);
     assert_eq!(duties.ownership("b").grants[0].checkpoint, [2]);
 }
+
+#[test]
+fn a_name_beyond_the_limit_is_rejected_with_the_limit() {
+    let check = |name: &str| crate::duty::check_name(name).map_err(|rejection| rejection.to_string());
+    let expected = "a duty's name has 1 to 64 bytes, none of them a control";
+    assert_eq!(check(&"d".repeat(64)), Ok(()));
+    assert_eq!(check(&"d".repeat(65)), Err(expected.into()));
+}
--- a/crates/loomflow-fleet/src/maintenance/campaign.rs
+++ b/crates/loomflow-fleet/src/maintenance/campaign.rs
@@ -251,10 +251,11 @@
     ) -> Result<(), Rejection> {
         let invalid = |what: &str| Err(Rejection::Invalid(format!("campaign {name:?}: {what}")));
         if !(1..=MAX_NAME_BYTES).contains(&name.len()) {
-            return invalid("a name has 1 to 64 bytes");
+            return invalid(&format!("a name has 1 to {MAX_NAME_BYTES} bytes"));
         }
         if batch_size == 0 || requests.is_empty() || requests.len() > MAX_TICKETS {
-            return invalid("a batch of one at least, and 1 to 10,000 tickets");
+            let max_tickets = group_thousands(MAX_TICKETS);
+            return invalid(&format!("a batch of one at least, and 1 to {max_tickets} tickets"));
         }
         if self.0.get(name).is_some_and(|campaign| campaign.status != CampaignStatus::Done) {
             return invalid("it is there already");
@@ -375,6 +376,14 @@
     (!shares.is_empty()).then(|| shares.iter().sum::<f32>() / shares.len() as f32)
 }
 
+/// A number below a million, with a comma before its last three digits where there are more.
+fn group_thousands(number: usize) -> String {
+    match number / 1_000 {
+        0 => number.to_string(),
+        thousands => format!("{thousands},{:03}", number % 1_000),
+    }
+}
+
 fn unknown(name: &str) -> Rejection {
     Rejection::Invalid(format!("no campaign is called {name:?}"))
 }
--- a/crates/loomflow-fleet/src/maintenance/campaign/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/campaign/tests.rs
@@ -88,3 +88,22 @@
     assert_eq!(campaigns.apply(&mut maintenance, 6, "n1", &next(2)), Ok(vec![3]));
     assert!(campaigns.apply(&mut maintenance, 7, "ops", &Command::Drop("other".into())).is_err());
 }
+
+#[test]
+fn a_campaign_beyond_a_limit_is_rejected_with_the_limit() {
+    let start = |name: &str, batch_size| {
+        let requests = vec![request("a")];
+        let command = Command::Start { name: name.into(), requests, batch_size };
+        let result = Campaigns::default().apply(&mut MaintenanceState::default(), 1, "ops", &command);
+        result.map_err(|rejection| rejection.to_string())
+    };
+    assert_eq!(start("kernel", 1), Ok(vec![]));
+    assert_eq!(start("", 1), Err("campaign \"\": a name has 1 to 64 bytes".into()));
+    let expected = "campaign \"kernel\": a batch of one at least, and 1 to 10,000 tickets";
+    assert_eq!(start("kernel", 0), Err(expected.into()));
+}
+
+#[test]
+fn thousands_are_separated_by_a_comma() {
+    assert_eq!([0, 999, 1_000, 10_005].map(group_thousands), ["0", "999", "1,000", "10,005"]);
+}
--- a/crates/loomflow-fleet/src/maintenance/mod.rs
+++ b/crates/loomflow-fleet/src/maintenance/mod.rs
@@ -9,6 +9,9 @@
 //!   into the log.
 //! - [`campaign`]: many tickets in batches, and when a campaign halts.
 //! - [`observation`]: the transitions that follow from what the leader sees of members: down, back, ready.
+//!
+//! Many fields and variants have another name in JSON, which operators' tools read: `#[serde(rename)]` keeps that name. The
+//! log and snapshots are postcard, which holds no names.
 
 pub mod campaign;
 pub mod headroom;
--- a/crates/loomflow-fleet/src/maintenance/state/apply.rs
+++ b/crates/loomflow-fleet/src/maintenance/state/apply.rs
@@ -61,6 +61,8 @@
                 require_operator(&entry.issuer)?;
                 self.state.paused = None;
             }
+            // No issuer is checked for these three: in each round the leader replaces rules that differ from those in its
+            // settings, drains without a ticket are only counted, and a clock entry does nothing beyond its time.
             Command::Rules(rules) => self.state.rules = Some(rules.clone()),
             Command::DrainedWithoutTicket(_) => self.state.drains_without_ticket += 1,
             Command::Clock => {}
--- a/crates/loomflow-fleet/src/maintenance/ticket.rs
+++ b/crates/loomflow-fleet/src/maintenance/ticket.rs
@@ -1,5 +1,8 @@
 //! A ticket: one server's turn to be out for maintenance. [`TABLE`] defines which transition is legal in which stage and
 //! who may make it; every other one is rejected with a reason.
+//!
+//! A **place** is one of the limited slots for servers that may be out at the same time. A ticket has one from its grant
+//! until it is done or abandoned, or the grant is taken back ([`Stage::has_place`]).
 
 use serde::{Deserialize, Serialize};
 
@@ -26,31 +29,31 @@
 /// How far a ticket has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Stage {
-    /// Waits for its turn.
+    /// Waits for its turn. Operators see "asked".
     #[serde(rename = "Asked")]
     Requested,
-    /// May go: its place is reserved until it begins, or the grant lapses.
+    /// May go: its place is reserved until it begins, or the grant lapses. Operators see "granted".
     Granted,
-    /// It will go: committed before it does.
+    /// It will go: committed before it does. Operators see "begun".
     Begun,
-    /// Answers what it still has.
+    /// Answers what it still has. Operators see "draining".
     Draining,
-    /// Has shut down.
+    /// Has shut down. Operators see "out".
     Out,
-    /// Its next incarnation is here.
+    /// Its next incarnation is here. Operators see "back".
     Back,
-    /// It carries its load; its place is available when that has lasted for a while.
+    /// It carries its load; its place is available when that has lasted for a while. Operators see "warm".
     #[serde(rename = "Warm")]
     Ready,
-    /// Not back in time. Its place stays reserved.
+    /// Not back in time. Its place stays reserved. Operators see "overdue".
     Overdue,
-    /// Its place is available again.
+    /// Its place is available again. Operators see "done".
     Done,
-    /// An operator took it back before it began.
+    /// An operator took it back before it began. Operators see "withdrawn".
     Withdrawn,
-    /// Its window closed, or its grants were not taken up.
+    /// Its window closed, or its grants were not taken up. Operators see "lapsed".
     Lapsed,
-    /// Abandoned by an operator: the server does not come back under this ticket.
+    /// Abandoned by an operator: the server does not come back under this ticket. Operators see "written off".
     #[serde(rename = "WrittenOff")]
     Abandoned,
 }
@@ -72,7 +75,7 @@
         Stage::Abandoned,
     ];
 
-    /// Whether its server counts as out because of it.
+    /// Whether the ticket has a place, so that its server counts as out.
     pub fn has_place(self) -> bool {
         matches!(
             self,
@@ -321,9 +324,11 @@
         rule(Ready, Transition::Abandon, Operator, Abandoned),
         rule(Overdue, Transition::Return, Leader, Back),
         rule(Ready, Transition::Return, Leader, Back),
+        // A late or repeated report changes nothing.
         rule(Overdue, Transition::Depart, ServerOrLeader, Overdue),
         rule(Overdue, Transition::Drain, Server, Overdue),
         rule(Overdue, Transition::Abandon, Operator, Abandoned),
+        // Nor does this one.
         rule(Out, Transition::Depart, ServerOrLeader, Out),
     ]
 };
@@ -392,10 +397,10 @@
     pub fn check(&self) -> Result<(), Rejection> {
         let invalid = |what: &str| Err(Rejection::Invalid(format!("{}: {what}", self.server)));
         if !(1..=MAX_NAME_BYTES).contains(&self.server.len()) || self.zone.len() > MAX_NAME_BYTES {
-            return invalid("server: a name has 1 to 64 bytes");
+            return invalid(&format!("server: a name has 1 to {MAX_NAME_BYTES} bytes"));
         }
         if self.reason.len() > MAX_REASON_BYTES {
-            return invalid("reason: at most 256 bytes");
+            return invalid(&format!("reason: at most {MAX_REASON_BYTES} bytes"));
         }
         if !(MIN_DURATION_MILLIS..=MAX_DURATION_MILLIS).contains(&self.duration_millis) {
             return invalid("for: from a second to a week");
--- a/crates/loomflow-fleet/src/maintenance/ticket/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/ticket/tests.rs
@@ -62,3 +62,25 @@
         assert!(free, "{:?} by {:?}", rule.from, rule.transition);
     }
 }
+
+#[test]
+fn a_request_beyond_a_limit_is_rejected_with_the_limit() {
+    let request = TicketRequest {
+        server: "n1".into(),
+        zone: String::new(),
+        reason: String::new(),
+        urgency: Urgency::Routine,
+        duration_millis: 60_000,
+        window: None,
+    };
+    let check = |request: TicketRequest| request.check().map_err(|rejection| rejection.to_string());
+    assert_eq!(check(request.clone()), Ok(()));
+    assert_eq!(
+        check(TicketRequest { zone: "z".repeat(65), ..request.clone() }),
+        Err("n1: server: a name has 1 to 64 bytes".into())
+    );
+    assert_eq!(
+        check(TicketRequest { reason: "r".repeat(257), ..request }),
+        Err("n1: reason: at most 256 bytes".into())
+    );
+}
