--- a/crates/loomflow-fleet/src/consensus/mod.rs
+++ b/crates/loomflow-fleet/src/consensus/mod.rs
@@ -47,6 +47,9 @@
 const FIRST_INDEX: u64 = 16;
 /// How far the log of a recovered fleet is ahead of the data directory that it was recovered from.
 const RECOVERY_INDEX_GAP: u64 = 1 << 20;
+/// How far the numbers that a state machine assigns jump when a fleet is recovered: above any that the lost data directories
+/// may have assigned.
+pub const RECOVERY_ID_GAP: u64 = 1 << 20;
 /// Replicas that are remembered before the log knows them.
 const MAX_UNCONFIRMED_REPLICAS: usize = 16;
 
--- a/crates/loomflow-fleet/src/duty/mod.rs
+++ b/crates/loomflow-fleet/src/duty/mod.rs
@@ -46,7 +46,7 @@
 pub const MAX_DUTIES: usize = 2_048;
 /// What an owner may write for the next one, bytes.
 pub const MAX_CHECKPOINT_BYTES: usize = 1_024;
-/// A longer reason is truncated, bytes.
+/// Maximum length of a reason that is stored, bytes: of a ticket a longer one is rejected, elsewhere it is truncated.
 pub const MAX_REASON_BYTES: usize = 256;
 /// The rates of two machines' boot-time clocks differ by at most this fraction. Beyond it two may believe that they own a
 /// duty; the fence then still lets only the later one through.
--- a/crates/loomflow-fleet/src/duty/state.rs
+++ b/crates/loomflow-fleet/src/duty/state.rs
@@ -18,15 +18,13 @@
     DutyEvent, DutyList, DutyName, DutySpec, DutyStatus, Grant, LeaseSettings, Ownership, RunId,
     ServerInstance, SessionId, Token,
 };
-use crate::consensus::SnapshotError;
+use crate::consensus::{RECOVERY_ID_GAP, SnapshotError};
 use crate::member::{FleetMillis, Incarnation, ServerName};
 
 /// Events that are retained.
 pub const MAX_EVENTS: usize = 2_000;
 /// Requests for a run that are remembered, so that none counts twice.
 const MAX_RUN_REQUESTS: usize = 16;
-/// How far numbers jump when a fleet is recovered: above any that the lost data directories may have assigned.
-const RECOVERY_ID_GAP: u64 = 1 << 20;
 
 /// A server's session.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/loomflow-fleet/src/maintenance/state.rs
+++ b/crates/loomflow-fleet/src/maintenance/state.rs
@@ -13,7 +13,7 @@
 use super::rules::Rules;
 use super::ticket::{FleetMillis, GrantNumber, Stage, Ticket, TicketId};
 use super::{Entry, Response};
-use crate::consensus::{SnapshotError, StateMachine};
+use crate::consensus::{RECOVERY_ID_GAP, SnapshotError, StateMachine};
 use crate::member::{RequestId, ServerName, Zone};
 
 /// Maximum number of open tickets; further ones are rejected.
@@ -26,8 +26,6 @@
 const MAX_REMEMBERED_RESPONSES: usize = 1_024;
 /// A ticket whose grants lapsed so often is closed.
 const MAX_LAPSES: u8 = 3;
-/// How far numbers jump when a fleet is recovered: above any that the lost data directories may have assigned.
-const RECOVERY_ID_GAP: u64 = 1 << 20;
 
 /// A ticket came to a stage.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -166,7 +164,8 @@
     fn reset_after_recovery(&mut self) {
         self.state.last_ticket += RECOVERY_ID_GAP;
         self.state.last_grant += RECOVERY_ID_GAP;
-        // Servers that were granted may have begun by what is lost: those grants are void, and those tickets wait again.
+        // The lost part of the log may say that a granted server has begun. Such grants are revoked, and their tickets wait
+        // for another one.
         let granted: Vec<TicketId> = self
             .state
             .open
--- a/crates/loomflow-fleet/src/maintenance/ticket.rs
+++ b/crates/loomflow-fleet/src/maintenance/ticket.rs
@@ -6,6 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::duty::MAX_REASON_BYTES;
 pub use crate::member::FleetMillis;
 use crate::member::{Incarnation, MAX_NAME_BYTES, RequestId, ServerName, Zone};
 
@@ -382,8 +383,6 @@
     pub window: Option<(FleetMillis, FleetMillis)>,
 }
 
-/// Maximum length of a reason, bytes.
-pub const MAX_REASON_BYTES: usize = 256;
 /// Minimum duration of a maintenance, ms: a second.
 const MIN_DURATION_MILLIS: FleetMillis = 1_000;
 /// Maximum duration of a maintenance, ms: a week.
--- a/crates/loomflow-fleet/src/node/duty_leadership.rs
+++ b/crates/loomflow-fleet/src/node/duty_leadership.rs
@@ -14,8 +14,8 @@
 use crate::membership::MAX_MEMBERS;
 use crate::wire::Body;
 
-/// A batch that was proposed and not committed for so long is lost, ms.
-const PROPOSAL_TIMEOUT_MILLIS: Millis = 2_000;
+/// A batch of renewals that was proposed and not committed for so long is lost, ms.
+const RENEWAL_BATCH_TIMEOUT_MILLIS: Millis = 2_000;
 
 /// Renewals, each with its request.
 type Batch = Vec<(RequestId, ServerInstance)>;
@@ -70,7 +70,7 @@
         let instances = renewals.iter().map(|(_, instance)| instance.clone()).collect();
         let command = Command::Duty(DutyCommand::KeepAlive(instances));
         let entry = Entry { id, at: self.fleet_time(now), issuer: Issuer::Leader, command };
-        let expires_at = now + PROPOSAL_TIMEOUT_MILLIS;
+        let expires_at = now + RENEWAL_BATCH_TIMEOUT_MILLIS;
         self.leadership.sessions.pending = Some(PendingBatch { id, renewals, expires_at });
         if self.propose(&entry).is_err() {
             // The servers send their renewals again.
