--- a/crates/loomflow-fleet/src/duty/recall.rs
+++ b/crates/loomflow-fleet/src/duty/recall.rs
@@ -38,9 +38,9 @@
     for (name, duty) in duties.duties() {
         let Some(lease) = &duty.lease else { continue };
         let has_other = candidates.iter().any(|other| other.name != lease.owner);
-        let is_settled = duties.time().saturating_sub(lease.since) >= MIN_OWNED_MILLIS;
+        let was_owned_long_enough = duties.time().saturating_sub(lease.since) >= MIN_OWNED_MILLIS;
         let is_over_bound = loads.is_over_bound(&lease.owner, f64::from(duty.spec.weight));
-        let is_misplaced = is_settled && (is_in_overload(lease) || is_over_bound);
+        let is_misplaced = was_owned_long_enough && (is_in_overload(lease) || is_over_bound);
         if (is_departing(&lease.owner) && has_other)
             || (is_misplaced && recalled.len() < MAX_RECALLED_AT_ONCE)
         {
--- a/crates/loomflow-fleet/src/maintenance/campaign.rs
+++ b/crates/loomflow-fleet/src/maintenance/campaign.rs
@@ -70,7 +70,7 @@
     Resume(String),
     /// By an operator: forget it.
     Drop(String),
-    /// By the owner of the duty: request the next batch.
+    /// By the owner of the duty: request the next batch; where no request is left, the campaign is done.
     Next {
         /// The campaign.
         name: String,
@@ -141,7 +141,7 @@
 /// What the owner does about one campaign.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CampaignStep {
-    /// Request the next batch.
+    /// Request the next batch; where no request is left, end the campaign.
     Next {
         /// Index of its first request.
         from_index: u32,
@@ -178,8 +178,9 @@
             return Some(CampaignStep::Halt { from_index, reason });
         }
     }
-    let is_last = view.next_index >= view.total;
-    let share_before = if is_last { 1.0 } else { view.next_batch_share? };
+    // After the last batch one more `Next` is issued, for an empty batch: it creates no ticket and ends the campaign.
+    let is_complete = view.next_index >= view.total;
+    let share_before = if is_complete { 1.0 } else { view.next_batch_share? };
     Some(CampaignStep::Next { from_index, share_before })
 }
 
--- a/crates/loomflow-fleet/src/maintenance/headroom.rs
+++ b/crates/loomflow-fleet/src/maintenance/headroom.rs
@@ -1,10 +1,10 @@
-//! Whether those who stay can carry the fleet's load: judged from load reports, by the figures that the decision modules
+//! Whether those who stay can carry the fleet's load: judged from load reports, by the figures that the servers' controllers
 //! themselves use.
 //!
-//! The **load** of a server is the number of its concurrent runs, times the hold time ratio where that is above 1: requests
-//! that wait longer than the set point waits for runs that cannot begin. Its **capacity** is its running limit, which rises
-//! only on runs that ended well and is cut when they do not, times the share that it requests: a server that wants half of
-//! its usual traffic can carry half. A server may go when those who stay would be filled to at most [`MAX_FILL`], with the
+//! The **load** of a server is the number of its concurrent runs, times the ratio of queueing time to setpoint where that is
+//! above 1: requests that are queued for longer than the setpoint wait for runs that cannot begin. Its **capacity** is its
+//! concurrency limit, which rises only on runs that ended well and is cut when they do not, times the share that it
+//! requests: a server that wants half of its usual traffic can carry half. A server may go when those who stay would be filled to at most [`MAX_FILL`], with the
 //! maximum that was carried in the last [`BURST_WINDOW_MILLIS`], all by recent reports.
 
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/loomflow-fleet/src/maintenance/rules.rs
+++ b/crates/loomflow-fleet/src/maintenance/rules.rs
@@ -56,7 +56,8 @@
 }
 
 /// Voters that must stay healthy when one of `total` leaves: a majority, and one more where there are that many, so that
-/// the majority never depends on one machine. Of three only a majority can stay; then all three must be healthy before.
+/// the majority never depends on one machine. Of three only a majority can stay; then all three must be healthy before. Of one
+/// or two voters none can be granted: fewer than a majority would stay.
 pub fn voters_needed(total: u32) -> u32 {
     let majority = total / 2 + 1;
     majority + u32::from(total > majority + 1)
--- a/crates/loomflow-fleet/src/member.rs
+++ b/crates/loomflow-fleet/src/member.rs
@@ -117,7 +117,7 @@
     Draining,
 }
 
-/// A server's load as its decision module sees it. Small, sent each [`REPORT_PERIOD_MILLIS`] to the voters alone: what it
+/// A server's load as its controller sees it. Small, sent each [`REPORT_PERIOD_MILLIS`] to the voters alone: what it
 /// costs a member does not grow with the fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
@@ -125,10 +125,10 @@
     pub phase: Phase,
     /// The share of usual traffic that it requests, 0 to 1.
     pub share: f32,
-    /// Time that requests are held, divided by the module's set point.
+    /// Queueing time of requests, divided by the controller's setpoint.
     #[serde(rename = "over_aim")]
     pub hold_time_ratio: f32,
-    /// The module's running limit: concurrent runs that it considers sustainable.
+    /// The controller's concurrency limit: concurrent runs that it considers sustainable.
     pub limit: f32,
     /// Concurrent runs, in the mean since the report before.
     pub running: f32,
@@ -139,18 +139,19 @@
 }
 
 impl LoadReport {
-    /// Whether each figure is one that a module can produce; a report that is not valid is ignored.
+    /// Whether each figure is one that a controller can produce; a report that is not valid is ignored.
     pub fn is_valid(&self) -> bool {
         let figures = [self.share, self.hold_time_ratio, self.limit, self.running, self.cores];
         figures.iter().all(|figure| figure.is_finite() && *figure >= 0.0) && self.share <= 1.0
     }
 
-    /// The load that the server carries, in concurrent runs: those running, times the hold time ratio where it is above 1.
+    /// The load that the server carries, in concurrent runs: those running, times the ratio of queueing time to
+    /// setpoint where that is above 1.
     pub fn carried_load(&self) -> f64 {
         f64::from(self.running) * f64::from(self.hold_time_ratio).max(1.0)
     }
 
-    /// The load that the server can carry, in concurrent runs: its running limit times the share that it requests.
+    /// The load that the server can carry, in concurrent runs: its concurrency limit times the share that it requests.
     pub fn capacity(&self) -> f64 {
         f64::from(self.limit) * f64::from(self.share)
     }
--- a/crates/loomflow-fleet/src/node/own_ticket.rs
+++ b/crates/loomflow-fleet/src/node/own_ticket.rs
@@ -10,8 +10,9 @@
 use crate::maintenance::{Command, Request, Response};
 use crate::member::{Incarnation, Millis, Phase, RequestId};
 
-/// A response or notification is relied on for so long after its request, ms. A place is not freed by time once the server has
-/// begun, so this only bounds how an operator's giving it up may cross a stopped server's draining.
+/// Maximum age of a response or notification that is relied on, from its request, ms. No timeout frees the place of a server
+/// that has begun, but an operator may abandon its ticket: this bounds how long after that a server that was suspended may
+/// still begin to drain.
 const MAX_NOTIFICATION_AGE_MILLIS: Millis = 2_000;
 
 /// Whether a response or notification to what was sent at `sent_at` is still relied on.
--- a/crates/loomflow-fleet/src/node/requests.rs
+++ b/crates/loomflow-fleet/src/node/requests.rs
@@ -189,8 +189,8 @@
     }
 }
 
-/// To whom a request is sent: the leader first; then the voters in turn, as what is known of the leader may be outdated.
-/// `attempts`: sent so often, with this time.
+/// The receiver of a request. Odd attempts go to the leader where one is known, all others to the other voters in turn, since
+/// the known leader may be outdated. `attempts`: how often the request was sent, this attempt included.
 fn receiver_of_attempt(
     attempts: usize,
     leader: Option<ServerName>,
