--- a/crates/loomflow-fleet/src/duty/client_session.rs
+++ b/crates/loomflow-fleet/src/duty/client_session.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{DutyName, Grant, LeaseSettings, Ownership, SessionId, Token};
+use super::{DutyName, LeaseSettings, OwnedDuty, Ownership, SessionId, Token};
 use crate::member::{Millis, RequestId};
 
 /// A session is renewed so many times within its length.
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum OwnershipChange {
     /// The server owns a duty.
-    Acquired(Grant),
+    Acquired(OwnedDuty),
     /// The server is to finish or checkpoint it, and release it.
     ReleaseRequested(DutyName, Token),
     /// The server no longer owns it: nothing more may be done for it.
@@ -30,8 +30,8 @@
     lease_settings: LeaseSettings,
     /// The session is valid until then.
     valid_until: Millis,
-    grants: BTreeMap<DutyName, Grant>,
-    /// What this session released: no grant up to this token is for it again.
+    duties: BTreeMap<DutyName, OwnedDuty>,
+    /// What this session released: a duty with a token up to this one is not taken up again.
     released: BTreeMap<DutyName, Token>,
     /// The renewal that has no answer yet, and when it was sent first.
     pending_renewal: Option<(RequestId, Millis)>,
@@ -46,17 +46,17 @@
         if now >= self.valid_until {
             return None;
         }
-        self.grants.get(duty).map(|grant| grant.token)
+        self.duties.get(duty).map(|owned| owned.token)
     }
 
-    /// All grants of the session, valid or not.
-    pub fn grants(&self) -> impl Iterator<Item = &Grant> {
-        self.grants.values()
+    /// All duties of the session, whether it is still valid or not.
+    pub fn duties(&self) -> impl Iterator<Item = &OwnedDuty> {
+        self.duties.values()
     }
 
-    /// The grant of one duty.
-    pub fn grant(&self, duty: &str) -> Option<&Grant> {
-        self.grants.get(duty)
+    /// One duty of the session, whether it is still valid or not.
+    pub fn duty(&self, duty: &str) -> Option<&OwnedDuty> {
+        self.duties.get(duty)
     }
 
     /// Until when the server owns what it owns, on its own clock.
@@ -71,7 +71,7 @@
 
     /// When something is due next.
     pub fn next_wake(&self) -> Millis {
-        if self.grants.is_empty() { self.next_renewal_at } else { self.next_renewal_at.min(self.valid_until) }
+        if self.duties.is_empty() { self.next_renewal_at } else { self.next_renewal_at.min(self.valid_until) }
     }
 
     /// Whether the session is to be renewed now.
@@ -108,15 +108,15 @@
         }
         self.lease_settings = ownership.lease_settings;
         self.valid_until = self.valid_until.max(valid_until);
-        // A grant that is missing here stays: only the end of the session, or a release, takes it away.
-        self.accept(ownership.grants);
+        // A duty that is missing here stays: only the end of the session, or a release, takes it away.
+        self.accept(ownership.duties);
     }
 
     /// Received without a renewal: counts for the current session, and does not extend it.
     pub fn notified(&mut self, ownership: Ownership, now: Millis) {
         self.expire(now);
         if ownership.session == self.session && now < self.valid_until {
-            self.accept(ownership.grants);
+            self.accept(ownership.duties);
         } else if ownership.session > self.session {
             self.next_renewal_at = self.next_renewal_at.min(now + MIN_RENEWAL_GAP_MILLIS);
         }
@@ -124,17 +124,17 @@
 
     /// The server releases a duty; returns the token that the release has to carry.
     pub fn release(&mut self, duty: &str) -> Option<Token> {
-        let grant = self.grants.remove(duty)?;
+        let owned = self.duties.remove(duty)?;
         let last = self.released.entry(duty.to_owned()).or_default();
-        *last = grant.token.max(*last);
-        Some(grant.token)
+        *last = owned.token.max(*last);
+        Some(owned.token)
     }
 
     /// The server shuts down: all that it owns is to be released.
     pub fn recall_all(&mut self) {
-        for grant in self.grants.values_mut().filter(|grant| !grant.is_recalled) {
-            grant.is_recalled = true;
-            self.changes.push(OwnershipChange::ReleaseRequested(grant.duty.clone(), grant.token));
+        for owned in self.duties.values_mut().filter(|owned| !owned.is_recalled) {
+            owned.is_recalled = true;
+            self.changes.push(OwnershipChange::ReleaseRequested(owned.duty.clone(), owned.token));
         }
     }
 
@@ -158,39 +158,39 @@
         std::mem::take(&mut self.changes)
     }
 
-    fn accept(&mut self, grants: Vec<Grant>) {
-        for grant in grants {
-            let released = self.released.get(&grant.duty).copied().unwrap_or(0);
-            if grant.token <= released {
+    fn accept(&mut self, duties: Vec<OwnedDuty>) {
+        for owned in duties {
+            let released = self.released.get(&owned.duty).copied().unwrap_or(0);
+            if owned.token <= released {
                 continue;
             }
-            match self.grants.get_mut(&grant.duty) {
-                Some(known) if known.token > grant.token => {}
-                Some(known) if known.token == grant.token => {
-                    if grant.is_recalled && !known.is_recalled {
-                        let change = OwnershipChange::ReleaseRequested(grant.duty.clone(), grant.token);
+            match self.duties.get_mut(&owned.duty) {
+                Some(known) if known.token > owned.token => {}
+                Some(known) if known.token == owned.token => {
+                    if owned.is_recalled && !known.is_recalled {
+                        let change = OwnershipChange::ReleaseRequested(owned.duty.clone(), owned.token);
                         self.changes.push(change);
                     }
                     // An older message does not undo a recall.
-                    let is_recalled = grant.is_recalled || known.is_recalled;
-                    *known = Grant { is_recalled, ..grant };
+                    let is_recalled = owned.is_recalled || known.is_recalled;
+                    *known = OwnedDuty { is_recalled, ..owned };
                 }
-                _ => self.acquire(grant),
+                _ => self.acquire(owned),
             }
         }
     }
 
-    fn acquire(&mut self, grant: Grant) {
-        self.changes.push(OwnershipChange::Acquired(grant.clone()));
-        if grant.is_recalled {
-            self.changes.push(OwnershipChange::ReleaseRequested(grant.duty.clone(), grant.token));
+    fn acquire(&mut self, owned: OwnedDuty) {
+        self.changes.push(OwnershipChange::Acquired(owned.clone()));
+        if owned.is_recalled {
+            self.changes.push(OwnershipChange::ReleaseRequested(owned.duty.clone(), owned.token));
         }
-        self.grants.insert(grant.duty.clone(), grant);
+        self.duties.insert(owned.duty.clone(), owned);
     }
 
     fn lose_all(&mut self) {
-        let lost = std::mem::take(&mut self.grants);
-        let change = |grant: Grant| OwnershipChange::Lost(grant.duty, grant.token);
+        let lost = std::mem::take(&mut self.duties);
+        let change = |owned: OwnedDuty| OwnershipChange::Lost(owned.duty, owned.token);
         self.changes.extend(lost.into_values().map(change));
     }
 }
--- a/crates/loomflow-fleet/src/duty/client_session/tests.rs
+++ b/crates/loomflow-fleet/src/duty/client_session/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn grant(duty: &str, token: Token) -> Grant {
-    Grant {
+fn owned_duty(duty: &str, token: Token) -> OwnedDuty {
+    OwnedDuty {
         duty: duty.into(),
         token,
         is_recalled: false,
@@ -14,8 +14,8 @@
 }
 
 fn ownership(session: SessionId, held: &[(&str, Token)]) -> Ownership {
-    let grants = held.iter().map(|(duty, token)| grant(duty, *token)).collect();
-    Ownership { session, lease_settings: LeaseSettings { lease_millis: 1_000, max_attempts: 3 }, grants }
+    let duties = held.iter().map(|(duty, token)| owned_duty(duty, *token)).collect();
+    Ownership { session, lease_settings: LeaseSettings { lease_millis: 1_000, max_attempts: 3 }, duties }
 }
 
 #[test]
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_grant_that_is_heard_again_after_the_release_is_not_taken_up() {
+fn a_duty_that_is_heard_of_again_after_the_release_is_not_taken_up() {
     let mut session = ClientSession::default();
     session.renewed(ownership(1, &[("d", 4)]), 0, 1);
     assert_eq!(session.release("d"), Some(4));
@@ -74,7 +74,7 @@
     let mut session = ClientSession::default();
     session.renewed(ownership(1, &[("d", 1)]), 0, 1);
     let mut recalled = ownership(1, &[("d", 1)]);
-    recalled.grants[0].is_recalled = true;
+    recalled.duties[0].is_recalled = true;
     session.notified(recalled.clone(), 2);
     session.notified(recalled, 3);
     session.notified(ownership(1, &[("d", 1)]), 4);
@@ -83,7 +83,7 @@
         .into_iter()
         .filter(|c| matches!(c, OwnershipChange::ReleaseRequested(..)))
         .count();
-    assert_eq!((requests, session.grant("d").map(|g| g.is_recalled)), (1, Some(true)));
+    assert_eq!((requests, session.duty("d").map(|g| g.is_recalled)), (1, Some(true)));
 }
 
 #[test]
--- a/crates/loomflow-fleet/src/duty/job.rs
+++ b/crates/loomflow-fleet/src/duty/job.rs
@@ -3,7 +3,7 @@
 //!
 //! A run begins only when its number is committed: so no time is run twice.
 
-use super::{DutyName, Grant, OwnerUpdate, Rejection, RunId, Token};
+use super::{DutyName, OwnedDuty, OwnerUpdate, Rejection, RunId, Token};
 use crate::member::Millis;
 
 /// A run that failed is retried after this, ms.
@@ -53,20 +53,20 @@
     pub token: Token,
     last_run: RunId,
     has_unfinished_run: bool,
-    /// The operator's request was taken up, and the grant does not show it yet.
+    /// The operator's request was taken up, and what is owned does not show it yet.
     is_request_taken: bool,
     retry_at: Millis,
     state: State,
 }
 
 impl JobRuns {
-    /// Continues from the former runs in the grant.
-    pub fn new(grant: &Grant) -> JobRuns {
+    /// Continues from the former runs of the duty.
+    pub fn new(owned: &OwnedDuty) -> JobRuns {
         JobRuns {
-            duty: grant.duty.clone(),
-            token: grant.token,
-            last_run: grant.last_run,
-            has_unfinished_run: grant.has_unfinished_run,
+            duty: owned.duty.clone(),
+            token: owned.token,
+            last_run: owned.last_run,
+            has_unfinished_run: owned.has_unfinished_run,
             is_request_taken: false,
             retry_at: 0,
             state: State::Idle,
@@ -83,20 +83,20 @@
         matches!(self.state, State::Running { is_terminating: true, .. })
     }
 
-    /// What is to be done now. `grant`: what is owned, none where it no longer is. `unix_seconds`: the wall clock.
-    pub fn step(&mut self, grant: Option<&Grant>, now: Millis, unix_seconds: u64) -> Option<JobAction> {
-        let grant = grant.filter(|grant| grant.token == self.token);
-        let must_stop = grant.is_none_or(|grant| grant.is_recalled);
+    /// What is to be done now. `owned`: what is owned, none where it no longer is. `unix_seconds`: the wall clock.
+    pub fn step(&mut self, owned: Option<&OwnedDuty>, now: Millis, unix_seconds: u64) -> Option<JobAction> {
+        let owned = owned.filter(|owned| owned.token == self.token);
+        let must_stop = owned.is_none_or(|owned| owned.is_recalled);
         match &mut self.state {
             State::Running { is_terminating, .. } if must_stop && !*is_terminating => {
                 *is_terminating = true;
                 Some(JobAction::Terminate)
             }
-            State::Idle if must_stop => grant.map(|_| JobAction::Release),
+            State::Idle if must_stop => owned.map(|_| JobAction::Release),
             State::Idle => {
-                let grant = grant?;
-                self.is_request_taken &= grant.is_run_requested;
-                let run = self.due_run(grant, now, unix_seconds)?;
+                let owned = owned?;
+                self.is_request_taken &= owned.is_run_requested;
+                let run = self.due_run(owned, now, unix_seconds)?;
                 self.state = State::Beginning(run);
                 Some(JobAction::Write(OwnerUpdate::Began(run)))
             }
@@ -104,16 +104,16 @@
         }
     }
 
-    fn due_run(&self, grant: &Grant, now: Millis, unix_seconds: u64) -> Option<RunId> {
+    fn due_run(&self, owned: &OwnedDuty, now: Millis, unix_seconds: u64) -> Option<RunId> {
         if now < self.retry_at {
             return None;
         }
         if self.has_unfinished_run {
             return Some(self.last_run);
         }
-        let is_requested = grant.is_run_requested && !self.is_request_taken;
+        let is_requested = owned.is_run_requested && !self.is_request_taken;
         let scheduled =
-            grant.schedule.as_ref().and_then(|schedule| schedule.due_run(self.last_run, unix_seconds));
+            owned.schedule.as_ref().and_then(|schedule| schedule.due_run(self.last_run, unix_seconds));
         scheduled.or_else(|| is_requested.then(|| unix_seconds.max(self.last_run + 1)))
     }
 
@@ -121,7 +121,7 @@
     pub fn begin_answered(
         &mut self,
         answer: Option<&Result<(), Rejection>>,
-        grant: Option<&Grant>,
+        owned: Option<&OwnedDuty>,
         now: Millis,
     ) -> Option<JobAction> {
         let State::Beginning(run) = self.state else { return None };
@@ -131,7 +131,7 @@
                 self.last_run = run;
                 self.has_unfinished_run = true;
                 self.is_request_taken = true;
-                let is_owned = grant.is_some_and(|grant| grant.token == self.token && !grant.is_recalled);
+                let is_owned = owned.is_some_and(|owned| owned.token == self.token && !owned.is_recalled);
                 if !is_owned {
                     return None;
                 }
--- a/crates/loomflow-fleet/src/duty/job/tests.rs
+++ b/crates/loomflow-fleet/src/duty/job/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::duty::schedule::{MissedRuns, Recurrence, Schedule};
 
-fn grant(last_run: u64, has_unfinished_run: bool) -> Grant {
-    Grant {
+fn owned_duty(last_run: u64, has_unfinished_run: bool) -> OwnedDuty {
+    OwnedDuty {
         duty: "d".into(),
         token: 3,
         is_recalled: false,
@@ -16,78 +16,78 @@
 
 #[test]
 fn a_run_starts_when_the_record_has_its_number_and_never_twice() {
-    let grant = grant(600, false);
-    let mut runs = JobRuns::new(&grant);
-    assert_eq!(runs.step(Some(&grant), 0, 630), None);
-    assert_eq!(runs.step(Some(&grant), 0, 661), Some(JobAction::Write(OwnerUpdate::Began(660))));
-    assert_eq!(runs.step(Some(&grant), 0, 662), None, "it is on its way");
-    assert_eq!(runs.begin_answered(Some(&Ok(())), Some(&grant), 1), Some(JobAction::Start(660)));
+    let owned_duty = owned_duty(600, false);
+    let mut runs = JobRuns::new(&owned_duty);
+    assert_eq!(runs.step(Some(&owned_duty), 0, 630), None);
+    assert_eq!(runs.step(Some(&owned_duty), 0, 661), Some(JobAction::Write(OwnerUpdate::Began(660))));
+    assert_eq!(runs.step(Some(&owned_duty), 0, 662), None, "it is on its way");
+    assert_eq!(runs.begin_answered(Some(&Ok(())), Some(&owned_duty), 1), Some(JobAction::Start(660)));
     assert_eq!(runs.process_ended(Exit::Done, 2), Some(JobAction::Write(OwnerUpdate::Done(660))));
-    assert_eq!(runs.step(Some(&grant), 3, 665), None);
+    assert_eq!(runs.step(Some(&owned_duty), 3, 665), None);
     // Another owner had begun it: the state shows that, and it is not started.
-    assert_eq!(runs.step(Some(&grant), 3, 721), Some(JobAction::Write(OwnerUpdate::Began(720))));
+    assert_eq!(runs.step(Some(&owned_duty), 3, 721), Some(JobAction::Write(OwnerUpdate::Began(720))));
     let begun = Err(Rejection::Begun { duty: "d".into(), run: 720 });
-    assert_eq!(runs.begin_answered(Some(&begun), Some(&grant), 4), None);
-    assert_eq!(runs.step(Some(&grant), 5, 722), None);
+    assert_eq!(runs.begin_answered(Some(&begun), Some(&owned_duty), 4), None);
+    assert_eq!(runs.step(Some(&owned_duty), 5, 722), None);
 }
 
 #[test]
 fn what_a_former_owner_left_unended_is_begun_again() {
-    let grant = grant(600, true);
-    let mut runs = JobRuns::new(&grant);
-    assert_eq!(runs.step(Some(&grant), 0, 700), Some(JobAction::Write(OwnerUpdate::Began(600))));
+    let owned_duty = owned_duty(600, true);
+    let mut runs = JobRuns::new(&owned_duty);
+    assert_eq!(runs.step(Some(&owned_duty), 0, 700), Some(JobAction::Write(OwnerUpdate::Began(600))));
 }
 
 #[test]
 fn handed_over_while_it_runs_it_is_told_to_end_and_released_after() {
-    let mut grant = grant(600, true);
-    let mut runs = JobRuns::new(&grant);
-    runs.step(Some(&grant), 0, 700);
-    runs.begin_answered(Some(&Ok(())), Some(&grant), 0);
-    grant.is_recalled = true;
-    assert_eq!(runs.step(Some(&grant), 1, 700), Some(JobAction::Terminate));
-    assert_eq!(runs.step(Some(&grant), 2, 700), None);
+    let mut owned_duty = owned_duty(600, true);
+    let mut runs = JobRuns::new(&owned_duty);
+    runs.step(Some(&owned_duty), 0, 700);
+    runs.begin_answered(Some(&Ok(())), Some(&owned_duty), 0);
+    owned_duty.is_recalled = true;
+    assert_eq!(runs.step(Some(&owned_duty), 1, 700), Some(JobAction::Terminate));
+    assert_eq!(runs.step(Some(&owned_duty), 2, 700), None);
     assert_eq!(
         runs.process_ended(Exit::OwnershipLost, 3),
         None,
         "neither done nor failed: the next owner begins it again"
     );
-    assert_eq!(runs.step(Some(&grant), 4, 700), Some(JobAction::Release));
+    assert_eq!(runs.step(Some(&owned_duty), 4, 700), Some(JobAction::Release));
 }
 
 #[test]
 fn recalled_between_the_number_and_the_start_nothing_starts() {
-    let mut grant = grant(600, true);
-    let mut runs = JobRuns::new(&grant);
-    runs.step(Some(&grant), 0, 700);
-    grant.is_recalled = true;
-    assert_eq!(runs.begin_answered(Some(&Ok(())), Some(&grant), 1), None);
-    assert_eq!(runs.step(Some(&grant), 2, 700), Some(JobAction::Release));
+    let mut owned_duty = owned_duty(600, true);
+    let mut runs = JobRuns::new(&owned_duty);
+    runs.step(Some(&owned_duty), 0, 700);
+    owned_duty.is_recalled = true;
+    assert_eq!(runs.begin_answered(Some(&Ok(())), Some(&owned_duty), 1), None);
+    assert_eq!(runs.step(Some(&owned_duty), 2, 700), Some(JobAction::Release));
     assert!(!runs.is_running());
 }
 
 #[test]
 fn an_operators_wish_is_run_once() {
-    let mut grant = Grant { schedule: None, is_run_requested: true, ..grant(600, false) };
-    let mut runs = JobRuns::new(&grant);
-    assert_eq!(runs.step(Some(&grant), 0, 700), Some(JobAction::Write(OwnerUpdate::Began(700))));
-    runs.begin_answered(Some(&Ok(())), Some(&grant), 0);
+    let mut owned_duty = OwnedDuty { schedule: None, is_run_requested: true, ..owned_duty(600, false) };
+    let mut runs = JobRuns::new(&owned_duty);
+    assert_eq!(runs.step(Some(&owned_duty), 0, 700), Some(JobAction::Write(OwnerUpdate::Began(700))));
+    runs.begin_answered(Some(&Ok(())), Some(&owned_duty), 0);
     runs.process_ended(Exit::Done, 1);
-    assert_eq!(runs.step(Some(&grant), 2, 701), None, "the grant does not know yet");
-    grant.is_run_requested = false;
-    assert_eq!(runs.step(Some(&grant), 3, 702), None);
-    grant.is_run_requested = true;
-    assert_eq!(runs.step(Some(&grant), 4, 702), Some(JobAction::Write(OwnerUpdate::Began(702))));
+    assert_eq!(runs.step(Some(&owned_duty), 2, 701), None, "it is not known yet");
+    owned_duty.is_run_requested = false;
+    assert_eq!(runs.step(Some(&owned_duty), 3, 702), None);
+    owned_duty.is_run_requested = true;
+    assert_eq!(runs.step(Some(&owned_duty), 4, 702), Some(JobAction::Write(OwnerUpdate::Began(702))));
 }
 
 #[test]
 fn a_run_that_failed_is_retried_after_a_second() {
-    let grant = grant(600, true);
-    let mut runs = JobRuns::new(&grant);
-    runs.step(Some(&grant), 0, 700);
-    runs.begin_answered(Some(&Ok(())), Some(&grant), 0);
+    let owned_duty = owned_duty(600, true);
+    let mut runs = JobRuns::new(&owned_duty);
+    runs.step(Some(&owned_duty), 0, 700);
+    runs.begin_answered(Some(&Ok(())), Some(&owned_duty), 0);
     let failed = OwnerUpdate::Failed(600, "exit code 1".into());
     assert_eq!(runs.process_ended(Exit::Failed("exit code 1".into()), 10), Some(JobAction::Write(failed)));
-    assert_eq!(runs.step(Some(&grant), 1_009, 701), None);
-    assert_eq!(runs.step(Some(&grant), 1_010, 701), Some(JobAction::Write(OwnerUpdate::Began(600))));
+    assert_eq!(runs.step(Some(&owned_duty), 1_009, 701), None);
+    assert_eq!(runs.step(Some(&owned_duty), 1_010, 701), Some(JobAction::Write(OwnerUpdate::Began(600))));
 }
--- a/crates/loomflow-fleet/src/duty/mod.rs
+++ b/crates/loomflow-fleet/src/duty/mod.rs
@@ -11,6 +11,10 @@
 //! - [`schedule`]: when a duty with a schedule is due, and what happens to missed runs.
 //! - [`summary`]: the duty that sums the fleet up.
 //!
+//! A server has a **session** while it renews it. A **lease** records in the state which server owns a duty and by which
+//! fencing token; it lasts as long as its owner's session. [`Ownership`] is what an owner is told: its session, and for each of
+//! its leases an [`OwnedDuty`].
+//!
 //! Time separates two owners while clocks behave, and only to spare them useless work: what protects the fleet's effects is
 //! the fencing token and the receiver's fence.
 //!
@@ -187,12 +191,12 @@
     pub lease_settings: LeaseSettings,
     /// What is owned.
     #[serde(rename = "held")]
-    pub grants: Vec<Grant>,
+    pub duties: Vec<OwnedDuty>,
 }
 
-/// One duty of an owner.
+/// One duty that a server owns, as its owner is told of it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Grant {
+pub struct OwnedDuty {
     /// The duty.
     pub duty: DutyName,
     /// The owner's fencing token.
--- a/crates/loomflow-fleet/src/duty/state.rs
+++ b/crates/loomflow-fleet/src/duty/state.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    DutyEvent, DutyList, DutyName, DutySpec, DutyStatus, Grant, LeaseSettings, Ownership, RunId,
+    DutyEvent, DutyList, DutyName, DutySpec, DutyStatus, LeaseSettings, OwnedDuty, Ownership, RunId,
     ServerInstance, SessionId, Token,
 };
 use crate::consensus::{RECOVERY_ID_GAP, SnapshotError};
@@ -129,9 +129,9 @@
         self.lease.is_none() && self.parked.is_none()
     }
 
-    fn grant(&self) -> Option<Grant> {
+    fn owned_duty(&self) -> Option<OwnedDuty> {
         let lease = self.lease.as_ref()?;
-        Some(Grant {
+        Some(OwnedDuty {
             duty: self.spec.name.clone(),
             token: lease.token,
             is_recalled: lease.is_recalled,
@@ -202,7 +202,7 @@
         Ownership {
             session: self.state.sessions.get(server).map_or(0, |session| session.id),
             lease_settings: self.lease_settings(),
-            grants: self.owned_by(server).filter_map(|(_, duty)| duty.grant()).collect(),
+            duties: self.owned_by(server).filter_map(|(_, duty)| duty.owned_duty()).collect(),
         }
     }
 
--- a/crates/loomflow-fleet/src/duty/state/tests.rs
+++ b/crates/loomflow-fleet/src/duty/state/tests.rs
@@ -20,7 +20,7 @@
     assert_eq!(duties.apply(&write(1)), Response::Rejected(stale));
     assert_eq!(duties.duties()[&duty].rejected_writes, 1);
     assert_eq!(duties.apply(&write(2)), Response::Done);
-    assert_eq!(duties.ownership("b").grants[0].checkpoint, [2]);
+    assert_eq!(duties.ownership("b").duties[0].checkpoint, [2]);
 }
 
 #[test]
--- a/crates/loomflow-fleet/src/node/duties.rs
+++ b/crates/loomflow-fleet/src/node/duties.rs
@@ -100,7 +100,7 @@
             return Millis::MAX;
         }
         let due = |duty: &str, query: &PeriodicQuery| {
-            if self.session.grant(duty).is_some() { query.next_at } else { Millis::MAX }
+            if self.session.duty(duty).is_some() { query.next_at } else { Millis::MAX }
         };
         let summary_at = due(SUMMARY, &self.summary_query);
         let campaign_at = due(CAMPAIGN, &self.campaign_query);
@@ -122,14 +122,15 @@
 
     /// All duties that it owns at this moment, with their tokens.
     pub fn owned_duties(&self, now: Millis) -> Vec<(DutyName, Token)> {
-        let grants = self.duties.session.grants();
-        let owned = |grant: &duty::Grant| Some((grant.duty.clone(), self.owned_token(&grant.duty, now)?));
-        grants.filter_map(owned).collect()
+        let duties = self.duties.session.duties();
+        let with_token =
+            |owned: &duty::OwnedDuty| Some((owned.duty.clone(), self.owned_token(&owned.duty, now)?));
+        duties.filter_map(with_token).collect()
     }
 
-    /// The grant of a duty, valid or not.
-    pub fn grant(&self, duty: &str) -> Option<&duty::Grant> {
-        self.duties.session.grant(duty)
+    /// A duty of the session, whether that is still valid or not.
+    pub fn session_duty(&self, duty: &str) -> Option<&duty::OwnedDuty> {
+        self.duties.session.duty(duty)
     }
 
     /// The operators' settings, as this member has them.
@@ -237,8 +238,8 @@
         }
         for change in self.duties.session.take_changes() {
             match &change {
-                OwnershipChange::Acquired(grant) => {
-                    self.log(format!("owns {} by token {}", grant.duty, grant.token));
+                OwnershipChange::Acquired(owned) => {
+                    self.log(format!("owns {} by token {}", owned.duty, owned.token));
                 }
                 OwnershipChange::Lost(duty, token) => {
                     self.log(format!("no longer owns {duty}, token {token}"));
@@ -271,7 +272,7 @@
             self.duties.session_end = SessionEnd::Ended;
             return;
         }
-        if self.duties.session.grants().next().is_some() {
+        if self.duties.session.duties().next().is_some() {
             return;
         }
         self.duties.session.end();
--- a/crates/loomflow-fleet/src/operator.rs
+++ b/crates/loomflow-fleet/src/operator.rs
@@ -31,9 +31,9 @@
     WorkEnded(DutyName),
 }
 
-/// A duty that the server owns at this moment.
+/// Confirms that the server owns a duty at this moment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct OwnedDuty {
+pub struct OwnershipConfirmation {
     /// The owner's fencing token.
     pub token: Token,
     /// The lease is valid for at least this time from when the request was sent, ms.
@@ -61,7 +61,7 @@
     /// Done, with nothing to report.
     Done,
     /// The server owns the duty.
-    Owned(OwnedDuty),
+    Owned(OwnershipConfirmation),
     /// The server does not own the duty, or cannot be sure of it.
     NotOwned,
     /// The error, in words.
--- a/crates/loomflow-fleet/tests/ownership_model.rs
+++ b/crates/loomflow-fleet/tests/ownership_model.rs
@@ -126,7 +126,7 @@
 struct Owners(Fault);
 
 fn ownership(session: u64, token: Token) -> Ownership {
-    let grant = loomflow_fleet::duty::Grant {
+    let owned_duty = loomflow_fleet::duty::OwnedDuty {
         duty: DUTY.into(),
         token,
         is_recalled: false,
@@ -136,8 +136,8 @@
         is_run_requested: false,
         schedule: None,
     };
-    let grants = if token > 0 { vec![grant] } else { Vec::new() };
-    Ownership { session, lease_settings: LeaseSettings { lease_millis: LEASE, max_attempts: 99 }, grants }
+    let duties = if token > 0 { vec![owned_duty] } else { Vec::new() };
+    Ownership { session, lease_settings: LeaseSettings { lease_millis: LEASE, max_attempts: 99 }, duties }
 }
 
 fn name(server: usize) -> String {
@@ -159,7 +159,7 @@
                 state.duties.advance_time(state.fleet_time());
                 state.duties.apply(&Command::KeepAlive(vec![holder]));
                 let ownership = Owners::session_of(state, server);
-                let token = ownership.grants.first().map_or(0, |_| state.told);
+                let token = ownership.duties.first().map_or(0, |_| state.told);
                 state.sent.insert(Message::Owns { server, at, session: ownership.session, token });
             }
             Message::Owns { server, at, session, token } => {
@@ -188,7 +188,7 @@
         let ownership = Owners::session_of(state, server);
         state.told = match self.0 {
             Fault::TokenFromMemory => state.counted,
-            _ => ownership.grants[0].token,
+            _ => ownership.duties[0].token,
         };
         state.sent.insert(Message::Given { server, session: ownership.session, token: state.told });
         Some(())
--- a/crates/loomflow-fleet/tests/wire_format.rs
+++ b/crates/loomflow-fleet/tests/wire_format.rs
@@ -10,7 +10,7 @@
 use loomflow_fleet::duty::schedule::{MissedRuns, Recurrence, Schedule};
 use loomflow_fleet::duty::summary::Summary;
 use loomflow_fleet::duty::{
-    self, DutyEventKind, DutyList, DutySpec, DutyStatus, Grant, LeaseSettings, OwnerUpdate, Ownership,
+    self, DutyEventKind, DutyList, DutySpec, DutyStatus, LeaseSettings, OwnedDuty, OwnerUpdate, Ownership,
     ServerInstance,
 };
 use loomflow_fleet::fleet_state::FleetState;
@@ -24,7 +24,7 @@
     Census, Command, Entry, Issuer, MemberRow, Request, Response, Status, SummaryReport,
 };
 use loomflow_fleet::member::{LoadReport, MemberIdentity, MemberState, Phase, Replica};
-use loomflow_fleet::operator::{OperatorRequest, OperatorResponse, OwnedDuty};
+use loomflow_fleet::operator::{OperatorRequest, OperatorResponse, OwnershipConfirmation};
 use loomflow_fleet::wire::{self, Body, Message, Notification};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -89,8 +89,8 @@
     Schedule { recurrence: Recurrence::Every(60), missed_runs: MissedRuns::Once }
 }
 
-fn grant() -> Grant {
-    Grant {
+fn owned_duty() -> OwnedDuty {
+    OwnedDuty {
         duty: "d".into(),
         token: 1,
         is_recalled: true,
@@ -106,7 +106,7 @@
     Ownership {
         session: 3,
         lease_settings: LeaseSettings { lease_millis: 1_000, max_attempts: 3 },
-        grants: vec![grant()],
+        duties: vec![owned_duty()],
     }
 }
 
@@ -396,7 +396,7 @@
         OperatorRequest::WorkEnded("d".into()),
     ]);
     lines.add_all(answers().into_iter().map(OperatorResponse::Response));
-    let owned = OwnedDuty {
+    let owned = OwnershipConfirmation {
         token: 1,
         remaining_millis: 2,
         is_recalled: true,
--- a/crates/loomflow-server/src/fleet/command/job_process.rs
+++ b/crates/loomflow-server/src/fleet/command/job_process.rs
@@ -13,7 +13,7 @@
 use loomflow_fleet::duty::supervisor::{ProcessSupervisor, StopReason, StopSignal};
 use loomflow_fleet::duty::{DutyName, Token};
 use loomflow_fleet::member::Millis;
-use loomflow_fleet::operator::{OperatorRequest, OperatorResponse, OwnedDuty};
+use loomflow_fleet::operator::{OperatorRequest, OperatorResponse, OwnershipConfirmation};
 use rustix::process::{Pid, Signal, kill_process_group};
 
 use super::client::call;
@@ -43,7 +43,7 @@
 
 /// A duty that the server owns, and until when by the clock of this machine.
 struct Ownership {
-    duty: OwnedDuty,
+    duty: OwnershipConfirmation,
     valid_until: Millis,
 }
 
@@ -104,7 +104,7 @@
     }
 }
 
-fn start(options: &RunOptions, duty: &OwnedDuty) -> Result<Child, CommandError> {
+fn start(options: &RunOptions, duty: &OwnershipConfirmation) -> Result<Child, CommandError> {
     let (program, arguments) =
         options.command.split_first().expect("a command line without a program is refused");
     Command::new(program)
--- a/crates/loomflow-server/src/fleet/driver.rs
+++ b/crates/loomflow-server/src/fleet/driver.rs
@@ -7,7 +7,7 @@
 
 use loomflow_fleet::member::Millis;
 use loomflow_fleet::node::{BootstrapError, Effect, Node};
-use loomflow_fleet::operator::{OperatorRequest, OperatorResponse, OwnedDuty};
+use loomflow_fleet::operator::{OperatorRequest, OperatorResponse, OwnershipConfirmation};
 use mio::event::Event;
 use mio::{Events, Poll, Token};
 
@@ -175,13 +175,13 @@
     fn check_ownership(&mut self, duty: &str, now: Millis) -> OperatorResponse {
         let Some(token) = self.node.owned_token(duty, now) else { return OperatorResponse::NotOwned };
         self.jobs.external_work_seen(duty, now);
-        let grant = self.node.grant(duty);
-        OperatorResponse::Owned(OwnedDuty {
+        let owned = self.node.session_duty(duty);
+        OperatorResponse::Owned(OwnershipConfirmation {
             token,
             remaining_millis: self.node.owned_until().saturating_sub(now),
-            is_recalled: grant.is_some_and(|grant| grant.is_recalled),
+            is_recalled: owned.is_some_and(|owned| owned.is_recalled),
             lease_settings: self.node.lease_settings(),
-            checkpoint: grant.map(|grant| grant.checkpoint.clone()).unwrap_or_default(),
+            checkpoint: owned.map(|owned| owned.checkpoint.clone()).unwrap_or_default(),
         })
     }
 
--- a/crates/loomflow-server/src/fleet/jobs.rs
+++ b/crates/loomflow-server/src/fleet/jobs.rs
@@ -10,7 +10,7 @@
 
 use loomflow_fleet::duty::client_session::OwnershipChange;
 use loomflow_fleet::duty::job::{Exit, JobAction, JobRuns};
-use loomflow_fleet::duty::{self, DutyName, Grant, OwnerUpdate, Token};
+use loomflow_fleet::duty::{self, DutyName, OwnedDuty, OwnerUpdate, Token};
 use loomflow_fleet::maintenance::Response;
 use loomflow_fleet::member::{Millis, RequestId};
 use loomflow_fleet::node::Node;
@@ -86,8 +86,8 @@
     /// A duty was acquired, is to be released, or is lost.
     pub fn ownership_changed(&mut self, change: OwnershipChange, node: &mut Node, now: Millis) {
         match change {
-            OwnershipChange::Acquired(grant) if self.configured.contains_key(&grant.duty) => {
-                self.acquire(grant);
+            OwnershipChange::Acquired(owned) if self.configured.contains_key(&owned.duty) => {
+                self.acquire(owned);
             }
             OwnershipChange::Acquired(_) => {}
             OwnershipChange::ReleaseRequested(duty, _) if self.owned.contains_key(&duty) => {}
@@ -101,10 +101,10 @@
         }
     }
 
-    fn acquire(&mut self, grant: Grant) {
+    fn acquire(&mut self, owned: OwnedDuty) {
         // A process of a former token may still be ending: it sees that it is not the owner's any more.
-        let job = OwnedJob { runs: JobRuns::new(&grant), child: None };
-        let former = self.owned.insert(grant.duty, job).and_then(|former| former.child);
+        let job = OwnedJob { runs: JobRuns::new(&owned), child: None };
+        let former = self.owned.insert(owned.duty, job).and_then(|former| former.child);
         if let Some(child) = former {
             // By a signal that it handles: it ends the job's group before itself.
             send_signal(&child, Signal::TERM);
@@ -120,7 +120,7 @@
     /// Whoever did a duty's work outside of this server has ended.
     pub fn external_work_ended(&mut self, duty: &str, node: &mut Node, now: Millis) {
         self.external_work.remove(duty);
-        if node.grant(duty).is_some_and(|grant| grant.is_recalled) {
+        if node.session_duty(duty).is_some_and(|owned| owned.is_recalled) {
             node.release(duty, now);
         }
     }
@@ -143,8 +143,8 @@
                 Response::Duty(duty::Response::Rejected(rejection)) => Some(Err(rejection.clone())),
                 _ => None,
             };
-            let grant = valid_grant(node, &duty, now);
-            let action = job.runs.begin_answered(result.as_ref(), grant.as_ref(), now);
+            let owned = currently_owned(node, &duty, now);
+            let action = job.runs.begin_answered(result.as_ref(), owned.as_ref(), now);
             self.carry_out(&duty, action, node, now);
         }
         true
@@ -178,10 +178,10 @@
 
     /// Does what a duty calls for now.
     fn advance(&mut self, duty: &DutyName, node: &mut Node, now: Millis, unix_seconds: u64) {
-        let grant = valid_grant(node, duty, now);
+        let owned = currently_owned(node, duty, now);
         let Some(job) = self.owned.get_mut(duty) else { return };
-        let action = job.runs.step(grant.as_ref(), now, unix_seconds);
-        if grant.is_none() && !job.runs.is_running() {
+        let action = job.runs.step(owned.as_ref(), now, unix_seconds);
+        if owned.is_none() && !job.runs.is_running() {
             self.owned.remove(duty);
         }
         self.carry_out(duty, action, node, now);
@@ -247,9 +247,9 @@
     }
 }
 
-/// The grant of a duty that this server owns at this moment.
-fn valid_grant(node: &Node, duty: &str, now: Millis) -> Option<Grant> {
-    node.owned_token(duty, now).and_then(|_| node.grant(duty)).cloned()
+/// A duty, where this server owns it at this moment.
+fn currently_owned(node: &Node, duty: &str, now: Millis) -> Option<OwnedDuty> {
+    node.owned_token(duty, now).and_then(|_| node.session_duty(duty)).cloned()
 }
 
 fn exit(status: ExitStatus) -> Exit {
