--- a/crates/loomflow-amqp/src/backoff.rs
+++ b/crates/loomflow-amqp/src/backoff.rs
@@ -5,9 +5,6 @@
 
 use crate::Millis;
 
-#[cfg(test)]
-mod tests;
-
 /// Bounds on the upper limit of a backoff: on the first, and on all.
 const MIN_LIMIT_MS: Millis = 100.0;
 const MAX_LIMIT_MS: Millis = 20_000.0;
@@ -53,3 +50,6 @@
         self.random.f64() * self.limit.advance()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-amqp/src/consumer/mod.rs
+++ b/crates/loomflow-amqp/src/consumer/mod.rs
@@ -9,8 +9,6 @@
 mod flow_control;
 mod inbound;
 mod outbound;
-#[cfg(test)]
-mod tests;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -470,3 +468,6 @@
         self.records.len()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-amqp/src/consumer_pool.rs
+++ b/crates/loomflow-amqp/src/consumer_pool.rs
@@ -10,9 +10,6 @@
 
 use crate::Millis;
 
-#[cfg(test)]
-mod tests;
-
 /// Two of each, so that a window can grow by little without cancelling consumers that run.
 pub const PREFETCH_COUNTS: [u16; 18] = [1, 1, 2, 2, 4, 4, 8, 8, 16, 16, 32, 32, 64, 64, 128, 128, 256, 256];
 /// All consumers together.
@@ -235,3 +232,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-amqp/src/content.rs
+++ b/crates/loomflow-amqp/src/content.rs
@@ -5,9 +5,6 @@
 use amq_protocol::protocol::basic::{AMQPMethod, AMQPProperties, Deliver, Return};
 use loomflow_protocol::Malformed;
 
-#[cfg(test)]
-mod tests;
-
 /// Class id of `basic`, the only class with content (specification 1.8).
 pub const BASIC_CLASS_ID: u16 = 60;
 
@@ -113,3 +110,6 @@
         self.partial.take_if(|partial| partial.remaining == Some(0)).map(|partial| partial.content)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-amqp/src/failure_reason.rs
+++ b/crates/loomflow-amqp/src/failure_reason.rs
@@ -2,9 +2,6 @@
 
 use std::fmt;
 
-#[cfg(test)]
-mod tests;
-
 /// Why a message failed or was dead-lettered, as its `x-loomflow-reason` header states it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailureReason(&'static str);
@@ -57,3 +54,6 @@
         f.write_str(self.0)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-amqp/src/idempotency.rs
+++ b/crates/loomflow-amqp/src/idempotency.rs
@@ -19,9 +19,6 @@
 use crate::Millis;
 use crate::retired_keys::RetiredKeys;
 
-#[cfg(test)]
-mod tests;
-
 /// Names a delivery for as long as the process lives.
 pub type DeliveryId = u64;
 /// Identifies a copy that was republished from here; the sender's own message has none.
@@ -429,3 +426,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-amqp/src/publisher.rs
+++ b/crates/loomflow-amqp/src/publisher.rs
@@ -7,9 +7,6 @@
 
 use crate::Millis;
 
-#[cfg(test)]
-mod tests;
-
 /// A broker that has not confirmed by then never will, on this connection.
 const CONFIRM_TIMEOUT_MS: Millis = 15_000.0;
 
@@ -167,3 +164,6 @@
         ids.into_iter().map(|id| (id, result(id))).collect()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-amqp/src/retired_keys.rs
+++ b/crates/loomflow-amqp/src/retired_keys.rs
@@ -9,9 +9,6 @@
 
 use crate::Millis;
 
-#[cfg(test)]
-mod tests;
-
 /// Parts of the retention in which keys are forgotten together.
 const GENERATIONS: f64 = 8.0;
 
@@ -90,3 +87,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-amqp/src/settlement.rs
+++ b/crates/loomflow-amqp/src/settlement.rs
@@ -11,9 +11,6 @@
 use crate::idempotency::RunResult;
 use crate::publisher::PublishResult;
 
-#[cfg(test)]
-mod tests;
-
 /// Between two attempts to publish.
 const MIN_PUBLISH_BACKOFF_MS: Millis = 100.0;
 const MAX_PUBLISH_BACKOFF_MS: Millis = 30_000.0;
@@ -338,3 +335,6 @@
         };
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-amqp/src/window.rs
+++ b/crates/loomflow-amqp/src/window.rs
@@ -14,9 +14,6 @@
 
 use crate::Millis;
 
-#[cfg(test)]
-mod tests;
-
 /// Smallest size, messages: without one in flight nothing is observed.
 const MIN_SIZE: f64 = 1.0;
 /// A decrease multiplies the size by this, as it does the controller's concurrency limit.
@@ -191,3 +188,6 @@
     }
     parts
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-backoff/src/exponential.rs
+++ b/crates/loomflow-backoff/src/exponential.rs
@@ -2,9 +2,6 @@
 
 use crate::Millis;
 
-#[cfg(test)]
-mod tests;
-
 /// Factor from one delay to the next.
 const GROWTH: Millis = 2.0;
 /// Delays do not grow after so many attempts; the power of the factor stays far from overflow.
@@ -52,3 +49,6 @@
         self.delay = self.initial;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-backoff/src/reconnect.rs
+++ b/crates/loomflow-backoff/src/reconnect.rs
@@ -2,9 +2,6 @@
 
 use crate::{ExponentialBackoff, Millis};
 
-#[cfg(test)]
-mod tests;
-
 /// The backoff before a lost connection is opened again. Only a connection that was up for long enough resets it, so that
 /// a peer that accepts connections and drops them is not connected to in a hot loop.
 #[derive(Clone, Debug)]
@@ -49,3 +46,6 @@
         self.backoff.advance()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-idempotency/src/body_hasher.rs
+++ b/crates/loomflow-idempotency/src/body_hasher.rs
@@ -2,9 +2,6 @@
 
 use std::hash::{BuildHasher, RandomState};
 
-#[cfg(test)]
-mod tests;
-
 /// Digests bodies. Randomly seeded at each start, so that nobody can craft two bodies with the same digest.
 #[derive(Clone, Debug, Default)]
 pub struct BodyHasher(RandomState);
@@ -15,3 +12,6 @@
         self.0.hash_one(body)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-idempotency/src/result_budget.rs
+++ b/crates/loomflow-idempotency/src/result_budget.rs
@@ -2,9 +2,6 @@
 
 use std::collections::BTreeMap;
 
-#[cfg(test)]
-mod tests;
-
 /// Position of a result in the order in which results were retained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ResultSequence(u64);
@@ -68,3 +65,6 @@
         Some(oldest.owner)
     }
 }
+
+#[cfg(test)]
+mod tests;
