--- a/crates/loomflow-amqp/src/consumer/inbound.rs
+++ b/crates/loomflow-amqp/src/consumer/inbound.rs
@@ -76,8 +76,9 @@
             }
             Envelope::Deliver(deliver) => deliver,
         };
-        let (queue, consumer) = self.count_delivery(channel, deliver.redelivered)?;
-        let id = self.last_delivery;
+        let (queue, consumer) =
+            self.consumer_of(channel).ok_or(Malformed("a message on a channel without a consumer"))?;
+        let id = self.count_delivery(queue, consumer, deliver.redelivered)?;
         let delivery = Delivery {
             queue,
             consumer,
@@ -94,25 +95,27 @@
         };
         self.deliveries.insert(id, delivery);
         if content.is_too_large {
-            self.finish(id, &MessageOutcome::Invalid(FailureReason::TOO_LARGE), now);
+            self.begin_settlement(id, &MessageOutcome::Invalid(FailureReason::TOO_LARGE), now);
         } else {
             self.process(id, now);
         }
         Ok(())
     }
 
-    /// Counts a delivery; returns the index of its queue and of its consumer.
-    fn count_delivery(&mut self, channel: Channel, redelivered: bool) -> Result<(usize, usize), Malformed> {
-        let Some((queue, consumer)) = self.consumer_of(channel) else {
-            return Err(Malformed("a message on a channel without a consumer"));
-        };
+    /// Counts a delivery to a consumer of a queue; returns its id.
+    fn count_delivery(
+        &mut self,
+        queue: usize,
+        consumer: usize,
+        redelivered: bool,
+    ) -> Result<DeliveryId, Malformed> {
         if !self.queues[queue].pool.delivered(consumer) {
             return Err(Malformed("far more messages than were asked for"));
         }
         self.last_delivery += 1;
         self.counts.delivered += 1;
         self.counts.redelivered += u64::from(redelivered);
-        Ok((queue, consumer))
+        Ok(self.last_delivery)
     }
 
     /// When a message was sent; never later than now, whatever the sender's clock says.
@@ -137,7 +140,7 @@
         let Some(delivery) = self.deliveries.get(&id) else { return };
         let (classification, key) = match self.classify(delivery) {
             Ok(classified) => classified,
-            Err(why) => return self.finish(id, &MessageOutcome::Invalid(why), now),
+            Err(why) => return self.begin_settlement(id, &MessageOutcome::Invalid(why), now),
         };
         let info = MessageInfo {
             has_effect: classification.has_effect,
@@ -152,21 +155,21 @@
         delivery.key = key;
         match decision {
             DuplicateDecision::Run if self.is_intake_stopped || !self.is_accepting => {
-                self.finish_with_waiters(id, &MessageOutcome::Returned, now);
+                self.begin_settlement_with_waiters(id, &MessageOutcome::Returned, now);
             }
             DuplicateDecision::Run => self.submit(id, classification, now),
             DuplicateDecision::AwaitOriginal => delivery.phase = Phase::AwaitingOriginal,
             DuplicateDecision::Superseded | DuplicateDecision::AnswerFromRecord { is_answered: true, .. } => {
-                self.finish(id, &MessageOutcome::AlreadyAnswered, now);
+                self.begin_settlement(id, &MessageOutcome::AlreadyAnswered, now);
             }
             DuplicateDecision::AnswerFromRecord { result, .. } => {
-                self.finish(id, &MessageOutcome::Finished(result), now);
+                self.begin_settlement(id, &MessageOutcome::Finished(result), now);
             }
-            DuplicateDecision::MayHaveRun => self.finish(id, &MessageOutcome::MayHaveRun, now),
+            DuplicateDecision::MayHaveRun => self.begin_settlement(id, &MessageOutcome::MayHaveRun, now),
             DuplicateDecision::BodyMismatch => {
                 // What becomes of it is nothing to the original of its key.
                 delivery.key = None;
-                self.finish(id, &MessageOutcome::Invalid(FailureReason::KEY_MISMATCH), now);
+                self.begin_settlement(id, &MessageOutcome::Invalid(FailureReason::KEY_MISMATCH), now);
             }
         }
     }
--- a/crates/loomflow-amqp/src/consumer/mod.rs
+++ b/crates/loomflow-amqp/src/consumer/mod.rs
@@ -9,8 +9,6 @@
 mod flow_control;
 mod inbound;
 mod outbound;
-#[cfg(test)]
-mod tests;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -114,16 +112,16 @@
     pub redelivered: u64,
     /// Replies that were confirmed.
     pub replied: u64,
-    /// Messages that were requeued after a rejection.
-    pub put_back: u64,
-    /// Dead letters.
-    pub dead: u64,
+    /// Messages that were published to their queue again, and confirmed.
+    pub republished: u64,
+    /// Messages that were published as dead letters, and confirmed.
+    pub dead_lettered: u64,
     /// Messages settled by `basic.ack`.
-    pub acked: u64,
+    pub acks: u64,
     /// Messages settled by `basic.nack`.
-    pub requeued: u64,
+    pub nacks: u64,
     /// Messages settled by `basic.reject`.
-    pub rejected: u64,
+    pub rejects: u64,
 }
 
 /// The consumer of one broker's queues.
@@ -274,7 +272,7 @@
                 self.log(&format!("the publishing channel was closed: {why}"));
                 self.reopen_at = Some(now + REOPEN_BACKOFF_MS);
                 let results = self.publisher.channel_closed();
-                self.publishes_finished(results, now);
+                self.handle_publish_results(results, now);
             }
             ConnectionEvent::ChannelClosed(channel, why) => {
                 self.log(&format!("a consumer's channel was closed: {why}"));
@@ -355,11 +353,11 @@
             }
             AMQPMethod::Ack(ack) if channel == PUBLISH_CHANNEL => {
                 let results = self.publisher.confirmed(ack.delivery_tag, ack.multiple, true, now);
-                self.publishes_finished(results, now);
+                self.handle_publish_results(results, now);
             }
             AMQPMethod::Nack(nack) if channel == PUBLISH_CHANNEL => {
                 let results = self.publisher.confirmed(nack.delivery_tag, nack.multiple, false, now);
-                self.publishes_finished(results, now);
+                self.handle_publish_results(results, now);
             }
             _ => return Err(Malformed("a method out of order")),
         }
@@ -428,7 +426,7 @@
             |delivery: &Delivery| delivery.is_submitted() && delivery.run_started_at.is_none();
         for id in self.deliveries_where(is_not_started) {
             self.requests.push(ConsumerRequest::Cancel(id));
-            self.finish_with_waiters(id, &MessageOutcome::Returned, now);
+            self.begin_settlement_with_waiters(id, &MessageOutcome::Returned, now);
         }
         self.flush(now);
     }
@@ -470,3 +468,6 @@
         self.records.len()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-fleet/src/duty/mod.rs
+++ b/crates/loomflow-fleet/src/duty/mod.rs
@@ -11,8 +11,15 @@
 //! - [`schedule`]: when a duty with a schedule is due, and what happens to missed runs.
 //! - [`summary`]: the duty that sums the fleet up.
 //!
+//! A server has a **session** while it renews it. A **lease** records in the state which server owns a duty and by which
+//! fencing token; it lasts as long as its owner's session. [`Ownership`] is what an owner is told: its session, and for each of
+//! its leases an [`OwnedDuty`].
+//!
 //! Time separates two owners while clocks behave, and only to spare them useless work: what protects the fleet's effects is
 //! the fencing token and the receiver's fence.
+//!
+//! Many fields and variants have another name in JSON, which operators' tools read: `#[serde(rename)]` keeps that name. The
+//! log and snapshots are postcard, which holds no names.
 
 pub mod assign;
 mod attempts;
@@ -43,7 +50,7 @@
 pub const MAX_DUTIES: usize = 2_048;
 /// What an owner may write for the next one, bytes.
 pub const MAX_CHECKPOINT_BYTES: usize = 1_024;
-/// A longer reason is truncated, bytes.
+/// Maximum length of a reason that is stored, bytes: of a ticket a longer one is rejected, elsewhere it is truncated.
 pub const MAX_REASON_BYTES: usize = 256;
 /// The rates of two machines' boot-time clocks differ by at most this fraction. Beyond it two may believe that they own a
 /// duty; the fence then still lets only the later one through.
@@ -184,12 +191,12 @@
     pub lease_settings: LeaseSettings,
     /// What is owned.
     #[serde(rename = "held")]
-    pub grants: Vec<Grant>,
+    pub duties: Vec<OwnedDuty>,
 }
 
-/// One duty of an owner.
+/// One duty that a server owns, as its owner is told of it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Grant {
+pub struct OwnedDuty {
     /// The duty.
     pub duty: DutyName,
     /// The owner's fencing token.
@@ -361,7 +368,9 @@
     if (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.contains(char::is_control) {
         Ok(())
     } else {
-        Err(Rejection::Invalid("a duty's name has 1 to 64 bytes, none of them a control".into()))
+        Err(Rejection::Invalid(format!(
+            "a duty's name has 1 to {MAX_NAME_BYTES} bytes, none of them a control"
+        )))
     }
 }
 
