--- a/crates/loomflow-server/tests/command_line.rs
+++ b/crates/loomflow-server/tests/command_line.rs
@@ -93,7 +93,7 @@
     fixture.start("exec \"$0\" serve");
     assert_eq!(fixture.exit_code(), Some(1));
     // One line as it begins to wait, and one as it gives up; both name the address.
-    let log = fixture.log();
+    let log = fixture.complete_log();
     let lines: Vec<&str> = log.lines().collect();
     let (waits, gives_up) = ("the address is in use: waiting for it", "listen: cannot bind");
     assert!(lines.len() == 2 && lines[0].contains(waits) && lines[1].contains(gives_up), "{log}");
@@ -108,7 +108,7 @@
     fixture.start("exec \"$0\" serve");
     std::thread::sleep(QUIET_PERIOD);
     assert!(fixture.is_running());
-    drop(taken);
+    release(taken);
     let mut gateway = fixture.gateway();
     gateway.send(&health(1, false));
     assert_eq!(gateway.response().status, "UP");
--- a/crates/loomflow-standins/src/base.rs
+++ b/crates/loomflow-standins/src/base.rs
@@ -1,6 +1,6 @@
 //! Shared parts of the stand-ins: timeouts, loopback addresses and the settings of a small site.
 
-use std::net::{SocketAddr, TcpListener};
+use std::net::{Shutdown, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
@@ -13,7 +13,19 @@
 
 /// A free loopback address.
 pub fn loopback_address() -> SocketAddr {
-    loopback_listener().local_addr().expect("an address")
+    let listener = loopback_listener();
+    let address = listener.local_addr().expect("an address");
+    release(listener);
+    address
+}
+
+/// Ends a listener: from here on nobody can connect to it.
+///
+/// Closing it does not suffice. A child process that another thread is just starting has copies of all descriptors until it
+/// executes its program, and until then the system accepts connections, which are reset when the last copy is closed.
+pub fn release(listener: TcpListener) {
+    socket2::SockRef::from(&listener).shutdown(Shutdown::Read).expect("it listens no longer");
+    drop(listener);
 }
 
 /// A listener on a free loopback address.
--- a/crates/loomflow-standins/src/lib.rs
+++ b/crates/loomflow-standins/src/lib.rs
@@ -16,7 +16,7 @@
 
 pub mod server_fixture;
 
-pub use base::{QUIET_PERIOD, RESPONSE_TIMEOUT, class, loopback_address, loopback_listener, site};
+pub use base::{QUIET_PERIOD, RESPONSE_TIMEOUT, class, loopback_address, loopback_listener, release, site};
 pub use broker::Broker;
 pub use control::Control;
 pub use engine::Engine;
--- a/crates/loomflow-standins/src/server_fixture.rs
+++ b/crates/loomflow-standins/src/server_fixture.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
 use std::sync::{Arc, Mutex};
-use std::thread;
+use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
@@ -48,6 +48,8 @@
     draining: Vec<Child>,
     has_closed_log: bool,
     log: Arc<Mutex<String>>,
+    /// The readers of the log, one for each process.
+    log_readers: Vec<JoinHandle<()>>,
 }
 
 impl ServerFixture {
@@ -90,6 +92,7 @@
             draining: Vec::new(),
             has_closed_log: false,
             log: Arc::default(),
+            log_readers: Vec::new(),
         }
     }
 
@@ -182,12 +185,13 @@
             return;
         }
         let log = self.log.clone();
-        thread::spawn(move || {
+        let reader = thread::spawn(move || {
             let mut bytes = [0; 1024];
             while let Ok(count @ 1..) = errors.read(&mut bytes) {
                 log.lock().unwrap().push_str(&String::from_utf8_lossy(&bytes[..count]));
             }
         });
+        self.log_readers.push(reader);
         self.child = Some(child);
     }
 
@@ -220,6 +224,16 @@
         self.log.lock().unwrap().clone()
     }
 
+    /// The log of a server that has ended, to its last line: what it wrote last is read only some time after its end.
+    pub fn complete_log(&self) -> String {
+        let until = Instant::now() + RESPONSE_TIMEOUT;
+        while !self.log_readers.iter().all(JoinHandle::is_finished) {
+            assert!(Instant::now() < until, "the log does not end: {}", self.log());
+            thread::sleep(Duration::from_millis(5));
+        }
+        self.log()
+    }
+
     /// Waits until the log contains a text.
     pub fn wait_for_log(&self, text: &str) {
         let until = Instant::now() + RESPONSE_TIMEOUT;
