--- a/crates/loomflow-standins/src/fleet.rs
+++ b/crates/loomflow-standins/src/fleet.rs
@@ -10,6 +10,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
+use rustix::io::Errno;
 use rustix::process::{Pid, Resource, Rlimit, Signal, kill_process, prlimit};
 use serde_json::Value;
 
@@ -41,6 +42,8 @@
     folder: PathBuf,
     /// Seed of the random faults.
     pub seed: u64,
+    /// Processes that are paused and not continued yet.
+    paused: Vec<u32>,
     /// Actions of the test, with their times.
     timeline: Vec<(Instant, String)>,
 }
@@ -131,8 +134,14 @@
             let worker = Worker::start(plan.cores, plan.work);
             Member { fixture, worker, state, address: addresses[member_index] }
         });
-        let mut fleet =
-            Fleet { members: members.collect(), relays, folder, seed: plan.seed, timeline: Vec::new() };
+        let mut fleet = Fleet {
+            members: members.collect(),
+            relays,
+            folder,
+            seed: plan.seed,
+            paused: Vec::new(),
+            timeline: Vec::new(),
+        };
         (0..plan.members).for_each(|member_index| fleet.start_member(member_index));
         fleet
     }
@@ -186,17 +195,23 @@
         self.members[member_index].fixture.signal("CONT");
     }
 
-    /// Pauses a server and all its child processes (SIGSTOP); returns their ids, its own first.
+    /// Pauses a server and all its child processes (SIGSTOP); returns the ids of those that are stopped, its own first.
+    ///
+    /// A signal arrives some time after it was sent, and until then a process may start another or reap one that has ended. So
+    /// each is seen to stand still before its children are listed: from then on they are what it has.
     pub fn pause_process_tree(&mut self, member_index: usize) -> Vec<u32> {
         self.note(format!("{} and all that it started are stopped", name(member_index)));
-        let mut all = vec![self.members[member_index].fixture.pid()];
-        // A paused process starts no further ones.
+        let server = self.members[member_index].fixture.pid();
+        assert!(stop(server), "{} has ended\n{}", name(member_index), self.diagnostics());
+        let mut all = vec![server];
         let mut next = 0;
-        while let Some(pid) = all.get(next).copied() {
-            kill_process(Pid::from_raw(pid as i32).expect("an id"), Signal::STOP).expect("it is stopped");
-            all.extend(children(pid));
+        while let Some(parent) = all.get(next).copied() {
+            // One that ended before it was stopped is no longer part of the tree.
+            let found: Vec<u32> = children(parent).into_iter().filter(|pid| stop(*pid)).collect();
+            all.extend(found);
             next += 1;
         }
+        self.paused.extend(&all);
         all
     }
 
@@ -206,6 +221,7 @@
         for pid in all.iter().rev().filter_map(|pid| Pid::from_raw(*pid as i32)) {
             let _ = kill_process(pid, Signal::CONT);
         }
+        self.paused.retain(|pid| !all.contains(pid));
     }
 
     /// A directory for files of jobs.
@@ -392,7 +408,37 @@
     }
 }
 
-/// The running child processes of a process.
+/// Stops a process (SIGSTOP) and waits until all its threads stand still; false if it has ended.
+fn stop(pid: u32) -> bool {
+    match kill_process(Pid::from_raw(pid as i32).expect("an id"), Signal::STOP) {
+        Err(Errno::SRCH) => return false,
+        sent => sent.expect("it is stopped"),
+    }
+    let until = Instant::now() + WAIT_TIMEOUT;
+    loop {
+        let states = thread_states(pid);
+        if states.iter().all(|state| matches!(state, 'Z' | 'X')) {
+            return false;
+        }
+        if states.iter().all(|state| matches!(state, 'T' | 'Z' | 'X')) {
+            return true;
+        }
+        assert!(Instant::now() < until, "{pid} does not stop: {states:?}");
+        std::thread::sleep(Duration::from_millis(1));
+    }
+}
+
+/// The state letter of each thread of a process; none if it is gone.
+fn thread_states(pid: u32) -> Vec<char> {
+    let Ok(tasks) = std::fs::read_dir(format!("/proc/{pid}/task")) else { return Vec::new() };
+    let state = |task: std::io::Result<std::fs::DirEntry>| {
+        let stat = std::fs::read_to_string(task.ok()?.path().join("stat")).ok()?;
+        stat.rsplit_once(") ")?.1.chars().next()
+    };
+    tasks.filter_map(state).collect()
+}
+
+/// The child processes of a process.
 fn children(parent: u32) -> Vec<u32> {
     let entries = std::fs::read_dir("/proc").expect("processes");
     let child = |entry: std::io::Result<std::fs::DirEntry>| {
@@ -408,6 +454,10 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         self.members.iter_mut().for_each(|member| member.fixture.kill());
+        // After a failure: what is still paused cannot end by itself.
+        for pid in self.paused.iter().filter_map(|pid| Pid::from_raw(*pid as i32)) {
+            let _ = kill_process(pid, Signal::KILL);
+        }
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
