--- a/crates/loomflow-server/tests/duties.rs
+++ b/crates/loomflow-server/tests/duties.rs
@@ -1,6 +1,8 @@
 //! Duties of a fleet of real servers, with faults between them. Judged by what the jobs left in files behind a fence: who
 //! wrote, by which token, in which order; and by processes.
 
+use std::fs::{File, OpenOptions};
+use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
@@ -99,11 +101,23 @@
 fn an_owner_paused_between_check_and_effect_is_fenced_off() {
     let mut fleet = Fleet::start_bootstrapped(FOUR);
     let first = written_after(&fleet, 0);
+    // Between check and effect: the job was started by the owner, and its effect stands before the fence, which is held shut.
+    // One that is stopped behind it would have the lock, and all who come later would wait until it goes on.
+    let gate = shut_fence(&fleet);
+    let mut effect = None;
+    fleet.wait_until("its effect stands before the fence", |_| {
+        effect = waits_for(&gate);
+        effect.is_some()
+    });
     let one = owned(&fleet, 0, "writes");
     let by = (one + 1) % 4;
-    // The server, the process that watches over the job, and the job: nothing of it can end itself in time.
+    // The server, the process that watches over the job, the job, and its effect: nothing of it can end itself in time.
     let all = fleet.pause_process_tree(one);
-    assert!(all.len() >= 3, "{all:?}");
+    assert!(all.len() >= 4, "{all:?}");
+    let effect = effect.expect("found above");
+    assert!(all[3..].contains(&effect), "{effect} of {all:?}\n{}", fleet.diagnostics());
+    // Not only closed: a process that another test is just starting may have a copy.
+    gate.unlock().expect("the lock is given up");
     let second = written_after(&fleet, first);
     let other = owned(&fleet, by, "writes");
     assert_ne!(other, one);
@@ -118,6 +132,25 @@
     in_order(&fleet);
 }
 
+/// Takes the lock of the jobs' fence: until it is given up, whoever comes with a token waits, and nothing is let in.
+fn shut_fence(fleet: &Fleet) -> File {
+    let lock = OpenOptions::new().create(true).append(true).open(fleet.folder().join("fence.lock"));
+    let lock = lock.expect("the lock's file");
+    lock.lock().expect("the lock");
+    lock
+}
+
+/// The process that waits for this lock.
+fn waits_for(lock: &File) -> Option<u32> {
+    let ending = format!(":{}", lock.metadata().expect("the lock's file").ino());
+    let locks = std::fs::read_to_string("/proc/locks").expect("locks");
+    // Such a line: `7: -> FLOCK  ADVISORY  WRITE 28392 fe:00:10125384 0 EOF`, with the process and the file's number.
+    locks.lines().find_map(|line| {
+        let words: Vec<&str> = line.split_whitespace().collect();
+        (words.get(1) == Some(&"->") && words.get(6)?.ends_with(&ending)).then(|| words[5].parse().ok())?
+    })
+}
+
 fn runs(pid: u32) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     stat.rsplit_once(") ").is_some_and(|(_, rest)| !rest.starts_with('Z'))
