--- a/crates/loomflow-server/src/front/resp/connections/interleavings.rs
+++ b/crates/loomflow-server/src/front/resp/connections/interleavings.rs
@@ -31,7 +31,8 @@
     /// What the peer says is no message, or it closes its side.
     Malformed(u64),
     HalfClose(u64),
-    Pass(u64),
+    /// Time passes, then the owner handles a batch; meanwhile the driver at this place may have a turn (0: none has).
+    Pass(u64, u64),
     Leave,
 }
 
@@ -45,7 +46,7 @@
         4 => (connection(), any::<bool>()).prop_map(|(id, oldest)| Step::Answer(id, oldest)),
         1 => connection().prop_map(Step::Malformed),
         1 => connection().prop_map(Step::HalfClose),
-        3 => (1..700u64).prop_map(Step::Pass),
+        3 => (1..700u64, 0..=CONNECTIONS).prop_map(|(ms, place)| Step::Pass(ms, place)),
         1 => Just(Step::Leave),
     ]
 }
@@ -280,10 +281,14 @@
         }
     }
 
-    /// Time passes. A machine that leaves is not held up for more than a fraction of the time that it has for that.
-    fn pass(&mut self, ms: f64) -> Result<(), TestCaseError> {
+    /// Time passes, and the owner handles a batch as in `process_batch`: all that was told before, and deadlines after that. What
+    /// a driver tells between the two is left for the next batch. A machine that leaves is not held up for more than a fraction
+    /// of the time that it has for that.
+    fn pass(&mut self, ms: f64, place: u64) -> Result<(), TestCaseError> {
         let most = self.left_at.map_or(f64::INFINITY, |at| (at + HELD_UP - self.now).max(0.0));
         self.now += ms.min(most);
+        self.take_in(usize::MAX)?;
+        self.drive(place, usize::MAX);
         self.sweep()
     }
 
@@ -317,7 +322,7 @@
             Step::Answer(id, oldest) => self.answer(id, oldest),
             Step::Malformed(id) => self.end_of_reading(id, CloseReason::ProtocolViolation("nonsense")),
             Step::HalfClose(id) => self.end_of_reading(id, CloseReason::PeerClosed),
-            Step::Pass(ms) => self.pass(ms as f64)?,
+            Step::Pass(ms, place) => self.pass(ms as f64, place)?,
             Step::Leave => self.leave(),
         }
         Ok(())
