--- a/crates/loomflow-server/tests/duties.rs
+++ b/crates/loomflow-server/tests/duties.rs
@@ -70,6 +70,16 @@
     owner(fleet, by, duty).expect("an owner")
 }
 
+/// As [`owned`], until the owner knows of it itself: the leader knows it first, and the owner is told after that.
+fn owned_and_told(fleet: &Fleet, by: usize, duty: &str) -> usize {
+    let one = owned(fleet, by, duty);
+    let question = serde_json::json!({ "Owns": duty }).to_string();
+    fleet.wait_until("its owner knows it", |fleet| {
+        !fleet.send_operator_line(one, &question)["Owned"].is_null()
+    });
+    one
+}
+
 /// Waits until it is written by a later token than this.
 fn written_after(fleet: &Fleet, before: u64) -> u64 {
     fleet.wait_until("a later owner writes", |fleet| token(fleet) > before);
@@ -154,7 +164,7 @@
 #[test]
 fn duty_run_runs_only_as_owner_and_reports_it_by_its_exit_code() {
     let mut fleet = Fleet::start_bootstrapped(FOUR);
-    let one = owned(&fleet, 0, "by-hand");
+    let one = owned_and_told(&fleet, 0, "by-hand");
     let other = (one + 1) % 4;
     assert_eq!(fleet.run_command_with(other, &["duty", "run", "by-hand"], &["true"]).0, 3);
     let (code, told, _) =
@@ -172,7 +182,7 @@
     assert_eq!(ended.status.code(), Some(4));
     fleet.wait_until("another owns it", |fleet| owner(fleet, other, "by-hand").is_some_and(|now| now != one));
     // A server that is gone answers nobody: what was started ends by itself before the lease is over.
-    let now = owned(&fleet, other, "by-hand");
+    let now = owned_and_told(&fleet, other, "by-hand");
     std::fs::remove_file(folder.join("began")).unwrap();
     let waits = fleet.spawn(now, &["duty", "run", "by-hand"], &["sh", "-c", &script]);
     fleet.wait_until("it runs", |fleet| fleet.folder().join("began").exists());
