--- a/crates/loomflow-amqp/tests/model.rs
+++ b/crates/loomflow-amqp/tests/model.rs
@@ -1,4 +1,4 @@
-//! Model-based test of consumers against the state of the stand-in broker, without sockets: generated sequences of
+//! Model-based test of consumers against the state of the test broker, without sockets: generated sequences of
 //! redeliveries, lost frames, closed channels and connections, rejections, restarts and drains. Messages with an external
 //! effect run at most once, every message is finished, and none is settled twice.
 
@@ -9,8 +9,8 @@
 use loomflow_amqp::failure_reason::FailureReason;
 use loomflow_amqp::idempotency::NoHistory;
 use loomflow_amqp::*;
-use loomflow_standins::broker::state::{Faults, State};
-use loomflow_standins::broker::{Message, Settled, message};
+use loomflow_test_servers::broker::state::{Faults, State};
+use loomflow_test_servers::broker::{Message, Settled, message};
 use proptest::prelude::*;
 
 const GRACE: f64 = 1_000.0;
--- a/crates/loomflow-amqp/tests/overload.rs
+++ b/crates/loomflow-amqp/tests/overload.rs
@@ -10,8 +10,8 @@
 use loomflow_amqp::idempotency::NoHistory;
 use loomflow_amqp::*;
 use loomflow_settings::{JsonObject, Site};
-use loomflow_standins::broker::message;
-use loomflow_standins::broker::state::State;
+use loomflow_test_servers::broker::message;
+use loomflow_test_servers::broker::state::State;
 use proptest::prelude::*;
 
 const CORES: usize = 4;
@@ -43,7 +43,7 @@
 
 impl Simulation {
     fn new() -> Simulation {
-        let site = loomflow_standins::site(CALLER_TIMEOUT_MS);
+        let site = loomflow_test_servers::site(CALLER_TIMEOUT_MS);
         let site = Site::parse(&JsonObject::new("", &site).unwrap()).unwrap();
         let mut amqp = settings(true);
         (amqp.max_in_flight, amqp.max_unconfirmed) = (4_000, 256);
--- a/crates/loomflow-measure/src/against.rs
+++ b/crates/loomflow-benchmark/src/against.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use loomflow_standins::{ServerFixture, Worker, site};
+use loomflow_test_servers::{ServerFixture, Worker, site};
 
 use crate::process;
 use crate::report::Report;
--- a/crates/loomflow-measure/src/amqp.rs
+++ b/crates/loomflow-benchmark/src/amqp.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use loomflow_load::{BackgroundTask, Plan, Results, resp};
-use loomflow_standins::broker::{Broker, Faults, Message, message};
-use loomflow_standins::{ServerFixture, Worker, class, site};
+use loomflow_test_servers::broker::{Broker, Faults, Message, message};
+use loomflow_test_servers::{ServerFixture, Worker, class, site};
 use serde_json::Value;
 
 use crate::process;
--- a/crates/loomflow-measure/src/callers.rs
+++ b/crates/loomflow-benchmark/src/callers.rs
@@ -1,15 +1,15 @@
-//! A fleet that loses a part of itself for two seconds, in the model of `loomflow-lab`: whether it is back at its former
+//! A fleet that loses a part of itself for two seconds, in the model of `loomflow-overload-simulation`: whether it is back at its former
 //! service within ten seconds of the part's return, over sizes, prices of a handshake, faults and seeds.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 use std::thread;
 
-use loomflow_lab::fault::FaultKind;
-use loomflow_lab::quota::{SteadyTenant, judged_beyond};
-use loomflow_lab::recovery::{Recovery, Timeline, recovery};
-use loomflow_lab::setup::IdlePolicy;
-use loomflow_lab::setup::Setup;
+use loomflow_overload_simulation::fault::FaultKind;
+use loomflow_overload_simulation::quota::{SteadyTenant, judged_beyond};
+use loomflow_overload_simulation::recovery::{Recovery, Timeline, recovery};
+use loomflow_overload_simulation::setup::IdlePolicy;
+use loomflow_overload_simulation::setup::Setup;
 
 use crate::report::Report;
 
--- a/crates/loomflow-measure/src/main.rs
+++ b/crates/loomflow-benchmark/src/main.rs
@@ -1,4 +1,4 @@
-//! `loomflow-measure NAME [--quick]`: plays a measurement, prints its tables and one last line of figures, and exits with
+//! `loomflow-benchmark NAME [--quick]`: plays a measurement, prints its tables and one last line of figures, and exits with
 //! 1 where a bound breaks. Bounds are counts and ratios within one run, never times.
 
 #![forbid(unsafe_code)]
@@ -21,7 +21,7 @@
 use report::Report;
 
 const USAGE: &str = "\
-usage: loomflow-measure NAME [--quick]
+usage: loomflow-benchmark NAME [--quick]
   amqp             the AMQP front: rules, cost, overload, a long queue
   callers          a modelled fleet that loses a part of itself for two seconds: is it back within ten
   moments [PROGRAM]  the start, reports, connections that talk nonsense; of another build where one is named
@@ -132,7 +132,7 @@
     match parse_arguments().and_then(play) {
         Ok(report) => report.map_or(ExitCode::SUCCESS, Report::finish),
         Err(error) => {
-            eprintln!("loomflow-measure: {error}\n{USAGE}");
+            eprintln!("loomflow-benchmark: {error}\n{USAGE}");
             ExitCode::from(2)
         }
     }
--- a/crates/loomflow-measure/src/moments.rs
+++ b/crates/loomflow-benchmark/src/moments.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use loomflow_standins::{Gateway, ServerFixture, health, site};
+use loomflow_test_servers::{Gateway, ServerFixture, health, site};
 
 use crate::report::Report;
 
--- a/crates/loomflow-measure/src/moments/restarts.rs
+++ b/crates/loomflow-benchmark/src/moments/restarts.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use loomflow_standins::{
+use loomflow_test_servers::{
     Gateway, ServerFixture, Worker, call, fields, health, loopback_address, next_attempt_id,
 };
 
--- a/crates/loomflow-measure/src/order/cost.rs
+++ b/crates/loomflow-benchmark/src/order/cost.rs
@@ -6,8 +6,8 @@
 use loomflow_fleet::maintenance::ticket::{TicketRequest, Urgency};
 use loomflow_fleet::maintenance::{Command, Issuer, Request};
 use loomflow_fleet::operator::OperatorRequest;
-use loomflow_standins::fleet::{Fleet, Plan};
-use loomflow_standins::{ServerFixture, Worker, site};
+use loomflow_test_servers::fleet::{Fleet, Plan};
+use loomflow_test_servers::{ServerFixture, Worker, site};
 
 use crate::process;
 use crate::report::Report;
--- a/crates/loomflow-measure/src/order/faults.rs
+++ b/crates/loomflow-benchmark/src/order/faults.rs
@@ -5,9 +5,9 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use loomflow_simulation::run_parallel;
-use loomflow_standins::fleet::{Fleet, Plan, WAIT_TIMEOUT};
-use loomflow_standins::relay::LinkFault;
+use loomflow_fleet_simulation::run_parallel;
+use loomflow_test_servers::fleet::{Fleet, Plan, WAIT_TIMEOUT};
+use loomflow_test_servers::relay::LinkFault;
 use serde_json::Value;
 
 use crate::report::Report;
--- a/crates/loomflow-measure/src/order/simulated.rs
+++ b/crates/loomflow-benchmark/src/order/simulated.rs
@@ -4,7 +4,7 @@
 
 use loomflow_fleet::maintenance::rules::{Limit, Rules};
 use loomflow_fleet::maintenance::ticket::{Stage, Urgency};
-use loomflow_simulation::{Fault, Scenario, Simulation, SimulationConfig, core_count, run_parallel};
+use loomflow_fleet_simulation::{Fault, Scenario, Simulation, SimulationConfig, core_count, run_parallel};
 
 use crate::report::Report;
 
--- a/crates/loomflow-measure/src/order/work.rs
+++ b/crates/loomflow-benchmark/src/order/work.rs
@@ -5,7 +5,7 @@
 
 use loomflow_load::rounds::{self, Round, RoundReport};
 use loomflow_load::{Plan, Results, fleet};
-use loomflow_standins::fleet::{Fleet, Plan as Made};
+use loomflow_test_servers::fleet::{Fleet, Plan as Made};
 
 use crate::report::Report;
 
--- a/crates/loomflow-measure/src/owner/effects.rs
+++ b/crates/loomflow-benchmark/src/owner/effects.rs
@@ -13,7 +13,7 @@
 /// An owner acts so often.
 const EVERY: Duration = Duration::from_millis(20);
 
-/// What a job does: `loomflow-measure effects ADDRESS`, as the owner of the duty in its environment. It continues
+/// What a job does: `loomflow-benchmark effects ADDRESS`, as the owner of the duty in its environment. It continues
 /// whatever the response: it is ended by whoever started it.
 pub fn act(address: &str) {
     let variable = |name: &str| std::env::var(name).unwrap_or_default();
--- a/crates/loomflow-measure/src/owner/rounds.rs
+++ b/crates/loomflow-benchmark/src/owner/rounds.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 use loomflow_fleet::duty::Token;
-use loomflow_simulation::run_parallel;
-use loomflow_standins::fleet::{Fleet, Plan, WAIT_TIMEOUT};
-use loomflow_standins::relay::LinkFault;
+use loomflow_fleet_simulation::run_parallel;
+use loomflow_test_servers::fleet::{Fleet, Plan, WAIT_TIMEOUT};
+use loomflow_test_servers::relay::LinkFault;
 use serde_json::Value;
 
 use super::effects::Receiver;
--- a/crates/loomflow-measure/src/owner/simulated.rs
+++ b/crates/loomflow-benchmark/src/owner/simulated.rs
@@ -3,8 +3,8 @@
 use loomflow_fleet::duty::LeaseSettings;
 use loomflow_fleet::duty::assign::Candidate;
 use loomflow_fleet::duty::load::imbalance;
-use loomflow_simulation::config::{duty_name, server_name};
-use loomflow_simulation::{Fault, Scenario, Simulation, SimulationConfig, core_count, run_parallel};
+use loomflow_fleet_simulation::config::{duty_name, server_name};
+use loomflow_fleet_simulation::{Fault, Scenario, Simulation, SimulationConfig, core_count, run_parallel};
 
 use crate::report::Report;
 
--- a/crates/loomflow-measure/src/process.rs
+++ b/crates/loomflow-benchmark/src/process.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use loomflow_load::{Plan, resp};
-use loomflow_standins::ServerFixture;
+use loomflow_test_servers::ServerFixture;
 
 /// Clock ticks a second in `/proc`, on every Linux.
 const TICKS: f64 = 100.0;
--- a/crates/loomflow-measure/src/scale/control.rs
+++ b/crates/loomflow-benchmark/src/scale/control.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 
-use loomflow_simulation::machine::Traffic;
-use loomflow_simulation::{Fault, Simulation, SimulationConfig, run_parallel};
+use loomflow_fleet_simulation::machine::Traffic;
+use loomflow_fleet_simulation::{Fault, Simulation, SimulationConfig, run_parallel};
 
 use super::proc;
 use crate::process;
--- a/crates/loomflow-measure/src/scale/engine_client.rs
+++ b/crates/loomflow-benchmark/src/scale/engine_client.rs
@@ -1,4 +1,4 @@
-//! Requests straight to an engine's stand-in: what the same load takes without a server in between.
+//! Requests straight to a test engine: what the same load takes without a server in between.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use loomflow_standins::next_attempt_id;
+use loomflow_test_servers::next_attempt_id;
 
 /// Receivers of the end of each open run, by the run's id.
 type Waiting = Arc<Mutex<HashMap<String, Sender<Instant>>>>;
--- a/crates/loomflow-measure/src/scale/requests.rs
+++ b/crates/loomflow-benchmark/src/scale/requests.rs
@@ -1,9 +1,9 @@
-//! What a server adds to a request and spends on it, beside the same load straight to the engine's stand-in.
+//! What a server adds to a request and spends on it, beside the same load straight to the test engine.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use loomflow_standins::{Gateway, ServerFixture, call, fields, next_attempt_id};
+use loomflow_test_servers::{Gateway, ServerFixture, call, fields, next_attempt_id};
 
 use super::engine_client::EngineClient;
 use super::load::{self, Latencies};
--- a/crates/loomflow-measure/src/scale/setup.rs
+++ b/crates/loomflow-benchmark/src/scale/setup.rs
@@ -1,9 +1,9 @@
-//! Servers of a given size among stand-ins.
+//! Servers of a given size among test servers.
 
 use std::path::Path;
 use std::time::Duration;
 
-use loomflow_standins::{Gateway, ServerFixture, Worker, health, site};
+use loomflow_test_servers::{Gateway, ServerFixture, Worker, health, site};
 use serde_json::{Value, json};
 
 /// Timeout of a request, ms: far more than anything here takes.
@@ -29,7 +29,7 @@
     _worker: Worker,
 }
 
-/// The stand-in of an engine, as every server here has one.
+/// The test server of an engine, as every server here has one.
 pub fn engine() -> Worker {
     Worker::start(ENGINE_CORES, RUN)
 }
@@ -47,7 +47,7 @@
     Server { fixture, _worker: worker }
 }
 
-/// So many tenants, the first of which is the one of the stand-ins' requests.
+/// So many tenants, the first of which is the one of the test servers' requests.
 pub fn tenants(count: usize) -> Value {
     (0..count).map(|at| json!({"Name": tenant_name(at), "QuotaPerS": 4.0})).collect()
 }
--- a/crates/loomflow-measure/src/scale/tenants.rs
+++ b/crates/loomflow-benchmark/src/scale/tenants.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use loomflow_load::BackgroundTask;
-use loomflow_standins::{Gateway, ServerFixture, health};
+use loomflow_test_servers::{Gateway, ServerFixture, health};
 
 use super::{TENANTS, proc, setup};
 use crate::process;
--- a/crates/loomflow-simulation/tests/common/mod.rs
+++ b/crates/loomflow-fleet-simulation/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! Playing scenarios on a simulated fleet.
 
-use loomflow_simulation::{Fault, Scenario, Simulation, SimulationConfig};
+use loomflow_fleet_simulation::{Fault, Scenario, Simulation, SimulationConfig};
 
 /// What happened, and why each server waits.
 pub fn timeline(simulation: &Simulation) -> String {
--- a/crates/loomflow-simulation/tests/duties.rs
+++ b/crates/loomflow-fleet-simulation/tests/duties.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeSet;
 
 use loomflow_fleet::duty::LeaseSettings;
-use loomflow_simulation::Fault::*;
-use loomflow_simulation::{Scenario, Simulation, SimulationConfig};
+use loomflow_fleet_simulation::Fault::*;
+use loomflow_fleet_simulation::{Scenario, Simulation, SimulationConfig};
 
 use common::{run, timeline};
 
@@ -25,7 +25,7 @@
 
 /// The one who owns it now.
 fn owner(simulation: &Simulation, duty: usize) -> usize {
-    let owners = simulation.owners(&loomflow_simulation::config::duty_name(duty));
+    let owners = simulation.owners(&loomflow_fleet_simulation::config::duty_name(duty));
     assert_eq!(owners.len(), 1, "d{duty}\n{}", timeline(simulation));
     owners[0]
 }
--- a/crates/loomflow-simulation/tests/hard_cases.rs
+++ b/crates/loomflow-fleet-simulation/tests/hard_cases.rs
@@ -4,8 +4,8 @@
 
 use loomflow_fleet::maintenance::rules::{Limit, Rules};
 use loomflow_fleet::maintenance::ticket::{Stage, Urgency::Routine};
-use loomflow_simulation::Fault::*;
-use loomflow_simulation::{Scenario, Simulation, SimulationConfig};
+use loomflow_fleet_simulation::Fault::*;
+use loomflow_fleet_simulation::{Scenario, Simulation, SimulationConfig};
 
 use common::{run, timeline};
 
--- a/crates/loomflow-simulation/tests/seeds.rs
+++ b/crates/loomflow-fleet-simulation/tests/seeds.rs
@@ -3,7 +3,7 @@
 
 use loomflow_fleet::maintenance::Response;
 use loomflow_fleet::maintenance::ticket::Stage;
-use loomflow_simulation::{Scenario, Simulation, SimulationConfig, core_count, run_parallel};
+use loomflow_fleet_simulation::{Scenario, Simulation, SimulationConfig, core_count, run_parallel};
 
 /// Faults from the twelfth second to the sixtieth, then quiet: every ticket comes to its end.
 fn day(seed: u64) -> Result<(), String> {
@@ -45,7 +45,7 @@
     if simulation.leader().is_none() || open > 0 {
         return Err(fail(&simulation, format!("{open} open, leader {:?}: {stages:?}", simulation.leader())));
     }
-    for duty in (0..simulation.config.duties).map(loomflow_simulation::config::duty_name) {
+    for duty in (0..simulation.config.duties).map(loomflow_fleet_simulation::config::duty_name) {
         let record = simulation.leader_state();
         let parked = record.is_some_and(|record| record.duties.duties()[&duty].parked.is_some());
         if simulation.owners(&duty).len() != usize::from(!parked) {
--- a/crates/loomflow-load/src/fleet.rs
+++ b/crates/loomflow-load/src/fleet.rs
@@ -9,8 +9,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use loomflow_standins::worker::result_of;
-use loomflow_standins::{Gateway, GatewayResponse, call, fields, next_attempt_id};
+use loomflow_test_servers::worker::result_of;
+use loomflow_test_servers::{Gateway, GatewayResponse, call, fields, next_attempt_id};
 
 use crate::{Plan, RequestOutcome, Results};
 
--- a/crates/loomflow-load/src/lib.rs
+++ b/crates/loomflow-load/src/lib.rs
@@ -1,4 +1,4 @@
-//! Load generator for a server between stand-ins: open-loop requests at given rates, through gateways or a queue, with
+//! Load generator for a server between test servers: open-loop requests at given rates, through gateways or a queue, with
 //! their outcomes by second. Bounded in number and time, and restricted to loopback.
 
 #![forbid(unsafe_code)]
--- a/crates/loomflow-load/src/queue.rs
+++ b/crates/loomflow-load/src/queue.rs
@@ -1,12 +1,12 @@
-//! Load through a queue of the stand-in broker.
+//! Load through a queue of the test broker.
 
 use std::collections::BTreeSet;
 use std::thread;
 use std::time::{Duration, Instant};
 
-use loomflow_standins::Broker;
-use loomflow_standins::broker::{Message, message};
-use loomflow_standins::worker::result_of;
+use loomflow_test_servers::Broker;
+use loomflow_test_servers::broker::{Message, message};
+use loomflow_test_servers::worker::result_of;
 
 use crate::{BackgroundTask, Plan, RequestOutcome, Results};
 
--- a/crates/loomflow-load/src/rounds.rs
+++ b/crates/loomflow-load/src/rounds.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use loomflow_standins::fleet::Fleet;
+use loomflow_test_servers::fleet::Fleet;
 
 /// One round.
 pub struct Round {
--- a/crates/loomflow-load/src/scenario.rs
+++ b/crates/loomflow-load/src/scenario.rs
@@ -1,10 +1,10 @@
-//! Scenario: a server with a stand-in engine under a load, through either front.
+//! Scenario: a server with a test engine under a load, through either front.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use loomflow_standins::{Broker, ServerFixture, Worker, site};
+use loomflow_test_servers::{Broker, ServerFixture, Worker, site};
 
 use crate::{Plan, Results, queue, resp};
 
@@ -20,7 +20,7 @@
     Amqp,
 }
 
-/// A server with a stand-in engine, and the load that it is put under.
+/// A server with a test engine, and the load that it is put under.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// The server's program.
@@ -29,7 +29,7 @@
     pub front: Front,
     /// Whether messages of a queue state when they were sent.
     pub has_sent_time: bool,
-    /// Cores of the stand-in engine.
+    /// Cores of the test engine.
     pub cores: usize,
     /// Duration of a run.
     pub work: Duration,
--- a/crates/loomflow-lab/tests/parts.rs
+++ b/crates/loomflow-overload-simulation/tests/parts.rs
@@ -1,15 +1,15 @@
 //! The parts of the model by themselves: time, cores, tables, the checker, and that a play repeats itself.
 
-use loomflow_lab::checker::{Checker, Violation};
-use loomflow_lab::clock::{EventQueue, MILLISECOND, SECOND};
-use loomflow_lab::connections::{ConnectionTable, Connections};
-use loomflow_lab::cores::{Cores, Job};
-use loomflow_lab::fault::FaultKind;
-use loomflow_lab::fleet::Fleet;
-use loomflow_lab::quota::{SteadyTenant, judged_beyond};
-use loomflow_lab::recovery::{Recovery, Timeline, recovery};
-use loomflow_lab::setup::IdlePolicy;
-use loomflow_lab::setup::Setup;
+use loomflow_overload_simulation::checker::{Checker, Violation};
+use loomflow_overload_simulation::clock::{EventQueue, MILLISECOND, SECOND};
+use loomflow_overload_simulation::connections::{ConnectionTable, Connections};
+use loomflow_overload_simulation::cores::{Cores, Job};
+use loomflow_overload_simulation::fault::FaultKind;
+use loomflow_overload_simulation::fleet::Fleet;
+use loomflow_overload_simulation::quota::{SteadyTenant, judged_beyond};
+use loomflow_overload_simulation::recovery::{Recovery, Timeline, recovery};
+use loomflow_overload_simulation::setup::IdlePolicy;
+use loomflow_overload_simulation::setup::Setup;
 
 #[test]
 fn events_come_by_time_and_then_in_the_order_they_were_scheduled_in() {
--- a/crates/loomflow-lab/tests/recovery.rs
+++ b/crates/loomflow-overload-simulation/tests/recovery.rs
@@ -1,9 +1,9 @@
 //! A fleet that has lost a part of itself for two seconds is back at 0.9 of its former service within ten seconds of the
 //! part's return, at any size.
 
-use loomflow_lab::fault::FaultKind;
-use loomflow_lab::recovery::{Timeline, recovery};
-use loomflow_lab::setup::Setup;
+use loomflow_overload_simulation::fault::FaultKind;
+use loomflow_overload_simulation::recovery::{Timeline, recovery};
+use loomflow_overload_simulation::setup::Setup;
 
 fn comes_back(servers: usize, callers: usize, trouble: FaultKind) {
     let played = recovery(Setup::fleet(servers, callers, 1), trouble, Timeline::default());
--- a/crates/loomflow-server/src/main.rs
+++ b/crates/loomflow-server/src/main.rs
@@ -19,7 +19,7 @@
 mod request_table;
 mod signals;
 #[cfg(feature = "try")]
-mod trial;
+mod try_command;
 
 use std::error::Error;
 use std::path::Path;
@@ -62,9 +62,9 @@
 fn run(command: Command) -> Result<ExitCode, Box<dyn Error>> {
     match command {
         #[cfg(feature = "try")]
-        Command::TryFleet => return Ok(trial::run_fleet()?),
+        Command::TryFleet => return Ok(try_command::run_fleet()?),
         #[cfg(feature = "try")]
-        Command::Try(front) => return Ok(trial::run(front)?),
+        Command::Try(front) => return Ok(try_command::run(front)?),
         Command::Fleet(parser) => return Ok(run_fleet_command(parser)),
         Command::Serve(files) => serve(files)?,
         Command::CheckConfig { files, against } => check_config(&files, against.as_deref())?,
--- a/crates/loomflow-server/src/trial.rs
+++ b/crates/loomflow-server/src/try_command.rs
@@ -1,4 +1,4 @@
-//! `loomflow try`: runs the server between stand-ins on loopback for ten seconds with a burst in the middle, and prints a
+//! `loomflow try`: runs the server between test servers on loopback for ten seconds with a burst in the middle, and prints a
 //! table of the outcomes. With `--fleet`, it runs a fleet whose servers are maintained in turn. Part of the feature `try`.
 
 use std::io;
@@ -7,7 +7,7 @@
 
 use comfy_table::{CellAlignment, Table, presets};
 use loomflow_load::{Counts, Front, Plan, Scenario, ScenarioResults, rounds};
-use loomflow_standins::fleet::{self, Fleet};
+use loomflow_test_servers::fleet::{self, Fleet};
 use thiserror::Error;
 
 /// Request rates: three quarters of the engine's capacity, and twice that during the burst. Seconds, requests per second.
@@ -17,15 +17,15 @@
 
 /// The trial cannot be run.
 #[derive(Debug, Error)]
-pub enum TrialError {
+pub enum TryError {
     /// The path of this program is unknown.
     #[error("this program cannot be found: {0}")]
     UnknownProgram(io::Error),
 }
 
 /// Runs a single server and prints the table. The exit code is 1 if a rule was violated.
-pub fn run(front: Front) -> Result<ExitCode, TrialError> {
-    let program = std::env::current_exe().map_err(TrialError::UnknownProgram)?;
+pub fn run(front: Front) -> Result<ExitCode, TryError> {
+    let program = std::env::current_exe().map_err(TryError::UnknownProgram)?;
     let scenario = Scenario {
         program,
         front,
@@ -56,8 +56,8 @@
 }
 
 /// Runs a fleet of five servers: each is maintained once under load, and one is killed in the middle.
-pub fn run_fleet() -> Result<ExitCode, TrialError> {
-    let program = std::env::current_exe().map_err(TrialError::UnknownProgram)?;
+pub fn run_fleet() -> Result<ExitCode, TryError> {
+    let program = std::env::current_exe().map_err(TryError::UnknownProgram)?;
     println!("Five servers of two cores that do 100 requests a second each are asked for 250 in all.");
     println!(
         "One may be out at once. Each is taken out for two seconds of work; one is killed in the middle.\n"
--- a/crates/loomflow-server/tests/amqp.rs
+++ b/crates/loomflow-server/tests/amqp.rs
@@ -1,11 +1,11 @@
-//! The AMQP front as a process between a stand-in broker that misbehaves on command and an engine that counts runs.
+//! The AMQP front as a process between a test broker that misbehaves on command and an engine that counts runs.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use loomflow_standins::broker::{AMQPFrame, Broker, Message, Settled, message};
-use loomflow_standins::worker::result_of;
-use loomflow_standins::*;
+use loomflow_test_servers::broker::{AMQPFrame, Broker, Message, Settled, message};
+use loomflow_test_servers::worker::result_of;
+use loomflow_test_servers::*;
 
 const LONG: f64 = 20_000.0;
 const WORK: Duration = Duration::from_millis(5);
--- a/crates/loomflow-server/tests/command_line.rs
+++ b/crates/loomflow-server/tests/command_line.rs
@@ -2,7 +2,7 @@
 
 use std::process::{Command, Output};
 
-use loomflow_standins::*;
+use loomflow_test_servers::*;
 use serde_json::{Value, json};
 
 fn loomflow(args: &[&str]) -> Output {
--- a/crates/loomflow-server/tests/common/mod.rs
+++ b/crates/loomflow-server/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code, reason = "each test file uses a part of them")]
 
-use loomflow_standins::*;
+use loomflow_test_servers::*;
 
 /// Starts a server with a scripted engine after a change of its configuration; returns the engine's connection.
 pub fn start_configured(
--- a/crates/loomflow-server/tests/deploy.rs
+++ b/crates/loomflow-server/tests/deploy.rs
@@ -8,7 +8,7 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-use loomflow_standins::*;
+use loomflow_test_servers::*;
 
 /// `run` of the deploy file, with the program's path in the place of the one that `build` leaves.
 fn run_line() -> String {
--- a/crates/loomflow-server/tests/descriptors.rs
+++ b/crates/loomflow-server/tests/descriptors.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use common::{attach, finish_run, start_run};
-use loomflow_standins::*;
+use loomflow_test_servers::*;
 
 const LONG: f64 = 20_000.0;
 /// Descriptors of the small server, as its configuration and the system limit them.
--- a/crates/loomflow-server/tests/duties.rs
+++ b/crates/loomflow-server/tests/duties.rs
@@ -6,8 +6,8 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-use loomflow_standins::fleet::{Fleet, Plan};
-use loomflow_standins::relay::LinkFault;
+use loomflow_test_servers::fleet::{Fleet, Plan};
+use loomflow_test_servers::relay::LinkFault;
 
 const CUT: LinkFault = LinkFault {
     is_cut: true,
@@ -328,7 +328,7 @@
 // ---- The receiver's half ----
 
 fn program() -> PathBuf {
-    loomflow_standins::program()
+    loomflow_test_servers::program()
 }
 
 fn fence(file: &Path, token: &str, command: &[&str]) -> Option<i32> {
--- a/crates/loomflow-server/tests/fleet.rs
+++ b/crates/loomflow-server/tests/fleet.rs
@@ -5,9 +5,9 @@
 use std::net::TcpStream;
 use std::os::unix::fs::PermissionsExt;
 
-use loomflow_standins::fleet::{Fleet, Plan};
-use loomflow_standins::health;
-use loomflow_standins::relay::LinkFault;
+use loomflow_test_servers::fleet::{Fleet, Plan};
+use loomflow_test_servers::health;
+use loomflow_test_servers::relay::LinkFault;
 
 const CUT: LinkFault = LinkFault {
     is_cut: true,
@@ -267,7 +267,7 @@
     ];
     for bytes in said {
         let mut link = TcpStream::connect(fleet.members[0].address).unwrap();
-        link.set_read_timeout(Some(loomflow_standins::RESPONSE_TIMEOUT)).unwrap();
+        link.set_read_timeout(Some(loomflow_test_servers::RESPONSE_TIMEOUT)).unwrap();
         link.write_all(&bytes).unwrap();
         assert_eq!(link.read(&mut [0; 1]).unwrap_or(0), 0, "the link is ended");
     }
--- a/crates/loomflow-server/tests/gateways.rs
+++ b/crates/loomflow-server/tests/gateways.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{attach, finish_run, start_configured, start_run};
-use loomflow_standins::*;
+use loomflow_test_servers::*;
 
 const LONG: f64 = 20_000.0;
 
--- a/crates/loomflow-server/tests/leaving.rs
+++ b/crates/loomflow-server/tests/leaving.rs
@@ -5,7 +5,7 @@
 use std::io::{Read, Write};
 
 use common::{expect_goodbye, finish_run, idle_gateway, start_configured, start_run};
-use loomflow_standins::*;
+use loomflow_test_servers::*;
 
 const LONG: f64 = 20_000.0;
 
--- a/crates/loomflow-server/tests/links.rs
+++ b/crates/loomflow-server/tests/links.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{answer_call, attach, finish_run, start_run};
-use loomflow_standins::*;
+use loomflow_test_servers::*;
 
 const LONG: f64 = 20_000.0;
 /// A request's whole time where it has to run out.
@@ -406,7 +406,7 @@
 
 // ---- Runs whose end is never heard of give their place back ----
 
-/// As many runs as the module begins at first on the stand-in's four cores.
+/// As many runs as the module begins at first on the test server's four cores.
 fn fill(gateway: &mut Gateway, engine: &PeerConnection) -> Vec<String> {
     (1..=4).map(|tag| start_run(gateway, engine, tag, "pay")).collect()
 }
--- a/crates/loomflow-server/tests/printed_output.rs
+++ b/crates/loomflow-server/tests/printed_output.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-use loomflow_standins::{ServerFixture, site};
+use loomflow_test_servers::{ServerFixture, site};
 use serde_json::{Value, json};
 
 /// A folder of its own for the files of one test.
--- a/crates/loomflow-server/tests/published_client.rs
+++ b/crates/loomflow-server/tests/published_client.rs
@@ -1,4 +1,4 @@
-//! A published AMQP client (`lapin`) against the stand-in broker, as publisher and as consumer, so that a misreading of
+//! A published AMQP client (`lapin`) against the test broker, as publisher and as consumer, so that a misreading of
 //! the specification cannot hide on both of our sides; and the same client as the caller of a server.
 
 use std::time::Duration;
@@ -8,8 +8,8 @@
 use lapin::options::*;
 use lapin::types::{AMQPValue, FieldTable};
 use lapin::{BasicProperties, Channel, Confirmation, Connection, ConnectionProperties, Consumer};
-use loomflow_standins::worker::result_of;
-use loomflow_standins::*;
+use loomflow_test_servers::worker::result_of;
+use loomflow_test_servers::*;
 
 const PLENTY: Duration = Duration::from_secs(20);
 
--- a/crates/loomflow-server/tests/repeats.rs
+++ b/crates/loomflow-server/tests/repeats.rs
@@ -1,6 +1,6 @@
 //! Repeats of requests, at the moments at which they could be taken for something else.
 
-use loomflow_standins::*;
+use loomflow_test_servers::*;
 
 const LONG: f64 = 20_000.0;
 
--- a/crates/loomflow-server/tests/service.rs
+++ b/crates/loomflow-server/tests/service.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{attach, finish_run, start_run};
-use loomflow_standins::*;
+use loomflow_test_servers::*;
 use serde_json::json;
 
 const LONG: f64 = 20_000.0;
--- a/crates/loomflow-server/tests/short_days.rs
+++ b/crates/loomflow-server/tests/short_days.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use loomflow_standins::*;
+use loomflow_test_servers::*;
 
 const LONG: f64 = 20_000.0;
 
--- a/crates/loomflow-server/tests/starting.rs
+++ b/crates/loomflow-server/tests/starting.rs
@@ -1,6 +1,6 @@
 //! The start: what a server does before everything it speaks with is there.
 
-use loomflow_standins::*;
+use loomflow_test_servers::*;
 
 const LONG: f64 = 20_000.0;
 
--- a/crates/loomflow-server/tests/stored_data.rs
+++ b/crates/loomflow-server/tests/stored_data.rs
@@ -7,7 +7,7 @@
 
 use std::path::{Path, PathBuf};
 
-use loomflow_standins::fleet::{Fleet, Plan};
+use loomflow_test_servers::fleet::{Fleet, Plan};
 use serde_json::Value;
 
 /// A duty that writes a line behind the fence again and again: the token.
@@ -50,7 +50,7 @@
 /// A fleet of this build that starts with what was stored.
 fn restored() -> Fleet {
     let restore = |folder: &Path| FILES.iter().for_each(|name| copy(&stored(name), &folder.join(name)));
-    Fleet::start_from(PLAN, &loomflow_standins::program(), restore)
+    Fleet::start_from(PLAN, &loomflow_test_servers::program(), restore)
 }
 
 fn highest_token(folder: &Path) -> u64 {
@@ -66,7 +66,7 @@
 fn fence(fleet: &Fleet, token: &str) -> (i32, String, String) {
     let file = fleet.folder().join("fence");
     let file = file.to_str().expect("a path");
-    let program = loomflow_standins::program();
+    let program = loomflow_test_servers::program();
     let words = ["fleet", "fence", file, "--duty", "writes", "--token", token, "--", "echo", "done"];
     let output = std::process::Command::new(program).args(words).output().expect("the program runs");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
--- a/crates/loomflow-standins/src/base.rs
+++ b/crates/loomflow-test-servers/src/base.rs
@@ -1,4 +1,4 @@
-//! Shared parts of the stand-ins: timeouts, loopback addresses and the settings of a small site.
+//! Shared parts of the test servers: timeouts, loopback addresses and the settings of a small site.
 
 use std::net::{Shutdown, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -6,9 +6,9 @@
 
 use serde_json::{Value, json};
 
-/// How long a stand-in waits for something that must happen. Only failures take this long.
+/// How long a test server waits for something that must happen. Only failures take this long.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long a stand-in waits to see that something does not happen.
+/// How long a test server waits to see that something does not happen.
 pub const QUIET_PERIOD: Duration = Duration::from_millis(300);
 
 /// A free loopback address.
--- a/crates/loomflow-standins/src/bin/stand-ins.rs
+++ b/crates/loomflow-test-servers/src/bin/test-servers.rs
@@ -1,12 +1,12 @@
-//! Stand-ins to try a server among, by hand: `stand-ins FOLDER` starts an engine, a control plane and a broker on
+//! Test servers to try a server among, by hand: `test-servers FOLDER` starts an engine, a control plane and a broker on
 //! loopback, writes the files that a server needs into the folder, and takes commands until its input ends.
 
 use std::io::BufRead;
 use std::path::Path;
 use std::time::Duration;
 
-use loomflow_standins::broker::{Broker, Message, message};
-use loomflow_standins::{ServerFixture, Worker, site};
+use loomflow_test_servers::broker::{Broker, Message, message};
+use loomflow_test_servers::{ServerFixture, Worker, site};
 
 const HELP: &str = "\
 publish ID [BODY]   one message to the queue jobs, with a reply wanted
@@ -26,29 +26,29 @@
 
 fn main() {
     let Some(folder) = std::env::args().nth(1) else {
-        eprintln!("usage: stand-ins FOLDER");
+        eprintln!("usage: test-servers FOLDER");
         std::process::exit(2);
     };
     let folder = Path::new(&folder);
     std::fs::create_dir_all(folder).expect("the folder");
-    let mut stand_ins = StandIns {
+    let mut test_servers = TestServers {
         worker: Worker::start(4, Duration::from_millis(10)),
         broker: Broker::with_jobs(),
         fixture: ServerFixture::new(site(10_000.0)),
         messages_filled: 0,
     };
-    stand_ins.write_files(folder);
+    test_servers.write_files(folder);
     println!("engine, control plane and broker are up; the files are in {}", folder.display());
     for line in std::io::stdin().lock().lines().map_while(Result::ok) {
         let words: Vec<&str> = line.split_whitespace().collect();
         if words.first() == Some(&"quit") {
             return;
         }
-        stand_ins.run_command(&words);
+        test_servers.run_command(&words);
     }
 }
 
-struct StandIns {
+struct TestServers {
     worker: Worker,
     broker: Broker,
     /// Configuration and control plane; its server is not started.
@@ -57,7 +57,7 @@
     messages_filled: usize,
 }
 
-impl StandIns {
+impl TestServers {
     /// Writes the files that a server needs.
     fn write_files(&mut self, folder: &Path) {
         self.fixture.config["engine"] = self.worker.address.to_string().into();
--- a/crates/loomflow-standins/src/control.rs
+++ b/crates/loomflow-test-servers/src/control.rs
@@ -8,7 +8,7 @@
 
 use crate::base::{RESPONSE_TIMEOUT, loopback_listener};
 
-/// A stand-in of the control plane.
+/// A test server of the control plane.
 pub struct Control {
     /// Its address.
     pub address: SocketAddr,
--- a/crates/loomflow-standins/src/engine.rs
+++ b/crates/loomflow-test-servers/src/engine.rs
@@ -8,7 +8,7 @@
 use crate::base::{QUIET_PERIOD, RESPONSE_TIMEOUT, loopback_listener};
 use crate::lines::{PeerConnection, accepting};
 
-/// A scripted stand-in of the engine.
+/// A scripted test server of the engine.
 pub struct Engine {
     /// Its address.
     pub address: SocketAddr,
--- a/crates/loomflow-standins/src/fleet.rs
+++ b/crates/loomflow-test-servers/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of real server processes, each with a stand-in engine, and a relay on each link between two of them.
+//! A fleet of real server processes, each with a test engine, and a relay on each link between two of them.
 //!
 //! Tests observe the processes and the gateway ports from outside, not what the fleet reports about itself.
 
@@ -21,9 +21,9 @@
 /// How long a test waits for something that must happen. Only failures take this long.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A server of the fleet and its stand-ins.
+/// A server of the fleet and its test servers.
 pub struct Member {
-    /// The server's process and its stand-ins.
+    /// The server's process and its test servers.
     pub fixture: ServerFixture,
     /// Its engine.
     pub worker: Worker,
--- a/crates/loomflow-standins/src/lib.rs
+++ b/crates/loomflow-test-servers/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of everything that a server connects to, on loopback, and the server as a process between them. They have
+//! Test servers of everything that a server connects to, on loopback, and the server as a process between them. They have
 //! their own parsers, so that tests do not rely on the server's.
 
 #![forbid(unsafe_code)]
--- a/crates/loomflow-standins/src/server_fixture.rs
+++ b/crates/loomflow-test-servers/src/server_fixture.rs
@@ -1,4 +1,4 @@
-//! A server process with stand-ins of everything that it connects to.
+//! A server process with test servers of everything that it connects to.
 
 use std::collections::HashSet;
 use std::io::Read;
@@ -25,7 +25,7 @@
     folder.join("loomflow")
 }
 
-/// A server process, its configuration and its stand-ins.
+/// A server process, its configuration and its test servers.
 pub struct ServerFixture {
     /// Where the server listens for gateways.
     pub listen: SocketAddr,
@@ -68,7 +68,7 @@
         self.wait_for_service();
     }
 
-    /// Creates the stand-ins and the configuration without starting the server.
+    /// Creates the test servers and the configuration without starting the server.
     pub fn new(settings: Value) -> ServerFixture {
         let (engine, ledger, control) = (Engine::start(), Ledger::new(), Control::start());
         let listen = loopback_address();
@@ -106,7 +106,7 @@
         (fixture, link)
     }
 
-    /// Sets the options (YAML) for the next start. `CREDENTIALS` is replaced by a file with those of the stand-in broker.
+    /// Sets the options (YAML) for the next start. `CREDENTIALS` is replaced by a file with those of the test broker.
     pub fn options(&mut self, text: &str) {
         let file = self.file.with_extension("yaml");
         let credentials = file.with_extension("credentials");
--- a/crates/loomflow-standins/src/worker.rs
+++ b/crates/loomflow-test-servers/src/worker.rs
@@ -49,7 +49,7 @@
     cores: usize,
 }
 
-/// A stand-in engine that runs requests by itself.
+/// A test engine that runs requests by itself.
 #[derive(Clone)]
 pub struct Worker {
     /// Its address.
--- a/crates/loomflow-standins/tests/addresses.rs
+++ b/crates/loomflow-test-servers/tests/addresses.rs
@@ -1,9 +1,9 @@
-//! Loopback addresses of the stand-ins: one that was released takes nobody in.
+//! Loopback addresses of the test servers: one that was released takes nobody in.
 
 use std::io::ErrorKind;
 use std::net::TcpStream;
 
-use loomflow_standins::{loopback_listener, release};
+use loomflow_test_servers::{loopback_listener, release};
 
 /// A copy of the descriptor stands in for the one that a child process has until it executes its program.
 #[test]
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -125,7 +125,7 @@
     let is_file = FILE_ENDINGS.iter().any(|ending| text.ends_with(ending))
         && !text.contains(' ')
         && !OPERATORS_FILES.contains(&text);
-    // A command begins with a file, as in `scripts/measure NAME`; a test is named as `file::function`.
+    // A command begins with a file, as in `scripts/benchmark NAME`; a test is named as `file::function`.
     let path = if is_file { text } else { text.split([' ', ':']).next().unwrap_or_default() };
     let is_path = is_file || (FOLDERS.iter().any(|folder| path.starts_with(folder)) && !path.contains('*'));
     let folder = Path::new(page).parent().expect("a folder").to_str().expect("a path");
