--- a/crates/loomflow-fleet/src/membership.rs
+++ b/crates/loomflow-fleet/src/membership.rs
@@ -5,6 +5,7 @@
 //! it came, whether it is shutting down, and since when it is in its state. Members are bounded by [`MAX_MEMBERS`].
 
 pub mod failure_detection;
+mod suspicion;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -15,6 +16,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
+use self::suspicion::Suspicions;
 use crate::member::{LoadReport, MemberIdentity, Millis, Replica, ServerName};
 
 /// Maximum number of members, this one included; a packet that names more is taken without them.
@@ -47,6 +49,7 @@
     /// Orders timers of one moment by when they were set.
     timer_sequence: u64,
     known: BTreeMap<ServerName, KnownMember>,
+    suspicions: Suspicions,
     /// Whom to contact when they are not here: voters by their settings.
     seeds: Vec<MemberIdentity>,
     next_rejoin_at: Millis,
@@ -86,6 +89,7 @@
             timers: BinaryHeap::new(),
             timer_sequence: 0,
             known: BTreeMap::new(),
+            suspicions: Suspicions::default(),
             seeds,
             next_rejoin_at: now,
             next_refresh_at: now,
@@ -180,6 +184,16 @@
 
     /// Takes over what the library wants done, and what it has learnt.
     fn process_events(&mut self, now: Millis) {
+        self.drain_runtime(now);
+        // Suspicion is not notified, so the state of all members is read periodically.
+        if now >= self.next_refresh_at {
+            self.next_refresh_at = now + self.refresh_period;
+            self.refresh(now);
+            self.drain_runtime(now);
+        }
+    }
+
+    fn drain_runtime(&mut self, now: Millis) {
         while let Some((after, timer)) = self.runtime.to_schedule() {
             if self.timers.len() < MAX_TIMERS {
                 self.timer_sequence += 1;
@@ -202,15 +216,13 @@
                 _ => {}
             }
         }
-        // Suspicion is not notified, so the state of all members is read periodically.
-        if now >= self.next_refresh_at {
-            self.next_refresh_at = now + self.refresh_period;
-            self.refresh(now);
-        }
     }
 
-    /// Reads the state of all members, and forgets those that have been down for long.
+    /// Reads the state of all members, ends suspicions that nothing else ends, and forgets members that have been down for
+    /// long.
     fn refresh(&mut self, now: Millis) {
+        let declared_down = self.suspicions.unended(self.foca.iter_membership_state(), now);
+        let _ = self.foca.apply_many(declared_down.into_iter(), true, &mut self.runtime);
         for member in self.foca.iter_membership_state() {
             update_member(&mut self.known, member.id(), member.state(), now);
         }
--- a/crates/loomflow-fleet/src/membership/failure_detection.rs
+++ b/crates/loomflow-fleet/src/membership/failure_detection.rs
@@ -19,7 +19,7 @@
 /// Members through which a probe is repeated.
 const INDIRECT_PROBES: usize = 3;
 /// A suspect that does not refute the suspicion within this time is declared down, ms.
-const SUSPECT_TO_DOWN_MILLIS: u64 = 4_000;
+pub(super) const SUSPECT_TO_DOWN_MILLIS: u64 = 4_000;
 /// How often a member passes on one update.
 const MAX_TRANSMISSIONS: u8 = 12;
 /// A member that left or died is remembered for this long, ms: until then it counts as missing.
--- a/crates/loomflow-fleet/src/membership/tests.rs
+++ b/crates/loomflow-fleet/src/membership/tests.rs
@@ -10,6 +10,8 @@
     members: [Membership; 2],
     now: Millis,
     is_connected: bool,
+    /// The one whose packets are lost although they are connected.
+    unheard: Option<usize>,
 }
 
 impl Pair {
@@ -19,7 +21,7 @@
         };
         let identities = [identity("a", 1), identity("b", 2)];
         let member = |n: usize| Membership::new(identities[n].clone(), identities.to_vec(), n as u64, 0);
-        let mut pair = Pair { members: [member(0), member(1)], now: 0, is_connected: true };
+        let mut pair = Pair { members: [member(0), member(1)], now: 0, is_connected: true, unheard: None };
         while pair.now < JOINED_AT {
             pair.step();
         }
@@ -32,7 +34,7 @@
         for n in 0..2 {
             self.members[n].tick(self.now);
             for (_, packet) in self.members[n].take_packets() {
-                if self.is_connected {
+                if self.is_connected && self.unheard != Some(n) {
                     self.members[1 - n].handle_packet(&packet, self.now);
                 }
             }
@@ -80,6 +82,30 @@
     assert!(until_back <= 5_000, "{until_back} ms");
 }
 
+/// A member that is told it is down renews its identity, and the library drops its timers then: the suspicions that it had
+/// must end all the same.
+#[test]
+fn both_members_are_serving_again_after_a_one_way_partition_of_any_length() {
+    for unheard in [0, 1] {
+        for partition_millis in (500..=12_000).step_by(250) {
+            let mut pair = Pair::joined();
+            pair.unheard = Some(unheard);
+            let healed_at = pair.now + partition_millis;
+            while pair.now < healed_at {
+                pair.step();
+            }
+            pair.unheard = None;
+            let until_settled = pair.now + 10_000;
+            while pair.now < until_settled {
+                pair.step();
+            }
+            let states =
+                [pair.members[0].get("b"), pair.members[1].get("a")].map(|known| known.unwrap().swim_state);
+            assert_eq!(states, [SwimState::Alive; 2], "{unheard} unheard for {partition_millis} ms");
+        }
+    }
+}
+
 #[test]
 fn a_member_that_drained_is_gone_and_is_forgotten_after_an_hour() {
     let mut pair = Pair::joined();
