--- a/crates/loomflow-server/src/fleet/command/arguments.rs
+++ b/crates/loomflow-fleet-commands/src/arguments.rs
@@ -11,10 +11,10 @@
 use loomflow_settings::Options;
 use loomflow_settings::campaign::{parse_duration, parse_window};
 
-use super::duties::DutyCommand;
-use super::error::UsageError;
-use super::job_process::RunOptions;
-use super::tickets::TicketOptions;
+use crate::duties::DutyCommand;
+use crate::error::UsageError;
+use crate::job_process::RunOptions;
+use crate::tickets::TicketOptions;
 
 /// How long `work wait` waits without `--timeout`.
 const DEFAULT_WAIT_TIMEOUT: Duration = Duration::from_secs(30 * 60);
--- a/crates/loomflow-server/src/fleet/command/client.rs
+++ b/crates/loomflow-fleet-commands/src/client.rs
@@ -9,10 +9,10 @@
 use loomflow_fleet::maintenance::state::TicketEvent;
 use loomflow_fleet::maintenance::ticket::Ticket;
 use loomflow_fleet::maintenance::{Command, Issuer, Request, Response, Status};
-use loomflow_fleet::operator::{OperatorRequest, OperatorResponse};
+use loomflow_fleet::operator::{OperatorRequest, OperatorResponse, encode_line};
 use serde::Serialize;
 
-use super::error::CommandError;
+use crate::error::CommandError;
 
 /// A response is waited for so long: longer than the server itself waits for the leader.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(15);
@@ -100,8 +100,7 @@
     let io_error = CommandError::io(socket);
     let mut stream = UnixStream::connect(socket).map_err(&io_error)?;
     stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).map_err(&io_error)?;
-    let mut line = serde_json::to_vec(request)?;
-    line.push(b'\n');
+    let line = encode_line(request)?;
     stream.write_all(&line).map_err(&io_error)?;
     let mut answer = String::new();
     BufReader::new(stream).read_line(&mut answer).map_err(&io_error)?;
--- a/crates/loomflow-server/src/fleet/command/duties.rs
+++ b/crates/loomflow-fleet-commands/src/duties.rs
@@ -5,10 +5,10 @@
 use loomflow_fleet::duty::{self, Command, DutyList, DutyName};
 use loomflow_fleet::maintenance::{self, Request, Response};
 
-use super::client::Client;
-use super::error::CommandError;
-use super::job_process::RunOptions;
-use super::{job_process, output};
+use crate::client::Client;
+use crate::error::CommandError;
+use crate::job_process::RunOptions;
+use crate::{job_process, output};
 
 /// What is asked about duties.
 pub enum DutyCommand {
--- a/crates/loomflow-server/src/fleet/command/fence.rs
+++ b/crates/loomflow-fleet-commands/src/fence.rs
@@ -10,8 +10,8 @@
 use loomflow_fleet::duty::fence::{Fence, FenceError};
 use loomflow_fleet::duty::{Token, check_name};
 
-use super::EXIT_OWNERSHIP_LOST;
-use super::error::CommandError;
+use crate::error::CommandError;
+use crate::exit_code;
 
 /// Runs a command unless a later owner was here.
 pub fn run(file: &Path, duty: &str, token: Token, command: &[OsString]) -> Result<ExitCode, CommandError> {
@@ -28,7 +28,7 @@
         Ok(()) => {}
         Err(error @ FenceError::Stale { .. }) => {
             eprintln!("loomflow: {duty}: {error}");
-            return Ok(ExitCode::from(EXIT_OWNERSHIP_LOST));
+            return Ok(ExitCode::from(exit_code::OWNERSHIP_LOST));
         }
         Err(source) => return Err(CommandError::Fence { duty: duty.to_owned(), source }),
     }
--- a/crates/loomflow-server/src/fleet/command/job_process.rs
+++ b/crates/loomflow-fleet-commands/src/job_process.rs
@@ -10,16 +10,16 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
+use loomflow_boot_clock::boot_millis;
 use loomflow_fleet::duty::supervisor::{ProcessSupervisor, StopReason, StopSignal};
 use loomflow_fleet::duty::{DutyName, Token};
 use loomflow_fleet::member::Millis;
 use loomflow_fleet::operator::{OperatorRequest, OperatorResponse, OwnershipConfirmation};
 use rustix::process::{Pid, Signal, kill_process_group};
 
-use super::client::call;
-use super::error::CommandError;
-use super::{EXIT_NEVER_OWNED, EXIT_OWNERSHIP_LOST};
-use crate::fleet::boot_millis;
+use crate::client::call;
+use crate::error::CommandError;
+use crate::exit_code;
 
 /// How often the process is looked at.
 const PROCESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -58,7 +58,7 @@
     }
     let Some(ownership) = wait_for_ownership(socket, options, &stop_requested)? else {
         eprintln!("loomflow: {}: this server does not own it", options.duty);
-        return Ok(ExitCode::from(EXIT_NEVER_OWNED));
+        return Ok(ExitCode::from(exit_code::NEVER_OWNED));
     };
     let mut child = start(options, &ownership.duty)?;
     let answers = poll_ownership(socket, &options.duty, ownership.duty.lease_settings.lease_millis);
@@ -74,7 +74,7 @@
     // What the process left behind in its group goes with it.
     send_signal(&child, Signal::KILL);
     let _ = call(socket, &OperatorRequest::WorkEnded(options.duty.clone()));
-    exit_code(&options.duty, token, supervisor.stop_reason(), status)
+    exit_code_of(&options.duty, token, supervisor.stop_reason(), status)
 }
 
 /// Asks whether the server owns a duty now; the lease counts from before it was asked.
@@ -173,7 +173,7 @@
     }
 }
 
-fn exit_code(
+fn exit_code_of(
     duty: &str,
     token: Token,
     stop_reason: Option<StopReason>,
@@ -185,7 +185,7 @@
         _ if status.success() => Ok(ExitCode::SUCCESS),
         Some(StopReason::HandOver | StopReason::LeaseExpiring) => {
             eprintln!("loomflow: {duty}: token {token} was given up; {status}");
-            Ok(ExitCode::from(EXIT_OWNERSHIP_LOST))
+            Ok(ExitCode::from(exit_code::OWNERSHIP_LOST))
         }
         Some(StopReason::TimedOut) => Err(CommandError::TimedOut { duty, status }),
         None => Err(CommandError::ProcessFailed { duty, status }),
--- a/crates/loomflow-server/src/fleet/command/mod.rs
+++ b/crates/loomflow-fleet-commands/src/lib.rs
@@ -8,12 +8,14 @@
 //! - `job_process`: the process of a duty, ended before its lease can expire;
 //! - `fence`: `fleet fence …`, the receiver's half for scripts;
 //! - `output`: tables for people;
+//! - [`exit_code`]: exit codes that scripts and the server rely on;
 //! - `error`: what can go wrong.
 
 mod arguments;
 mod client;
 mod duties;
 mod error;
+pub mod exit_code;
 mod fence;
 mod job_process;
 mod output;
@@ -29,14 +31,10 @@
 
 use arguments::{CommandLine, FleetCommand};
 use client::Client;
-use error::{CommandError, UsageError};
+use error::CommandError;
+pub use error::UsageError;
 use tickets::TicketOptions;
 
-/// Exit code of a duty's process whose server never owned the duty: nothing was started.
-pub const EXIT_NEVER_OWNED: u8 = 3;
-/// Exit code of a duty's process whose duty went to another owner, or was about to; and of a fence that refuses.
-pub const EXIT_OWNERSHIP_LOST: u8 = 4;
-
 /// The help text.
 pub const USAGE: &str = "\
 usage: loomflow fleet <what> [--options FILE | --socket PATH] [--json]
--- a/crates/loomflow-server/src/fleet/command/progress.rs
+++ b/crates/loomflow-fleet-commands/src/progress.rs
@@ -7,8 +7,8 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use loomflow_fleet::maintenance::ticket::{Stage, Ticket, TicketId};
 
-use super::client::{Client, TicketLists};
-use super::error::CommandError;
+use crate::client::{Client, TicketLists};
+use crate::error::CommandError;
 
 /// How often the fleet is asked.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
--- a/crates/loomflow-server/src/fleet/command/tickets.rs
+++ b/crates/loomflow-fleet-commands/src/tickets.rs
@@ -9,7 +9,7 @@
 use loomflow_fleet::member::Zone;
 use loomflow_settings::campaign::{self, Campaign, Ticket};
 
-use super::error::CommandError;
+use crate::error::CommandError;
 
 /// How long a server is to be out without `--for`.
 const DEFAULT_DURATION: Duration = Duration::from_secs(20 * 60);
--- a/crates/loomflow-fleet/src/operator.rs
+++ b/crates/loomflow-fleet/src/operator.rs
@@ -9,6 +9,9 @@
 /// Maximum length of a line, bytes: a campaign over as many servers as there may be.
 pub const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
 
+/// Ends each line.
+pub const LINE_END: u8 = b'\n';
+
 /// A request of a command line to the server on its machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum OperatorRequest {
@@ -68,3 +71,13 @@
     #[serde(rename = "Fault")]
     Error(String),
 }
+
+/// Writes a request or a response as its line, with the line's end.
+///
+/// # Errors
+/// The value cannot be written as JSON.
+pub fn encode_line(value: &impl Serialize) -> Result<Vec<u8>, serde_json::Error> {
+    let mut line = serde_json::to_vec(value)?;
+    line.push(LINE_END);
+    Ok(line)
+}
--- a/crates/loomflow-server/src/fleet/driver.rs
+++ b/crates/loomflow-server/src/fleet/driver.rs
@@ -5,6 +5,7 @@
 use std::sync::{Arc, PoisonError};
 use std::time::Duration;
 
+use loomflow_boot_clock::boot_millis;
 use loomflow_fleet::member::Millis;
 use loomflow_fleet::node::{BootstrapError, Effect, Node};
 use loomflow_fleet::operator::{OperatorRequest, OperatorResponse, OwnershipConfirmation};
@@ -14,7 +15,7 @@
 use super::jobs::Jobs;
 use super::links::Links;
 use super::operator_socket::{OperatorSocket, RequestError};
-use super::{Inbox, LISTENER, OPERATORS, OwnerMessages, boot_millis};
+use super::{Inbox, LISTENER, OPERATORS, OwnerMessages};
 use crate::log;
 use crate::mailbox::{Mailbox, OwnerEvent};
 
--- a/crates/loomflow-server/src/fleet/jobs.rs
+++ b/crates/loomflow-server/src/fleet/jobs.rs
@@ -14,10 +14,10 @@
 use loomflow_fleet::maintenance::Response;
 use loomflow_fleet::member::{Millis, RequestId};
 use loomflow_fleet::node::Node;
+use loomflow_fleet_commands::exit_code;
 use loomflow_settings::duties::{Duties as Options, Job};
 use rustix::process::{Pid, Signal, kill_process};
 
-use super::command::{EXIT_NEVER_OWNED, EXIT_OWNERSHIP_LOST};
 use crate::log;
 
 /// Whoever does a duty's work outside of this server asks at least so often; one that is silent for longer has ended, ms.
@@ -256,7 +256,7 @@
     let is = |code: u8| status.code() == Some(i32::from(code));
     if status.success() {
         Exit::Done
-    } else if is(EXIT_OWNERSHIP_LOST) || is(EXIT_NEVER_OWNED) {
+    } else if is(exit_code::OWNERSHIP_LOST) || is(exit_code::NEVER_OWNED) {
         Exit::OwnershipLost
     } else {
         Exit::Failed(status.to_string())
--- a/crates/loomflow-server/src/fleet/mod.rs
+++ b/crates/loomflow-server/src/fleet/mod.rs
@@ -8,10 +8,10 @@
 //! - `links`: connections to and from other members;
 //! - `storage`: the data directory;
 //! - `operator_socket`: the operators' socket;
-//! - `jobs`: the processes of the operators' duties;
-//! - [`command`]: `loomflow fleet …`, the other end of that socket.
+//! - `jobs`: the processes of the operators' duties.
+//!
+//! The other end of the operators' socket, `loomflow fleet …`, is the package `loomflow-fleet-commands`.
 
-pub mod command;
 mod driver;
 mod jobs;
 mod links;
@@ -27,8 +27,9 @@
 use std::sync::{Arc, Mutex, PoisonError, Weak};
 use std::time::Duration;
 
+use loomflow_boot_clock::boot_millis;
 use loomflow_fleet::duty::supervisor::GRACE_LEASE_FRACTION;
-use loomflow_fleet::member::{LoadReport, Millis};
+use loomflow_fleet::member::LoadReport;
 use loomflow_fleet::node::Node;
 use loomflow_settings::Config;
 use loomflow_settings::duties::Duties;
@@ -157,12 +158,6 @@
     SHUTDOWN_TIMEOUT + programs.map_or(Duration::ZERO, grace_period)
 }
 
-/// The clock that goes on while the machine sleeps and that nobody sets.
-fn boot_millis() -> Millis {
-    let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
-    now.tv_sec as u64 * 1000 + now.tv_nsec as u64 / 1_000_000
-}
-
 const LISTENER: Token = Token(1);
 const OPERATORS: Token = Token(2);
 /// Connections have the tokens from here on.
--- a/crates/loomflow-server/src/fleet/operator_socket.rs
+++ b/crates/loomflow-server/src/fleet/operator_socket.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 use loomflow_fleet::member::RequestId;
-use loomflow_fleet::operator::{MAX_LINE_BYTES, OperatorRequest, OperatorResponse};
+use loomflow_fleet::operator::{LINE_END, MAX_LINE_BYTES, OperatorRequest, OperatorResponse, encode_line};
 use mio::net::{UnixListener, UnixStream};
 use mio::{Interest, Registry, Token};
 
@@ -101,7 +101,7 @@
             self.write(token);
             return None;
         }
-        let end = connection.line.iter().position(|byte| *byte == b'\n')?;
+        let end = connection.line.iter().position(|byte| *byte == LINE_END)?;
         let line: Vec<u8> = connection.line.drain(..=end).collect();
         Some(serde_json::from_slice(&line).map_err(RequestError::Unreadable))
     }
@@ -125,9 +125,9 @@
     /// Responds to a connection.
     pub fn respond(&mut self, token: Token, response: &OperatorResponse) {
         if let Some(connection) = self.connections.get_mut(&token) {
-            let mut bytes = serde_json::to_vec(response).unwrap_or_default();
-            bytes.push(b'\n');
-            connection.response = Some(bytes);
+            // An empty line is no response that a client knows: it reports an error.
+            let line = encode_line(response).unwrap_or_else(|_| vec![LINE_END]);
+            connection.response = Some(line);
             self.write(token);
         }
     }
--- a/crates/loomflow-server/src/main.rs
+++ b/crates/loomflow-server/src/main.rs
@@ -76,7 +76,8 @@
 }
 
 fn run_fleet_command(parser: lexopt::Parser) -> ExitCode {
-    fleet::command::run(parser).unwrap_or_else(|error| usage_error(&error, fleet::command::USAGE))
+    loomflow_fleet_commands::run(parser)
+        .unwrap_or_else(|error| usage_error(&error, loomflow_fleet_commands::USAGE))
 }
 
 /// Prints what is wrong with a command line, and the help text.
