--- a/crates/loomflow-benchmark/src/order/cost.rs
+++ b/crates/loomflow-benchmark/src/order/cost.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use loomflow_fleet::maintenance::ticket::{TicketRequest, Urgency};
-use loomflow_fleet::maintenance::{Command, Issuer, Request};
+use loomflow_fleet::maintenance::{Issuer, MaintenanceCommand, Request};
 use loomflow_fleet::operator::OperatorRequest;
 use loomflow_test_servers::fleet::{Fleet, Plan};
 use loomflow_test_servers::{ServerFixture, Worker, site};
@@ -27,7 +27,7 @@
         duration_millis: 60_000,
         window: None,
     });
-    let command = Command::CreateTickets(requests.collect());
+    let command = MaintenanceCommand::CreateTickets(requests.collect());
     let request =
         OperatorRequest::Fleet(Request::Execute { issuer: Issuer::Operator("measure".into()), command });
     fleet.send_operator_line(0, &serde_json::to_string(&request).expect("a line"));
--- a/crates/loomflow-benchmark/src/order/simulated.rs
+++ b/crates/loomflow-benchmark/src/order/simulated.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use loomflow_fleet::maintenance::rules::{Limit, Rules};
-use loomflow_fleet::maintenance::ticket::{Stage, Urgency};
+use loomflow_fleet::maintenance::ticket::{TicketStage, Urgency};
 use loomflow_fleet_simulation::{Fault, Scenario, Simulation, SimulationConfig, core_count, run_parallel};
 
 use crate::report::Report;
@@ -254,7 +254,7 @@
             day.granted_in_burst += lost;
         }
         let tickets = simulation.tickets();
-        if tickets.len() == MACHINES && tickets.iter().all(|ticket| ticket.stage == Stage::Done) {
+        if tickets.len() == MACHINES && tickets.iter().all(|ticket| ticket.stage == TicketStage::Done) {
             day.done.get_or_insert(second - REQUESTED_AT);
         }
     }
--- a/crates/loomflow-fleet-commands/src/arguments.rs
+++ b/crates/loomflow-fleet-commands/src/arguments.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use lexopt::prelude::*;
-use loomflow_fleet::duty::Token;
-use loomflow_fleet::maintenance::campaign;
+use loomflow_fleet::duty::{DutyCommand, Token};
+use loomflow_fleet::maintenance::campaign::CampaignCommand;
 use loomflow_fleet::maintenance::ticket::{TicketId, Transition, Urgency};
 use loomflow_settings::Options;
 use loomflow_settings::campaign::{parse_duration, parse_window};
 
-use crate::duties::DutyCommand;
+use crate::duties::DutySubcommand;
 use crate::error::UsageError;
 use crate::job_process::RunOptions;
 use crate::tickets::TicketOptions;
@@ -55,9 +55,9 @@
     History,
     Watch,
     Wait { server: String, timeout: Duration },
-    Duty(DutyCommand),
+    Duty(DutySubcommand),
     ListCampaigns,
-    Campaign(campaign::Command),
+    Campaign(CampaignCommand),
     Bootstrap,
     Recover,
 }
@@ -219,8 +219,8 @@
                 return Err(UsageError::Missing(message));
             }
             ["campaigns"] => FleetCommand::ListCampaigns,
-            ["resume", name] => FleetCommand::Campaign(campaign::Command::Resume((*name).to_owned())),
-            ["drop", name] => FleetCommand::Campaign(campaign::Command::Drop((*name).to_owned())),
+            ["resume", name] => FleetCommand::Campaign(CampaignCommand::Resume((*name).to_owned())),
+            ["drop", name] => FleetCommand::Campaign(CampaignCommand::Drop((*name).to_owned())),
             ["withdraw", ids @ ..] => FleetCommand::MoveTickets(Transition::Withdraw, ticket_ids(ids)?),
             ["write-off", ids @ ..] => FleetCommand::MoveTickets(Transition::Abandon, ticket_ids(ids)?),
             ["pause", reason @ ..] => FleetCommand::Pause(reason.join(" ")),
@@ -237,21 +237,22 @@
     }
 
     /// What follows `duty`.
-    fn duty_command(&mut self) -> Result<DutyCommand, UsageError> {
-        use loomflow_fleet::duty::Command;
+    fn duty_command(&mut self) -> Result<DutySubcommand, UsageError> {
         let words = owned(&self.words()[1..]);
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
         Ok(match words.as_slice() {
-            ["list"] => DutyCommand::List,
-            ["history"] => DutyCommand::History,
-            ["show", duty] => DutyCommand::Show((*duty).to_owned()),
-            ["release", duty] => DutyCommand::Execute(Command::Recall((*duty).to_owned())),
+            ["list"] => DutySubcommand::List,
+            ["history"] => DutySubcommand::History,
+            ["show", duty] => DutySubcommand::Show((*duty).to_owned()),
+            ["release", duty] => DutySubcommand::Execute(DutyCommand::Recall((*duty).to_owned())),
             ["park", duty, reason @ ..] => {
-                DutyCommand::Execute(Command::Park((*duty).to_owned(), reason.join(" ")))
+                DutySubcommand::Execute(DutyCommand::Park((*duty).to_owned(), reason.join(" ")))
             }
-            ["resume", duty] => DutyCommand::Execute(Command::Resume((*duty).to_owned())),
-            ["start", duty] => DutyCommand::Execute(Command::Run((*duty).to_owned(), fastrand::u64(..))),
-            ["run", duty] if !self.command.is_empty() => DutyCommand::Run(RunOptions {
+            ["resume", duty] => DutySubcommand::Execute(DutyCommand::Resume((*duty).to_owned())),
+            ["start", duty] => {
+                DutySubcommand::Execute(DutyCommand::Run((*duty).to_owned(), fastrand::u64(..)))
+            }
+            ["run", duty] if !self.command.is_empty() => DutySubcommand::Run(RunOptions {
                 duty: (*duty).to_owned(),
                 token: self.token,
                 ownership_timeout: self.ownership_timeout,
--- a/crates/loomflow-fleet-commands/src/client.rs
+++ b/crates/loomflow-fleet-commands/src/client.rs
@@ -8,7 +8,7 @@
 
 use loomflow_fleet::maintenance::state::TicketEvent;
 use loomflow_fleet::maintenance::ticket::Ticket;
-use loomflow_fleet::maintenance::{Command, Issuer, Request, Response, Status};
+use loomflow_fleet::maintenance::{Issuer, MaintenanceCommand, Request, Response, Status};
 use loomflow_fleet::operator::{OperatorRequest, OperatorResponse, encode_line};
 use serde::Serialize;
 
@@ -51,7 +51,7 @@
     }
 
     /// Puts a command into the log, in the name of the account.
-    pub fn execute(&self, command: Command) -> Result<Response, CommandError> {
+    pub fn execute(&self, command: MaintenanceCommand) -> Result<Response, CommandError> {
         let account = std::env::var("USER").unwrap_or_else(|_| "operator".into());
         self.request(Request::Execute { issuer: Issuer::Operator(account), command })
     }
--- a/crates/loomflow-fleet-commands/src/lib.rs
+++ b/crates/loomflow-fleet-commands/src/lib.rs
@@ -24,9 +24,9 @@
 
 use std::process::ExitCode;
 
-use loomflow_fleet::maintenance::campaign;
+use loomflow_fleet::maintenance::campaign::CampaignCommand;
 use loomflow_fleet::maintenance::ticket::{TicketId, Transition};
-use loomflow_fleet::maintenance::{Command, Request, Response, Status};
+use loomflow_fleet::maintenance::{MaintenanceCommand, Request, Response, Status};
 use loomflow_fleet::operator::{OperatorRequest, OperatorResponse};
 
 use arguments::{CommandLine, FleetCommand};
@@ -103,13 +103,13 @@
         },
         FleetCommand::CreateTickets(options) => create_tickets(client, options),
         FleetCommand::MoveTickets(transition, tickets) => Ok(move_tickets(client, transition, &tickets)),
-        FleetCommand::Campaign(command) => submit(client, Command::Campaign(command)),
+        FleetCommand::Campaign(command) => submit(client, MaintenanceCommand::Campaign(command)),
         FleetCommand::ListCampaigns => match client.request(Request::Campaigns)? {
             Response::Campaigns(views) => client.print(&views, || output::campaigns(&views)),
             other => Err(CommandError::unexpected(&other)),
         },
-        FleetCommand::Pause(reason) => submit(client, Command::Pause(reason)),
-        FleetCommand::Resume => submit(client, Command::Resume),
+        FleetCommand::Pause(reason) => submit(client, MaintenanceCommand::Pause(reason)),
+        FleetCommand::Resume => submit(client, MaintenanceCommand::Resume),
         FleetCommand::ListTickets => {
             let open = client.tickets()?.open;
             let now = client.status().ok().map(|status| status.time);
@@ -143,10 +143,10 @@
 fn create_tickets(client: &Client, options: TicketOptions) -> Result<ExitCode, CommandError> {
     let requests = tickets::requests(&options, &client.status()?.members)?;
     let command = match options.campaign {
-        None => Command::CreateTickets(requests),
+        None => MaintenanceCommand::CreateTickets(requests),
         Some(name) => {
             let batch_size = options.batch_size.max(1);
-            Command::Campaign(campaign::Command::Start { name, requests, batch_size })
+            MaintenanceCommand::Campaign(CampaignCommand::Start { name, requests, batch_size })
         }
     };
     submit(client, command)
@@ -157,7 +157,7 @@
     let mut code = ExitCode::SUCCESS;
     for &ticket in tickets {
         // The grant and the start of the server are not an operator's to name.
-        let command = Command::Transition { ticket, transition, grant: 0, incarnation: 0 };
+        let command = MaintenanceCommand::Transition { ticket, transition, grant: 0, incarnation: 0 };
         if let Err(error) = submit(client, command) {
             eprintln!("loomflow: ticket {ticket}: {error}");
             code = ExitCode::FAILURE;
@@ -167,7 +167,7 @@
 }
 
 /// Puts an operator's command into the log, and prints the tickets that it was about.
-fn submit(client: &Client, command: Command) -> Result<ExitCode, CommandError> {
+fn submit(client: &Client, command: MaintenanceCommand) -> Result<ExitCode, CommandError> {
     match client.execute(command)? {
         Response::Done(tickets) => client.print(&tickets, || {
             let numbers: Vec<String> = tickets.iter().map(ToString::to_string).collect();
--- a/crates/loomflow-fleet-commands/src/output.rs
+++ b/crates/loomflow-fleet-commands/src/output.rs
@@ -9,7 +9,7 @@
 use loomflow_fleet::maintenance::rules::Limit;
 use loomflow_fleet::maintenance::scheduling::Explanation;
 use loomflow_fleet::maintenance::state::TicketEvent;
-use loomflow_fleet::maintenance::ticket::{FleetMillis, Stage, Ticket};
+use loomflow_fleet::maintenance::ticket::{FleetMillis, Ticket, TicketStage};
 use loomflow_fleet::maintenance::{MemberRow, Status, SummaryReport};
 use loomflow_fleet::member::{LoadReport, Millis};
 
@@ -235,7 +235,7 @@
         let last_batch = view
             .last_batch
             .iter()
-            .map(|(server, stage)| format!("{server} {}", stage.map_or("long over", Stage::as_str)));
+            .map(|(server, stage)| format!("{server} {}", stage.map_or("long over", TicketStage::as_str)));
         let status = match &view.status {
             CampaignStatus::Running => "runs".into(),
             CampaignStatus::Halted(reason) => format!("halted: {reason}"),
--- a/crates/loomflow-fleet-commands/src/progress.rs
+++ b/crates/loomflow-fleet-commands/src/progress.rs
@@ -5,10 +5,11 @@
 use std::time::{Duration, Instant};
 
 use indicatif::{ProgressBar, ProgressStyle};
-use loomflow_fleet::maintenance::ticket::{Stage, Ticket, TicketId};
+use loomflow_fleet::maintenance::ticket::{Ticket, TicketId, TicketStage};
 
 use crate::client::{Client, TicketLists};
 use crate::error::CommandError;
+use crate::exit_code;
 
 /// How often the fleet is asked.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
@@ -17,10 +18,6 @@
 /// Failed polls in a row after which a server that drains counts as gone: it may be the one that is asked.
 const FAILED_POLLS_OF_STOPPED_SERVER: usize = 4;
 
-const EXIT_DRAINED: u8 = 0;
-const EXIT_MAY_NOT_GO: u8 = 3;
-const EXIT_SUPERSEDED: u8 = 4;
-
 /// Shows a bar until no ticket is open. A leader that changes meanwhile is waited for.
 pub fn watch(client: &Client) -> Result<ExitCode, CommandError> {
     let bar = ProgressBar::new(0);
@@ -57,8 +54,27 @@
     out.collect::<Vec<_>>().join(", ")
 }
 
-/// How a wait ended: the exit code, and what is printed.
-type Outcome = (u8, &'static str);
+/// How a wait ended.
+struct WaitOutcome {
+    /// One of [`exit_code`].
+    exit_code: u8,
+    /// What is printed after the server's name.
+    message: &'static str,
+}
+
+impl WaitOutcome {
+    fn drained(message: &'static str) -> WaitOutcome {
+        WaitOutcome { exit_code: exit_code::DRAINED, message }
+    }
+
+    fn may_not_go(message: &'static str) -> WaitOutcome {
+        WaitOutcome { exit_code: exit_code::MAY_NOT_GO, message }
+    }
+
+    fn superseded(message: &'static str) -> WaitOutcome {
+        WaitOutcome { exit_code: exit_code::SUPERSEDED, message }
+    }
+}
 
 /// Waits for a server's ticket.
 struct Wait<'a> {
@@ -74,7 +90,7 @@
 pub fn wait(client: &Client, server: &str, timeout: Duration) -> Result<ExitCode, CommandError> {
     let deadline = Instant::now() + timeout;
     let mut wait = Wait { client, server, ticket: None, has_begun: false, failed_polls: 0 };
-    let mut outcome = (EXIT_MAY_NOT_GO, "it was not its turn in time");
+    let mut outcome = WaitOutcome::may_not_go("it was not its turn in time");
     while Instant::now() < deadline {
         if let Some(reached) = wait.poll()? {
             outcome = reached;
@@ -82,13 +98,12 @@
         }
         std::thread::sleep(POLL_INTERVAL);
     }
-    let (code, message) = outcome;
-    println!("{server}: {message}");
-    Ok(ExitCode::from(code))
+    println!("{server}: {}", outcome.message);
+    Ok(ExitCode::from(outcome.exit_code))
 }
 
 impl Wait<'_> {
-    fn poll(&mut self) -> Result<Option<Outcome>, CommandError> {
+    fn poll(&mut self) -> Result<Option<WaitOutcome>, CommandError> {
         match self.client.tickets() {
             Ok(tickets) => {
                 self.failed_polls = 0;
@@ -98,7 +113,7 @@
             Err(_) if self.has_begun && !self.client.is_reachable() => {
                 self.failed_polls += 1;
                 let has_stopped = self.failed_polls >= FAILED_POLLS_OF_STOPPED_SERVER;
-                Ok(has_stopped.then_some((EXIT_DRAINED, "drained, and gone")))
+                Ok(has_stopped.then_some(WaitOutcome::drained("drained, and gone")))
             }
             Err(error) => {
                 self.failed_polls += 1;
@@ -108,26 +123,26 @@
     }
 
     /// The outcome by the stage of the ticket; none where it is waited on.
-    fn outcome(&mut self, tickets: &TicketLists) -> Option<Outcome> {
+    fn outcome(&mut self, tickets: &TicketLists) -> Option<WaitOutcome> {
         let Some((stage, has_returned)) = self.find(tickets) else {
-            return Some((EXIT_MAY_NOT_GO, "no ticket of it is open"));
+            return Some(WaitOutcome::may_not_go("no ticket of it is open"));
         };
         match stage {
-            Stage::Requested | Stage::Granted => None,
-            Stage::Begun | Stage::Draining => {
+            TicketStage::Requested | TicketStage::Granted => None,
+            TicketStage::Begun | TicketStage::Draining => {
                 self.has_begun = true;
                 None
             }
-            Stage::Out => Some((EXIT_DRAINED, "drained")),
-            Stage::Overdue if !has_returned => Some((EXIT_DRAINED, "drained, and overdue")),
-            Stage::Withdrawn => Some((EXIT_MAY_NOT_GO, "its ticket was withdrawn")),
-            Stage::Lapsed => Some((EXIT_MAY_NOT_GO, "its ticket lapsed")),
-            _ => Some((EXIT_SUPERSEDED, "its turn is past")),
+            TicketStage::Out => Some(WaitOutcome::drained("drained")),
+            TicketStage::Overdue if !has_returned => Some(WaitOutcome::drained("drained, and overdue")),
+            TicketStage::Withdrawn => Some(WaitOutcome::may_not_go("its ticket was withdrawn")),
+            TicketStage::Lapsed => Some(WaitOutcome::may_not_go("its ticket lapsed")),
+            _ => Some(WaitOutcome::superseded("its turn is past")),
         }
     }
 
     /// The stage of the ticket that is waited for, and whether its server has come back.
-    fn find(&mut self, tickets: &TicketLists) -> Option<(Stage, bool)> {
+    fn find(&mut self, tickets: &TicketLists) -> Option<(TicketStage, bool)> {
         let is_own = |ticket: &&Ticket| {
             ticket.request.server == self.server && self.ticket.is_none_or(|id| id == ticket.id)
         };
--- a/crates/loomflow-fleet-simulation/src/invariants.rs
+++ b/crates/loomflow-fleet-simulation/src/invariants.rs
@@ -7,7 +7,7 @@
 use loomflow_fleet::consensus::StateMachine as _;
 use loomflow_fleet::duty::fence::Fence;
 use loomflow_fleet::duty::{DutyName, Token};
-use loomflow_fleet::maintenance::ticket::{Stage, TicketId};
+use loomflow_fleet::maintenance::ticket::{TicketId, TicketStage};
 use loomflow_fleet::member::Millis;
 
 use crate::config::{MachineId, SimulationConfig};
@@ -258,8 +258,9 @@
 /// Whoever leaves by a ticket does so on a begin that some voter has applied.
 fn check_begun(departure: Departure, machines: &[Machine]) -> Result<(), Violation> {
     let Departure { machine, ticket, .. } = departure;
-    let has_begun =
-        |stage: Stage| stage >= Stage::Begun && !matches!(stage, Stage::Withdrawn | Stage::Lapsed);
+    let has_begun = |stage: TicketStage| {
+        stage >= TicketStage::Begun && !matches!(stage, TicketStage::Withdrawn | TicketStage::Lapsed)
+    };
     let states = machines.iter().filter_map(|machine| machine.node.as_ref()?.maintenance());
     if states.filter_map(|state| state.find(ticket)).any(|ticket| has_begun(ticket.stage)) {
         return Ok(());
--- a/crates/loomflow-fleet-simulation/src/simulation/faults.rs
+++ b/crates/loomflow-fleet-simulation/src/simulation/faults.rs
@@ -1,7 +1,7 @@
 //! Carries out the faults of a scenario, and the requests of operators.
 
 use loomflow_fleet::maintenance::ticket::{TicketId, TicketRequest, Transition, Urgency};
-use loomflow_fleet::maintenance::{Command, Issuer, Request};
+use loomflow_fleet::maintenance::{Issuer, MaintenanceCommand, Request};
 use loomflow_fleet::member::Millis;
 
 use super::{OperatorCall, Simulation};
@@ -82,17 +82,17 @@
             duration_millis: REQUESTED_MILLIS,
             window: None,
         });
-        let command = Command::CreateTickets(requests.collect());
+        let command = MaintenanceCommand::CreateTickets(requests.collect());
         self.submit_as_operator(command, machines.to_vec());
     }
 
     fn move_ticket(&mut self, ticket: TicketId, transition: Transition) {
-        let command = Command::Transition { ticket, transition, grant: 0, incarnation: 0 };
+        let command = MaintenanceCommand::Transition { ticket, transition, grant: 0, incarnation: 0 };
         self.submit_as_operator(command, Vec::new());
     }
 
     /// Submits an operator's command about some machines, at the first machine that runs.
-    pub fn submit_as_operator(&mut self, command: Command, machines: Vec<MachineId>) {
+    pub fn submit_as_operator(&mut self, command: MaintenanceCommand, machines: Vec<MachineId>) {
         let is_usable = |id: &MachineId| {
             let machine = &self.machines[*id];
             machine.is_serving() && !machine.is_stopped(self.now)
--- a/crates/loomflow-fleet-simulation/src/simulation/queries.rs
+++ b/crates/loomflow-fleet-simulation/src/simulation/queries.rs
@@ -4,7 +4,7 @@
 
 use loomflow_fleet::consensus::Consensus;
 use loomflow_fleet::fleet_state::FleetState;
-use loomflow_fleet::maintenance::ticket::{Stage, TicketId};
+use loomflow_fleet::maintenance::ticket::{TicketId, TicketStage};
 use loomflow_fleet::maintenance::{Request, Response};
 use loomflow_fleet::member::{MemberState, ServerName};
 use loomflow_fleet::node::Node;
@@ -15,13 +15,13 @@
 
 /// A ticket by the leader's state.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct TicketStage {
+pub struct TicketSummary {
     /// The ticket.
     pub ticket: TicketId,
     /// Its server.
     pub server: ServerName,
     /// How far it has come.
-    pub stage: Stage,
+    pub stage: TicketStage,
 }
 
 impl Simulation {
@@ -55,11 +55,11 @@
     }
 
     /// All tickets by the leader's state, open and closed, in the order of their numbers.
-    pub fn tickets(&self) -> Vec<TicketStage> {
+    pub fn tickets(&self) -> Vec<TicketSummary> {
         let Some(state) = self.leader_state() else { return Vec::new() };
         let all = state.maintenance.closed().chain(state.maintenance.open().values());
-        let mut tickets: Vec<TicketStage> = all
-            .map(|ticket| TicketStage {
+        let mut tickets: Vec<TicketSummary> = all
+            .map(|ticket| TicketSummary {
                 ticket: ticket.id,
                 server: ticket.request.server.clone(),
                 stage: ticket.stage,
--- a/crates/loomflow-fleet-simulation/tests/hard_cases.rs
+++ b/crates/loomflow-fleet-simulation/tests/hard_cases.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use loomflow_fleet::maintenance::rules::{Limit, Rules};
-use loomflow_fleet::maintenance::ticket::{Stage, Urgency::Routine};
+use loomflow_fleet::maintenance::ticket::{TicketStage, Urgency::Routine};
 use loomflow_fleet_simulation::Fault::*;
 use loomflow_fleet_simulation::{Scenario, Simulation, SimulationConfig};
 
@@ -14,12 +14,12 @@
 }
 
 /// The stages of all tickets in the order of their numbers, by the leader's word.
-fn stages(simulation: &Simulation) -> Vec<Stage> {
+fn stages(simulation: &Simulation) -> Vec<TicketStage> {
     assert!(simulation.leader().is_some(), "nobody leads\n{}", timeline(simulation));
     simulation.tickets().into_iter().map(|ticket| ticket.stage).collect()
 }
 
-fn ends(simulation: &Simulation, stages_wanted: &[Stage]) {
+fn ends(simulation: &Simulation, stages_wanted: &[TicketStage]) {
     assert_eq!(stages(simulation), stages_wanted, "{}", timeline(simulation));
 }
 
@@ -31,7 +31,7 @@
 #[test]
 fn a_fleet_forms_and_each_goes_in_turn_the_leader_last() {
     let simulation = run(config(5, 3), [(12_000, RequestWork((0..5).collect(), Routine))], 200_000);
-    ends(&simulation, &[Stage::Done; 5]);
+    ends(&simulation, &[TicketStage::Done; 5]);
     let order: Vec<usize> = left(&simulation).into_iter().map(|(one, _)| one).collect();
     // The first machine founded the fleet and led it.
     assert_eq!((order.len(), order.last()), (5, Some(&0)), "{}", timeline(&simulation));
@@ -44,7 +44,7 @@
         [(12_000, RequestWork((3..9).collect(), Routine))],
         250_000,
     );
-    ends(&simulation, &[Stage::Done; 6]);
+    ends(&simulation, &[TicketStage::Done; 6]);
     let zones: Vec<usize> = left(&simulation).into_iter().map(|(one, _)| one % 3).collect();
     assert!(zones.windows(2).all(|pair| pair[0] != pair[1]), "{zones:?}");
 }
@@ -60,7 +60,7 @@
         (60_000, Start(0)),
     ];
     let simulation = run(config(5, 3), cuts.chain(steps), 120_000);
-    ends(&simulation, &[Stage::Done]);
+    ends(&simulation, &[TicketStage::Done]);
 }
 
 #[test]
@@ -73,14 +73,14 @@
     simulation.run_until(12_000).unwrap();
     simulation.inject(&RequestWork(vec![4], Routine));
     // As soon as the grant is agreed on, before its server has heard of it.
-    while stages(&simulation) != [Stage::Granted] {
+    while stages(&simulation) != [TicketStage::Granted] {
         let next = simulation.now + 1;
         simulation.run_until(next).unwrap();
     }
     simulation.inject(&Stop(4, 12_000));
     let now = simulation.now;
     simulation.run_until(now + 8_000).unwrap();
-    assert_ne!(stages(&simulation)[0], Stage::Granted, "{}", timeline(&simulation));
+    assert_ne!(stages(&simulation)[0], TicketStage::Granted, "{}", timeline(&simulation));
     simulation.inject(&Withdraw(1));
     simulation.inject(&RequestWork(vec![3], Routine));
     simulation.run_until(now + 11_900).unwrap();
@@ -90,7 +90,7 @@
     simulation.run_until(now + 16_000).unwrap();
     assert_eq!(left(&simulation), before, "{}", timeline(&simulation));
     simulation.run_until(now + 120_000).unwrap();
-    ends(&simulation, &[Stage::Withdrawn, Stage::Done]);
+    ends(&simulation, &[TicketStage::Withdrawn, TicketStage::Done]);
 }
 
 #[test]
@@ -106,7 +106,7 @@
     simulation.inject(&HealNetwork);
     simulation.inject(&Start(0));
     simulation.run_until(460_000).unwrap();
-    assert!(stages(&simulation).iter().all(|stage| *stage == Stage::Done), "{}", timeline(&simulation));
+    assert!(stages(&simulation).iter().all(|stage| *stage == TicketStage::Done), "{}", timeline(&simulation));
 }
 
 #[test]
@@ -119,7 +119,7 @@
     assert!(left(&simulation).iter().all(|(one, _)| *one != 4), "{}", timeline(&simulation));
     simulation.inject(&HealNetwork);
     simulation.run_until(400_000).unwrap();
-    ends(&simulation, &[Stage::Done, Stage::Done]);
+    ends(&simulation, &[TicketStage::Done, TicketStage::Done]);
 }
 
 #[test]
@@ -137,7 +137,7 @@
     simulation.run_until(now + 29_000).unwrap();
     assert_eq!(left(&simulation).len(), 1, "{}", timeline(&simulation));
     simulation.run_until(now + 200_000).unwrap();
-    ends(&simulation, &[Stage::Done, Stage::Done]);
+    ends(&simulation, &[TicketStage::Done, TicketStage::Done]);
 }
 
 #[test]
@@ -149,21 +149,21 @@
     ];
     let mut simulation = Simulation::new(config(5, 3), 7);
     simulation.run(&Scenario::new(steps), 100_000).unwrap();
-    ends(&simulation, &[Stage::Overdue, Stage::Requested]);
+    ends(&simulation, &[TicketStage::Overdue, TicketStage::Requested]);
     simulation.inject(&Abandon(1));
     // It still counts as one that is gone, for an hour, unless it is started again.
     simulation.run_until(140_000).unwrap();
-    ends(&simulation, &[Stage::Abandoned, Stage::Requested]);
+    ends(&simulation, &[TicketStage::Abandoned, TicketStage::Requested]);
     simulation.inject(&Start(4));
     simulation.run_until(240_000).unwrap();
-    ends(&simulation, &[Stage::Abandoned, Stage::Done]);
+    ends(&simulation, &[TicketStage::Abandoned, TicketStage::Done]);
 }
 
 #[test]
 fn back_as_another_incarnation_under_a_new_ticket_it_goes_once_more_and_not_twice_at_once() {
     let steps = [(12_000, RequestWork(vec![4], Routine)), (14_500, RequestWork(vec![4], Routine))];
     let simulation = run(config(5, 3), steps, 200_000);
-    ends(&simulation, &[Stage::Done, Stage::Done]);
+    ends(&simulation, &[TicketStage::Done, TicketStage::Done]);
     assert_eq!(left(&simulation).len(), 2);
 }
 
@@ -176,7 +176,7 @@
         (30_000, RequestWork(vec![1, 2], Routine)),
     ];
     let simulation = run(config(4, 3), steps, 300_000);
-    ends(&simulation, &[Stage::Done, Stage::Done]);
+    ends(&simulation, &[TicketStage::Done, TicketStage::Done]);
     let leader = simulation.leader().unwrap();
     let consensus = simulation.machines[leader].node.as_ref().unwrap().consensus().unwrap();
     assert_eq!(consensus.voters().len(), 3, "its former self has no vote any more");
@@ -188,7 +188,7 @@
     let mut simulation = Simulation::new(config(5, 3), 7);
     simulation.run(&Scenario::new(full), 60_000).unwrap();
     assert_ne!(simulation.leader(), Some(0), "{}", timeline(&simulation));
-    ends(&simulation, &[Stage::Done]);
+    ends(&simulation, &[TicketStage::Done]);
     simulation.inject(&FillDisk(0, false));
     simulation.inject(&Kill(1));
     simulation.inject(&RequestWork(vec![3], Routine));
@@ -203,7 +203,7 @@
     let start = (0..3).map(|one| (20_000, Start(one)));
     let simulation =
         run(config(5, 3), kill.chain(start).chain([(12_000, RequestWork(vec![4, 3], Routine))]), 400_000);
-    ends(&simulation, &[Stage::Done, Stage::Done]);
+    ends(&simulation, &[TicketStage::Done, TicketStage::Done]);
 }
 
 #[test]
@@ -221,7 +221,7 @@
     let late = left(&simulation).iter().filter(|(_, at)| *at > 18_000).count();
     assert_eq!(late, 0, "{}", timeline(&simulation));
     simulation.run(&Scenario::new(back), 400_000).unwrap();
-    ends(&simulation, &[Stage::Done; 4]);
+    ends(&simulation, &[TicketStage::Done; 4]);
 }
 
 #[test]
@@ -230,7 +230,7 @@
     simulation.run_until(12_000).unwrap();
     // It cannot take the grant up at once.
     simulation.inject(&RequestWork(vec![4], Routine));
-    while stages(&simulation) != [Stage::Granted] {
+    while stages(&simulation) != [TicketStage::Granted] {
         let next = simulation.now + 1;
         simulation.run_until(next).unwrap();
     }
@@ -240,13 +240,13 @@
     simulation.run_until(now + 30_000).unwrap();
     assert_eq!(
         (stages(&simulation), left(&simulation)),
-        (vec![Stage::Requested], vec![]),
+        (vec![TicketStage::Requested], vec![]),
         "{}",
         timeline(&simulation)
     );
     simulation.inject(&SetLoad(3.0));
     simulation.run_until(now + 420_000).unwrap();
-    ends(&simulation, &[Stage::Done]);
+    ends(&simulation, &[TicketStage::Done]);
 }
 
 #[test]
@@ -257,7 +257,7 @@
     assert_eq!(left(&simulation), [], "{}", timeline(&simulation));
     simulation.inject(&SetLoad(3.0));
     simulation.run_until(600_000).unwrap();
-    ends(&simulation, &[Stage::Done, Stage::Done]);
+    ends(&simulation, &[TicketStage::Done, TicketStage::Done]);
 }
 
 #[test]
@@ -268,7 +268,7 @@
         let simulation = run(config(5, 3), steps, 200_000);
         let stage = stages(&simulation)[0];
         let went = !left(&simulation).is_empty();
-        let agreed = matches!((stage, went), (Stage::Withdrawn, false) | (Stage::Done, true));
+        let agreed = matches!((stage, went), (TicketStage::Withdrawn, false) | (TicketStage::Done, true));
         assert!(agreed, "withdrawn at {at}: {stage:?}, went {went}\n{}", timeline(&simulation));
     }
 }
@@ -280,7 +280,7 @@
         [(at, Kill(4)), (at + 1_500, Start(4))]
     });
     let simulation = run(config(5, 3), flap.chain([(13_000, RequestWork(vec![3, 4], Routine))]), 500_000);
-    ends(&simulation, &[Stage::Done, Stage::Done]);
+    ends(&simulation, &[TicketStage::Done, TicketStage::Done]);
 }
 
 #[test]
@@ -300,7 +300,7 @@
     );
     simulation.inject(&Start(4));
     simulation.run_until(200_000).unwrap();
-    ends(&simulation, &[Stage::Done]);
+    ends(&simulation, &[TicketStage::Done]);
 }
 
 #[test]
@@ -315,7 +315,7 @@
     simulation
         .run(&Scenario::new(gone.chain(back).chain([(45_000, RequestWork(vec![7, 8], Routine))])), 120_000)
         .unwrap();
-    ends(&simulation, &[Stage::Done, Stage::Done]);
+    ends(&simulation, &[TicketStage::Done, TicketStage::Done]);
     for machine in &simulation.machines {
         let known = machine.node.as_ref().unwrap().membership().known();
         assert_eq!(known.len(), 49, "{}", timeline(&simulation));
@@ -338,9 +338,9 @@
     // Its own clock does not matter here.
     node.recover(now).unwrap();
     simulation.run_until(140_000).unwrap();
-    assert_eq!(stages(&simulation)[0], Stage::Done, "what the folder held is there");
+    assert_eq!(stages(&simulation)[0], TicketStage::Done, "what the folder held is there");
     simulation.inject(&RequestWork(vec![4], Routine));
     simulation.run_until(260_000).unwrap();
     let last = simulation.tickets().last().cloned().unwrap();
-    assert!(last.ticket > 1 << 20 && last.stage == Stage::Done, "{last:?}\n{}", timeline(&simulation));
+    assert!(last.ticket > 1 << 20 && last.stage == TicketStage::Done, "{last:?}\n{}", timeline(&simulation));
 }
--- a/crates/loomflow-fleet-simulation/tests/seeds.rs
+++ b/crates/loomflow-fleet-simulation/tests/seeds.rs
@@ -2,7 +2,7 @@
 //! `LOOMFLOW_SEEDS=n` plays so many.
 
 use loomflow_fleet::maintenance::Response;
-use loomflow_fleet::maintenance::ticket::Stage;
+use loomflow_fleet::maintenance::ticket::TicketStage;
 use loomflow_fleet_simulation::{Scenario, Simulation, SimulationConfig, core_count, run_parallel};
 
 /// Faults from the twelfth second to the sixtieth, then quiet: every ticket comes to its end.
@@ -41,7 +41,8 @@
             format!("{} tickets of {machines} are known: {stages:?}", stages.len()),
         ));
     }
-    let open = stages.iter().filter(|one| !one.stage.is_closed() && one.stage != Stage::Overdue).count();
+    let open =
+        stages.iter().filter(|one| !one.stage.is_closed() && one.stage != TicketStage::Overdue).count();
     if simulation.leader().is_none() || open > 0 {
         return Err(fail(&simulation, format!("{open} open, leader {:?}: {stages:?}", simulation.leader())));
     }
--- a/crates/loomflow-fleet/src/duty/assign.rs
+++ b/crates/loomflow-fleet/src/duty/assign.rs
@@ -8,7 +8,7 @@
 use super::load::Loads;
 use super::recall::recalls;
 use super::state::{Duties, Duty};
-use super::{Command, DutyName};
+use super::{DutyCommand, DutyName};
 use crate::member::{MemberView, ServerName};
 
 /// A server that requests less than this share acquires nothing new.
@@ -49,7 +49,7 @@
     duties: &Duties,
     members: &BTreeMap<ServerName, MemberView>,
     is_departing: &dyn Fn(&str) -> bool,
-) -> Vec<Command> {
+) -> Vec<DutyCommand> {
     let candidates = candidates(duties, members, is_departing);
     // In a fleet that forms the first owners are chosen when all servers had time to open a session.
     let lease_millis = duties.lease_settings().lease_millis;
@@ -57,9 +57,9 @@
         |duty: &Duty| duty.token == 0 && duties.time().saturating_sub(duty.available_since) < lease_millis;
     let assignments = assign_available(duties, &candidates, &must_wait);
     if !assignments.is_empty() {
-        return vec![Command::Assign(assignments)];
+        return vec![DutyCommand::Assign(assignments)];
     }
-    recalls(duties, members, &candidates, is_departing).into_iter().map(Command::Recall).collect()
+    recalls(duties, members, &candidates, is_departing).into_iter().map(DutyCommand::Recall).collect()
 }
 
 /// Owners for the duties that are available and need not wait.
--- a/crates/loomflow-fleet/src/duty/assign/tests.rs
+++ b/crates/loomflow-fleet/src/duty/assign/tests.rs
@@ -11,9 +11,9 @@
 fn duties_and_sessions(duties: usize, servers: usize) -> Duties {
     let mut state = Duties::default();
     let declared = (0..duties).map(|n| DutySpec::plain(&format!("d{n}"))).collect();
-    state.apply(&Command::Declare(LeaseSettings::default(), declared));
+    state.apply(&DutyCommand::Declare(LeaseSettings::default(), declared));
     let holder = |n| ServerInstance { name: format!("n{n}"), incarnation: 1 };
-    state.apply(&Command::KeepAlive((0..servers).map(holder).collect()));
+    state.apply(&DutyCommand::KeepAlive((0..servers).map(holder).collect()));
     state
 }
 
@@ -26,12 +26,12 @@
 fn when_one_dies_only_its_duties_move_and_all_stay_within_the_bound() {
     let mut duties = duties_and_sessions(1_000, 300);
     let all = candidates(300);
-    duties.apply(&Command::Assign(assign_available(&duties, &all, &|_| false)));
+    duties.apply(&DutyCommand::Assign(assign_available(&duties, &all, &|_| false)));
     assert!(imbalance(&duties, &all) <= MAX_IMBALANCE, "{}", imbalance(&duties, &all));
     let before = owners(&duties);
     let (dead, rest): (Vec<_>, Vec<_>) = all.into_iter().partition(|duty| duty.name == "n7");
-    duties.apply(&Command::End(ServerInstance { name: dead[0].name.clone(), incarnation: 1 }));
-    duties.apply(&Command::Assign(assign_available(&duties, &rest, &|_| false)));
+    duties.apply(&DutyCommand::End(ServerInstance { name: dead[0].name.clone(), incarnation: 1 }));
+    duties.apply(&DutyCommand::Assign(assign_available(&duties, &rest, &|_| false)));
     let after = owners(&duties);
     let moved = before.iter().filter(|(duty, owner)| after[*duty] != **owner).count();
     assert_eq!(moved, before.values().filter(|owner| **owner == "n7").count());
@@ -43,14 +43,14 @@
     let mut duties = duties_and_sessions(40, 4);
     let mut servers = candidates(4);
     (servers[0].can_acquire, servers[0].weight) = (false, 0.3);
-    duties.apply(&Command::Assign(assign_available(&duties, &servers, &|_| false)));
+    duties.apply(&DutyCommand::Assign(assign_available(&duties, &servers, &|_| false)));
     assert!(owners(&duties).values().all(|owner| owner != "n0"));
     assert_eq!(owners(&duties).len(), 40);
     let mut duties = duties_and_sessions(40, 4);
     for server in &mut servers {
         server.can_acquire = false;
     }
-    duties.apply(&Command::Assign(assign_available(&duties, &servers, &|_| false)));
+    duties.apply(&DutyCommand::Assign(assign_available(&duties, &servers, &|_| false)));
     assert_eq!(owners(&duties).len(), 40, "a duty without an owner is worse");
 }
 
@@ -58,7 +58,7 @@
 fn fewer_duties_than_servers_go_to_one_each() {
     let mut duties = duties_and_sessions(5, 20);
     let all = candidates(20);
-    duties.apply(&Command::Assign(assign_available(&duties, &all, &|_| false)));
+    duties.apply(&DutyCommand::Assign(assign_available(&duties, &all, &|_| false)));
     let owners = owners(&duties);
     let names: std::collections::BTreeSet<&ServerName> = owners.values().collect();
     assert_eq!((owners.len(), names.len()), (5, 5));
@@ -86,7 +86,7 @@
     duties.advance_time(lease - 1);
     assert_eq!(commands(&duties, &members, &|_| false), []);
     duties.advance_time(lease);
-    assert!(matches!(commands(&duties, &members, &|_| false)[..], [Command::Assign(_)]));
+    assert!(matches!(commands(&duties, &members, &|_| false)[..], [DutyCommand::Assign(_)]));
 }
 
 #[test]
@@ -111,7 +111,7 @@
     let next = successor(&duties, &all, "d0", "n1").unwrap();
     assert_ne!(next, "n1");
     assert_eq!(successor(&duties, &all[1..2], "d0", "n1"), None, "there is no other");
-    duties.apply(&Command::Park("d0".into(), "incident".into()));
+    duties.apply(&DutyCommand::Park("d0".into(), "incident".into()));
     assert_eq!(successor(&duties, &all, "d0", "n1"), None);
 }
 
@@ -127,7 +127,7 @@
             .enumerate()
             .map(|(n, (weight, can_acquire))| Candidate { name: format!("n{n}"), weight: *weight, can_acquire: *can_acquire })
             .collect();
-        duties.apply(&Command::Assign(assign_available(&duties, &candidates, &|_| false)));
+        duties.apply(&DutyCommand::Assign(assign_available(&duties, &candidates, &|_| false)));
         let owners = owners(&duties);
         prop_assert_eq!(owners.len(), count);
         if candidates.iter().any(|duty| duty.can_acquire) {
--- a/crates/loomflow-fleet/src/duty/mod.rs
+++ b/crates/loomflow-fleet/src/duty/mod.rs
@@ -127,7 +127,7 @@
 
 /// A log entry on duties.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Command {
+pub enum DutyCommand {
     /// By the leader, from its settings: all duties there are.
     Declare(LeaseSettings, Vec<DutySpec>),
     /// Servers that renewed their sessions. One renewal extends all that a server owns.
@@ -166,12 +166,12 @@
     Run(DutyName, u64),
 }
 
-/// The response to a [`Command`], or to a request for all duties.
+/// The response to a [`DutyCommand`], or to a request for all duties.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Response {
     /// Done.
     Done,
-    /// To [`Command::KeepAlive`]: what the server owns.
+    /// To [`DutyCommand::KeepAlive`]: what the server owns.
     #[serde(rename = "Kept")]
     Ownership(Ownership),
     /// Not done, and nothing has changed.
--- a/crates/loomflow-fleet/src/duty/recall/tests.rs
+++ b/crates/loomflow-fleet/src/duty/recall/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::duty::{Command, DutySpec, LeaseSettings, ServerInstance};
+use crate::duty::{DutyCommand, DutySpec, LeaseSettings, ServerInstance};
 use crate::member::{LoadReport, MemberState, Zone};
 
 const SETTLED_AT: FleetMillis = 30_000;
@@ -10,10 +10,10 @@
     let names: Vec<DutyName> = (0..6).map(|n| format!("d{n}")).collect();
     let specs = names.iter().map(|name| DutySpec::plain(name)).collect();
     let settings = LeaseSettings { lease_millis: 3_600_000, ..LeaseSettings::default() };
-    duties.apply(&Command::Declare(settings, specs));
+    duties.apply(&DutyCommand::Declare(settings, specs));
     let instances = ["a", "b"].map(|name| ServerInstance { name: name.into(), incarnation: 1 });
-    duties.apply(&Command::KeepAlive(instances.to_vec()));
-    duties.apply(&Command::Assign(names.into_iter().map(|name| (name, "a".to_owned())).collect()));
+    duties.apply(&DutyCommand::KeepAlive(instances.to_vec()));
+    duties.apply(&DutyCommand::Assign(names.into_iter().map(|name| (name, "a".to_owned())).collect()));
     duties
 }
 
--- a/crates/loomflow-fleet/src/duty/state/apply.rs
+++ b/crates/loomflow-fleet/src/duty/state/apply.rs
@@ -2,8 +2,8 @@
 
 use super::{Duties, Duty, Lease, MAX_EVENTS, MAX_RUN_REQUESTS, PersistentState, Session};
 use crate::duty::{
-    Command, DutyEvent, DutyEventKind, DutyName, DutySpec, LeaseSettings, MAX_CHECKPOINT_BYTES, MAX_DUTIES,
-    OwnerUpdate, Rejection, Response, RunId, ServerInstance, Token, check_name, truncate_reason,
+    DutyCommand, DutyEvent, DutyEventKind, DutyName, DutySpec, LeaseSettings, MAX_CHECKPOINT_BYTES,
+    MAX_DUTIES, OwnerUpdate, Rejection, Response, RunId, ServerInstance, Token, check_name, truncate_reason,
 };
 use crate::member::{FleetMillis, ServerName};
 use crate::membership::MAX_MEMBERS;
@@ -22,24 +22,24 @@
     }
 
     /// Applies one command, at the time that was last set.
-    pub fn apply(&mut self, command: &Command) -> Response {
+    pub fn apply(&mut self, command: &DutyCommand) -> Response {
         self.execute(command).map_or_else(Response::Rejected, |()| Response::Done)
     }
 
-    fn execute(&mut self, command: &Command) -> Result<(), Rejection> {
+    fn execute(&mut self, command: &DutyCommand) -> Result<(), Rejection> {
         match command {
-            Command::Declare(lease_settings, specs) => return self.declare(*lease_settings, specs),
-            Command::KeepAlive(instances) => instances.iter().for_each(|one| self.renew_session(one)),
-            Command::End(instance) => self.end_session(instance),
-            Command::Assign(owners) => owners.iter().for_each(|(duty, owner)| self.assign(duty, owner)),
-            Command::Recall(duty) => self.duty_mut(duty)?.recall(),
-            Command::Release { duty, token, successor } => {
+            DutyCommand::Declare(lease_settings, specs) => return self.declare(*lease_settings, specs),
+            DutyCommand::KeepAlive(instances) => instances.iter().for_each(|one| self.renew_session(one)),
+            DutyCommand::End(instance) => self.end_session(instance),
+            DutyCommand::Assign(owners) => owners.iter().for_each(|(duty, owner)| self.assign(duty, owner)),
+            DutyCommand::Recall(duty) => self.duty_mut(duty)?.recall(),
+            DutyCommand::Release { duty, token, successor } => {
                 return self.release(duty, *token, successor.as_ref());
             }
-            Command::Write { duty, token, update } => return self.write(duty, *token, update),
-            Command::Park(duty, reason) => return self.park(duty, reason),
-            Command::Resume(duty) => return self.resume(duty),
-            Command::Run(duty, request) => self.duty_mut(duty)?.request_run(*request),
+            DutyCommand::Write { duty, token, update } => return self.write(duty, *token, update),
+            DutyCommand::Park(duty, reason) => return self.park(duty, reason),
+            DutyCommand::Resume(duty) => return self.resume(duty),
+            DutyCommand::Run(duty, request) => self.duty_mut(duty)?.request_run(*request),
         }
         Ok(())
     }
--- a/crates/loomflow-fleet/src/duty/state/tests.rs
+++ b/crates/loomflow-fleet/src/duty/state/tests.rs
@@ -1,20 +1,20 @@
 use super::*;
-use crate::duty::{Command, OwnerUpdate, Rejection, Response};
+use crate::duty::{DutyCommand, OwnerUpdate, Rejection, Response};
 
 #[test]
 fn a_write_of_a_former_owner_is_rejected_and_counted() {
     let mut duties = Duties::default();
     let duty: DutyName = "d".into();
-    duties.apply(&Command::Declare(LeaseSettings::default(), vec![DutySpec::plain(&duty)]));
+    duties.apply(&DutyCommand::Declare(LeaseSettings::default(), vec![DutySpec::plain(&duty)]));
     let instances = ["a", "b"].map(|name| ServerInstance { name: name.into(), incarnation: 1 });
-    duties.apply(&Command::KeepAlive(instances.to_vec()));
-    duties.apply(&Command::Assign(vec![(duty.clone(), "a".into())]));
+    duties.apply(&DutyCommand::KeepAlive(instances.to_vec()));
+    duties.apply(&DutyCommand::Assign(vec![(duty.clone(), "a".into())]));
     let successor = Some("b".into());
-    let release = Command::Release { duty: duty.clone(), token: 1, successor };
+    let release = DutyCommand::Release { duty: duty.clone(), token: 1, successor };
     assert_eq!(duties.apply(&release), Response::Done);
     let write = |token| {
         let update = OwnerUpdate::Checkpoint(vec![token as u8]);
-        Command::Write { duty: "d".into(), token, update }
+        DutyCommand::Write { duty: "d".into(), token, update }
     };
     let stale = Rejection::Stale { duty: duty.clone(), token: 1, current: 2 };
     assert_eq!(duties.apply(&write(1)), Response::Rejected(stale));
--- a/crates/loomflow-fleet/src/fleet_state.rs
+++ b/crates/loomflow-fleet/src/fleet_state.rs
@@ -3,11 +3,11 @@
 
 use crate::consensus::{SnapshotError, StateMachine};
 use crate::duty::state::Duties;
-use crate::duty::{self, Rejection};
-use crate::maintenance::campaign::{self, Campaigns};
+use crate::duty::{self, DutyCommand, Rejection};
+use crate::maintenance::campaign::{CampaignCommand, Campaigns};
 use crate::maintenance::state::MaintenanceState;
 use crate::maintenance::ticket::Rejection as TicketRejection;
-use crate::maintenance::{Command, Entry, Issuer, Response};
+use crate::maintenance::{Entry, Issuer, MaintenanceCommand, Response};
 use crate::member::{RequestId, ServerName};
 
 /// All that the fleet has agreed on.
@@ -26,7 +26,7 @@
 
 impl FleetState {
     /// Applies a command on a campaign: an operator's, or one of the owner of the duty with a valid token.
-    fn apply_to_campaign(&mut self, entry: &Entry, command: &campaign::Command) -> Response {
+    fn apply_to_campaign(&mut self, entry: &Entry, command: &CampaignCommand) -> Response {
         let requested_by = match (&entry.issuer, command.token()) {
             (Issuer::Operator(operator), None) => operator,
             (Issuer::Server { name, .. }, Some(token)) => match self.duties.check_token(CAMPAIGN, token) {
@@ -40,7 +40,7 @@
     }
 
     /// Applies a command on a duty if its issuer may issue it.
-    fn apply_to_duties(&mut self, entry: &Entry, command: &duty::Command) -> duty::Response {
+    fn apply_to_duties(&mut self, entry: &Entry, command: &DutyCommand) -> duty::Response {
         if is_permitted(&entry.issuer, command) {
             self.duties.apply(command)
         } else {
@@ -50,8 +50,8 @@
 }
 
 /// Whether this issuer may issue this command on a duty. What an owner writes is checked by its token as well.
-fn is_permitted(issuer: &Issuer, command: &duty::Command) -> bool {
-    use duty::Command::{Assign, Declare, End, KeepAlive, Park, Recall, Release, Resume, Run, Write};
+fn is_permitted(issuer: &Issuer, command: &DutyCommand) -> bool {
+    use DutyCommand::{Assign, Declare, End, KeepAlive, Park, Recall, Release, Resume, Run, Write};
     match (issuer, command) {
         (Issuer::Leader, Declare(..) | KeepAlive(_) | Assign(_) | Recall(_)) => true,
         (Issuer::Server { name, incarnation }, End(instance)) => {
@@ -70,11 +70,11 @@
         let entry: Entry = postcard::from_bytes(entry).ok()?;
         self.duties.advance_time(entry.at);
         let response = match &entry.command {
-            Command::Duty(command) => {
+            MaintenanceCommand::Duty(command) => {
                 self.maintenance.advance_time(entry.at);
                 Response::Duty(self.apply_to_duties(&entry, command))
             }
-            Command::Campaign(command) => {
+            MaintenanceCommand::Campaign(command) => {
                 self.maintenance.advance_time(entry.at);
                 self.apply_to_campaign(&entry, command)
             }
--- a/crates/loomflow-fleet/src/fleet_state/tests.rs
+++ b/crates/loomflow-fleet/src/fleet_state/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::duty::{Command as DutyCommand, LeaseSettings, OwnerUpdate, ServerInstance};
+use crate::duty::{DutyCommand, LeaseSettings, OwnerUpdate, ServerInstance};
 
 #[test]
 fn each_issuer_may_issue_its_own_commands_on_duties() {
--- a/crates/loomflow-fleet/src/maintenance/campaign.rs
+++ b/crates/loomflow-fleet/src/maintenance/campaign.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::state::MaintenanceState;
-use super::ticket::{Rejection, Stage, TicketId, TicketRequest};
+use super::ticket::{Rejection, TicketId, TicketRequest, TicketStage};
 use crate::duty::{Token, truncate_reason};
 use crate::member::{MAX_NAME_BYTES, MemberView, RequestId, ServerName};
 
@@ -54,7 +54,7 @@
 
 /// A log entry on campaigns.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Command {
+pub enum CampaignCommand {
     /// By an operator: a new campaign.
     Start {
         /// Its name, 1 to 64 bytes.
@@ -97,11 +97,11 @@
     },
 }
 
-impl Command {
+impl CampaignCommand {
     /// The owner's token, where an owner issues it.
     pub fn token(&self) -> Option<Token> {
         match self {
-            Command::Next { token, .. } | Command::Halt { token, .. } => Some(*token),
+            CampaignCommand::Next { token, .. } | CampaignCommand::Halt { token, .. } => Some(*token),
             _ => None,
         }
     }
@@ -126,7 +126,7 @@
     pub total: u32,
     /// Servers of the last batch with the stages of their tickets; none where a ticket is no longer retained.
     #[serde(rename = "last")]
-    pub last_batch: Vec<(ServerName, Option<Stage>)>,
+    pub last_batch: Vec<(ServerName, Option<TicketStage>)>,
     /// Mean share of the last batch's servers before it was requested.
     #[serde(rename = "base")]
     pub share_before: f32,
@@ -166,7 +166,7 @@
     if let Some(reason) = failed_ticket(view) {
         return Some(CampaignStep::Halt { from_index, reason });
     }
-    let is_open = |stage: &Option<Stage>| stage.is_some_and(|stage| !stage.is_closed());
+    let is_open = |stage: &Option<TicketStage>| stage.is_some_and(|stage| !stage.is_closed());
     if view.last_batch.iter().any(|(_, stage)| is_open(stage)) {
         return None;
     }
@@ -187,8 +187,8 @@
 /// The failure of the first ticket of the last batch that did not end in order.
 fn failed_ticket(view: &CampaignView) -> Option<String> {
     view.last_batch.iter().find_map(|(server, stage)| match stage {
-        Some(Stage::Overdue) => Some(format!("{server} is overdue")),
-        Some(stage) if stage.is_closed() && *stage != Stage::Done => {
+        Some(TicketStage::Overdue) => Some(format!("{server} is overdue")),
+        Some(stage) if stage.is_closed() && *stage != TicketStage::Done => {
             Some(format!("the ticket of {server} is {}", stage.as_str()))
         }
         _ => None,
@@ -214,13 +214,13 @@
         maintenance: &mut MaintenanceState,
         request_id: RequestId,
         requested_by: &str,
-        command: &Command,
+        command: &CampaignCommand,
     ) -> Result<Vec<TicketId>, Rejection> {
         match command {
-            Command::Start { name, requests, batch_size } => {
+            CampaignCommand::Start { name, requests, batch_size } => {
                 self.start(name, requests, *batch_size, requested_by)?;
             }
-            Command::Resume(name) => {
+            CampaignCommand::Resume(name) => {
                 let campaign = self.campaign(name)?;
                 if let CampaignStatus::Halted(_) = campaign.status {
                     // What it halted for is the operator's business now.
@@ -228,14 +228,14 @@
                     campaign.last_tickets.clear();
                 }
             }
-            Command::Drop(name) => {
+            CampaignCommand::Drop(name) => {
                 self.0.remove(name).ok_or_else(|| unknown(name))?;
             }
-            Command::Next { name, from_index, share_before, .. } => {
+            CampaignCommand::Next { name, from_index, share_before, .. } => {
                 let campaign = self.running_campaign(name, *from_index)?;
                 return campaign.create_batch(maintenance, request_id, name, *share_before);
             }
-            Command::Halt { name, from_index, reason, .. } => {
+            CampaignCommand::Halt { name, from_index, reason, .. } => {
                 let status = CampaignStatus::Halted(truncate_reason(reason));
                 self.running_campaign(name, *from_index)?.status = status;
             }
--- a/crates/loomflow-fleet/src/maintenance/campaign/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/campaign/tests.rs
@@ -16,16 +16,16 @@
 fn started() -> (Campaigns, MaintenanceState) {
     let (mut campaigns, mut maintenance) = (Campaigns::default(), MaintenanceState::default());
     let requests = ["a", "b", "c"].map(request).to_vec();
-    let start = Command::Start { name: "kernel".into(), requests, batch_size: 2 };
+    let start = CampaignCommand::Start { name: "kernel".into(), requests, batch_size: 2 };
     assert_eq!(campaigns.apply(&mut maintenance, 1, "ops", &start), Ok(vec![]));
     (campaigns, maintenance)
 }
 
-fn next(from_index: u32) -> Command {
-    Command::Next { name: "kernel".into(), from_index, share_before: 0.9, token: 1 }
+fn next(from_index: u32) -> CampaignCommand {
+    CampaignCommand::Next { name: "kernel".into(), from_index, share_before: 0.9, token: 1 }
 }
 
-fn view(last: &[(&str, Option<Stage>)], now: Option<f32>) -> CampaignView {
+fn view(last: &[(&str, Option<TicketStage>)], now: Option<f32>) -> CampaignView {
     CampaignView {
         name: "kernel".into(),
         requested_by: "ops".into(),
@@ -55,17 +55,17 @@
 
 #[test]
 fn it_halts_when_a_batch_comes_back_worse_or_not_at_all() {
-    let done = Some(Stage::Done);
+    let done = Some(TicketStage::Done);
     let both = |a, b| [("a", a), ("b", b)];
-    assert_eq!(next_step(&view(&both(done, Some(Stage::Out)), Some(0.9))), None, "one is still out");
+    assert_eq!(next_step(&view(&both(done, Some(TicketStage::Out)), Some(0.9))), None, "one is still out");
     let on = Some(CampaignStep::Next { from_index: 2, share_before: 0.8 });
     assert_eq!(next_step(&view(&both(done, done), Some(0.85))), on);
     assert_eq!(next_step(&view(&both(done, done), None)), None, "nothing is known of them");
     assert_eq!(next_step(&view(&[], None)), on, "resumed, or the first");
     for (last, now) in [
         (both(done, done), Some(0.7)),
-        (both(done, Some(Stage::Overdue)), Some(0.9)),
-        (both(Some(Stage::Lapsed), Some(Stage::Out)), Some(0.9)),
+        (both(done, Some(TicketStage::Overdue)), Some(0.9)),
+        (both(Some(TicketStage::Lapsed), Some(TicketStage::Out)), Some(0.9)),
     ] {
         assert!(
             matches!(next_step(&view(&last, now)), Some(CampaignStep::Halt { from_index: 2, .. })),
@@ -81,19 +81,23 @@
 fn halted_it_goes_on_only_when_it_is_resumed() {
     let (mut campaigns, mut maintenance) = started();
     campaigns.apply(&mut maintenance, 2, "n1", &next(0)).unwrap();
-    let halt = Command::Halt { name: "kernel".into(), from_index: 2, reason: "worse".into(), token: 1 };
+    let halt =
+        CampaignCommand::Halt { name: "kernel".into(), from_index: 2, reason: "worse".into(), token: 1 };
     assert_eq!(campaigns.apply(&mut maintenance, 3, "n1", &halt), Ok(vec![]));
     assert!(campaigns.apply(&mut maintenance, 4, "n1", &next(2)).is_err());
-    assert_eq!(campaigns.apply(&mut maintenance, 5, "ops", &Command::Resume("kernel".into())), Ok(vec![]));
+    assert_eq!(
+        campaigns.apply(&mut maintenance, 5, "ops", &CampaignCommand::Resume("kernel".into())),
+        Ok(vec![])
+    );
     assert_eq!(campaigns.apply(&mut maintenance, 6, "n1", &next(2)), Ok(vec![3]));
-    assert!(campaigns.apply(&mut maintenance, 7, "ops", &Command::Drop("other".into())).is_err());
+    assert!(campaigns.apply(&mut maintenance, 7, "ops", &CampaignCommand::Drop("other".into())).is_err());
 }
 
 #[test]
 fn a_campaign_beyond_a_limit_is_rejected_with_the_limit() {
     let start = |name: &str, batch_size| {
         let requests = vec![request("a")];
-        let command = Command::Start { name: name.into(), requests, batch_size };
+        let command = CampaignCommand::Start { name: name.into(), requests, batch_size };
         let result = Campaigns::default().apply(&mut MaintenanceState::default(), 1, "ops", &command);
         result.map_err(|rejection| rejection.to_string())
     };
--- a/crates/loomflow-fleet/src/maintenance/mod.rs
+++ b/crates/loomflow-fleet/src/maintenance/mod.rs
@@ -23,10 +23,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::duty::{self, Token, summary::Summary};
+use crate::duty::{self, DutyCommand, Token, summary::Summary};
 use crate::member::{FleetMillis, Incarnation, LoadReport, MemberState, Millis, RequestId, ServerName, Zone};
+use campaign::{CampaignCommand, CampaignView};
 use rules::Rules;
-use ticket::{GrantNumber, Rejection, Stage, Ticket, TicketId, TicketRequest, Transition};
+use ticket::{GrantNumber, Rejection, Ticket, TicketId, TicketRequest, TicketStage, Transition};
 
 /// Who issued a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -54,12 +55,12 @@
     /// Who issued the command.
     pub issuer: Issuer,
     /// What is to be applied.
-    pub command: Command,
+    pub command: MaintenanceCommand,
 }
 
 /// What a log entry changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Command {
+pub enum MaintenanceCommand {
     /// One ticket for each request, all or none.
     #[serde(rename = "Ask")]
     CreateTickets(Vec<TicketRequest>),
@@ -97,9 +98,9 @@
     /// Only its time counts.
     Clock,
     /// On a duty: applied by [`crate::fleet_state`].
-    Duty(duty::Command),
+    Duty(DutyCommand),
     /// On a campaign: applied by [`crate::fleet_state`].
-    Campaign(campaign::Command),
+    Campaign(CampaignCommand),
 }
 
 /// Whom the leader saw when it decided: what a grant rests on beside the tickets.
@@ -121,7 +122,7 @@
         #[serde(rename = "by")]
         issuer: Issuer,
         /// The command.
-        command: Command,
+        command: MaintenanceCommand,
     },
     /// The fleet as the leader sees it.
     Status,
@@ -161,7 +162,7 @@
     /// To [`Request::Duties`] and commands on duties.
     Duty(duty::Response),
     /// To [`Request::Campaigns`].
-    Campaigns(Vec<campaign::CampaignView>),
+    Campaigns(Vec<CampaignView>),
 }
 
 /// The fleet as one member sees it.
@@ -244,5 +245,5 @@
     #[serde(rename = "age")]
     pub report_age_millis: Option<Millis>,
     /// The ticket by which it has a place, and its stage.
-    pub ticket: Option<(TicketId, Stage)>,
+    pub ticket: Option<(TicketId, TicketStage)>,
 }
--- a/crates/loomflow-fleet/src/maintenance/observation.rs
+++ b/crates/loomflow-fleet/src/maintenance/observation.rs
@@ -1,14 +1,14 @@
 //! The transitions that follow from what the leader sees of servers that have places: down, back, ready, and a grant whose
 //! conditions are no longer met.
 
-use super::Command;
+use super::MaintenanceCommand;
 use super::rules::Rules;
 use super::scheduling::SchedulerView;
-use super::ticket::{Stage, Ticket, Transition};
+use super::ticket::{Ticket, TicketStage, Transition};
 use crate::member::{Incarnation, MemberView};
 
 /// The transitions that are called for, at most one for each ticket.
-pub fn transitions(view: &SchedulerView) -> Vec<Command> {
+pub fn transitions(view: &SchedulerView) -> Vec<MaintenanceCommand> {
     let rules = view.maintenance.rules().cloned().unwrap_or_default();
     let with_place = view.maintenance.holders().keys().filter_map(|server| {
         let ticket = view.maintenance.ticket_with_place(server)?;
@@ -17,7 +17,12 @@
     with_place
         .filter_map(|(ticket, member)| {
             let (transition, incarnation) = transition_of(view, &rules, ticket, member)?;
-            Some(Command::Transition { ticket: ticket.id, transition, grant: ticket.grant, incarnation })
+            Some(MaintenanceCommand::Transition {
+                ticket: ticket.id,
+                transition,
+                grant: ticket.grant,
+                incarnation,
+            })
         })
         .collect()
 }
@@ -29,7 +34,7 @@
     ticket: &Ticket,
     member: Option<&MemberView>,
 ) -> Option<(Transition, Incarnation)> {
-    if ticket.stage == Stage::Granted {
+    if ticket.stage == TicketStage::Granted {
         return (!view.is_grant_still_valid(ticket)).then_some((Transition::Recall, ticket.incarnation));
     }
     let member = member?;
@@ -39,24 +44,37 @@
     let is_same_start = member.incarnation == last;
     let is_ready = is_ready(member, rules);
     match ticket.stage {
-        Stage::Begun | Stage::Draining | Stage::Out | Stage::Overdue | Stage::Back | Stage::Ready
+        TicketStage::Begun
+        | TicketStage::Draining
+        | TicketStage::Out
+        | TicketStage::Overdue
+        | TicketStage::Back
+        | TicketStage::Ready
             if is_later_start =>
         {
             Some((Transition::Return, member.incarnation))
         }
         // It had come back and was wrongly declared dead.
-        Stage::Out | Stage::Overdue if is_same_start && is_alive && ticket.returned_incarnation == last => {
+        TicketStage::Out | TicketStage::Overdue
+            if is_same_start && is_alive && ticket.returned_incarnation == last =>
+        {
             Some((Transition::Return, last))
         }
-        Stage::Begun | Stage::Draining | Stage::Back | Stage::Ready if is_same_start && !is_alive => {
+        TicketStage::Begun | TicketStage::Draining | TicketStage::Back | TicketStage::Ready
+            if is_same_start && !is_alive =>
+        {
             Some((Transition::Depart, last))
         }
-        Stage::Back if is_same_start && is_ready => Some((Transition::Ready, ticket.returned_incarnation)),
+        TicketStage::Back if is_same_start && is_ready => {
+            Some((Transition::Ready, ticket.returned_incarnation))
+        }
         // One that is only suspect, or whose report is late, waits until the membership declares it down.
-        Stage::Ready if is_same_start && member.load_report.is_some() && !is_ready => {
+        TicketStage::Ready if is_same_start && member.load_report.is_some() && !is_ready => {
             Some((Transition::Unready, ticket.returned_incarnation))
         }
-        Stage::Ready if is_same_start && is_ready && view.now >= ticket.since + rules.ready_for_millis => {
+        TicketStage::Ready
+            if is_same_start && is_ready && view.now >= ticket.since + rules.ready_for_millis =>
+        {
             Some((Transition::Finish, ticket.returned_incarnation))
         }
         _ => None,
--- a/crates/loomflow-fleet/src/maintenance/observation/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/observation/tests.rs
@@ -9,7 +9,7 @@
 const SINCE: u64 = 1_000;
 
 /// The ticket of a server that left as start 1 and came back as start 2.
-fn ticket(stage: Stage) -> Ticket {
+fn ticket(stage: TicketStage) -> Ticket {
     Ticket {
         id: 1,
         request_id: 1,
@@ -27,7 +27,7 @@
         since: SINCE,
         grant: 1,
         incarnation: 1,
-        returned_incarnation: if matches!(stage, Stage::Back | Stage::Ready) { 2 } else { 0 },
+        returned_incarnation: if matches!(stage, TicketStage::Back | TicketStage::Ready) { 2 } else { 0 },
         lapses: 0,
         deadline: 0,
     }
@@ -39,7 +39,7 @@
 }
 
 /// The transition at a time; `members` beside the ticket's server are none.
-fn transition_at(now: u64, stage: Stage, member: &MemberView) -> Option<(Transition, Incarnation)> {
+fn transition_at(now: u64, stage: TicketStage, member: &MemberView) -> Option<(Transition, Incarnation)> {
     let members = BTreeMap::from([("a".to_owned(), member.clone())]);
     let view = SchedulerView {
         maintenance: &MaintenanceState::default(),
@@ -56,20 +56,20 @@
     use MemberState::{Down, Serving, Suspect};
     let (soon, settled) = (SINCE + 9_999, SINCE + 10_000);
     for (now, stage, member, expected) in [
-        (soon, Stage::Begun, member(Serving, 1, 1.0, true), None),
-        (soon, Stage::Draining, member(Suspect, 1, 1.0, true), None),
-        (soon, Stage::Draining, member(Down, 1, 1.0, true), Some((Transition::Depart, 1))),
-        (soon, Stage::Out, member(Down, 1, 1.0, true), None),
-        (soon, Stage::Out, member(Serving, 2, 1.0, true), Some((Transition::Return, 2))),
-        (soon, Stage::Overdue, member(Serving, 2, 1.0, true), Some((Transition::Return, 2))),
-        (soon, Stage::Back, member(Serving, 2, 0.89, true), None),
-        (soon, Stage::Back, member(Serving, 2, 1.0, false), None),
-        (soon, Stage::Back, member(Serving, 2, 0.9, true), Some((Transition::Ready, 2))),
-        (soon, Stage::Back, member(Down, 2, 1.0, true), Some((Transition::Depart, 2))),
-        (soon, Stage::Ready, member(Serving, 2, 0.89, true), Some((Transition::Unready, 2))),
-        (soon, Stage::Ready, member(Serving, 2, 1.0, true), None),
-        (settled, Stage::Ready, member(Serving, 2, 1.0, true), Some((Transition::Finish, 2))),
-        (settled, Stage::Ready, member(Serving, 3, 1.0, true), Some((Transition::Return, 3))),
+        (soon, TicketStage::Begun, member(Serving, 1, 1.0, true), None),
+        (soon, TicketStage::Draining, member(Suspect, 1, 1.0, true), None),
+        (soon, TicketStage::Draining, member(Down, 1, 1.0, true), Some((Transition::Depart, 1))),
+        (soon, TicketStage::Out, member(Down, 1, 1.0, true), None),
+        (soon, TicketStage::Out, member(Serving, 2, 1.0, true), Some((Transition::Return, 2))),
+        (soon, TicketStage::Overdue, member(Serving, 2, 1.0, true), Some((Transition::Return, 2))),
+        (soon, TicketStage::Back, member(Serving, 2, 0.89, true), None),
+        (soon, TicketStage::Back, member(Serving, 2, 1.0, false), None),
+        (soon, TicketStage::Back, member(Serving, 2, 0.9, true), Some((Transition::Ready, 2))),
+        (soon, TicketStage::Back, member(Down, 2, 1.0, true), Some((Transition::Depart, 2))),
+        (soon, TicketStage::Ready, member(Serving, 2, 0.89, true), Some((Transition::Unready, 2))),
+        (soon, TicketStage::Ready, member(Serving, 2, 1.0, true), None),
+        (settled, TicketStage::Ready, member(Serving, 2, 1.0, true), Some((Transition::Finish, 2))),
+        (settled, TicketStage::Ready, member(Serving, 3, 1.0, true), Some((Transition::Return, 3))),
     ] {
         assert_eq!(transition_at(now, stage, &member), expected, "{stage:?} at {now}, {member:?}");
     }
@@ -79,9 +79,12 @@
 fn a_grant_is_recalled_when_the_others_can_no_longer_carry_the_load() {
     let recall = Some((Transition::Recall, 1));
     let alone = member(MemberState::Serving, 1, 1.0, true);
-    assert_eq!(transition_at(SINCE, Stage::Granted, &alone), None, "there is no load");
+    assert_eq!(transition_at(SINCE, TicketStage::Granted, &alone), None, "there is no load");
     let mut loaded = alone.clone();
     loaded.load_report.as_mut().unwrap().running = 1.0;
-    assert_eq!(transition_at(SINCE, Stage::Granted, &loaded), recall);
-    assert_eq!(transition_at(SINCE, Stage::Granted, &MemberView { load_report: None, ..alone }), recall);
+    assert_eq!(transition_at(SINCE, TicketStage::Granted, &loaded), recall);
+    assert_eq!(
+        transition_at(SINCE, TicketStage::Granted, &MemberView { load_report: None, ..alone }),
+        recall
+    );
 }
--- a/crates/loomflow-fleet/src/maintenance/scheduling.rs
+++ b/crates/loomflow-fleet/src/maintenance/scheduling.rs
@@ -13,7 +13,7 @@
 use super::Census;
 use super::headroom::{Estimate, Headroom};
 use super::state::MaintenanceState;
-use super::ticket::{FleetMillis, Stage, Ticket, TicketId};
+use super::ticket::{FleetMillis, Ticket, TicketId, TicketStage};
 use crate::member::{Incarnation, MemberState, MemberView, ServerName, Zone};
 pub use checks::{Check, Finding};
 
@@ -33,7 +33,7 @@
     #[serde(rename = "standing")]
     pub state: Option<MemberState>,
     /// The ticket that this is about, with its stage; none where none is open.
-    pub ticket: Option<(TicketId, Stage)>,
+    pub ticket: Option<(TicketId, TicketStage)>,
     /// Every check, where the ticket waits.
     pub findings: Vec<Finding>,
     /// Load and capacity if this one left.
@@ -117,7 +117,7 @@
         let ticket = self.maintenance.ticket_with_place(server);
         let ticket = ticket.or_else(|| self.maintenance.tickets_of(server).next());
         let findings = match ticket {
-            Some(ticket) if ticket.stage == Stage::Requested => self.findings(ticket),
+            Some(ticket) if ticket.stage == TicketStage::Requested => self.findings(ticket),
             _ => Vec::new(),
         };
         Explanation {
@@ -152,7 +152,8 @@
     /// another; a zone not right after itself, nor while it is busy; then the oldest first.
     fn waiting_tickets(&self) -> Vec<&Ticket> {
         let open = self.maintenance.open().values();
-        let mut waiting: Vec<&Ticket> = open.filter(|ticket| ticket.stage == Stage::Requested).collect();
+        let mut waiting: Vec<&Ticket> =
+            open.filter(|ticket| ticket.stage == TicketStage::Requested).collect();
         let (last_server, last_zone) = self.maintenance.last_granted();
         let is_voter = |name: &str| self.maintenance.voter_names().iter().any(|voter| voter == name);
         let was_voter_last = is_voter(last_server);
--- a/crates/loomflow-fleet/src/maintenance/scheduling/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/scheduling/tests.rs
@@ -2,7 +2,7 @@
 use crate::consensus::StateMachine;
 use crate::maintenance::rules::{Limit, Rules};
 use crate::maintenance::ticket::{TicketRequest, Urgency};
-use crate::maintenance::{Command, Entry, Issuer};
+use crate::maintenance::{Entry, Issuer, MaintenanceCommand};
 use crate::member::LoadReport;
 
 /// A fleet of servers that serve, some of which request maintenance.
@@ -27,14 +27,14 @@
         let members = servers.iter().map(|(name, zone)| ((*name).to_owned(), view(zone))).collect();
         let (maintenance, headroom) = (MaintenanceState::default(), Headroom::default());
         let mut fleet = Fleet { maintenance, members, headroom, entries: 0 };
-        fleet.apply(0, Command::Rules(Rules { max_out: Limit::Count(1), ..Rules::default() }));
+        fleet.apply(0, MaintenanceCommand::Rules(Rules { max_out: Limit::Count(1), ..Rules::default() }));
         fleet
     }
 
-    fn apply(&mut self, at: FleetMillis, command: Command) {
+    fn apply(&mut self, at: FleetMillis, command: MaintenanceCommand) {
         self.entries += 1;
         let issuer = match command {
-            Command::Pause(_) | Command::Resume => Issuer::Operator("ops".into()),
+            MaintenanceCommand::Pause(_) | MaintenanceCommand::Resume => Issuer::Operator("ops".into()),
             _ => Issuer::Leader,
         };
         let entry = Entry { id: self.entries, at, issuer, command };
@@ -50,7 +50,7 @@
             duration_millis: 60_000,
             window: None,
         };
-        self.apply(at, Command::CreateTickets(vec![request]));
+        self.apply(at, MaintenanceCommand::CreateTickets(vec![request]));
     }
 
     fn member(&mut self, name: &str) -> &mut MemberView {
@@ -111,7 +111,7 @@
         fleet.request(0, server, Urgency::Routine);
     }
     let census = fleet.view(0).census();
-    fleet.apply(0, Command::Grant { ticket: 1, incarnation: 1, census });
+    fleet.apply(0, MaintenanceCommand::Grant { ticket: 1, incarnation: 1, census });
     assert_eq!(fleet.queue(0), ["d", "b", "c"], "not the voter, not the zone that was last");
 }
 
@@ -131,7 +131,7 @@
     let cases: [Case; 7] = [
         ("all is well", None, |_| {}),
         ("operators paused grants", Some(Check::Pause), |fleet| {
-            fleet.apply(0, Command::Pause("incident".into()));
+            fleet.apply(0, MaintenanceCommand::Pause("incident".into()));
         }),
         ("its server is suspect", Some(Check::Server), |fleet| {
             fleet.member("a").state = MemberState::Suspect;
--- a/crates/loomflow-fleet/src/maintenance/state.rs
+++ b/crates/loomflow-fleet/src/maintenance/state.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::rules::Rules;
-use super::ticket::{FleetMillis, GrantNumber, Stage, Ticket, TicketId};
+use super::ticket::{FleetMillis, GrantNumber, Ticket, TicketId, TicketStage};
 use super::{Entry, Response};
 use crate::consensus::{RECOVERY_ID_GAP, SnapshotError, StateMachine};
 use crate::member::{RequestId, ServerName, Zone};
@@ -37,7 +37,7 @@
     /// Its server.
     pub server: ServerName,
     /// The stage.
-    pub stage: Stage,
+    pub stage: TicketStage,
     /// The last grant; 0 before there is one.
     pub grant: GrantNumber,
 }
@@ -170,11 +170,11 @@
             .state
             .open
             .values()
-            .filter(|ticket| ticket.stage == Stage::Granted)
+            .filter(|ticket| ticket.stage == TicketStage::Granted)
             .map(|ticket| ticket.id)
             .collect();
         for id in granted {
-            self.update_ticket(id, |ticket| ticket.stage = Stage::Requested);
+            self.update_ticket(id, |ticket| ticket.stage = TicketStage::Requested);
         }
     }
 
--- a/crates/loomflow-fleet/src/maintenance/state/apply.rs
+++ b/crates/loomflow-fleet/src/maintenance/state/apply.rs
@@ -7,10 +7,10 @@
     TicketEvent,
 };
 use crate::maintenance::ticket::{
-    Actor, FleetMillis, GrantNumber, Rejection, Stage, Ticket, TicketId, TicketRequest, Transition,
+    Actor, FleetMillis, GrantNumber, Rejection, Ticket, TicketId, TicketRequest, TicketStage, Transition,
     next_stage,
 };
-use crate::maintenance::{Census, Command, Entry, Issuer, Response};
+use crate::maintenance::{Census, Entry, Issuer, MaintenanceCommand, Response};
 use crate::member::{Incarnation, RequestId, ServerName};
 
 impl MaintenanceState {
@@ -39,7 +39,7 @@
 
     fn execute(&mut self, entry: &Entry) -> Result<Vec<TicketId>, Rejection> {
         match &entry.command {
-            Command::CreateTickets(requests) => {
+            MaintenanceCommand::CreateTickets(requests) => {
                 let requested_by = match &entry.issuer {
                     Issuer::Operator(operator) => operator,
                     Issuer::Server { name, .. } => name,
@@ -47,26 +47,28 @@
                 };
                 return self.create_tickets(entry.id, requested_by, requests);
             }
-            Command::Grant { ticket, incarnation, census } => {
+            MaintenanceCommand::Grant { ticket, incarnation, census } => {
                 return self.grant(&entry.issuer, *ticket, *incarnation, census);
             }
-            Command::Transition { ticket, transition, grant, incarnation } => {
+            MaintenanceCommand::Transition { ticket, transition, grant, incarnation } => {
                 return self.transition(&entry.issuer, *ticket, *transition, *grant, *incarnation);
             }
-            Command::Pause(reason) => {
+            MaintenanceCommand::Pause(reason) => {
                 require_operator(&entry.issuer)?;
                 self.state.paused = Some(reason.clone());
             }
-            Command::Resume => {
+            MaintenanceCommand::Resume => {
                 require_operator(&entry.issuer)?;
                 self.state.paused = None;
             }
             // No issuer is checked for these three: in each round the leader replaces rules that differ from those in its
             // settings, drains without a ticket are only counted, and a clock entry does nothing beyond its time.
-            Command::Rules(rules) => self.state.rules = Some(rules.clone()),
-            Command::DrainedWithoutTicket(_) => self.state.drains_without_ticket += 1,
-            Command::Clock => {}
-            Command::Duty(_) | Command::Campaign(_) => return Err(Rejection::NotPermitted),
+            MaintenanceCommand::Rules(rules) => self.state.rules = Some(rules.clone()),
+            MaintenanceCommand::DrainedWithoutTicket(_) => self.state.drains_without_ticket += 1,
+            MaintenanceCommand::Clock => {}
+            MaintenanceCommand::Duty(_) | MaintenanceCommand::Campaign(_) => {
+                return Err(Rejection::NotPermitted);
+            }
         }
         Ok(Vec::new())
     }
@@ -99,7 +101,7 @@
                 request_id,
                 request: request.clone(),
                 requested_by: requested_by.to_owned(),
-                stage: Stage::Requested,
+                stage: TicketStage::Requested,
                 requested_at: now,
                 since: now,
                 grant: 0,
@@ -186,8 +188,8 @@
             self.deadlines.remove(&(at, id));
             let Some(ticket) = self.state.open.get(&id) else { continue };
             let transition = match ticket.stage {
-                Stage::Requested => Transition::Expire,
-                Stage::Granted => Transition::Lapse,
+                TicketStage::Requested => Transition::Expire,
+                TicketStage::Granted => Transition::Lapse,
                 _ => Transition::Overrun,
             };
             let Ok(stage) = next_stage(ticket.stage, transition, Actor::Leader) else { continue };
@@ -196,7 +198,7 @@
                 if transition == Transition::Lapse {
                     ticket.lapses += 1;
                     if ticket.lapses >= MAX_LAPSES {
-                        ticket.stage = Stage::Lapsed;
+                        ticket.stage = TicketStage::Lapsed;
                     }
                 }
             });
@@ -277,8 +279,10 @@
 /// When the passing of time changes a ticket as it is.
 fn deadline(ticket: &Ticket) -> Option<FleetMillis> {
     match ticket.stage {
-        Stage::Requested => ticket.closes_at(),
-        Stage::Granted | Stage::Begun | Stage::Draining | Stage::Out => Some(ticket.deadline),
+        TicketStage::Requested => ticket.closes_at(),
+        TicketStage::Granted | TicketStage::Begun | TicketStage::Draining | TicketStage::Out => {
+            Some(ticket.deadline)
+        }
         _ => None,
     }
 }
--- a/crates/loomflow-fleet/src/maintenance/state/apply/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/state/apply/tests.rs
@@ -19,13 +19,13 @@
         assert!(matches!(response, Response::Done(_)), "{response:?}");
         maintenance.find(1).map(|ticket| (ticket.stage, ticket.lapses))
     };
-    apply(1, 0, Command::CreateTickets(vec![request]));
+    apply(1, 0, MaintenanceCommand::CreateTickets(vec![request]));
     for lapses in 1..=3 {
         let granted_at = u64::from(lapses) * 60_000;
-        apply(2, granted_at, Command::Grant { ticket: 1, incarnation: 1, census: census.clone() });
-        let before = apply(3, granted_at + 29_999, Command::Clock);
-        assert_eq!(before, Some((Stage::Granted, lapses - 1)));
-        let expected = if lapses < 3 { Stage::Requested } else { Stage::Lapsed };
-        assert_eq!(apply(4, granted_at + 30_000, Command::Clock), Some((expected, lapses)));
+        apply(2, granted_at, MaintenanceCommand::Grant { ticket: 1, incarnation: 1, census: census.clone() });
+        let before = apply(3, granted_at + 29_999, MaintenanceCommand::Clock);
+        assert_eq!(before, Some((TicketStage::Granted, lapses - 1)));
+        let expected = if lapses < 3 { TicketStage::Requested } else { TicketStage::Lapsed };
+        assert_eq!(apply(4, granted_at + 30_000, MaintenanceCommand::Clock), Some((expected, lapses)));
     }
 }
--- a/crates/loomflow-fleet/src/maintenance/ticket.rs
+++ b/crates/loomflow-fleet/src/maintenance/ticket.rs
@@ -2,7 +2,7 @@
 //! who may make it; every other one is rejected with a reason.
 //!
 //! A **place** is one of the limited slots for servers that may be out at the same time. A ticket has one from its grant
-//! until it is done or abandoned, or the grant is taken back ([`Stage::has_place`]).
+//! until it is done or abandoned, or the grant is taken back ([`TicketStage::has_place`]).
 
 use serde::{Deserialize, Serialize};
 
@@ -29,7 +29,7 @@
 
 /// How far a ticket has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Stage {
+pub enum TicketStage {
     /// Waits for its turn. Operators see "asked".
     #[serde(rename = "Asked")]
     Requested,
@@ -59,57 +59,60 @@
     Abandoned,
 }
 
-impl Stage {
+impl TicketStage {
     /// Every stage, in their order.
-    pub const ALL: [Stage; 12] = [
-        Stage::Requested,
-        Stage::Granted,
-        Stage::Begun,
-        Stage::Draining,
-        Stage::Out,
-        Stage::Back,
-        Stage::Ready,
-        Stage::Overdue,
-        Stage::Done,
-        Stage::Withdrawn,
-        Stage::Lapsed,
-        Stage::Abandoned,
+    pub const ALL: [TicketStage; 12] = [
+        TicketStage::Requested,
+        TicketStage::Granted,
+        TicketStage::Begun,
+        TicketStage::Draining,
+        TicketStage::Out,
+        TicketStage::Back,
+        TicketStage::Ready,
+        TicketStage::Overdue,
+        TicketStage::Done,
+        TicketStage::Withdrawn,
+        TicketStage::Lapsed,
+        TicketStage::Abandoned,
     ];
 
     /// Whether the ticket has a place, so that its server counts as out.
     pub fn has_place(self) -> bool {
         matches!(
             self,
-            Stage::Granted
-                | Stage::Begun
-                | Stage::Draining
-                | Stage::Out
-                | Stage::Back
-                | Stage::Ready
-                | Stage::Overdue
+            TicketStage::Granted
+                | TicketStage::Begun
+                | TicketStage::Draining
+                | TicketStage::Out
+                | TicketStage::Back
+                | TicketStage::Ready
+                | TicketStage::Overdue
         )
     }
 
     /// Whether the ticket is closed: there is no transition from this stage.
     pub fn is_closed(self) -> bool {
-        matches!(self, Stage::Done | Stage::Withdrawn | Stage::Lapsed | Stage::Abandoned)
+        matches!(
+            self,
+            TicketStage::Done | TicketStage::Withdrawn | TicketStage::Lapsed | TicketStage::Abandoned
+        )
     }
 
     /// Its name as operators see it.
     pub fn as_str(self) -> &'static str {
         match self {
-            Stage::Requested => "asked",
-            Stage::Granted => "granted",
-            Stage::Begun => "begun",
-            Stage::Draining => "draining",
-            Stage::Out => "out",
-            Stage::Back => "back",
-            Stage::Ready => "warm",
-            Stage::Overdue => "overdue",
-            Stage::Done => "done",
-            Stage::Withdrawn => "withdrawn",
-            Stage::Lapsed => "lapsed",
-            Stage::Abandoned => "written off",
+            TicketStage::Requested => "asked",
+            TicketStage::Granted => "granted",
+            TicketStage::Begun => "begun",
+            TicketStage::Draining => "draining",
+            TicketStage::Out => "out",
+            TicketStage::Back => "back",
+            TicketStage::Ready => "warm",
+            TicketStage::Overdue => "overdue",
+            TicketStage::Done => "done",
+            TicketStage::Withdrawn => "withdrawn",
+            TicketStage::Lapsed => "lapsed",
+            TicketStage::Abandoned => "written off",
         }
     }
 }
@@ -200,15 +203,15 @@
     /// The ticket is closed.
     #[error("the ticket is {}", .0.as_str())]
     #[serde(rename = "Over")]
-    Closed(Stage),
+    Closed(TicketStage),
     /// Its stage is too late for this.
     #[error("it has gone too far for this: {}", .0.as_str())]
     #[serde(rename = "UnderWay")]
-    TooLate(Stage),
+    TooLate(TicketStage),
     /// It has not come so far yet.
     #[error("it is not so far: {}", .0.as_str())]
     #[serde(rename = "NotYet")]
-    TooEarly(Stage),
+    TooEarly(TicketStage),
     /// The grant that this rests on is no longer the current one.
     #[error("grant {grant} is superseded by {current}")]
     Superseded {
@@ -274,23 +277,23 @@
 /// One legal transition.
 pub struct Rule {
     /// The stage from which it leads.
-    pub from: Stage,
+    pub from: TicketStage,
     /// What happens.
     pub transition: Transition,
     /// Who may make it.
     pub actor: Actor,
     /// The stage that it leads to.
-    pub to: Stage,
+    pub to: TicketStage,
 }
 
-const fn rule(from: Stage, transition: Transition, actor: Actor, to: Stage) -> Rule {
+const fn rule(from: TicketStage, transition: Transition, actor: Actor, to: TicketStage) -> Rule {
     Rule { from, transition, actor, to }
 }
 
 /// All that is legal. Anything else is rejected.
 pub const TABLE: [Rule; 33] = {
     use Actor::{Leader, Operator, Server, ServerOrLeader};
-    use Stage::{
+    use TicketStage::{
         Abandoned, Back, Begun, Done, Draining, Granted, Lapsed, Out, Overdue, Ready, Requested, Withdrawn,
     };
     [
@@ -338,7 +341,7 @@
 ///
 /// # Errors
 /// Why the transition is not legal.
-pub fn next_stage(from: Stage, transition: Transition, actor: Actor) -> Result<Stage, Rejection> {
+pub fn next_stage(from: TicketStage, transition: Transition, actor: Actor) -> Result<TicketStage, Rejection> {
     match TABLE.iter().find(|rule| rule.from == from && rule.transition == transition) {
         Some(rule) if rule.actor.includes(actor) => Ok(rule.to),
         Some(_) => Err(Rejection::NotPermitted),
@@ -347,8 +350,8 @@
 }
 
 /// Why a transition that is not in the table is rejected.
-fn rejection(from: Stage, transition: Transition) -> Rejection {
-    use Stage::{Abandoned, Back, Begun, Done, Draining, Granted, Lapsed, Ready, Requested, Withdrawn};
+fn rejection(from: TicketStage, transition: Transition) -> Rejection {
+    use TicketStage::{Abandoned, Back, Begun, Done, Draining, Granted, Lapsed, Ready, Requested, Withdrawn};
     // The first stage in which each transition is possible, on the way from requested to done.
     let earliest = match transition {
         Transition::Grant | Transition::Withdraw | Transition::Expire => Requested,
@@ -426,7 +429,7 @@
     #[serde(rename = "by")]
     pub requested_by: String,
     /// How far it has come.
-    pub stage: Stage,
+    pub stage: TicketStage,
     /// When it was requested.
     #[serde(rename = "asked_at")]
     pub requested_at: FleetMillis,
--- a/crates/loomflow-fleet/src/maintenance/ticket/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/ticket/tests.rs
@@ -14,7 +14,7 @@
 
 #[test]
 fn every_move_of_every_stage_by_every_hand_is_made_or_refused_for_its_reason() {
-    for from in Stage::ALL {
+    for from in TicketStage::ALL {
         for transition in Transition::ALL {
             let rule = TABLE.iter().find(|rule| rule.from == from && rule.transition == transition);
             for actor in [Actor::Leader, Actor::Server, Actor::Operator] {
@@ -36,16 +36,16 @@
 #[test]
 fn what_has_begun_is_not_withdrawn_and_what_is_asked_is_not_written_off() {
     assert_eq!(
-        next_stage(Stage::Begun, Transition::Withdraw, Actor::Operator),
-        Err(Rejection::TooLate(Stage::Begun))
+        next_stage(TicketStage::Begun, Transition::Withdraw, Actor::Operator),
+        Err(Rejection::TooLate(TicketStage::Begun))
     );
     assert_eq!(
-        next_stage(Stage::Requested, Transition::Abandon, Actor::Operator),
-        Err(Rejection::TooEarly(Stage::Requested))
+        next_stage(TicketStage::Requested, Transition::Abandon, Actor::Operator),
+        Err(Rejection::TooEarly(TicketStage::Requested))
     );
     assert_eq!(
-        next_stage(Stage::Requested, Transition::Begin, Actor::Server),
-        Err(Rejection::TooEarly(Stage::Requested))
+        next_stage(TicketStage::Requested, Transition::Begin, Actor::Server),
+        Err(Rejection::TooEarly(TicketStage::Requested))
     );
 }
 
@@ -55,8 +55,8 @@
     for rule in TABLE.iter().filter(|rule| rule.from.has_place() && !rule.to.has_place()) {
         let free = matches!(
             (rule.from, rule.transition),
-            (Stage::Granted, Transition::Recall | Transition::Lapse | Transition::Withdraw)
-                | (Stage::Ready, Transition::Finish)
+            (TicketStage::Granted, Transition::Recall | Transition::Lapse | Transition::Withdraw)
+                | (TicketStage::Ready, Transition::Finish)
                 | (_, Transition::Abandon)
         );
         assert!(free, "{:?} by {:?}", rule.from, rule.transition);
--- a/crates/loomflow-fleet/src/node/duties.rs
+++ b/crates/loomflow-fleet/src/node/duties.rs
@@ -9,12 +9,11 @@
 use crate::duty::fence::{Fence, FenceError};
 use crate::duty::summary::{self, Summary};
 use crate::duty::{
-    self, Command as DutyCommand, DutyName, DutySpec, LeaseSettings, OwnerUpdate, Ownership, ServerInstance,
-    Token,
+    self, DutyCommand, DutyName, DutySpec, LeaseSettings, OwnerUpdate, Ownership, ServerInstance, Token,
 };
 use crate::fleet_state::CAMPAIGN;
-use crate::maintenance::campaign::{self, CampaignStep, CampaignView};
-use crate::maintenance::{Command, Request, Response, Status, SummaryReport};
+use crate::maintenance::campaign::{self, CampaignCommand, CampaignStep, CampaignView};
+use crate::maintenance::{MaintenanceCommand, Request, Response, Status, SummaryReport};
 use crate::member::{Millis, Phase, RequestId, ServerName};
 use crate::wire::Body;
 
@@ -163,7 +162,7 @@
 
     fn send_duty_command(&mut self, command: DutyCommand, now: Millis) -> RequestId {
         let id = self.rng.random();
-        let request = Request::Execute { issuer: self.issuer(), command: Command::Duty(command) };
+        let request = Request::Execute { issuer: self.issuer(), command: MaintenanceCommand::Duty(command) };
         self.submit_as(id, request, now);
         id
     }
@@ -207,7 +206,7 @@
         if let Some(unanswered) = self.duties.session.renewal_sent(id, now) {
             self.cancel_request(unanswered);
         }
-        let command = Command::Duty(DutyCommand::KeepAlive(vec![self.own_instance()]));
+        let command = MaintenanceCommand::Duty(DutyCommand::KeepAlive(vec![self.own_instance()]));
         self.submit_as(id, Request::Execute { issuer: self.issuer(), command }, now);
     }
 
@@ -218,14 +217,14 @@
             let command = match campaign::next_step(view) {
                 None => continue,
                 Some(CampaignStep::Next { from_index, share_before }) => {
-                    campaign::Command::Next { name, from_index, share_before, token }
+                    CampaignCommand::Next { name, from_index, share_before, token }
                 }
                 Some(CampaignStep::Halt { from_index, reason }) => {
                     self.log(format!("campaign {name} halts: {reason}"));
-                    campaign::Command::Halt { name, from_index, reason, token }
+                    CampaignCommand::Halt { name, from_index, reason, token }
                 }
             };
-            let command = Command::Campaign(command);
+            let command = MaintenanceCommand::Campaign(command);
             self.submit(Request::Execute { issuer: self.issuer(), command }, now);
         }
     }
--- a/crates/loomflow-fleet/src/node/duty_leadership.rs
+++ b/crates/loomflow-fleet/src/node/duty_leadership.rs
@@ -8,8 +8,8 @@
 use super::Node;
 use crate::consensus::Consensus;
 use crate::duty::state::Session;
-use crate::duty::{self, Command as DutyCommand, DutyName, Ownership, ServerInstance, Token, assign};
-use crate::maintenance::{Command, Entry, Issuer, Response};
+use crate::duty::{self, DutyCommand, DutyName, Ownership, ServerInstance, Token, assign};
+use crate::maintenance::{Entry, Issuer, MaintenanceCommand, Response};
 use crate::member::{Millis, RequestId, ServerName};
 use crate::membership::MAX_MEMBERS;
 use crate::wire::Body;
@@ -68,7 +68,7 @@
         let renewals = std::mem::take(&mut self.leadership.sessions.waiting);
         let id = self.rng.random();
         let instances = renewals.iter().map(|(_, instance)| instance.clone()).collect();
-        let command = Command::Duty(DutyCommand::KeepAlive(instances));
+        let command = MaintenanceCommand::Duty(DutyCommand::KeepAlive(instances));
         let entry = Entry { id, at: self.fleet_time(now), issuer: Issuer::Leader, command };
         let expires_at = now + RENEWAL_BATCH_TIMEOUT_MILLIS;
         self.leadership.sessions.pending = Some(PendingBatch { id, renewals, expires_at });
@@ -103,7 +103,7 @@
     }
 
     /// What is to be committed about duties now.
-    pub(super) fn duty_decisions(&self, now: Millis) -> Vec<Command> {
+    pub(super) fn duty_decisions(&self, now: Millis) -> Vec<MaintenanceCommand> {
         let (Some(config), Some(state)) = (&self.config.duties, self.fleet_state()) else {
             return Vec::new();
         };
@@ -115,13 +115,13 @@
             };
             let has_leftovers = state.duties.duties().iter().any(is_leftover);
             if !has_leftovers || state.duties.lease_settings() != config.lease_settings {
-                return vec![Command::Duty(DutyCommand::Declare(config.lease_settings, specs))];
+                return vec![MaintenanceCommand::Duty(DutyCommand::Declare(config.lease_settings, specs))];
             }
         }
         let members = self.member_views(now);
         let is_departing = |name: &str| state.maintenance.is_departing(name);
         let commands = assign::commands(&state.duties, &members, &is_departing);
-        commands.into_iter().map(Command::Duty).collect()
+        commands.into_iter().map(MaintenanceCommand::Duty).collect()
     }
 
     /// Who gets a duty that its owner releases, so that it is not without an owner for a moment.
--- a/crates/loomflow-fleet/src/node/leadership.rs
+++ b/crates/loomflow-fleet/src/node/leadership.rs
@@ -9,7 +9,7 @@
 use super::{Effect, Node};
 use crate::maintenance::scheduling::{Decision, SchedulerView};
 use crate::maintenance::state::MaintenanceState;
-use crate::maintenance::{Command, Entry, Issuer, observation};
+use crate::maintenance::{Entry, Issuer, MaintenanceCommand, observation};
 use crate::member::{FleetMillis, MemberState, Millis, RequestId, ServerName};
 
 /// How often the leader decides, ms.
@@ -112,16 +112,16 @@
         }
     }
 
-    fn maintenance_decisions(&mut self, now: Millis) -> Vec<Command> {
+    fn maintenance_decisions(&mut self, now: Millis) -> Vec<MaintenanceCommand> {
         let time = self.fleet_time(now);
         let members = self.member_views(now);
         let Some(maintenance) = self.maintenance() else { return Vec::new() };
         if maintenance.rules() != Some(&self.config.rules) {
-            return vec![Command::Rules(self.config.rules.clone())];
+            return vec![MaintenanceCommand::Rules(self.config.rules.clone())];
         }
         let is_clock_due = time >= maintenance.time() + CLOCK_PERIOD_MILLIS;
         if self.next_deadline().is_some_and(|deadline| deadline <= time || is_clock_due) {
-            return vec![Command::Clock];
+            return vec![MaintenanceCommand::Clock];
         }
         let leader = self.config.name.as_str();
         let view =
@@ -132,7 +132,7 @@
         }
         match view.decide() {
             Some(Decision::Grant { ticket, incarnation }) => {
-                vec![Command::Grant { ticket, incarnation, census: view.census() }]
+                vec![MaintenanceCommand::Grant { ticket, incarnation, census: view.census() }]
             }
             Some(Decision::TransferLeadership) => {
                 self.transfer_leadership();
@@ -142,7 +142,7 @@
         }
     }
 
-    fn propose_as_leader(&mut self, command: Command, now: Millis) {
+    fn propose_as_leader(&mut self, command: MaintenanceCommand, now: Millis) {
         let id = self.rng.random();
         let entry = Entry { id, at: self.fleet_time(now), issuer: Issuer::Leader, command };
         self.leadership.pending.insert(id);
--- a/crates/loomflow-fleet/src/node/leadership_transfer/tests.rs
+++ b/crates/loomflow-fleet/src/node/leadership_transfer/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::consensus::StateMachine;
 use crate::maintenance::ticket::{TicketRequest, Urgency};
-use crate::maintenance::{Census, Command, Entry, Issuer};
+use crate::maintenance::{Census, Entry, Issuer, MaintenanceCommand};
 use crate::member::{LoadReport, MemberIdentity, Zone};
 use foca::State::{Alive, Down, Suspect};
 
@@ -16,8 +16,10 @@
         window: None,
     };
     let census = Census { zones: vec![(Zone::new(), 3)], away: Vec::new() };
-    let commands =
-        [Command::CreateTickets(vec![request]), Command::Grant { ticket: 1, incarnation: 1, census }];
+    let commands = [
+        MaintenanceCommand::CreateTickets(vec![request]),
+        MaintenanceCommand::Grant { ticket: 1, incarnation: 1, census },
+    ];
     let mut maintenance = MaintenanceState::default();
     for (id, command) in (1..).zip(commands) {
         let entry = Entry { id, at: 0, issuer: Issuer::Leader, command };
--- a/crates/loomflow-fleet/src/node/own_ticket.rs
+++ b/crates/loomflow-fleet/src/node/own_ticket.rs
@@ -6,8 +6,8 @@
 use super::requests::ReceivedResponse;
 use super::{Effect, Node};
 use crate::consensus::storage::{ReplicaMetadata, Storage, StorageError, WriteBatch};
-use crate::maintenance::ticket::{GrantNumber, Rejection, Stage, Ticket, TicketId, Transition};
-use crate::maintenance::{Command, Request, Response};
+use crate::maintenance::ticket::{GrantNumber, Rejection, Ticket, TicketId, TicketStage, Transition};
+use crate::maintenance::{MaintenanceCommand, Request, Response};
 use crate::member::{Incarnation, Millis, Phase, RequestId};
 
 /// Maximum age of a response or notification that is relied on, from its request, ms. No timeout frees the place of a server
@@ -71,12 +71,12 @@
         }
         let is_new_grant = self.own_ticket.pending_begin.is_none_or(|(_, grant)| grant != ticket.grant);
         match ticket.stage {
-            Stage::Granted if is_new_grant => {
+            TicketStage::Granted if is_new_grant => {
                 let id = self.report_transition(ticket.id, ticket.grant, Transition::Begin, now);
                 self.own_ticket.pending_begin = Some((id, ticket.grant));
             }
             // Committed, and the response was lost; or the server was declared dead before it received it.
-            Stage::Begun | Stage::Draining | Stage::Out | Stage::Overdue => {
+            TicketStage::Begun | TicketStage::Draining | TicketStage::Out | TicketStage::Overdue => {
                 self.drain_by_ticket(ticket.id, ticket.grant, now);
             }
             _ => {}
@@ -124,7 +124,7 @@
             return;
         }
         self.phase = Phase::Draining;
-        let command = Command::DrainedWithoutTicket(self.config.name.clone());
+        let command = MaintenanceCommand::DrainedWithoutTicket(self.config.name.clone());
         let request = Request::Execute { issuer: self.issuer(), command };
         self.submit(request, now);
         self.hand_everything_over(now);
@@ -173,7 +173,7 @@
         now: Millis,
     ) -> RequestId {
         let incarnation = self.identity().incarnation;
-        let command = Command::Transition { ticket, transition, grant, incarnation };
+        let command = MaintenanceCommand::Transition { ticket, transition, grant, incarnation };
         let request = Request::Execute { issuer: self.issuer(), command };
         let id = self.rng.random();
         self.submit_as(id, request, now);
--- a/crates/loomflow-fleet/src/node/requests.rs
+++ b/crates/loomflow-fleet/src/node/requests.rs
@@ -5,9 +5,9 @@
 
 use super::{Effect, Node};
 use crate::consensus::ProposeError;
-use crate::duty;
+use crate::duty::DutyCommand;
 use crate::maintenance::ticket::Rejection;
-use crate::maintenance::{Command, Entry, Request, Response};
+use crate::maintenance::{Entry, MaintenanceCommand, Request, Response};
 use crate::member::{Millis, RequestId, ServerName};
 use crate::wire::Body;
 
@@ -137,11 +137,13 @@
     /// The leader's part: commands are proposed, everything else is answered at once.
     fn execute_request(&mut self, id: RequestId, request: Request, now: Millis) {
         match request {
-            Request::Execute { command: Command::Duty(duty::Command::KeepAlive(instances)), .. } => {
+            Request::Execute {
+                command: MaintenanceCommand::Duty(DutyCommand::KeepAlive(instances)), ..
+            } => {
                 self.queue_renewal(id, instances, now);
             }
             Request::Execute { issuer, mut command } => {
-                if let Command::Duty(duty::Command::Release { duty, successor, .. }) = &mut command {
+                if let MaintenanceCommand::Duty(DutyCommand::Release { duty, successor, .. }) = &mut command {
                     *successor = self.choose_successor(duty, now);
                 }
                 let entry = Entry { id, at: self.fleet_time(now), issuer, command };
--- a/crates/loomflow-fleet/src/node/status.rs
+++ b/crates/loomflow-fleet/src/node/status.rs
@@ -5,7 +5,7 @@
 use crate::duty;
 use crate::maintenance::scheduling::{Explanation, SchedulerView};
 use crate::maintenance::state::MaintenanceState;
-use crate::maintenance::ticket::Stage;
+use crate::maintenance::ticket::TicketStage;
 use crate::maintenance::{MemberRow, Request, Response, Status};
 use crate::member::{MemberState, MemberView, Millis, ServerName};
 
@@ -92,7 +92,7 @@
         let known = self.membership.get(&name);
         let last_report = known.map_or(self.load, |known| known.load_report);
         let ticket = maintenance.ticket_with_place(&name).map(|ticket| (ticket.id, ticket.stage));
-        let has_begun = ticket.is_some_and(|(_, stage)| stage != Stage::Granted);
+        let has_begun = ticket.is_some_and(|(_, stage)| stage != TicketStage::Granted);
         let is_out = has_begun && !view.is_alive();
         MemberRow {
             zone: view.zone,
--- a/crates/loomflow-fleet/src/node/tests.rs
+++ b/crates/loomflow-fleet/src/node/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::consensus::storage::MemoryStorage;
-use crate::maintenance::ticket::{Rejection, Stage, Ticket, TicketRequest, Urgency};
+use crate::maintenance::ticket::{Rejection, Ticket, TicketRequest, TicketStage, Urgency};
 use crate::wire::LENGTH_BYTES;
 
 const FLEET: &str = "f";
@@ -41,7 +41,7 @@
             window: None,
         },
         requested_by: "ops".into(),
-        stage: Stage::Begun,
+        stage: TicketStage::Begun,
         requested_at: 0,
         since: 0,
         grant: 1,
--- a/crates/loomflow-fleet/tests/maintenance.rs
+++ b/crates/loomflow-fleet/tests/maintenance.rs
@@ -5,8 +5,8 @@
 use loomflow_fleet::maintenance::state::{
     MAX_CLOSED_TICKETS, MAX_EVENTS, MAX_OPEN_TICKETS, MaintenanceState,
 };
-use loomflow_fleet::maintenance::ticket::{Rejection, Stage, TicketRequest, Transition, Urgency};
-use loomflow_fleet::maintenance::{Census, Command, Entry, Issuer, Response};
+use loomflow_fleet::maintenance::ticket::{Rejection, TicketRequest, TicketStage, Transition, Urgency};
+use loomflow_fleet::maintenance::{Census, Entry, Issuer, MaintenanceCommand, Response};
 use proptest::prelude::*;
 
 const SERVERS: usize = 6;
@@ -39,17 +39,17 @@
     ]
 }
 
-fn command() -> impl Strategy<Value = Command> {
+fn command() -> impl Strategy<Value = MaintenanceCommand> {
     let moves = (1u64..12, proptest::sample::select(Transition::ALL.to_vec()), 0u64..12, 1u64..4);
     let away = proptest::collection::vec(0..SERVERS, 0..2);
     prop_oneof![
-        2 => (0..SERVERS).prop_map(|n| Command::CreateTickets(vec![wanted(n)])),
-        8 => moves.prop_map(|(ticket, transition, grant, incarnation)| Command::Transition { ticket, transition, grant, incarnation }),
+        2 => (0..SERVERS).prop_map(|n| MaintenanceCommand::CreateTickets(vec![wanted(n)])),
+        8 => moves.prop_map(|(ticket, transition, grant, incarnation)| MaintenanceCommand::Transition { ticket, transition, grant, incarnation }),
         4 => (1u64..12, 1u64..4, away).prop_map(|(ticket, incarnation, away)| {
-            Command::Grant { ticket, incarnation, census: census(&away) }
+            MaintenanceCommand::Grant { ticket, incarnation, census: census(&away) }
         }),
-        1 => Just(Command::Clock),
-        1 => prop_oneof![Just(Command::Pause("x".into())), Just(Command::Resume)],
+        1 => Just(MaintenanceCommand::Clock),
+        1 => prop_oneof![Just(MaintenanceCommand::Pause("x".into())), Just(MaintenanceCommand::Resume)],
     ]
 }
 
@@ -65,7 +65,7 @@
         Rules { max_out: Limit::Count(2), max_out_per_zone: Some(Limit::Count(1)), ..Rules::default() };
     put(
         &mut maintenance,
-        &Entry { id: u128::MAX, at: 0, issuer: Issuer::Leader, command: Command::Rules(rules) },
+        &Entry { id: u128::MAX, at: 0, issuer: Issuer::Leader, command: MaintenanceCommand::Rules(rules) },
     );
     maintenance
 }
@@ -103,7 +103,7 @@
             let mut back = MaintenanceState::load(&maintenance.save()).unwrap();
             prop_assert_eq!(back.holders(), maintenance.holders());
             prop_assert_eq!(back.next_deadline(), maintenance.next_deadline());
-            let later = Entry { id: 1 << 100, at: at + 50_000, issuer: Issuer::Leader, command: Command::Clock };
+            let later = Entry { id: 1 << 100, at: at + 50_000, issuer: Issuer::Leader, command: MaintenanceCommand::Clock };
             put(&mut back, &later);
             let mut same = maintenance.clone();
             put(&mut same, &later);
@@ -121,7 +121,9 @@
 
 #[test]
 fn ten_thousand_asked_at_once_are_taken_and_what_is_beyond_the_bound_is_refused_whole() {
-    let many = |from: usize, count: usize| Command::CreateTickets((from..from + count).map(wanted).collect());
+    let many = |from: usize, count: usize| {
+        MaintenanceCommand::CreateTickets((from..from + count).map(wanted).collect())
+    };
     let ask = |id, command| Entry { id, at: 0, issuer: Issuer::Operator("ops".into()), command };
     let mut maintenance = machine();
     match put(&mut maintenance, &ask(1, many(0, 10_000))) {
@@ -136,11 +138,15 @@
     assert_eq!(back.open(), maintenance.open());
     // All withdrawn: the history is bounded.
     for id in 1..=10_000u64 {
-        let withdraw =
-            Command::Transition { ticket: id, transition: Transition::Withdraw, grant: 0, incarnation: 0 };
+        let withdraw = MaintenanceCommand::Transition {
+            ticket: id,
+            transition: Transition::Withdraw,
+            grant: 0,
+            incarnation: 0,
+        };
         put(&mut maintenance, &ask(u128::from(id) + 10, withdraw));
     }
     assert_eq!((maintenance.open().len(), maintenance.closed().count()), (0, MAX_CLOSED_TICKETS));
-    assert!(maintenance.closed().all(|ticket| ticket.stage == Stage::Withdrawn));
+    assert!(maintenance.closed().all(|ticket| ticket.stage == TicketStage::Withdrawn));
     assert!(maintenance.save().len() < 1 << 20, "{}", maintenance.save().len());
 }
--- a/crates/loomflow-fleet/tests/ownership_model.rs
+++ b/crates/loomflow-fleet/tests/ownership_model.rs
@@ -9,7 +9,7 @@
 use loomflow_fleet::duty::client_session::ClientSession;
 use loomflow_fleet::duty::fence::Fence;
 use loomflow_fleet::duty::state::Duties;
-use loomflow_fleet::duty::{Command, DutySpec, LeaseSettings, Ownership, ServerInstance, Token};
+use loomflow_fleet::duty::{DutyCommand, DutySpec, LeaseSettings, Ownership, ServerInstance, Token};
 use stateright::{Checker, Model, Property};
 
 const SERVERS: usize = 2;
@@ -157,7 +157,7 @@
             Message::Here { server, at } => {
                 let holder = ServerInstance { name: name(server), incarnation: 1 };
                 state.duties.advance_time(state.fleet_time());
-                state.duties.apply(&Command::KeepAlive(vec![holder]));
+                state.duties.apply(&DutyCommand::KeepAlive(vec![holder]));
                 let ownership = Owners::session_of(state, server);
                 let token = ownership.duties.first().map_or(0, |_| state.told);
                 state.sent.insert(Message::Owns { server, at, session: ownership.session, token });
@@ -179,7 +179,7 @@
     fn assign(&self, state: &mut State, server: usize) -> Option<()> {
         state.duties.advance_time(state.fleet_time());
         let before = state.duties.last_token();
-        state.duties.apply(&Command::Assign(vec![(DUTY.into(), name(server))]));
+        state.duties.apply(&DutyCommand::Assign(vec![(DUTY.into(), name(server))]));
         if state.duties.last_token() == before {
             return None;
         }
@@ -201,13 +201,13 @@
 
     fn init_states(&self) -> Vec<State> {
         let mut duties = Duties::default();
-        duties.apply(&Command::Declare(
+        duties.apply(&DutyCommand::Declare(
             LeaseSettings { lease_millis: LEASE, max_attempts: 99 },
             vec![DutySpec::plain(DUTY)],
         ));
         // Both are here from the start.
         let holder = |server| ServerInstance { name: name(server), incarnation: 1 };
-        duties.apply(&Command::KeepAlive((0..SERVERS).map(holder).collect()));
+        duties.apply(&DutyCommand::KeepAlive((0..SERVERS).map(holder).collect()));
         let servers = [0, 1].map(|server| {
             let mut session_client = ClientSession::default();
             session_client.renewed(duties.ownership(&name(server)), 0, 0);
--- a/crates/loomflow-fleet/tests/ticket_model.rs
+++ b/crates/loomflow-fleet/tests/ticket_model.rs
@@ -9,8 +9,8 @@
 
 use loomflow_fleet::consensus::StateMachine;
 use loomflow_fleet::maintenance::state::MaintenanceState;
-use loomflow_fleet::maintenance::ticket::{Stage, TicketId, TicketRequest, Transition, Urgency};
-use loomflow_fleet::maintenance::{Census, Command, Entry, Issuer, Response};
+use loomflow_fleet::maintenance::ticket::{TicketId, TicketRequest, TicketStage, Transition, Urgency};
+use loomflow_fleet::maintenance::{Census, Entry, Issuer, MaintenanceCommand, Response};
 use stateright::{Checker, Model, Property};
 
 const SERVERS: usize = 3;
@@ -56,13 +56,13 @@
 
 impl State {
     /// What of the machine matters for what may still happen: times and history do not.
-    fn shown(&self) -> Vec<(TicketId, Stage, u64, u64, u64, u8)> {
+    fn shown(&self) -> Vec<(TicketId, TicketStage, u64, u64, u64, u8)> {
         let open = self.maintenance.open().values();
         open.map(|t| (t.id, t.stage, t.grant, t.incarnation, t.returned_incarnation, t.lapses)).collect()
     }
 
     /// Puts an entry into the log; whether it was done.
-    fn agree(&mut self, issuer: Issuer, command: Command, after: u64) -> bool {
+    fn agree(&mut self, issuer: Issuer, command: MaintenanceCommand, after: u64) -> bool {
         self.entries += 1;
         let entry = Entry { id: self.entries, at: self.maintenance.time() + after, issuer, command };
         let bytes = postcard::to_stdvec(&entry).unwrap();
@@ -131,9 +131,14 @@
 }
 
 /// The command that makes a transition of a ticket by its current grant.
-fn transition_of(state: &State, transition: Transition, id: TicketId, incarnation: u64) -> Command {
+fn transition_of(
+    state: &State,
+    transition: Transition,
+    id: TicketId,
+    incarnation: u64,
+) -> MaintenanceCommand {
     let grant = state.maintenance.open().get(&id).map_or(0, |ticket| ticket.grant);
-    Command::Transition { ticket: id, transition, grant, incarnation }
+    MaintenanceCommand::Transition { ticket: id, transition, grant, incarnation }
 }
 
 /// The leader reports what it sees of a server; none where it cannot see that.
@@ -169,8 +174,12 @@
             }
             Message::Begin { server, ticket, grant, incarnation } => {
                 let by = Issuer::Server { name: name(server), incarnation };
-                let command =
-                    Command::Transition { ticket, transition: Transition::Begin, grant, incarnation };
+                let command = MaintenanceCommand::Transition {
+                    ticket,
+                    transition: Transition::Begin,
+                    grant,
+                    incarnation,
+                };
                 state.agree(by, command, 1)
                     && state.said.insert(Message::Begun { server, ticket, incarnation })
             }
@@ -209,7 +218,7 @@
         };
         assert!(state.agree(
             Issuer::Operator("ops".into()),
-            Command::CreateTickets(vec![wanted(0), wanted(1)]),
+            MaintenanceCommand::CreateTickets(vec![wanted(0), wanted(1)]),
             1
         ));
         vec![state]
@@ -219,9 +228,9 @@
         for ticket in state.maintenance.open().values() {
             let id = ticket.id;
             match ticket.stage {
-                Stage::Requested if state.withdrawn => actions.push(Action::Grant(id)),
-                Stage::Requested => actions.extend([Action::Grant(id), Action::Withdraw(id)]),
-                Stage::Granted => {
+                TicketStage::Requested if state.withdrawn => actions.push(Action::Grant(id)),
+                TicketStage::Requested => actions.extend([Action::Grant(id), Action::Withdraw(id)]),
+                TicketStage::Granted => {
                     actions.push(Action::Tell(id));
                     if state.void < VOID {
                         actions.extend([Action::Lapse(id), Action::Recall(id)]);
@@ -229,7 +238,7 @@
                 }
                 _ => {}
             }
-            if ticket.stage.has_place() && ticket.stage != Stage::Granted {
+            if ticket.stage.has_place() && ticket.stage != TicketStage::Granted {
                 // A server may be taken for dead that is not.
                 let seen = [Transition::Depart, Transition::Return, Transition::Ready, Transition::Finish];
                 actions.extend(seen.map(|by| Action::See(id, by)));
@@ -256,7 +265,7 @@
             Action::Grant(id) => {
                 let incarnation = last.servers[number(&of(id)?.request.server)].1;
                 let census = Census { zones: vec![(String::new(), SERVERS as u32)], away: Vec::new() };
-                state.agree(Issuer::Leader, Command::Grant { ticket: id, incarnation, census }, 1)
+                state.agree(Issuer::Leader, MaintenanceCommand::Grant { ticket: id, incarnation, census }, 1)
             }
             Action::Tell(id) => {
                 let ticket = of(id)?;
@@ -266,7 +275,11 @@
             }
             Action::Lapse(id) => {
                 state.void += 1;
-                state.agree(Issuer::Leader, Command::Clock, of(id)?.deadline - last.maintenance.time())
+                state.agree(
+                    Issuer::Leader,
+                    MaintenanceCommand::Clock,
+                    of(id)?.deadline - last.maintenance.time(),
+                )
             }
             Action::Recall(id) => {
                 state.void += 1;
@@ -308,7 +321,7 @@
                 })
             }),
             Property::sometimes("both are done", |_, state: &State| {
-                state.maintenance.closed().filter(|ticket| ticket.stage == Stage::Done).count() == 2
+                state.maintenance.closed().filter(|ticket| ticket.stage == TicketStage::Done).count() == 2
             }),
         ]
     }
--- a/crates/loomflow-fleet/tests/wire_format.rs
+++ b/crates/loomflow-fleet/tests/wire_format.rs
@@ -10,18 +10,20 @@
 use loomflow_fleet::duty::schedule::{MissedRuns, Recurrence, Schedule};
 use loomflow_fleet::duty::summary::Summary;
 use loomflow_fleet::duty::{
-    self, DutyEventKind, DutyList, DutySpec, DutyStatus, LeaseSettings, OwnedDuty, OwnerUpdate, Ownership,
-    ServerInstance,
+    self, DutyCommand, DutyEventKind, DutyList, DutySpec, DutyStatus, LeaseSettings, OwnedDuty, OwnerUpdate,
+    Ownership, ServerInstance,
 };
 use loomflow_fleet::fleet_state::FleetState;
-use loomflow_fleet::maintenance::campaign::{self, CampaignStatus};
+use loomflow_fleet::maintenance::campaign::{CampaignCommand, CampaignStatus, CampaignView};
 use loomflow_fleet::maintenance::headroom::Estimate;
 use loomflow_fleet::maintenance::rules::{Limit, Rules};
 use loomflow_fleet::maintenance::scheduling::{Check, Explanation, Finding};
 use loomflow_fleet::maintenance::state::TicketEvent;
-use loomflow_fleet::maintenance::ticket::{Rejection, Stage, Ticket, TicketRequest, Transition, Urgency};
+use loomflow_fleet::maintenance::ticket::{
+    Rejection, Ticket, TicketRequest, TicketStage, Transition, Urgency,
+};
 use loomflow_fleet::maintenance::{
-    Census, Command, Entry, Issuer, MemberRow, Request, Response, Status, SummaryReport,
+    Census, Entry, Issuer, MaintenanceCommand, MemberRow, Request, Response, Status, SummaryReport,
 };
 use loomflow_fleet::member::{LoadReport, MemberIdentity, MemberState, Phase, Replica};
 use loomflow_fleet::operator::{OperatorRequest, OperatorResponse, OwnershipConfirmation};
@@ -74,7 +76,7 @@
         request_id: 2,
         request: wanted(),
         requested_by: "ops".into(),
-        stage: Stage::Draining,
+        stage: TicketStage::Draining,
         requested_at: 3,
         since: 4,
         grant: 5,
@@ -126,8 +128,8 @@
     }
 }
 
-fn duty_commands() -> Vec<duty::Command> {
-    use duty::Command::*;
+fn duty_commands() -> Vec<DutyCommand> {
+    use DutyCommand::*;
     let duty = || "d".to_owned();
     let declared = DutySpec { name: duty(), weight: 2, schedule: Some(schedule()) };
     let write = |update| Write { duty: duty(), token: 4, update };
@@ -202,8 +204,8 @@
     answers
 }
 
-fn campaign_commands() -> Vec<campaign::Command> {
-    use campaign::Command::*;
+fn campaign_commands() -> Vec<CampaignCommand> {
+    use CampaignCommand::*;
     let name = || "kernel".to_owned();
     vec![
         Start { name: name(), requests: vec![wanted()], batch_size: 2 },
@@ -214,14 +216,14 @@
     ]
 }
 
-fn campaign_views() -> Vec<campaign::CampaignView> {
-    let view = |status| campaign::CampaignView {
+fn campaign_views() -> Vec<CampaignView> {
+    let view = |status| CampaignView {
         name: "kernel".into(),
         requested_by: "ops".into(),
         status,
         next_index: 1,
         total: 2,
-        last_batch: vec![("n1".into(), Some(Stage::Done)), ("n2".into(), None)],
+        last_batch: vec![("n1".into(), Some(TicketStage::Done)), ("n2".into(), None)],
         share_before: 0.5,
         share_now: Some(0.25),
         next_batch_share: None,
@@ -241,33 +243,33 @@
     Census { zones: vec![("z1".into(), 3)], away: vec![("n3".into(), "z1".into())] }
 }
 
-fn commands() -> Vec<Command> {
+fn commands() -> Vec<MaintenanceCommand> {
     let mut commands = vec![
-        Command::CreateTickets(vec![wanted()]),
-        Command::Grant { ticket: 1, incarnation: 6, census: census() },
-        Command::Pause("storm".into()),
-        Command::Resume,
-        Command::Rules(rules()),
-        Command::DrainedWithoutTicket("n1".into()),
-        Command::Clock,
+        MaintenanceCommand::CreateTickets(vec![wanted()]),
+        MaintenanceCommand::Grant { ticket: 1, incarnation: 6, census: census() },
+        MaintenanceCommand::Pause("storm".into()),
+        MaintenanceCommand::Resume,
+        MaintenanceCommand::Rules(rules()),
+        MaintenanceCommand::DrainedWithoutTicket("n1".into()),
+        MaintenanceCommand::Clock,
     ];
-    commands.extend(Transition::ALL.map(|transition| Command::Transition {
+    commands.extend(Transition::ALL.map(|transition| MaintenanceCommand::Transition {
         ticket: 1,
         transition,
         grant: 5,
         incarnation: 6,
     }));
-    commands.extend(duty_commands().into_iter().map(Command::Duty));
-    commands.extend(campaign_commands().into_iter().map(Command::Campaign));
+    commands.extend(duty_commands().into_iter().map(MaintenanceCommand::Duty));
+    commands.extend(campaign_commands().into_iter().map(MaintenanceCommand::Campaign));
     commands
 }
 
 fn rejections() -> Vec<Rejection> {
     vec![
         Rejection::Unknown,
-        Rejection::Closed(Stage::Done),
-        Rejection::TooLate(Stage::Out),
-        Rejection::TooEarly(Stage::Requested),
+        Rejection::Closed(TicketStage::Done),
+        Rejection::TooLate(TicketStage::Out),
+        Rejection::TooEarly(TicketStage::Requested),
         Rejection::Superseded { grant: 1, current: 2 },
         Rejection::OtherIncarnation,
         Rejection::NotPermitted,
@@ -301,7 +303,7 @@
         is_voter: true,
         load_report: Some(load_report()),
         report_age_millis: Some(10),
-        ticket: Some((1, Stage::Out)),
+        ticket: Some((1, TicketStage::Out)),
     };
     Status {
         fleet: "riga".into(),
@@ -340,7 +342,7 @@
     Explanation {
         server: "n1".into(),
         state: Some(MemberState::Serving),
-        ticket: Some((1, Stage::Requested)),
+        ticket: Some((1, TicketStage::Requested)),
         findings: checks.map(finding).to_vec(),
         estimate: Estimate { current_load: 1.0, peak_load: 2.0, remaining_capacity: 3.0 },
     }
@@ -354,7 +356,7 @@
         Response::Tickets {
             open: vec![ticket()],
             closed: vec![ticket()],
-            events: Stage::ALL.map(event).to_vec(),
+            events: TicketStage::ALL.map(event).to_vec(),
         },
         Response::Explanation(explained()),
         Response::Campaigns(campaign_views()),
@@ -371,7 +373,7 @@
         Issuer::Operator("ops".into()),
     ];
     let mut asks: Vec<Request> =
-        issuers.map(|issuer| Request::Execute { issuer, command: Command::Clock }).to_vec();
+        issuers.map(|issuer| Request::Execute { issuer, command: MaintenanceCommand::Clock }).to_vec();
     asks.extend(commands().into_iter().map(|command| Request::Execute { issuer: Issuer::Leader, command }));
     asks.extend([
         Request::Status,
@@ -455,24 +457,29 @@
     let leader = |command| (Issuer::Leader, command);
     let operator = |command| (Issuer::Operator("ops".into()), command);
     let server = |command| (Issuer::Server { name: "n1".into(), incarnation: 6 }, command);
-    let own = || duty::Command::KeepAlive(vec![ServerInstance { name: "n1".into(), incarnation: 6 }]);
+    let own = || DutyCommand::KeepAlive(vec![ServerInstance { name: "n1".into(), incarnation: 6 }]);
     let declared = DutySpec { name: "d".into(), weight: 2, schedule: Some(schedule()) };
     let mut entries = vec![
-        leader(Command::Rules(rules())),
-        operator(Command::CreateTickets(vec![TicketRequest { window: None, ..wanted() }])),
-        leader(Command::Grant { ticket: 1, incarnation: 6, census: Census::default() }),
-        server(Command::Transition { ticket: 1, transition: Transition::Begin, grant: 1, incarnation: 6 }),
-        leader(Command::Duty(duty::Command::Declare(LeaseSettings::default(), vec![declared]))),
-        leader(Command::Duty(own())),
-        leader(Command::Duty(duty::Command::Assign(vec![("d".into(), "n1".into())]))),
-        server(Command::Duty(duty::Command::Write {
+        leader(MaintenanceCommand::Rules(rules())),
+        operator(MaintenanceCommand::CreateTickets(vec![TicketRequest { window: None, ..wanted() }])),
+        leader(MaintenanceCommand::Grant { ticket: 1, incarnation: 6, census: Census::default() }),
+        server(MaintenanceCommand::Transition {
+            ticket: 1,
+            transition: Transition::Begin,
+            grant: 1,
+            incarnation: 6,
+        }),
+        leader(MaintenanceCommand::Duty(DutyCommand::Declare(LeaseSettings::default(), vec![declared]))),
+        leader(MaintenanceCommand::Duty(own())),
+        leader(MaintenanceCommand::Duty(DutyCommand::Assign(vec![("d".into(), "n1".into())]))),
+        server(MaintenanceCommand::Duty(DutyCommand::Write {
             duty: "d".into(),
             token: 1,
             update: OwnerUpdate::Began(60),
         })),
     ];
-    let start = campaign::Command::Start { name: "kernel".into(), requests: vec![wanted()], batch_size: 1 };
-    entries.push(operator(Command::Campaign(start)));
+    let start = CampaignCommand::Start { name: "kernel".into(), requests: vec![wanted()], batch_size: 1 };
+    entries.push(operator(MaintenanceCommand::Campaign(start)));
     entries.extend(commands().into_iter().map(operator));
     for (at, (issuer, command)) in entries.into_iter().enumerate() {
         let entry = Entry { id: at as u128 + 1, at: at as u64, issuer, command };
--- a/crates/loomflow-server/src/fleet/operator_socket.rs
+++ b/crates/loomflow-server/src/fleet/operator_socket.rs
@@ -28,7 +28,7 @@
     Unreadable(#[from] serde_json::Error),
 }
 
-struct Connection {
+struct OperatorConnection {
     stream: UnixStream,
     line: Vec<u8>,
     /// What is still to be written; the connection ends after it.
@@ -41,7 +41,7 @@
     listener: UnixListener,
     path: PathBuf,
     next_token: usize,
-    connections: BTreeMap<Token, Connection>,
+    connections: BTreeMap<Token, OperatorConnection>,
 }
 
 impl OperatorSocket {
@@ -81,7 +81,8 @@
             let token = Token(self.next_token * 2 + 1);
             if registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE).is_ok() {
                 let (line, response, awaited_request) = (Vec::new(), None, None);
-                self.connections.insert(token, Connection { stream, line, response, awaited_request });
+                self.connections
+                    .insert(token, OperatorConnection { stream, line, response, awaited_request });
             }
         }
     }
@@ -141,7 +142,7 @@
     }
 }
 
-impl Connection {
+impl OperatorConnection {
     /// Reads what is there. Returns whether the operator has closed the connection.
     fn read(&mut self) -> Result<bool, RequestError> {
         let mut bytes = [0; 4096];
