--- a/crates/loomflow-benchmark/src/order/simulated.rs
+++ b/crates/loomflow-benchmark/src/order/simulated.rs
@@ -4,6 +4,7 @@
 
 use loomflow_fleet::maintenance::rules::{Limit, Rules};
 use loomflow_fleet::maintenance::ticket::{TicketStage, Urgency};
+use loomflow_fleet::time::seconds;
 use loomflow_fleet_simulation::{Fault, Scenario, Simulation, SimulationConfig, core_count, run_parallel};
 
 use crate::report::Report;
@@ -82,9 +83,9 @@
         let before = simulation.traffic();
         let began = Instant::now();
         let _ = simulation.run_until(formed + span);
-        let core = began.elapsed().as_secs_f64() / (span as f64 / 1000.0) / machines as f64;
+        let core = began.elapsed().as_secs_f64() / seconds(span) / machines as f64;
         let after = simulation.traffic();
-        let each = |count: u64| count as f64 / machines as f64 / (span as f64 / 1000.0);
+        let each = |count: u64| count as f64 / machines as f64 / seconds(span);
         let one = (each(after.messages - before.messages), each(after.bytes - before.bytes), core);
         rows.push(vec![
             machines.to_string(),
@@ -145,7 +146,7 @@
         let next = simulation.now + 50;
         let _ = simulation.run_until(next);
     }
-    (simulation.now - died) as f64 / 1000.0
+    seconds(simulation.now - died)
 }
 
 /// How often one of ten members is taken for dead in an hour with short stops.
--- a/crates/loomflow-benchmark/src/owner/simulated.rs
+++ b/crates/loomflow-benchmark/src/owner/simulated.rs
@@ -3,6 +3,7 @@
 use loomflow_fleet::duty::LeaseSettings;
 use loomflow_fleet::duty::assign::Candidate;
 use loomflow_fleet::duty::load::imbalance;
+use loomflow_fleet::time::seconds;
 use loomflow_fleet_simulation::config::{duty_name, server_name};
 use loomflow_fleet_simulation::{Fault, Scenario, Simulation, SimulationConfig, core_count, run_parallel};
 
@@ -119,13 +120,13 @@
     let (traffic, index, token) = (simulation.traffic(), applied(&simulation), last_token(&simulation));
     let _ = simulation.run_until(FORMED_AT + span);
     let traffic_after = simulation.traffic();
-    let seconds = span as f64 / 1000.0;
-    let each = |count: u64| count as f64 / MACHINES as f64 / seconds;
+    let span_seconds = seconds(span);
+    let each = |count: u64| count as f64 / MACHINES as f64 / span_seconds;
     let day = QuietDay {
         messages: each(traffic_after.messages - traffic.messages),
         bytes: each(traffic_after.bytes - traffic.bytes),
-        log_entries: (applied(&simulation) - index) as f64 / seconds,
-        migrations: (last_token(&simulation) - token) as f64 * 3_600.0 / seconds,
+        log_entries: (applied(&simulation) - index) as f64 / span_seconds,
+        migrations: (last_token(&simulation) - token) as f64 * 3_600.0 / span_seconds,
     };
     (simulation, day)
 }
--- a/crates/loomflow-fleet-commands/src/job_process.rs
+++ b/crates/loomflow-fleet-commands/src/job_process.rs
@@ -13,8 +13,8 @@
 use loomflow_boot_clock::boot_millis;
 use loomflow_fleet::duty::supervisor::{ProcessSupervisor, StopReason, StopSignal};
 use loomflow_fleet::duty::{DutyName, Token};
-use loomflow_fleet::member::Millis;
 use loomflow_fleet::operator::{OperatorRequest, OperatorResponse, OwnershipConfirmation};
+use loomflow_fleet::time::{WholeMillis, whole_millis};
 use rustix::process::{Pid, Signal, kill_process_group};
 
 use crate::client::call;
@@ -44,7 +44,7 @@
 /// A duty that the server owns, and until when by the clock of this machine.
 struct Ownership {
     duty: OwnershipConfirmation,
-    valid_until: Millis,
+    valid_until: WholeMillis,
 }
 
 /// What was answered to one question about ownership; none where it is not there.
@@ -62,7 +62,7 @@
     };
     let mut child = start(options, &ownership.duty)?;
     let answers = poll_ownership(socket, &options.duty, ownership.duty.lease_settings.lease_millis);
-    let max_duration = options.max_duration.as_millis() as Millis;
+    let max_duration = whole_millis(options.max_duration);
     let mut supervisor = ProcessSupervisor::new(
         ownership.duty.lease_settings,
         ownership.valid_until,
@@ -119,7 +119,7 @@
 
 /// Asks for ownership again and again, on a thread of its own: it must not hold up the supervision, as the server may be
 /// stopped in the middle of an answer.
-fn poll_ownership(socket: &Path, duty: &str, lease_millis: Millis) -> Receiver<OwnershipAnswer> {
+fn poll_ownership(socket: &Path, duty: &str, lease_millis: WholeMillis) -> Receiver<OwnershipAnswer> {
     let (sender, receiver) = channel();
     let interval = Duration::from_millis(lease_millis / OWNERSHIP_POLLS_PER_LEASE);
     let (socket, duty) = (socket.to_owned(), duty.to_owned());
@@ -158,7 +158,7 @@
     }
 }
 
-fn apply_answer(supervisor: &mut ProcessSupervisor, token: Token, answer: OwnershipAnswer, now: Millis) {
+fn apply_answer(supervisor: &mut ProcessSupervisor, token: Token, answer: OwnershipAnswer, now: WholeMillis) {
     match answer {
         Ok(Some(ownership)) if ownership.duty.token == token => {
             supervisor.extend_ownership(ownership.valid_until);
--- a/crates/loomflow-fleet-commands/src/output.rs
+++ b/crates/loomflow-fleet-commands/src/output.rs
@@ -1,6 +1,7 @@
 //! What `loomflow fleet` prints: tables for people.
 
 use std::fmt::Write as _;
+use std::time::Duration;
 
 use comfy_table::{CellAlignment, Table, presets};
 use loomflow_fleet::duty::summary::Summary;
@@ -9,9 +10,10 @@
 use loomflow_fleet::maintenance::rules::Limit;
 use loomflow_fleet::maintenance::scheduling::Explanation;
 use loomflow_fleet::maintenance::state::TicketEvent;
-use loomflow_fleet::maintenance::ticket::{FleetMillis, Ticket, TicketStage};
+use loomflow_fleet::maintenance::ticket::{Ticket, TicketStage};
 use loomflow_fleet::maintenance::{MemberRow, Status, SummaryReport};
-use loomflow_fleet::member::{LoadReport, Millis};
+use loomflow_fleet::member::LoadReport;
+use loomflow_fleet::time::{self, FleetMillis, WholeMillis, whole_seconds};
 
 /// What stands where there is no value.
 const NONE: &str = "-";
@@ -30,13 +32,13 @@
 }
 
 /// A span in whole seconds, such as `1m 20s`.
-fn span(millis: Millis) -> String {
-    humantime::format_duration(std::time::Duration::from_secs(millis / 1000)).to_string()
+fn span(millis: WholeMillis) -> String {
+    humantime::format_duration(Duration::from_secs(whole_seconds(millis))).to_string()
 }
 
 /// Seconds with one decimal.
-fn seconds(millis: Millis) -> String {
-    format!("{:.1}", millis as f64 / 1000.0)
+fn seconds(millis: WholeMillis) -> String {
+    format!("{:.1}", time::seconds(millis))
 }
 
 fn limit(limit: Limit) -> String {
--- a/crates/loomflow-fleet-commands/src/tickets.rs
+++ b/crates/loomflow-fleet-commands/src/tickets.rs
@@ -5,8 +5,9 @@
 use std::time::Duration;
 
 use loomflow_fleet::maintenance::MemberRow;
-use loomflow_fleet::maintenance::ticket::{FleetMillis, TicketRequest, Urgency};
+use loomflow_fleet::maintenance::ticket::{TicketRequest, Urgency};
 use loomflow_fleet::member::Zone;
+use loomflow_fleet::time::whole_millis;
 use loomflow_settings::campaign::{self, Campaign, Ticket};
 
 use crate::error::CommandError;
@@ -66,8 +67,8 @@
             campaign::Urgency::Urgent => Urgency::Urgent,
             campaign::Urgency::Broken => Urgency::Broken,
         },
-        duration_millis: millis(duration),
-        window: window.map(|(from, before)| (millis(from), millis(before))),
+        duration_millis: whole_millis(duration),
+        window: window.map(|(from, before)| (whole_millis(from), whole_millis(before))),
     })
 }
 
@@ -90,8 +91,8 @@
             server,
             reason: options.reason.clone(),
             urgency: options.urgency,
-            duration_millis: millis(options.duration.unwrap_or(DEFAULT_DURATION)),
-            window: options.window.map(|(from, before)| (millis(from), millis(before))),
+            duration_millis: whole_millis(options.duration.unwrap_or(DEFAULT_DURATION)),
+            window: options.window.map(|(from, before)| (whole_millis(from), whole_millis(before))),
         })
     };
     servers.into_iter().map(request).collect()
@@ -102,7 +103,3 @@
     let member = member.ok_or_else(|| CommandError::UnknownServer(server.to_owned()))?;
     Ok(member.zone.clone())
 }
-
-fn millis(span: Duration) -> FleetMillis {
-    span.as_millis() as FleetMillis
-}
--- a/crates/loomflow-fleet-simulation/src/machine.rs
+++ b/crates/loomflow-fleet-simulation/src/machine.rs
@@ -4,15 +4,15 @@
 
 use loomflow_fleet::consensus::storage::{MemoryStorage, PersistedState, Storage, StorageError, WriteBatch};
 use loomflow_fleet::maintenance::ticket::TicketId;
-use loomflow_fleet::member::Millis;
 use loomflow_fleet::node::Node;
+use loomflow_fleet::time::{WholeMillis, scaled};
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
 use crate::config::SimulationConfig;
 
 /// Clocks differ by less than this at the start, ms.
-const MAX_CLOCK_OFFSET_MILLIS: Millis = 1_000_000;
+const MAX_CLOCK_OFFSET_MILLIS: WholeMillis = 1_000_000;
 
 #[derive(Default)]
 struct DiskState {
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Drain {
     /// Since when.
-    pub since: Millis,
+    pub since: WholeMillis,
     /// The ticket by which; none where it received SIGTERM from outside.
     pub ticket: Option<TicketId>,
 }
@@ -66,18 +66,18 @@
     pub node: Option<Node>,
     pub(crate) disk: SimulatedDisk,
     /// Its clock is ahead by so much, and runs so much faster.
-    clock_offset: Millis,
+    clock_offset: WholeMillis,
     clock_rate: f64,
     /// Its process stands still until then.
-    pub(crate) stopped_until: Millis,
-    pub(crate) wake_at: Millis,
-    pub(crate) started_at: Millis,
+    pub(crate) stopped_until: WholeMillis,
+    pub(crate) wake_at: WholeMillis,
+    pub(crate) started_at: WholeMillis,
     /// Its server shuts down.
     pub drain: Option<Drain>,
     pub(crate) has_drained: bool,
     /// How long maintenance takes here; none where it is never back.
-    pub(crate) maintenance_millis: Option<Millis>,
-    pub(crate) next_load_at: Millis,
+    pub(crate) maintenance_millis: Option<WholeMillis>,
+    pub(crate) next_load_at: WholeMillis,
     /// The share that its module requests, where a fault sets it.
     pub(crate) forced_share: Option<f32>,
     /// What it has sent.
@@ -105,8 +105,8 @@
     }
 
     /// What its clock shows.
-    pub(crate) fn local_time(&self, now: Millis) -> Millis {
-        (now as f64 * self.clock_rate) as Millis + self.clock_offset
+    pub(crate) fn local_time(&self, now: WholeMillis) -> WholeMillis {
+        scaled(now, self.clock_rate) + self.clock_offset
     }
 
     /// Whether its process runs and does not shut down.
@@ -115,7 +115,7 @@
     }
 
     /// Whether its process stands still.
-    pub(crate) fn is_stopped(&self, now: Millis) -> bool {
+    pub(crate) fn is_stopped(&self, now: WholeMillis) -> bool {
         self.stopped_until > now
     }
 }
--- a/crates/loomflow-fleet-simulation/src/simulation.rs
+++ b/crates/loomflow-fleet-simulation/src/simulation.rs
@@ -12,8 +12,9 @@
 mod shutdown;
 
 use loomflow_fleet::maintenance::Response;
-use loomflow_fleet::member::{LoadReport, Millis, Phase, RequestId};
+use loomflow_fleet::member::{LoadReport, Phase, RequestId};
 use loomflow_fleet::node::{Effect, Node};
+use loomflow_fleet::time::WholeMillis;
 use loomflow_fleet::wire::LENGTH_BYTES;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -30,12 +31,12 @@
 /// The load at the start, in concurrent runs for each machine.
 const INITIAL_LOAD: f64 = 3.0;
 /// Duration of the slow start of a server that joins a running fleet, ms.
-const SLOW_START_MILLIS: Millis = 3_000;
+const SLOW_START_MILLIS: WholeMillis = 3_000;
 /// How often a machine's load is reported to its member, ms.
-const LOAD_PERIOD_MILLIS: Millis = 500;
+const LOAD_PERIOD_MILLIS: WholeMillis = 500;
 /// Maximum time between two wake-ups of a machine, ms; and while its server drains.
-const MAX_SLEEP_MILLIS: Millis = 500;
-const MAX_SLEEP_WHILE_DRAINING_MILLIS: Millis = 100;
+const MAX_SLEEP_MILLIS: WholeMillis = 500;
+const MAX_SLEEP_WHILE_DRAINING_MILLIS: WholeMillis = 100;
 /// Lines of the log that are shown with a violation.
 const SHOWN_LOG_LINES: usize = 60;
 
@@ -54,7 +55,7 @@
     /// What the fleet is made of.
     pub config: SimulationConfig,
     /// The simulated time, ms.
-    pub now: Millis,
+    pub now: WholeMillis,
     /// All machines, by their numbers.
     pub machines: Vec<Machine>,
     /// What must hold after every event.
@@ -67,7 +68,7 @@
     /// Requests of operators.
     pub operator_calls: Vec<OperatorCall>,
     /// What has happened, with its moments.
-    pub log: Vec<(Millis, String)>,
+    pub log: Vec<(WholeMillis, String)>,
 }
 
 impl Simulation {
@@ -97,7 +98,7 @@
     }
 
     /// What a machine's own clock shows.
-    pub fn local_time(&self, machine: MachineId) -> Millis {
+    pub fn local_time(&self, machine: MachineId) -> WholeMillis {
         self.machines[machine].local_time(self.now)
     }
 
@@ -128,7 +129,7 @@
     ///
     /// # Errors
     /// An invariant was broken.
-    pub fn run(&mut self, scenario: &Scenario, until: Millis) -> Result<(), InvariantViolation> {
+    pub fn run(&mut self, scenario: &Scenario, until: WholeMillis) -> Result<(), InvariantViolation> {
         for (at, fault) in scenario.steps.iter().filter(|(at, _)| *at <= until) {
             self.run_until(*at)?;
             self.inject(fault);
@@ -140,7 +141,7 @@
     ///
     /// # Errors
     /// An invariant was broken.
-    pub fn run_until(&mut self, until: Millis) -> Result<(), InvariantViolation> {
+    pub fn run_until(&mut self, until: WholeMillis) -> Result<(), InvariantViolation> {
         while let Some((at, event)) = self.queue.pop_until(until) {
             self.now = self.now.max(at);
             if let Some(active) = self.handle_event(event, at) {
@@ -153,7 +154,7 @@
     }
 
     /// Handles one event; returns the machine that has done something.
-    fn handle_event(&mut self, event: Event, at: Millis) -> Option<MachineId> {
+    fn handle_event(&mut self, event: Event, at: WholeMillis) -> Option<MachineId> {
         match event {
             Event::Message { to, bytes } => self.deliver(to, bytes),
             Event::Start(machine) => {
@@ -194,7 +195,7 @@
 
     /// Does what is due on a machine, unless it is dead or has another wake-up time by now; one that is stopped does it when it
     /// goes on.
-    fn wake(&mut self, id: MachineId, at: Millis) -> Option<MachineId> {
+    fn wake(&mut self, id: MachineId, at: WholeMillis) -> Option<MachineId> {
         let machine = &self.machines[id];
         if machine.node.is_none() || machine.wake_at != at {
             return None;
@@ -207,7 +208,7 @@
         Some(id)
     }
 
-    fn wake_at(&mut self, id: MachineId, at: Millis) {
+    fn wake_at(&mut self, id: MachineId, at: WholeMillis) {
         if self.machines[id].wake_at != at {
             self.machines[id].wake_at = at;
             self.queue.push(at, Event::Wake(id));
--- a/crates/loomflow-fleet/src/duty/attempts.rs
+++ b/crates/loomflow-fleet/src/duty/attempts.rs
@@ -3,7 +3,8 @@
 
 use super::LeaseSettings;
 use super::state::Duty;
-use crate::member::{FleetMillis, ServerName};
+use crate::member::ServerName;
+use crate::time::FleetMillis;
 
 /// An owner that was lost after it owned a duty for this many leases was not brought down by it.
 const SETTLED_AFTER_LEASES: u64 = 3;
--- a/crates/loomflow-fleet/src/duty/client_session.rs
+++ b/crates/loomflow-fleet/src/duty/client_session.rs
@@ -5,12 +5,13 @@
 use std::collections::BTreeMap;
 
 use super::{DutyName, LeaseSettings, OwnedDuty, Ownership, SessionId, Token};
-use crate::member::{Millis, RequestId};
+use crate::member::RequestId;
+use crate::time::WholeMillis;
 
 /// A session is renewed so many times within its length.
 const RENEWALS_PER_LEASE: u64 = 4;
 /// Shortest time between two renewals, ms.
-const MIN_RENEWAL_GAP_MILLIS: Millis = 20;
+const MIN_RENEWAL_GAP_MILLIS: WholeMillis = 20;
 
 /// A change in what a server owns.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -29,20 +30,20 @@
     session: SessionId,
     lease_settings: LeaseSettings,
     /// The session is valid until then.
-    valid_until: Millis,
+    valid_until: WholeMillis,
     duties: BTreeMap<DutyName, OwnedDuty>,
     /// What this session released: a duty with a token up to this one is not taken up again.
     released: BTreeMap<DutyName, Token>,
     /// The renewal that has no answer yet, and when it was sent first.
-    pending_renewal: Option<(RequestId, Millis)>,
-    next_renewal_at: Millis,
+    pending_renewal: Option<(RequestId, WholeMillis)>,
+    next_renewal_at: WholeMillis,
     changes: Vec<OwnershipChange>,
 }
 
 impl ClientSession {
     /// The token by which the server owns a duty at this moment. Nobody else owns it, as far as clocks stay within
     /// [`super::MAX_CLOCK_DRIFT`].
-    pub fn owned_token(&self, duty: &str, now: Millis) -> Option<Token> {
+    pub fn owned_token(&self, duty: &str, now: WholeMillis) -> Option<Token> {
         if now >= self.valid_until {
             return None;
         }
@@ -60,7 +61,7 @@
     }
 
     /// Until when the server owns what it owns, on its own clock.
-    pub fn valid_until(&self) -> Millis {
+    pub fn valid_until(&self) -> WholeMillis {
         self.valid_until
     }
 
@@ -70,17 +71,17 @@
     }
 
     /// When something is due next.
-    pub fn next_wake(&self) -> Millis {
+    pub fn next_wake(&self) -> WholeMillis {
         if self.duties.is_empty() { self.next_renewal_at } else { self.next_renewal_at.min(self.valid_until) }
     }
 
     /// Whether the session is to be renewed now.
-    pub fn is_renewal_due(&self, now: Millis) -> bool {
+    pub fn is_renewal_due(&self, now: WholeMillis) -> bool {
         now >= self.next_renewal_at
     }
 
     /// A renewal is sent. Returns the one before, if it was not answered.
-    pub fn renewal_sent(&mut self, id: RequestId, now: Millis) -> Option<RequestId> {
+    pub fn renewal_sent(&mut self, id: RequestId, now: WholeMillis) -> Option<RequestId> {
         let period = self.lease_settings.lease_millis / RENEWALS_PER_LEASE;
         self.next_renewal_at = now + period.max(MIN_RENEWAL_GAP_MILLIS);
         self.pending_renewal.replace((id, now)).map(|(before, _)| before)
@@ -92,7 +93,7 @@
     }
 
     /// The answer to a renewal that was first sent at `sent_at`.
-    pub fn renewed(&mut self, ownership: Ownership, sent_at: Millis, now: Millis) {
+    pub fn renewed(&mut self, ownership: Ownership, sent_at: WholeMillis, now: WholeMillis) {
         self.pending_renewal = None;
         self.expire(now);
         let valid_until = sent_at + ownership.lease_settings.holder_duration();
@@ -113,7 +114,7 @@
     }
 
     /// Received without a renewal: counts for the current session, and does not extend it.
-    pub fn notified(&mut self, ownership: Ownership, now: Millis) {
+    pub fn notified(&mut self, ownership: Ownership, now: WholeMillis) {
         self.expire(now);
         if ownership.session == self.session && now < self.valid_until {
             self.accept(ownership.duties);
@@ -142,12 +143,12 @@
     pub fn end(&mut self) {
         self.lose_all();
         self.valid_until = 0;
-        self.next_renewal_at = Millis::MAX;
+        self.next_renewal_at = WholeMillis::MAX;
         self.pending_renewal = None;
     }
 
     /// Takes away what is owned, where the session has expired.
-    pub fn expire(&mut self, now: Millis) {
+    pub fn expire(&mut self, now: WholeMillis) {
         if now >= self.valid_until {
             self.lose_all();
         }
--- a/crates/loomflow-fleet/src/duty/job.rs
+++ b/crates/loomflow-fleet/src/duty/job.rs
@@ -4,10 +4,10 @@
 //! A run begins only when its number is committed: so no time is run twice.
 
 use super::{DutyName, OwnedDuty, OwnerUpdate, Rejection, RunId, Token};
-use crate::member::Millis;
+use crate::time::WholeMillis;
 
 /// A run that failed is retried after this, ms.
-const RETRY_AFTER_MILLIS: Millis = 1_000;
+const RETRY_AFTER_MILLIS: WholeMillis = 1_000;
 
 /// How a run's process ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -55,7 +55,7 @@
     has_unfinished_run: bool,
     /// The operator's request was taken up, and what is owned does not show it yet.
     is_request_taken: bool,
-    retry_at: Millis,
+    retry_at: WholeMillis,
     state: State,
 }
 
@@ -84,7 +84,12 @@
     }
 
     /// What is to be done now. `owned`: what is owned, none where it no longer is. `unix_seconds`: the wall clock.
-    pub fn step(&mut self, owned: Option<&OwnedDuty>, now: Millis, unix_seconds: u64) -> Option<JobAction> {
+    pub fn step(
+        &mut self,
+        owned: Option<&OwnedDuty>,
+        now: WholeMillis,
+        unix_seconds: u64,
+    ) -> Option<JobAction> {
         let owned = owned.filter(|owned| owned.token == self.token);
         let must_stop = owned.is_none_or(|owned| owned.is_recalled);
         match &mut self.state {
@@ -104,7 +109,7 @@
         }
     }
 
-    fn due_run(&self, owned: &OwnedDuty, now: Millis, unix_seconds: u64) -> Option<RunId> {
+    fn due_run(&self, owned: &OwnedDuty, now: WholeMillis, unix_seconds: u64) -> Option<RunId> {
         if now < self.retry_at {
             return None;
         }
@@ -122,7 +127,7 @@
         &mut self,
         answer: Option<&Result<(), Rejection>>,
         owned: Option<&OwnedDuty>,
-        now: Millis,
+        now: WholeMillis,
     ) -> Option<JobAction> {
         let State::Beginning(run) = self.state else { return None };
         self.state = State::Idle;
@@ -151,7 +156,7 @@
     }
 
     /// The process of the run has ended.
-    pub fn process_ended(&mut self, exit: Exit, now: Millis) -> Option<JobAction> {
+    pub fn process_ended(&mut self, exit: Exit, now: WholeMillis) -> Option<JobAction> {
         let State::Running { run, .. } = self.state else { return None };
         self.state = State::Idle;
         match exit {
--- a/crates/loomflow-fleet/src/duty/mod.rs
+++ b/crates/loomflow-fleet/src/duty/mod.rs
@@ -35,7 +35,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::member::{FleetMillis, Incarnation, MAX_NAME_BYTES, Millis, ServerName};
+use crate::member::{Incarnation, MAX_NAME_BYTES, ServerName};
+use crate::time::{FleetMillis, WholeMillis, scaled, scaled_up};
 
 /// The name of a duty: 1 to 64 bytes.
 pub type DutyName = String;
@@ -70,7 +71,7 @@
 pub struct LeaseSettings {
     /// The time until a session without a renewal expires, ms.
     #[serde(rename = "lease")]
-    pub lease_millis: Millis,
+    pub lease_millis: WholeMillis,
     /// A duty that was lost or failed so often in a row, with nothing done between, is parked.
     #[serde(rename = "attempts")]
     pub max_attempts: u32,
@@ -84,13 +85,13 @@
 
 impl LeaseSettings {
     /// How long the owner relies on its session, from before the renewal was sent, ms: the lease less the bound on drift.
-    pub fn holder_duration(&self) -> Millis {
-        (self.lease_millis as f64 * (1.0 - MAX_CLOCK_DRIFT)) as Millis
+    pub fn holder_duration(&self) -> WholeMillis {
+        scaled(self.lease_millis, 1.0 - MAX_CLOCK_DRIFT)
     }
 
     /// How long the others wait, from when the session was committed, ms: the lease plus that bound.
-    pub fn waiting_duration(&self) -> Millis {
-        (self.lease_millis as f64 * (1.0 + MAX_CLOCK_DRIFT)).ceil() as Millis
+    pub fn waiting_duration(&self) -> WholeMillis {
+        scaled_up(self.lease_millis, 1.0 + MAX_CLOCK_DRIFT)
     }
 }
 
@@ -238,7 +239,7 @@
     /// An earlier start of this server may still own something; for so long, ms.
     #[error("an earlier start of this server may own something for {0} ms more")]
     #[serde(rename = "FormerSelf")]
-    EarlierIncarnation(Millis),
+    EarlierIncarnation(WholeMillis),
     /// This run has begun already, or is over.
     #[error("{duty}: run {run} has begun already")]
     Begun {
--- a/crates/loomflow-fleet/src/duty/recall.rs
+++ b/crates/loomflow-fleet/src/duty/recall.rs
@@ -7,7 +7,8 @@
 use super::assign::Candidate;
 use super::load::Loads;
 use super::state::{Duties, Duty, Lease};
-use crate::member::{FleetMillis, MemberView, ServerName};
+use crate::member::{MemberView, ServerName};
+use crate::time::FleetMillis;
 
 /// A server that requests less than this share of its traffic releases what it owns.
 const MIN_SHARE_TO_KEEP: f32 = 0.5;
--- a/crates/loomflow-fleet/src/duty/state.rs
+++ b/crates/loomflow-fleet/src/duty/state.rs
@@ -19,7 +19,8 @@
     ServerInstance, SessionId, Token,
 };
 use crate::consensus::{RECOVERY_ID_GAP, SnapshotError};
-use crate::member::{FleetMillis, Incarnation, ServerName};
+use crate::member::{Incarnation, ServerName};
+use crate::time::FleetMillis;
 
 /// Events that are retained.
 pub const MAX_EVENTS: usize = 2_000;
--- a/crates/loomflow-fleet/src/duty/state/apply.rs
+++ b/crates/loomflow-fleet/src/duty/state/apply.rs
@@ -5,8 +5,9 @@
     DutyCommand, DutyEvent, DutyEventKind, DutyName, DutySpec, LeaseSettings, MAX_CHECKPOINT_BYTES,
     MAX_DUTIES, OwnerUpdate, Rejection, Response, RunId, ServerInstance, Token, check_name, truncate_reason,
 };
-use crate::member::{FleetMillis, ServerName};
+use crate::member::ServerName;
 use crate::membership::MAX_MEMBERS;
+use crate::time::FleetMillis;
 
 impl Duties {
     /// Advances the fleet's time: sessions whose end has come expire, in the order of their ends.
--- a/crates/loomflow-fleet/src/lib.rs
+++ b/crates/loomflow-fleet/src/lib.rs
@@ -3,6 +3,7 @@
 //!
 //! From the bottom up:
 //!
+//! - [`time`]: units of time.
 //! - [`member`]: who a server is, and the report of its load.
 //! - [`wire`]: the one envelope that members exchange, and its bounds.
 //! - [`membership`]: who is here (SWIM, by `foca`).
@@ -28,4 +29,5 @@
 pub mod membership;
 pub mod node;
 pub mod operator;
+pub mod time;
 pub mod wire;
--- a/crates/loomflow-fleet/src/maintenance/mod.rs
+++ b/crates/loomflow-fleet/src/maintenance/mod.rs
@@ -24,7 +24,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::duty::{self, DutyCommand, Token, summary::Summary};
-use crate::member::{FleetMillis, Incarnation, LoadReport, MemberState, Millis, RequestId, ServerName, Zone};
+use crate::member::{Incarnation, LoadReport, MemberState, RequestId, ServerName, Zone};
+use crate::time::{FleetMillis, WholeMillis};
 use campaign::{CampaignCommand, CampaignView};
 use rules::Rules;
 use ticket::{GrantNumber, Rejection, Ticket, TicketId, TicketRequest, TicketStage, Transition};
@@ -216,7 +217,7 @@
     pub token: Token,
     /// Time since it was received, ms.
     #[serde(rename = "age")]
-    pub age_millis: Millis,
+    pub age_millis: WholeMillis,
     /// The figures.
     pub summary: Summary,
 }
@@ -243,7 +244,7 @@
     pub load_report: Option<LoadReport>,
     /// Age of that report, ms.
     #[serde(rename = "age")]
-    pub report_age_millis: Option<Millis>,
+    pub report_age_millis: Option<WholeMillis>,
     /// The ticket by which it has a place, and its stage.
     pub ticket: Option<(TicketId, TicketStage)>,
 }
--- a/crates/loomflow-fleet/src/maintenance/rules.rs
+++ b/crates/loomflow-fleet/src/maintenance/rules.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::ticket::FleetMillis;
+use crate::time::FleetMillis;
 
 /// A number of servers, or a share of those in the fleet or zone.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/loomflow-fleet/src/maintenance/scheduling.rs
+++ b/crates/loomflow-fleet/src/maintenance/scheduling.rs
@@ -13,8 +13,9 @@
 use super::Census;
 use super::headroom::{Estimate, Headroom};
 use super::state::MaintenanceState;
-use super::ticket::{FleetMillis, Ticket, TicketId, TicketStage};
+use super::ticket::{Ticket, TicketId, TicketStage};
 use crate::member::{Incarnation, MemberState, MemberView, ServerName, Zone};
+use crate::time::FleetMillis;
 pub use checks::{Check, Finding};
 
 /// A ticket rises by one urgency for each so long that it waits, ms.
--- a/crates/loomflow-fleet/src/maintenance/state.rs
+++ b/crates/loomflow-fleet/src/maintenance/state.rs
@@ -11,10 +11,11 @@
 use serde::{Deserialize, Serialize};
 
 use super::rules::Rules;
-use super::ticket::{FleetMillis, GrantNumber, Ticket, TicketId, TicketStage};
+use super::ticket::{GrantNumber, Ticket, TicketId, TicketStage};
 use super::{Entry, Response};
 use crate::consensus::{RECOVERY_ID_GAP, SnapshotError, StateMachine};
 use crate::member::{RequestId, ServerName, Zone};
+use crate::time::FleetMillis;
 
 /// Maximum number of open tickets; further ones are rejected.
 pub const MAX_OPEN_TICKETS: usize = 12_000;
--- a/crates/loomflow-fleet/src/maintenance/state/apply.rs
+++ b/crates/loomflow-fleet/src/maintenance/state/apply.rs
@@ -7,11 +7,11 @@
     TicketEvent,
 };
 use crate::maintenance::ticket::{
-    Actor, FleetMillis, GrantNumber, Rejection, Ticket, TicketId, TicketRequest, TicketStage, Transition,
-    next_stage,
+    Actor, GrantNumber, Rejection, Ticket, TicketId, TicketRequest, TicketStage, Transition, next_stage,
 };
 use crate::maintenance::{Census, Entry, Issuer, MaintenanceCommand, Response};
 use crate::member::{Incarnation, RequestId, ServerName};
+use crate::time::FleetMillis;
 
 impl MaintenanceState {
     /// Advances the fleet's time, and applies the deadlines that are due.
--- a/crates/loomflow-fleet/src/maintenance/ticket.rs
+++ b/crates/loomflow-fleet/src/maintenance/ticket.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::duty::MAX_REASON_BYTES;
-pub use crate::member::FleetMillis;
 use crate::member::{Incarnation, MAX_NAME_BYTES, RequestId, ServerName, Zone};
+use crate::time::FleetMillis;
 
 /// Numbers a ticket, from 1 on.
 pub type TicketId = u64;
--- a/crates/loomflow-fleet/src/member.rs
+++ b/crates/loomflow-fleet/src/member.rs
@@ -6,11 +6,7 @@
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds on the boot-time clock of one machine. Never compared between machines.
-pub type Millis = u64;
-
-/// Milliseconds of the fleet's own time: it advances with the log, and stops while there is no leader.
-pub type FleetMillis = u64;
+use crate::time::WholeMillis;
 
 /// The name of a server, as in its configuration. At most [`MAX_NAME_BYTES`] bytes.
 pub type ServerName = String;
@@ -183,12 +179,12 @@
 }
 
 /// How often load reports are sent, ms.
-pub const REPORT_PERIOD_MILLIS: Millis = 1_000;
+pub const REPORT_PERIOD_MILLIS: WholeMillis = 1_000;
 /// An older report is not relied on, ms: three were missed.
-pub const REPORT_MAX_AGE_MILLIS: Millis = 3_500;
+pub const REPORT_MAX_AGE_MILLIS: WholeMillis = 3_500;
 
 /// Whether a load report that came at `received_at` is still relied on.
-pub fn is_report_recent(received_at: Millis, now: Millis) -> bool {
+pub fn is_report_recent(received_at: WholeMillis, now: WholeMillis) -> bool {
     now.saturating_sub(received_at) <= REPORT_MAX_AGE_MILLIS
 }
 
--- a/crates/loomflow-fleet/src/membership/suspicion.rs
+++ b/crates/loomflow-fleet/src/membership/suspicion.rs
@@ -11,16 +11,17 @@
 use foca::{Incarnation, Member, State as SwimState};
 
 use super::failure_detection::SUSPECT_TO_DOWN_MILLIS;
-use crate::member::{MemberIdentity, Millis, ServerName};
+use crate::member::{MemberIdentity, ServerName};
+use crate::time::WholeMillis;
 
 /// A suspicion that lasts this long has lost its timer, ms: the timer ends after half of it.
-const SUSPICION_LIMIT_MILLIS: Millis = 2 * SUSPECT_TO_DOWN_MILLIS;
+const SUSPICION_LIMIT_MILLIS: WholeMillis = 2 * SUSPECT_TO_DOWN_MILLIS;
 
 struct Suspicion {
     identity: MemberIdentity,
     /// By the membership protocol: rises when the member refutes a suspicion.
     swim_incarnation: Incarnation,
-    since: Millis,
+    since: WholeMillis,
 }
 
 impl Suspicion {
@@ -40,7 +41,7 @@
     pub(super) fn unended<'a>(
         &mut self,
         members: impl Iterator<Item = &'a Member<MemberIdentity>>,
-        now: Millis,
+        now: WholeMillis,
     ) -> Vec<Member<MemberIdentity>> {
         let mut former = std::mem::take(&mut self.by_name);
         let mut declared_down = Vec::new();
--- a/crates/loomflow-fleet/src/membership/tests.rs
+++ b/crates/loomflow-fleet/src/membership/tests.rs
@@ -2,13 +2,13 @@
 use crate::member::{MemberState, Phase, Zone};
 
 /// Long enough for two members to know each other, ms.
-const JOINED_AT: Millis = 10_000;
-const STEP_MILLIS: Millis = 10;
+const JOINED_AT: WholeMillis = 10_000;
+const STEP_MILLIS: WholeMillis = 10;
 
 /// Two voters that exchange their packets while `is_connected`.
 struct Pair {
     members: [Membership; 2],
-    now: Millis,
+    now: WholeMillis,
     is_connected: bool,
     /// The one whose packets are lost although they are connected.
     unheard: Option<usize>,
@@ -58,7 +58,7 @@
     }
 
     /// The time until the second member has this state, ms.
-    fn millis_until(&mut self, state: MemberState) -> Millis {
+    fn millis_until(&mut self, state: MemberState) -> WholeMillis {
         let start = self.now;
         while self.state() != Some(state) {
             assert!(self.now < start + 60_000, "still {:?}", self.state());
--- a/crates/loomflow-fleet/src/node/duties.rs
+++ b/crates/loomflow-fleet/src/node/duties.rs
@@ -14,11 +14,12 @@
 use crate::fleet_state::CAMPAIGN;
 use crate::maintenance::campaign::{self, CampaignCommand, CampaignStep, CampaignView};
 use crate::maintenance::{MaintenanceCommand, Request, Response, Status, SummaryReport};
-use crate::member::{Millis, Phase, RequestId, ServerName};
+use crate::member::{Phase, RequestId, ServerName};
+use crate::time::WholeMillis;
 use crate::wire::Body;
 
 /// How often the owner of campaigns checks them, ms.
-const CAMPAIGN_PERIOD_MILLIS: Millis = 1_000;
+const CAMPAIGN_PERIOD_MILLIS: WholeMillis = 1_000;
 /// The duty that sums the fleet up.
 pub const SUMMARY: &str = "summary";
 
@@ -30,7 +31,7 @@
     /// The operators' own duties.
     pub specs: Vec<DutySpec>,
     /// How often the fleet is summed up, ms.
-    pub summary_period_millis: Millis,
+    pub summary_period_millis: WholeMillis,
 }
 
 impl DutyConfig {
@@ -44,14 +45,14 @@
 /// A built-in duty that begins with a periodic query to the leader.
 #[derive(Default)]
 struct PeriodicQuery {
-    next_at: Millis,
+    next_at: WholeMillis,
     /// The question that has no answer yet, and the token that it was sent with.
     pending: Option<(RequestId, Token)>,
 }
 
 impl PeriodicQuery {
     /// The question is sent; the next one is due at `next_at`.
-    fn start(&mut self, id: RequestId, token: Token, next_at: Millis) {
+    fn start(&mut self, id: RequestId, token: Token, next_at: WholeMillis) {
         self.next_at = next_at;
         self.pending = Some((id, token));
     }
@@ -64,7 +65,7 @@
 
 /// A summary that this member received.
 struct ReceivedSummary {
-    at: Millis,
+    at: WholeMillis,
     owner: ServerName,
     token: Token,
     summary: Summary,
@@ -94,12 +95,12 @@
 
 impl DutyClient {
     /// When something is due next.
-    pub fn next_wake(&self) -> Millis {
+    pub fn next_wake(&self) -> WholeMillis {
         if self.is_session_ended() {
-            return Millis::MAX;
+            return WholeMillis::MAX;
         }
         let due = |duty: &str, query: &PeriodicQuery| {
-            if self.session.duty(duty).is_some() { query.next_at } else { Millis::MAX }
+            if self.session.duty(duty).is_some() { query.next_at } else { WholeMillis::MAX }
         };
         let summary_at = due(SUMMARY, &self.summary_query);
         let campaign_at = due(CAMPAIGN, &self.campaign_query);
@@ -114,13 +115,13 @@
 
 impl Node {
     /// The token by which this member owns a duty at this moment; none where it does not, or cannot be sure.
-    pub fn owned_token(&self, duty: &str, now: Millis) -> Option<Token> {
+    pub fn owned_token(&self, duty: &str, now: WholeMillis) -> Option<Token> {
         self.config.duties.as_ref()?;
         self.duties.session.owned_token(duty, now)
     }
 
     /// All duties that it owns at this moment, with their tokens.
-    pub fn owned_duties(&self, now: Millis) -> Vec<(DutyName, Token)> {
+    pub fn owned_duties(&self, now: WholeMillis) -> Vec<(DutyName, Token)> {
         let duties = self.duties.session.duties();
         let with_token =
             |owned: &duty::OwnedDuty| Some((owned.duty.clone(), self.owned_token(&owned.duty, now)?));
@@ -138,12 +139,12 @@
     }
 
     /// Until when, by its own clock, this member owns what it owns.
-    pub fn owned_until(&self) -> Millis {
+    pub fn owned_until(&self) -> WholeMillis {
         self.duties.session.valid_until()
     }
 
     /// The server has finished with a duty, or left it where the next owner can continue.
-    pub fn release(&mut self, duty: &str, now: Millis) {
+    pub fn release(&mut self, duty: &str, now: WholeMillis) {
         if let Some(token) = self.duties.session.release(duty) {
             let command = DutyCommand::Release { duty: duty.to_owned(), token, successor: None };
             self.send_duty_command(command, now);
@@ -153,14 +154,14 @@
     }
 
     /// Writes something about a duty into the fleet's state. The response comes as an effect.
-    pub fn write(&mut self, duty: &str, token: Token, update: OwnerUpdate, now: Millis) -> RequestId {
+    pub fn write(&mut self, duty: &str, token: Token, update: OwnerUpdate, now: WholeMillis) -> RequestId {
         let command = DutyCommand::Write { duty: duty.to_owned(), token, update };
         let id = self.send_duty_command(command, now);
         self.process_outputs(now);
         id
     }
 
-    fn send_duty_command(&mut self, command: DutyCommand, now: Millis) -> RequestId {
+    fn send_duty_command(&mut self, command: DutyCommand, now: WholeMillis) -> RequestId {
         let id = self.rng.random();
         let request = Request::Execute { issuer: self.issuer(), command: MaintenanceCommand::Duty(command) };
         self.submit_as(id, request, now);
@@ -168,7 +169,7 @@
     }
 
     /// Renews the session, carries out the built-in duties, and gives up what has expired.
-    pub(super) fn run_duties(&mut self, now: Millis) {
+    pub(super) fn run_duties(&mut self, now: WholeMillis) {
         let Some(config) = &self.config.duties else { return };
         if self.duties.is_session_ended() {
             return;
@@ -201,7 +202,7 @@
         ServerInstance { name: identity.name.clone(), incarnation: identity.incarnation }
     }
 
-    fn renew_session(&mut self, now: Millis) {
+    fn renew_session(&mut self, now: WholeMillis) {
         let id = self.rng.random();
         if let Some(unanswered) = self.duties.session.renewal_sent(id, now) {
             self.cancel_request(unanswered);
@@ -211,7 +212,7 @@
     }
 
     /// Does what each campaign calls for. Its commands carry the token, so that a former owner changes nothing.
-    fn run_campaigns(&mut self, token: Token, views: &[CampaignView], now: Millis) {
+    fn run_campaigns(&mut self, token: Token, views: &[CampaignView], now: WholeMillis) {
         for view in views {
             let name = view.name.clone();
             let command = match campaign::next_step(view) {
@@ -230,7 +231,7 @@
     }
 
     /// Passes changes of what is owned on to the driver.
-    fn process_ownership_changes(&mut self, now: Millis) {
+    fn process_ownership_changes(&mut self, now: WholeMillis) {
         // What is acquired while this server drains is released at once.
         if self.phase == Phase::Draining {
             self.duties.session.recall_all();
@@ -256,14 +257,14 @@
     }
 
     /// The server shuts down: all that it owns is to be released while it drains.
-    pub(super) fn release_all_duties(&mut self, now: Millis) {
+    pub(super) fn release_all_duties(&mut self, now: WholeMillis) {
         self.duties.session.recall_all();
         self.process_ownership_changes(now);
     }
 
     /// Once the server has drained, its session is closed as soon as it owns nothing any more. What it still owns when the driver
     /// waits no longer expires.
-    pub(super) fn end_session_when_idle(&mut self, now: Millis) {
+    pub(super) fn end_session_when_idle(&mut self, now: WholeMillis) {
         if !self.own_ticket.has_drained || self.duties.session_end != SessionEnd::Open {
             return;
         }
@@ -280,7 +281,7 @@
     }
 
     /// Handles the response to a request of this member's part in duties; true where it was one.
-    pub(super) fn handle_duty_response(&mut self, received: &ReceivedResponse, now: Millis) -> bool {
+    pub(super) fn handle_duty_response(&mut self, received: &ReceivedResponse, now: WholeMillis) -> bool {
         let ReceivedResponse { id, response, sent_at } = *received;
         if self.duties.session_end == SessionEnd::Pending(id) {
             self.duties.session_end = SessionEnd::Ended;
@@ -313,14 +314,14 @@
     }
 
     /// Handles the leader's notification of what this member owns.
-    pub(super) fn handle_ownership(&mut self, ownership: Ownership, now: Millis) {
+    pub(super) fn handle_ownership(&mut self, ownership: Ownership, now: WholeMillis) {
         if self.config.duties.is_some() && !self.duties.is_session_ended() {
             self.duties.session.notified(ownership, now);
             self.process_ownership_changes(now);
         }
     }
 
-    fn send_summary(&mut self, token: Token, summary: Summary, now: Millis) {
+    fn send_summary(&mut self, token: Token, summary: Summary, now: WholeMillis) {
         let known = self.membership.known().values();
         let alive = known.filter(|known| !known.is_down());
         let names: Vec<ServerName> = alive.map(|known| known.identity.name.clone()).collect();
@@ -331,7 +332,13 @@
     }
 
     /// Handles the summary of its owner; a former owner is rejected by its token.
-    pub(super) fn handle_summary(&mut self, owner: ServerName, token: Token, summary: Summary, now: Millis) {
+    pub(super) fn handle_summary(
+        &mut self,
+        owner: ServerName,
+        token: Token,
+        summary: Summary,
+        now: WholeMillis,
+    ) {
         // The fence is stored where the summary is: in this member's memory.
         match self.duties.fence.admit(SUMMARY, token, |_| Ok::<(), ()>(())) {
             Ok(()) => {
@@ -345,7 +352,7 @@
     }
 
     /// The last summary, as operators are shown it.
-    pub(super) fn summary_report(&self, now: Millis) -> Option<SummaryReport> {
+    pub(super) fn summary_report(&self, now: WholeMillis) -> Option<SummaryReport> {
         let received = self.duties.last_summary.as_ref()?;
         Some(SummaryReport {
             owner: received.owner.clone(),
--- a/crates/loomflow-fleet/src/node/duty_leadership.rs
+++ b/crates/loomflow-fleet/src/node/duty_leadership.rs
@@ -10,12 +10,13 @@
 use crate::duty::state::Session;
 use crate::duty::{self, DutyCommand, DutyName, Ownership, ServerInstance, Token, assign};
 use crate::maintenance::{Entry, Issuer, MaintenanceCommand, Response};
-use crate::member::{Millis, RequestId, ServerName};
+use crate::member::{RequestId, ServerName};
 use crate::membership::MAX_MEMBERS;
+use crate::time::WholeMillis;
 use crate::wire::Body;
 
 /// A batch of renewals that was proposed and not committed for so long is lost, ms.
-const RENEWAL_BATCH_TIMEOUT_MILLIS: Millis = 2_000;
+const RENEWAL_BATCH_TIMEOUT_MILLIS: WholeMillis = 2_000;
 
 /// Renewals, each with its request.
 type Batch = Vec<(RequestId, ServerInstance)>;
@@ -24,7 +25,7 @@
 struct PendingBatch {
     id: RequestId,
     renewals: Batch,
-    expires_at: Millis,
+    expires_at: WholeMillis,
 }
 
 /// What an owner was last notified of.
@@ -46,7 +47,7 @@
 
 impl Node {
     /// Takes a server's renewal; it is added to the log with those of others.
-    pub(super) fn queue_renewal(&mut self, id: RequestId, instances: Vec<ServerInstance>, now: Millis) {
+    pub(super) fn queue_renewal(&mut self, id: RequestId, instances: Vec<ServerInstance>, now: WholeMillis) {
         let waiting = &mut self.leadership.sessions.waiting;
         let is_known = waiting.iter().any(|(other, _)| *other == id);
         let has_capacity = waiting.len() < MAX_MEMBERS;
@@ -57,7 +58,7 @@
     }
 
     /// Proposes the next batch, unless one is to be committed.
-    pub(super) fn propose_renewals(&mut self, now: Millis) {
+    pub(super) fn propose_renewals(&mut self, now: WholeMillis) {
         let sessions = &mut self.leadership.sessions;
         if sessions.pending.as_ref().is_some_and(|pending| now >= pending.expires_at) {
             sessions.pending = None;
@@ -79,7 +80,7 @@
     }
 
     /// An entry is applied; true where it was the pending batch, whose servers are then notified of what they own.
-    pub(super) fn renewals_applied(&mut self, id: RequestId, now: Millis) -> bool {
+    pub(super) fn renewals_applied(&mut self, id: RequestId, now: WholeMillis) -> bool {
         let pending = self.leadership.sessions.pending.take_if(|pending| pending.id == id);
         let Some(PendingBatch { renewals, .. }) = pending else { return false };
         for (id, instance) in renewals {
@@ -103,7 +104,7 @@
     }
 
     /// What is to be committed about duties now.
-    pub(super) fn duty_decisions(&self, now: Millis) -> Vec<MaintenanceCommand> {
+    pub(super) fn duty_decisions(&self, now: WholeMillis) -> Vec<MaintenanceCommand> {
         let (Some(config), Some(state)) = (&self.config.duties, self.fleet_state()) else {
             return Vec::new();
         };
@@ -125,7 +126,7 @@
     }
 
     /// Who gets a duty that its owner releases, so that it is not without an owner for a moment.
-    pub(super) fn choose_successor(&self, duty: &str, now: Millis) -> Option<ServerName> {
+    pub(super) fn choose_successor(&self, duty: &str, now: WholeMillis) -> Option<ServerName> {
         let state = self.fleet_state()?;
         let owner = &state.duties.duties().get(duty)?.lease.as_ref()?.owner;
         let is_departing = |name: &str| state.maintenance.is_departing(name);
@@ -134,7 +135,7 @@
     }
 
     /// Notifies owners of what changed about their duties, as soon as it is committed.
-    pub(super) fn notify_owners(&mut self, now: Millis) {
+    pub(super) fn notify_owners(&mut self, now: WholeMillis) {
         if self.config.duties.is_none() || !self.is_leader() {
             return;
         }
--- a/crates/loomflow-fleet/src/node/leadership.rs
+++ b/crates/loomflow-fleet/src/node/leadership.rs
@@ -10,24 +10,25 @@
 use crate::maintenance::scheduling::{Decision, SchedulerView};
 use crate::maintenance::state::MaintenanceState;
 use crate::maintenance::{Entry, Issuer, MaintenanceCommand, observation};
-use crate::member::{FleetMillis, MemberState, Millis, RequestId, ServerName};
+use crate::member::{MemberState, RequestId, ServerName};
+use crate::time::{FleetMillis, WholeMillis};
 
 /// How often the leader decides, ms.
-const ROUND_PERIOD_MILLIS: Millis = 250;
+const ROUND_PERIOD_MILLIS: WholeMillis = 250;
 /// A proposal that was not committed for so long is lost, ms.
-const PROPOSAL_TIMEOUT_MILLIS: Millis = 5_000;
+const PROPOSAL_TIMEOUT_MILLIS: WholeMillis = 5_000;
 /// How often the fleet's time is committed while a deadline is ahead, ms: a new leader counts on from there.
-const CLOCK_PERIOD_MILLIS: Millis = 5_000;
+const CLOCK_PERIOD_MILLIS: WholeMillis = 5_000;
 
 /// The state of a member while it leads.
 #[derive(Default)]
 pub(super) struct Leadership {
     /// When this member began to lead, and the fleet's time then.
-    began: Option<(Millis, FleetMillis)>,
-    next_round_at: Millis,
+    began: Option<(WholeMillis, FleetMillis)>,
+    next_round_at: WholeMillis,
     /// Proposals that are not committed yet, and until when they are waited for.
     pending: BTreeSet<RequestId>,
-    pending_until: Millis,
+    pending_until: WholeMillis,
     pub sessions: SessionBatches,
 }
 
@@ -42,13 +43,13 @@
 
 impl Node {
     /// The fleet's time as this member would count it.
-    pub(super) fn fleet_time(&self, now: Millis) -> FleetMillis {
+    pub(super) fn fleet_time(&self, now: WholeMillis) -> FleetMillis {
         let committed = self.maintenance().map_or(0, MaintenanceState::time);
         let Some((since, time_then)) = self.leadership.began else { return committed };
         committed.max(time_then + now.saturating_sub(since))
     }
 
-    pub(super) fn run_leader_round(&mut self, now: Millis) {
+    pub(super) fn run_leader_round(&mut self, now: WholeMillis) {
         if !self.is_leader() {
             self.leadership = Leadership::default();
             return;
@@ -75,7 +76,7 @@
     }
 
     /// When the leader decides again: at its next round, or at the next deadline.
-    pub(super) fn next_round(&self) -> Millis {
+    pub(super) fn next_round(&self) -> WholeMillis {
         let leadership = &self.leadership;
         let Some((since, time_then)) = leadership.began.filter(|_| leadership.pending.is_empty()) else {
             return leadership.next_round_at;
@@ -112,7 +113,7 @@
         }
     }
 
-    fn maintenance_decisions(&mut self, now: Millis) -> Vec<MaintenanceCommand> {
+    fn maintenance_decisions(&mut self, now: WholeMillis) -> Vec<MaintenanceCommand> {
         let time = self.fleet_time(now);
         let members = self.member_views(now);
         let Some(maintenance) = self.maintenance() else { return Vec::new() };
@@ -142,7 +143,7 @@
         }
     }
 
-    fn propose_as_leader(&mut self, command: MaintenanceCommand, now: Millis) {
+    fn propose_as_leader(&mut self, command: MaintenanceCommand, now: WholeMillis) {
         let id = self.rng.random();
         let entry = Entry { id, at: self.fleet_time(now), issuer: Issuer::Leader, command };
         self.leadership.pending.insert(id);
--- a/crates/loomflow-fleet/src/node/requests.rs
+++ b/crates/loomflow-fleet/src/node/requests.rs
@@ -8,13 +8,14 @@
 use crate::duty::DutyCommand;
 use crate::maintenance::ticket::Rejection;
 use crate::maintenance::{Entry, MaintenanceCommand, Request, Response};
-use crate::member::{Millis, RequestId, ServerName};
+use crate::member::{RequestId, ServerName};
+use crate::time::WholeMillis;
 use crate::wire::Body;
 
 /// A request without a response is sent again after this, to another voter, ms.
-const RETRY_AFTER_MILLIS: Millis = 700;
+const RETRY_AFTER_MILLIS: WholeMillis = 700;
 /// A request without a response fails after this, ms.
-pub const REQUEST_TIMEOUT_MILLIS: Millis = 10_000;
+pub const REQUEST_TIMEOUT_MILLIS: WholeMillis = 10_000;
 /// Requests of others that are remembered until their response comes.
 const MAX_FORWARDED: usize = 4_096;
 /// Requests of our own at once.
@@ -23,8 +24,8 @@
 /// A request of our own.
 struct PendingRequest {
     request: Request,
-    retry_at: Millis,
-    expires_at: Millis,
+    retry_at: WholeMillis,
+    expires_at: WholeMillis,
     attempts: usize,
 }
 
@@ -35,13 +36,13 @@
     /// Its response.
     pub response: &'a Response,
     /// When the request was sent first.
-    pub sent_at: Millis,
+    pub sent_at: WholeMillis,
 }
 
 /// Where a response is to go.
 struct ReturnAddress {
     member: ServerName,
-    expires_at: Millis,
+    expires_at: WholeMillis,
 }
 
 /// Requests that have no response yet.
@@ -53,14 +54,14 @@
 
 impl PendingRequests {
     /// When something is due next.
-    pub fn next_wake(&self) -> Millis {
+    pub fn next_wake(&self) -> WholeMillis {
         let wakes = self.own.values().map(|pending| pending.retry_at.min(pending.expires_at));
-        wakes.min().unwrap_or(Millis::MAX)
+        wakes.min().unwrap_or(WholeMillis::MAX)
     }
 }
 
 impl Node {
-    pub(super) fn submit_as(&mut self, id: RequestId, request: Request, now: Millis) {
+    pub(super) fn submit_as(&mut self, id: RequestId, request: Request, now: WholeMillis) {
         if self.requests.own.len() >= MAX_OWN {
             let rejection = Rejection::TooMany(MAX_OWN as u32);
             self.effects.push(Effect::Responded(id, Response::Rejected(rejection)));
@@ -78,7 +79,7 @@
     }
 
     /// Sends requests again that have no response, and fails those that timed out.
-    pub(super) fn retry_requests(&mut self, now: Millis) {
+    pub(super) fn retry_requests(&mut self, now: WholeMillis) {
         let due: Vec<(RequestId, bool)> = self
             .requests
             .own
@@ -96,7 +97,7 @@
         self.requests.forwarded.retain(|_, address| address.expires_at > now);
     }
 
-    fn send_request(&mut self, id: RequestId, now: Millis) {
+    fn send_request(&mut self, id: RequestId, now: WholeMillis) {
         let leader = self.leader().cloned();
         let Some(pending) = self.requests.own.get_mut(&id) else { return };
         pending.retry_at = now + RETRY_AFTER_MILLIS;
@@ -119,7 +120,7 @@
         id: RequestId,
         hops: u8,
         request: Request,
-        now: Millis,
+        now: WholeMillis,
     ) {
         if self.requests.forwarded.len() < MAX_FORWARDED {
             let expires_at = now + REQUEST_TIMEOUT_MILLIS;
@@ -135,7 +136,7 @@
     }
 
     /// The leader's part: commands are proposed, everything else is answered at once.
-    fn execute_request(&mut self, id: RequestId, request: Request, now: Millis) {
+    fn execute_request(&mut self, id: RequestId, request: Request, now: WholeMillis) {
         match request {
             Request::Execute {
                 command: MaintenanceCommand::Duty(DutyCommand::KeepAlive(instances)), ..
@@ -161,7 +162,7 @@
     }
 
     /// Sends a response to whoever sent the request.
-    pub(super) fn deliver_response(&mut self, id: RequestId, response: Response, now: Millis) {
+    pub(super) fn deliver_response(&mut self, id: RequestId, response: Response, now: WholeMillis) {
         match self.requests.forwarded.remove(&id) {
             Some(address) if address.member != self.config.name => {
                 self.send(&address.member, Body::Response { id, response });
@@ -171,7 +172,7 @@
     }
 
     /// Handles a response: to a request of our own, or to pass on.
-    pub(super) fn handle_response(&mut self, id: RequestId, response: Response, now: Millis) {
+    pub(super) fn handle_response(&mut self, id: RequestId, response: Response, now: WholeMillis) {
         if let Some(pending) = self.requests.own.remove(&id) {
             let sent_at = pending.expires_at - REQUEST_TIMEOUT_MILLIS;
             let received = ReceivedResponse { id, response: &response, sent_at };
--- a/crates/loomflow-fleet/src/node/status.rs
+++ b/crates/loomflow-fleet/src/node/status.rs
@@ -7,7 +7,8 @@
 use crate::maintenance::state::MaintenanceState;
 use crate::maintenance::ticket::TicketStage;
 use crate::maintenance::{MemberRow, Request, Response, Status};
-use crate::member::{MemberState, MemberView, Millis, ServerName};
+use crate::member::{MemberState, MemberView, ServerName};
+use crate::time::WholeMillis;
 
 /// Maximum number of open tickets in one response.
 const MAX_OPEN_IN_RESPONSE: usize = 12_000;
@@ -16,7 +17,7 @@
 
 impl Node {
     /// The response to a query, as far as this member knows. None where it knows nothing of it.
-    pub fn answer_query(&self, request: &Request, now: Millis) -> Option<Response> {
+    pub fn answer_query(&self, request: &Request, now: WholeMillis) -> Option<Response> {
         match request {
             Request::Execute { .. } => None,
             Request::Status => Some(Response::Status(Box::new(self.status(now)))),
@@ -43,7 +44,7 @@
         }
     }
 
-    fn explain(&self, server: &str, now: Millis) -> Option<Explanation> {
+    fn explain(&self, server: &str, now: WholeMillis) -> Option<Explanation> {
         let view = SchedulerView {
             maintenance: self.maintenance()?,
             members: &self.member_views(now),
@@ -55,7 +56,7 @@
     }
 
     /// The fleet as this member sees it; from the leader only where this one leads.
-    pub fn status(&self, now: Millis) -> Status {
+    pub fn status(&self, now: WholeMillis) -> Status {
         let empty = MaintenanceState::default();
         let maintenance = self.maintenance().unwrap_or(&empty);
         let voters = self.consensus.as_ref().map(Consensus::voters).unwrap_or_default();
@@ -87,7 +88,7 @@
         view: MemberView,
         maintenance: &MaintenanceState,
         voters: &[ServerName],
-        now: Millis,
+        now: WholeMillis,
     ) -> MemberRow {
         let known = self.membership.get(&name);
         let last_report = known.map_or(self.load, |known| known.load_report);
--- a/crates/loomflow-fleet/src/operator.rs
+++ b/crates/loomflow-fleet/src/operator.rs
@@ -4,7 +4,7 @@
 
 use crate::duty::{DutyName, LeaseSettings, Token};
 use crate::maintenance::{Request, Response, Status};
-use crate::member::Millis;
+use crate::time::WholeMillis;
 
 /// Maximum length of a line, bytes: a campaign over as many servers as there may be.
 pub const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
@@ -41,7 +41,7 @@
     pub token: Token,
     /// The lease is valid for at least this time from when the request was sent, ms.
     #[serde(rename = "left")]
-    pub remaining_millis: Millis,
+    pub remaining_millis: WholeMillis,
     /// The owner is to release it.
     #[serde(rename = "recalled")]
     pub is_recalled: bool,
--- a/crates/loomflow-fleet/src/wire.rs
+++ b/crates/loomflow-fleet/src/wire.rs
@@ -10,7 +10,8 @@
 use crate::duty::{self, Token, summary::Summary};
 use crate::maintenance::ticket::Ticket;
 use crate::maintenance::{Request, Response};
-use crate::member::{LoadReport, MemberIdentity, Millis, Replica, RequestId, ServerName};
+use crate::member::{LoadReport, MemberIdentity, Replica, RequestId, ServerName};
+use crate::time::WholeMillis;
 
 /// Maximum size of a message, bytes: a snapshot of as many tickets as there may be.
 pub const MAX_MESSAGE_BYTES: usize = 8 * 1024 * 1024;
@@ -43,7 +44,7 @@
     /// A member's load, to the voters.
     LoadReport {
         /// When it was sent, by the member's own clock.
-        sent_at: Millis,
+        sent_at: WholeMillis,
         /// The load.
         load_report: LoadReport,
         /// The sender's replica if it is a voter.
@@ -82,7 +83,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Notification {
     /// When the load report that this answers was sent, by its sender's clock: a late notification is recognized by it.
-    pub sent_at: Millis,
+    pub sent_at: WholeMillis,
     /// The leader as far as the voter knows.
     pub leader: Option<ServerName>,
     /// The voter's term.
--- a/crates/loomflow-server/src/fleet/load.rs
+++ b/crates/loomflow-server/src/fleet/load.rs
@@ -1,14 +1,16 @@
 //! The server's load, as it is reported to the fleet.
 
+use loomflow::interface::Load;
+use loomflow::time::Millis;
 use loomflow_fleet::member::{LoadReport, Phase};
 
 /// How often the load is reported, ms.
-const REPORT_PERIOD_MILLIS: f64 = 500.0;
+const REPORT_PERIOD_MILLIS: Millis = 500.0;
 
-/// Averages the number of concurrent runs over time, and says when a report is due. Times in ms.
+/// Averages the number of concurrent runs over time, and says when a report is due.
 pub struct Meter {
-    period_start: f64,
-    last_change: f64,
+    period_start: Millis,
+    last_change: Millis,
     /// Runs times ms since the start of the period.
     run_millis: f64,
     running: f64,
@@ -16,12 +18,12 @@
 
 impl Meter {
     /// Starts a period.
-    pub fn new(now: f64) -> Meter {
+    pub fn new(now: Millis) -> Meter {
         Meter { period_start: now, last_change: now, run_millis: 0.0, running: 0.0 }
     }
 
     /// Sets the number of runs from now on; returns the mean of the period where a report is due.
-    pub fn note(&mut self, now: f64, running: f64) -> Option<f64> {
+    pub fn note(&mut self, now: Millis, running: f64) -> Option<f64> {
         self.run_millis += self.running * (now - self.last_change);
         self.last_change = now;
         self.running = running;
@@ -37,13 +39,7 @@
 }
 
 /// The module's load, with the mean of its runs, as a report.
-pub fn load_report(
-    load: &loomflow::interface::Load,
-    mean_running: f64,
-    cores: f64,
-    phase: Phase,
-    healthy: bool,
-) -> LoadReport {
+pub fn load_report(load: &Load, mean_running: f64, cores: f64, phase: Phase, healthy: bool) -> LoadReport {
     LoadReport {
         phase,
         share: load.share as f32,
--- a/crates/loomflow-server/src/fleet/node_config.rs
+++ b/crates/loomflow-server/src/fleet/node_config.rs
@@ -7,12 +7,11 @@
 use loomflow_fleet::maintenance::rules::{Limit, Rules};
 use loomflow_fleet::node::NodeConfig;
 use loomflow_fleet::node::duties::DutyConfig;
+use loomflow_fleet::time::{millis_of_seconds, whole_millis};
 use loomflow_settings::Config;
 use loomflow_settings::duties::{self, Duties, Job};
 use loomflow_settings::fleet::{self, Fleet as Options};
 
-const MILLIS_PER_SECOND: u64 = 1_000;
-
 /// The configuration of this server's member.
 pub fn node_config(config: &Config, options: &Options) -> NodeConfig {
     let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -27,7 +26,7 @@
         duties: options.duties.as_ref().map(duty_config),
         // Numbers that are drawn must not come again after a restart.
         seed: config.seed ^ fastrand::u64(..),
-        unix_millis: unix_time.as_millis() as u64,
+        unix_millis: whole_millis(unix_time),
     }
 }
 
@@ -39,8 +38,8 @@
     Rules {
         max_out: limit(options.out),
         max_out_per_zone: options.zone_out.map(limit),
-        begin_within_millis: options.begin_within_s * MILLIS_PER_SECOND,
-        ready_for_millis: options.warm_for_s * MILLIS_PER_SECOND,
+        begin_within_millis: millis_of_seconds(options.begin_within_s),
+        ready_for_millis: millis_of_seconds(options.warm_for_s),
         min_ready_share: options.warm_share,
     }
 }
@@ -49,11 +48,11 @@
     let spec = |job: &Job| DutySpec { name: job.name.clone(), weight: job.weight, schedule: schedule(job) };
     DutyConfig {
         lease_settings: LeaseSettings {
-            lease_millis: options.lease_s * MILLIS_PER_SECOND,
+            lease_millis: millis_of_seconds(options.lease_s),
             max_attempts: options.attempts,
         },
         specs: options.jobs.iter().map(spec).collect(),
-        summary_period_millis: options.summary_s * MILLIS_PER_SECOND,
+        summary_period_millis: millis_of_seconds(options.summary_s),
     }
 }
 
