--- a/crates/loomflow-benchmark/src/main.rs
+++ b/crates/loomflow-benchmark/src/main.rs
@@ -11,6 +11,7 @@
 mod overload;
 mod owner;
 mod process;
+mod quantile;
 mod report;
 mod scale;
 
--- a/crates/loomflow-benchmark/src/order/faults.rs
+++ b/crates/loomflow-benchmark/src/order/faults.rs
@@ -10,6 +10,7 @@
 use loomflow_test_servers::relay::LinkFault;
 use serde_json::Value;
 
+use crate::quantile::quantile;
 use crate::report::Report;
 
 /// Rounds that are played side by side.
@@ -46,10 +47,7 @@
 
     /// The time within which this part of the grants came, s; a dash where there was none.
     fn grant_quantile(&self, part: f64) -> String {
-        let mut sorted = self.grants.clone();
-        sorted.sort_by(f64::total_cmp);
-        let at = ((sorted.len() as f64 * part) as usize).min(sorted.len().max(1) - 1);
-        sorted.get(at).map_or("-".into(), |seconds| format!("{seconds:.1}"))
+        quantile(&self.grants, part).map_or("-".into(), |seconds| format!("{seconds:.1}"))
     }
 }
 
--- a/crates/loomflow-benchmark/src/order/simulated.rs
+++ b/crates/loomflow-benchmark/src/order/simulated.rs
@@ -7,6 +7,7 @@
 use loomflow_fleet::time::seconds;
 use loomflow_fleet_simulation::{Fault, Scenario, Simulation, SimulationConfig, core_count, run_parallel};
 
+use crate::quantile::quantile;
 use crate::report::Report;
 
 pub fn measure(report: &mut Report, quick: bool) {
@@ -107,9 +108,8 @@
 
 /// How soon a death is known to all, and who is taken for dead that is not.
 fn deaths(report: &mut Report, quick: bool) {
-    let mut known: Vec<f64> = run_parallel(core_count(), 0..if quick { 30 } else { 200 }, death_known_s);
-    known.sort_by(f64::total_cmp);
-    let at = |part: f64| known[((known.len() as f64 * part) as usize).min(known.len() - 1)];
+    let known_s: Vec<f64> = run_parallel(core_count(), 0..if quick { 30 } else { 200 }, death_known_s);
+    let known_s_at = |part: f64| quantile(&known_s, part).expect("deaths were simulated");
     // In pieces side by side.
     let hours = if quick { 4 } else { 100 };
     let false_deaths: u64 = run_parallel(core_count(), 0..hours, false_deaths_in_an_hour).into_iter().sum();
@@ -117,13 +117,13 @@
         "Deaths among 30 members, with 2% loss; and an hour of ten with stops of 300 ms each 5 s",
         &["known to all p50 s", "p99 s", "hours", "taken for dead that were not"],
         vec![vec![
-            format!("{:.1}", at(0.5)),
-            format!("{:.1}", at(0.99)),
+            format!("{:.1}", known_s_at(0.5)),
+            format!("{:.1}", known_s_at(0.99)),
             hours.to_string(),
             false_deaths.to_string(),
         ]],
     );
-    report.require_max("death_known_p99_s", at(0.99), 30.0);
+    report.require_max("death_known_p99_s", known_s_at(0.99), 30.0);
     report.require_max("false_deaths", false_deaths as f64, 0.0);
 }
 
--- a/crates/loomflow-benchmark/src/owner/rounds.rs
+++ b/crates/loomflow-benchmark/src/owner/rounds.rs
@@ -13,6 +13,7 @@
 
 use super::effects::Receiver;
 use super::judge::{Wrong, judge};
+use crate::quantile::quantile;
 use crate::report::Report;
 
 const MEMBERS: usize = 5;
@@ -62,17 +63,14 @@
     report.require_max("not_linearizable", fenced.wrong.not_linear as f64, 0.0);
     report.require_max("without_owner", fenced.without_owner as f64, 0.0);
     report.require_min("harm_without_fence", unfenced.wrong.by_former_owners as f64, 1.0);
-    report.require_max("killed_p99_leases", quantile(&fenced.killed, 0.99) / LEASE_S, 1.5);
-    report.require_max("left_p99_s", quantile(&fenced.left, 0.99), 0.2);
+    report.require_max("killed_p99_leases", quantile_or_zero(&fenced.killed, 0.99) / LEASE_S, 1.5);
+    report.require_max("left_p99_s", quantile_or_zero(&fenced.left, 0.99), 0.2);
     report.require_max("moves_over_least", fenced.migration_ratio(), 1.2);
 }
 
-/// The value below which this part of the values is; 0 where there are none.
-fn quantile(values: &[f64], part: f64) -> f64 {
-    let mut sorted = values.to_vec();
-    sorted.sort_by(f64::total_cmp);
-    let at = ((sorted.len() as f64 * part) as usize).min(sorted.len().max(1) - 1);
-    sorted.get(at).copied().unwrap_or(0.0)
+/// The value below which this part of the times is; 0 where there are none.
+fn quantile_or_zero(times: &[f64], part: f64) -> f64 {
+    quantile(times, part).unwrap_or(0.0)
 }
 
 fn print_violations(report: &Report, fenced: &Sum, unfenced: &Sum) {
@@ -107,10 +105,10 @@
         "Without an owner, over the lease of two seconds; and moves when one dies",
         &["after a kill p50", "p99", "after leaving, s p50", "p99", "moves over the least"],
         vec![vec![
-            format!("{:.2}", quantile(&sum.killed, 0.5) / LEASE_S),
-            format!("{:.2}", quantile(&sum.killed, 0.99) / LEASE_S),
-            format!("{:.3}", quantile(&sum.left, 0.5)),
-            format!("{:.3}", quantile(&sum.left, 0.99)),
+            format!("{:.2}", quantile_or_zero(&sum.killed, 0.5) / LEASE_S),
+            format!("{:.2}", quantile_or_zero(&sum.killed, 0.99) / LEASE_S),
+            format!("{:.3}", quantile_or_zero(&sum.left, 0.5)),
+            format!("{:.3}", quantile_or_zero(&sum.left, 0.99)),
             format!("{:.2}", sum.migration_ratio()),
         ]],
     );
--- a/crates/loomflow-fleet-simulation/tests/hard_cases.rs
+++ b/crates/loomflow-fleet-simulation/tests/hard_cases.rs
@@ -19,6 +19,14 @@
     simulation.tickets().into_iter().map(|ticket| ticket.stage).collect()
 }
 
+/// As soon as the grant of the only ticket is committed, before its server is notified.
+fn run_until_granted(simulation: &mut Simulation) {
+    while stages(simulation) != [TicketStage::Granted] {
+        let next = simulation.now + 1;
+        simulation.run_until(next).unwrap();
+    }
+}
+
 fn ends(simulation: &Simulation, stages_wanted: &[TicketStage]) {
     assert_eq!(stages(simulation), stages_wanted, "{}", timeline(simulation));
 }
@@ -72,11 +80,7 @@
         Simulation::new(SimulationConfig { rules, maintenance_millis: 20_000, ..config(5, 3) }, 7);
     simulation.run_until(12_000).unwrap();
     simulation.inject(&RequestWork(vec![4], Routine));
-    // As soon as the grant is agreed on, before its server has heard of it.
-    while stages(&simulation) != [TicketStage::Granted] {
-        let next = simulation.now + 1;
-        simulation.run_until(next).unwrap();
-    }
+    run_until_granted(&mut simulation);
     simulation.inject(&Stop(4, 12_000));
     let now = simulation.now;
     simulation.run_until(now + 8_000).unwrap();
@@ -230,10 +234,7 @@
     simulation.run_until(12_000).unwrap();
     // It cannot take the grant up at once.
     simulation.inject(&RequestWork(vec![4], Routine));
-    while stages(&simulation) != [TicketStage::Granted] {
-        let next = simulation.now + 1;
-        simulation.run_until(next).unwrap();
-    }
+    run_until_granted(&mut simulation);
     simulation.inject(&Stop(4, 3_300));
     simulation.inject(&SetLoad(7.5));
     let now = simulation.now;
--- a/crates/loomflow-fleet/src/duty/client_session/tests.rs
+++ b/crates/loomflow-fleet/src/duty/client_session/tests.rs
@@ -1,17 +1,5 @@
 use super::*;
-
-fn owned_duty(duty: &str, token: Token) -> OwnedDuty {
-    OwnedDuty {
-        duty: duty.into(),
-        token,
-        is_recalled: false,
-        checkpoint: Vec::new(),
-        last_run: 0,
-        has_unfinished_run: false,
-        is_run_requested: false,
-        schedule: None,
-    }
-}
+use crate::fixtures::owned_duty;
 
 fn ownership(session: SessionId, held: &[(&str, Token)]) -> Ownership {
     let duties = held.iter().map(|(duty, token)| owned_duty(duty, *token)).collect();
--- a/crates/loomflow-fleet/src/duty/job/tests.rs
+++ b/crates/loomflow-fleet/src/duty/job/tests.rs
@@ -1,22 +1,16 @@
 use super::*;
 use crate::duty::schedule::{MissedRuns, Recurrence, Schedule};
+use crate::fixtures::owned_duty;
 
-fn owned_duty(last_run: u64, has_unfinished_run: bool) -> OwnedDuty {
-    OwnedDuty {
-        duty: "d".into(),
-        token: 3,
-        is_recalled: false,
-        checkpoint: Vec::new(),
-        last_run,
-        has_unfinished_run,
-        is_run_requested: false,
-        schedule: Some(Schedule { recurrence: Recurrence::Every(60), missed_runs: MissedRuns::Skip }),
-    }
+/// A duty that is due every minute.
+fn scheduled_duty(last_run: RunId, has_unfinished_run: bool) -> OwnedDuty {
+    let schedule = Some(Schedule { recurrence: Recurrence::Every(60), missed_runs: MissedRuns::Skip });
+    OwnedDuty { last_run, has_unfinished_run, schedule, ..owned_duty("d", 3) }
 }
 
 #[test]
 fn a_run_starts_when_the_record_has_its_number_and_never_twice() {
-    let owned_duty = owned_duty(600, false);
+    let owned_duty = scheduled_duty(600, false);
     let mut runs = JobRuns::new(&owned_duty);
     assert_eq!(runs.step(Some(&owned_duty), 0, 630), None);
     assert_eq!(runs.step(Some(&owned_duty), 0, 661), Some(JobAction::Write(OwnerUpdate::Began(660))));
@@ -33,14 +27,14 @@
 
 #[test]
 fn what_a_former_owner_left_unended_is_begun_again() {
-    let owned_duty = owned_duty(600, true);
+    let owned_duty = scheduled_duty(600, true);
     let mut runs = JobRuns::new(&owned_duty);
     assert_eq!(runs.step(Some(&owned_duty), 0, 700), Some(JobAction::Write(OwnerUpdate::Began(600))));
 }
 
 #[test]
 fn handed_over_while_it_runs_it_is_told_to_end_and_released_after() {
-    let mut owned_duty = owned_duty(600, true);
+    let mut owned_duty = scheduled_duty(600, true);
     let mut runs = JobRuns::new(&owned_duty);
     runs.step(Some(&owned_duty), 0, 700);
     runs.begin_answered(Some(&Ok(())), Some(&owned_duty), 0);
@@ -57,7 +51,7 @@
 
 #[test]
 fn recalled_between_the_number_and_the_start_nothing_starts() {
-    let mut owned_duty = owned_duty(600, true);
+    let mut owned_duty = scheduled_duty(600, true);
     let mut runs = JobRuns::new(&owned_duty);
     runs.step(Some(&owned_duty), 0, 700);
     owned_duty.is_recalled = true;
@@ -68,7 +62,7 @@
 
 #[test]
 fn an_operators_wish_is_run_once() {
-    let mut owned_duty = OwnedDuty { schedule: None, is_run_requested: true, ..owned_duty(600, false) };
+    let mut owned_duty = OwnedDuty { schedule: None, is_run_requested: true, ..scheduled_duty(600, false) };
     let mut runs = JobRuns::new(&owned_duty);
     assert_eq!(runs.step(Some(&owned_duty), 0, 700), Some(JobAction::Write(OwnerUpdate::Began(700))));
     runs.begin_answered(Some(&Ok(())), Some(&owned_duty), 0);
@@ -82,7 +76,7 @@
 
 #[test]
 fn a_run_that_failed_is_retried_after_a_second() {
-    let owned_duty = owned_duty(600, true);
+    let owned_duty = scheduled_duty(600, true);
     let mut runs = JobRuns::new(&owned_duty);
     runs.step(Some(&owned_duty), 0, 700);
     runs.begin_answered(Some(&Ok(())), Some(&owned_duty), 0);
--- a/crates/loomflow-fleet/src/lib.rs
+++ b/crates/loomflow-fleet/src/lib.rs
@@ -23,6 +23,8 @@
 
 pub mod consensus;
 pub mod duty;
+#[cfg(test)]
+mod fixtures;
 pub mod fleet_state;
 pub mod maintenance;
 pub mod member;
--- a/crates/loomflow-fleet/src/maintenance/campaign/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/campaign/tests.rs
@@ -1,21 +1,9 @@
 use super::*;
-use crate::maintenance::ticket::Urgency;
-
-fn request(server: &str) -> TicketRequest {
-    let (zone, reason) = (String::new(), String::new());
-    TicketRequest {
-        server: server.into(),
-        zone,
-        reason,
-        urgency: Urgency::Routine,
-        duration_millis: 60_000,
-        window: None,
-    }
-}
+use crate::fixtures::ticket_request;
 
 fn started() -> (Campaigns, MaintenanceState) {
     let (mut campaigns, mut maintenance) = (Campaigns::default(), MaintenanceState::default());
-    let requests = ["a", "b", "c"].map(request).to_vec();
+    let requests = ["a", "b", "c"].map(ticket_request).to_vec();
     let start = CampaignCommand::Start { name: "kernel".into(), requests, batch_size: 2 };
     assert_eq!(campaigns.apply(&mut maintenance, 1, "ops", &start), Ok(vec![]));
     (campaigns, maintenance)
@@ -96,7 +84,7 @@
 #[test]
 fn a_campaign_beyond_a_limit_is_rejected_with_the_limit() {
     let start = |name: &str, batch_size| {
-        let requests = vec![request("a")];
+        let requests = vec![ticket_request("a")];
         let command = CampaignCommand::Start { name: name.into(), requests, batch_size };
         let result = Campaigns::default().apply(&mut MaintenanceState::default(), 1, "ops", &command);
         result.map_err(|rejection| rejection.to_string())
--- a/crates/loomflow-fleet/src/maintenance/observation/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/observation/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
+use crate::fixtures;
 use crate::maintenance::headroom::Headroom;
 use crate::maintenance::state::MaintenanceState;
-use crate::maintenance::ticket::{TicketRequest, Urgency};
 use crate::member::{LoadReport, MemberState, Zone};
 use std::collections::BTreeMap;
 
@@ -10,27 +10,8 @@
 
 /// The ticket of a server that left as start 1 and came back as start 2.
 fn ticket(stage: TicketStage) -> Ticket {
-    Ticket {
-        id: 1,
-        request_id: 1,
-        request: TicketRequest {
-            server: "a".into(),
-            zone: Zone::new(),
-            reason: String::new(),
-            urgency: Urgency::Routine,
-            duration_millis: 60_000,
-            window: None,
-        },
-        requested_by: "ops".into(),
-        stage,
-        requested_at: 0,
-        since: SINCE,
-        grant: 1,
-        incarnation: 1,
-        returned_incarnation: if matches!(stage, TicketStage::Back | TicketStage::Ready) { 2 } else { 0 },
-        lapses: 0,
-        deadline: 0,
-    }
+    let has_returned = matches!(stage, TicketStage::Back | TicketStage::Ready);
+    Ticket { since: SINCE, returned_incarnation: if has_returned { 2 } else { 0 }, ..fixtures::ticket(stage) }
 }
 
 fn member(state: MemberState, incarnation: Incarnation, share: f32, healthy: bool) -> MemberView {
--- a/crates/loomflow-fleet/src/maintenance/scheduling/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/scheduling/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::consensus::StateMachine;
+use crate::fixtures::ticket_request;
 use crate::maintenance::rules::{Limit, Rules};
 use crate::maintenance::ticket::{TicketRequest, Urgency};
 use crate::maintenance::{Entry, Issuer, MaintenanceCommand};
@@ -42,14 +43,8 @@
     }
 
     fn request(&mut self, at: FleetMillis, server: &str, urgency: Urgency) {
-        let request = TicketRequest {
-            server: server.into(),
-            zone: self.members[server].zone.clone(),
-            reason: String::new(),
-            urgency,
-            duration_millis: 60_000,
-            window: None,
-        };
+        let zone = self.members[server].zone.clone();
+        let request = TicketRequest { zone, urgency, ..ticket_request(server) };
         self.apply(at, MaintenanceCommand::CreateTickets(vec![request]));
     }
 
--- a/crates/loomflow-fleet/src/maintenance/state/apply/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/state/apply/tests.rs
@@ -1,16 +1,8 @@
 use super::*;
-use crate::maintenance::ticket::Urgency;
+use crate::fixtures::ticket_request;
 
 #[test]
 fn a_ticket_whose_third_grant_lapses_is_closed() {
-    let request = TicketRequest {
-        server: "a".into(),
-        zone: String::new(),
-        reason: String::new(),
-        urgency: Urgency::Routine,
-        duration_millis: 60_000,
-        window: None,
-    };
     let census = Census { zones: vec![(String::new(), 3)], away: Vec::new() };
     let mut maintenance = MaintenanceState::default();
     let mut apply = |id: u64, at, command| {
@@ -19,7 +11,7 @@
         assert!(matches!(response, Response::Done(_)), "{response:?}");
         maintenance.find(1).map(|ticket| (ticket.stage, ticket.lapses))
     };
-    apply(1, 0, MaintenanceCommand::CreateTickets(vec![request]));
+    apply(1, 0, MaintenanceCommand::CreateTickets(vec![ticket_request("a")]));
     for lapses in 1..=3 {
         let granted_at = u64::from(lapses) * 60_000;
         apply(2, granted_at, MaintenanceCommand::Grant { ticket: 1, incarnation: 1, census: census.clone() });
--- a/crates/loomflow-fleet/src/maintenance/ticket/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/ticket/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::fixtures::ticket_request;
 
 #[test]
 fn the_table_names_each_move_of_each_stage_once() {
@@ -65,14 +66,7 @@
 
 #[test]
 fn a_request_beyond_a_limit_is_rejected_with_the_limit() {
-    let request = TicketRequest {
-        server: "n1".into(),
-        zone: String::new(),
-        reason: String::new(),
-        urgency: Urgency::Routine,
-        duration_millis: 60_000,
-        window: None,
-    };
+    let request = ticket_request("n1");
     let check = |request: TicketRequest| request.check().map_err(|rejection| rejection.to_string());
     assert_eq!(check(request.clone()), Ok(()));
     assert_eq!(
--- a/crates/loomflow-fleet/src/node/leadership_transfer/tests.rs
+++ b/crates/loomflow-fleet/src/node/leadership_transfer/tests.rs
@@ -1,23 +1,15 @@
 use super::*;
 use crate::consensus::StateMachine;
-use crate::maintenance::ticket::{TicketRequest, Urgency};
+use crate::fixtures::ticket_request;
 use crate::maintenance::{Census, Entry, Issuer, MaintenanceCommand};
 use crate::member::{LoadReport, MemberIdentity, Zone};
 use foca::State::{Alive, Down, Suspect};
 
 /// A state in which the server "a" has a place.
 fn maintenance() -> MaintenanceState {
-    let request = TicketRequest {
-        server: "a".into(),
-        zone: Zone::new(),
-        reason: String::new(),
-        urgency: Urgency::Routine,
-        duration_millis: 60_000,
-        window: None,
-    };
     let census = Census { zones: vec![(Zone::new(), 3)], away: Vec::new() };
     let commands = [
-        MaintenanceCommand::CreateTickets(vec![request]),
+        MaintenanceCommand::CreateTickets(vec![ticket_request("a")]),
         MaintenanceCommand::Grant { ticket: 1, incarnation: 1, census },
     ];
     let mut maintenance = MaintenanceState::default();
--- a/crates/loomflow-fleet/src/node/tests.rs
+++ b/crates/loomflow-fleet/src/node/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::consensus::storage::MemoryStorage;
-use crate::maintenance::ticket::{Rejection, Ticket, TicketRequest, TicketStage, Urgency};
+use crate::fixtures;
+use crate::maintenance::ticket::{Rejection, Ticket, TicketStage};
 use crate::wire::LENGTH_BYTES;
 
 const FLEET: &str = "f";
@@ -29,27 +30,8 @@
 
 /// The ticket by which the member has begun.
 fn begun_ticket(node: &Node) -> Ticket {
-    Ticket {
-        id: 4,
-        request_id: 1,
-        request: TicketRequest {
-            server: "a".into(),
-            zone: Zone::new(),
-            reason: String::new(),
-            urgency: Urgency::Routine,
-            duration_millis: 60_000,
-            window: None,
-        },
-        requested_by: "ops".into(),
-        stage: TicketStage::Begun,
-        requested_at: 0,
-        since: 0,
-        grant: 1,
-        incarnation: node.identity().incarnation,
-        returned_incarnation: 0,
-        lapses: 0,
-        deadline: 60_000,
-    }
+    let incarnation = node.identity().incarnation;
+    Ticket { id: 4, incarnation, deadline: 60_000, ..fixtures::ticket(TicketStage::Begun) }
 }
 
 /// Whether the member drains by a notification that it receives at this time.
