--- a/crates/loomflow-fleet/src/consensus/election.rs
+++ b/crates/loomflow-fleet/src/consensus/election.rs
@@ -60,3 +60,6 @@
         best.is_some()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-fleet/src/consensus/voter_changes.rs
+++ b/crates/loomflow-fleet/src/consensus/voter_changes.rs
@@ -4,6 +4,7 @@
 //! A voter whose data directory was lost comes back as another replica. It is admitted as a learner, which has no vote; when
 //! it has caught up it takes the place of its predecessor in one joint change. At no moment do both have a vote that counts.
 
+use raft::Progress;
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2};
 
 use super::{Consensus, StateMachine};
@@ -85,11 +86,8 @@
         }
         let committed = node.raft.raft_log.committed;
         let progress = node.raft.prs();
-        let has_caught_up = |id: u64| {
-            progress.get(id).is_some_and(|progress| {
-                progress.recent_active && progress.matched + MAX_LEARNER_LAG_ENTRIES >= committed
-            })
-        };
+        let has_caught_up =
+            |id: u64| progress.get(id).is_some_and(|progress| has_caught_up(progress, committed));
         let current = Configuration {
             voters: &configuration.voters,
             learners: &configuration.learners,
@@ -103,6 +101,11 @@
     }
 }
 
+/// Whether a learner's log is complete enough for a vote: it is active, and lags by a bounded number of entries.
+fn has_caught_up(progress: &Progress, committed: u64) -> bool {
+    progress.recent_active && progress.matched + MAX_LEARNER_LAG_ENTRIES >= committed
+}
+
 fn configuration_change(steps: Vec<(ConfChangeType, u64)>) -> ConfChangeV2 {
     let single = |(kind, id): (ConfChangeType, u64)| {
         let mut single = ConfChangeSingle::default();
--- a/crates/loomflow-fleet/src/consensus/voter_changes/tests.rs
+++ b/crates/loomflow-fleet/src/consensus/voter_changes/tests.rs
@@ -39,3 +39,16 @@
         assert_eq!(changes(voters, learners, caught, wanted), expected, "case {at}");
     }
 }
+
+#[test]
+fn a_learner_may_vote_when_it_is_active_and_lags_by_64_entries_at_the_most() {
+    let committed = 1_000;
+    let learner = |lag: u64, recent_active: bool| {
+        let mut progress = Progress::new(committed, 1);
+        progress.matched = committed - lag;
+        progress.recent_active = recent_active;
+        has_caught_up(&progress, committed)
+    };
+    assert_eq!([0, 64, 65].map(|lag| learner(lag, true)), [true, true, false]);
+    assert!(!learner(0, false), "it is not active");
+}
--- a/crates/loomflow-fleet/src/duty/client_session/tests.rs
+++ b/crates/loomflow-fleet/src/duty/client_session/tests.rs
@@ -83,3 +83,18 @@
     assert_eq!((session.is_renewal_due(1_249), session.is_renewal_due(1_250)), (false, true));
     assert_eq!(session.renewal_sent(3, 1_250), Some(2), "the unanswered one");
 }
+
+#[test]
+fn two_renewals_are_at_least_twenty_milliseconds_apart() {
+    // A quarter of this lease is shorter.
+    let mut session = ClientSession::default();
+    let lease_settings = LeaseSettings { lease_millis: 40, max_attempts: 3 };
+    session.renewed(Ownership { lease_settings, ..ownership(1, &[]) }, 0, 1);
+    session.renewal_sent(1, 100);
+    assert_eq!([119, 120].map(|now| session.is_renewal_due(now)), [false, true]);
+    // The notification of a later session, which a renewal has to confirm.
+    let mut session = ClientSession::default();
+    session.renewal_sent(1, 0);
+    session.notified(ownership(1, &[]), 100);
+    assert_eq!([119, 120].map(|now| session.is_renewal_due(now)), [false, true]);
+}
--- a/crates/loomflow-fleet/src/membership/tests.rs
+++ b/crates/loomflow-fleet/src/membership/tests.rs
@@ -1,46 +1,76 @@
 use super::*;
 use crate::member::{MemberState, Phase, Zone};
+use foca::{Header, Message, ProbeNumber};
 
 /// Long enough for two members to know each other, ms.
 const JOINED_AT: WholeMillis = 10_000;
 const STEP_MILLIS: WholeMillis = 10;
 
-/// Two voters that exchange their packets while `is_connected`.
-struct Pair {
-    members: [Membership; 2],
+/// A packet by the header that the library gives it.
+struct SentPacket {
+    at: WholeMillis,
+    from: usize,
+    to: ServerName,
+    message: Message<MemberIdentity>,
+}
+
+/// Members "a", "b" and so on, which exchange their packets while `is_connected`.
+struct Cluster {
+    members: Vec<Membership>,
     now: WholeMillis,
     is_connected: bool,
     /// The one whose packets are lost although they are connected.
     unheard: Option<usize>,
+    sent: Vec<SentPacket>,
 }
 
-impl Pair {
-    fn joined() -> Pair {
+impl Cluster {
+    /// Two voters that know each other.
+    fn pair() -> Cluster {
+        Cluster::joined(2, 2)
+    }
+
+    /// Members that know each other; the first few are voters.
+    fn joined(count: usize, voters: usize) -> Cluster {
         let identity = |name: &str, port: u16| {
             MemberIdentity::new(name.into(), Zone::new(), ([127, 0, 0, 1], port).into(), 1)
         };
-        let identities = [identity("a", 1), identity("b", 2)];
-        let member = |n: usize| Membership::new(identities[n].clone(), identities.to_vec(), n as u64, 0);
-        let mut pair = Pair { members: [member(0), member(1)], now: 0, is_connected: true, unheard: None };
-        while pair.now < JOINED_AT {
-            pair.step();
+        let identities = &[identity("a", 1), identity("b", 2), identity("c", 3)][..count];
+        let member =
+            |n: usize| Membership::new(identities[n].clone(), identities[..voters].to_vec(), n as u64, 0);
+        let members = (0..count).map(member).collect();
+        let mut cluster = Cluster { members, now: 0, is_connected: true, unheard: None, sent: Vec::new() };
+        while cluster.now < JOINED_AT {
+            cluster.step();
         }
-        pair.report(Phase::Serving);
-        pair
+        cluster.report(Phase::Serving);
+        cluster
     }
 
     fn step(&mut self) {
         self.now += STEP_MILLIS;
-        for n in 0..2 {
-            self.members[n].tick(self.now);
-            for (_, packet) in self.members[n].take_packets() {
-                if self.is_connected && self.unheard != Some(n) {
-                    self.members[1 - n].handle_packet(&packet, self.now);
+        for from in 0..self.members.len() {
+            self.members[from].tick(self.now);
+            for (to, packet) in self.members[from].take_packets() {
+                let (header, _) = postcard::take_from_bytes::<Header<MemberIdentity>>(&packet).unwrap();
+                let message = header.message;
+                self.sent.push(SentPacket { at: self.now, from, to: to.name.clone(), message });
+                let is_receiver = |member: &&mut Membership| member.identity().name == to.name;
+                let receiver = self.members.iter_mut().find(is_receiver).unwrap();
+                if self.is_connected && self.unheard != Some(from) {
+                    receiver.handle_packet(&packet, self.now);
                 }
             }
         }
     }
 
+    fn run_for(&mut self, span: WholeMillis) {
+        let until = self.now + span;
+        while self.now < until {
+            self.step();
+        }
+    }
+
     /// The first member receives a load report of the second.
     fn report(&mut self, phase: Phase) {
         let (identity, report) =
@@ -70,7 +100,7 @@
 
 #[test]
 fn a_silent_member_is_suspect_within_three_seconds_and_down_four_seconds_later() {
-    let mut pair = Pair::joined();
+    let mut pair = Cluster::pair();
     assert_eq!(pair.state(), Some(MemberState::Serving));
     pair.is_connected = false;
     let until_suspect = pair.millis_until(MemberState::Suspect);
@@ -88,17 +118,11 @@
 fn both_members_are_serving_again_after_a_one_way_partition_of_any_length() {
     for unheard in [0, 1] {
         for partition_millis in (500..=12_000).step_by(250) {
-            let mut pair = Pair::joined();
+            let mut pair = Cluster::pair();
             pair.unheard = Some(unheard);
-            let healed_at = pair.now + partition_millis;
-            while pair.now < healed_at {
-                pair.step();
-            }
+            pair.run_for(partition_millis);
             pair.unheard = None;
-            let until_settled = pair.now + 10_000;
-            while pair.now < until_settled {
-                pair.step();
-            }
+            pair.run_for(10_000);
             let states =
                 [pair.members[0].get("b"), pair.members[1].get("a")].map(|known| known.unwrap().swim_state);
             assert_eq!(states, [SwimState::Alive; 2], "{unheard} unheard for {partition_millis} ms");
@@ -108,7 +132,7 @@
 
 #[test]
 fn a_member_that_drained_is_gone_and_is_forgotten_after_an_hour() {
-    let mut pair = Pair::joined();
+    let mut pair = Cluster::pair();
     pair.report(Phase::Draining);
     assert_eq!(pair.state(), Some(MemberState::Draining));
     pair.is_connected = false;
@@ -123,7 +147,7 @@
 
 #[test]
 fn a_load_report_is_relied_on_until_three_were_missed_and_the_member_is_not_down() {
-    let mut pair = Pair::joined();
+    let mut pair = Cluster::pair();
     let known = pair.known().unwrap().clone();
     let is_relied_on = |known: &KnownMember, age| known.recent_report(JOINED_AT + age).is_some();
     assert_eq!([0, 3_500, 3_501].map(|age| is_relied_on(&known, age)), [true, true, false]);
@@ -132,3 +156,62 @@
     pair.report(Phase::Serving);
     assert_eq!(pair.known().unwrap().recent_report(pair.now), None);
 }
+
+#[test]
+fn a_probe_without_an_answer_is_repeated_through_another_member_after_half_a_second() {
+    let mut cluster = Cluster::joined(3, 3);
+    cluster.unheard = Some(1);
+    cluster.run_for(5_000);
+    let probed_at = |from: usize, target: &MemberIdentity, probe_number: ProbeNumber| {
+        let is_probe = |packet: &&SentPacket| {
+            packet.from == from && packet.to == target.name && packet.message == Message::Ping(probe_number)
+        };
+        cluster.sent.iter().find(is_probe).expect("a probe before it is repeated").at
+    };
+    let delay = |packet: &SentPacket| match &packet.message {
+        Message::PingReq { target, probe_number } => {
+            Some(packet.at - probed_at(packet.from, target, *probe_number))
+        }
+        _ => None,
+    };
+    let delays: Vec<WholeMillis> = cluster.sent.iter().filter_map(delay).collect();
+    assert!(!delays.is_empty(), "no probe was repeated");
+    assert!(delays.iter().all(|delay| *delay == 500), "{delays:?} ms");
+}
+
+#[test]
+fn a_member_announces_itself_every_three_seconds_to_one_that_it_takes_for_down() {
+    // The third is no voter: those are announced to more often, to join by.
+    let mut cluster = Cluster::joined(3, 2);
+    cluster.unheard = Some(2);
+    cluster.run_for(10_000);
+    assert!(cluster.members[0].get("c").is_some_and(KnownMember::is_down));
+    cluster.sent.clear();
+    cluster.run_for(30_000);
+    let is_announcement =
+        |packet: &&SentPacket| packet.from == 0 && packet.to == "c" && packet.message == Message::Announce;
+    let announced_at: Vec<WholeMillis> =
+        cluster.sent.iter().filter(is_announcement).map(|packet| packet.at).collect();
+    assert_eq!(announced_at.len(), 10, "{announced_at:?}");
+    assert!(announced_at.windows(2).all(|pair| pair[1] - pair[0] == 3_000), "{announced_at:?}");
+}
+
+/// Packets and timers come at least every 200 ms, and the states are read with the next one.
+#[test]
+fn voters_read_the_states_of_all_members_every_half_second_and_others_every_five_seconds() {
+    let mut cluster = Cluster::joined(2, 1);
+    for (member, period) in [(0, 500), (1, 5_000)] {
+        let mut read_at = Vec::new();
+        let until = cluster.now + 60_000;
+        while cluster.now < until {
+            let next_before = cluster.members[member].next_refresh_at;
+            cluster.step();
+            if cluster.members[member].next_refresh_at != next_before {
+                read_at.push(cluster.now);
+            }
+        }
+        let gaps: Vec<WholeMillis> = read_at.windows(2).map(|pair| pair[1] - pair[0]).collect();
+        assert!(gaps.len() > 5, "{gaps:?}");
+        assert!(gaps.iter().all(|gap| (period..=period + 200).contains(gap)), "{gaps:?}");
+    }
+}
