--- a/crates/loomflow-benchmark/src/order/cost.rs
+++ b/crates/loomflow-benchmark/src/order/cost.rs
@@ -12,14 +12,16 @@
 use crate::process;
 use crate::report::Report;
 
-/// A campaign of so many tickets for servers that are not there, so that none is granted.
-const MANY: usize = 10_000;
+const PLAN: Plan =
+    Plan { members: 5, zones: 1, extra: "", cores: 4, work: Duration::from_millis(5), seed: 1 };
+/// Tickets for servers that are not there, so that none is granted.
+const MANY_TICKETS: usize = 10_000;
 
 /// From the start of a voter whose data directory has ten thousand open tickets until it knows them again, s.
-fn start_with_many(program: &Path) -> f64 {
-    let plan = Plan { members: 3, ..MADE };
+fn start_with_many_tickets(program: &Path) -> f64 {
+    let plan = Plan { members: 3, ..PLAN };
     let mut fleet = Fleet::start_with(plan, program).bootstrap(plan);
-    let requests = (0..MANY).map(|n| TicketRequest {
+    let requests = (0..MANY_TICKETS).map(|n| TicketRequest {
         server: format!("gone{n}"),
         zone: String::new(),
         reason: "kernel".into(),
@@ -32,41 +34,45 @@
         OperatorRequest::Fleet(Request::Execute { issuer: Issuer::Operator("measure".into()), command });
     fleet.send_operator_line(0, &serde_json::to_string(&request).expect("a line"));
     let open = |fleet: &Fleet, one: usize| fleet.local_status(one)["open"].as_u64().unwrap_or(0);
-    fleet.wait_until("all voters have them", |fleet| (0..3).all(|one| open(fleet, one) == MANY as u64));
+    fleet.wait_until("all voters have them", |fleet| {
+        (0..3).all(|one| open(fleet, one) == MANY_TICKETS as u64)
+    });
     fleet.kill(1);
     let began = Instant::now();
     fleet.start_member(1);
-    while open(&fleet, 1) < MANY as u64 && began.elapsed() < Duration::from_secs(20) {
+    while open(&fleet, 1) < MANY_TICKETS as u64 && began.elapsed() < Duration::from_secs(20) {
         std::thread::sleep(Duration::from_millis(5));
     }
     began.elapsed().as_secs_f64()
 }
 
-const MADE: Plan =
-    Plan { members: 5, zones: 1, extra: "", cores: 4, work: Duration::from_millis(5), seed: 1 };
-
 pub fn measure(report: &mut Report, quick: bool, program: &Path) {
     let span = Duration::from_secs(if quick { 5 } else { 30 });
     let worker = Worker::start(4, Duration::from_millis(5));
-    let mut off = ServerFixture::new(site(20_000.0));
-    program.clone_into(&mut off.program);
-    off.serve_with(&worker);
-    let fleet = Fleet::start_with(MADE, program).bootstrap(MADE);
-    let on: Vec<u32> = fleet.members.iter().map(|member| member.fixture.pid()).collect();
-    let before = (process::cpu(off.pid()), on.iter().map(|pid| process::cpu(*pid)).collect::<Vec<_>>());
+    let mut alone = ServerFixture::new(site(20_000.0));
+    program.clone_into(&mut alone.program);
+    alone.serve_with(&worker);
+    let fleet = Fleet::start_with(PLAN, program).bootstrap(PLAN);
+    let members: Vec<u32> = fleet.members.iter().map(|member| member.fixture.pid()).collect();
+    let alone_before = process::cpu(alone.pid());
+    let members_before: Vec<f64> = members.iter().map(|pid| process::cpu(*pid)).collect();
     std::thread::sleep(span);
     let seconds = span.as_secs_f64();
-    let idle = (process::cpu(off.pid()) - before.0) / seconds;
-    let busy = on.iter().zip(&before.1).map(|(pid, before)| (process::cpu(*pid) - before) / seconds - idle);
-    let busy = busy.fold(0.0, f64::max);
-    let more = on.iter().map(|pid| process::memory(*pid)).fold(0.0, f64::max) - process::memory(off.pid());
+    let cores_alone = (process::cpu(alone.pid()) - alone_before) / seconds;
+    let added_cores = members
+        .iter()
+        .zip(&members_before)
+        .map(|(pid, before)| (process::cpu(*pid) - before) / seconds - cores_alone)
+        .fold(0.0, f64::max);
+    let most_memory = members.iter().map(|pid| process::memory(*pid)).fold(0.0, f64::max);
+    let added_memory_mb = most_memory - process::memory(alone.pid());
     report.table(
         "A voter of five, idle, over a server in no fleet",
         &["memory MB", "% of a core"],
-        vec![vec![format!("{more:.2}"), format!("{:.2}", 100.0 * busy)]],
+        vec![vec![format!("{added_memory_mb:.2}"), format!("{:.2}", 100.0 * added_cores)]],
     );
     drop(fleet);
-    report.require_max("start_10000_tickets_s", start_with_many(program), 1.0);
-    report.require_max("on_memory_mb", more, 4.0);
-    report.require_max("on_core", busy, 0.01);
+    report.require_max("start_10000_tickets_s", start_with_many_tickets(program), 1.0);
+    report.require_max("on_memory_mb", added_memory_mb, 4.0);
+    report.require_max("on_core", added_cores, 0.01);
 }
--- a/crates/loomflow-benchmark/src/order/faults.rs
+++ b/crates/loomflow-benchmark/src/order/faults.rs
@@ -5,6 +5,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
+use loomflow_fleet::maintenance::ticket::TicketId;
 use loomflow_fleet_simulation::run_parallel;
 use loomflow_test_servers::fleet::{Fleet, Plan, WAIT_TIMEOUT};
 use loomflow_test_servers::relay::LinkFault;
@@ -16,30 +17,42 @@
 /// Rounds that are played side by side.
 const PARALLEL_ROUNDS: usize = 3;
 /// The next grant has to come within this time after the last fault, s.
-const GRANT_WITHIN: f64 = 10.0;
+const MAX_SECONDS_TO_GRANT: f64 = 10.0;
 
+/// A grant that came late.
+struct LateGrant {
+    seed: u64,
+    /// From the last fault on; infinite where none came.
+    seconds: f64,
+}
+
+/// What all rounds show.
 #[derive(Default)]
-struct Sum {
+struct FaultTotals {
     rounds: u64,
-    over_budget: u64,
-    without_begin: u64,
-    lost: u64,
-    late: Vec<(u64, f64)>,
-    grants: Vec<f64>,
+    /// Rounds in which more servers were out than the rules allow.
+    too_many_out: u64,
+    /// Servers that shut down by themselves while no ticket of theirs had begun.
+    departed_without_begin: u64,
+    lost_tickets: u64,
+    late_grants: Vec<LateGrant>,
+    /// From the last fault of a round to the next grant, s.
+    seconds_to_grant: Vec<f64>,
+    /// Diagnostics of the rounds that failed.
     failed: Vec<String>,
 }
 
-impl Sum {
-    fn add(&mut self, seed: u64, round: Played) {
+impl FaultTotals {
+    fn add(&mut self, seed: u64, round: RoundOutcome) {
         self.rounds += 1;
-        self.over_budget += u64::from(round.over_budget);
-        self.without_begin += round.without_begin;
-        self.lost += round.lost;
-        let grant_after = round.grant_after.unwrap_or(f64::INFINITY);
-        if grant_after > GRANT_WITHIN {
-            self.late.push((seed, grant_after));
+        self.too_many_out += u64::from(round.has_too_many_out);
+        self.departed_without_begin += round.departed_without_begin;
+        self.lost_tickets += round.lost_tickets;
+        let seconds = round.seconds_to_grant.unwrap_or(f64::INFINITY);
+        if seconds > MAX_SECONDS_TO_GRANT {
+            self.late_grants.push(LateGrant { seed, seconds });
         }
-        self.grants.extend(round.grant_after);
+        self.seconds_to_grant.extend(round.seconds_to_grant);
         if round.has_failed() {
             self.failed.push(round.diagnostics);
         }
@@ -47,33 +60,35 @@
 
     /// The time within which this part of the grants came, s; a dash where there was none.
     fn grant_quantile(&self, part: f64) -> String {
-        quantile(&self.grants, part).map_or("-".into(), |seconds| format!("{seconds:.1}"))
+        quantile(&self.seconds_to_grant, part).map_or("-".into(), |seconds| format!("{seconds:.1}"))
     }
 }
 
 pub fn measure(report: &mut Report, quick: bool, program: &Path) {
     let rounds = if quick { 20 } else { 200 };
-    let mut sum = Sum::default();
-    for (seed, played) in run_parallel(PARALLEL_ROUNDS, 1..rounds + 1, |seed| (seed, round(seed, program))) {
-        sum.add(seed, played);
+    let mut sum = FaultTotals::default();
+    for (seed, round) in
+        run_parallel(PARALLEL_ROUNDS, 1..rounds + 1, |seed| (seed, play_round(seed, program)))
+    {
+        sum.add(seed, round);
     }
     print(report, &sum);
     report.figure("fault_rounds", sum.rounds as f64);
-    report.require_max("over_budget", sum.over_budget as f64, 0.0);
-    report.require_max("left_without_begin", sum.without_begin as f64, 0.0);
-    report.require_max("tickets_lost", sum.lost as f64, 0.0);
-    report.require_max("grants_late", sum.late.len() as f64, 0.0);
+    report.require_max("over_budget", sum.too_many_out as f64, 0.0);
+    report.require_max("left_without_begin", sum.departed_without_begin as f64, 0.0);
+    report.require_max("tickets_lost", sum.lost_tickets as f64, 0.0);
+    report.require_max("grants_late", sum.late_grants.len() as f64, 0.0);
 }
 
-fn print(report: &Report, sum: &Sum) {
+fn print(report: &Report, sum: &FaultTotals) {
     report.table(
         "Rounds of faults",
         &["rounds", "over budget", "left without a begin", "tickets lost", "next grant p50 s", "worst s"],
         vec![vec![
             sum.rounds.to_string(),
-            sum.over_budget.to_string(),
-            sum.without_begin.to_string(),
-            sum.lost.to_string(),
+            sum.too_many_out.to_string(),
+            sum.departed_without_begin.to_string(),
+            sum.lost_tickets.to_string(),
             sum.grant_quantile(0.5),
             sum.grant_quantile(1.0),
         ]],
@@ -81,70 +96,82 @@
     for diagnostics in sum.failed.iter().take(1) {
         println!("{diagnostics}");
     }
-    for (seed, after) in &sum.late {
-        println!("seed {seed}: the next grant came {after:.1} s after the last fault");
+    for LateGrant { seed, seconds } in &sum.late_grants {
+        println!("seed {seed}: the next grant came {seconds:.1} s after the last fault");
     }
 }
 
-struct Played {
-    over_budget: bool,
-    without_begin: u64,
-    lost: u64,
+/// What one round shows.
+struct RoundOutcome {
+    has_too_many_out: bool,
+    departed_without_begin: u64,
+    lost_tickets: u64,
     /// From the last fault to the next grant, s; none where none came.
-    grant_after: Option<f64>,
+    seconds_to_grant: Option<f64>,
     diagnostics: String,
 }
 
-impl Played {
+impl RoundOutcome {
     fn has_failed(&self) -> bool {
-        self.over_budget || self.without_begin + self.lost > 0 || self.grant_after.is_none()
+        self.has_too_many_out
+            || self.departed_without_begin + self.lost_tickets > 0
+            || self.seconds_to_grant.is_none()
     }
 }
 
-/// One fleet: tickets for all, faults for some seconds, then all is mended.
-fn round(seed: u64, program: &Path) -> Played {
+/// Plays a round on a fleet of its own: a ticket for each server, faults for some seconds, then none.
+fn play_round(seed: u64, program: &Path) -> RoundOutcome {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let members = 5 + (seed % 3) as usize;
-    let plan = Plan {
-        members,
-        zones: 1 + (seed % 2) as usize,
-        extra: "  begin_within_s: 3\n  warm_for_s: 1\n",
-        cores: 2,
-        work: Duration::from_millis(5),
-        seed,
-    };
+    let plan = plan(seed);
     let mut fleet = Fleet::start_with(plan, program).bootstrap(plan);
-    let mut tickets: BTreeMap<u64, usize> = BTreeMap::new();
-    for server in 0..members {
-        tickets.insert(fleet.request_ticket(0, server), server);
-    }
-    let mut watch = Watch::default();
+    let tickets: Tickets =
+        (0..plan.members).map(|server| (fleet.request_ticket(0, server), server)).collect();
+    let mut watch = ProcessWatch::default();
     for _ in 0..rng.usize(3..6) {
         watch.wait(&mut fleet, Duration::from_millis(rng.u64(300..1_500)));
         inject_fault(&mut fleet, &mut watch, &mut rng);
     }
     watch.wait(&mut fleet, Duration::from_millis(500));
     fleet.set_fault_on_all_links(LinkFault::default());
-    // Whoever still is out or dead comes back now: the last fault is over when all run.
-    watch.mend(&mut fleet);
-    let grant_after = time_to_next_grant(&mut fleet, &mut watch);
+    // The last fault is over when all processes run.
+    watch.wait_until_all_run(&mut fleet);
+    let seconds_to_grant = seconds_to_next_grant(&mut fleet, &mut watch);
     let known = stages(&fleet);
-    let has_begun = |server: usize| {
-        tickets.iter().any(|(ticket, of)| {
-            *of == server && events(&fleet).iter().any(|e| e["ticket"] == *ticket && e["stage"] == "Begun")
-        })
-    };
-    Played {
-        over_budget: watch.over_budget,
-        without_begin: watch.departed.iter().filter(|server| !has_begun(**server)).count() as u64,
-        lost: tickets.keys().filter(|ticket| !known.contains_key(ticket)).count() as u64,
-        grant_after,
+    let has_begun = |server: usize| has_begun(&fleet, &tickets, server);
+    RoundOutcome {
+        has_too_many_out: watch.has_too_many_out,
+        departed_without_begin: watch.departed.iter().filter(|server| !has_begun(**server)).count() as u64,
+        lost_tickets: tickets.keys().filter(|ticket| !known.contains_key(ticket)).count() as u64,
+        seconds_to_grant,
         diagnostics: fleet.diagnostics(),
     }
 }
 
+/// The server of each ticket.
+type Tickets = BTreeMap<TicketId, usize>;
+
+fn plan(seed: u64) -> Plan {
+    Plan {
+        members: 5 + (seed % 3) as usize,
+        zones: 1 + (seed % 2) as usize,
+        extra: "  begin_within_s: 3\n  warm_for_s: 1\n",
+        cores: 2,
+        work: Duration::from_millis(5),
+        seed,
+    }
+}
+
+/// Whether a ticket of a server has begun, by the history.
+fn has_begun(fleet: &Fleet, tickets: &Tickets, server: usize) -> bool {
+    let events = events(fleet);
+    let has_begun = |ticket: &TicketId| {
+        events.iter().any(|event| event["ticket"] == *ticket && event["stage"] == "Begun")
+    };
+    tickets.iter().any(|(ticket, of)| *of == server && has_begun(ticket))
+}
+
 /// Draws one fault and begins it.
-fn inject_fault(fleet: &mut Fleet, watch: &mut Watch, rng: &mut fastrand::Rng) {
+fn inject_fault(fleet: &mut Fleet, watch: &mut ProcessWatch, rng: &mut fastrand::Rng) {
     let members = fleet.members.len();
     let member = rng.usize(0..members);
     match rng.usize(0..6) {
@@ -178,31 +205,32 @@
 }
 
 /// How long the next grant takes, s; none where none comes.
-fn time_to_next_grant(fleet: &mut Fleet, watch: &mut Watch) -> Option<f64> {
+fn seconds_to_next_grant(fleet: &mut Fleet, watch: &mut ProcessWatch) -> Option<f64> {
     let since = Instant::now();
-    let before = grants(fleet);
+    let before = last_grant(fleet);
     let are_all_done = |fleet: &Fleet| stages(fleet).values().all(|stage| stage == "Done");
     while since.elapsed() < WAIT_TIMEOUT * 3 {
         watch.wait(fleet, Duration::from_millis(100));
-        if grants(fleet) > before || are_all_done(fleet) {
+        if last_grant(fleet) > before || are_all_done(fleet) {
             return Some(since.elapsed().as_secs_f64());
         }
     }
     None
 }
 
-/// What is known of the processes.
+/// Looks at the processes, and starts again those that have been away for long enough.
 #[derive(Default)]
-struct Watch {
+struct ProcessWatch {
     /// Machines that ended by themselves.
     departed: Vec<usize>,
-    /// Those that are out for work, until when.
+    /// Those that are out for maintenance, and until when.
     out: BTreeMap<usize, Instant>,
+    /// Those that were killed, and until when they stay down.
     dead: BTreeMap<usize, Instant>,
-    over_budget: bool,
+    has_too_many_out: bool,
 }
 
-impl Watch {
+impl ProcessWatch {
     fn wait(&mut self, fleet: &mut Fleet, span: Duration) {
         let until = Instant::now() + span;
         while Instant::now() < until {
@@ -212,25 +240,26 @@
     }
 
     fn check_members(&mut self, fleet: &mut Fleet) {
-        for one in 0..fleet.members.len() {
-            let away = self.out.get(&one).or_else(|| self.dead.get(&one)).copied();
+        for member in 0..fleet.members.len() {
+            let away = self.out.get(&member).or_else(|| self.dead.get(&member)).copied();
             match away {
                 Some(until) if Instant::now() >= until => {
-                    fleet.start_member(one);
-                    self.out.remove(&one);
-                    self.dead.remove(&one);
+                    fleet.start_member(member);
+                    self.out.remove(&member);
+                    self.dead.remove(&member);
                 }
-                None if !fleet.is_running(one) => {
-                    self.departed.push(one);
-                    self.out.insert(one, Instant::now() + Duration::from_millis(800));
-                    self.over_budget |= self.out.len() > 1;
+                None if !fleet.is_running(member) => {
+                    self.departed.push(member);
+                    self.out.insert(member, Instant::now() + Duration::from_millis(800));
+                    self.has_too_many_out |= self.out.len() > 1;
                 }
                 _ => {}
             }
         }
     }
 
-    fn mend(&mut self, fleet: &mut Fleet) {
+    /// Waits until every member that is out or dead was started again.
+    fn wait_until_all_run(&mut self, fleet: &mut Fleet) {
         while !self.out.is_empty() || !self.dead.is_empty() {
             self.wait(fleet, Duration::from_millis(50));
         }
@@ -239,21 +268,23 @@
 
 /// The history of tickets, from the first member that answers.
 fn events(fleet: &Fleet) -> Vec<Value> {
-    for one in 0..fleet.members.len() {
-        let (code, diagnostics, _) = fleet.run_command(one, &["work", "history", "--json"]);
-        if let (0, Ok(Value::Array(events))) = (code, serde_json::from_str(&diagnostics)) {
+    for member in 0..fleet.members.len() {
+        let (code, output, _) = fleet.run_command(member, &["work", "history", "--json"]);
+        if let (0, Ok(Value::Array(events))) = (code, serde_json::from_str(&output)) {
             return events;
         }
     }
     Vec::new()
 }
 
-fn stages(fleet: &Fleet) -> BTreeMap<u64, String> {
+/// The last stage of each ticket, by the history.
+fn stages(fleet: &Fleet) -> BTreeMap<TicketId, String> {
     let events = events(fleet);
     let stage = |event: &Value| Some((event["ticket"].as_u64()?, event["stage"].as_str()?.to_owned()));
     events.iter().filter_map(stage).collect()
 }
 
-fn grants(fleet: &Fleet) -> u64 {
+/// The number of the last grant.
+fn last_grant(fleet: &Fleet) -> u64 {
     events(fleet).iter().filter_map(|event| event["grant"].as_u64()).max().unwrap_or(0)
 }
--- /dev/null
+++ b/crates/loomflow-benchmark/src/order/headroom.rs
@@ -0,0 +1,178 @@
+//! A day with a burst of load in virtual time: the headroom rule against maintenance in fixed batches, "three at once".
+
+use loomflow_fleet::maintenance::rules::{Limit, Rules};
+use loomflow_fleet::maintenance::ticket::{TicketStage, Urgency};
+use loomflow_fleet::time::{WholeMillis, millis_of_seconds};
+use loomflow_fleet_simulation::{Fault, Simulation, SimulationConfig, core_count, run_parallel};
+
+use crate::report::Report;
+
+const MACHINES: usize = 10;
+/// What each machine can carry, in concurrent runs.
+const CAPACITY: f64 = 8.0;
+/// The load of each machine outside and during a burst, in concurrent runs.
+const USUAL_LOAD: f64 = 5.0;
+const BURST_LOAD: f64 = 7.4;
+const DAY_SECONDS: u64 = 1_800;
+const BURST_SECONDS: u64 = 600;
+/// When maintenance of all machines is requested, s.
+const REQUESTED_AT_SECOND: u64 = 240;
+/// How long a machine is out for its maintenance, s.
+const MAINTENANCE_SECONDS: u64 = 30;
+/// Machines out at once at the most, by the rules and in a fixed batch.
+const MAX_OUT: usize = 3;
+/// Starts of the bursts, s: before the first machines are out, while they are, and after.
+const BURST_STARTS: [u64; 6] = [200, 250, 270, 290, 310, 400];
+/// Reports that show a burst have at most this age, ms: what was granted before they came was not granted in it.
+const MAX_REPORT_DELAY_MILLIS: WholeMillis = 5_000;
+
+/// The load of each machine in a second of the day, in concurrent runs.
+fn load_at(second: u64, burst_start: u64) -> f64 {
+    if is_in_burst(second, burst_start) { BURST_LOAD } else { USUAL_LOAD }
+}
+
+fn is_in_burst(second: u64, burst_start: u64) -> bool {
+    (burst_start..burst_start + BURST_SECONDS).contains(&second)
+}
+
+/// Load that is not carried by those that serve is lost. Nobody can foresee a burst: what is lost for machines that were out
+/// when it began is counted apart from what is lost for grants within it.
+pub fn measure(report: &mut Report) {
+    let days = run_parallel(core_count(), 0..BURST_STARTS.len() as u64, |index| {
+        let burst_start = BURST_STARTS[index as usize];
+        Days { by_fleet: day_by_the_fleet(burst_start), in_batches: day_in_fixed_batches(burst_start) }
+    });
+    print(report, &days);
+    let lost: f64 = days.iter().map(|days| days.by_fleet.lost).sum();
+    let lost_in_burst: f64 = days.iter().map(|days| days.by_fleet.lost_by_grants_in_burst).sum();
+    let lost_in_batches: f64 = days.iter().map(|days| days.in_batches.lost).sum();
+    let done_after = days.iter().map(|days| days.by_fleet.done_after_seconds.unwrap_or(DAY_SECONDS));
+    let slowest = done_after.max().unwrap_or(0);
+    report.require_max("headroom_lost_in_burst", lost_in_burst, 0.0);
+    report.require_max("headroom_lost_over_plain", lost / lost_in_batches.max(1.0), 0.25);
+    let max_seconds = (DAY_SECONDS - REQUESTED_AT_SECOND) as f64 - 1.0;
+    report.require_max("headroom_done_s", slowest as f64, max_seconds);
+}
+
+/// The same day, scheduled in two ways.
+struct Days {
+    by_fleet: Day,
+    in_batches: Day,
+}
+
+/// What a day shows.
+#[derive(Default)]
+struct Day {
+    /// The load, in concurrent runs times seconds.
+    requested: f64,
+    /// The part of it that was not carried.
+    lost: f64,
+    /// Of that, while a machine was out that was granted its maintenance within the burst.
+    lost_by_grants_in_burst: f64,
+    /// When all maintenance was done, from the request on; none where it was not within the day.
+    done_after_seconds: Option<u64>,
+}
+
+impl Day {
+    /// Counts one second; returns what was lost in it.
+    fn count_second(&mut self, requested: f64, capacity: f64) -> f64 {
+        let lost = (requested - capacity).max(0.0);
+        self.requested += requested;
+        self.lost += lost;
+        lost
+    }
+}
+
+fn print(report: &Report, days: &[Days]) {
+    let done_after =
+        |day: &Day| day.done_after_seconds.map_or("not within the day".into(), |seconds| seconds.to_string());
+    let row = |(burst_start, Days { by_fleet, in_batches }): (&u64, &Days)| {
+        vec![
+            burst_start.to_string(),
+            format!("{:.4}", by_fleet.lost / by_fleet.requested),
+            format!("{:.4}", by_fleet.lost_by_grants_in_burst / by_fleet.requested),
+            done_after(by_fleet),
+            format!("{:.4}", in_batches.lost / in_batches.requested),
+            done_after(in_batches),
+        ]
+    };
+    report.table(
+        "Ten servers out in turn around a burst: headroom with three at the most, and three at once",
+        &[
+            "burst from s",
+            "worth lost",
+            "by grants in it",
+            "done after s",
+            "three at once: lost",
+            "done after s",
+        ],
+        BURST_STARTS.iter().zip(days).map(row).collect(),
+    );
+}
+
+/// The real rules, in virtual time.
+fn day_by_the_fleet(burst_start: u64) -> Day {
+    let config = SimulationConfig {
+        machines: MACHINES,
+        voters: 5,
+        rules: Rules { max_out: Limit::Count(MAX_OUT as u32), ..Rules::default() },
+        maintenance_millis: millis_of_seconds(MAINTENANCE_SECONDS),
+        ..SimulationConfig::default()
+    };
+    let mut simulation = Simulation::new(config, 5);
+    simulation.invariants.compares_states = false;
+    let _ = simulation.run_until(20_000);
+    let start = simulation.now;
+    let reported_at = start + millis_of_seconds(burst_start) + MAX_REPORT_DELAY_MILLIS;
+    let mut day = Day::default();
+    for second in 0..DAY_SECONDS {
+        let load = load_at(second, burst_start);
+        simulation.inject(&Fault::SetLoad(load));
+        if second == REQUESTED_AT_SECOND {
+            simulation.inject(&Fault::RequestWork((0..MACHINES).collect(), Urgency::Routine));
+        }
+        let _ = simulation.run_until(start + millis_of_seconds(second + 1));
+        let capacity = CAPACITY * simulation.serving_count() as f64;
+        let lost = day.count_second(load * MACHINES as f64, capacity);
+        if is_in_burst(second, burst_start) && is_out_since(&simulation, reported_at) {
+            day.lost_by_grants_in_burst += lost;
+        }
+        if is_all_done(&simulation) {
+            day.done_after_seconds.get_or_insert(second - REQUESTED_AT_SECOND);
+        }
+    }
+    day
+}
+
+fn is_all_done(simulation: &Simulation) -> bool {
+    let tickets = simulation.tickets();
+    tickets.len() == MACHINES && tickets.iter().all(|ticket| ticket.stage == TicketStage::Done)
+}
+
+/// Whether a machine is out that left after this time.
+fn is_out_since(simulation: &Simulation, since: WholeMillis) -> bool {
+    let maintenance_millis = millis_of_seconds(MAINTENANCE_SECONDS);
+    let mut departures = simulation.invariants.departures.iter();
+    departures.any(|departure| departure.at > since && departure.at + maintenance_millis > simulation.now)
+}
+
+/// Fixed batches one after the other, whatever the load: the same cycle of drain, maintenance and slow start.
+fn day_in_fixed_batches(burst_start: u64) -> Day {
+    const AWAY_SECONDS: u64 = MAINTENANCE_SECONDS + 4;
+    const CYCLE_SECONDS: u64 = AWAY_SECONDS + 10;
+    let batches = MACHINES.div_ceil(MAX_OUT) as u64;
+    let mut day = Day::default();
+    for second in 0..DAY_SECONDS {
+        let since_request = second.saturating_sub(REQUESTED_AT_SECOND);
+        let batch = since_request / CYCLE_SECONDS;
+        let is_running = second >= REQUESTED_AT_SECOND && batch < batches;
+        let batch_size = if is_running { MAX_OUT.min(MACHINES - MAX_OUT * batch as usize) } else { 0 };
+        let away = if since_request % CYCLE_SECONDS < AWAY_SECONDS { batch_size } else { 0 };
+        let load = load_at(second, burst_start) * MACHINES as f64;
+        day.count_second(load, CAPACITY * (MACHINES - away) as f64);
+        if batch >= batches {
+            day.done_after_seconds.get_or_insert(second - REQUESTED_AT_SECOND);
+        }
+    }
+    day
+}
--- a/crates/loomflow-benchmark/src/order/mod.rs
+++ b/crates/loomflow-benchmark/src/order/mod.rs
@@ -3,6 +3,7 @@
 
 mod cost;
 mod faults;
+mod headroom;
 mod simulated;
 mod work;
 
@@ -28,6 +29,7 @@
     }
     if selection.includes("simulated") {
         simulated::measure(&mut report, quick);
+        headroom::measure(&mut report);
     }
     if selection.includes("cost") {
         cost::measure(&mut report, quick, program);
