--- a/crates/loomflow-benchmark/src/owner/effects.rs
+++ b/crates/loomflow-benchmark/src/owner/effects.rs
@@ -1,4 +1,4 @@
-//! The outside of the measurement: jobs that send an effect every 20 ms, and the receiver that admits it or not.
+//! The jobs of the measured fleet, each of which sends an effect every 20 ms, and the receiver that admits it or not.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -10,8 +10,8 @@
 use loomflow_fleet::duty::Token;
 use loomflow_fleet::duty::fence::Fence;
 
-/// An owner acts so often.
-const EVERY: Duration = Duration::from_millis(20);
+/// How often an owner acts.
+const EFFECT_PERIOD: Duration = Duration::from_millis(20);
 
 /// What a job does: `loomflow-benchmark effects ADDRESS`, as the owner of the duty in its environment. It continues
 /// whatever the response: it is ended by whoever started it.
@@ -28,7 +28,7 @@
         if answers.read_line(&mut line).unwrap_or(0) == 0 {
             return;
         }
-        thread::sleep(EVERY);
+        thread::sleep(EFFECT_PERIOD);
     }
 }
 
@@ -40,50 +40,50 @@
     pub token: Token,
     pub admitted: bool,
     /// The connection that it came by.
-    pub by: u64,
+    pub connection: u64,
 }
 
 #[derive(Default)]
-struct Inner {
+struct ReceiverState {
     fence: Fence,
     effects: BTreeMap<String, Vec<Effect>>,
 }
 
-/// The outside receiver. Without comparing it lets everything in, as one without a fence would.
+/// The receiver of effects. Where it does not compare tokens it admits everything, as one without a fence would.
 #[derive(Clone)]
 pub struct Receiver {
     pub address: SocketAddr,
     compares: bool,
-    inner: Arc<Mutex<Inner>>,
+    state: Arc<Mutex<ReceiverState>>,
 }
 
 impl Receiver {
     pub fn start(compares: bool) -> Receiver {
         let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
         let address = listener.local_addr().expect("an address");
-        let receiver = Receiver { address, compares, inner: Arc::default() };
+        let receiver = Receiver { address, compares, state: Arc::default() };
         let own = receiver.clone();
         thread::spawn(move || {
-            for (by, stream) in listener.incoming().enumerate() {
+            for (connection, stream) in listener.incoming().enumerate() {
                 let (own, Ok(stream)) = (own.clone(), stream) else { return };
-                thread::spawn(move || own.receive(stream, by as u64));
+                thread::spawn(move || own.receive(stream, connection as u64));
             }
         });
         receiver
     }
 
-    fn receive(&self, mut stream: TcpStream, by: u64) {
+    fn receive(&self, mut stream: TcpStream, connection: u64) {
         let Ok(read) = stream.try_clone() else { return };
         for line in BufReader::new(read).lines().map_while(Result::ok) {
             let began = Instant::now();
             let Some((duty, token)) = line.split_once(' ') else { return };
             let Ok(token) = token.parse::<Token>() else { return };
             let admitted = {
-                let mut inner = self.inner.lock().expect("the receiver");
-                let admitted = inner.fence.admit(duty, token, |_| Ok::<(), ()>(())).is_ok();
+                let mut state = self.state.lock().expect("the receiver");
+                let admitted = state.fence.admit(duty, token, |_| Ok::<(), ()>(())).is_ok();
                 let admitted = admitted || !self.compares;
-                let effect = Effect { began, ended: Instant::now(), token, admitted, by };
-                inner.effects.entry(duty.to_owned()).or_default().push(effect);
+                let effect = Effect { began, ended: Instant::now(), token, admitted, connection };
+                state.effects.entry(duty.to_owned()).or_default().push(effect);
                 admitted
             };
             if writeln!(stream, "{}", u8::from(admitted)).is_err() {
@@ -94,14 +94,16 @@
 
     /// Everything that came, by duty, in the order in which it was decided on.
     pub fn effects(&self) -> BTreeMap<String, Vec<Effect>> {
-        self.inner.lock().expect("the receiver").effects.clone()
+        self.state.lock().expect("the receiver").effects.clone()
     }
 
-    /// Duties of which an effect was let in after a moment.
+    /// Number of duties of which an effect was admitted after a moment.
     pub fn received_since(&self, at: Instant) -> usize {
-        let inner = self.inner.lock().expect("the receiver");
-        let since =
-            |all: &&Vec<Effect>| all.iter().rev().find(|one| one.admitted).is_some_and(|one| one.ended > at);
-        inner.effects.values().filter(since).count()
+        let state = self.state.lock().expect("the receiver");
+        let since = |effects: &&Vec<Effect>| {
+            let last_admitted = effects.iter().rev().find(|effect| effect.admitted);
+            last_admitted.is_some_and(|effect| effect.ended > at)
+        };
+        state.effects.values().filter(since).count()
     }
 }
--- a/crates/loomflow-benchmark/src/owner/simulated.rs
+++ b/crates/loomflow-benchmark/src/owner/simulated.rs
@@ -3,19 +3,19 @@
 use loomflow_fleet::duty::LeaseSettings;
 use loomflow_fleet::duty::assign::Candidate;
 use loomflow_fleet::duty::load::imbalance;
-use loomflow_fleet::time::seconds;
+use loomflow_fleet::time::{WholeMillis, seconds};
 use loomflow_fleet_simulation::config::{duty_name, server_name};
 use loomflow_fleet_simulation::{Fault, Scenario, Simulation, SimulationConfig, core_count, run_parallel};
 
 use crate::report::Report;
 
 pub fn measure(report: &mut Report, quick: bool) {
-    seeds(report, quick);
-    size(report, quick);
+    measure_days_of_faults(report, quick);
+    measure_large_fleet(report, quick);
 }
 
 /// Days of faults with duties: the invariants are checked after every event.
-fn seeds(report: &mut Report, quick: bool) {
+fn measure_days_of_faults(report: &mut Report, quick: bool) {
     let count = if quick { 200 } else { 4_000 };
     let failed: Vec<String> = run_parallel(core_count(), 0..count, |seed| {
         let voters = if seed % 3 == 0 { 5 } else { 3 };
@@ -30,23 +30,23 @@
         let scenario = Scenario::random(seed, machines, voters, 12_000, 60_000);
         let mut simulation = Simulation::new(config, seed);
         let scenario_results = simulation.run(&scenario, 60_000).and_then(|()| {
-            (0..machines).for_each(|one| simulation.start(one));
+            (0..machines).for_each(|machine| simulation.start(machine));
             simulation.run_until(180_000)
         });
-        scenario_results.err().map(|what| format!("seed {seed}: {what}"))
+        scenario_results.err().map(|violation| format!("seed {seed}: {violation}"))
     })
     .into_iter()
     .flatten()
     .collect();
-    failed.iter().take(1).for_each(|what| println!("{what}"));
+    failed.iter().take(1).for_each(|violation| println!("{violation}"));
     report.figure("owner_seeds", count as f64);
     report.require_max("owner_violations", failed.len() as f64, 0.0);
 }
 
 const MACHINES: usize = 300;
 const DUTIES: usize = 1_000;
-/// The machine that dies: one that does not vote.
-const DEAD: usize = 100;
+/// The machine that is killed: one that does not vote.
+const KILLED_MACHINE: usize = 100;
 
 /// What a fleet costs on a quiet day.
 struct QuietDay {
@@ -72,11 +72,12 @@
 }
 
 /// 300 members with 1,000 duties: messages, bytes, entries; spread; migrations on a quiet day and when a member dies.
-fn size(report: &mut Report, quick: bool) {
+fn measure_large_fleet(report: &mut Report, quick: bool) {
     let span = if quick { 20_000 } else { 600_000 };
-    let both = run_parallel(2, 0..2, |with| quiet_day(if with == 1 { DUTIES } else { 0 }, span));
-    let mut both = both.into_iter();
-    let (Some((_, without)), Some((mut simulation, with))) = (both.next(), both.next()) else { return };
+    let duty_counts = [0, DUTIES];
+    let days = run_parallel(2, 0..2, |index| quiet_day(duty_counts[index as usize], span));
+    let mut days = days.into_iter();
+    let (Some((_, without)), Some((mut simulation, with))) = (days.next(), days.next()) else { return };
     report.table(
         "300 members: without duties, and with 1,000",
         &["duties", "messages a member a second", "bytes", "log entries a second", "moves an hour"],
@@ -102,8 +103,8 @@
 }
 
 /// A fleet that has formed, and what it costs for so long, ms.
-fn quiet_day(duties: usize, span: u64) -> (Simulation, QuietDay) {
-    const FORMED_AT: u64 = 60_000;
+fn quiet_day(duties: usize, span: WholeMillis) -> (Simulation, QuietDay) {
+    const FORMED_AT: WholeMillis = 60_000;
     let lease_settings = LeaseSettings { lease_millis: 10_000, max_attempts: 5 };
     let config = SimulationConfig {
         machines: MACHINES,
@@ -117,7 +118,7 @@
     simulation.invariants.compares_states = false;
     simulation.invariants.expects_one_owner = false;
     let _ = simulation.run_until(FORMED_AT);
-    let (traffic, index, token) = (simulation.traffic(), applied(&simulation), last_token(&simulation));
+    let (traffic, index, token) = (simulation.traffic(), applied_index(&simulation), last_token(&simulation));
     let _ = simulation.run_until(FORMED_AT + span);
     let traffic_after = simulation.traffic();
     let span_seconds = seconds(span);
@@ -125,7 +126,7 @@
     let day = QuietDay {
         messages: each(traffic_after.messages - traffic.messages),
         bytes: each(traffic_after.bytes - traffic.bytes),
-        log_entries: (applied(&simulation) - index) as f64 / span_seconds,
+        log_entries: (applied_index(&simulation) - index) as f64 / span_seconds,
         migrations: (last_token(&simulation) - token) as f64 * 3_600.0 / span_seconds,
     };
     (simulation, day)
@@ -139,24 +140,24 @@
     (imbalance(&state.duties, &candidates), state.duties.save().len())
 }
 
-/// Duties that changed hands when a member died, and those that it owned.
+/// Duties that changed their owner when a member was killed, and those that it owned.
 fn migrations_after_death(simulation: &mut Simulation) -> (usize, usize) {
     let owner = |simulation: &Simulation, duty: usize| simulation.owners(&duty_name(duty)).first().copied();
     let before: Vec<Option<usize>> = (0..DUTIES).map(|duty| owner(simulation, duty)).collect();
-    simulation.inject(&Fault::Kill(DEAD));
+    simulation.inject(&Fault::Kill(KILLED_MACHINE));
     let next = simulation.now + 30_000;
     let _ = simulation.run_until(next);
-    let owned_by_dead = before.iter().filter(|owner| **owner == Some(DEAD)).count();
+    let owned_by_dead = before.iter().filter(|owner| **owner == Some(KILLED_MACHINE)).count();
     let migrated = (0..DUTIES).filter(|duty| owner(simulation, *duty) != before[*duty]).count();
     (migrated, owned_by_dead)
 }
 
-fn applied(simulation: &Simulation) -> u64 {
-    let consensus = simulation.leader().and_then(|one| simulation.machines[one].node.as_ref()?.consensus());
+fn applied_index(simulation: &Simulation) -> u64 {
+    let consensus =
+        simulation.leader().and_then(|leader| simulation.machines[leader].node.as_ref()?.consensus());
     consensus.map_or(0, loomflow_fleet::consensus::Consensus::applied_index)
 }
 
 fn last_token(simulation: &Simulation) -> u64 {
-    let record = simulation.leader_state();
-    record.map_or(0, |record| record.duties.last_token())
+    simulation.leader_state().map_or(0, |state| state.duties.last_token())
 }
