--- a/crates/loomflow-server/src/fleet/command/job_process.rs
+++ b/crates/loomflow-fleet-commands/src/job_process.rs
@@ -10,16 +10,16 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
+use loomflow_boot_clock::boot_millis;
 use loomflow_fleet::duty::supervisor::{ProcessSupervisor, StopReason, StopSignal};
 use loomflow_fleet::duty::{DutyName, Token};
-use loomflow_fleet::member::Millis;
 use loomflow_fleet::operator::{OperatorRequest, OperatorResponse, OwnershipConfirmation};
+use loomflow_fleet::time::{WholeMillis, whole_millis};
 use rustix::process::{Pid, Signal, kill_process_group};
 
-use super::client::call;
-use super::error::CommandError;
-use super::{EXIT_NEVER_OWNED, EXIT_OWNERSHIP_LOST};
-use crate::fleet::boot_millis;
+use crate::client::call;
+use crate::error::CommandError;
+use crate::exit_code;
 
 /// How often the process is looked at.
 const PROCESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -44,7 +44,7 @@
 /// A duty that the server owns, and until when by the clock of this machine.
 struct Ownership {
     duty: OwnershipConfirmation,
-    valid_until: Millis,
+    valid_until: WholeMillis,
 }
 
 /// What was answered to one question about ownership; none where it is not there.
@@ -58,11 +58,11 @@
     }
     let Some(ownership) = wait_for_ownership(socket, options, &stop_requested)? else {
         eprintln!("loomflow: {}: this server does not own it", options.duty);
-        return Ok(ExitCode::from(EXIT_NEVER_OWNED));
+        return Ok(ExitCode::from(exit_code::NEVER_OWNED));
     };
     let mut child = start(options, &ownership.duty)?;
     let answers = poll_ownership(socket, &options.duty, ownership.duty.lease_settings.lease_millis);
-    let max_duration = options.max_duration.as_millis() as Millis;
+    let max_duration = whole_millis(options.max_duration);
     let mut supervisor = ProcessSupervisor::new(
         ownership.duty.lease_settings,
         ownership.valid_until,
@@ -74,7 +74,7 @@
     // What the process left behind in its group goes with it.
     send_signal(&child, Signal::KILL);
     let _ = call(socket, &OperatorRequest::WorkEnded(options.duty.clone()));
-    exit_code(&options.duty, token, supervisor.stop_reason(), status)
+    exit_code_of(&options.duty, token, supervisor.stop_reason(), status)
 }
 
 /// Asks whether the server owns a duty now; the lease counts from before it was asked.
@@ -119,7 +119,7 @@
 
 /// Asks for ownership again and again, on a thread of its own: it must not hold up the supervision, as the server may be
 /// stopped in the middle of an answer.
-fn poll_ownership(socket: &Path, duty: &str, lease_millis: Millis) -> Receiver<OwnershipAnswer> {
+fn poll_ownership(socket: &Path, duty: &str, lease_millis: WholeMillis) -> Receiver<OwnershipAnswer> {
     let (sender, receiver) = channel();
     let interval = Duration::from_millis(lease_millis / OWNERSHIP_POLLS_PER_LEASE);
     let (socket, duty) = (socket.to_owned(), duty.to_owned());
@@ -158,7 +158,7 @@
     }
 }
 
-fn apply_answer(supervisor: &mut ProcessSupervisor, token: Token, answer: OwnershipAnswer, now: Millis) {
+fn apply_answer(supervisor: &mut ProcessSupervisor, token: Token, answer: OwnershipAnswer, now: WholeMillis) {
     match answer {
         Ok(Some(ownership)) if ownership.duty.token == token => {
             supervisor.extend_ownership(ownership.valid_until);
@@ -173,7 +173,7 @@
     }
 }
 
-fn exit_code(
+fn exit_code_of(
     duty: &str,
     token: Token,
     stop_reason: Option<StopReason>,
@@ -185,7 +185,7 @@
         _ if status.success() => Ok(ExitCode::SUCCESS),
         Some(StopReason::HandOver | StopReason::LeaseExpiring) => {
             eprintln!("loomflow: {duty}: token {token} was given up; {status}");
-            Ok(ExitCode::from(EXIT_OWNERSHIP_LOST))
+            Ok(ExitCode::from(exit_code::OWNERSHIP_LOST))
         }
         Some(StopReason::TimedOut) => Err(CommandError::TimedOut { duty, status }),
         None => Err(CommandError::ProcessFailed { duty, status }),
--- a/crates/loomflow-fleet-simulation/src/simulation/faults.rs
+++ b/crates/loomflow-fleet-simulation/src/simulation/faults.rs
@@ -1,8 +1,8 @@
 //! Carries out the faults of a scenario, and the requests of operators.
 
 use loomflow_fleet::maintenance::ticket::{TicketId, TicketRequest, Transition, Urgency};
-use loomflow_fleet::maintenance::{Command, Issuer, Request};
-use loomflow_fleet::member::Millis;
+use loomflow_fleet::maintenance::{Issuer, MaintenanceCommand, Request};
+use loomflow_fleet::time::WholeMillis;
 
 use super::{OperatorCall, Simulation};
 use crate::config::{MachineId, server_name};
@@ -11,7 +11,7 @@
 use crate::scenario::Fault;
 
 /// How long maintenance is requested for, ms.
-const REQUESTED_MILLIS: Millis = 60_000;
+const REQUESTED_MILLIS: WholeMillis = 60_000;
 
 impl Simulation {
     /// Carries out one fault, now.
@@ -53,7 +53,7 @@
     }
 
     /// The process stalls between its check and its effect: what it owns now is done when it goes on.
-    fn stop(&mut self, id: MachineId, span: Millis) {
+    fn stop(&mut self, id: MachineId, span: WholeMillis) {
         let local_time = self.local_time(id);
         let node = self.machines[id].node.as_ref();
         let owned = node.map(|node| node.owned_duties(local_time)).unwrap_or_default();
@@ -82,17 +82,17 @@
             duration_millis: REQUESTED_MILLIS,
             window: None,
         });
-        let command = Command::CreateTickets(requests.collect());
+        let command = MaintenanceCommand::CreateTickets(requests.collect());
         self.submit_as_operator(command, machines.to_vec());
     }
 
     fn move_ticket(&mut self, ticket: TicketId, transition: Transition) {
-        let command = Command::Transition { ticket, transition, grant: 0, incarnation: 0 };
+        let command = MaintenanceCommand::Transition { ticket, transition, grant: 0, incarnation: 0 };
         self.submit_as_operator(command, Vec::new());
     }
 
     /// Submits an operator's command about some machines, at the first machine that runs.
-    pub fn submit_as_operator(&mut self, command: Command, machines: Vec<MachineId>) {
+    pub fn submit_as_operator(&mut self, command: MaintenanceCommand, machines: Vec<MachineId>) {
         let is_usable = |id: &MachineId| {
             let machine = &self.machines[*id];
             machine.is_serving() && !machine.is_stopped(self.now)
--- a/crates/loomflow-fleet/src/node/duty_leadership.rs
+++ b/crates/loomflow-fleet/src/node/duty_leadership.rs
@@ -8,14 +8,15 @@
 use super::Node;
 use crate::consensus::Consensus;
 use crate::duty::state::Session;
-use crate::duty::{self, Command as DutyCommand, DutyName, Ownership, ServerInstance, Token, assign};
-use crate::maintenance::{Command, Entry, Issuer, Response};
-use crate::member::{Millis, RequestId, ServerName};
+use crate::duty::{self, DutyCommand, DutyName, Ownership, ServerInstance, Token, assign};
+use crate::maintenance::{Entry, Issuer, MaintenanceCommand, Response};
+use crate::member::{RequestId, ServerName};
 use crate::membership::MAX_MEMBERS;
+use crate::time::WholeMillis;
 use crate::wire::Body;
 
 /// A batch of renewals that was proposed and not committed for so long is lost, ms.
-const RENEWAL_BATCH_TIMEOUT_MILLIS: Millis = 2_000;
+const RENEWAL_BATCH_TIMEOUT_MILLIS: WholeMillis = 2_000;
 
 /// Renewals, each with its request.
 type Batch = Vec<(RequestId, ServerInstance)>;
@@ -24,7 +25,7 @@
 struct PendingBatch {
     id: RequestId,
     renewals: Batch,
-    expires_at: Millis,
+    expires_at: WholeMillis,
 }
 
 /// What an owner was last notified of.
@@ -46,7 +47,7 @@
 
 impl Node {
     /// Takes a server's renewal; it is added to the log with those of others.
-    pub(super) fn queue_renewal(&mut self, id: RequestId, instances: Vec<ServerInstance>, now: Millis) {
+    pub(super) fn queue_renewal(&mut self, id: RequestId, instances: Vec<ServerInstance>, now: WholeMillis) {
         let waiting = &mut self.leadership.sessions.waiting;
         let is_known = waiting.iter().any(|(other, _)| *other == id);
         let has_capacity = waiting.len() < MAX_MEMBERS;
@@ -57,7 +58,7 @@
     }
 
     /// Proposes the next batch, unless one is to be committed.
-    pub(super) fn propose_renewals(&mut self, now: Millis) {
+    pub(super) fn propose_renewals(&mut self, now: WholeMillis) {
         let sessions = &mut self.leadership.sessions;
         if sessions.pending.as_ref().is_some_and(|pending| now >= pending.expires_at) {
             sessions.pending = None;
@@ -68,7 +69,7 @@
         let renewals = std::mem::take(&mut self.leadership.sessions.waiting);
         let id = self.rng.random();
         let instances = renewals.iter().map(|(_, instance)| instance.clone()).collect();
-        let command = Command::Duty(DutyCommand::KeepAlive(instances));
+        let command = MaintenanceCommand::Duty(DutyCommand::KeepAlive(instances));
         let entry = Entry { id, at: self.fleet_time(now), issuer: Issuer::Leader, command };
         let expires_at = now + RENEWAL_BATCH_TIMEOUT_MILLIS;
         self.leadership.sessions.pending = Some(PendingBatch { id, renewals, expires_at });
@@ -79,7 +80,7 @@
     }
 
     /// An entry is applied; true where it was the pending batch, whose servers are then notified of what they own.
-    pub(super) fn renewals_applied(&mut self, id: RequestId, now: Millis) -> bool {
+    pub(super) fn renewals_applied(&mut self, id: RequestId, now: WholeMillis) -> bool {
         let pending = self.leadership.sessions.pending.take_if(|pending| pending.id == id);
         let Some(PendingBatch { renewals, .. }) = pending else { return false };
         for (id, instance) in renewals {
@@ -103,7 +104,7 @@
     }
 
     /// What is to be committed about duties now.
-    pub(super) fn duty_decisions(&self, now: Millis) -> Vec<Command> {
+    pub(super) fn duty_decisions(&self, now: WholeMillis) -> Vec<MaintenanceCommand> {
         let (Some(config), Some(state)) = (&self.config.duties, self.fleet_state()) else {
             return Vec::new();
         };
@@ -115,17 +116,17 @@
             };
             let has_leftovers = state.duties.duties().iter().any(is_leftover);
             if !has_leftovers || state.duties.lease_settings() != config.lease_settings {
-                return vec![Command::Duty(DutyCommand::Declare(config.lease_settings, specs))];
+                return vec![MaintenanceCommand::Duty(DutyCommand::Declare(config.lease_settings, specs))];
             }
         }
         let members = self.member_views(now);
         let is_departing = |name: &str| state.maintenance.is_departing(name);
         let commands = assign::commands(&state.duties, &members, &is_departing);
-        commands.into_iter().map(Command::Duty).collect()
+        commands.into_iter().map(MaintenanceCommand::Duty).collect()
     }
 
     /// Who gets a duty that its owner releases, so that it is not without an owner for a moment.
-    pub(super) fn choose_successor(&self, duty: &str, now: Millis) -> Option<ServerName> {
+    pub(super) fn choose_successor(&self, duty: &str, now: WholeMillis) -> Option<ServerName> {
         let state = self.fleet_state()?;
         let owner = &state.duties.duties().get(duty)?.lease.as_ref()?.owner;
         let is_departing = |name: &str| state.maintenance.is_departing(name);
@@ -134,7 +135,7 @@
     }
 
     /// Notifies owners of what changed about their duties, as soon as it is committed.
-    pub(super) fn notify_owners(&mut self, now: Millis) {
+    pub(super) fn notify_owners(&mut self, now: WholeMillis) {
         if self.config.duties.is_none() || !self.is_leader() {
             return;
         }
--- a/crates/loomflow-fleet/src/node/tests.rs
+++ b/crates/loomflow-fleet/src/node/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::consensus::storage::MemoryStorage;
-use crate::maintenance::ticket::{Rejection, Stage, Ticket, TicketRequest, Urgency};
+use crate::fixtures;
+use crate::maintenance::ticket::{Rejection, Ticket, TicketStage};
 use crate::wire::LENGTH_BYTES;
 
 const FLEET: &str = "f";
@@ -29,31 +30,12 @@
 
 /// The ticket by which the member has begun.
 fn begun_ticket(node: &Node) -> Ticket {
-    Ticket {
-        id: 4,
-        request_id: 1,
-        request: TicketRequest {
-            server: "a".into(),
-            zone: Zone::new(),
-            reason: String::new(),
-            urgency: Urgency::Routine,
-            duration_millis: 60_000,
-            window: None,
-        },
-        requested_by: "ops".into(),
-        stage: Stage::Begun,
-        requested_at: 0,
-        since: 0,
-        grant: 1,
-        incarnation: node.identity().incarnation,
-        returned_incarnation: 0,
-        lapses: 0,
-        deadline: 60_000,
-    }
+    let incarnation = node.identity().incarnation;
+    Ticket { id: 4, incarnation, deadline: 60_000, ..fixtures::ticket(TicketStage::Begun) }
 }
 
 /// Whether the member drains by a notification that it receives at this time.
-fn drains(sent_at: Millis, now: Millis) -> bool {
+fn drains(sent_at: WholeMillis, now: WholeMillis) -> bool {
     let mut node = member();
     let ticket = Some(begun_ticket(&node));
     let notification = Notification { sent_at, leader: Some(VOTER.into()), term: 1, index: 1, ticket };
@@ -70,7 +52,7 @@
 }
 
 /// Requests that the member sends now, and responses that it gives.
-fn requests_and_responses(node: &mut Node, now: Millis) -> (usize, Vec<Response>) {
+fn requests_and_responses(node: &mut Node, now: WholeMillis) -> (usize, Vec<Response>) {
     node.tick(now);
     let (mut requests, mut responses) = (0, Vec::new());
     for effect in node.take_effects() {
--- a/crates/loomflow-fleet/src/operator.rs
+++ b/crates/loomflow-fleet/src/operator.rs
@@ -4,11 +4,14 @@
 
 use crate::duty::{DutyName, LeaseSettings, Token};
 use crate::maintenance::{Request, Response, Status};
-use crate::member::Millis;
+use crate::time::WholeMillis;
 
 /// Maximum length of a line, bytes: a campaign over as many servers as there may be.
 pub const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
 
+/// Ends each line.
+pub const LINE_END: u8 = b'\n';
+
 /// A request of a command line to the server on its machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum OperatorRequest {
@@ -38,7 +41,7 @@
     pub token: Token,
     /// The lease is valid for at least this time from when the request was sent, ms.
     #[serde(rename = "left")]
-    pub remaining_millis: Millis,
+    pub remaining_millis: WholeMillis,
     /// The owner is to release it.
     #[serde(rename = "recalled")]
     pub is_recalled: bool,
@@ -68,3 +71,13 @@
     #[serde(rename = "Fault")]
     Error(String),
 }
+
+/// Writes a request or a response as its line, with the line's end.
+///
+/// # Errors
+/// The value cannot be written as JSON.
+pub fn encode_line(value: &impl Serialize) -> Result<Vec<u8>, serde_json::Error> {
+    let mut line = serde_json::to_vec(value)?;
+    line.push(LINE_END);
+    Ok(line)
+}
--- a/crates/loomflow-server/src/fleet/operator_socket.rs
+++ b/crates/loomflow-server/src/fleet/operator_socket.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 use loomflow_fleet::member::RequestId;
-use loomflow_fleet::operator::{MAX_LINE_BYTES, OperatorRequest, OperatorResponse};
+use loomflow_fleet::operator::{LINE_END, MAX_LINE_BYTES, OperatorRequest, OperatorResponse, encode_line};
 use mio::net::{UnixListener, UnixStream};
 use mio::{Interest, Registry, Token};
 
@@ -28,7 +28,7 @@
     Unreadable(#[from] serde_json::Error),
 }
 
-struct Connection {
+struct OperatorConnection {
     stream: UnixStream,
     line: Vec<u8>,
     /// What is still to be written; the connection ends after it.
@@ -41,7 +41,7 @@
     listener: UnixListener,
     path: PathBuf,
     next_token: usize,
-    connections: BTreeMap<Token, Connection>,
+    connections: BTreeMap<Token, OperatorConnection>,
 }
 
 impl OperatorSocket {
@@ -81,7 +81,8 @@
             let token = Token(self.next_token * 2 + 1);
             if registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE).is_ok() {
                 let (line, response, awaited_request) = (Vec::new(), None, None);
-                self.connections.insert(token, Connection { stream, line, response, awaited_request });
+                self.connections
+                    .insert(token, OperatorConnection { stream, line, response, awaited_request });
             }
         }
     }
@@ -101,7 +102,7 @@
             self.write(token);
             return None;
         }
-        let end = connection.line.iter().position(|byte| *byte == b'\n')?;
+        let end = connection.line.iter().position(|byte| *byte == LINE_END)?;
         let line: Vec<u8> = connection.line.drain(..=end).collect();
         Some(serde_json::from_slice(&line).map_err(RequestError::Unreadable))
     }
@@ -125,9 +126,9 @@
     /// Responds to a connection.
     pub fn respond(&mut self, token: Token, response: &OperatorResponse) {
         if let Some(connection) = self.connections.get_mut(&token) {
-            let mut bytes = serde_json::to_vec(response).unwrap_or_default();
-            bytes.push(b'\n');
-            connection.response = Some(bytes);
+            // An empty line is no response that a client knows: it reports an error.
+            let line = encode_line(response).unwrap_or_else(|_| vec![LINE_END]);
+            connection.response = Some(line);
             self.write(token);
         }
     }
@@ -141,7 +142,7 @@
     }
 }
 
-impl Connection {
+impl OperatorConnection {
     /// Reads what is there. Returns whether the operator has closed the connection.
     fn read(&mut self) -> Result<bool, RequestError> {
         let mut bytes = [0; 4096];
