--- a/crates/loomflow-adapter/src/wire.rs
+++ b/crates/loomflow-adapter/src/wire.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use loomflow::controller::Controller;
-use loomflow::interface::{Action, Arrival, Event, Gauges, Outcome, RequestId};
+use loomflow::interface::{Action, Arrival, Event, Gauges, Outcome, RequestAttributes, RequestId};
 use loomflow::time::Millis;
 use loomflow_settings::{FieldError, JsonObject, Site};
 use serde_json::{Value, json};
@@ -185,16 +185,18 @@
         let tenant = item.integer_or("Account", 0)? as usize;
         Ok(Arrival {
             id: request(item, "Ref")?,
-            class,
-            tenant,
-            remaining_wait: item.number("Remaining")?,
-            estimated_work: Some(item.number("WeightHint")?).filter(|work| *work > 0.0),
-            memory_kb: item.number("Kb")?,
-            rank: item.number("Prio")?,
-            is_retry: item.boolean("Resent")?,
-            caller: item.integer_or("From", 0)?,
-            age: item.number("Age")?,
-            upstream_time: 0.0,
+            attributes: RequestAttributes {
+                class,
+                tenant,
+                remaining_wait: item.number("Remaining")?,
+                estimated_work: Some(item.number("WeightHint")?).filter(|work| *work > 0.0),
+                memory_kb: item.number("Kb")?,
+                rank: item.number("Prio")?,
+                is_retry: item.boolean("Resent")?,
+                caller: item.integer_or("From", 0)?,
+                age: item.number("Age")?,
+                upstream_time: 0.0,
+            },
             original: original(item)?,
         })
     }
--- a/crates/loomflow-amqp/tests/overload.rs
+++ b/crates/loomflow-amqp/tests/overload.rs
@@ -6,7 +6,7 @@
 
 use common::*;
 use loomflow::controller::Controller;
-use loomflow::interface::{Action, Arrival, Event, Gauges, Outcome, RequestId};
+use loomflow::interface::{Action, Arrival, Event, Gauges, Outcome, RequestAttributes, RequestId};
 use loomflow_amqp::idempotency::NoHistory;
 use loomflow_amqp::*;
 use loomflow_settings::{JsonObject, Site};
@@ -125,16 +125,18 @@
             self.last += 1;
             events.push(Event::RequestArrived(Arrival {
                 id: self.last,
-                class: 2,
-                tenant: 0,
-                remaining_wait: CALLER_TIMEOUT_MS - message.upstream_time,
-                estimated_work: Some(WORK_MS),
-                memory_kb: 1.0,
-                rank: 0.5,
-                is_retry: false,
-                caller: 0,
-                age: 0.0,
-                upstream_time: message.upstream_time,
+                attributes: RequestAttributes {
+                    class: 2,
+                    tenant: 0,
+                    remaining_wait: CALLER_TIMEOUT_MS - message.upstream_time,
+                    estimated_work: Some(WORK_MS),
+                    memory_kb: 1.0,
+                    rank: 0.5,
+                    is_retry: false,
+                    caller: 0,
+                    age: 0.0,
+                    upstream_time: message.upstream_time,
+                },
                 original: None,
             }));
             self.submitted.insert(self.last, message);
--- a/crates/loomflow-overload-simulation/src/quota.rs
+++ b/crates/loomflow-overload-simulation/src/quota.rs
@@ -6,7 +6,9 @@
 
 use fastrand::Rng;
 use loomflow::controller::Controller;
-use loomflow::interface::{Action, Arrival, Class, Event, Outcome, RequestId, Settings, Tenant};
+use loomflow::interface::{
+    Action, Arrival, Class, Event, Outcome, RequestAttributes, RequestId, Settings, Tenant,
+};
 
 use crate::settings::module_settings;
 use crate::setup::Setup;
@@ -105,16 +107,18 @@
         self.requests += 1;
         let arrival = Arrival {
             id: self.requests,
-            class,
-            tenant,
-            remaining_wait: NEVER_MS,
-            estimated_work: None,
-            memory_kb: 1.0,
-            rank: 0.5,
-            is_retry: false,
-            caller: 0,
-            age: 0.0,
-            upstream_time: 0.0,
+            attributes: RequestAttributes {
+                class,
+                tenant,
+                remaining_wait: NEVER_MS,
+                estimated_work: None,
+                memory_kb: 1.0,
+                rank: 0.5,
+                is_retry: false,
+                caller: 0,
+                age: 0.0,
+                upstream_time: 0.0,
+            },
             original: None,
         };
         self.controller.event(now, Event::RequestArrived(arrival), &mut Vec::new());
--- a/crates/loomflow-overload-simulation/src/server.rs
+++ b/crates/loomflow-overload-simulation/src/server.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use loomflow::controller::Controller;
-use loomflow::interface::{Action, Arrival, Event, Gauges, Load, Outcome, Settings};
+use loomflow::interface::{Action, Arrival, Event, Gauges, Load, Outcome, RequestAttributes, Settings};
 
 use crate::clock::{MILLISECOND, Micros, SECOND, from_millis, to_millis};
 use crate::cores::{AttemptId, Cores, Job};
@@ -395,16 +395,18 @@
 fn arrival(incoming: &IncomingRequest, age: f64) -> Arrival {
     Arrival {
         id: incoming.attempt,
-        class: 0,
-        tenant: 0,
-        remaining_wait: 0.0,
-        estimated_work: Some(incoming.estimated_work),
-        memory_kb: REQUEST_KB,
-        rank: 0.5,
-        is_retry: incoming.is_retry,
-        caller: incoming.caller as u64,
-        age,
-        upstream_time: 0.0,
+        attributes: RequestAttributes {
+            class: 0,
+            tenant: 0,
+            remaining_wait: 0.0,
+            estimated_work: Some(incoming.estimated_work),
+            memory_kb: REQUEST_KB,
+            rank: 0.5,
+            is_retry: incoming.is_retry,
+            caller: incoming.caller as u64,
+            age,
+            upstream_time: 0.0,
+        },
         original: None,
     }
 }
--- a/crates/loomflow-server/src/front/amqp/mod.rs
+++ b/crates/loomflow-server/src/front/amqp/mod.rs
@@ -6,6 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use loomflow::interface::RequestAttributes;
 use loomflow::time::Millis;
 use loomflow_amqp::consumer::Counts;
 use loomflow_amqp::frames::{Frames, RawFrames};
@@ -165,21 +166,24 @@
         let attempt_id = AttemptId(self.attempt_ids.u64(..));
         let queue = self.consumer.queue(message.queue);
         let (class, tenant) = (message.classification.class, message.classification.tenant);
-        Submission {
-            reply_handle: ReplyHandle::Delivery(message.id),
-            attempt_id,
+        let attributes = RequestAttributes {
             class,
             tenant,
-            key: message.key.map(|text| IdempotencyKey { class, tenant, text }),
             // Without a time of sending its time begins here: how long it was queued is not known.
             remaining_wait: self.site.settings.classes[class].timeout - message.upstream_time,
-            age: 0.0,
-            upstream_time: message.upstream_time,
             estimated_work: queue.estimated_work,
             memory_kb: queue.memory_kb,
             rank: queue.rank,
             is_retry: message.redelivered,
             caller: u64::MAX - message.queue as u64,
+            age: 0.0,
+            upstream_time: message.upstream_time,
+        };
+        Submission {
+            reply_handle: ReplyHandle::Delivery(message.id),
+            attempt_id,
+            key: message.key.map(|text| IdempotencyKey { class, tenant, text }),
+            attributes,
             body: message.body,
         }
     }
--- a/crates/loomflow-server/src/front/interface.rs
+++ b/crates/loomflow-server/src/front/interface.rs
@@ -1,6 +1,7 @@
 //! What passes between a front and the owner: requests one way, responses the other. The owner has a reply handle for
 //! each request and returns it with the response; what the handle means is known to the front alone.
 
+use loomflow::interface::RequestAttributes;
 use loomflow::time::Millis;
 use loomflow_protocol::AttemptId;
 
@@ -41,28 +42,10 @@
     pub reply_handle: ReplyHandle,
     /// Names the attempt towards engine and ledger; no other request has the same at the same time.
     pub attempt_id: AttemptId,
-    /// Index of the class in the settings.
-    pub class: usize,
-    /// Index of the tenant in the settings.
-    pub tenant: usize,
     /// Its idempotency key, where it has one.
     pub key: Option<IdempotencyKey>,
-    /// How long its caller will wait; 0 where that is not known.
-    pub remaining_wait: Millis,
-    /// Expected work on one core.
-    pub estimated_work: Option<Millis>,
-    /// Memory that it takes while it is queued.
-    pub memory_kb: f64,
-    /// Its place by priority among all requests, 0 to under 1.
-    pub rank: f64,
-    /// A marked retry, or a hedged request.
-    pub is_retry: bool,
-    /// Who sent it.
-    pub caller: u64,
-    /// Time since it reached the machine.
-    pub age: Millis,
-    /// Time from its caller sending it until it reached the machine; 0 where that is not known.
-    pub upstream_time: Millis,
+    /// What the controller judges it by.
+    pub attributes: RequestAttributes,
     /// The body, for the engine.
     pub body: Vec<u8>,
 }
--- a/crates/loomflow-server/src/front/resp/classify.rs
+++ b/crates/loomflow-server/src/front/resp/classify.rs
@@ -1,6 +1,6 @@
 //! From a gateway's request to a submission: names become indices into the settings, timestamps become ages.
 
-use loomflow::interface::Idempotency;
+use loomflow::interface::{Idempotency, RequestAttributes};
 use loomflow::time::Millis;
 use loomflow_protocol::gateway::Call;
 use loomflow_settings::Site;
@@ -61,22 +61,29 @@
     classification: Classification,
     now: Now,
 ) -> Submission {
-    let Classification { class, tenant } = classification;
+    let idempotency = site.settings.classes[classification.class].idempotency;
     Submission {
         reply_handle,
         attempt_id: call.id,
+        key: idempotency_key(&call, classification, idempotency),
+        attributes: attributes(&call, classification, now),
+        body: call.body,
+    }
+}
+
+fn attributes(call: &Call, classification: Classification, now: Now) -> RequestAttributes {
+    let Classification { class, tenant } = classification;
+    RequestAttributes {
         class,
         tenant,
         remaining_wait: call.remaining_wait.unwrap_or(0.0),
-        upstream_time: 0.0,
         estimated_work: call.estimated_work,
         memory_kb: call.memory_kb,
         rank: call.rank,
         is_retry: call.is_retry,
         caller: call.gateway,
         age: now.age(call.arrived_at),
-        key: idempotency_key(&call, classification, site.settings.classes[class].idempotency),
-        body: call.body,
+        upstream_time: 0.0,
     }
 }
 
@@ -84,9 +91,9 @@
 fn idempotency_key(
     call: &Call,
     classification: Classification,
-    effect: Idempotency,
+    idempotency: Idempotency,
 ) -> Option<IdempotencyKey> {
-    let text = match effect {
+    let text = match idempotency {
         Idempotency::ByKey => call.key.clone(),
         Idempotency::Always => call.subject.clone(),
         Idempotency::Never => None,
--- a/crates/loomflow-server/src/owner/controller_host/tests.rs
+++ b/crates/loomflow-server/src/owner/controller_host/tests.rs
@@ -1,4 +1,4 @@
-use loomflow::interface::{Arrival, Class, Idempotency, RequestId};
+use loomflow::interface::{Arrival, Class, Idempotency, RequestAttributes, RequestId};
 
 use super::*;
 
@@ -31,10 +31,9 @@
     }
 }
 
-fn arrival(id: RequestId) -> Event {
-    Event::RequestArrived(Arrival {
-        id,
-        class: 0,
+fn arrival_of_class(id: RequestId, class: usize) -> Event {
+    let attributes = RequestAttributes {
+        class,
         tenant: 0,
         remaining_wait: 0.0,
         estimated_work: None,
@@ -44,14 +43,17 @@
         caller: 0,
         age: 0.0,
         upstream_time: 0.0,
-        original: None,
-    })
+    };
+    Event::RequestArrived(Arrival { id, attributes, original: None })
+}
+
+fn arrival(id: RequestId) -> Event {
+    arrival_of_class(id, 0)
 }
 
 /// An arrival that the controller answers at once: there is no such class.
 fn unknown_class(id: RequestId) -> Event {
-    let Event::RequestArrived(arrival) = arrival(id) else { unreachable!("it is an arrival") };
-    Event::RequestArrived(Arrival { class: 1, ..arrival })
+    arrival_of_class(id, 1)
 }
 
 /// A host whose controller has made its first decision.
--- a/crates/loomflow-server/src/owner/requests.rs
+++ b/crates/loomflow-server/src/owner/requests.rs
@@ -60,8 +60,9 @@
             Ok(admission) => admission,
             Err(rejection) => return self.reject(submission.reply_handle, rejection),
         };
-        self.controller.queue(Event::RequestArrived(arrival(id, original, &submission)));
-        let Submission { reply_handle, attempt_id, class, body, .. } = submission;
+        let Submission { reply_handle, attempt_id, attributes, body, .. } = submission;
+        self.controller.queue(Event::RequestArrived(Arrival { id, attributes, original }));
+        let class = attributes.class;
         let idempotency = self.site.settings.classes[class].idempotency;
         let entry = RequestEntry::queued(reply_handle, attempt_id, class, idempotency, original, body);
         self.requests.insert(id, entry);
@@ -75,12 +76,12 @@
         }
         let id = self.requests.next_id();
         let Some(key) = submission.key.clone() else { return Ok(Admission { id, original: None }) };
-        let class = &self.site.settings.classes[submission.class];
+        let class = &self.site.settings.classes[submission.attributes.class];
         let request = KeyedRequest {
             key,
             is_idempotent: class.idempotency == Idempotency::Always,
             body: &submission.body,
-            arrived_at: self.now.ms - submission.age,
+            arrived_at: self.now.ms - submission.attributes.age,
             max_read_delay: class.timeout,
         };
         let registration = self.idempotency.register(id, request, self.now.ms);
@@ -165,21 +166,3 @@
         self.controller.queue(Event::RunEnded { id, outcome, duration: 0.0 });
     }
 }
-
-/// A submission as the controller gets it.
-fn arrival(id: RequestId, original: Option<RequestId>, submission: &Submission) -> Arrival {
-    Arrival {
-        id,
-        class: submission.class,
-        tenant: submission.tenant,
-        remaining_wait: submission.remaining_wait,
-        estimated_work: submission.estimated_work,
-        memory_kb: submission.memory_kb,
-        rank: submission.rank,
-        is_retry: submission.is_retry,
-        caller: submission.caller,
-        age: submission.age,
-        upstream_time: submission.upstream_time,
-        original,
-    }
-}
--- a/src/controller/arrivals.rs
+++ b/src/controller/arrivals.rs
@@ -8,24 +8,23 @@
 use super::key_retention::KeyRetention;
 use super::queue::{QueueKey, weight_per_work};
 use super::request::{Request, Stage};
-use crate::interface::{Action, Arrival, Class, Idempotency, RequestId};
+use crate::interface::{Action, Arrival, Class, Idempotency, RequestAttributes, RequestId};
 use crate::time::micros;
 
 impl Controller {
     /// Judges an arrival: out of time, duplicate, shutdown, memory; else it is queued.
     pub(super) fn request_arrived(&mut self, arrival: &Arrival, out: &mut Vec<Action>) {
-        let id = arrival.id;
-        let Some(class) = self.settings.classes.get(arrival.class).cloned() else {
+        let Arrival { id, ref attributes, original } = *arrival;
+        let Some(class) = self.settings.classes.get(attributes.class).cloned() else {
             out.push(Action::Fail(id));
             return;
         };
-        self.memory.record_size(arrival.memory_kb);
-        self.share.record_read_delay(arrival.age);
-        self.idle_timeout.record_arrival(arrival.caller, self.now);
-        let request = self.new_request(arrival, &class);
+        self.memory.record_size(attributes.memory_kb);
+        self.share.record_read_delay(attributes.age);
+        self.idle_timeout.record_arrival(attributes.caller, self.now);
+        let request = self.new_request(id, attributes, &class);
         // Rule 2 (no effect twice): a duplicate of what may have run is never run itself.
-        let is_duplicate =
-            arrival.original.is_some() && KeyRetention::new(&self.settings).shares_result(&class);
+        let is_duplicate = original.is_some() && KeyRetention::new(&self.settings).shares_result(&class);
         if request.deadline - self.now <= self.deadlines.margin() {
             let response = if is_duplicate { Action::Fail(id) } else { self.rejection(id, false) };
             out.push(response);
@@ -45,24 +44,24 @@
         }
     }
 
-    fn new_request(&mut self, arrival: &Arrival, class: &Class) -> Request {
-        let arrived_at = self.now - arrival.age;
+    fn new_request(&mut self, id: RequestId, attributes: &RequestAttributes, class: &Class) -> Request {
+        let arrived_at = self.now - attributes.age;
         let has_caller_deadlines = self.settings.has_caller_deadlines;
-        let deadline = deadlines::caller_deadline(arrival, class, self.now, has_caller_deadlines);
+        let deadline = deadlines::caller_deadline(attributes, class, self.now, has_caller_deadlines);
         let deadline = deadline.min(self.shutdown.respond_by()).max(self.now);
-        let estimated_work = arrival.estimated_work.unwrap_or(0.0);
-        let objective = self.objective.time_for(arrival, class, estimated_work);
+        let estimated_work = attributes.estimated_work.unwrap_or(0.0);
+        let objective = self.objective.time_for(attributes, class, estimated_work);
         Request {
-            class: arrival.class,
-            memory_kb: arrival.memory_kb,
+            class: attributes.class,
+            memory_kb: attributes.memory_kb,
             arrived_at,
             deadline,
             objective_at: (arrived_at + objective).min(deadline),
-            is_over_quota: self.quotas.is_exceeded(arrival.tenant, &self.settings, self.now),
-            is_retry: arrival.is_retry,
-            expected_run: self.run_estimates.expected_run(arrival.class, arrival.estimated_work),
+            is_over_quota: self.quotas.is_exceeded(attributes.tenant, &self.settings, self.now),
+            is_retry: attributes.is_retry,
+            expected_run: self.run_estimates.expected_run(attributes.class, attributes.estimated_work),
             estimated_work,
-            queue_key: QueueKey::unqueued(arrival.id),
+            queue_key: QueueKey::unqueued(id),
             ..Request::default()
         }
     }
@@ -84,7 +83,7 @@
 
     fn retain_key(&mut self, arrival: &Arrival, request: &Request, class: &Class, out: &mut Vec<Action>) {
         let time_left = request.deadline - self.now;
-        let ttl = KeyRetention::new(&self.settings).ttl(class, arrival.age, time_left);
+        let ttl = KeyRetention::new(&self.settings).ttl(class, arrival.attributes.age, time_left);
         if let Some(ttl) = ttl {
             self.retained_keys.add(arrival.id, micros(self.now + ttl));
             out.push(Action::RetainKey { id: arrival.id, ttl });
--- a/src/controller/deadlines.rs
+++ b/src/controller/deadlines.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 
 use super::TICK_MS;
-use crate::interface::{Arrival, Class, RequestId};
+use crate::interface::{Class, RequestAttributes, RequestId};
 use crate::time::{Micros, Millis, micros};
 
 /// Batches of delay that the margin of a response covers.
@@ -53,18 +53,18 @@
     }
 }
 
-/// When the caller of an arrival stops waiting: as it states, or after the timeout of its class.
+/// When the caller of a request stops waiting: as it states, or after the timeout of its class.
 pub(super) fn caller_deadline(
-    arrival: &Arrival,
+    request: &RequestAttributes,
     class: &Class,
     now: Millis,
     has_caller_deadlines: bool,
 ) -> Millis {
     if has_caller_deadlines {
-        return now + arrival.remaining_wait;
+        return now + request.remaining_wait;
     }
-    let arrived_at = now - arrival.age;
-    arrived_at + class.timeout - arrival.upstream_time
+    let arrived_at = now - request.age;
+    arrived_at + class.timeout - request.upstream_time
 }
 
 /// When a queued request is checked next. Its expected time may have fallen since the last check, so that
--- a/src/controller/deadlines/tests.rs
+++ b/src/controller/deadlines/tests.rs
@@ -1,5 +1,5 @@
 use super::{Deadlines, caller_deadline, next_queue_check};
-use crate::interface::{Arrival, Class, Idempotency};
+use crate::interface::{Class, Idempotency, RequestAttributes};
 
 #[test]
 fn checks_are_due_in_their_order_and_a_margin_before_the_deadline() {
@@ -33,8 +33,7 @@
         makes_calls: false,
         degraded_weight: 0.0,
     };
-    let arrival = Arrival {
-        id: 1,
+    let request = RequestAttributes {
         class: 0,
         tenant: 0,
         remaining_wait: 300.0,
@@ -45,8 +44,7 @@
         caller: 0,
         age: 100.0,
         upstream_time: 50.0,
-        original: None,
     };
-    assert_eq!(caller_deadline(&arrival, &class, 1000.0, true), 1300.0);
-    assert_eq!(caller_deadline(&arrival, &class, 1000.0, false), 2850.0);
+    assert_eq!(caller_deadline(&request, &class, 1000.0, true), 1300.0);
+    assert_eq!(caller_deadline(&request, &class, 1000.0, false), 2850.0);
 }
--- a/src/controller/objective.rs
+++ b/src/controller/objective.rs
@@ -7,7 +7,7 @@
 
 use super::{MIN_SAMPLES, SMOOTHING_WEIGHT};
 use crate::estimate::Mean;
-use crate::interface::{Arrival, Class, Settings};
+use crate::interface::{Class, RequestAttributes, Settings};
 use crate::time::Millis;
 
 /// Part of a latency objective that each tier leaves to the one downstream.
@@ -50,20 +50,25 @@
     }
 
     /// The time from its arrival within which a response earns the full weight.
-    pub(super) fn time_for(&self, arrival: &Arrival, class: &Class, estimated_work: Millis) -> Millis {
+    pub(super) fn time_for(
+        &self,
+        request: &RequestAttributes,
+        class: &Class,
+        estimated_work: Millis,
+    ) -> Millis {
         let objective = class.latency_objective + class.objective_per_work * estimated_work;
-        objective * self.used_part() - self.time_spent(arrival)
+        objective * self.used_part() - self.time_spent(request)
     }
 
     fn used_part(&self) -> f64 {
         if self.cancelled_part.samples < MIN_SAMPLES { 1.0 } else { self.cancelled_part.value }
     }
 
-    fn time_spent(&self, arrival: &Arrival) -> Millis {
-        if arrival.is_retry {
-            self.rejected_age.value.max(arrival.upstream_time)
+    fn time_spent(&self, request: &RequestAttributes) -> Millis {
+        if request.is_retry {
+            self.rejected_age.value.max(request.upstream_time)
         } else {
-            arrival.upstream_time
+            request.upstream_time
         }
     }
 }
--- a/src/controller/objective/tests.rs
+++ b/src/controller/objective/tests.rs
@@ -1,5 +1,5 @@
 use super::{EffectiveObjective, scale_to_tier};
-use crate::interface::{Arrival, Class, Idempotency, Settings};
+use crate::interface::{Class, Idempotency, RequestAttributes, Settings};
 
 fn class(latency_objective: f64) -> Class {
     Class {
@@ -15,9 +15,8 @@
     }
 }
 
-fn arrival(is_retry: bool) -> Arrival {
-    Arrival {
-        id: 1,
+fn request(is_retry: bool) -> RequestAttributes {
+    RequestAttributes {
         class: 0,
         tenant: 0,
         remaining_wait: 0.0,
@@ -28,7 +27,6 @@
         caller: 0,
         age: 0.0,
         upstream_time: 100.0,
-        original: None,
     }
 }
 
@@ -47,10 +45,10 @@
 #[test]
 fn the_time_that_was_used_upstream_or_by_a_rejected_attempt_is_spent() {
     let mut objective = EffectiveObjective::default();
-    assert_eq!(objective.time_for(&arrival(false), &class(1000.0), 50.0), 1000.0);
+    assert_eq!(objective.time_for(&request(false), &class(1000.0), 50.0), 1000.0);
     objective.record_rejection(400.0);
-    assert_eq!(objective.time_for(&arrival(false), &class(1000.0), 50.0), 1000.0);
-    assert_eq!(objective.time_for(&arrival(true), &class(1000.0), 50.0), 700.0);
+    assert_eq!(objective.time_for(&request(false), &class(1000.0), 50.0), 1000.0);
+    assert_eq!(objective.time_for(&request(true), &class(1000.0), 50.0), 700.0);
 }
 
 #[test]
@@ -62,7 +60,7 @@
     for _ in 0..5 {
         objective.record_cancellation(750.0, 1000.0, 5.0);
     }
-    assert_eq!(objective.time_for(&arrival(false), &class(1000.0), 0.0), 900.0);
+    assert_eq!(objective.time_for(&request(false), &class(1000.0), 0.0), 900.0);
     objective.record_cancellation(750.0, 1000.0, 5.0);
-    assert_eq!(objective.time_for(&arrival(false), &class(1000.0), 0.0), 650.0);
+    assert_eq!(objective.time_for(&request(false), &class(1000.0), 0.0), 650.0);
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -12,16 +12,15 @@
 /// Names one request while it is known to the controller or its key is retained.
 pub type RequestId = u32;
 
-/// A request as it was read.
-#[derive(Clone, Debug)]
-pub struct Arrival {
-    /// Its name from now on.
-    pub id: RequestId,
+/// What a request is judged by, as it was read.
+#[derive(Clone, Copy, Debug)]
+pub struct RequestAttributes {
     /// Index of its class.
     pub class: usize,
     /// Index of its tenant.
     pub tenant: usize,
-    /// How long its caller will wait, where callers state that (`Settings::has_caller_deadlines`).
+    /// How long its caller will wait; 0 where that is not known. Counts only where callers state it
+    /// (`Settings::has_caller_deadlines`).
     pub remaining_wait: Millis,
     /// Estimated work on one core, where there is an estimate.
     pub estimated_work: Option<Millis>,
@@ -38,6 +37,15 @@
     /// How long its caller had waited before it reached the machine, where that is known; else 0. It
     /// counts against the latency objective and the timeout, and not as this server's delay.
     pub upstream_time: Millis,
+}
+
+/// A request that has arrived.
+#[derive(Clone, Debug)]
+pub struct Arrival {
+    /// Its name from now on.
+    pub id: RequestId,
+    /// What it is judged by.
+    pub attributes: RequestAttributes,
     /// The retained request that it repeats.
     pub original: Option<RequestId>,
 }
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -188,7 +188,7 @@
         let attempt = Attempt { caller, tries, left: work, call_at, stage: Stage::Held, begun: now };
         self.attempts.insert(id, attempt);
         let mut arrival = arrival(id, SAFE);
-        (arrival.estimated_work, arrival.caller) = (Some(work), caller as u64);
+        (arrival.attributes.estimated_work, arrival.attributes.caller) = (Some(work), caller as u64);
         self.events.push(Event::RequestArrived(arrival));
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -67,16 +67,18 @@
 pub fn arrival(id: RequestId, class: usize) -> Arrival {
     Arrival {
         id,
-        class,
-        tenant: 0,
-        remaining_wait: 0.0,
-        estimated_work: None,
-        memory_kb: 10.0,
-        rank: 0.5,
-        is_retry: false,
-        caller: 0,
-        age: 0.0,
-        upstream_time: 0.0,
+        attributes: RequestAttributes {
+            class,
+            tenant: 0,
+            remaining_wait: 0.0,
+            estimated_work: None,
+            memory_kb: 10.0,
+            rank: 0.5,
+            is_retry: false,
+            caller: 0,
+            age: 0.0,
+            upstream_time: 0.0,
+        },
         original: None,
     }
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -8,7 +8,7 @@
 fn load(driver: &mut Driver, from: RequestId, count: u32, unread: f64) {
     for id in from..from + count {
         let mut a = arrival(id, SAFE);
-        a.age = unread;
+        a.attributes.age = unread;
         driver.one(Event::RequestArrived(a));
         driver.pass(50.0);
         driver.finish(id, 50.0);
@@ -60,7 +60,7 @@
     // A slow server: what is read has waited long, and next to nothing finishes.
     for id in 1..=4 {
         let mut a = arrival(id, UNSAFE);
-        a.age = 1500.0;
+        a.attributes.age = 1500.0;
         d.one(Event::RequestArrived(a));
         d.pass(400.0);
     }
@@ -125,8 +125,11 @@
 #[test]
 fn upstream_time_counts_against_objective_and_timeout_but_not_as_delay() {
     let mut d = Driver::new(settings());
-    let spent =
-        |id, class, spent| Event::RequestArrived(Arrival { upstream_time: spent, ..arrival(id, class) });
+    let spent = |id, class, spent| {
+        let mut a = arrival(id, class);
+        a.attributes.upstream_time = spent;
+        Event::RequestArrived(a)
+    };
     // Four run, one with 6,500 ms left of its 8,000; what is held has 100 ms left of its aim of 2,000.
     let mut first: Vec<Event> = (1..=3).map(|id| Event::RequestArrived(arrival(id, UNSAFE))).collect();
     first.push(spent(4, UNSAFE, 1_500.0));
@@ -348,7 +351,7 @@
         let [running, watched, other] = [3 * step + 1, 3 * step + 2, 3 * step + 3];
         for (id, class, tenant) in [(running, SAFE, 1), (watched, SAFE, 0), (other, UNSAFE, 1)] {
             let mut a = arrival(id, class);
-            a.tenant = tenant;
+            a.attributes.tenant = tenant;
             d.one(Event::RequestArrived(a));
         }
         let next = runs(&d.finish(running, 1.0));
@@ -379,7 +382,7 @@
     assert!((0.5..0.8).contains(&before), "told {before}");
     for id in 1001..=1008 {
         let mut a = arrival(id, SAFE);
-        a.age = 400.0;
+        a.attributes.age = 400.0;
         d.one(Event::RequestArrived(a));
     }
     d.pass(5000.0);
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -80,15 +80,18 @@
     }
 
     fn read(&mut self, a: &Arrival) {
-        let class = &self.set.classes[a.class];
-        let reached = self.now - a.age;
-        let due =
-            if self.set.has_caller_deadlines { self.now + a.remaining_wait } else { reached + class.timeout };
+        let class = &self.set.classes[a.attributes.class];
+        let reached = self.now - a.attributes.age;
+        let due = if self.set.has_caller_deadlines {
+            self.now + a.attributes.remaining_wait
+        } else {
+            reached + class.timeout
+        };
         let seen = Seen {
-            class: a.class,
+            class: a.attributes.class,
             reached,
             due: due.max(self.now),
-            kb: a.memory_kb,
+            kb: a.attributes.memory_kb,
             at: At::Held,
             answered: false,
             ran: false,
@@ -350,10 +353,10 @@
         let id = self.next;
         self.next += 1;
         let mut a = arrival(id, by as usize % 3);
-        a.memory_kb = f64::from(5 + by % 40);
-        a.age = f64::from(by % 7) * 30.0;
-        a.remaining_wait = f64::from(100 + by % 6000);
-        a.estimated_work = if by.is_multiple_of(2) { Some(f64::from(1 + by % 500)) } else { None };
+        a.attributes.memory_kb = f64::from(5 + by % 40);
+        a.attributes.age = f64::from(by % 7) * 30.0;
+        a.attributes.remaining_wait = f64::from(100 + by % 6000);
+        a.attributes.estimated_work = if by.is_multiple_of(2) { Some(f64::from(1 + by % 500)) } else { None };
         Event::RequestArrived(a)
     }
 
@@ -366,7 +369,7 @@
             return None;
         }
         let Event::RequestArrived(mut a) = self.arrival(by) else { return None };
-        (a.class, a.original, a.age) = (KEYED, Some(of), 0.0);
+        (a.attributes.class, a.original, a.attributes.age) = (KEYED, Some(of), 0.0);
         Some(Event::RequestArrived(a))
     }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -26,7 +26,7 @@
     s.has_caller_deadlines = true;
     let mut d = Driver::new(s);
     let mut a = arrival(1, UNSAFE);
-    a.remaining_wait = 700.0;
+    a.attributes.remaining_wait = 700.0;
     d.one(Event::RequestArrived(a));
     assert!(answered(&d.pass(700.0), 1));
 }
@@ -37,7 +37,7 @@
     s.classes[UNSAFE].latency_objective = 8000.0;
     let mut d = Driver::new(s);
     let mut a = arrival(1, UNSAFE);
-    a.age = 7000.0;
+    a.attributes.age = 7000.0;
     assert_eq!(runs(&d.one(Event::RequestArrived(a))), [1]);
     assert!(answered(&d.pass(1000.0), 1));
 }
@@ -46,7 +46,7 @@
 fn a_request_that_is_hopeless_on_arrival_is_answered_immediately() {
     let mut d = Driver::new(settings());
     let mut a = arrival(1, SAFE);
-    a.age = 7990.0;
+    a.attributes.age = 7990.0;
     assert!(refused(&d.one(Event::RequestArrived(a)), 1));
 }
 
@@ -79,7 +79,7 @@
 fn a_key_is_retained_before_the_run_until_the_end_of_its_window() {
     let mut d = Driver::new(settings());
     let mut a = arrival(1, KEYED);
-    a.age = 300.0;
+    a.attributes.age = 300.0;
     let actions = d.one(Event::RequestArrived(a));
     let remember =
         actions.iter().position(|a| matches!(a, Action::RetainKey { id: 1, .. })).expect("remembered");
@@ -107,7 +107,7 @@
     assert!(runs(&actions).is_empty());
     // One read too late for anything is failed, not refused: what it repeats has run.
     let mut late = arrival(5, KEYED);
-    (late.original, late.age) = (Some(1), 7990.0);
+    (late.original, late.attributes.age) = (Some(1), 7990.0);
     assert!(d.one(Event::RequestArrived(late)).contains(&Action::Fail(5)));
 }
 
@@ -179,7 +179,7 @@
     d.one(Event::ShutdownRequested { time_left: 6000.0 });
     d.pass(2500.0);
     let mut early = arrival(1, SAFE);
-    early.age = 600.0;
+    early.attributes.age = 600.0;
     assert_eq!(runs(&d.one(Event::RequestArrived(early))), [1]);
     let actions = d.arrive(2, SAFE);
     assert!(runs(&actions).is_empty());
@@ -299,13 +299,13 @@
     d.pass(60.0);
     for id in 1..=30 {
         let mut a = arrival(id, SAFE);
-        a.estimated_work = Some(100.0);
+        a.attributes.estimated_work = Some(100.0);
         d.one(Event::RequestArrived(a));
         d.pass(150.0);
         d.finish(id, 150.0);
     }
     let mut big = arrival(99, SAFE);
-    big.estimated_work = Some(2000.0);
+    big.attributes.estimated_work = Some(2000.0);
     assert_eq!(runs(&d.one(Event::RequestArrived(big))), [99]);
 }
 
@@ -314,7 +314,7 @@
 fn retry_after_covers_the_unread_wait() {
     let mut d = Driver::new(settings());
     let mut a = arrival(1, SAFE);
-    a.age = 7990.0;
+    a.attributes.age = 7990.0;
     let actions = d.one(Event::RequestArrived(a));
     assert!(
         matches!(actions.first(), Some(Action::Reject { retry_after, .. }) if *retry_after == 1000.0),
@@ -329,7 +329,7 @@
     d.gauges = FULL;
     for id in 1..=60 {
         let mut a = arrival(id, SAFE);
-        a.age = 1200.0;
+        a.attributes.age = 1200.0;
         d.one(Event::RequestArrived(a));
         d.pass(50.0);
         d.finish(id, 50.0);
@@ -364,7 +364,7 @@
     for id in 1..=60 {
         let mut a = arrival(id, SAFE);
         let work = if id % 2 == 0 { 50.0 } else { 250.0 };
-        a.estimated_work = Some(work);
+        a.attributes.estimated_work = Some(work);
         d.one(Event::RequestArrived(a));
         d.pass(300.0);
         // Five times the estimate took a fifth longer.
@@ -372,7 +372,7 @@
     }
     d.gauges = FULL;
     let mut big = arrival(99, SAFE);
-    big.estimated_work = Some(2000.0);
+    big.attributes.estimated_work = Some(2000.0);
     d.batch(vec![Event::RequestArrived(arrival(98, SAFE)), Event::RequestArrived(big)]);
     assert!(d.log.iter().any(|(_, a)| *a == Action::Run(99)));
 }
@@ -389,7 +389,7 @@
     d.gauges = FULL;
     for id in 100..108 {
         let mut a = arrival(id, UNSAFE);
-        a.age = 1000.0;
+        a.attributes.age = 1000.0;
         d.one(Event::RequestArrived(a));
         d.pass(250.0);
     }
@@ -457,7 +457,7 @@
         for id in 1..=120 {
             let mut a = arrival(id, SAFE);
             rng = rng.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-            a.caller = (rng >> 33) % callers;
+            a.attributes.caller = (rng >> 33) % callers;
             d.one(Event::RequestArrived(a));
             d.finish(id, 100.0);
             d.pass(250.0);
@@ -481,7 +481,7 @@
         id += 1;
         d.gauges = FULL;
         let mut a = arrival(id, SAFE);
-        a.age = 1500.0;
+        a.attributes.age = 1500.0;
         let started = runs(&d.one(Event::RequestArrived(a))).contains(&id);
         if leave {
             d.one(Event::RequestCancelled(id));
@@ -506,7 +506,7 @@
     d.pass(2500.0);
     let kept = |d: &mut Driver, id: RequestId, retry: bool| {
         let mut a = arrival(id, SAFE);
-        (a.age, a.is_retry) = (600.0, retry);
+        (a.attributes.age, a.attributes.is_retry) = (600.0, retry);
         let mut actions = d.one(Event::RequestArrived(a));
         actions.extend(d.pass(100.0));
         !refused(&actions, id)
