--- a/crates/loomflow-server/src/arguments.rs
+++ b/crates/loomflow-server/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line of `loomflow`, parsed into a [`Command`].
+//! The command line of `loomflow`, parsed into a [`Subcommand`].
 
 use std::path::PathBuf;
 
@@ -26,8 +26,8 @@
                   that LOOMFLOW_OPTIONS names, or nothing
 ";
 
-/// The command that the command line names.
-pub enum Command {
+/// The subcommand of the command line, with its arguments.
+pub enum Subcommand {
     /// Try out a single server.
     #[cfg(feature = "try")]
     Try(loomflow_load::Front),
@@ -82,7 +82,7 @@
     NoCommand,
 }
 
-/// Options and the command's name, as they were parsed.
+/// Options and the name of the subcommand, as they were parsed.
 struct Arguments {
     command: Option<String>,
     config: Option<PathBuf>,
@@ -93,7 +93,7 @@
 }
 
 /// Parses the command line.
-pub fn parse(mut parser: lexopt::Parser) -> Result<Command, UsageError> {
+pub fn parse(mut parser: lexopt::Parser) -> Result<Subcommand, UsageError> {
     let path_from_environment = |name| std::env::var_os(name).map(PathBuf::from);
     let mut arguments = Arguments {
         command: None,
@@ -105,15 +105,15 @@
     };
     while let Some(argument) = parser.next()? {
         match argument {
-            Short('h') | Long("help") => return Ok(Command::Help),
-            Short('V') | Long("version") => return Ok(Command::Version),
+            Short('h') | Long("help") => return Ok(Subcommand::Help),
+            Short('V') | Long("version") => return Ok(Subcommand::Version),
             Long("config") => arguments.config = Some(parser.value()?.into()),
             Long("options") => arguments.options = Some(parser.value()?.into()),
             Long("against") => arguments.against = Some(parser.value()?.into()),
             Long("fleet") => arguments.is_fleet = true,
             Long("front") => arguments.front = Some(parser.value()?.to_string_lossy().into_owned()),
             Value(word) if arguments.command.is_none() && word == "fleet" => {
-                return Ok(Command::Fleet(parser));
+                return Ok(Subcommand::Fleet(parser));
             }
             Value(word) if arguments.command.is_none() => {
                 arguments.command = Some(word.to_string_lossy().into_owned());
@@ -121,42 +121,42 @@
             other => return Err(other.unexpected().into()),
         }
     }
-    arguments.into_command()
+    arguments.into_subcommand()
 }
 
 impl Arguments {
-    fn into_command(self) -> Result<Command, UsageError> {
+    fn into_subcommand(self) -> Result<Subcommand, UsageError> {
         match self.command.as_deref() {
             #[cfg(feature = "try")]
-            Some("try") => self.try_command(),
+            Some("try") => self.try_subcommand(),
             _ if self.is_fleet => Err(UsageError::MisplacedOption { option: "--fleet", command: "try" }),
             _ if self.front.is_some() => {
                 Err(UsageError::MisplacedOption { option: "--front", command: "try" })
             }
-            Some("serve") => Ok(Command::Serve(self.files()?)),
+            Some("serve") => Ok(Subcommand::Serve(self.files()?)),
             Some("check-config") => {
                 let against = self.against.clone();
-                Ok(Command::CheckConfig { files: self.files()?, against })
+                Ok(Subcommand::CheckConfig { files: self.files()?, against })
             }
             _ if self.against.is_some() => {
                 Err(UsageError::MisplacedOption { option: "--against", command: "check-config" })
             }
-            Some("schema") => Ok(Command::Schema),
-            Some("version") => Ok(Command::Version),
-            Some("help") => Ok(Command::Help),
+            Some("schema") => Ok(Subcommand::Schema),
+            Some("version") => Ok(Subcommand::Version),
+            Some("help") => Ok(Subcommand::Help),
             Some(other) => Err(UsageError::UnknownCommand(other.to_owned())),
             None => Err(UsageError::NoCommand),
         }
     }
 
     #[cfg(feature = "try")]
-    fn try_command(&self) -> Result<Command, UsageError> {
+    fn try_subcommand(&self) -> Result<Subcommand, UsageError> {
         if self.is_fleet {
-            return Ok(Command::TryFleet);
+            return Ok(Subcommand::TryFleet);
         }
         match self.front.as_deref() {
-            None | Some("resp") => Ok(Command::Try(loomflow_load::Front::Resp)),
-            Some("amqp") => Ok(Command::Try(loomflow_load::Front::Amqp)),
+            None | Some("resp") => Ok(Subcommand::Try(loomflow_load::Front::Resp)),
+            Some("amqp") => Ok(Subcommand::Try(loomflow_load::Front::Amqp)),
             Some(other) => Err(UsageError::UnknownFront(other.to_owned())),
         }
     }
--- a/crates/loomflow-server/src/front/amqp/consumer_settings.rs
+++ b/crates/loomflow-server/src/front/amqp/consumer_settings.rs
@@ -8,13 +8,13 @@
 use loomflow_settings::amqp::{Amqp, Credentials};
 
 use crate::budget::Budget;
-use crate::front::StartError;
+use crate::front::FrontStartError;
 
 /// The settings of the consumer.
 ///
 /// # Errors
 /// The credentials cannot be read.
-pub fn settings(amqp: &Amqp, site: &Site, budget: &Budget) -> Result<Settings, StartError> {
+pub fn settings(amqp: &Amqp, site: &Site, budget: &Budget) -> Result<Settings, FrontStartError> {
     let credentials = Credentials::load(&amqp.credentials)?;
     let budget = budget.for_broker(amqp.max_message_bytes);
     Ok(Settings {
--- a/crates/loomflow-server/src/front/amqp/mod.rs
+++ b/crates/loomflow-server/src/front/amqp/mod.rs
@@ -16,7 +16,7 @@
 use loomflow_settings::amqp::Amqp;
 use loomflow_settings::{Config, Site};
 
-use super::StartError;
+use super::FrontStartError;
 use super::interface::{Failure, FrontRequest, ReplyHandle, Response, Submission};
 use crate::budget::Budget;
 use crate::clock::{Clock, Now};
@@ -53,7 +53,7 @@
         options: &Amqp,
         budget: &Budget,
         mailbox: &Arc<Mailbox>,
-    ) -> Result<AmqpFront, StartError> {
+    ) -> Result<AmqpFront, FrontStartError> {
         let settings = consumer_settings::settings(options, &config.site, budget)?;
         // Ids must differ from those of an earlier process, also where a file has the same seed.
         let seed = config.seed ^ Clock::start().now().unix.to_bits();
--- a/crates/loomflow-server/src/front/mod.rs
+++ b/crates/loomflow-server/src/front/mod.rs
@@ -28,7 +28,7 @@
 
 /// A front cannot be started.
 #[derive(Debug, thiserror::Error)]
-pub enum StartError {
+pub enum FrontStartError {
     /// The broker's credentials cannot be read.
     #[error(transparent)]
     Credentials(#[from] YamlError),
@@ -42,7 +42,7 @@
         options: &Options,
         budget: &Budget,
         mailbox: &Arc<Mailbox>,
-    ) -> Result<Fronts, StartError> {
+    ) -> Result<Fronts, FrontStartError> {
         let amqp = options.amqp.as_ref().map(|amqp| AmqpFront::start(config, amqp, budget, mailbox));
         let resp = RespFront::start(listener, config, budget, mailbox);
         Ok(Fronts { resp, amqp: amqp.transpose()? })
--- a/crates/loomflow-server/src/front/resp/connections.rs
+++ b/crates/loomflow-server/src/front/resp/connections.rs
@@ -18,7 +18,7 @@
 use crate::mailbox::ConnectionId;
 pub use capacity::Limits;
 use capacity::{IdleConnection, Reclaim, UnwrittenResponses};
-use connection::{Connection, InputClosed};
+use connection::{GatewayConnection, InputClosed};
 use shutdown::ConnectionDeadlines;
 use timeouts::Timeouts;
 
@@ -37,7 +37,7 @@
 
 /// All connections of gateways.
 pub struct GatewayConnections {
-    connections: BTreeMap<ConnectionId, Connection>,
+    connections: BTreeMap<ConnectionId, GatewayConnection>,
     /// Connections that are closed for writing and whose peers are still reading.
     lingering: BTreeSet<ConnectionId>,
     limits: Limits,
@@ -72,7 +72,7 @@
 
     /// A connection was accepted.
     pub fn connected(&mut self, id: ConnectionId, handle: Arc<ConnectionHandle>, now: Millis) {
-        let mut connection = Connection::new(handle, now);
+        let mut connection = GatewayConnection::new(handle, now);
         if self.shutdown.is_some() {
             connection.send_goodbye(now);
         }
@@ -237,8 +237,9 @@
     /// still on their way.
     pub fn is_drained(&self, now: Millis) -> bool {
         let Some(shutdown) = self.shutdown else { return false };
-        let is_flushed =
-            |connection: &Connection| connection.open_tags.is_empty() && connection.handle.is_flushed();
+        let is_flushed = |connection: &GatewayConnection| {
+            connection.open_tags.is_empty() && connection.handle.is_flushed()
+        };
         (self.connections.is_empty() && self.lingering.is_empty())
             || (now >= shutdown.deadline && self.connections.values().all(is_flushed))
             || shutdown.is_kill_imminent(now)
--- a/crates/loomflow-server/src/front/resp/connections/connection.rs
+++ b/crates/loomflow-server/src/front/resp/connections/connection.rs
@@ -15,7 +15,7 @@
 use crate::mailbox::ConnectionId;
 
 /// A gateway's connection.
-pub(super) struct Connection {
+pub(super) struct GatewayConnection {
     pub(super) handle: Arc<ConnectionHandle>,
     /// Tags of the requests that have no response yet.
     pub(super) open_tags: BTreeSet<u64>,
@@ -36,9 +36,9 @@
     pub(super) peer_reads: bool,
 }
 
-impl Connection {
-    pub(super) fn new(handle: Arc<ConnectionHandle>, now: Millis) -> Connection {
-        Connection {
+impl GatewayConnection {
+    pub(super) fn new(handle: Arc<ConnectionHandle>, now: Millis) -> GatewayConnection {
+        GatewayConnection {
             handle,
             open_tags: BTreeSet::new(),
             idle_since: now,
--- a/crates/loomflow-server/src/log.rs
+++ b/crates/loomflow-server/src/log.rs
@@ -23,7 +23,7 @@
 /// Starts the log; lines before that go nowhere. Only the first call counts.
 pub fn start(format: LogFormat) {
     let lines = tracing_subscriber::fmt().with_target(false);
-    let writer = |prefix| move || Line { prefix, bytes: Vec::new() };
+    let writer = |prefix| move || LogLine { prefix, bytes: Vec::new() };
     let _ = match format {
         LogFormat::Text => {
             let lines = lines.without_time().with_level(false).with_ansi(false);
@@ -35,12 +35,12 @@
 
 /// One line, written at once by `eprintln!`. That panics where nobody reads the log any more, which is no reason to stop
 /// serving.
-struct Line {
+struct LogLine {
     prefix: &'static str,
     bytes: Vec<u8>,
 }
 
-impl Write for Line {
+impl Write for LogLine {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.bytes.extend_from_slice(bytes);
         Ok(bytes.len())
@@ -51,7 +51,7 @@
     }
 }
 
-impl Drop for Line {
+impl Drop for LogLine {
     fn drop(&mut self) {
         let text = String::from_utf8_lossy(&self.bytes);
         let line = text.trim();
--- a/crates/loomflow-server/src/main.rs
+++ b/crates/loomflow-server/src/main.rs
@@ -25,7 +25,7 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-use arguments::Command;
+use arguments::Subcommand;
 use files::{FileError, Files};
 use loomflow_settings::Options;
 use loomflow_settings::guard::TakesEffect;
@@ -59,18 +59,18 @@
     Ok(())
 }
 
-fn run(command: Command) -> Result<ExitCode, Box<dyn Error>> {
-    match command {
+fn run(subcommand: Subcommand) -> Result<ExitCode, Box<dyn Error>> {
+    match subcommand {
         #[cfg(feature = "try")]
-        Command::TryFleet => return Ok(try_command::run_fleet()?),
+        Subcommand::TryFleet => return Ok(try_command::run_fleet()?),
         #[cfg(feature = "try")]
-        Command::Try(front) => return Ok(try_command::run(front)?),
-        Command::Fleet(parser) => return Ok(run_fleet_command(parser)),
-        Command::Serve(files) => serve(files)?,
-        Command::CheckConfig { files, against } => check_config(&files, against.as_deref())?,
-        Command::Schema => println!("{}", Options::schema()),
-        Command::Version => println!("loomflow {}", env!("CARGO_PKG_VERSION")),
-        Command::Help => print!("{}", arguments::USAGE),
+        Subcommand::Try(front) => return Ok(try_command::run(front)?),
+        Subcommand::Fleet(parser) => return Ok(run_fleet_command(parser)),
+        Subcommand::Serve(files) => serve(files)?,
+        Subcommand::CheckConfig { files, against } => check_config(&files, against.as_deref())?,
+        Subcommand::Schema => println!("{}", Options::schema()),
+        Subcommand::Version => println!("loomflow {}", env!("CARGO_PKG_VERSION")),
+        Subcommand::Help => print!("{}", arguments::USAGE),
     }
     Ok(ExitCode::SUCCESS)
 }
@@ -86,11 +86,11 @@
 }
 
 fn main() -> ExitCode {
-    let command = match arguments::parse(lexopt::Parser::from_env()) {
-        Ok(command) => command,
+    let subcommand = match arguments::parse(lexopt::Parser::from_env()) {
+        Ok(subcommand) => subcommand,
         Err(error) => return usage_error(&error, arguments::USAGE),
     };
-    run(command).unwrap_or_else(|error| {
+    run(subcommand).unwrap_or_else(|error| {
         eprintln!("loomflow: {error}");
         ExitCode::FAILURE
     })
--- a/crates/loomflow-server/src/owner/admission.rs
+++ b/crates/loomflow-server/src/owner/admission.rs
@@ -7,7 +7,7 @@
 
 /// Why a request is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Rejection {
+pub(super) enum AdmissionRejection {
     /// There is no controller before the engine is up.
     EngineNotUp,
     /// The request table is full.
@@ -22,28 +22,28 @@
     Invalid(&'static str),
 }
 
-impl Rejection {
+impl AdmissionRejection {
     /// The reason for the log.
     pub(super) fn reason(self) -> &'static str {
         match self {
-            Rejection::EngineNotUp => "the engine is not up",
-            Rejection::RequestTableFull => "the request table is full",
-            Rejection::IdempotencyCacheFull => "the idempotency cache is full",
-            Rejection::AttemptIdInUse => "the attempt id is in use",
-            Rejection::KeyInUse => "the idempotency key is in use with another body",
-            Rejection::Invalid(reason) => reason,
+            AdmissionRejection::EngineNotUp => "the engine is not up",
+            AdmissionRejection::RequestTableFull => "the request table is full",
+            AdmissionRejection::IdempotencyCacheFull => "the idempotency cache is full",
+            AdmissionRejection::AttemptIdInUse => "the attempt id is in use",
+            AdmissionRejection::KeyInUse => "the idempotency key is in use with another body",
+            AdmissionRejection::Invalid(reason) => reason,
         }
     }
 
     /// The response: without capacity another server may be tried, an invalid request fails.
     pub(super) fn response(self) -> Response<'static> {
         match self {
-            Rejection::EngineNotUp | Rejection::RequestTableFull | Rejection::IdempotencyCacheFull => {
-                Response::REJECTED
-            }
-            Rejection::AttemptIdInUse | Rejection::KeyInUse | Rejection::Invalid(_) => {
-                Response::Failed(Failure::Invalid)
-            }
+            AdmissionRejection::EngineNotUp
+            | AdmissionRejection::RequestTableFull
+            | AdmissionRejection::IdempotencyCacheFull => Response::REJECTED,
+            AdmissionRejection::AttemptIdInUse
+            | AdmissionRejection::KeyInUse
+            | AdmissionRejection::Invalid(_) => Response::Failed(Failure::Invalid),
         }
     }
 }
@@ -56,11 +56,15 @@
 
 impl AdmissionLimit {
     /// Whether any request can be accepted. `request_count`: requests in the table.
-    pub(super) fn check_capacity(self, has_controller: bool, request_count: usize) -> Result<(), Rejection> {
+    pub(super) fn check_capacity(
+        self,
+        has_controller: bool,
+        request_count: usize,
+    ) -> Result<(), AdmissionRejection> {
         if !has_controller {
-            Err(Rejection::EngineNotUp)
+            Err(AdmissionRejection::EngineNotUp)
         } else if request_count >= self.max_requests {
-            Err(Rejection::RequestTableFull)
+            Err(AdmissionRejection::RequestTableFull)
         } else {
             Ok(())
         }
@@ -68,12 +72,14 @@
 }
 
 /// The request that a keyed request repeats, none where it is the first; or why it is not accepted.
-pub(super) fn accept_registration(registration: Registration) -> Result<Option<RequestId>, Rejection> {
+pub(super) fn accept_registration(
+    registration: Registration,
+) -> Result<Option<RequestId>, AdmissionRejection> {
     match registration {
         Registration::New => Ok(None),
         Registration::Duplicate(original) => Ok(Some(original)),
-        Registration::BodyMismatch => Err(Rejection::KeyInUse),
-        Registration::CacheFull => Err(Rejection::IdempotencyCacheFull),
+        Registration::BodyMismatch => Err(AdmissionRejection::KeyInUse),
+        Registration::CacheFull => Err(AdmissionRejection::IdempotencyCacheFull),
     }
 }
 
--- a/crates/loomflow-server/src/owner/mod.rs
+++ b/crates/loomflow-server/src/owner/mod.rs
@@ -53,7 +53,7 @@
 use fleet_reporter::{FleetReporter, ServerState};
 use health_checks::HealthChecks;
 use peers::Peers;
-use shutdown::Shutdown;
+use shutdown::GracefulShutdown;
 use timers::Timers;
 
 /// The server cannot be started.
@@ -67,7 +67,7 @@
     Signals(#[from] SignalError),
     /// A front cannot be started.
     #[error(transparent)]
-    Front(#[from] crate::front::StartError),
+    Front(#[from] crate::front::FrontStartError),
     /// The fleet's thread cannot be started.
     #[error(transparent)]
     Fleet(#[from] fleet::StartError),
@@ -90,7 +90,7 @@
     fleet: FleetReporter,
     health: HealthChecks,
     timers: Timers,
-    shutdown: Shutdown,
+    shutdown: GracefulShutdown,
 }
 
 impl Owner {
@@ -121,7 +121,7 @@
             fleet,
             health: HealthChecks::new(ready),
             timers: Timers::new(),
-            shutdown: Shutdown::new(config.stop_ms),
+            shutdown: GracefulShutdown::new(config.stop_ms),
             config,
         })
     }
--- a/crates/loomflow-server/src/owner/requests.rs
+++ b/crates/loomflow-server/src/owner/requests.rs
@@ -3,7 +3,7 @@
 use loomflow::interface::{Arrival, Event, Idempotency, Outcome, RequestId};
 
 use super::Owner;
-use super::admission::{self, Rejection};
+use super::admission::{self, AdmissionRejection};
 use crate::engine::PendingCommand;
 use crate::front::interface::{Failure, FrontRequest, ReplyHandle, Response, Submission};
 use crate::idempotency::{Completion, KeyedRequest};
@@ -34,16 +34,16 @@
     }
 
     fn reject_invalid(&mut self, reply_handle: ReplyHandle, reason: &'static str) {
-        let rejection = self.check_capacity().err().unwrap_or(Rejection::Invalid(reason));
+        let rejection = self.check_capacity().err().unwrap_or(AdmissionRejection::Invalid(reason));
         self.reject(reply_handle, rejection);
     }
 
-    fn reject(&mut self, reply_handle: ReplyHandle, rejection: Rejection) {
+    fn reject(&mut self, reply_handle: ReplyHandle, rejection: AdmissionRejection) {
         log!(why = rejection.reason(), "a request was not accepted");
         self.fronts.respond(reply_handle, rejection.response(), self.now.ms);
     }
 
-    fn check_capacity(&self) -> Result<(), Rejection> {
+    fn check_capacity(&self) -> Result<(), AdmissionRejection> {
         self.admission_limit.check_capacity(self.controller.is_started(), self.requests.len())
     }
 
@@ -69,10 +69,10 @@
     }
 
     /// Decides whether a submission is accepted, and registers its key.
-    fn admit(&mut self, submission: &Submission) -> Result<Admission, Rejection> {
+    fn admit(&mut self, submission: &Submission) -> Result<Admission, AdmissionRejection> {
         self.check_capacity()?;
         if self.requests.find_attempt(submission.attempt_id).is_some() {
-            return Err(Rejection::AttemptIdInUse);
+            return Err(AdmissionRejection::AttemptIdInUse);
         }
         let id = self.requests.next_id();
         let Some(key) = submission.key.clone() else { return Ok(Admission { id, original: None }) };
--- a/crates/loomflow-server/src/owner/shutdown.rs
+++ b/crates/loomflow-server/src/owner/shutdown.rs
@@ -20,7 +20,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Stage {
+enum ShutdownStage {
     Serving,
     /// Requests are served as usual, because gateways learn of the shutdown late.
     GracePeriod {
@@ -33,21 +33,21 @@
 
 /// How far the shutdown has come.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Shutdown {
+pub(super) struct GracefulShutdown {
     /// Time from the request of a shutdown until the process is killed.
     stop_timeout: Millis,
-    stage: Stage,
+    stage: ShutdownStage,
 }
 
-impl Shutdown {
+impl GracefulShutdown {
     /// No shutdown was requested.
-    pub(super) fn new(stop_timeout: Millis) -> Shutdown {
-        Shutdown { stop_timeout, stage: Stage::Serving }
+    pub(super) fn new(stop_timeout: Millis) -> GracefulShutdown {
+        GracefulShutdown { stop_timeout, stage: ShutdownStage::Serving }
     }
 
     /// Whether a shutdown was requested.
     pub(super) fn is_requested(&self) -> bool {
-        !matches!(self.stage, Stage::Serving)
+        !matches!(self.stage, ShutdownStage::Serving)
     }
 
     /// Starts the grace period. Returns none where a shutdown was requested before.
@@ -59,31 +59,31 @@
         let margin = SHUTDOWN_MARGIN_MS.min(self.stop_timeout * MAX_MARGIN_SHARE);
         let deadlines = ShutdownDeadlines { deadline: kill_deadline - margin, kill_deadline };
         let intake_stop_at = now + grace_period.min(self.stop_timeout * MAX_GRACE_SHARE);
-        self.stage = Stage::GracePeriod { intake_stop_at, deadlines };
+        self.stage = ShutdownStage::GracePeriod { intake_stop_at, deadlines };
         Some(deadlines)
     }
 
     /// When the grace period ends.
     pub(super) fn next_deadline(&self) -> Millis {
         match self.stage {
-            Stage::GracePeriod { intake_stop_at, .. } => intake_stop_at,
-            Stage::Serving | Stage::IntakeStopped => f64::INFINITY,
+            ShutdownStage::GracePeriod { intake_stop_at, .. } => intake_stop_at,
+            ShutdownStage::Serving | ShutdownStage::IntakeStopped => f64::INFINITY,
         }
     }
 
     /// Ends the grace period where its time is over. Returns the deadlines where it does.
     pub(super) fn stop_intake(&mut self, now: Millis) -> Option<ShutdownDeadlines> {
-        let Stage::GracePeriod { intake_stop_at, deadlines } = self.stage else { return None };
+        let ShutdownStage::GracePeriod { intake_stop_at, deadlines } = self.stage else { return None };
         if now < intake_stop_at {
             return None;
         }
-        self.stage = Stage::IntakeStopped;
+        self.stage = ShutdownStage::IntakeStopped;
         Some(deadlines)
     }
 
     /// Whether the process may end: no new request is run, all are answered, and the fronts have sent the responses.
     pub(super) fn is_complete(&self, unanswered_count: usize, is_drained: impl FnOnce() -> bool) -> bool {
-        matches!(self.stage, Stage::IntakeStopped) && unanswered_count == 0 && is_drained()
+        matches!(self.stage, ShutdownStage::IntakeStopped) && unanswered_count == 0 && is_drained()
     }
 }
 
--- a/crates/loomflow-server/src/owner/shutdown/tests.rs
+++ b/crates/loomflow-server/src/owner/shutdown/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn intake_stops_at_the_end_of_the_grace_period() {
-    let mut shutdown = Shutdown::new(3_000.0);
+    let mut shutdown = GracefulShutdown::new(3_000.0);
     assert!(!shutdown.is_requested() && shutdown.stop_intake(1e9).is_none());
     let deadlines = shutdown.request(400.0, 100.0).expect("the first request");
     assert_eq!(deadlines, ShutdownDeadlines { deadline: 2_800.0, kill_deadline: 3_100.0 });
@@ -16,7 +16,7 @@
 
 #[test]
 fn grace_period_and_margin_are_shares_of_a_short_time_until_the_kill() {
-    let mut shutdown = Shutdown::new(400.0);
+    let mut shutdown = GracefulShutdown::new(400.0);
     let deadlines = shutdown.request(1_000.0, 0.0).expect("the first request");
     assert_eq!(deadlines.deadline, 300.0);
     assert_eq!(shutdown.next_deadline(), 200.0);
@@ -24,7 +24,7 @@
 
 #[test]
 fn a_shutdown_is_complete_once_intake_has_stopped_and_everything_is_answered_and_sent() {
-    let mut shutdown = Shutdown::new(1_000.0);
+    let mut shutdown = GracefulShutdown::new(1_000.0);
     shutdown.request(100.0, 0.0);
     assert!(!shutdown.is_complete(0, || true), "during the grace period");
     shutdown.stop_intake(100.0);
