--- /dev/null
+++ b/crates/loomflow-server/src/front/fixtures.rs
@@ -0,0 +1,24 @@
+//! Values that tests of several modules vary.
+
+use loomflow_protocol::AttemptId;
+use loomflow_protocol::gateway::Call;
+
+/// A valid request of the class `read`, which arrived at this Unix time in ms.
+pub fn call(arrived_at: f64) -> Call {
+    Call {
+        tag: 1,
+        class: "read".into(),
+        id: AttemptId(1),
+        arrived_at,
+        gateway: 4,
+        tenant: None,
+        estimated_work: Some(5.0),
+        memory_kb: 10.0,
+        rank: 0.5,
+        subject: None,
+        key: None,
+        remaining_wait: None,
+        is_retry: false,
+        body: Vec::new(),
+    }
+}
--- a/crates/loomflow-server/src/front/mod.rs
+++ b/crates/loomflow-server/src/front/mod.rs
@@ -2,6 +2,8 @@
 //! nothing about what is run. The owner uses all of them through `interface`.
 
 mod amqp;
+#[cfg(test)]
+pub mod fixtures;
 pub mod interface;
 mod resp;
 
--- a/crates/loomflow-server/src/front/resp/classify/tests.rs
+++ b/crates/loomflow-server/src/front/resp/classify/tests.rs
@@ -1,31 +1,11 @@
-use loomflow_protocol::AttemptId;
-
 use super::*;
+use crate::front::fixtures;
 
 const TIMEOUT_MS: Millis = 1_000.0;
 const NOW: Now = Now { ms: 5_000.0, unix: 1_000_000.0 };
 
-fn call() -> Call {
-    Call {
-        tag: 1,
-        class: "read".into(),
-        id: AttemptId(1),
-        arrived_at: NOW.unix,
-        gateway: 4,
-        tenant: None,
-        estimated_work: Some(5.0),
-        memory_kb: 10.0,
-        rank: 0.5,
-        subject: None,
-        key: None,
-        remaining_wait: None,
-        is_retry: false,
-        body: Vec::new(),
-    }
-}
-
 fn check(change: impl FnOnce(&mut Call)) -> Result<(), &'static str> {
-    let mut call = call();
+    let mut call = fixtures::call(NOW.unix);
     change(&mut call);
     check_figures(&call, TIMEOUT_MS, NOW)
 }
--- a/crates/loomflow-server/src/front/resp/connections/interleavings.rs
+++ b/crates/loomflow-server/src/front/resp/connections/interleavings.rs
@@ -18,7 +18,7 @@
 const HELD_UP: f64 = 600.0;
 
 #[derive(Clone, Debug)]
-enum Step {
+enum GatewayStep {
     Open(u64),
     /// A gateway writes a request with a new tag, or with the last one again.
     Write(u64, bool),
@@ -36,18 +36,18 @@
     Leave,
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn gateway_step() -> impl Strategy<Value = GatewayStep> {
     let connection = || 1..=CONNECTIONS;
     prop_oneof![
-        2 => connection().prop_map(Step::Open),
-        5 => (connection(), proptest::bool::weighted(0.05)).prop_map(|(id, again)| Step::Write(id, again)),
-        6 => (connection(), prop_oneof![Just(usize::MAX), 0..60usize]).prop_map(|(id, most)| Step::Drive(id, most)),
-        6 => (1..6usize).prop_map(Step::TakeIn),
-        4 => (connection(), any::<bool>()).prop_map(|(id, oldest)| Step::Answer(id, oldest)),
-        1 => connection().prop_map(Step::Malformed),
-        1 => connection().prop_map(Step::HalfClose),
-        3 => (1..700u64, 0..=CONNECTIONS).prop_map(|(ms, place)| Step::Pass(ms, place)),
-        1 => Just(Step::Leave),
+        2 => connection().prop_map(GatewayStep::Open),
+        5 => (connection(), proptest::bool::weighted(0.05)).prop_map(|(id, again)| GatewayStep::Write(id, again)),
+        6 => (connection(), prop_oneof![Just(usize::MAX), 0..60usize]).prop_map(|(id, most)| GatewayStep::Drive(id, most)),
+        6 => (1..6usize).prop_map(GatewayStep::TakeIn),
+        4 => (connection(), any::<bool>()).prop_map(|(id, oldest)| GatewayStep::Answer(id, oldest)),
+        1 => connection().prop_map(GatewayStep::Malformed),
+        1 => connection().prop_map(GatewayStep::HalfClose),
+        3 => (1..700u64, 0..=CONNECTIONS).prop_map(|(ms, place)| GatewayStep::Pass(ms, place)),
+        1 => Just(GatewayStep::Leave),
     ]
 }
 
@@ -104,7 +104,7 @@
     }
 }
 
-struct Model {
+struct GatewayModel {
     gateways: GatewayConnections,
     /// The connection that is at each place now, and all that there were.
     places: BTreeMap<u64, u64>,
@@ -115,12 +115,12 @@
     left_at: Option<f64>,
 }
 
-impl Model {
-    fn new() -> Model {
+impl GatewayModel {
+    fn new() -> GatewayModel {
         let limits =
             Limits { near_capacity: 3, max_connections: usize::MAX, max_unwritten_bytes: usize::MAX };
         let gateways = GatewayConnections::new(IDLE, limits);
-        Model {
+        GatewayModel {
             gateways,
             places: BTreeMap::new(),
             peers: BTreeMap::new(),
@@ -313,17 +313,17 @@
         }
     }
 
-    fn play(&mut self, step: &Step) -> Result<(), TestCaseError> {
+    fn play(&mut self, step: &GatewayStep) -> Result<(), TestCaseError> {
         match *step {
-            Step::Open(id) => self.open(id),
-            Step::Write(id, again) => self.write(id, again),
-            Step::Drive(id, most) => self.drive(id, most),
-            Step::TakeIn(count) => self.take_in(count)?,
-            Step::Answer(id, oldest) => self.answer(id, oldest),
-            Step::Malformed(id) => self.end_of_reading(id, CloseReason::ProtocolViolation("nonsense")),
-            Step::HalfClose(id) => self.end_of_reading(id, CloseReason::PeerClosed),
-            Step::Pass(ms, place) => self.pass(ms as f64, place)?,
-            Step::Leave => self.leave(),
+            GatewayStep::Open(id) => self.open(id),
+            GatewayStep::Write(id, again) => self.write(id, again),
+            GatewayStep::Drive(id, most) => self.drive(id, most),
+            GatewayStep::TakeIn(count) => self.take_in(count)?,
+            GatewayStep::Answer(id, oldest) => self.answer(id, oldest),
+            GatewayStep::Malformed(id) => self.end_of_reading(id, CloseReason::ProtocolViolation("nonsense")),
+            GatewayStep::HalfClose(id) => self.end_of_reading(id, CloseReason::PeerClosed),
+            GatewayStep::Pass(ms, place) => self.pass(ms as f64, place)?,
+            GatewayStep::Leave => self.leave(),
         }
         Ok(())
     }
@@ -357,8 +357,8 @@
     }
 }
 
-fn play(steps: &[Step]) -> Result<(), TestCaseError> {
-    let mut model = Model::new();
+fn play(steps: &[GatewayStep]) -> Result<(), TestCaseError> {
+    let mut model = GatewayModel::new();
     steps.iter().try_for_each(|step| model.play(step))?;
     // Everything is answered and read, and the process ends in time.
     model.leave();
@@ -390,7 +390,7 @@
 
     #[test]
     fn no_interleaving_of_connections_loses_or_doubles_an_answer_or_holds_up_the_end(
-        steps in proptest::collection::vec(step(), 1..120),
+        steps in proptest::collection::vec(gateway_step(), 1..120),
     ) {
         play(&steps)?;
     }
--- a/crates/loomflow-server/src/front/resp/connections/tests.rs
+++ b/crates/loomflow-server/src/front/resp/connections/tests.rs
@@ -5,12 +5,29 @@
 use super::timeouts::{FIRST_MESSAGE_TIMEOUT_MS, GOODBYE_TIMEOUT_MS, GOODBYE_TIMEOUT_NEAR_CAPACITY_MS};
 use super::*;
 
+const IDLE_TIMEOUT_MS: Millis = 50.0;
+/// When a connection that was opened at 0 and is idle from then on is closed.
+const IDLE_CLOSE_MS: Millis = IDLE_TIMEOUT_MS + GOODBYE_TIMEOUT_MS;
 const UNLIMITED: Limits =
     Limits { near_capacity: usize::MAX, max_connections: usize::MAX, max_unwritten_bytes: usize::MAX };
 
-fn connect(connections: &mut GatewayConnections) -> Arc<ConnectionHandle> {
+fn connect_at(connections: &mut GatewayConnections, id: ConnectionId, now: Millis) -> Arc<ConnectionHandle> {
     let handle = Arc::new(ConnectionHandle::new(Some(MAX_OPEN_REQUESTS)));
-    connections.connected(1, handle.clone(), 0.0);
+    connections.connected(id, handle.clone(), now);
+    handle
+}
+
+/// Opens connection 1.
+fn connect(connections: &mut GatewayConnections) -> Arc<ConnectionHandle> {
+    connect_at(connections, 1, 0.0)
+}
+
+/// Connection 1 after it was idle for its timeout, and for that of the goodbye.
+fn connect_and_close_idle(connections: &mut GatewayConnections) -> Arc<ConnectionHandle> {
+    let handle = connect(connections);
+    connections.receive_message(1);
+    connections.check_timeouts(IDLE_TIMEOUT_MS);
+    connections.check_timeouts(IDLE_CLOSE_MS);
     handle
 }
 
@@ -27,13 +44,8 @@
 #[test]
 fn near_capacity_unused_connections_are_closed_first_and_then_the_longest_idle() {
     let mut connections = GatewayConnections::new(0.0, Limits { near_capacity: 2, ..UNLIMITED });
-    let all: Vec<Arc<ConnectionHandle>> = (1..=5)
-        .map(|id| {
-            let handle = Arc::new(ConnectionHandle::new(Some(MAX_OPEN_REQUESTS)));
-            connections.connected(id, handle.clone(), id as f64);
-            handle
-        })
-        .collect();
+    let all: Vec<Arc<ConnectionHandle>> =
+        (1..=5).map(|id| connect_at(&mut connections, id, id as f64)).collect();
     // 1 and 4 idle, 2 busy, 3 and 5 silent.
     for id in [1, 2, 4] {
         connections.receive_message(id);
@@ -57,8 +69,7 @@
         .into_iter()
         .zip(1..)
         .map(|(size, id)| {
-            let handle = Arc::new(ConnectionHandle::new(Some(MAX_OPEN_REQUESTS)));
-            connections.connected(id, handle.clone(), 0.0);
+            let handle = connect_at(&mut connections, id, 0.0);
             connections.receive_message(id);
             handle.enqueue(|out| out.resize(size, 0));
             handle
@@ -165,15 +176,12 @@
 
 #[test]
 fn an_idle_connection_that_is_closed_is_aborted_if_its_peer_does_not_read() {
-    let mut connections = GatewayConnections::new(50.0, UNLIMITED);
-    let handle = connect(&mut connections);
-    connections.receive_message(1);
-    connections.check_timeouts(50.0);
-    connections.check_timeouts(50.0 + GOODBYE_TIMEOUT_MS);
+    let mut connections = GatewayConnections::new(IDLE_TIMEOUT_MS, UNLIMITED);
+    let handle = connect_and_close_idle(&mut connections);
     assert!(handle.is_closing() && !handle.is_flushed());
-    connections.check_timeouts(50.0 + GOODBYE_TIMEOUT_MS + CLOSE_STALL_TIMEOUT_MS - 1.0);
+    connections.check_timeouts(IDLE_CLOSE_MS + CLOSE_STALL_TIMEOUT_MS - 1.0);
     assert!(!handle.is_flushed());
-    connections.check_timeouts(50.0 + GOODBYE_TIMEOUT_MS + CLOSE_STALL_TIMEOUT_MS);
+    connections.check_timeouts(IDLE_CLOSE_MS + CLOSE_STALL_TIMEOUT_MS);
     assert!(handle.is_flushed());
 }
 
@@ -210,15 +218,12 @@
 
 #[test]
 fn a_cancelled_idle_close_starts_its_timeouts_anew() {
-    let mut connections = GatewayConnections::new(50.0, UNLIMITED);
-    let handle = connect(&mut connections);
-    connections.receive_message(1);
-    connections.check_timeouts(50.0);
-    connections.check_timeouts(50.0 + GOODBYE_TIMEOUT_MS);
+    let mut connections = GatewayConnections::new(IDLE_TIMEOUT_MS, UNLIMITED);
+    let handle = connect_and_close_idle(&mut connections);
     assert!(handle.is_closing());
     // Its driver found unread input.
     assert!(handle.cancel_idle_close() && !handle.cancel_idle_close());
-    let at = 50.0 + GOODBYE_TIMEOUT_MS + CLOSE_STALL_TIMEOUT_MS;
+    let at = IDLE_CLOSE_MS + CLOSE_STALL_TIMEOUT_MS;
     connections.check_timeouts(at - 1.0);
     assert!(handle.is_closing() && !handle.is_flushed(), "idle again, and the close starts anew");
     connections.check_timeouts(at);
@@ -232,8 +237,7 @@
             GatewayConnections::new(0.0, Limits { near_capacity: 12, max_connections, ..UNLIMITED });
         let all: Vec<Arc<ConnectionHandle>> = (1..=16)
             .map(|id| {
-                let handle = Arc::new(ConnectionHandle::new(Some(MAX_OPEN_REQUESTS)));
-                connections.connected(id, handle.clone(), id as f64);
+                let handle = connect_at(&mut connections, id, id as f64);
                 connections.receive_message(id);
                 handle
             })
--- a/crates/loomflow-server/src/owner/interleavings.rs
+++ b/crates/loomflow-server/src/owner/interleavings.rs
@@ -14,6 +14,7 @@
 use crate::close_reason::CloseReason;
 use crate::connection;
 use crate::connection::ConnectionHandle;
+use crate::front::fixtures;
 use crate::mailbox::{FrontEvent, GatewayEvent};
 
 const GATEWAY: u64 = 1;
@@ -24,7 +25,7 @@
 
 /// One step of an interleaving; the numbers choose among what there is.
 #[derive(Clone, Debug)]
-enum Step {
+enum EngineLinkStep {
     /// A request comes: a read, a payment, a booking.
     Ask(usize),
     /// The system takes so many bytes of the link, which are on their way then.
@@ -48,18 +49,18 @@
     Pass,
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn engine_link_step() -> impl Strategy<Value = EngineLinkStep> {
     prop_oneof![
-        3 => (0..3usize).prop_map(Step::Ask),
-        3 => (1..200usize).prop_map(Step::Write),
-        3 => Just(Step::Arrive),
-        4 => (0..8usize).prop_map(Step::Work),
-        4 => (1..4usize).prop_map(Step::Hear),
-        3 => (0..8usize).prop_map(Step::Reply),
-        2 => (0..200usize).prop_map(Step::Break),
-        1 => (0..4usize).prop_map(Step::Move),
-        2 => Just(Step::Attach),
-        1 => Just(Step::Pass),
+        3 => (0..3usize).prop_map(EngineLinkStep::Ask),
+        3 => (1..200usize).prop_map(EngineLinkStep::Write),
+        3 => Just(EngineLinkStep::Arrive),
+        4 => (0..8usize).prop_map(EngineLinkStep::Work),
+        4 => (1..4usize).prop_map(EngineLinkStep::Hear),
+        3 => (0..8usize).prop_map(EngineLinkStep::Reply),
+        2 => (0..200usize).prop_map(EngineLinkStep::Break),
+        1 => (0..4usize).prop_map(EngineLinkStep::Move),
+        2 => Just(EngineLinkStep::Attach),
+        1 => Just(EngineLinkStep::Pass),
     ]
 }
 
@@ -244,7 +245,7 @@
     all
 }
 
-struct Model {
+struct EngineLinkModel {
     owner: Owner,
     engine: EngineModel,
     gateway: Arc<ConnectionHandle>,
@@ -271,8 +272,8 @@
     Config::parse(&text.to_string()).expect("a configuration")
 }
 
-impl Model {
-    fn new() -> Model {
+impl EngineLinkModel {
+    fn new() -> EngineLinkModel {
         connection::configure_runtime();
         let mailbox = Arc::new(Mailbox::default());
         // Nobody connects: the port is whichever is free.
@@ -280,7 +281,7 @@
         let listener = Listener::bind(listen, 1_000.0, || false).expect("it is bound").expect("it listens");
         let owner = Owner::start(config(), &Options::default(), listener, &mailbox).expect("an owner");
         let gateway = Arc::new(ConnectionHandle::new(Some(MAX_OPEN_REQUESTS)));
-        let mut model = Model {
+        let mut model = EngineLinkModel {
             owner,
             engine: EngineModel::default(),
             gateway,
@@ -311,17 +312,9 @@
             tag,
             class: class.into(),
             id,
-            arrived_at: self.owner.clock.now().unix,
-            gateway: 4,
-            tenant: None,
-            estimated_work: Some(5.0),
-            memory_kb: 10.0,
-            rank: 0.5,
-            subject: None,
             key: (class == "book").then(|| format!("key {tag}")),
-            remaining_wait: None,
-            is_retry: false,
             body: b"body".to_vec(),
+            ..fixtures::call(self.owner.clock.now().unix)
         })));
     }
 
@@ -407,18 +400,18 @@
         self.read_answers();
     }
 
-    fn play(&mut self, step: &Step) {
+    fn play(&mut self, step: &EngineLinkStep) {
         match *step {
-            Step::Ask(class) => self.ask(class),
-            Step::Write(most) => self.write(most),
-            Step::Arrive => self.engine.read(),
-            Step::Work(choice) => self.engine.work(choice),
-            Step::Hear(count) => self.hear(count),
-            Step::Reply(choice) => self.reply(choice),
-            Step::Break(arrives) => self.cut(arrives),
-            Step::Move(late) => self.move_engine(late),
-            Step::Attach => self.attach(),
-            Step::Pass => self.pass(LONG_BEFORE),
+            EngineLinkStep::Ask(class) => self.ask(class),
+            EngineLinkStep::Write(most) => self.write(most),
+            EngineLinkStep::Arrive => self.engine.read(),
+            EngineLinkStep::Work(choice) => self.engine.work(choice),
+            EngineLinkStep::Hear(count) => self.hear(count),
+            EngineLinkStep::Reply(choice) => self.reply(choice),
+            EngineLinkStep::Break(arrives) => self.cut(arrives),
+            EngineLinkStep::Move(late) => self.move_engine(late),
+            EngineLinkStep::Attach => self.attach(),
+            EngineLinkStep::Pass => self.pass(LONG_BEFORE),
         }
         self.read_answers();
     }
@@ -445,8 +438,8 @@
 }
 
 /// Plays an interleaving, lets all end, and says what broke a rule.
-fn play(steps: &[Step]) -> Result<(), TestCaseError> {
-    let mut model = Model::new();
+fn play(steps: &[EngineLinkStep]) -> Result<(), TestCaseError> {
+    let mut model = EngineLinkModel::new();
     for step in steps {
         model.play(step);
     }
@@ -490,7 +483,7 @@
 
     #[test]
     fn no_interleaving_of_the_engines_link_loses_doubles_or_mixes_up_a_request(
-        steps in proptest::collection::vec(step(), 1..80),
+        steps in proptest::collection::vec(engine_link_step(), 1..80),
     ) {
         play(&steps)?;
     }
@@ -501,7 +494,7 @@
 /// is said then is a second copy all the same, and meets the run's next call where the first one had arrived.
 #[test]
 fn a_reply_whose_second_copy_was_not_written_is_in_doubt_still() {
-    use Step::*;
+    use EngineLinkStep::*;
     let steps = [Ask(0), Write(35), Arrive, Work(0), Attach, Reply(0), Attach, Break(0), Attach, Break(0)];
     let steps = [&steps[..], &[Attach, Work(0)]].concat();
     play(&steps).expect("no rule is broken");
