--- a/crates/loomflow-server/src/owner/event_loop.rs
+++ b/crates/loomflow-server/src/owner/event_loop.rs
@@ -14,9 +14,10 @@
 use crate::mailbox::{Mailbox, OwnerEvent};
 use crate::signals::Signals;
 
-/// A coroutine that sleeps for this on the drivers' thread wakes after each driver had a turn to read its socket.
+/// How long the coroutine sleeps that reports that the drivers have caught up. All drivers share its thread, so that each has
+/// had a turn to read its socket by then.
 const READER_TURN_MS: Millis = 2.0;
-/// The maximum time that the owner waits for that.
+/// The maximum time that the owner waits for that report.
 const MAX_READER_WAIT_MS: Millis = 100.0;
 
 /// Serves until a shutdown was requested and is complete.
@@ -54,11 +55,7 @@
 /// begins and ends there does so after they have read what was unread; a wait on this thread would race with them.
 fn wait_for_readers(mailbox: &Arc<Mailbox>, events: &mut Vec<OwnerEvent>, clock: Clock) {
     let deadline = clock.now().ms + MAX_READER_WAIT_MS;
-    let sender = mailbox.clone();
-    may::go!(move || {
-        connection::sleep(Duration::from_micros((READER_TURN_MS * 1000.0) as u64));
-        sender.send(OwnerEvent::ReadersCaughtUp);
-    });
+    report_after_reader_turn(mailbox.clone());
     loop {
         let remaining = deadline - clock.now().ms;
         let received = mailbox.receive(Duration::from_micros((remaining.max(0.0) * 1000.0) as u64));
@@ -69,3 +66,14 @@
         }
     }
 }
+
+/// Reports [`OwnerEvent::ReadersCaughtUp`] once the drivers have had their turn.
+fn report_after_reader_turn(mailbox: Arc<Mailbox>) {
+    may::go!(move || {
+        connection::sleep(Duration::from_micros((READER_TURN_MS * 1000.0) as u64));
+        mailbox.send(OwnerEvent::ReadersCaughtUp);
+    });
+}
+
+#[cfg(test)]
+mod tests;
