--- a/crates/loomflow-server/src/owner/requests.rs
+++ b/crates/loomflow-server/src/owner/requests.rs
@@ -3,7 +3,7 @@
 use loomflow::interface::{Arrival, Event, Idempotency, Outcome, RequestId};
 
 use super::Owner;
-use super::admission::{self, Rejection};
+use super::admission::{self, AdmissionRejection};
 use crate::engine::PendingCommand;
 use crate::front::interface::{Failure, FrontRequest, ReplyHandle, Response, Submission};
 use crate::idempotency::{Completion, KeyedRequest};
@@ -34,24 +34,24 @@
     }
 
     fn reject_invalid(&mut self, reply_handle: ReplyHandle, reason: &'static str) {
-        let rejection = self.check_capacity().err().unwrap_or(Rejection::Invalid(reason));
+        let rejection = self.check_capacity().err().unwrap_or(AdmissionRejection::Invalid(reason));
         self.reject(reply_handle, rejection);
     }
 
-    fn reject(&mut self, reply_handle: ReplyHandle, rejection: Rejection) {
+    fn reject(&mut self, reply_handle: ReplyHandle, rejection: AdmissionRejection) {
         log!(why = rejection.reason(), "a request was not accepted");
         self.fronts.respond(reply_handle, rejection.response(), self.now.ms);
     }
 
-    fn check_capacity(&self) -> Result<(), Rejection> {
-        self.admission_limit.check_capacity(self.controller.is_some(), self.requests.len())
+    fn check_capacity(&self) -> Result<(), AdmissionRejection> {
+        self.admission_limit.check_capacity(self.controller.is_started(), self.requests.len())
     }
 
     /// Nobody reads the response to this request any more.
     fn cancel(&mut self, reply_handle: ReplyHandle) {
         let Some(id) = self.requests.find_unanswered(reply_handle) else { return };
         self.requests.mark_answered(id, self.now.ms);
-        self.controller_events.push_back(Event::RequestCancelled(id));
+        self.controller.queue(Event::RequestCancelled(id));
         self.release(id);
     }
 
@@ -60,27 +60,28 @@
             Ok(admission) => admission,
             Err(rejection) => return self.reject(submission.reply_handle, rejection),
         };
-        self.controller_events.push_back(Event::RequestArrived(arrival(id, original, &submission)));
-        let Submission { reply_handle, attempt_id, class, body, .. } = submission;
+        let Submission { reply_handle, attempt_id, attributes, body, .. } = submission;
+        self.controller.queue(Event::RequestArrived(Arrival { id, attributes, original }));
+        let class = attributes.class;
         let idempotency = self.site.settings.classes[class].idempotency;
         let entry = RequestEntry::queued(reply_handle, attempt_id, class, idempotency, original, body);
         self.requests.insert(id, entry);
     }
 
     /// Decides whether a submission is accepted, and registers its key.
-    fn admit(&mut self, submission: &Submission) -> Result<Admission, Rejection> {
+    fn admit(&mut self, submission: &Submission) -> Result<Admission, AdmissionRejection> {
         self.check_capacity()?;
         if self.requests.find_attempt(submission.attempt_id).is_some() {
-            return Err(Rejection::AttemptIdInUse);
+            return Err(AdmissionRejection::AttemptIdInUse);
         }
         let id = self.requests.next_id();
         let Some(key) = submission.key.clone() else { return Ok(Admission { id, original: None }) };
-        let class = &self.site.settings.classes[submission.class];
+        let class = &self.site.settings.classes[submission.attributes.class];
         let request = KeyedRequest {
             key,
             is_idempotent: class.idempotency == Idempotency::Always,
             body: &submission.body,
-            arrived_at: self.now.ms - submission.age,
+            arrived_at: self.now.ms - submission.attributes.age,
             max_read_delay: class.timeout,
         };
         let registration = self.idempotency.register(id, request, self.now.ms);
@@ -127,7 +128,7 @@
                 let lost = entry.pending_command.as_ref().and_then(PendingCommand::lost_run_outcome);
                 self.peers.ledger.cancel(id, self.now.ms);
                 if let Some(outcome) = lost {
-                    self.controller_events.push_back(Event::RunEnded { id, outcome, duration: 0.0 });
+                    self.controller.queue(Event::RunEnded { id, outcome, duration: 0.0 });
                     let has_run = outcome != Outcome::NotStarted;
                     self.remove(id, if has_run { Completion::Failed } else { Completion::NotRun });
                 }
@@ -148,7 +149,7 @@
 
     /// Ends a run whose end the engine will not report.
     pub(super) fn end_unreported_run(&mut self, id: RequestId) {
-        self.controller_events.push_back(Event::RunEnded { id, outcome: Outcome::Cancelled, duration: 0.0 });
+        self.controller.queue(Event::RunEnded { id, outcome: Outcome::Cancelled, duration: 0.0 });
         self.remove(id, Completion::Failed);
     }
 
@@ -162,24 +163,6 @@
             Completion::NotRun => (Response::REJECTED, Outcome::NotStarted),
         };
         self.respond(id, response);
-        self.controller_events.push_back(Event::RunEnded { id, outcome, duration: 0.0 });
-    }
-}
-
-/// A submission as the controller gets it.
-fn arrival(id: RequestId, original: Option<RequestId>, submission: &Submission) -> Arrival {
-    Arrival {
-        id,
-        class: submission.class,
-        tenant: submission.tenant,
-        remaining_wait: submission.remaining_wait,
-        estimated_work: submission.estimated_work,
-        memory_kb: submission.memory_kb,
-        rank: submission.rank,
-        is_retry: submission.is_retry,
-        caller: submission.caller,
-        age: submission.age,
-        upstream_time: submission.upstream_time,
-        original,
+        self.controller.queue(Event::RunEnded { id, outcome, duration: 0.0 });
     }
 }
