--- a/crates/loomflow-adapter/src/wire.rs
+++ b/crates/loomflow-adapter/src/wire.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use loomflow::controller::Controller;
-use loomflow::interface::{Action, Arrival, Event, Gauges, Outcome, RequestId};
+use loomflow::interface::{Action, Arrival, AttemptOutcome, Event, Gauges, RequestId};
 use loomflow::time::Millis;
 use loomflow_settings::{FieldError, JsonObject, Site};
 use serde_json::{Value, json};
@@ -216,16 +216,16 @@
     Ok(Site::gauges(names, item.list("Load")?.iter().map(Value::as_f64)))
 }
 
-fn outcome(item: &JsonObject) -> Result<Outcome, MessageError> {
+fn outcome(item: &JsonObject) -> Result<AttemptOutcome, MessageError> {
     Ok(match item.integer("Disposition")? {
-        10 => Outcome::Ok,
-        20 => Outcome::Error,
-        30 => Outcome::Rejected,
-        40 => Outcome::TimedOut,
-        50 => Outcome::Unreachable,
-        60 => Outcome::ConnectionLost,
-        70 => Outcome::Cancelled,
-        80 => Outcome::NotStarted,
+        10 => AttemptOutcome::Ok,
+        20 => AttemptOutcome::Error,
+        30 => AttemptOutcome::Rejected,
+        40 => AttemptOutcome::TimedOut,
+        50 => AttemptOutcome::Unreachable,
+        60 => AttemptOutcome::ConnectionLost,
+        70 => AttemptOutcome::Cancelled,
+        80 => AttemptOutcome::NotStarted,
         other => return Err(MessageError::UnknownOutcome(other)),
     })
 }
--- a/crates/loomflow-amqp/src/consumer/outbound.rs
+++ b/crates/loomflow-amqp/src/consumer/outbound.rs
@@ -13,7 +13,7 @@
 use crate::settlement::{
     MessageOutcome, ReplyStatus, Republish, Settlement, SettlementAction, SettlementContext, Settling,
 };
-use crate::window::{self, Observation};
+use crate::window::{Observation, ObservedOutcome};
 
 impl Consumer {
     /// The run of a message may have started.
@@ -67,9 +67,9 @@
         let Some(delivery) = self.deliveries.get(&id) else { return };
         let queue = &mut self.queues[delivery.queue];
         let outcome = match outcome {
-            MessageOutcome::Finished(RunResult::Served(_)) => window::Outcome::Served,
-            MessageOutcome::Rejected { .. } => window::Outcome::Rejected,
-            _ => window::Outcome::Other,
+            MessageOutcome::Finished(RunResult::Served(_)) => ObservedOutcome::Served,
+            MessageOutcome::Rejected { .. } => ObservedOutcome::Rejected,
+            _ => ObservedOutcome::Other,
         };
         let observation = Observation {
             outcome,
--- a/crates/loomflow-amqp/src/window.rs
+++ b/crates/loomflow-amqp/src/window.rs
@@ -26,7 +26,7 @@
 
 /// How a message ended, to the window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ObservedOutcome {
     /// It was served.
     Served,
     /// It was rejected.
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Observation {
     /// How it ended.
-    pub outcome: Outcome,
+    pub outcome: ObservedOutcome,
     /// How long it was at the broker, if its sending time is known.
     pub broker_time: Option<Millis>,
     /// From its delivery to the start of its run, where that was started.
@@ -88,11 +88,11 @@
 impl Window {
     /// A message was answered.
     pub fn observe(&mut self, message: Observation, now: Millis) {
-        if message.outcome == Outcome::Other {
+        if message.outcome == ObservedOutcome::Other {
             return;
         }
         self.smooth_times(message);
-        let is_too_much = message.outcome == Outcome::Rejected || self.queue_time > self.run_time;
+        let is_too_much = message.outcome == ObservedOutcome::Rejected || self.queue_time > self.run_time;
         // A message at the broker has no order and gets no answer there: it is consumed, to be decided upon.
         if self.broker_time > self.run_time {
             self.size += 1.0;
--- a/crates/loomflow-amqp/src/window/tests.rs
+++ b/crates/loomflow-amqp/src/window/tests.rs
@@ -3,7 +3,7 @@
 
 fn served(queue_time: f64, total_time: f64, limited: bool) -> Observation {
     Observation {
-        outcome: Outcome::Served,
+        outcome: ObservedOutcome::Served,
         broker_time: None,
         queue_time: Some(queue_time),
         total_time,
@@ -13,7 +13,7 @@
 
 fn rejected(total_time: f64) -> Observation {
     Observation {
-        outcome: Outcome::Rejected,
+        outcome: ObservedOutcome::Rejected,
         broker_time: None,
         queue_time: None,
         total_time,
@@ -77,7 +77,7 @@
 fn a_backlog_at_the_broker_widens_the_window_and_a_full_server_leaves_new_messages_to_others() {
     let (mut window, _) = simulate(4, 10.0, 1_000);
     let observe_many = |window: &mut Window, finished_at, broker_time, count: usize| {
-        let queue_time = (finished_at == Outcome::Served).then_some(2.0);
+        let queue_time = (finished_at == ObservedOutcome::Served).then_some(2.0);
         let seen = Observation {
             outcome: finished_at,
             broker_time: Some(broker_time),
@@ -91,14 +91,14 @@
     };
     // One second at twice the load: the window grows by as many messages as finish, rejected or not.
     let before = window.target(1.0);
-    observe_many(&mut window, Outcome::Served, 200.0, 20);
-    observe_many(&mut window, Outcome::Rejected, 200.0, 400);
+    observe_many(&mut window, ObservedOutcome::Served, 200.0, 20);
+    observe_many(&mut window, ObservedOutcome::Rejected, 200.0, 400);
     assert!(window.target(1.0) >= before + 400.0 && window.broker_time() > 190.0);
     // Without a backlog, each rejection shrinks the window a little, down to one.
     let large = window.target(1.0);
-    observe_many(&mut window, Outcome::Rejected, 0.0, 40);
+    observe_many(&mut window, ObservedOutcome::Rejected, 0.0, 40);
     assert!((0.9 * large..large + 40.0).contains(&window.target(1.0)));
-    observe_many(&mut window, Outcome::Rejected, 0.0, 9 * large as usize);
+    observe_many(&mut window, ObservedOutcome::Rejected, 0.0, 9 * large as usize);
     assert_eq!(window.target(1.0), 1.0);
 }
 
@@ -154,6 +154,6 @@
     window.observe(sample(800.0, 18.0), 0.0);
     assert_eq!((window.total_time, window.run_time), (11.0, 9.0));
     let before = window.clone();
-    window.observe(Observation { outcome: Outcome::Other, ..sample(0.0, 99.0) }, 0.0);
+    window.observe(Observation { outcome: ObservedOutcome::Other, ..sample(0.0, 99.0) }, 0.0);
     assert_eq!((window.total_time, window.size), (before.total_time, before.size));
 }
--- a/crates/loomflow-amqp/tests/overload.rs
+++ b/crates/loomflow-amqp/tests/overload.rs
@@ -6,7 +6,7 @@
 
 use common::*;
 use loomflow::controller::Controller;
-use loomflow::interface::{Action, Arrival, Event, Gauges, Outcome, RequestId};
+use loomflow::interface::{Action, Arrival, AttemptOutcome, Event, Gauges, RequestId};
 use loomflow_amqp::idempotency::NoHistory;
 use loomflow_amqp::*;
 use loomflow_settings::{JsonObject, Site};
@@ -112,7 +112,7 @@
             let Some(id) = core.1.take_if(|_| core.0 <= self.now) else { continue };
             let message = self.submitted.remove(&id).expect("a submitted message");
             self.consumer.respond(message.id, MessageResponse::Served(&message.body), self.now);
-            events.push(Event::RunEnded { id, outcome: Outcome::Ok, duration: WORK_MS });
+            events.push(Event::RunEnded { id, outcome: AttemptOutcome::Ok, duration: WORK_MS });
         }
         events
     }
--- a/crates/loomflow-benchmark/src/amqp.rs
+++ b/crates/loomflow-benchmark/src/amqp.rs
@@ -135,7 +135,7 @@
 
 /// Rounds by their fault, and what came of their messages.
 #[derive(Default)]
-struct Outcome {
+struct RoundResults {
     rounds_by_fault: BTreeMap<Fault, u32>,
     published: u64,
     replies: Vec<Message>,
@@ -146,32 +146,32 @@
     let (broker, worker) = (Broker::with_jobs(), Worker::start(CORES, Duration::from_millis(2)));
     let fixture = fixture(site(20_000.0), &worker, Some((&broker, "book", 0.5)));
     let mut peers = Peers { fixture, worker, broker };
-    let outcome = play_rounds(&mut peers, rounds);
-    report_rounds(report, &outcome, &peers.worker);
+    let results = play_rounds(&mut peers, rounds);
+    report_rounds(report, &results, &peers.worker);
 }
 
-fn play_rounds(peers: &mut Peers, rounds: u32) -> Outcome {
+fn play_rounds(peers: &mut Peers, rounds: u32) -> RoundResults {
     let mut random = fastrand::Rng::with_seed(7);
-    let mut outcome = Outcome::default();
+    let mut results = RoundResults::default();
     for _ in 0..rounds {
         for _ in 0..random.u64(1..8) {
-            peers.broker.publish(job(outcome.published));
-            outcome.published += 1;
+            peers.broker.publish(job(results.published));
+            results.published += 1;
         }
         thread::sleep(Duration::from_millis(random.u64(0..20)));
         let fault = Fault::random(&mut random);
         fault.inject(peers, &mut random);
-        *outcome.rounds_by_fault.entry(fault).or_default() += 1;
-        outcome.replies.extend(peers.broker.take("replies"));
+        *results.rounds_by_fault.entry(fault).or_default() += 1;
+        results.replies.extend(peers.broker.take("replies"));
     }
     let broker = &peers.broker;
     broker.faults(|faults| *faults = Faults::default());
     broker.disconnect_all();
     broker.wait_until_empty("jobs");
     thread::sleep(Duration::from_millis(300));
-    outcome.replies.extend(broker.take("replies"));
-    outcome.dead_lettered = broker.take("dead").len();
-    outcome
+    results.replies.extend(broker.take("replies"));
+    results.dead_lettered = broker.take("dead").len();
+    results
 }
 
 /// How often each message was served, and how often it failed, by its number.
@@ -184,34 +184,34 @@
     (served, failed)
 }
 
-fn report_rounds(report: &mut Report, outcome: &Outcome, worker: &Worker) {
-    let (served, failed) = counts_by_message(&outcome.replies);
+fn report_rounds(report: &mut Report, results: &RoundResults, worker: &Worker) {
+    let (served, failed) = counts_by_message(&results.replies);
     let has_ended = |number: &u64| {
         let id = number.to_string();
         served.contains_key(&id) || failed.contains_key(&id)
     };
-    let mut rows: Vec<Vec<String>> = outcome
+    let mut rows: Vec<Vec<String>> = results
         .rounds_by_fault
         .iter()
         .map(|(fault, count)| vec![fault.as_str().to_owned(), count.to_string()])
         .collect();
     rows.sort();
     report.table("Rounds by what happened in them", &["event", "rounds"], rows);
-    report.figure("messages", outcome.published as f64);
+    report.figure("messages", results.published as f64);
     let duplicate_runs = worker.run_counts().values().filter(|times| **times > 1).count();
     report.require_max("runs_twice", duplicate_runs as f64, 0.0);
-    let without_ending = (0..outcome.published).filter(|number| !has_ended(number)).count();
+    let without_ending = (0..results.published).filter(|number| !has_ended(number)).count();
     report.require_max("without_ending", without_ending as f64, 0.0);
     // A process that dies between a reply and its ack causes a redelivery of which the next one has no record.
-    let restarts = f64::from(outcome.rounds_by_fault.get(&Fault::Restart).copied().unwrap_or(0));
+    let restarts = f64::from(results.rounds_by_fault.get(&Fault::Restart).copied().unwrap_or(0));
     let contrary = served.keys().filter(|id| failed.contains_key(*id)).count();
     report.require_max("contrary_replies", contrary as f64, restarts * CORES as f64);
     // A reply whose confirm was lost may have been accepted or not: the same one is published once more.
-    let doubtful = outcome.rounds_by_fault.iter().filter(|(fault, _)| fault.leaves_doubt());
+    let doubtful = results.rounds_by_fault.iter().filter(|(fault, _)| fault.leaves_doubt());
     let doubtful: u32 = doubtful.map(|(_, count)| count).sum();
     let repeated: u32 = served.values().map(|times| times - 1).sum();
     report.require_max("same_reply_again", f64::from(repeated), f64::from(doubtful) * CORES as f64);
-    report.figure("dead_lettered", outcome.dead_lettered as f64);
+    report.figure("dead_lettered", results.dead_lettered as f64);
 }
 
 // ---- Cost ----
--- a/crates/loomflow-overload-simulation/src/fleet.rs
+++ b/crates/loomflow-overload-simulation/src/fleet.rs
@@ -91,7 +91,7 @@
 }
 
 /// Results of a simulation.
-pub struct Outcome {
+pub struct SimulationResults {
     /// Counts by second.
     pub ledger: Ledger,
     /// Rules that the servers violated.
@@ -124,13 +124,13 @@
     }
 
     /// Runs until every request is answered or abandoned.
-    pub fn play(mut self) -> Outcome {
+    pub fn play(mut self) -> SimulationResults {
         let end = self.setup.duration + self.setup.client_policy.timeout + SECOND;
         while let Some(event) = self.events.next_before(end) {
             self.step(event);
         }
         let violations = self.checker.violations(end).to_vec();
-        Outcome { ledger: self.ledger, violations }
+        SimulationResults { ledger: self.ledger, violations }
     }
 
     fn step(&mut self, event: Event) {
--- a/crates/loomflow-overload-simulation/src/quota.rs
+++ b/crates/loomflow-overload-simulation/src/quota.rs
@@ -6,7 +6,7 @@
 
 use fastrand::Rng;
 use loomflow::controller::Controller;
-use loomflow::interface::{Action, Arrival, Class, Event, Outcome, RequestId, Settings, Tenant};
+use loomflow::interface::{Action, Arrival, AttemptOutcome, Class, Event, RequestId, Settings, Tenant};
 
 use crate::settings::module_settings;
 use crate::setup::Setup;
@@ -94,7 +94,7 @@
         let mut order = Vec::new();
         while let Some(id) = running {
             order.push(id);
-            let ended = Event::RunEnded { id, outcome: Outcome::Ok, duration: 0.0 };
+            let ended = Event::RunEnded { id, outcome: AttemptOutcome::Ok, duration: 0.0 };
             self.controller.event(now, ended, &mut Vec::new());
             running = self.decide(now);
         }
--- a/crates/loomflow-overload-simulation/src/recovery.rs
+++ b/crates/loomflow-overload-simulation/src/recovery.rs
@@ -77,8 +77,8 @@
     let unharmed = timeline.lost - setup.client_policy.objective.div_ceil(SECOND) as usize;
     setup.faults =
         vec![Fault { kind, starts_at: seconds(timeline.lost), ends_at: seconds(timeline.returned) }];
-    let outcome = Fleet::new(setup).play();
-    let ledger = outcome.ledger;
+    let results = Fleet::new(setup).play();
+    let ledger = results.ledger;
     let late = timeline.returned + WITHIN;
     let before = ledger.service(timeline.settled, unharmed);
     Recovery {
@@ -89,7 +89,7 @@
         handshakes_before: handshakes(&ledger, timeline.settled, unharmed),
         handshakes_after: handshakes(&ledger, late, timeline.end),
         attempts_after: attempts(&ledger, late, timeline.end),
-        violations: outcome.violations,
+        violations: results.violations,
         ledger,
     }
 }
--- a/crates/loomflow-overload-simulation/src/server.rs
+++ b/crates/loomflow-overload-simulation/src/server.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use loomflow::controller::Controller;
-use loomflow::interface::{Action, Arrival, Event, Gauges, Load, Outcome, Settings};
+use loomflow::interface::{Action, Arrival, AttemptOutcome, Event, Gauges, Load, Settings};
 
 use crate::clock::{MILLISECOND, Micros, SECOND, from_millis, to_millis};
 use crate::cores::{AttemptId, Cores, Job};
@@ -212,7 +212,7 @@
         while let Some(job) = self.cores.take_done(now) {
             match job {
                 Job::Read(attempt) => self.was_read(now, attempt, out),
-                Job::Run(attempt) => self.run_done(now, attempt, Outcome::Ok, out),
+                Job::Run(attempt) => self.run_done(now, attempt, AttemptOutcome::Ok, out),
             }
         }
         self.read_next(now);
@@ -249,9 +249,9 @@
         self.schedule_batch(now, out);
     }
 
-    fn run_done(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome, out: &mut Vec<Output>) {
+    fn run_done(&mut self, now: Micros, attempt: AttemptId, outcome: AttemptOutcome, out: &mut Vec<Output>) {
         let Some(request) = self.requests.remove(&attempt) else { return };
-        if outcome == Outcome::Ok && !request.answered {
+        if outcome == AttemptOutcome::Ok && !request.answered {
             out.push(Output::Answer { attempt, response: ServerResponse::Served, share: self.share });
         }
         let took = to_millis(now - request.began);
@@ -343,7 +343,7 @@
     fn stop(&mut self, now: Micros, id: AttemptId, out: &mut Vec<Output>) -> bool {
         let was_running = self.cores.remove(now, Job::Run(id));
         if was_running {
-            self.run_done(now, id, Outcome::Cancelled, out);
+            self.run_done(now, id, AttemptOutcome::Cancelled, out);
         }
         was_running
     }
--- a/crates/loomflow-server/src/close_reason.rs
+++ b/crates/loomflow-server/src/close_reason.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::io;
 
-use loomflow::interface::Outcome;
+use loomflow::interface::AttemptOutcome;
 
 /// Why a connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,15 +41,15 @@
 
     /// The outcome of a message on the connection; the only place where a reason becomes an outcome. `is_sent`: the
     /// complete message had been handed to the system, so that it may have arrived.
-    pub fn outcome(self, is_sent: bool) -> Outcome {
+    pub fn outcome(self, is_sent: bool) -> AttemptOutcome {
         match self {
-            CloseReason::ConnectionRefused | CloseReason::ConnectFailed => Outcome::Unreachable,
-            _ if !is_sent => Outcome::Unreachable,
+            CloseReason::ConnectionRefused | CloseReason::ConnectFailed => AttemptOutcome::Unreachable,
+            _ if !is_sent => AttemptOutcome::Unreachable,
             CloseReason::PeerClosed
             | CloseReason::Reset
             | CloseReason::ProtocolViolation(_)
             | CloseReason::IdleTimeout
-            | CloseReason::Aborted => Outcome::ConnectionLost,
+            | CloseReason::Aborted => AttemptOutcome::ConnectionLost,
         }
     }
 }
--- a/crates/loomflow-server/src/close_reason/tests.rs
+++ b/crates/loomflow-server/src/close_reason/tests.rs
@@ -11,11 +11,11 @@
 #[test]
 fn a_message_never_ran_if_the_connection_was_not_opened_or_it_was_not_sent_and_may_have_run_otherwise() {
     for reason in OPENED {
-        assert_eq!(reason.outcome(true), Outcome::ConnectionLost, "{reason}");
-        assert_eq!(reason.outcome(false), Outcome::Unreachable, "{reason}");
+        assert_eq!(reason.outcome(true), AttemptOutcome::ConnectionLost, "{reason}");
+        assert_eq!(reason.outcome(false), AttemptOutcome::Unreachable, "{reason}");
     }
     for reason in [CloseReason::ConnectionRefused, CloseReason::ConnectFailed] {
-        assert_eq!(reason.outcome(true), Outcome::Unreachable, "{reason}");
+        assert_eq!(reason.outcome(true), AttemptOutcome::Unreachable, "{reason}");
     }
 }
 
--- a/crates/loomflow-server/src/engine/resend.rs
+++ b/crates/loomflow-server/src/engine/resend.rs
@@ -1,6 +1,6 @@
 //! Which unconfirmed commands are sent again once a new link is ready.
 
-use loomflow::interface::{Idempotency, Outcome};
+use loomflow::interface::{AttemptOutcome, Idempotency};
 
 use super::pending_command::{Delivery, PendingCommand, SentCommand};
 
@@ -56,10 +56,10 @@
     }
 
     /// The outcome of an answered run whose command never arrived, or is not known to have: the engine will not report it.
-    pub fn lost_run_outcome(&self) -> Option<Outcome> {
+    pub fn lost_run_outcome(&self) -> Option<AttemptOutcome> {
         match (self.delivery, &self.command) {
-            (Delivery::NotSent, SentCommand::Run) => Some(Outcome::NotStarted),
-            (Delivery::NotSent | Delivery::Uncertain, _) => Some(Outcome::Cancelled),
+            (Delivery::NotSent, SentCommand::Run) => Some(AttemptOutcome::NotStarted),
+            (Delivery::NotSent | Delivery::Uncertain, _) => Some(AttemptOutcome::Cancelled),
             (Delivery::InFlight { .. } | Delivery::Delivered, _) => None,
         }
     }
--- a/crates/loomflow-server/src/engine/resend/tests.rs
+++ b/crates/loomflow-server/src/engine/resend/tests.rs
@@ -50,9 +50,9 @@
 
 #[test]
 fn an_answered_run_whose_command_may_not_have_arrived_ends_without_a_report() {
-    assert_eq!(run(Delivery::NotSent).lost_run_outcome(), Some(Outcome::NotStarted));
-    assert_eq!(run(Delivery::Uncertain).lost_run_outcome(), Some(Outcome::Cancelled));
-    assert_eq!(reply(Delivery::NotSent).lost_run_outcome(), Some(Outcome::Cancelled));
+    assert_eq!(run(Delivery::NotSent).lost_run_outcome(), Some(AttemptOutcome::NotStarted));
+    assert_eq!(run(Delivery::Uncertain).lost_run_outcome(), Some(AttemptOutcome::Cancelled));
+    assert_eq!(reply(Delivery::NotSent).lost_run_outcome(), Some(AttemptOutcome::Cancelled));
     assert_eq!(run(Delivery::Delivered).lost_run_outcome(), None);
     assert_eq!(run(IN_FLIGHT).lost_run_outcome(), None);
 }
--- a/crates/loomflow-server/src/ledger.rs
+++ b/crates/loomflow-server/src/ledger.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use loomflow::interface::{Outcome, RequestId};
+use loomflow::interface::{AttemptOutcome, RequestId};
 use loomflow::time::Millis;
 use loomflow_protocol::AttemptId;
 use loomflow_protocol::ledger::{self, Replies, ReplyStatus};
@@ -53,7 +53,7 @@
     /// The request that called.
     pub id: RequestId,
     /// How it finished.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     /// How long it took.
     pub duration: Millis,
     /// The reply of a call that succeeded.
@@ -168,11 +168,11 @@
             connection.calls_in_flight -= 1;
         }
         let (outcome, reply) = match status {
-            ReplyStatus::Posted(reply) => (Outcome::Ok, reply),
-            ReplyStatus::QueueFull => (Outcome::Rejected, Vec::new()),
-            ReplyStatus::Error => (Outcome::Error, Vec::new()),
-            ReplyStatus::Expired => (Outcome::TimedOut, Vec::new()),
-            ReplyStatus::NotStarted => (Outcome::NotStarted, Vec::new()),
+            ReplyStatus::Posted(reply) => (AttemptOutcome::Ok, reply),
+            ReplyStatus::QueueFull => (AttemptOutcome::Rejected, Vec::new()),
+            ReplyStatus::Error => (AttemptOutcome::Error, Vec::new()),
+            ReplyStatus::Expired => (AttemptOutcome::TimedOut, Vec::new()),
+            ReplyStatus::NotStarted => (AttemptOutcome::NotStarted, Vec::new()),
         };
         Some(FinishedCall { id, outcome, duration: now - call.started_at, reply })
     }
@@ -210,14 +210,22 @@
                 }
                 let is_sent = call.end <= bytes_written;
                 let has_timed_out = is_sent && is_overdue(call);
-                Some(if has_timed_out { Outcome::TimedOut } else { CloseReason::Aborted.outcome(is_sent) })
+                Some(if has_timed_out {
+                    AttemptOutcome::TimedOut
+                } else {
+                    CloseReason::Aborted.outcome(is_sent)
+                })
             }));
         }
         finished
     }
 
     /// Finishes the calls for which there is an outcome.
-    fn finish_where(&mut self, now: Millis, outcome: impl Fn(&Call) -> Option<Outcome>) -> Vec<FinishedCall> {
+    fn finish_where(
+        &mut self,
+        now: Millis,
+        outcome: impl Fn(&Call) -> Option<AttemptOutcome>,
+    ) -> Vec<FinishedCall> {
         let mut finished = Vec::new();
         self.calls.retain(|id, call| {
             let Some(outcome) = outcome(call) else { return true };
--- a/crates/loomflow-server/src/ledger/tests.rs
+++ b/crates/loomflow-server/src/ledger/tests.rs
@@ -66,7 +66,7 @@
     let finished = ledger.expire(100.0 + EXPIRY_GRACE_MS);
     // Neither was written, so neither ran, and neither will.
     let outcomes: Vec<_> = finished.iter().map(|call| (call.id, call.outcome)).collect();
-    assert_eq!(outcomes, [(1, Outcome::Unreachable), (2, Outcome::Unreachable)]);
+    assert_eq!(outcomes, [(1, AttemptOutcome::Unreachable), (2, AttemptOutcome::Unreachable)]);
     assert!(ledger.connections.is_empty() && ledger.calls.is_empty());
 }
 
@@ -92,7 +92,10 @@
     let mut ledger = ledger(9);
     call(&mut ledger, 1, true, 0.0);
     assert_eq!(ledger.reply_received(7, Some(1), ReplyStatus::Error, 1.0), None);
-    assert_eq!(ledger.reply_received(1, Some(1), ReplyStatus::Error, 1.0).unwrap().outcome, Outcome::Error);
+    assert_eq!(
+        ledger.reply_received(1, Some(1), ReplyStatus::Error, 1.0).unwrap().outcome,
+        AttemptOutcome::Error
+    );
     assert_eq!(ledger.reply_received(1, Some(1), ReplyStatus::Error, 1.0), None);
 }
 
@@ -102,9 +105,9 @@
     call(&mut ledger, 1, true, 0.0);
     let first = ledger.calls[&1].end;
     call(&mut ledger, 2, true, 0.0);
-    let outcomes: Vec<Outcome> =
+    let outcomes: Vec<AttemptOutcome> =
         ledger.disconnected(1, CloseReason::Reset, first, 5.0).into_iter().map(|call| call.outcome).collect();
-    assert_eq!(outcomes, [Outcome::ConnectionLost, Outcome::Unreachable]);
+    assert_eq!(outcomes, [AttemptOutcome::ConnectionLost, AttemptOutcome::Unreachable]);
     assert!(ledger.connections.is_empty());
 }
 
@@ -135,5 +138,5 @@
     ledger.connections[&1].handle.take_written(usize::MAX);
     let finished = ledger.expire(100.0 + EXPIRY_GRACE_MS);
     let outcomes: Vec<_> = finished.iter().map(|call| (call.id, call.outcome)).collect();
-    assert_eq!(outcomes, [(1, Outcome::TimedOut), (2, Outcome::ConnectionLost)]);
+    assert_eq!(outcomes, [(1, AttemptOutcome::TimedOut), (2, AttemptOutcome::ConnectionLost)]);
 }
--- a/crates/loomflow-server/src/owner/actions.rs
+++ b/crates/loomflow-server/src/owner/actions.rs
@@ -1,6 +1,6 @@
 //! What the controller has decided, carried out.
 
-use loomflow::interface::{Action, Event, FeedbackSignal, Idempotency, Outcome, RequestId};
+use loomflow::interface::{Action, AttemptOutcome, Event, FeedbackSignal, Idempotency, RequestId};
 use loomflow::time::Millis;
 use loomflow_protocol::engine::Command;
 
@@ -49,7 +49,7 @@
         let Some(entry) = self.requests.get_mut(id).filter(|entry| !entry.is_answered) else {
             self.controller_events.push_back(Event::RunEnded {
                 id,
-                outcome: Outcome::NotStarted,
+                outcome: AttemptOutcome::NotStarted,
                 duration: 0.0,
             });
             return;
@@ -95,7 +95,7 @@
             deadline,
         };
         if !self.peers.ledger.call(call, self.now.ms) {
-            let outcome = Outcome::Unreachable;
+            let outcome = AttemptOutcome::Unreachable;
             self.controller_events.push_back(Event::CallEnded { id, outcome, duration: 0.0 });
         }
     }
--- a/crates/loomflow-server/src/owner/engine_events.rs
+++ b/crates/loomflow-server/src/owner/engine_events.rs
@@ -1,7 +1,7 @@
 //! What the engine reports about runs, and the commands that are sent to it again after a lost link.
 
 use loomflow::controller::Controller;
-use loomflow::interface::{Event, Outcome, RequestId};
+use loomflow::interface::{AttemptOutcome, Event, RequestId};
 use loomflow::time::Millis;
 use loomflow_protocol::AttemptId;
 use loomflow_protocol::engine::{Command, Notice, RunEnd};
@@ -95,13 +95,15 @@
     fn run_finished(&mut self, id: RequestId, end: RunEnd, duration: Millis, result: &[u8]) {
         self.peers.ledger.cancel(id, self.now.ms);
         let (response, outcome, completion) = match end {
-            RunEnd::Succeeded => (Response::Served(result), Outcome::Ok, Completion::Served(result)),
-            RunEnd::Failed => (Response::Failed(Failure::MayHaveRun), Outcome::Error, Completion::Failed),
+            RunEnd::Succeeded => (Response::Served(result), AttemptOutcome::Ok, Completion::Served(result)),
+            RunEnd::Failed => {
+                (Response::Failed(Failure::MayHaveRun), AttemptOutcome::Error, Completion::Failed)
+            }
             RunEnd::Stopped => {
-                (Response::Failed(Failure::MayHaveRun), Outcome::Cancelled, Completion::Failed)
+                (Response::Failed(Failure::MayHaveRun), AttemptOutcome::Cancelled, Completion::Failed)
             }
             RunEnd::NotStarted => {
-                (Response::Failed(Failure::NotRun), Outcome::NotStarted, Completion::NotRun)
+                (Response::Failed(Failure::NotRun), AttemptOutcome::NotStarted, Completion::NotRun)
             }
         };
         let Some(entry) = self.requests.get_mut(id) else { return };
@@ -159,7 +161,7 @@
     /// A call to the ledger has finished.
     pub(super) fn call_finished(&mut self, finished: FinishedCall) {
         let FinishedCall { id, outcome, duration, reply } = finished;
-        if let Some(entry) = self.requests.get_mut(id).filter(|_| outcome == Outcome::Ok) {
+        if let Some(entry) = self.requests.get_mut(id).filter(|_| outcome == AttemptOutcome::Ok) {
             let delivery = self.peers.engine.send(Command::Feed { id: entry.attempt_id, reply: &reply });
             entry.pending_command =
                 Some(PendingCommand { command: SentCommand::Reply(reply), delivery, sent_at: self.now.ms });
--- a/crates/loomflow-server/src/owner/requests.rs
+++ b/crates/loomflow-server/src/owner/requests.rs
@@ -1,6 +1,6 @@
 //! Requests, from the submission by a front to their response.
 
-use loomflow::interface::{Arrival, Event, Idempotency, Outcome, RequestId};
+use loomflow::interface::{Arrival, AttemptOutcome, Event, Idempotency, RequestId};
 
 use super::Owner;
 use super::admission::{self, Rejection};
@@ -128,7 +128,7 @@
                 self.peers.ledger.cancel(id, self.now.ms);
                 if let Some(outcome) = lost {
                     self.controller_events.push_back(Event::RunEnded { id, outcome, duration: 0.0 });
-                    let has_run = outcome != Outcome::NotStarted;
+                    let has_run = outcome != AttemptOutcome::NotStarted;
                     self.remove(id, if has_run { Completion::Failed } else { Completion::NotRun });
                 }
             }
@@ -148,18 +148,22 @@
 
     /// Ends a run whose end the engine will not report.
     pub(super) fn end_unreported_run(&mut self, id: RequestId) {
-        self.controller_events.push_back(Event::RunEnded { id, outcome: Outcome::Cancelled, duration: 0.0 });
+        self.controller_events.push_back(Event::RunEnded {
+            id,
+            outcome: AttemptOutcome::Cancelled,
+            duration: 0.0,
+        });
         self.remove(id, Completion::Failed);
     }
 
     /// Responds to a duplicate as its original has finished.
     pub(super) fn respond_with_result(&mut self, id: RequestId, completion: Completion) {
         let (response, outcome) = match completion {
-            Completion::Served(result) => (Response::Served(result), Outcome::Ok),
+            Completion::Served(result) => (Response::Served(result), AttemptOutcome::Ok),
             // The original has failed, or may have run and left no result.
-            Completion::Failed => (Response::Failed(Failure::MayHaveRun), Outcome::Error),
+            Completion::Failed => (Response::Failed(Failure::MayHaveRun), AttemptOutcome::Error),
             // Neither ran, so the duplicate may be retried.
-            Completion::NotRun => (Response::REJECTED, Outcome::NotStarted),
+            Completion::NotRun => (Response::REJECTED, AttemptOutcome::NotStarted),
         };
         self.respond(id, response);
         self.controller_events.push_back(Event::RunEnded { id, outcome, duration: 0.0 });
--- a/src/controller/call_retry.rs
+++ b/src/controller/call_retry.rs
@@ -6,7 +6,7 @@
 //! its call, where the class allows one, is given as soon as a permit in time is out of reach.
 
 use crate::estimate::Mean;
-use crate::interface::{Class, Outcome};
+use crate::interface::{AttemptOutcome, Class};
 use crate::time::Millis;
 
 /// An idempotent call times out after this multiple of the usual call time, or after half the time to its
@@ -65,14 +65,17 @@
 }
 
 /// Whether a call that failed may be made again: it never ran, or may run twice.
-pub(super) fn may_run_again(outcome: Outcome, is_idempotent: bool) -> bool {
-    let never_ran = matches!(outcome, Outcome::Rejected | Outcome::Unreachable | Outcome::NotStarted);
+pub(super) fn may_run_again(outcome: AttemptOutcome, is_idempotent: bool) -> bool {
+    let never_ran = matches!(
+        outcome,
+        AttemptOutcome::Rejected | AttemptOutcome::Unreachable | AttemptOutcome::NotStarted
+    );
     is_idempotent || never_ran
 }
 
 /// Whether a call that ended so may still run in the dependency.
-pub(super) fn may_linger(outcome: Outcome) -> bool {
-    matches!(outcome, Outcome::TimedOut | Outcome::ConnectionLost)
+pub(super) fn may_linger(outcome: AttemptOutcome) -> bool {
+    matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::ConnectionLost)
 }
 
 /// Whether a run may go on without its call.
--- a/src/controller/call_retry/tests.rs
+++ b/src/controller/call_retry/tests.rs
@@ -1,6 +1,6 @@
 use super::{CallTimes, may_linger, may_run_again};
 use crate::estimate::Mean;
-use crate::interface::Outcome;
+use crate::interface::AttemptOutcome;
 
 const TIMES: CallTimes = CallTimes { usual: Mean { value: 100.0, samples: 30 }, batch_interval: 5.0 };
 
@@ -26,7 +26,7 @@
 
 #[test]
 fn only_a_call_without_effect_is_retried_and_only_a_lost_one_lingers() {
-    use Outcome::{ConnectionLost, Error, NotStarted, Rejected, TimedOut, Unreachable};
+    use AttemptOutcome::{ConnectionLost, Error, NotStarted, Rejected, TimedOut, Unreachable};
     for outcome in [Error, TimedOut, ConnectionLost, Rejected, Unreachable, NotStarted] {
         let never_ran = [Rejected, Unreachable, NotStarted].contains(&outcome);
         assert!(may_run_again(outcome, true));
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -6,7 +6,7 @@
 use super::Controller;
 use super::call_retry::{CallTimes, may_be_omitted, may_linger, may_run_again};
 use super::request::Stage;
-use crate::interface::{Action, Idempotency, Outcome, RequestId};
+use crate::interface::{Action, AttemptOutcome, Idempotency, RequestId};
 use crate::time::Millis;
 
 impl Controller {
@@ -64,7 +64,7 @@
     pub(super) fn call_ended(
         &mut self,
         id: RequestId,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         duration: Millis,
         out: &mut Vec<Action>,
     ) {
@@ -72,7 +72,7 @@
         request.stage = Stage::AwaitingCall;
         let (is_answered, class) = (request.is_answered, request.class);
         self.call_permits.end_call(self.now);
-        if outcome == Outcome::Ok {
+        if outcome == AttemptOutcome::Ok {
             self.call_permits.record_success(duration);
             self.resume_run(id);
             return;
--- a/src/controller/runs.rs
+++ b/src/controller/runs.rs
@@ -5,7 +5,7 @@
 use super::Controller;
 use super::load_shedding::Forecast;
 use super::request::{Request, Stage};
-use crate::interface::{Action, Outcome, RequestId};
+use crate::interface::{Action, AttemptOutcome, RequestId};
 use crate::time::Millis;
 
 impl Controller {
@@ -81,8 +81,8 @@
         self.forecast(request, wait).is_hopeless(self.now, starts_on_idle_cores)
     }
 
-    pub(super) fn run_ended(&mut self, id: RequestId, outcome: Outcome, duration: Millis) {
-        if outcome != Outcome::NotStarted {
+    pub(super) fn run_ended(&mut self, id: RequestId, outcome: AttemptOutcome, duration: Millis) {
+        if outcome != AttemptOutcome::NotStarted {
             self.stall_detector.record_progress(self.now);
         }
         let Some(request) = self.remove(id) else { return };
@@ -90,9 +90,9 @@
             // It was answered before, and its call is abandoned with it.
             self.call_permits.occupy_until_lingered(self.now);
         }
-        let has_run = matches!(outcome, Outcome::Ok | Outcome::Error);
+        let has_run = matches!(outcome, AttemptOutcome::Ok | AttemptOutcome::Error);
         if has_run && request.stage != Stage::AwaitingResult {
-            self.record_run(&request, outcome == Outcome::Ok, duration);
+            self.record_run(&request, outcome == AttemptOutcome::Ok, duration);
         }
     }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -42,9 +42,9 @@
     pub original: Option<RequestId>,
 }
 
-/// How a run or a call ended.
+/// How an attempt ended: a run of a request, or one attempt of its call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// It succeeded.
     Ok,
     /// It failed, perhaps after taking effect.
@@ -105,7 +105,7 @@
         /// The request that called.
         id: RequestId,
         /// How it ended.
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         /// How long it took.
         duration: Millis,
     },
@@ -114,7 +114,7 @@
         /// The request.
         id: RequestId,
         /// How it ended.
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         /// How long it took, with its calls.
         duration: Millis,
     },
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -206,13 +206,21 @@
                         self.events.push(Event::CallNeeded(*id));
                     } else if attempt.left <= 0.0 {
                         let took = now - attempt.begun;
-                        self.events.push(Event::RunEnded { id: *id, outcome: Outcome::Ok, duration: took });
+                        self.events.push(Event::RunEnded {
+                            id: *id,
+                            outcome: AttemptOutcome::Ok,
+                            duration: took,
+                        });
                     }
                 }
                 Stage::Calling(until) if until <= now => {
                     attempt.stage = Stage::OnCores;
                     let took = CALLS_RETURN_EVERY;
-                    self.events.push(Event::CallEnded { id: *id, outcome: Outcome::Ok, duration: took });
+                    self.events.push(Event::CallEnded {
+                        id: *id,
+                        outcome: AttemptOutcome::Ok,
+                        duration: took,
+                    });
                 }
                 _ => {}
             }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -139,7 +139,7 @@
     }
 
     pub fn finish(&mut self, id: RequestId, took: f64) -> Vec<Action> {
-        self.one(Event::RunEnded { id, outcome: Outcome::Ok, duration: took })
+        self.one(Event::RunEnded { id, outcome: AttemptOutcome::Ok, duration: took })
     }
 
     /// Ends the run that has gone on for longest, in whatever order the hold has begun them.
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -122,7 +122,7 @@
         d.arrive(id, SAFE);
         d.one(Event::CallNeeded(id));
         d.pass(500.0);
-        d.one(Event::CallEnded { id, outcome: Outcome::Ok, duration: 500.0 });
+        d.one(Event::CallEnded { id, outcome: AttemptOutcome::Ok, duration: 500.0 });
         d.finish(id, 510.0);
     }
     d.gauges = FULL;
@@ -132,7 +132,7 @@
     d.batch(many(201..=204, UNSAFE));
     assert!(runs(&d.arrive(300, SAFE)).is_empty());
     d.pass(20.0);
-    let back = |id| Event::CallEnded { id, outcome: Outcome::Ok, duration: 20.0 };
+    let back = |id| Event::CallEnded { id, outcome: AttemptOutcome::Ok, duration: 20.0 };
     d.batch((100..=103).map(back).collect());
     (100..=103).for_each(|id| drop(d.finish(id, 30.0)));
     assert!(refused(&d.pass(2060.0), 300));
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -156,7 +156,7 @@
     d.pass(300.0);
     d.one(Event::CallNeeded(5));
     d.pass(1900.0);
-    d.one(Event::CallEnded { id: 5, outcome: Outcome::Ok, duration: 1900.0 });
+    d.one(Event::CallEnded { id: 5, outcome: AttemptOutcome::Ok, duration: 1900.0 });
     d.batch((31..=40).map(|id| Event::RequestArrived(arrival(id, UNSAFE))).collect());
     let before = d.started();
     d.finish(5, 2200.0);
@@ -230,7 +230,7 @@
         if let Some((id, at)) = calling.filter(|(_, at)| d.now - at >= 200.0) {
             calling = None;
             in_hand += d.now - at;
-            d.one(Event::CallEnded { id, outcome: Outcome::Ok, duration: d.now - at });
+            d.one(Event::CallEnded { id, outcome: AttemptOutcome::Ok, duration: d.now - at });
             for started in runs(&d.finish(id, d.now - at)) {
                 d.one(Event::CallNeeded(started));
             }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -255,8 +255,13 @@
 type Step = (u8, u16, u16);
 
 /// How calls end.
-const CALL_OUTCOMES: [Outcome; 5] =
-    [Outcome::Ok, Outcome::Error, Outcome::Rejected, Outcome::TimedOut, Outcome::Unreachable];
+const CALL_OUTCOMES: [AttemptOutcome; 5] = [
+    AttemptOutcome::Ok,
+    AttemptOutcome::Error,
+    AttemptOutcome::Rejected,
+    AttemptOutcome::TimedOut,
+    AttemptOutcome::Unreachable,
+];
 
 impl World {
     fn new(set: Settings, fault: Fault) -> World {
@@ -294,22 +299,22 @@
                 return;
             };
             self.checker.now = self.checker.now.max(at);
-            let event = self.end_call(id, Outcome::TimedOut, 500);
+            let event = self.end_call(id, AttemptOutcome::TimedOut, 500);
             self.batch(vec![event]);
         }
     }
 
-    fn end_call(&mut self, id: RequestId, outcome: Outcome, by: u16) -> Event {
+    fn end_call(&mut self, id: RequestId, outcome: AttemptOutcome, by: u16) -> Event {
         let lingers = self.checker.now + self.checker.set.call_linger;
         let s = self.checker.open.get_mut(&id).unwrap();
         if s.answered {
             self.checker.open.remove(&id);
             self.checker.lingering.push(lingers);
-            return Event::RunEnded { id, outcome: Outcome::Cancelled, duration: 10.0 };
+            return Event::RunEnded { id, outcome: AttemptOutcome::Cancelled, duration: 10.0 };
         }
-        s.at = if outcome == Outcome::Ok { At::Running } else { At::Blocked };
-        s.call_may_have_run = matches!(outcome, Outcome::Error | Outcome::TimedOut);
-        if outcome == Outcome::TimedOut {
+        s.at = if outcome == AttemptOutcome::Ok { At::Running } else { At::Blocked };
+        s.call_may_have_run = matches!(outcome, AttemptOutcome::Error | AttemptOutcome::TimedOut);
+        if outcome == AttemptOutcome::TimedOut {
             self.checker.lingering.push(lingers);
         }
         Event::CallEnded { id, outcome, duration: f64::from(by % 700) }
@@ -405,7 +410,7 @@
     }
 
     fn end_run(&mut self, id: RequestId, by: u16) -> Event {
-        let outcome = if by.is_multiple_of(9) { Outcome::Error } else { Outcome::Ok };
+        let outcome = if by.is_multiple_of(9) { AttemptOutcome::Error } else { AttemptOutcome::Ok };
         if !self.checker.open[&id].answered {
             self.checker.answer(id, false);
         }
@@ -445,7 +450,7 @@
         for id in self.checker.ids(At::Blocked) {
             if self.checker.open[&id].answered {
                 self.checker.open.remove(&id);
-                self.batch(vec![Event::RunEnded { id, outcome: Outcome::Cancelled, duration: 10.0 }]);
+                self.batch(vec![Event::RunEnded { id, outcome: AttemptOutcome::Cancelled, duration: 10.0 }]);
             }
         }
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -143,7 +143,7 @@
 
 #[test]
 fn a_call_is_retried_only_if_it_never_ran_or_is_idempotent() {
-    use Outcome::*;
+    use AttemptOutcome::*;
     for class in [SAFE, KEYED, UNSAFE] {
         for outcome in [Error, Rejected, TimedOut, Unreachable, ConnectionLost, NotStarted] {
             let mut d = Driver::new(settings());
@@ -247,7 +247,7 @@
     }
     // Two whole permits, and the half one, lent now.
     assert_eq!(calls.iter().filter(|a| matches!(a, Action::Call { .. })).count(), 3);
-    let actions = d.one(Event::CallEnded { id: 1, outcome: Outcome::TimedOut, duration: 50.0 });
+    let actions = d.one(Event::CallEnded { id: 1, outcome: AttemptOutcome::TimedOut, duration: 50.0 });
     assert!(!actions.iter().any(|a| matches!(a, Action::Call { .. })), "the abandoned call lingers below");
     let later = d.pass(260.0);
     assert!(later.iter().any(|a| matches!(a, Action::Call { .. })));
@@ -278,9 +278,9 @@
             };
             let took = time.min(abandon_at - d.now);
             d.pass(took);
-            let outcome = if took < time { Outcome::TimedOut } else { Outcome::Ok };
+            let outcome = if took < time { AttemptOutcome::TimedOut } else { AttemptOutcome::Ok };
             actions = d.one(Event::CallEnded { id, outcome, duration: took });
-            if outcome == Outcome::Ok {
+            if outcome == AttemptOutcome::Ok {
                 done += 1;
                 d.finish(id, 200.0);
                 break;
@@ -347,8 +347,8 @@
         Event::RequestArrived(arrival(1, 99)),
         Event::RequestCancelled(77),
         Event::CallNeeded(77),
-        Event::CallEnded { id: 77, outcome: Outcome::Ok, duration: 1.0 },
-        Event::RunEnded { id: 77, outcome: Outcome::NotStarted, duration: 0.0 },
+        Event::CallEnded { id: 77, outcome: AttemptOutcome::Ok, duration: 1.0 },
+        Event::RunEnded { id: 77, outcome: AttemptOutcome::NotStarted, duration: 0.0 },
         Event::TimerFired(Gauges::default()),
         Event::ShutdownRequested { time_left: 0.0 },
         Event::RequestArrived(arrival(2, SAFE)),
@@ -410,7 +410,7 @@
     for id in 1..=20 {
         d.arrive(id, SAFE);
         d.pass(100.0);
-        d.one(Event::RunEnded { id, outcome: Outcome::Error, duration: 1.0 });
+        d.one(Event::RunEnded { id, outcome: AttemptOutcome::Error, duration: 1.0 });
     }
     assert!(d.told() < 0.5, "told {}", d.told());
 }
@@ -426,7 +426,7 @@
     d.arrive(1, SAFE);
     d.one(Event::CallNeeded(1));
     d.pass(400.0);
-    d.one(Event::CallEnded { id: 1, outcome: Outcome::Ok, duration: 400.0 });
+    d.one(Event::CallEnded { id: 1, outcome: AttemptOutcome::Ok, duration: 400.0 });
     d.finish(1, 500.0);
     let started = runs(&d.batch(many(2..=4, SAFE)));
     let all: Vec<Action> = started.iter().flat_map(|id| d.one(Event::CallNeeded(*id))).collect();
@@ -527,7 +527,7 @@
             d.one(Event::CallNeeded(id));
             let took = if id <= 40 { 20.0 } else { slow };
             d.pass(took);
-            d.one(Event::CallEnded { id, outcome: Outcome::Ok, duration: took });
+            d.one(Event::CallEnded { id, outcome: AttemptOutcome::Ok, duration: took });
             d.finish(id, took + 50.0);
         }
         d.batch((201..=216).map(|id| Event::RequestArrived(arrival(id, UNSAFE))).collect());
