--- a/crates/loomflow-amqp/src/connection.rs
+++ b/crates/loomflow-amqp/src/connection.rs
@@ -96,7 +96,7 @@
 }
 
 /// One connection to a broker.
-pub struct Connection {
+pub struct BrokerConnection {
     login: Login,
     max_body_bytes: usize,
     state: ConnectionState,
@@ -111,10 +111,10 @@
     output: Vec<u8>,
 }
 
-impl Connection {
+impl BrokerConnection {
     /// Starts the handshake on a newly opened transport. Longer bodies than `max_body_bytes` are discarded.
-    pub fn open(login: Login, max_body_bytes: usize, now: Millis) -> Connection {
-        let mut connection = Connection {
+    pub fn open(login: Login, max_body_bytes: usize, now: Millis) -> BrokerConnection {
+        let mut connection = BrokerConnection {
             login,
             max_body_bytes,
             state: ConnectionState::Greeting,
--- a/crates/loomflow-amqp/src/connection/tests.rs
+++ b/crates/loomflow-amqp/src/connection/tests.rs
@@ -8,14 +8,14 @@
 const INTERVAL: Millis = 10_000.0;
 const MAX_BODY_BYTES: usize = 1_000;
 
-fn connection() -> Connection {
+fn connection() -> BrokerConnection {
     let login = Login {
         vhost: "/".into(),
         user: "guest".into(),
         password: Password("guest".into()),
         heartbeat_s: HEARTBEAT_S,
     };
-    Connection::open(login, MAX_BODY_BYTES, 0.0)
+    BrokerConnection::open(login, MAX_BODY_BYTES, 0.0)
 }
 
 fn control(method: connection::AMQPMethod) -> AMQPFrame {
@@ -37,7 +37,7 @@
 }
 
 /// A connection whose handshake is complete at time 0, with these limits of the broker.
-pub(crate) fn ready(channel_max: u16, frame_max: u32, heartbeat: u16) -> Connection {
+pub(crate) fn ready(channel_max: u16, frame_max: u32, heartbeat: u16) -> BrokerConnection {
     let mut connection = connection();
     let open_ok = control(connection::AMQPMethod::OpenOk(connection::OpenOk {}));
     for frame in [start(9, "PLAIN"), tune(channel_max, frame_max, heartbeat)] {
@@ -69,7 +69,7 @@
 
 #[test]
 fn the_smaller_limit_of_both_sides_applies_and_zero_is_none() {
-    let limits = |connection: Connection| {
+    let limits = |connection: BrokerConnection| {
         (connection.channel_max, connection.frame_max, connection.heartbeat_interval)
     };
     assert_eq!(limits(ready(0, 0, 0)), (u16::MAX, FRAME_MAX, INTERVAL));
--- a/crates/loomflow-amqp/src/consumer/mod.rs
+++ b/crates/loomflow-amqp/src/consumer/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::Millis;
 use crate::backoff::Backoff;
-use crate::connection::{Channel, Connection, ConnectionEvent, Login};
+use crate::connection::{BrokerConnection, Channel, ConnectionEvent, Login};
 use crate::consumer_pool::{ConsumerPool, PREFETCH_COUNTS};
 use crate::idempotency::{DeliveryId, IdempotencyKey, IdempotencyRecords, IdempotencyStore};
 use crate::message::Classification;
@@ -127,7 +127,7 @@
 /// The consumer of one broker's queues.
 pub struct Consumer {
     settings: Settings,
-    connection: Option<Connection>,
+    connection: Option<BrokerConnection>,
     backoff: Backoff,
     queues: Vec<QueueState>,
     publisher: Publisher,
@@ -210,7 +210,7 @@
             password: self.settings.password.clone(),
             heartbeat_s: self.settings.heartbeat_s,
         };
-        self.connection = Some(Connection::open(login, self.settings.max_body_bytes, now));
+        self.connection = Some(BrokerConnection::open(login, self.settings.max_body_bytes, now));
     }
 
     /// The connection is lost, or could not be opened. Returns how long to wait before the next is opened, none where no
@@ -437,7 +437,7 @@
 
     /// Whether everything is settled, or the time for it is over.
     pub fn is_drained(&self, now: Millis) -> bool {
-        let is_closed = || self.connection.as_ref().is_none_or(Connection::is_closed);
+        let is_closed = || self.connection.as_ref().is_none_or(BrokerConnection::is_closed);
         self.drain_deadline.is_some_and(|deadline| now >= deadline || is_closed())
     }
 
--- a/crates/loomflow-amqp/src/consumer_pool/tests.rs
+++ b/crates/loomflow-amqp/src/consumer_pool/tests.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 
 #[derive(Clone, Debug)]
-enum Step {
+enum PoolStep {
     Aim(usize),
     /// The broker carries out this many commands.
     Answer(usize),
@@ -14,14 +14,14 @@
     BrokerCancels(usize),
 }
 
-fn steps() -> impl Strategy<Value = Vec<Step>> {
+fn steps() -> impl Strategy<Value = Vec<PoolStep>> {
     let step = prop_oneof![
-        3 => (0usize..60).prop_map(Step::Aim),
-        4 => (1usize..6).prop_map(Step::Answer),
-        6 => (0usize..12).prop_map(Step::Deliver),
-        6 => (0usize..12).prop_map(Step::Settle),
-        1 => (0usize..12).prop_map(Step::Close),
-        1 => (0usize..12).prop_map(Step::BrokerCancels),
+        3 => (0usize..60).prop_map(PoolStep::Aim),
+        4 => (1usize..6).prop_map(PoolStep::Answer),
+        6 => (0usize..12).prop_map(PoolStep::Deliver),
+        6 => (0usize..12).prop_map(PoolStep::Settle),
+        1 => (0usize..12).prop_map(PoolStep::Close),
+        1 => (0usize..12).prop_map(PoolStep::BrokerCancels),
     ];
     proptest::collection::vec(step, 1..200)
 }
@@ -48,23 +48,23 @@
         for step in steps {
             now += 100.0;
             match step {
-                Step::Aim(to) => {
+                PoolStep::Aim(to) => {
                     bound = to.max(pool.consumers.iter().map(PooledConsumer::max_unsettled).sum());
                     window = to;
                 }
-                Step::Answer(count) => carry_out(&mut pool, commands.drain(..count.min(commands.len()))),
-                Step::Deliver(at) => {
+                PoolStep::Answer(count) => carry_out(&mut pool, commands.drain(..count.min(commands.len()))),
+                PoolStep::Deliver(at) => {
                     let consumer = &pool.consumers[at];
                     if matches!(consumer.state, ConsumerState::Consuming | ConsumerState::Cancelling) && consumer.unsettled < usize::from(consumer.prefetch) {
                         prop_assert!(pool.delivered(at));
                     }
                 }
-                Step::Settle(at) => pool.settled(at),
-                Step::Close(at) => {
+                PoolStep::Settle(at) => pool.settled(at),
+                PoolStep::Close(at) => {
                     commands.retain(|(consumer, _)| *consumer != at);
                     pool.channel_closed(at, now);
                 }
-                Step::BrokerCancels(at) => if pool.consumers[at].state == ConsumerState::Consuming { pool.cancelled_by_broker(at, now) },
+                PoolStep::BrokerCancels(at) => if pool.consumers[at].state == ConsumerState::Consuming { pool.cancelled_by_broker(at, now) },
             }
             commands.extend(pool.resize(window, now));
             bound = bound.min(window.max(pool.consumers.iter().map(PooledConsumer::max_unsettled).sum()));
--- a/crates/loomflow-amqp/tests/model.rs
+++ b/crates/loomflow-amqp/tests/model.rs
@@ -255,7 +255,7 @@
 }
 
 #[derive(Clone, Debug)]
-enum Step {
+enum SimulationStep {
     Publish(Option<u64>),
     Pass(f64),
     Exchange(usize, usize),
@@ -270,21 +270,21 @@
     Fault(u8),
 }
 
-fn steps() -> impl Strategy<Value = Vec<Step>> {
+fn steps() -> impl Strategy<Value = Vec<SimulationStep>> {
     let at = 0usize..2;
     let one = prop_oneof![
-        6 => proptest::option::weighted(0.15, 0u64..50).prop_map(Step::Publish),
-        4 => (1.0f64..400.0).prop_map(Step::Pass),
-        20 => (at.clone(), 1usize..40).prop_map(|(at, n)| Step::Exchange(at, n)),
-        8 => at.clone().prop_map(Step::Begin),
-        8 => (at.clone(), prop::bool::weighted(0.9)).prop_map(|(at, fine)| Step::Finish(at, fine)),
-        2 => (at.clone(), 0.0f64..300.0).prop_map(|(at, pause)| Step::Refuse(at, pause)),
-        1 => at.clone().prop_map(Step::Cut),
-        1 => at.clone().prop_map(Step::Restart),
-        1 => at.prop_map(Step::Leave),
-        1 => Just(Step::CloseChannels),
-        1 => Just(Step::CancelConsumers),
-        2 => (0u8..4).prop_map(Step::Fault),
+        6 => proptest::option::weighted(0.15, 0u64..50).prop_map(SimulationStep::Publish),
+        4 => (1.0f64..400.0).prop_map(SimulationStep::Pass),
+        20 => (at.clone(), 1usize..40).prop_map(|(at, n)| SimulationStep::Exchange(at, n)),
+        8 => at.clone().prop_map(SimulationStep::Begin),
+        8 => (at.clone(), prop::bool::weighted(0.9)).prop_map(|(at, fine)| SimulationStep::Finish(at, fine)),
+        2 => (at.clone(), 0.0f64..300.0).prop_map(|(at, pause)| SimulationStep::Refuse(at, pause)),
+        1 => at.clone().prop_map(SimulationStep::Cut),
+        1 => at.clone().prop_map(SimulationStep::Restart),
+        1 => at.prop_map(SimulationStep::Leave),
+        1 => Just(SimulationStep::CloseChannels),
+        1 => Just(SimulationStep::CancelConsumers),
+        2 => (0u8..4).prop_map(SimulationStep::Fault),
     ];
     proptest::collection::vec(one, 1..250)
 }
@@ -292,31 +292,32 @@
 /// Servers share no records and a restart loses them: a key that is published twice runs once only if one server has
 /// received both messages. So a key is published twice only with a single server that never restarts; redeliveries
 /// happen in any case.
-fn play(servers: usize, has_effect: bool, steps: Vec<Step>) -> Simulation {
+fn play(servers: usize, has_effect: bool, steps: Vec<SimulationStep>) -> Simulation {
     let mut simulation = Simulation::new(servers, has_effect);
     let alone = servers == 1;
     for one in steps {
         match one {
-            Step::Exchange(at, _) | Step::Begin(at) | Step::Finish(at, _) if at >= servers => {}
-            Step::Refuse(at, _) | Step::Cut(at) if at >= servers => {}
-            Step::Restart(_) | Step::Leave(_) if alone => {}
-            Step::Fault(1) if !alone => {}
-            Step::Publish(Some(_)) if !alone => simulation.publish(None),
-            Step::Publish(again) => simulation.publish(again),
-            Step::Pass(span) => simulation.now += span,
-            Step::Exchange(at, count) => simulation.exchange(at, count),
-            Step::Begin(at) => simulation.start_run(at),
-            Step::Finish(at, fine) => simulation.finish_run(at, fine),
-            Step::Refuse(at, pause) => simulation.reject(at, pause),
-            Step::Cut(at) => simulation.disconnect(at),
-            Step::Restart(at) => simulation.restart(at),
-            Step::Leave(at) => simulation.drain(at),
-            Step::CloseChannels => simulation.broker.close_channels("jobs", 541),
-            Step::CancelConsumers => simulation.broker.cancel_consumers("jobs"),
-            Step::Fault(0) => simulation.broker.faults.nack += 1,
-            Step::Fault(1) => simulation.broker.faults.duplicate += 1,
-            Step::Fault(2) => simulation.broker.faults.unconfirmed += 1,
-            Step::Fault(_) => simulation.broker.faults.forget_acks += 1,
+            SimulationStep::Exchange(at, _) | SimulationStep::Begin(at) | SimulationStep::Finish(at, _)
+                if at >= servers => {}
+            SimulationStep::Refuse(at, _) | SimulationStep::Cut(at) if at >= servers => {}
+            SimulationStep::Restart(_) | SimulationStep::Leave(_) if alone => {}
+            SimulationStep::Fault(1) if !alone => {}
+            SimulationStep::Publish(Some(_)) if !alone => simulation.publish(None),
+            SimulationStep::Publish(again) => simulation.publish(again),
+            SimulationStep::Pass(span) => simulation.now += span,
+            SimulationStep::Exchange(at, count) => simulation.exchange(at, count),
+            SimulationStep::Begin(at) => simulation.start_run(at),
+            SimulationStep::Finish(at, fine) => simulation.finish_run(at, fine),
+            SimulationStep::Refuse(at, pause) => simulation.reject(at, pause),
+            SimulationStep::Cut(at) => simulation.disconnect(at),
+            SimulationStep::Restart(at) => simulation.restart(at),
+            SimulationStep::Leave(at) => simulation.drain(at),
+            SimulationStep::CloseChannels => simulation.broker.close_channels("jobs", 541),
+            SimulationStep::CancelConsumers => simulation.broker.cancel_consumers("jobs"),
+            SimulationStep::Fault(0) => simulation.broker.faults.nack += 1,
+            SimulationStep::Fault(1) => simulation.broker.faults.duplicate += 1,
+            SimulationStep::Fault(2) => simulation.broker.faults.unconfirmed += 1,
+            SimulationStep::Fault(_) => simulation.broker.faults.forget_acks += 1,
         }
     }
     simulation
--- a/crates/loomflow-load/src/resp.rs
+++ b/crates/loomflow-load/src/resp.rs
@@ -22,7 +22,8 @@
 
 type OpenRequests = Arc<Mutex<BTreeMap<u64, OpenRequest>>>;
 
-struct Connection {
+/// A gateway's connection, with the requests that are open on it.
+struct GatewayConnection {
     gateway: TcpStream,
     open: OpenRequests,
     tag: u64,
@@ -34,17 +35,17 @@
     let start = Instant::now();
     let until = start + plan.duration + response_timeout;
     let results = Arc::new(Mutex::new(Results::new(start, plan.objective)));
-    let mut connections: VecDeque<Connection> = VecDeque::new();
+    let mut connections: VecDeque<GatewayConnection> = VecDeque::new();
     let mut readers = Vec::new();
     for _ in 0..plan.connections {
         let gateway = Gateway::open(listen);
         let (open, for_reader) = (OpenRequests::default(), results.clone());
         let writer = gateway.stream.try_clone().expect("a clone");
-        connections.push_back(Connection { gateway: writer, open: open.clone(), tag: 0 });
+        connections.push_back(GatewayConnection { gateway: writer, open: open.clone(), tag: 0 });
         readers.push(thread::spawn(move || read_responses(gateway, until, &open, &for_reader)));
     }
     send_all(&mut connections, plan, start, &results);
-    let has_open = |connection: &Connection| !connection.open.lock().expect("open").is_empty();
+    let has_open = |connection: &GatewayConnection| !connection.open.lock().expect("open").is_empty();
     while Instant::now() < until && connections.iter().any(has_open) {
         thread::sleep(Duration::from_millis(5));
     }
@@ -73,7 +74,12 @@
 }
 
 /// Sends each request of a plan when it is due.
-fn send_all(connections: &mut VecDeque<Connection>, plan: &Plan, start: Instant, results: &Mutex<Results>) {
+fn send_all(
+    connections: &mut VecDeque<GatewayConnection>,
+    plan: &Plan,
+    start: Instant,
+    results: &Mutex<Results>,
+) {
     let (mut due, mut number) = (0.0, 0);
     while start.elapsed() < plan.duration {
         let now = start.elapsed().as_secs_f64();
@@ -88,7 +94,7 @@
 }
 
 /// Sends a request on the next connection with capacity.
-fn send(connections: &mut VecDeque<Connection>, class: &str, body: Vec<u8>, results: &Mutex<Results>) {
+fn send(connections: &mut VecDeque<GatewayConnection>, class: &str, body: Vec<u8>, results: &Mutex<Results>) {
     let sent_at = Instant::now();
     results.lock().expect("results").record_sent(body.clone(), sent_at);
     for _ in 0..connections.len() {
--- a/crates/loomflow-overload-simulation/src/connections.rs
+++ b/crates/loomflow-overload-simulation/src/connections.rs
@@ -9,8 +9,8 @@
 /// Id of a connection within a simulation.
 pub type ConnectionId = u32;
 
-/// One connection.
-pub struct Connection {
+/// One connection from a caller to a server.
+pub struct CallerConnection {
     /// The caller that opened it.
     pub caller: usize,
     /// The server that accepted it.
@@ -24,18 +24,18 @@
 /// All connections of a simulation, including closed ones.
 #[derive(Default)]
 pub struct Connections {
-    slots: Vec<Connection>,
+    slots: Vec<CallerConnection>,
 }
 
 impl Connections {
     /// A new connection that carries its first request.
     pub fn open(&mut self, caller: usize, server: usize) -> ConnectionId {
-        self.slots.push(Connection { caller, server, is_open: true, idle_since: None });
+        self.slots.push(CallerConnection { caller, server, is_open: true, idle_since: None });
         self.slots.len() as ConnectionId - 1
     }
 
     /// A connection by its id.
-    pub fn get(&self, id: ConnectionId) -> &Connection {
+    pub fn get(&self, id: ConnectionId) -> &CallerConnection {
         &self.slots[id as usize]
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// The open connections that satisfy a predicate.
-    pub fn filter_open(&self, predicate: impl Fn(&Connection) -> bool) -> Vec<ConnectionId> {
+    pub fn filter_open(&self, predicate: impl Fn(&CallerConnection) -> bool) -> Vec<ConnectionId> {
         let all = self.slots.iter().enumerate();
         all.filter(|(_, connection)| connection.is_open && predicate(connection))
             .map(|(id, _)| id as ConnectionId)
--- a/crates/loomflow-overload-simulation/src/server.rs
+++ b/crates/loomflow-overload-simulation/src/server.rs
@@ -74,8 +74,9 @@
     WakeAt(Micros),
 }
 
+/// How far a request has come toward the controller.
 #[derive(Clone, Copy, PartialEq)]
-enum Stage {
+enum IntakeStage {
     Unread,
     Reading,
     /// Known to the controller.
@@ -85,7 +86,7 @@
 struct RequestEntry {
     incoming: IncomingRequest,
     reached: Micros,
-    stage: Stage,
+    stage: IntakeStage,
     answered: bool,
     began: Micros,
 }
@@ -180,7 +181,7 @@
     /// A request arrives.
     pub fn reached(&mut self, now: Micros, incoming: IncomingRequest, out: &mut Vec<Output>) {
         let requests =
-            RequestEntry { incoming, reached: now, stage: Stage::Unread, answered: false, began: now };
+            RequestEntry { incoming, reached: now, stage: IntakeStage::Unread, answered: false, began: now };
         self.requests.insert(incoming.attempt, requests);
         self.unread.push_back(incoming.attempt);
         if self.read_next(now) {
@@ -192,10 +193,10 @@
     pub fn caller_disconnected(&mut self, now: Micros, attempt: AttemptId, out: &mut Vec<Output>) {
         match self.requests.get(&attempt).map(|request| request.stage) {
             // A request that is being read is read to its end: only then the disconnect is noticed.
-            Some(Stage::Unread | Stage::Reading) => {
+            Some(IntakeStage::Unread | IntakeStage::Reading) => {
                 self.requests.remove(&attempt);
             }
-            Some(Stage::Taken) => {
+            Some(IntakeStage::Taken) => {
                 self.unanswerable(attempt);
                 self.inbox.push(Event::RequestCancelled(attempt));
                 self.schedule_batch(now, out);
@@ -243,7 +244,7 @@
     fn was_read(&mut self, now: Micros, attempt: AttemptId, out: &mut Vec<Output>) {
         self.reading -= 1;
         let Some(request) = self.requests.get_mut(&attempt) else { return };
-        request.stage = Stage::Taken;
+        request.stage = IntakeStage::Taken;
         let arrival = arrival(&request.incoming, to_millis(now - request.reached));
         self.inbox.push(Event::RequestArrived(arrival));
         self.schedule_batch(now, out);
@@ -265,7 +266,7 @@
         while (self.reading as f64) < self.setup.cores {
             let Some(attempt) = self.unread.pop_front() else { break };
             let Some(request) = self.requests.get_mut(&attempt) else { continue };
-            request.stage = Stage::Reading;
+            request.stage = IntakeStage::Reading;
             let handshake = if request.incoming.is_new_connection { self.setup.handshake_work } else { 0.0 };
             self.cores.add(now, Job::Read(attempt), self.setup.read_work + handshake);
             self.reading += 1;
--- a/crates/loomflow-server/src/control_plane.rs
+++ b/crates/loomflow-server/src/control_plane.rs
@@ -69,7 +69,8 @@
     }
 }
 
-struct Connection {
+/// An open connection to the control plane, and what was read of its responses.
+struct ControlPlaneConnection {
     stream: TcpStream,
     statuses: HttpResponses,
 }
@@ -78,7 +79,7 @@
     address: Option<SocketAddr>,
     name: String,
     ready: Arc<AtomicBool>,
-    connection: Option<Connection>,
+    connection: Option<ControlPlaneConnection>,
     /// The last report failed.
     has_failed: bool,
 }
@@ -122,7 +123,7 @@
             open
         } else {
             let stream = connection::connect(address).map_err(ReportError::Connect)?;
-            self.connection.insert(Connection { stream, statuses: HttpResponses::default() })
+            self.connection.insert(ControlPlaneConnection { stream, statuses: HttpResponses::default() })
         };
         let deadline = Instant::now() + REPORT_TIMEOUT;
         let mut request = Vec::new();
@@ -133,7 +134,7 @@
     }
 }
 
-impl Connection {
+impl ControlPlaneConnection {
     fn read_response(&mut self, deadline: Instant) -> Result<(), ReportError> {
         loop {
             match self.statuses.next().map_err(|Malformed(violation)| ReportError::Malformed(violation))? {
--- a/crates/loomflow-server/src/ledger.rs
+++ b/crates/loomflow-server/src/ledger.rs
@@ -17,7 +17,7 @@
 use crate::connection::{ConnectionHandle, connect_after, drive};
 use crate::log;
 use crate::mailbox::{LinkId, Mailbox, OwnerEvent};
-use connection::Connection;
+use connection::LedgerConnection;
 use placement::{PlacedCall, Placement};
 
 /// How long after a call's deadline the ledger may still report that it expired.
@@ -66,7 +66,7 @@
     mailbox: Arc<Mailbox>,
     max_connections: usize,
     last_link: LinkId,
-    connections: BTreeMap<LinkId, Connection>,
+    connections: BTreeMap<LinkId, LedgerConnection>,
     calls: BTreeMap<RequestId, Call>,
 }
 
@@ -96,7 +96,7 @@
     fn connect(&mut self, address: SocketAddr, now: Millis) -> LinkId {
         self.last_link += 1;
         let handle = Arc::new(ConnectionHandle::new(None));
-        let connection = Connection::new(handle.clone(), now);
+        let connection = LedgerConnection::new(handle.clone(), now);
         self.connections.insert(self.last_link, connection);
         let (link, mailbox) = (self.last_link, self.mailbox.clone());
         may::go!(move || {
--- a/crates/loomflow-server/src/ledger/connection.rs
+++ b/crates/loomflow-server/src/ledger/connection.rs
@@ -15,7 +15,7 @@
 pub(super) const RETIRED_DRAIN_MS: Millis = 1_500.0;
 
 /// A connection to the ledger.
-pub(super) struct Connection {
+pub(super) struct LedgerConnection {
     pub(super) handle: Arc<ConnectionHandle>,
     pub(super) last_used_at: Millis,
     pub(super) calls_in_flight: usize,
@@ -24,9 +24,9 @@
     retire_at: Option<Millis>,
 }
 
-impl Connection {
-    pub(super) fn new(handle: Arc<ConnectionHandle>, now: Millis) -> Connection {
-        Connection {
+impl LedgerConnection {
+    pub(super) fn new(handle: Arc<ConnectionHandle>, now: Millis) -> LedgerConnection {
+        LedgerConnection {
             handle,
             last_used_at: now,
             calls_in_flight: 0,
@@ -47,7 +47,7 @@
         self.retire_at = Some(now + RETIRED_DRAIN_MS);
     }
 
-    /// As [`Connection::retire`], unless it is retired already.
+    /// As [`LedgerConnection::retire`], unless it is retired already.
     pub(super) fn retire_once(&mut self, now: Millis) {
         if self.retire_at.is_none() {
             self.retire(now);
--- a/crates/loomflow-server/src/ledger/connection/tests.rs
+++ b/crates/loomflow-server/src/ledger/connection/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn connection() -> Connection {
-    Connection::new(Arc::new(ConnectionHandle::new(None)), 0.0)
+fn connection() -> LedgerConnection {
+    LedgerConnection::new(Arc::new(ConnectionHandle::new(None)), 0.0)
 }
 
 #[test]
--- a/crates/loomflow-server/src/ledger/placement.rs
+++ b/crates/loomflow-server/src/ledger/placement.rs
@@ -6,7 +6,7 @@
 use loomflow::interface::RequestId;
 use loomflow::time::Millis;
 
-use super::connection::Connection;
+use super::connection::LedgerConnection;
 use crate::mailbox::LinkId;
 
 /// Which connection carries a call.
@@ -32,7 +32,7 @@
 impl Placement {
     /// The most recently used idle connection, else a new one, else the least loaded.
     pub(super) fn choose(
-        connections: &BTreeMap<LinkId, Connection>,
+        connections: &BTreeMap<LinkId, LedgerConnection>,
         max_connections: usize,
         call: PlacedCall,
         now: Millis,
--- a/crates/loomflow-test-servers/src/broker/state/frames.rs
+++ b/crates/loomflow-test-servers/src/broker/state/frames.rs
@@ -7,7 +7,7 @@
 use amq_protocol::protocol::{AMQPClass, confirm, exchange, queue};
 use amq_protocol::types::AMQPValue;
 
-use super::{Channel, Connection, ConnectionId, Consumer, Message, Settled, State, Unacked, id_of};
+use super::{Channel, ClientConnection, ConnectionId, Consumer, Message, Settled, State, Unacked, id_of};
 
 impl State {
     /// Handles a frame of a connection.
@@ -284,7 +284,7 @@
                 full = 0;
             }
         }
-        let unacked = |c: &Connection| c.channels.values().map(|one| one.unacked.len()).sum::<usize>();
+        let unacked = |c: &ClientConnection| c.channels.values().map(|one| one.unacked.len()).sum::<usize>();
         self.max_unacked = self.max_unacked.max(self.connections.values().map(unacked).sum());
     }
 
--- a/crates/loomflow-test-servers/src/broker/state/mod.rs
+++ b/crates/loomflow-test-servers/src/broker/state/mod.rs
@@ -84,8 +84,9 @@
     publishing: Option<(basic::Publish, Option<AMQPContentHeader>, Vec<u8>)>,
 }
 
+/// What the broker knows of a client's connection.
 #[derive(Default)]
-struct Connection {
+struct ClientConnection {
     channels: BTreeMap<u16, Channel>,
 }
 
@@ -124,7 +125,7 @@
     pub max_unacked: usize,
     exchanges: BTreeMap<String, Exchange>,
     queues: BTreeMap<String, Queue>,
-    connections: BTreeMap<ConnectionId, Connection>,
+    connections: BTreeMap<ConnectionId, ClientConnection>,
     /// Frames to send, by connection; `None` closes it.
     out: Vec<(ConnectionId, Option<AMQPFrame>)>,
 }
@@ -313,7 +314,7 @@
 
     /// A client has opened a connection.
     pub fn connection_opened(&mut self, id: ConnectionId) {
-        self.connections.insert(id, Connection::default());
+        self.connections.insert(id, ClientConnection::default());
         self.send(
             id,
             0,
--- a/src/controller/arrivals.rs
+++ b/src/controller/arrivals.rs
@@ -7,7 +7,7 @@
 use super::deadlines;
 use super::key_retention::KeyRetention;
 use super::queue::{QueueKey, weight_per_work};
-use super::request::{Request, Stage};
+use super::request::{Request, RequestStage};
 use crate::interface::{Action, Arrival, Class, Idempotency, RequestId};
 use crate::time::micros;
 
@@ -68,7 +68,7 @@
     }
 
     fn await_result(&mut self, id: RequestId, mut request: Request, out: &mut Vec<Action>) {
-        request.stage = Stage::AwaitingResult;
+        request.stage = RequestStage::AwaitingResult;
         self.deadlines.schedule(self.deadlines.last_check(request.deadline), id);
         self.requests.insert(id, request);
         out.push(Action::ReuseResult(id));
@@ -113,15 +113,15 @@
             self.objective.record_cancellation(age, objective, self.settings.batch_interval);
         }
         match request.stage {
-            Stage::Queued => {
+            RequestStage::Queued => {
                 self.release_key(id, out);
                 self.remove(id);
             }
-            Stage::AwaitingResult => {
+            RequestStage::AwaitingResult => {
                 self.remove(id);
             }
-            Stage::Running => self.preempt(id, out),
-            Stage::AwaitingCall | Stage::Calling => self.call_queue.remove(request.queue_key),
+            RequestStage::Running => self.preempt(id, out),
+            RequestStage::AwaitingCall | RequestStage::Calling => self.call_queue.remove(request.queue_key),
         }
     }
 }
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -5,14 +5,14 @@
 
 use super::Controller;
 use super::call_retry::{CallTimes, may_be_omitted, may_linger, may_run_again};
-use super::request::Stage;
+use super::request::RequestStage;
 use crate::interface::{Action, AttemptOutcome, Idempotency, RequestId};
 use crate::time::Millis;
 
 impl Controller {
     pub(super) fn call_needed(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        if request.stage != Stage::Running || request.is_answered {
+        if request.stage != RequestStage::Running || request.is_answered {
             return;
         }
         request.await_call(self.now);
@@ -68,8 +68,10 @@
         duration: Millis,
         out: &mut Vec<Action>,
     ) {
-        let Some(request) = self.requests.get_mut(&id).filter(|r| r.stage == Stage::Calling) else { return };
-        request.stage = Stage::AwaitingCall;
+        let Some(request) = self.requests.get_mut(&id).filter(|r| r.stage == RequestStage::Calling) else {
+            return;
+        };
+        request.stage = RequestStage::AwaitingCall;
         let (is_answered, class) = (request.is_answered, request.class);
         self.call_permits.end_call(self.now);
         if outcome == AttemptOutcome::Ok {
@@ -106,7 +108,9 @@
     /// Lets a run go on without its call, where that is of use.
     fn skip_call(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        if !may_be_omitted(&self.settings.classes[request.class]) || request.stage != Stage::AwaitingCall {
+        if !may_be_omitted(&self.settings.classes[request.class])
+            || request.stage != RequestStage::AwaitingCall
+        {
             return false;
         }
         self.call_queue.remove(request.queue_key);
--- a/src/controller/request.rs
+++ b/src/controller/request.rs
@@ -9,7 +9,7 @@
 
 /// How far a request has come.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) enum Stage {
+pub(super) enum RequestStage {
     #[default]
     Queued,
     /// Waits for, or is served from, the result of another request.
@@ -21,10 +21,10 @@
     Calling,
 }
 
-impl Stage {
+impl RequestStage {
     /// Whether the run has not started: the request takes the memory of a queued one.
     pub(super) fn is_before_run(self) -> bool {
-        matches!(self, Stage::Queued | Stage::AwaitingResult)
+        matches!(self, RequestStage::Queued | RequestStage::AwaitingResult)
     }
 }
 
@@ -48,7 +48,7 @@
     /// Its estimated work on one core; 0 without an estimate.
     pub(super) estimated_work: Millis,
     pub(super) queue_key: QueueKey,
-    pub(super) stage: Stage,
+    pub(super) stage: RequestStage,
     /// No response is due any more.
     pub(super) is_answered: bool,
     /// Time from its arrival to the start of its run.
@@ -68,7 +68,7 @@
 impl Request {
     /// Its run starts; the cores have been stalled for `stall_time` in all.
     pub(super) fn start_run(&mut self, now: Millis, stall_time: Millis) {
-        self.stage = Stage::Running;
+        self.stage = RequestStage::Running;
         self.queue_time = now - self.arrived_at;
         self.on_cores_since = now;
         self.stall_time_before = stall_time;
@@ -76,20 +76,20 @@
 
     /// Its run needs a call, and leaves the cores.
     pub(super) fn await_call(&mut self, now: Millis) {
-        self.stage = Stage::AwaitingCall;
+        self.stage = RequestStage::AwaitingCall;
         self.off_cores_since = now;
         self.call_attempts = 0;
     }
 
     /// Its call is made.
     pub(super) fn start_call(&mut self) {
-        self.stage = Stage::Calling;
+        self.stage = RequestStage::Calling;
         self.call_attempts += 1;
     }
 
     /// Its run is back on the cores, with or without the result of its call.
     pub(super) fn resume_run(&mut self, now: Millis) {
-        self.stage = Stage::Running;
+        self.stage = RequestStage::Running;
         self.off_cores_time += now - self.off_cores_since;
         self.on_cores_since = now;
     }
--- a/src/controller/responses.rs
+++ b/src/controller/responses.rs
@@ -7,7 +7,7 @@
 use super::Controller;
 use super::deadlines::next_queue_check;
 use super::load_shedding::Availability;
-use super::request::{Request, Stage};
+use super::request::{Request, RequestStage};
 use super::shutdown::{Shutdown, ShutdownTimes};
 use crate::interface::{Action, Preemption, RequestId};
 use crate::time::Millis;
@@ -23,7 +23,7 @@
 
     fn check_deadline(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.is_answered) else { return };
-        let is_queued = request.stage == Stage::Queued;
+        let is_queued = request.stage == RequestStage::Queued;
         let last_check = self.deadlines.last_check(request.deadline);
         if self.now >= last_check {
             self.shed(id, false, out);
@@ -73,7 +73,7 @@
     /// The newest request that waits for another's result: it takes memory, and no run ends its wait.
     fn newest_awaiting_result(&self) -> Option<RequestId> {
         let mut newest_first = self.requests.iter().rev();
-        newest_first.find(|(_, request)| request.stage == Stage::AwaitingResult).map(|(id, _)| *id)
+        newest_first.find(|(_, request)| request.stage == RequestStage::AwaitingResult).map(|(id, _)| *id)
     }
 
     /// Gives the final response to a request that is not going to be served, at once, and ends its work.
@@ -81,13 +81,13 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.is_answered = true;
         match request.stage {
-            Stage::Queued => self.shed_queued(id, is_final, out),
-            Stage::AwaitingResult => {
+            RequestStage::Queued => self.shed_queued(id, is_final, out),
+            RequestStage::AwaitingResult => {
                 out.push(Action::Fail(id));
                 self.remove(id);
             }
-            Stage::Running => self.shed_running(id, out),
-            Stage::AwaitingCall | Stage::Calling => {
+            RequestStage::Running => self.shed_running(id, out),
+            RequestStage::AwaitingCall | RequestStage::Calling => {
                 self.call_queue.remove(request.queue_key);
                 out.push(Action::Fail(id));
             }
@@ -165,7 +165,7 @@
         request.deadline = deadline;
         request.objective_at = request.objective_at.min(deadline);
         self.deadlines.schedule(self.deadlines.last_check(deadline), id);
-        if request.stage == Stage::Queued {
+        if request.stage == RequestStage::Queued {
             self.queue.remove(request.queue_key, request.expected_run);
             self.enqueue(id);
         }
--- a/src/controller/runs.rs
+++ b/src/controller/runs.rs
@@ -4,7 +4,7 @@
 
 use super::Controller;
 use super::load_shedding::Forecast;
-use super::request::{Request, Stage};
+use super::request::{Request, RequestStage};
 use crate::interface::{Action, AttemptOutcome, RequestId};
 use crate::time::Millis;
 
@@ -86,12 +86,12 @@
             self.stall_detector.record_progress(self.now);
         }
         let Some(request) = self.remove(id) else { return };
-        if request.stage == Stage::Calling {
+        if request.stage == RequestStage::Calling {
             // It was answered before, and its call is abandoned with it.
             self.call_permits.occupy_until_lingered(self.now);
         }
         let has_run = matches!(outcome, AttemptOutcome::Ok | AttemptOutcome::Error);
-        if has_run && request.stage != Stage::AwaitingResult {
+        if has_run && request.stage != RequestStage::AwaitingResult {
             self.record_run(&request, outcome == AttemptOutcome::Ok, duration);
         }
     }
@@ -111,11 +111,11 @@
     pub(super) fn remove(&mut self, id: RequestId) -> Option<Request> {
         let request = self.requests.remove(&id)?;
         match request.stage {
-            Stage::Queued => self.queue.remove(request.queue_key, request.expected_run),
-            Stage::AwaitingResult => {}
-            Stage::Running => self.running -= 1.0,
-            Stage::AwaitingCall => self.call_queue.remove(request.queue_key),
-            Stage::Calling => self.call_permits.release(),
+            RequestStage::Queued => self.queue.remove(request.queue_key, request.expected_run),
+            RequestStage::AwaitingResult => {}
+            RequestStage::Running => self.running -= 1.0,
+            RequestStage::AwaitingCall => self.call_queue.remove(request.queue_key),
+            RequestStage::Calling => self.call_permits.release(),
         }
         if request.stage.is_before_run() {
             self.memory.remove_queued(request.memory_kb);
@@ -143,7 +143,7 @@
     /// alike, reads and new connections too.
     fn overdue_ends(&self) -> f64 {
         let runnable = self.gauges.runnable.unwrap_or(0.0).max(self.running);
-        let runs = self.requests.values().filter(|request| request.stage == Stage::Running);
+        let runs = self.requests.values().filter(|request| request.stage == RequestStage::Running);
         let ends: f64 = runs.map(|request| self.overdue_ends_of(request)).sum();
         ends * (self.settings.cores / runnable).min(1.0)
     }
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -60,7 +60,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Stage {
+enum AttemptStage {
     Held,
     OnCores,
     /// Waits to be told about its call.
@@ -77,7 +77,7 @@
     /// Work that is left, ms, and how much is left when it comes to its call.
     left: f64,
     call_at: Option<f64>,
-    stage: Stage,
+    stage: AttemptStage,
     begun: f64,
 }
 
@@ -177,7 +177,7 @@
         }
     }
 
-    fn count(&self, stage: Stage) -> f64 {
+    fn count(&self, stage: AttemptStage) -> f64 {
         self.attempts.values().filter(|attempt| attempt.stage == stage).count() as f64
     }
 
@@ -185,7 +185,7 @@
         let id = self.next_id;
         self.next_id += 1;
         let call_at = self.set.classes[SAFE].makes_calls.then_some(work / 2.0);
-        let attempt = Attempt { caller, tries, left: work, call_at, stage: Stage::Held, begun: now };
+        let attempt = Attempt { caller, tries, left: work, call_at, stage: AttemptStage::Held, begun: now };
         self.attempts.insert(id, attempt);
         let mut arrival = arrival(id, SAFE);
         (arrival.estimated_work, arrival.caller) = (Some(work), caller as u64);
@@ -194,15 +194,15 @@
 
     /// The machine goes on for one step: all that is on the cores shares them.
     fn work(&mut self, now: f64) {
-        let on_cores = self.count(Stage::OnCores);
+        let on_cores = self.count(AttemptStage::OnCores);
         let part = (self.set.cores / on_cores.max(1.0)).min(1.0);
         let done = STEP * part * speed_share(&self.set, now - self.born);
         for (id, attempt) in &mut self.attempts {
             match attempt.stage {
-                Stage::OnCores => {
+                AttemptStage::OnCores => {
                     attempt.left -= done;
                     if attempt.call_at.is_some_and(|at| attempt.left <= at) {
-                        (attempt.call_at, attempt.stage) = (None, Stage::BeforeCall);
+                        (attempt.call_at, attempt.stage) = (None, AttemptStage::BeforeCall);
                         self.events.push(Event::CallNeeded(*id));
                     } else if attempt.left <= 0.0 {
                         let took = now - attempt.begun;
@@ -213,8 +213,8 @@
                         });
                     }
                 }
-                Stage::Calling(until) if until <= now => {
-                    attempt.stage = Stage::OnCores;
+                AttemptStage::Calling(until) if until <= now => {
+                    attempt.stage = AttemptStage::OnCores;
                     let took = CALLS_RETURN_EVERY;
                     self.events.push(Event::CallEnded {
                         id: *id,
@@ -268,11 +268,11 @@
         match action {
             Action::Run(id) => {
                 let attempt = self.attempts.get_mut(&id).expect("it is held");
-                (attempt.stage, attempt.begun) = (Stage::OnCores, now);
+                (attempt.stage, attempt.begun) = (AttemptStage::OnCores, now);
             }
             Action::Reject { id, retry_after: pause, is_final: last } => {
                 // One that runs is answered and runs on: nothing here can be stopped.
-                let held = self.attempts.get(&id).is_some_and(|attempt| attempt.stage == Stage::Held);
+                let held = self.attempts.get(&id).is_some_and(|attempt| attempt.stage == AttemptStage::Held);
                 if let Some(over) = held.then(|| self.attempts.remove(&id)).flatten() {
                     answers.push((over, pause, !last));
                 }
@@ -280,10 +280,10 @@
             Action::Call { id, .. } => {
                 let attempt = self.attempts.get_mut(&id).expect("it runs");
                 attempt.stage =
-                    Stage::Calling(((now / CALLS_RETURN_EVERY).floor() + 1.0) * CALLS_RETURN_EVERY);
+                    AttemptStage::Calling(((now / CALLS_RETURN_EVERY).floor() + 1.0) * CALLS_RETURN_EVERY);
             }
             Action::SkipCall(id) => {
-                self.attempts.get_mut(&id).expect("it runs").stage = Stage::OnCores;
+                self.attempts.get_mut(&id).expect("it runs").stage = AttemptStage::OnCores;
             }
             Action::SetSignal(share) => self.told = Some(share),
             Action::SetTimer(at) => self.timers.push(at),
@@ -292,7 +292,7 @@
     }
 
     fn sample(&mut self, now: f64) {
-        let on_cores = self.count(Stage::OnCores);
+        let on_cores = self.count(AttemptStage::OnCores);
         self.on_cores.push_back(on_cores);
         self.on_cores_sum += on_cores;
         if self.on_cores.len() as f64 > self.set.concurrency_window / STEP {
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -252,7 +252,7 @@
 }
 
 /// One step: what happens, to which request, and how long after the step before.
-type Step = (u8, u16, u16);
+type EventStep = (u8, u16, u16);
 
 /// How calls end.
 const CALL_OUTCOMES: [AttemptOutcome; 5] = [
@@ -375,7 +375,7 @@
         Some(Event::RequestArrived(a))
     }
 
-    fn step(&mut self, (what, by, wait): Step) {
+    fn step(&mut self, (what, by, wait): EventStep) {
         self.pass(f64::from(wait % 400));
         if self.checker.stopped {
             return;
@@ -455,7 +455,7 @@
         }
     }
 
-    fn play(set: Settings, steps: &[Step], fault: Fault) -> Vec<String> {
+    fn play(set: Settings, steps: &[EventStep], fault: Fault) -> Vec<String> {
         let mut fixture = World::new(set, fault);
         for step in steps {
             fixture.step(*step);
@@ -485,8 +485,8 @@
     TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha))
 }
 
-fn steps() -> impl Strategy<Value = (u8, Vec<Step>)> {
-    (any::<u8>(), vec(any::<Step>(), 1..250))
+fn steps() -> impl Strategy<Value = (u8, Vec<EventStep>)> {
+    (any::<u8>(), vec(any::<EventStep>(), 1..250))
 }
 
 #[test]
