--- a/crates/loomflow-amqp/src/connection.rs
+++ b/crates/loomflow-amqp/src/connection.rs
@@ -12,11 +12,11 @@
 
 use crate::Millis;
 use crate::content::{Assembler, BASIC_CLASS_ID, Content};
-use crate::frames::{self, FRAME_MAX, OVERHEAD};
+use crate::frames::{self, FRAME_MAX_BYTES, FRAME_OVERHEAD_BYTES};
 use crate::settings::Password;
 
 /// Smallest frame size that a peer may negotiate, bytes (specification 4.2.3).
-const FRAME_MIN: u32 = 4096;
+const FRAME_MIN_BYTES: u32 = 4096;
 /// A handshake that takes longer than this is abandoned, ms.
 const HANDSHAKE_TIMEOUT_MS: Millis = 5_000.0;
 
@@ -101,7 +101,7 @@
     max_body_bytes: usize,
     state: ConnectionState,
     channels: BTreeMap<Channel, ChannelState>,
-    frame_max: u32,
+    frame_max_bytes: u32,
     channel_max: Channel,
     /// Negotiated heartbeat interval, ms; infinite when heartbeats are disabled.
     heartbeat_interval: Millis,
@@ -119,7 +119,7 @@
             max_body_bytes,
             state: ConnectionState::Greeting,
             channels: BTreeMap::new(),
-            frame_max: FRAME_MIN,
+            frame_max_bytes: FRAME_MIN_BYTES,
             channel_max: 0,
             heartbeat_interval: f64::INFINITY,
             started_at: now,
@@ -197,11 +197,11 @@
         self.basic(number, basic::AMQPMethod::Publish(publish));
         let header_start = self.output.len();
         self.send_content_header(number, body.len(), properties.clone());
-        if self.output.len() - header_start > self.frame_max as usize {
+        if self.output.len() - header_start > self.frame_max_bytes as usize {
             self.output.truncate(header_start);
             self.send_content_header(number, body.len(), with_own_headers_only(properties));
         }
-        for chunk in body.chunks(self.frame_max as usize - OVERHEAD) {
+        for chunk in body.chunks(self.frame_max_bytes as usize - FRAME_OVERHEAD_BYTES) {
             self.send_frame(&AMQPFrame::Body(number, chunk.to_vec()));
         }
     }
@@ -363,8 +363,8 @@
     /// Negotiates limits: the smaller value counts, and 0 means no limit on either side (specification 1.4.2.5).
     fn tune(&mut self, tune: &connection::Tune) -> Result<(), Malformed> {
         let smaller = |theirs: u32, ours: u32| if theirs == 0 { ours } else { theirs.min(ours) };
-        self.frame_max = smaller(tune.frame_max, FRAME_MAX);
-        if self.frame_max < FRAME_MIN {
+        self.frame_max_bytes = smaller(tune.frame_max, FRAME_MAX_BYTES);
+        if self.frame_max_bytes < FRAME_MIN_BYTES {
             return Err(Malformed("the broker's frames are too short"));
         }
         self.channel_max = smaller(tune.channel_max.into(), Channel::MAX.into()) as Channel;
@@ -374,7 +374,7 @@
         };
         self.heartbeat_interval =
             if heartbeat_s == 0 { f64::INFINITY } else { f64::from(heartbeat_s) * 1000.0 };
-        let (channel_max, frame_max) = (self.channel_max, self.frame_max);
+        let (channel_max, frame_max) = (self.channel_max, self.frame_max_bytes);
         self.send_control(connection::AMQPMethod::TuneOk(connection::TuneOk {
             channel_max,
             frame_max,
--- a/crates/loomflow-amqp/src/connection/tests.rs
+++ b/crates/loomflow-amqp/src/connection/tests.rs
@@ -70,14 +70,14 @@
 #[test]
 fn the_smaller_limit_of_both_sides_applies_and_zero_is_none() {
     let limits = |connection: BrokerConnection| {
-        (connection.channel_max, connection.frame_max, connection.heartbeat_interval)
+        (connection.channel_max, connection.frame_max_bytes, connection.heartbeat_interval)
     };
-    assert_eq!(limits(ready(0, 0, 0)), (u16::MAX, FRAME_MAX, INTERVAL));
-    assert_eq!(limits(ready(7, FRAME_MIN, 1)), (7, FRAME_MIN, 1_000.0));
-    assert_eq!(limits(ready(7, u32::MAX, 60)), (7, FRAME_MAX, INTERVAL));
+    assert_eq!(limits(ready(0, 0, 0)), (u16::MAX, FRAME_MAX_BYTES, INTERVAL));
+    assert_eq!(limits(ready(7, FRAME_MIN_BYTES, 1)), (7, FRAME_MIN_BYTES, 1_000.0));
+    assert_eq!(limits(ready(7, u32::MAX, 60)), (7, FRAME_MAX_BYTES, INTERVAL));
     let mut short = connection();
     assert_eq!(short.handle_frame(start(9, "PLAIN"), 0.0), Ok(None));
-    assert!(short.handle_frame(tune(0, FRAME_MIN - 1, 0), 0.0).is_err());
+    assert!(short.handle_frame(tune(0, FRAME_MIN_BYTES - 1, 0), 0.0).is_err());
 }
 
 #[test]
@@ -85,7 +85,10 @@
     let mut connection = ready(0, 0, HEARTBEAT_S);
     let send_at = INTERVAL * SEND_INTERVAL_PART;
     assert_eq!((connection.tick(send_at - 1.0), connection.take_output(send_at).len()), (Ok(()), 0));
-    assert_eq!((connection.tick(send_at), connection.take_output(send_at).len()), (Ok(()), OVERHEAD));
+    assert_eq!(
+        (connection.tick(send_at), connection.take_output(send_at).len()),
+        (Ok(()), FRAME_OVERHEAD_BYTES)
+    );
     // Whatever is received shows that the broker is alive.
     assert_eq!(connection.handle_frame(AMQPFrame::Heartbeat, 5.0), Ok(None));
     let silent_at = 5.0 + SILENT_INTERVALS * INTERVAL;
@@ -96,7 +99,7 @@
 #[test]
 fn a_header_that_fits_no_frame_is_sent_with_our_own_headers_only() {
     let published = |text_len: usize| {
-        let mut connection = ready(0, FRAME_MIN, 0);
+        let mut connection = ready(0, FRAME_MIN_BYTES, 0);
         let mut headers = FieldTable::default();
         headers.insert("theirs".into(), AMQPValue::LongString("x".repeat(text_len).into()));
         headers.insert("x-loomflow-publish".into(), AMQPValue::LongLongInt(1));
@@ -107,7 +110,7 @@
         let raw = frames.next().unwrap().expect("frames");
         raw.iter().map(Result::unwrap).collect::<Vec<_>>()
     };
-    for (text_len, expected_headers) in [(100, 2), (FRAME_MIN as usize, 1)] {
+    for (text_len, expected_headers) in [(100, 2), (FRAME_MIN_BYTES as usize, 1)] {
         let frames = published(text_len);
         let [
             AMQPFrame::Method(..),
@@ -121,6 +124,9 @@
         let headers = header.properties.headers().as_ref().expect("headers");
         assert!(headers.inner().contains_key("x-loomflow-publish"));
         assert_eq!(headers.inner().len(), expected_headers);
-        assert_eq!((first.len(), rest.len()), (FRAME_MIN as usize - OVERHEAD, 5_000 - first.len()));
+        assert_eq!(
+            (first.len(), rest.len()),
+            (FRAME_MIN_BYTES as usize - FRAME_OVERHEAD_BYTES, 5_000 - first.len())
+        );
     }
 }
--- a/crates/loomflow-amqp/src/frames.rs
+++ b/crates/loomflow-amqp/src/frames.rs
@@ -6,9 +6,9 @@
 
 /// Largest frame size that is negotiated, bytes. Longer bodies are split over several frames; a header must fit into
 /// one.
-pub const FRAME_MAX: u32 = 32 * 1024;
+pub const FRAME_MAX_BYTES: u32 = 32 * 1024;
 /// Bytes of a frame around its payload: type, channel and size before it, the end marker after it.
-pub const OVERHEAD: usize = 8;
+pub const FRAME_OVERHEAD_BYTES: usize = 8;
 const FRAME_END: u8 = 0xCE;
 const METHOD_FRAME: u8 = 1;
 const HEADER_FRAME: u8 = 2;
@@ -46,7 +46,7 @@
 
 impl Default for Frames {
     fn default() -> Frames {
-        Frames { buffer: Buffer::new(FRAME_MAX as usize) }
+        Frames { buffer: Buffer::new(FRAME_MAX_BYTES as usize) }
     }
 }
 
@@ -93,12 +93,12 @@
     }
     let Some(size) = bytes.get(3..7) else { return Ok(None) };
     let size = u32::from_be_bytes([size[0], size[1], size[2], size[3]]) as usize;
-    if size > FRAME_MAX as usize - OVERHEAD {
+    if size > FRAME_MAX_BYTES as usize - FRAME_OVERHEAD_BYTES {
         return Err(Malformed("a frame over the limit"));
     }
-    match bytes.get(size + OVERHEAD - 1) {
+    match bytes.get(size + FRAME_OVERHEAD_BYTES - 1) {
         None => Ok(None),
-        Some(&FRAME_END) => Ok(Some(size + OVERHEAD)),
+        Some(&FRAME_END) => Ok(Some(size + FRAME_OVERHEAD_BYTES)),
         Some(_) => Err(Malformed("a frame without its end")),
     }
 }
--- a/crates/loomflow-amqp/src/frames/tests.rs
+++ b/crates/loomflow-amqp/src/frames/tests.rs
@@ -38,7 +38,7 @@
 
 #[test]
 fn what_is_no_frame_ends_the_connection() {
-    let over = [&[1, 0, 0][..], &(FRAME_MAX).to_be_bytes()].concat();
+    let over = [&[1, 0, 0][..], &(FRAME_MAX_BYTES).to_be_bytes()].concat();
     for (bytes, why) in [
         (&b"AMQP\x00\x00\x09\x01"[..], "another version"),
         (b"HTTP/1.1 400", "no known type"),
--- a/crates/loomflow-backoff/src/exponential.rs
+++ b/crates/loomflow-backoff/src/exponential.rs
@@ -3,7 +3,7 @@
 use crate::Millis;
 
 /// Factor from one delay to the next.
-const GROWTH: Millis = 2.0;
+const GROWTH: f64 = 2.0;
 /// Delays do not grow after so many attempts; the power of the factor stays far from overflow.
 const MAX_DOUBLINGS: u32 = 30;
 
--- a/crates/loomflow-benchmark/src/amqp.rs
+++ b/crates/loomflow-benchmark/src/amqp.rs
@@ -217,17 +217,17 @@
 // ---- Cost ----
 
 /// Requests a second, on either front.
-const RATE: f64 = 1_500.0;
+const REQUESTS_PER_S: f64 = 1_500.0;
 
 fn cost(report: &mut Report, seconds: u64) {
     let span = Duration::from_secs(seconds);
     let worker = Worker::start(CORES, Duration::from_micros(200));
-    let by_resp = process::cpu_by_resp(&fixture(site(20_000.0), &worker, None), "book", RATE, span);
+    let by_resp = process::cpu_by_resp(&fixture(site(20_000.0), &worker, None), "book", REQUESTS_PER_S, span);
     let (by_queue, count) = {
         let broker = Broker::with_jobs();
         let fixture = fixture(site(20_000.0), &worker, Some((&broker, "book", 0.5)));
         let before = process::cpu(fixture.pid());
-        let replies = fill(&broker, RATE, span);
+        let replies = fill(&broker, REQUESTS_PER_S, span);
         (((process::cpu(fixture.pid()) - before) / replies.max(1) as f64), replies)
     };
     let us = |s: f64| format!("{:.0}", s * 1e6);
@@ -265,7 +265,7 @@
 // ---- Overload ----
 
 /// Three times what the engine does, split evenly between the fronts.
-const OVERLOAD_RATE: f64 = 600.0;
+const OVERLOAD_REQUESTS_PER_S: f64 = 600.0;
 const WORK: Duration = Duration::from_millis(10);
 /// How long open requests are awaited at the end.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
@@ -282,7 +282,7 @@
     let span = Duration::from_secs(seconds);
     let plan = Plan {
         class: "pay",
-        rates: vec![(0.0, OVERLOAD_RATE)],
+        rates: vec![(0.0, OVERLOAD_REQUESTS_PER_S)],
         duration: span,
         connections: 32,
         objective: Duration::from_millis(500),
@@ -358,7 +358,7 @@
     let (mut number, mut seconds) = (0_u32, Vec::new());
     let (mut served, mut rejected) = (0, 0);
     while start.elapsed() < span {
-        while f64::from(number) < start.elapsed().as_secs_f64() * OVERLOAD_RATE {
+        while f64::from(number) < start.elapsed().as_secs_f64() * OVERLOAD_REQUESTS_PER_S {
             broker.publish(job(number.into()));
             number += 1;
         }
--- a/crates/loomflow-benchmark/src/callers.rs
+++ b/crates/loomflow-benchmark/src/callers.rs
@@ -28,7 +28,7 @@
     [IdlePolicy::Controller, IdlePolicy::NeverClose, IdlePolicy::CloseWhenFull, IdlePolicy::CloseImmediately];
 /// Fleets of the steady tenant, its quota over the whole fleet in requests a second, and what it sends of it.
 const FLEETS: [usize; 3] = [20, 100, 590];
-const QUOTA: f64 = 4.0;
+const QUOTA_PER_S: f64 = 4.0;
 const SENDS: [f64; 3] = [0.5, 0.9, 2.0];
 /// Plays at once.
 const THREADS: usize = 4;
@@ -75,7 +75,7 @@
 /// How many requests of a steady tenant the modules judge to be over its quota. No bound yet: 0.05 at 0.9 is wanted.
 fn tenants(report: &mut Report) {
     let over_quota = |servers, sends| {
-        judged_beyond(SteadyTenant { servers, quota_per_s: QUOTA, sends, seconds: 1_000.0, seed: 1 })
+        judged_beyond(SteadyTenant { servers, quota_per_s: QUOTA_PER_S, sends, seconds: 1_000.0, seed: 1 })
     };
     let row = |servers: usize| {
         let shares = SENDS.iter().map(|sends| format!("{:.3}", over_quota(servers, *sends)));
@@ -134,7 +134,11 @@
 fn row(case: &Case, plays: &[Recovery]) -> Vec<String> {
     let mean = |of: &dyn Fn(&Recovery) -> f64| plays.iter().map(of).sum::<f64>() / plays.len() as f64;
     let worst = plays.iter().map(|play| play.after / play.before).fold(f64::INFINITY, f64::min);
-    let slowest = plays.iter().map(|play| play.took).max_by_key(|took| took.unwrap_or(usize::MAX)).flatten();
+    let slowest = plays
+        .iter()
+        .map(|play| play.recovered_after_s)
+        .max_by_key(|took| took.unwrap_or(usize::MAX))
+        .flatten();
     let (servers, callers) = case.size;
     let policy = match case.policy {
         IdlePolicy::Controller => "module",
--- a/crates/loomflow-benchmark/src/overload.rs
+++ b/crates/loomflow-benchmark/src/overload.rs
@@ -25,11 +25,11 @@
     worst: f64,
     mean: f64,
     /// Queue time at the 99th percentile, over the objective and one run.
-    queue_time: f64,
+    queue_time_ratio: f64,
     late: u32,
     run_late: usize,
     /// How long after the burst the last of it was answered, s.
-    drained_after: f64,
+    drained_after_s: f64,
     rules: bool,
 }
 
@@ -128,11 +128,11 @@
     let max_of = |of: fn(&Shown) -> f64| all.iter().map(|one| of(&one.own)).fold(0.0, f64::max);
     report.require_min("in_time_worst_second", min_of(|one| one.worst), 0.9);
     report.figure("in_time_mean", min_of(|one| one.mean));
-    report.require_max("held_p99", max_of(|one| one.queue_time), 1.0);
+    report.require_max("held_p99", max_of(|one| one.queue_time_ratio), 1.0);
     report.require_max("run_after_give_up", max_of(|one| one.run_late as f64), 0.0);
     let bursts = all.iter().filter(|one| one.case.name.starts_with("burst"));
-    let drained_after = bursts.map(|one| one.own.drained_after).fold(0.0, f64::max);
-    report.require_max("backlog_s", drained_after, 1.0);
+    let drained_after_s = bursts.map(|one| one.own.drained_after_s).fold(0.0, f64::max);
+    report.require_max("backlog_s", drained_after_s, 1.0);
     let are_rules_kept = all.iter().all(|one| one.own.rules);
     report.require_min("rules_kept", f64::from(u8::from(are_rules_kept)), 1.0);
     let ratio = |one: &Played| Some(one.own.mean / one.other.as_ref()?.mean.max(0.01));
@@ -155,10 +155,10 @@
     Shown {
         worst: (from..to).map(in_time).fold(f64::INFINITY, f64::min),
         mean: f64::from(total.in_time) / capacity / (to - from) as f64,
-        queue_time: queue_time.max().unwrap_or(0) as f64 / bound.as_micros() as f64,
+        queue_time_ratio: queue_time.max().unwrap_or(0) as f64 / bound.as_micros() as f64,
         late: total.late,
         run_late: scenario_results.late_runs,
-        drained_after: results.between(0, to).last_answered_at - to as f64,
+        drained_after_s: results.between(0, to).last_answered_at_s - to as f64,
         rules: scenario_results.rules.iter().all(|(_, is_kept)| *is_kept),
     }
 }
@@ -173,8 +173,8 @@
         part(own.mean),
         other.as_ref().map_or(String::new(), |other| part(other.mean)),
         own.late.to_string(),
-        part(own.queue_time),
+        part(own.queue_time_ratio),
         own.run_late.to_string(),
-        part(own.drained_after),
+        part(own.drained_after_s),
     ]
 }
--- a/crates/loomflow-benchmark/src/process.rs
+++ b/crates/loomflow-benchmark/src/process.rs
@@ -8,7 +8,7 @@
 use loomflow_test_servers::ServerFixture;
 
 /// Clock ticks a second in `/proc`, on every Linux.
-const TICKS: f64 = 100.0;
+const TICKS_PER_S: f64 = 100.0;
 
 /// The server that was built beside this program.
 pub fn program() -> PathBuf {
@@ -39,7 +39,7 @@
     let after = text.rsplit(')').next().unwrap_or_default();
     let ticks =
         |at: usize| after.split_whitespace().nth(at).and_then(|t| t.parse::<f64>().ok()).unwrap_or(0.0);
-    (ticks(11) + ticks(12)) / TICKS
+    (ticks(11) + ticks(12)) / TICKS_PER_S
 }
 
 /// Memory it has of its own now, MB; what it only maps from its program does not count.
--- a/crates/loomflow-benchmark/src/scale/control.rs
+++ b/crates/loomflow-benchmark/src/scale/control.rs
@@ -19,7 +19,7 @@
 const ZONES_OF_A_REGION: usize = 2;
 const RACK: usize = 20;
 /// A new fleet is quiet by then, ms.
-const FORMED: u64 = 25_000;
+const FORMED_MS: u64 = 25_000;
 /// A server may spend 3 KB a second on control.
 const BYTES_A_SECOND: f64 = 3.0 * 1024.0;
 /// From 150 to 590 members a figure may grow by this factor more than the growth that its formula states.
@@ -52,10 +52,10 @@
 /// Bytes and messages that one kind of member sends a second.
 #[derive(Clone, Copy, Default)]
 struct Sent {
-    messages: f64,
-    bytes: f64,
+    messages_per_s: f64,
+    bytes_per_s: f64,
     /// Of any member of the kind in any one second.
-    max_bytes: f64,
+    max_bytes_per_s: f64,
 }
 
 struct Play {
@@ -85,16 +85,24 @@
         &plays[at.expect("it was played")]
     };
     let (middle, largest) = (quiet(150), quiet(sizes[sizes.len() - 1]));
-    report.require_max("control_bytes_a_second", largest.server.bytes, BYTES_A_SECOND);
-    report.require_max("control_bytes_bend", largest.server.bytes / middle.server.bytes, BEND);
-    report.require_max("control_messages_bend", largest.server.messages / middle.server.messages, BEND);
+    report.require_max("control_bytes_a_second", largest.server.bytes_per_s, BYTES_A_SECOND);
+    report.require_max("control_bytes_bend", largest.server.bytes_per_s / middle.server.bytes_per_s, BEND);
+    report.require_max(
+        "control_messages_bend",
+        largest.server.messages_per_s / middle.server.messages_per_s,
+        BEND,
+    );
     report.figure("member_kb_simulated", memory_kb.round());
-    report.figure("leader_bytes_a_second", largest.leader.bytes.round());
+    report.figure("leader_bytes_a_second", largest.leader.bytes_per_s.round());
 }
 
 fn print(report: &Report, cases: &[(usize, Event, &str)], plays: &[Play]) {
     let sent = |sent: Sent| {
-        [format!("{:.1}", sent.messages), format!("{:.0}", sent.bytes), format!("{:.0}", sent.max_bytes)]
+        [
+            format!("{:.1}", sent.messages_per_s),
+            format!("{:.0}", sent.bytes_per_s),
+            format!("{:.0}", sent.max_bytes_per_s),
+        ]
     };
     let row = |((size, _, name), play): (&(usize, Event, &str), &Play)| {
         let mut row = vec![(*name).to_owned(), size.to_string()];
@@ -153,7 +161,7 @@
         3,
     );
     simulation.invariants.compares_states = false;
-    go(&mut simulation, FORMED);
+    go(&mut simulation, FORMED_MS);
     simulation
 }
 
@@ -206,7 +214,11 @@
 impl Kind {
     fn sent(self) -> Sent {
         let each = |count: u64| count as f64 / self.member_seconds.max(1) as f64;
-        Sent { messages: each(self.messages), bytes: each(self.bytes), max_bytes: self.max_bytes as f64 }
+        Sent {
+            messages_per_s: each(self.messages),
+            bytes_per_s: each(self.bytes),
+            max_bytes_per_s: self.max_bytes as f64,
+        }
     }
 }
 
--- a/crates/loomflow-benchmark/src/scale/load.rs
+++ b/crates/loomflow-benchmark/src/scale/load.rs
@@ -31,7 +31,7 @@
 
 /// Makes requests at a rate for a span. Each of the `callers` takes the next request that is due; `call` carries out
 /// request number N for it, and gives how long that took, or nothing where it was not served.
-pub fn play<C, F>(callers: Vec<C>, rate: f64, span: Duration, call: F) -> Latencies
+pub fn play<C, F>(callers: Vec<C>, requests_per_s: f64, span: Duration, call: F) -> Latencies
 where
     C: Send,
     F: Fn(&mut C, usize) -> Option<Duration> + Sync,
@@ -41,7 +41,7 @@
     std::thread::scope(|scope| {
         for mut caller in callers {
             scope.spawn(|| {
-                let own = take_turns(&next, start, rate, span, |number| call(&mut caller, number));
+                let own = take_turns(&next, start, requests_per_s, span, |number| call(&mut caller, number));
                 results.lock().expect("latencies").merge(own);
                 // Dropped here, so that its connections are closed with it.
                 drop(caller);
@@ -54,14 +54,14 @@
 fn take_turns(
     next: &AtomicUsize,
     start: Instant,
-    rate: f64,
+    requests_per_s: f64,
     span: Duration,
     mut call: impl FnMut(usize) -> Option<Duration>,
 ) -> Latencies {
     let mut own = Latencies::default();
     loop {
         let number = next.fetch_add(1, Ordering::Relaxed);
-        let due = Duration::from_secs_f64(number as f64 / rate);
+        let due = Duration::from_secs_f64(number as f64 / requests_per_s);
         if due >= span {
             return own;
         }
--- a/crates/loomflow-benchmark/src/scale/requests.rs
+++ b/crates/loomflow-benchmark/src/scale/requests.rs
@@ -26,7 +26,7 @@
 struct Case {
     name: &'static str,
     size: setup::Size,
-    rate: f64,
+    requests_per_s: f64,
 }
 
 struct Row {
@@ -51,12 +51,12 @@
     let many_connections = setup::Size { tenants: small.tenants, ..large };
     let slow = setup::Size { period_ms: PLATFORM_PERIOD_MS, ..large };
     [
-        Case { name: "16 connections, 2 tenants", size: small, rate: REQUESTS_PER_S },
-        Case { name: "16 connections, all tenants", size: many_tenants, rate: REQUESTS_PER_S },
-        Case { name: "all connections, 2 tenants", size: many_connections, rate: REQUESTS_PER_S },
-        Case { name: "at the target", size: large, rate: REQUESTS_PER_S },
-        Case { name: "at the target, a zone lost", size: large, rate: REQUESTS_PER_S * ZONE_LOST },
-        Case { name: "at the target, Period 5 ms", size: slow, rate: REQUESTS_PER_S },
+        Case { name: "16 connections, 2 tenants", size: small, requests_per_s: REQUESTS_PER_S },
+        Case { name: "16 connections, all tenants", size: many_tenants, requests_per_s: REQUESTS_PER_S },
+        Case { name: "all connections, 2 tenants", size: many_connections, requests_per_s: REQUESTS_PER_S },
+        Case { name: "at the target", size: large, requests_per_s: REQUESTS_PER_S },
+        Case { name: "at the target, a zone lost", size: large, requests_per_s: REQUESTS_PER_S * ZONE_LOST },
+        Case { name: "at the target, Period 5 ms", size: slow, requests_per_s: REQUESTS_PER_S },
     ]
 }
 
@@ -85,7 +85,7 @@
         let added = |part| format!("{:.2}", row.added_ms(part));
         vec![
             row.case.name.to_owned(),
-            format!("{:.0}", row.case.rate),
+            format!("{:.0}", row.case.requests_per_s),
             row.served.served().to_string(),
             format!("{:.2}", row.direct.quantile_ms(0.5)),
             format!("{:.2}", row.direct.quantile_ms(0.99)),
@@ -128,7 +128,7 @@
         let before = proc::cpu_ns(pid);
         served.merge(through_server(&mut shares, &case, span));
         cpu_ns += proc::cpu_ns(pid) - before;
-        direct.merge(load::play(vec![(); THREADS], case.rate, span, |(), number| {
+        direct.merge(load::play(vec![(); THREADS], case.requests_per_s, span, |(), number| {
             direct_client.call(CLASS, body(number).as_bytes(), CALLER_TIMEOUT)
         }));
     }
@@ -154,7 +154,7 @@
 
 fn through_server(shares: &mut [Vec<Gateway>], case: &Case, span: Duration) -> Latencies {
     let tenants = case.size.tenants;
-    load::play(shares.iter_mut().collect(), case.rate, span, |share, number| {
+    load::play(shares.iter_mut().collect(), case.requests_per_s, span, |share, number| {
         let at = number % share.len();
         make_request(&mut share[at], number, tenants)
     })
--- a/crates/loomflow-load/src/results.rs
+++ b/crates/loomflow-load/src/results.rs
@@ -41,7 +41,7 @@
     /// Answered with a wrong result or more than once.
     pub wrong: u32,
     /// When the last of them was answered, s since the start.
-    pub last_answered_at: f64,
+    pub last_answered_at_s: f64,
     signal_sum: f64,
     signal_count: u32,
 }
@@ -66,7 +66,7 @@
         self.failed += other.failed;
         self.lost += other.lost;
         self.wrong += other.wrong;
-        self.last_answered_at = self.last_answered_at.max(other.last_answered_at);
+        self.last_answered_at_s = self.last_answered_at_s.max(other.last_answered_at_s);
         self.signal_sum += other.signal_sum;
         self.signal_count += other.signal_count;
     }
@@ -132,7 +132,7 @@
             RequestOutcome::Wrong => &mut counts.wrong,
         };
         *count += 1;
-        counts.last_answered_at = counts.last_answered_at.max(answered_at);
+        counts.last_answered_at_s = counts.last_answered_at_s.max(answered_at);
     }
 
     /// When the request with this body was sent.
--- a/crates/loomflow-overload-simulation/src/caller.rs
+++ b/crates/loomflow-overload-simulation/src/caller.rs
@@ -2,7 +2,7 @@
 
 use fastrand::Rng;
 
-use crate::clock::{Micros, SECOND};
+use crate::clock::{SECOND, SimulationMicros};
 use crate::connections::ConnectionId;
 
 /// How a caller chooses among the servers that it does not avoid.
@@ -26,11 +26,11 @@
     /// Probability that a caller honours the send share of a server when it chooses.
     pub honours_share_probability: f64,
     /// How long a send share is honoured.
-    pub share_ttl: Micros,
+    pub share_ttl: SimulationMicros,
     /// Whether callers honour the retry-after of a rejection.
     pub honours_retry_after: bool,
     /// Idle timeout of pooled connections.
-    pub idle_timeout: Micros,
+    pub idle_timeout: SimulationMicros,
 }
 
 impl Default for CallerPolicy {
@@ -51,8 +51,8 @@
 #[derive(Clone)]
 struct Peer {
     share: f64,
-    share_received_at: Option<Micros>,
-    avoided_until: Micros,
+    share_received_at: Option<SimulationMicros>,
+    avoided_until: SimulationMicros,
     outstanding: u32,
     idle: Vec<ConnectionId>,
 }
@@ -91,7 +91,7 @@
     }
 
     /// Chooses a server that was not tried yet; `None` if all were tried or are avoided.
-    pub fn pick(&mut self, now: Micros, tried: &[usize], rng: &mut Rng) -> Option<usize> {
+    pub fn pick(&mut self, now: SimulationMicros, tried: &[usize], rng: &mut Rng) -> Option<usize> {
         let mut chosen: Option<(u32, usize)> = None;
         let mut skipped = None;
         for step in 0..self.list.len() {
@@ -137,14 +137,19 @@
     }
 
     /// A response carried the send share of a server.
-    pub fn share_received(&mut self, now: Micros, server: usize, share: f64) {
+    pub fn share_received(&mut self, now: SimulationMicros, server: usize, share: f64) {
         let peer = &mut self.peers[server];
         peer.share = share;
         peer.share_received_at = Some(now);
     }
 
     /// A rejection carried a retry-after.
-    pub fn retry_after_received(&mut self, now: Micros, server: usize, retry_after: Micros) {
+    pub fn retry_after_received(
+        &mut self,
+        now: SimulationMicros,
+        server: usize,
+        retry_after: SimulationMicros,
+    ) {
         if self.policy.honours_retry_after {
             self.peers[server].avoided_until = now + retry_after;
         }
@@ -160,11 +165,11 @@
         self.peers[server].idle.retain(|pooled| *pooled != connection);
     }
 
-    fn is_avoided(&self, now: Micros, server: usize) -> bool {
+    fn is_avoided(&self, now: SimulationMicros, server: usize) -> bool {
         now < self.peers[server].avoided_until
     }
 
-    fn skips(&self, now: Micros, server: usize, rng: &mut Rng) -> bool {
+    fn skips(&self, now: SimulationMicros, server: usize, rng: &mut Rng) -> bool {
         let peer = &self.peers[server];
         let is_current =
             peer.share_received_at.is_some_and(|received_at| now < received_at + self.policy.share_ttl);
--- a/crates/loomflow-overload-simulation/src/checker.rs
+++ b/crates/loomflow-overload-simulation/src/checker.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::clock::Micros;
+use crate::clock::SimulationMicros;
 use crate::cores::AttemptId;
 
 /// A violation of the rules.
@@ -19,16 +19,16 @@
 
 /// Tracks the attempts without a response.
 pub struct Checker {
-    timeout: Micros,
-    waiting: BTreeMap<AttemptId, Micros>,
-    due: BTreeSet<(Micros, AttemptId)>,
+    timeout: SimulationMicros,
+    waiting: BTreeMap<AttemptId, SimulationMicros>,
+    due: BTreeSet<(SimulationMicros, AttemptId)>,
     broken: BTreeSet<AttemptId>,
     violations: Vec<Violation>,
 }
 
 impl Checker {
     /// Creates a checker for callers with this timeout.
-    pub fn new(timeout: Micros) -> Checker {
+    pub fn new(timeout: SimulationMicros) -> Checker {
         Checker {
             timeout,
             waiting: BTreeMap::new(),
@@ -39,14 +39,14 @@
     }
 
     /// An attempt reached a server.
-    pub fn reached(&mut self, now: Micros, attempt: AttemptId) {
+    pub fn reached(&mut self, now: SimulationMicros, attempt: AttemptId) {
         let due = now + self.timeout;
         self.waiting.insert(attempt, due);
         self.due.insert((due, attempt));
     }
 
     /// A server sent a final answer.
-    pub fn answered(&mut self, now: Micros, attempt: AttemptId) {
+    pub fn answered(&mut self, now: SimulationMicros, attempt: AttemptId) {
         // A response may cross with the end of its connection; it is the final one all the same.
         if self.broken.remove(&attempt) {
             return;
@@ -71,7 +71,7 @@
     }
 
     /// Checks for attempts that are overdue, and returns all violations.
-    pub fn violations(&mut self, now: Micros) -> &[Violation] {
+    pub fn violations(&mut self, now: SimulationMicros) -> &[Violation] {
         while let Some((due, attempt)) = self.due.first().copied().filter(|(due, _)| *due < now) {
             self.due.remove(&(due, attempt));
             self.waiting.remove(&attempt);
--- a/crates/loomflow-overload-simulation/src/client.rs
+++ b/crates/loomflow-overload-simulation/src/client.rs
@@ -1,23 +1,24 @@
 //! Clients: each sends one request, retries it when it fails, and abandons it in the end.
 
 use fastrand::Rng;
+use loomflow::time::Millis;
 
-use crate::clock::{MILLISECOND, Micros};
+use crate::clock::{MILLISECOND, SimulationMicros};
 use crate::cores::AttemptId;
 
 /// Behaviour of clients.
 #[derive(Clone, Debug)]
 pub struct ClientPolicy {
     /// A response within this time of the first attempt counts, a later one does not.
-    pub objective: Micros,
+    pub objective: SimulationMicros,
     /// How long a client waits over all attempts.
-    pub timeout: Micros,
+    pub timeout: SimulationMicros,
     /// Upper bound of the number of retries, which is drawn for each client from 1 on.
     pub max_retries: u32,
     /// Upper bound of the backoff before a retry, which is drawn for each.
-    pub max_backoff: Micros,
+    pub max_backoff: SimulationMicros,
     /// An attempt without a response for this long is abandoned for another one, if retries are left.
-    pub attempt_timeout: Micros,
+    pub attempt_timeout: SimulationMicros,
 }
 
 impl Default for ClientPolicy {
@@ -35,11 +36,11 @@
 /// A client's request over all attempts.
 pub struct Request {
     /// When it was sent first.
-    pub sent_at: Micros,
+    pub sent_at: SimulationMicros,
     /// Work, ms on one core.
-    pub work: f64,
+    pub work: Millis,
     /// Work as callers estimate it, ms on one core.
-    pub estimated_work: f64,
+    pub estimated_work: Millis,
     /// Retries that are left.
     pub retries_left: u32,
     /// Number of the attempt, by which timers of earlier ones are ignored.
@@ -58,7 +59,13 @@
 
 impl Request {
     /// Draws a request around the mean work; its estimate is within a fifth.
-    pub fn draw(habits: &ClientPolicy, now: Micros, mean: f64, spread: f64, rng: &mut Rng) -> Request {
+    pub fn draw(
+        habits: &ClientPolicy,
+        now: SimulationMicros,
+        mean: Millis,
+        spread: f64,
+        rng: &mut Rng,
+    ) -> Request {
         let work = mean * (1.0 + spread * (2.0 * rng.f64() - 1.0));
         Request {
             sent_at: now,
--- a/crates/loomflow-overload-simulation/src/clock.rs
+++ b/crates/loomflow-overload-simulation/src/clock.rs
@@ -3,39 +3,42 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// A moment or a span in simulated time, in microseconds.
-pub type Micros = u64;
+use loomflow::time::Millis;
+
+/// A point in time since the start of the simulation, or a duration, in microseconds. Integers, so that the order of events
+/// does not depend on rounding; `loomflow::time::Micros` is signed and counts from the start of a process.
+pub type SimulationMicros = u64;
 
 /// One simulated millisecond.
-pub const MILLISECOND: Micros = 1_000;
+pub const MILLISECOND: SimulationMicros = 1_000;
 /// One simulated second.
-pub const SECOND: Micros = 1_000_000;
+pub const SECOND: SimulationMicros = 1_000_000;
 
 /// Converts to the milliseconds that the controller counts in.
-pub fn to_millis(time: Micros) -> f64 {
+pub fn to_millis(time: SimulationMicros) -> Millis {
     time as f64 / MILLISECOND as f64
 }
 
 /// Converts from milliseconds, rounded up so that nothing fires early; negative spans count as none.
-pub fn from_millis(millis: f64) -> Micros {
-    (millis.max(0.0) * MILLISECOND as f64).ceil() as Micros
+pub fn from_millis(millis: Millis) -> SimulationMicros {
+    (millis.max(0.0) * MILLISECOND as f64).ceil() as SimulationMicros
 }
 
 /// Events in the order of their time; those of the same moment in the order in which they were scheduled.
 pub struct EventQueue<E> {
     heap: BinaryHeap<Reverse<Scheduled<E>>>,
     scheduled: u64,
-    now: Micros,
+    now: SimulationMicros,
 }
 
 struct Scheduled<E> {
-    at: Micros,
+    at: SimulationMicros,
     sequence: u64,
     event: E,
 }
 
 impl<E> Scheduled<E> {
-    fn key(&self) -> (Micros, u64) {
+    fn key(&self) -> (SimulationMicros, u64) {
         (self.at, self.sequence)
     }
 }
@@ -68,18 +71,18 @@
 
 impl<E> EventQueue<E> {
     /// The time of the event taken last.
-    pub fn now(&self) -> Micros {
+    pub fn now(&self) -> SimulationMicros {
         self.now
     }
 
     /// Schedules an event; one in the past happens now.
-    pub fn schedule(&mut self, at: Micros, event: E) {
+    pub fn schedule(&mut self, at: SimulationMicros, event: E) {
         self.scheduled += 1;
         self.heap.push(Reverse(Scheduled { at: at.max(self.now), sequence: self.scheduled, event }));
     }
 
     /// Moves the clock to the next event before `end` and gives it.
-    pub fn next_before(&mut self, end: Micros) -> Option<E> {
+    pub fn next_before(&mut self, end: SimulationMicros) -> Option<E> {
         if self.heap.peek()?.0.at >= end {
             return None;
         }
--- a/crates/loomflow-overload-simulation/src/connections.rs
+++ b/crates/loomflow-overload-simulation/src/connections.rs
@@ -4,7 +4,7 @@
 
 use std::collections::VecDeque;
 
-use crate::clock::Micros;
+use crate::clock::SimulationMicros;
 
 /// Id of a connection within a simulation.
 pub type ConnectionId = u32;
@@ -18,7 +18,7 @@
     /// False once either end has closed it.
     pub is_open: bool,
     /// Since when it has carried no request.
-    pub idle_since: Option<Micros>,
+    pub idle_since: Option<SimulationMicros>,
 }
 
 /// All connections of a simulation, including closed ones.
@@ -40,7 +40,7 @@
     }
 
     /// Marks when the connection became idle, or that it carries a request again.
-    pub fn set_idle(&mut self, id: ConnectionId, since: Option<Micros>) {
+    pub fn set_idle(&mut self, id: ConnectionId, since: Option<SimulationMicros>) {
         self.slots[id as usize].idle_since = since;
     }
 
@@ -63,7 +63,7 @@
     capacity: usize,
     open: usize,
     /// Connections in the order in which they became idle; those used or closed since are skipped.
-    idle: VecDeque<(Micros, ConnectionId)>,
+    idle: VecDeque<(SimulationMicros, ConnectionId)>,
 }
 
 impl ConnectionTable {
@@ -90,12 +90,17 @@
     }
 
     /// A connection became idle.
-    pub fn idle(&mut self, now: Micros, id: ConnectionId) {
+    pub fn idle(&mut self, now: SimulationMicros, id: ConnectionId) {
         self.idle.push_back((now, id));
     }
 
     /// The connections that have been idle for `limit`, to be closed.
-    pub fn overdue(&mut self, now: Micros, limit: Micros, connections: &Connections) -> Vec<ConnectionId> {
+    pub fn overdue(
+        &mut self,
+        now: SimulationMicros,
+        limit: SimulationMicros,
+        connections: &Connections,
+    ) -> Vec<ConnectionId> {
         let mut overdue = Vec::new();
         while let Some((_, id)) = self.idle.front().copied().filter(|(since, _)| *since + limit <= now) {
             self.idle.pop_front();
--- a/crates/loomflow-overload-simulation/src/cores.rs
+++ b/crates/loomflow-overload-simulation/src/cores.rs
@@ -3,10 +3,12 @@
 //! Every job gets the same rate, so one number, the work that a job present from the start would have received, shows the
 //! progress of all of them.
 
-use crate::clock::{Micros, from_millis, to_millis};
+use loomflow::time::Millis;
+
+use crate::clock::{SimulationMicros, from_millis, to_millis};
 
 /// Work left below this, in milliseconds, counts as done: rounding of the clock to microseconds.
-const DONE_WITHIN: f64 = 1e-3;
+const DONE_WITHIN: Millis = 1e-3;
 
 /// Names one attempt of a caller at a server.
 pub type AttemptId = u32;
@@ -24,27 +26,27 @@
 pub struct Cores {
     count: f64,
     speed: f64,
-    received: f64,
-    busy: f64,
-    updated: Micros,
+    received: Millis,
+    busy: Millis,
+    updated: SimulationMicros,
     /// Each job, with the value of `received` at which it is done.
-    jobs: Vec<(Job, f64)>,
+    jobs: Vec<(Job, Millis)>,
 }
 
 impl Cores {
     /// Idle cores at full speed.
-    pub fn new(count: f64, now: Micros) -> Cores {
+    pub fn new(count: f64, now: SimulationMicros) -> Cores {
         Cores { count, speed: 1.0, received: 0.0, busy: 0.0, updated: now, jobs: Vec::new() }
     }
 
     /// Puts a job that needs so many milliseconds of one full-speed core on them.
-    pub fn add(&mut self, now: Micros, job: Job, work: f64) {
+    pub fn add(&mut self, now: SimulationMicros, job: Job, work: Millis) {
         self.advance(now);
         self.jobs.push((job, self.received + work));
     }
 
     /// Takes an unfinished job off; false where it is not there.
-    pub fn remove(&mut self, now: Micros, job: Job) -> bool {
+    pub fn remove(&mut self, now: SimulationMicros, job: Job) -> bool {
         self.advance(now);
         let before = self.jobs.len();
         self.jobs.retain(|(other, _)| *other != job);
@@ -52,20 +54,20 @@
     }
 
     /// Changes the speed of every core; 1 is full speed.
-    pub fn set_speed(&mut self, now: Micros, speed: f64) {
+    pub fn set_speed(&mut self, now: SimulationMicros, speed: f64) {
         self.advance(now);
         self.speed = speed;
     }
 
     /// Takes off one job that is done by now, if there is one.
-    pub fn take_done(&mut self, now: Micros) -> Option<Job> {
+    pub fn take_done(&mut self, now: SimulationMicros) -> Option<Job> {
         self.advance(now);
         let done = self.jobs.iter().position(|(_, at)| *at <= self.received + DONE_WITHIN)?;
         Some(self.jobs.remove(done).0)
     }
 
     /// When the next job is done if nothing changes.
-    pub fn next_done(&self) -> Option<Micros> {
+    pub fn next_done(&self) -> Option<SimulationMicros> {
         let first = self.jobs.iter().map(|(_, at)| *at).reduce(f64::min)?;
         let left = (first - self.received).max(0.0);
         Some(self.updated + from_millis(left / self.rate()))
@@ -82,7 +84,7 @@
     }
 
     /// The sum over time of the busy share of the cores, in milliseconds.
-    pub fn busy_time(&mut self, now: Micros) -> f64 {
+    pub fn busy_time(&mut self, now: SimulationMicros) -> Millis {
         self.advance(now);
         self.busy
     }
@@ -91,7 +93,7 @@
         self.speed * (self.count / self.jobs.len().max(1) as f64).min(1.0)
     }
 
-    fn advance(&mut self, now: Micros) {
+    fn advance(&mut self, now: SimulationMicros) {
         let elapsed = to_millis(now - self.updated);
         self.updated = now;
         self.received += elapsed * self.rate();
--- a/crates/loomflow-overload-simulation/src/fault.rs
+++ b/crates/loomflow-overload-simulation/src/fault.rs
@@ -1,6 +1,6 @@
 //! Faults of a simulation.
 
-use crate::clock::Micros;
+use crate::clock::SimulationMicros;
 
 /// Kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -30,9 +30,9 @@
     /// Kind of the fault.
     pub kind: FaultKind,
     /// Start.
-    pub starts_at: Micros,
+    pub starts_at: SimulationMicros,
     /// End.
-    pub ends_at: Micros,
+    pub ends_at: SimulationMicros,
 }
 
 impl FaultKind {
--- a/crates/loomflow-overload-simulation/src/fleet.rs
+++ b/crates/loomflow-overload-simulation/src/fleet.rs
@@ -9,7 +9,7 @@
 use crate::caller::Caller;
 use crate::checker::{Checker, Violation};
 use crate::client::Request;
-use crate::clock::{EventQueue, Micros, SECOND};
+use crate::clock::{EventQueue, SECOND, SimulationMicros};
 use crate::connections::{ConnectionId, ConnectionTable, Connections};
 use crate::cores::AttemptId;
 use crate::ledger::Ledger;
@@ -151,7 +151,7 @@
         }
     }
 
-    fn now(&self) -> Micros {
+    fn now(&self) -> SimulationMicros {
         self.events.now()
     }
 
--- a/crates/loomflow-overload-simulation/src/fleet/calls.rs
+++ b/crates/loomflow-overload-simulation/src/fleet/calls.rs
@@ -1,7 +1,7 @@
 //! Requests of clients and attempts of callers.
 
 use crate::client::Request;
-use crate::clock::{Micros, SECOND};
+use crate::clock::{SECOND, SimulationMicros};
 use crate::cores::AttemptId;
 use crate::fleet::{Attempt, Event, Fleet, RequestIndex};
 use crate::server::ServerResponse;
@@ -22,7 +22,7 @@
         self.events.schedule(now + self.setup.client_policy.timeout, Event::ClientTimeout { request: index });
         self.start_attempt(index);
         let gap = -(1.0 - self.rng.f64()).ln() / self.setup.requests_per_second();
-        self.events.schedule(now + (gap * SECOND as f64) as Micros, Event::NewRequest);
+        self.events.schedule(now + (gap * SECOND as f64) as SimulationMicros, Event::NewRequest);
     }
 
     pub(super) fn retry(&mut self, request: RequestIndex, serial: u32) {
--- a/crates/loomflow-overload-simulation/src/ledger.rs
+++ b/crates/loomflow-overload-simulation/src/ledger.rs
@@ -1,6 +1,6 @@
 //! Results of a simulation by second.
 
-use crate::clock::{Micros, SECOND};
+use crate::clock::{SECOND, SimulationMicros};
 
 /// Counts of one second; outcomes of requests are counted in the second in which they were first sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -53,7 +53,7 @@
 
 impl Ledger {
     /// The second of a time.
-    pub fn at(&mut self, moment: Micros) -> &mut Second {
+    pub fn at(&mut self, moment: SimulationMicros) -> &mut Second {
         let second = (moment / SECOND) as usize;
         if self.seconds.len() <= second {
             self.seconds.resize(second + 1, Second::default());
--- a/crates/loomflow-overload-simulation/src/network.rs
+++ b/crates/loomflow-overload-simulation/src/network.rs
@@ -2,20 +2,20 @@
 
 use fastrand::Rng;
 
-use crate::clock::Micros;
+use crate::clock::SimulationMicros;
 
 /// One-way delays of messages.
 #[derive(Clone, Debug)]
 pub struct Network {
     /// Minimum one-way delay.
-    pub min_delay: Micros,
+    pub min_delay: SimulationMicros,
     /// Maximum one-way delay.
-    pub max_delay: Micros,
+    pub max_delay: SimulationMicros,
 }
 
 impl Network {
     /// Draws the delay of one message.
-    pub fn delay(&self, rng: &mut Rng) -> Micros {
+    pub fn delay(&self, rng: &mut Rng) -> SimulationMicros {
         rng.u64(self.min_delay..=self.max_delay)
     }
 }
--- a/crates/loomflow-overload-simulation/src/quota.rs
+++ b/crates/loomflow-overload-simulation/src/quota.rs
@@ -7,6 +7,7 @@
 use fastrand::Rng;
 use loomflow::controller::Controller;
 use loomflow::interface::{Action, Arrival, AttemptOutcome, Class, Event, RequestId, Settings, Tenant};
+use loomflow::time::{MILLIS_PER_SECOND, Millis};
 
 use crate::settings::module_settings;
 use crate::setup::Setup;
@@ -21,7 +22,7 @@
 const PROBE_WEIGHT: f64 = 0.5;
 const OVER_QUOTA_WEIGHT: f64 = 0.1;
 /// A latency objective so long that nothing in the experiment is ever late, ms.
-const NEVER_MS: f64 = 1e9;
+const NEVER_MS: Millis = 1e9;
 /// Seconds before the count begins: saved tokens are used up by then or stay for good.
 const SETTLING_TIME_S: f64 = 60.0;
 
@@ -46,15 +47,15 @@
     let settings = settings(&tenant);
     let mut servers: Vec<Judge> =
         (0..tenant.servers).map(|_| Judge::new(settings.clone(), rng.u64(..))).collect();
-    let (mut now, mut sent, mut over_quota) = (0.0, 0.0, 0.0);
+    let (mut now_s, mut sent, mut over_quota) = (0.0, 0.0, 0.0);
     loop {
-        now += -(1.0 - rng.f64()).ln() / (tenant.quota_per_s * tenant.sends);
-        if now >= SETTLING_TIME_S + tenant.seconds {
+        now_s += -(1.0 - rng.f64()).ln() / (tenant.quota_per_s * tenant.sends);
+        if now_s >= SETTLING_TIME_S + tenant.seconds {
             return over_quota / sent;
         }
         let server = rng.usize(..servers.len());
-        let is_over = servers[server].classifies_over_quota(now * 1_000.0);
-        if now >= SETTLING_TIME_S {
+        let is_over = servers[server].classifies_over_quota(now_s * MILLIS_PER_SECOND);
+        if now_s >= SETTLING_TIME_S {
             sent += 1.0;
             over_quota += f64::from(u8::from(is_over));
         }
@@ -86,7 +87,7 @@
     }
 
     /// Has a request of the tenant wait beside a probe while another one runs, and sees which of the two comes first.
-    fn classifies_over_quota(&mut self, now: f64) -> bool {
+    fn classifies_over_quota(&mut self, now: Millis) -> bool {
         self.arrives(now, PROBE_CLASS, NO_TENANT);
         let mut running = self.decide(now);
         let tested = self.arrives(now, TENANT_CLASS, TENANT);
@@ -101,7 +102,7 @@
         order.last() == Some(&tested)
     }
 
-    fn arrives(&mut self, now: f64, class: usize, tenant: usize) -> RequestId {
+    fn arrives(&mut self, now: Millis, class: usize, tenant: usize) -> RequestId {
         self.requests += 1;
         let arrival = Arrival {
             id: self.requests,
@@ -122,7 +123,7 @@
     }
 
     /// Ends a batch, and gives the request that is to run.
-    fn decide(&mut self, now: f64) -> Option<RequestId> {
+    fn decide(&mut self, now: Millis) -> Option<RequestId> {
         let mut actions = Vec::new();
         self.controller.decide(now, &mut actions);
         actions.iter().find_map(|action| match action {
--- a/crates/loomflow-overload-simulation/src/recovery.rs
+++ b/crates/loomflow-overload-simulation/src/recovery.rs
@@ -1,36 +1,35 @@
 //! Experiment: a fleet loses a part of itself for two seconds. Is it back at its former service soon after?
 
 use crate::checker::Violation;
-use crate::clock::{Micros, SECOND};
+use crate::clock::{SECOND, SimulationMicros};
 use crate::fault::{Fault, FaultKind};
 use crate::fleet::Fleet;
 use crate::ledger::Ledger;
 use crate::setup::Setup;
 
-/// The part of its former service at which a fleet counts as back.
-pub const BACK: f64 = 0.9;
-/// The seconds that it may take after the lost part's return.
-pub const WITHIN: usize = 10;
-
-/// The seconds over which service is averaged when the moment of recovery is sought.
-const WINDOW: usize = 3;
+/// Part of its former service from which on a fleet counts as recovered.
+pub const RECOVERED_PART: f64 = 0.9;
+/// How long recovery may take after the return of the lost part, s.
+pub const RECOVERY_SECONDS: usize = 10;
+/// Span over which service is averaged to find the moment of recovery, s.
+const WINDOW_SECONDS: usize = 3;
 
 /// When the parts of the experiment begin and end, in whole seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeline {
-    /// The former service is taken from here to one latency objective before the loss.
-    pub settled: usize,
+    /// The former service is measured from here to one latency objective before the loss.
+    pub settled_s: usize,
     /// The part is lost.
-    pub lost: usize,
+    pub lost_s: usize,
     /// The part is back.
-    pub returned: usize,
+    pub returned_s: usize,
     /// Clients stop sending.
-    pub end: usize,
+    pub end_s: usize,
 }
 
 impl Default for Timeline {
     fn default() -> Self {
-        Timeline { settled: 4, lost: 10, returned: 12, end: 28 }
+        Timeline { settled_s: 4, lost_s: 10, returned_s: 12, end_s: 28 }
     }
 }
 
@@ -41,15 +40,15 @@
     pub before: f64,
     /// Service during it.
     pub during: f64,
-    /// Service from `WITHIN` seconds after the return on.
+    /// Service from [`RECOVERY_SECONDS`] after the return on.
     pub after: f64,
-    /// Seconds from the return until the service of `WINDOW` seconds is back; none where it never is.
-    pub took: Option<usize>,
+    /// Seconds from the return until the mean service over [`WINDOW_SECONDS`] is back; none where it never is.
+    pub recovered_after_s: Option<usize>,
     /// Handshakes a second, over the whole fleet, before the loss.
     pub handshakes_before: f64,
-    /// Handshakes a second from `WITHIN` seconds after the return on.
+    /// Handshakes a second from [`RECOVERY_SECONDS`] after the return on.
     pub handshakes_after: f64,
-    /// Callers' attempts a request from `WITHIN` seconds after the return on.
+    /// Callers' attempts a request from [`RECOVERY_SECONDS`] after the return on.
     pub attempts_after: f64,
     /// Second by second.
     pub ledger: Ledger,
@@ -60,7 +59,7 @@
 impl Recovery {
     /// Whether the fleet is back within the stated time.
     pub fn is_back(&self) -> bool {
-        self.after >= BACK * self.before
+        self.after >= RECOVERED_PART * self.before
     }
 
     /// The part of the servers that closed idle connections at once in the last second.
@@ -72,30 +71,30 @@
 
 /// Plays the setup with that fault on that timeline.
 pub fn recovery(mut setup: Setup, kind: FaultKind, timeline: Timeline) -> Recovery {
-    setup.duration = seconds(timeline.end);
+    setup.duration = seconds(timeline.end_s);
     // A request sent less than one latency objective before the loss may be affected by it.
-    let unharmed = timeline.lost - setup.client_policy.objective.div_ceil(SECOND) as usize;
+    let unharmed = timeline.lost_s - setup.client_policy.objective.div_ceil(SECOND) as usize;
     setup.faults =
-        vec![Fault { kind, starts_at: seconds(timeline.lost), ends_at: seconds(timeline.returned) }];
+        vec![Fault { kind, starts_at: seconds(timeline.lost_s), ends_at: seconds(timeline.returned_s) }];
     let results = Fleet::new(setup).play();
     let ledger = results.ledger;
-    let late = timeline.returned + WITHIN;
-    let before = ledger.service(timeline.settled, unharmed);
+    let late = timeline.returned_s + RECOVERY_SECONDS;
+    let before = ledger.service(timeline.settled_s, unharmed);
     Recovery {
         before,
-        during: ledger.service(timeline.lost, timeline.returned),
-        after: ledger.service(late, timeline.end),
-        took: recovered_after(&ledger, before, timeline),
-        handshakes_before: handshakes(&ledger, timeline.settled, unharmed),
-        handshakes_after: handshakes(&ledger, late, timeline.end),
-        attempts_after: attempts(&ledger, late, timeline.end),
+        during: ledger.service(timeline.lost_s, timeline.returned_s),
+        after: ledger.service(late, timeline.end_s),
+        recovered_after_s: recovered_after_s(&ledger, before, timeline),
+        handshakes_before: handshakes(&ledger, timeline.settled_s, unharmed),
+        handshakes_after: handshakes(&ledger, late, timeline.end_s),
+        attempts_after: attempts(&ledger, late, timeline.end_s),
         violations: results.violations,
         ledger,
     }
 }
 
-fn seconds(count: usize) -> Micros {
-    count as Micros * SECOND
+fn seconds(count: usize) -> SimulationMicros {
+    count as SimulationMicros * SECOND
 }
 
 fn handshakes(ledger: &Ledger, from: usize, to: usize) -> f64 {
@@ -106,8 +105,9 @@
     ledger.sum(from, to, |second| second.attempts) / ledger.sum(from, to, |second| second.sent)
 }
 
-fn recovered_after(ledger: &Ledger, before: f64, timeline: Timeline) -> Option<usize> {
-    let last = timeline.end - WINDOW;
-    let back = (timeline.returned..=last).find(|at| ledger.service(*at, at + WINDOW) >= BACK * before)?;
-    Some(back - timeline.returned)
+fn recovered_after_s(ledger: &Ledger, before: f64, timeline: Timeline) -> Option<usize> {
+    let last = timeline.end_s - WINDOW_SECONDS;
+    let back = (timeline.returned_s..=last)
+        .find(|at| ledger.service(*at, at + WINDOW_SECONDS) >= RECOVERED_PART * before)?;
+    Some(back - timeline.returned_s)
 }
--- a/crates/loomflow-overload-simulation/src/server.rs
+++ b/crates/loomflow-overload-simulation/src/server.rs
@@ -6,16 +6,17 @@
 
 use loomflow::controller::Controller;
 use loomflow::interface::{Action, Arrival, AttemptOutcome, Event, Gauges, Load, Settings};
+use loomflow::time::Millis;
 
-use crate::clock::{MILLISECOND, Micros, SECOND, from_millis, to_millis};
+use crate::clock::{MILLISECOND, SECOND, SimulationMicros, from_millis, to_millis};
 use crate::cores::{AttemptId, Cores, Job};
 use crate::settings::TICK;
 use crate::setup::{IdlePolicy, ServerSetup};
 
 /// Window over which the utilization of the cores is measured.
-const UTILIZATION_WINDOW: Micros = SECOND / 2;
+const UTILIZATION_WINDOW: SimulationMicros = SECOND / 2;
 /// Idle timeout of connections under [`IdlePolicy::CloseImmediately`].
-const IMMEDIATE_IDLE_TIMEOUT: Micros = 50 * MILLISECOND;
+const IMMEDIATE_IDLE_TIMEOUT: SimulationMicros = 50 * MILLISECOND;
 /// Part of the connection table that may stay in use under [`IdlePolicy::CloseWhenFull`].
 const MAX_TABLE_FILL: f64 = 0.75;
 /// Memory of a request, KB; memory is never short in this model.
@@ -33,9 +34,9 @@
     /// Whether its caller or its client attempted it before.
     pub is_retry: bool,
     /// Work, ms on one core.
-    pub work: f64,
+    pub work: Millis,
     /// Work as its caller estimates it, ms on one core.
-    pub estimated_work: f64,
+    pub estimated_work: Millis,
 }
 
 /// Final response to an attempt.
@@ -46,7 +47,7 @@
     /// Rejected; it never ran.
     Rejected {
         /// How long the caller should back off.
-        retry_after: Micros,
+        retry_after: SimulationMicros,
         /// Whether no other server should be tried.
         is_final: bool,
     },
@@ -67,11 +68,11 @@
         share: f64,
     },
     /// `cores_due` is to be called at this time, with this version.
-    CoresAt(Micros, u64),
+    CoresAt(SimulationMicros, u64),
     /// `batch_due` is to be called at this time.
-    BatchAt(Micros),
+    BatchAt(SimulationMicros),
     /// `wake_due` is to be called at this time.
-    WakeAt(Micros),
+    WakeAt(SimulationMicros),
 }
 
 /// How far a request has come toward the controller.
@@ -85,10 +86,10 @@
 
 struct RequestEntry {
     incoming: IncomingRequest,
-    reached: Micros,
+    reached: SimulationMicros,
     stage: IntakeStage,
     answered: bool,
-    began: Micros,
+    began: SimulationMicros,
 }
 
 /// One incarnation of a server.
@@ -101,22 +102,22 @@
     reading: usize,
     requests: BTreeMap<AttemptId, RequestEntry>,
     inbox: Vec<Event>,
-    batch_at: Option<Micros>,
-    last_batch: Micros,
+    batch_at: Option<SimulationMicros>,
+    last_batch: SimulationMicros,
     share: f64,
-    idle_timeout: Micros,
-    started: Micros,
+    idle_timeout: SimulationMicros,
+    started: SimulationMicros,
     is_slow_start: bool,
     /// Remaining speed under a fault, 0 to 1.
     health: f64,
     speed: f64,
     /// Busy time of the cores at the last ticks.
-    busy: VecDeque<(Micros, f64)>,
+    busy: VecDeque<(SimulationMicros, Millis)>,
 }
 
 impl Server {
     /// Starts a server.
-    pub fn start(setup: &ServerSetup, settings: Settings, seed: u64, now: Micros) -> Server {
+    pub fn start(setup: &ServerSetup, settings: Settings, seed: u64, now: SimulationMicros) -> Server {
         let idle_timeout = match setup.idle_policy {
             IdlePolicy::CloseImmediately => IMMEDIATE_IDLE_TIMEOUT,
             IdlePolicy::Controller | IdlePolicy::NeverClose | IdlePolicy::CloseWhenFull => {
@@ -146,7 +147,7 @@
     }
 
     /// Current idle timeout of connections.
-    pub fn idle_timeout(&self) -> Micros {
+    pub fn idle_timeout(&self) -> SimulationMicros {
         self.idle_timeout
     }
 
@@ -179,7 +180,7 @@
     }
 
     /// A request arrives.
-    pub fn reached(&mut self, now: Micros, incoming: IncomingRequest, out: &mut Vec<Output>) {
+    pub fn reached(&mut self, now: SimulationMicros, incoming: IncomingRequest, out: &mut Vec<Output>) {
         let requests =
             RequestEntry { incoming, reached: now, stage: IntakeStage::Unread, answered: false, began: now };
         self.requests.insert(incoming.attempt, requests);
@@ -190,7 +191,7 @@
     }
 
     /// The caller of an attempt closed its connection.
-    pub fn caller_disconnected(&mut self, now: Micros, attempt: AttemptId, out: &mut Vec<Output>) {
+    pub fn caller_disconnected(&mut self, now: SimulationMicros, attempt: AttemptId, out: &mut Vec<Output>) {
         match self.requests.get(&attempt).map(|request| request.stage) {
             // A request that is being read is read to its end: only then the disconnect is noticed.
             Some(IntakeStage::Unread | IntakeStage::Reading) => {
@@ -206,7 +207,7 @@
     }
 
     /// A job on the cores may be finished.
-    pub fn cores_due(&mut self, now: Micros, version: u64, out: &mut Vec<Output>) {
+    pub fn cores_due(&mut self, now: SimulationMicros, version: u64, out: &mut Vec<Output>) {
         if version != self.cores_version {
             return;
         }
@@ -221,14 +222,20 @@
     }
 
     /// The next batch is due.
-    pub fn batch_due(&mut self, now: Micros, out: &mut Vec<Output>) {
+    pub fn batch_due(&mut self, now: SimulationMicros, out: &mut Vec<Output>) {
         if self.batch_at.is_some_and(|at| at <= now) {
             self.batch(now, out);
         }
     }
 
     /// The controller's timer has fired.
-    pub fn wake_due(&mut self, now: Micros, table_fill: f64, connections: usize, out: &mut Vec<Output>) {
+    pub fn wake_due(
+        &mut self,
+        now: SimulationMicros,
+        table_fill: f64,
+        connections: usize,
+        out: &mut Vec<Output>,
+    ) {
         self.update_speed(now, table_fill, out);
         self.measure(now);
         let gauges = Gauges {
@@ -241,7 +248,7 @@
         self.batch(now, out);
     }
 
-    fn was_read(&mut self, now: Micros, attempt: AttemptId, out: &mut Vec<Output>) {
+    fn was_read(&mut self, now: SimulationMicros, attempt: AttemptId, out: &mut Vec<Output>) {
         self.reading -= 1;
         let Some(request) = self.requests.get_mut(&attempt) else { return };
         request.stage = IntakeStage::Taken;
@@ -250,7 +257,13 @@
         self.schedule_batch(now, out);
     }
 
-    fn run_done(&mut self, now: Micros, attempt: AttemptId, outcome: AttemptOutcome, out: &mut Vec<Output>) {
+    fn run_done(
+        &mut self,
+        now: SimulationMicros,
+        attempt: AttemptId,
+        outcome: AttemptOutcome,
+        out: &mut Vec<Output>,
+    ) {
         let Some(request) = self.requests.remove(&attempt) else { return };
         if outcome == AttemptOutcome::Ok && !request.answered {
             out.push(Output::Answer { attempt, response: ServerResponse::Served, share: self.share });
@@ -261,7 +274,7 @@
     }
 
     /// Starts to read waiting requests, one per core; returns whether any was started.
-    fn read_next(&mut self, now: Micros) -> bool {
+    fn read_next(&mut self, now: SimulationMicros) -> bool {
         let mut any = false;
         while (self.reading as f64) < self.setup.cores {
             let Some(attempt) = self.unread.pop_front() else { break };
@@ -282,7 +295,7 @@
         }
     }
 
-    fn schedule_batch(&mut self, now: Micros, out: &mut Vec<Output>) {
+    fn schedule_batch(&mut self, now: SimulationMicros, out: &mut Vec<Output>) {
         if self.batch_at.is_none() {
             let at = now.max(self.last_batch + TICK);
             self.batch_at = Some(at);
@@ -291,7 +304,7 @@
     }
 
     /// Passes the events since the last batch to the controller, and carries out its actions.
-    fn batch(&mut self, now: Micros, out: &mut Vec<Output>) {
+    fn batch(&mut self, now: SimulationMicros, out: &mut Vec<Output>) {
         self.batch_at = None;
         self.last_batch = now;
         let mut actions = Vec::new();
@@ -310,7 +323,7 @@
     }
 
     /// Carries out an action; returns whether it changed the jobs on the cores.
-    fn carry_out(&mut self, now: Micros, action: Action, out: &mut Vec<Output>) -> bool {
+    fn carry_out(&mut self, now: SimulationMicros, action: Action, out: &mut Vec<Output>) -> bool {
         match action {
             Action::Run(id) => return self.run(now, id),
             Action::Preempt(id) => return self.stop(now, id, out),
@@ -334,14 +347,14 @@
         false
     }
 
-    fn run(&mut self, now: Micros, id: AttemptId) -> bool {
+    fn run(&mut self, now: SimulationMicros, id: AttemptId) -> bool {
         let Some(request) = self.requests.get_mut(&id) else { return false };
         request.began = now;
         self.cores.add(now, Job::Run(id), request.incoming.work);
         true
     }
 
-    fn stop(&mut self, now: Micros, id: AttemptId, out: &mut Vec<Output>) -> bool {
+    fn stop(&mut self, now: SimulationMicros, id: AttemptId, out: &mut Vec<Output>) -> bool {
         let was_running = self.cores.remove(now, Job::Run(id));
         if was_running {
             self.run_done(now, id, AttemptOutcome::Cancelled, out);
@@ -364,7 +377,7 @@
         }
     }
 
-    fn update_speed(&mut self, now: Micros, table_fill: f64, out: &mut Vec<Output>) {
+    fn update_speed(&mut self, now: SimulationMicros, table_fill: f64, out: &mut Vec<Output>) {
         let over = (table_fill - self.setup.table_cost_from) / (1.0 - self.setup.table_cost_from);
         let table = 1.0 - self.setup.table_cost * over.clamp(0.0, 1.0);
         let speed = self.warmth(now) * self.health * table;
@@ -375,7 +388,7 @@
         }
     }
 
-    fn warmth(&self, now: Micros) -> f64 {
+    fn warmth(&self, now: SimulationMicros) -> f64 {
         if !self.is_slow_start {
             return 1.0;
         }
@@ -384,7 +397,7 @@
     }
 
     /// Samples the utilization of the cores.
-    fn measure(&mut self, now: Micros) {
+    fn measure(&mut self, now: SimulationMicros) {
         let busy = self.cores.busy_time(now);
         self.busy.push_back((now, busy));
         while self.busy.len() > 2 && self.busy[1].0 + UTILIZATION_WINDOW <= now {
@@ -393,7 +406,7 @@
     }
 }
 
-fn arrival(incoming: &IncomingRequest, age: f64) -> Arrival {
+fn arrival(incoming: &IncomingRequest, age: Millis) -> Arrival {
     Arrival {
         id: incoming.attempt,
         class: 0,
--- a/crates/loomflow-overload-simulation/src/settings.rs
+++ b/crates/loomflow-overload-simulation/src/settings.rs
@@ -2,11 +2,11 @@
 
 use loomflow::interface::{Class, Downstream, FeedbackSignal, Idempotency, Preemption, Settings};
 
-use crate::clock::{Micros, to_millis};
+use crate::clock::{SimulationMicros, to_millis};
 use crate::setup::Setup;
 
 /// Shortest interval between two batches of a server.
-pub const TICK: Micros = 5_000;
+pub const TICK: SimulationMicros = 5_000;
 
 /// Settings of a server, with slow start if it restarts while the others serve.
 pub fn module_settings(setup: &Setup, is_slow_start: bool) -> Settings {
--- a/crates/loomflow-overload-simulation/src/setup.rs
+++ b/crates/loomflow-overload-simulation/src/setup.rs
@@ -1,8 +1,10 @@
 //! Parameters of a simulation: fleet, callers, clients, load and faults.
 
+use loomflow::time::{MILLIS_PER_SECOND, Millis};
+
 use crate::caller::CallerPolicy;
 use crate::client::ClientPolicy;
-use crate::clock::{MILLISECOND, Micros, SECOND};
+use crate::clock::{MILLISECOND, SECOND, SimulationMicros};
 use crate::fault::Fault;
 use crate::network::Network;
 
@@ -25,9 +27,9 @@
     /// Cores of each.
     pub cores: f64,
     /// Milliseconds of one core to read a request.
-    pub read_work: f64,
+    pub read_work: Millis,
     /// Milliseconds of one core for the handshake of a new connection.
-    pub handshake_work: f64,
+    pub handshake_work: Millis,
     /// The smallest and the largest connection table; each server's is drawn between them.
     pub table_size: (usize, usize),
     /// Fill of the table from which on it costs speed.
@@ -37,7 +39,7 @@
     /// Speed right after a start, 0 to 1.
     pub slow_start_speed: f64,
     /// Time from a start to full speed.
-    pub slow_start_duration: Micros,
+    pub slow_start_duration: SimulationMicros,
     /// Policy for idle connections.
     pub idle_policy: IdlePolicy,
 }
@@ -58,7 +60,7 @@
     /// Delays between callers and servers.
     pub network: Network,
     /// Mean work of a request, ms on one core.
-    pub mean_work: f64,
+    pub mean_work: Millis,
     /// Spread of the work to either side, as a part of the mean.
     pub work_spread: f64,
     /// Offered load as a part of the capacity of all cores, with a new connection for every request.
@@ -66,7 +68,7 @@
     /// Faults.
     pub faults: Vec<Fault>,
     /// How long clients send requests.
-    pub duration: Micros,
+    pub duration: SimulationMicros,
     /// Seed of all random choices.
     pub seed: u64,
 }
@@ -103,6 +105,7 @@
     /// Request rate of all clients, requests per second.
     pub fn requests_per_second(&self) -> f64 {
         let cores = self.servers as f64 * self.server.cores;
-        self.load * cores * 1_000.0 / (self.mean_work + self.server.read_work + self.server.handshake_work)
+        self.load * cores * MILLIS_PER_SECOND
+            / (self.mean_work + self.server.read_work + self.server.handshake_work)
     }
 }
--- a/crates/loomflow-overload-simulation/tests/parts.rs
+++ b/crates/loomflow-overload-simulation/tests/parts.rs
@@ -111,7 +111,7 @@
         let mut setup = Setup::fleet(80, 240, 1);
         setup.server.idle_policy = policy;
         // By second 11 many tables that are never cleared are full.
-        let timeline = Timeline { settled: 11, lost: 15, returned: 17, end: 31 };
+        let timeline = Timeline { settled_s: 11, lost_s: 15, returned_s: 17, end_s: 31 };
         recovery(setup, FaultKind::ServersDown { fraction: 0.2 }, timeline)
     };
     let (room, kept) = (play(IdlePolicy::CloseWhenFull), play(IdlePolicy::NeverClose));
@@ -126,7 +126,7 @@
 fn a_lost_part_shows_while_it_is_lost() {
     let mut setup = Setup::fleet(10, 30, 1);
     setup.load = 0.6;
-    let timeline = Timeline { settled: 2, lost: 5, returned: 9, end: 20 };
+    let timeline = Timeline { settled_s: 2, lost_s: 5, returned_s: 9, end_s: 20 };
     let lost = recovery(setup, FaultKind::ServersDown { fraction: 0.9 }, timeline);
     // One server does a sixth of the work; only what is asked within an aim of the return may yet be served by all.
     let most = ((4.0 - 1.8) / 6.0 + 1.8) / 4.0 + 0.1;
--- a/crates/loomflow-overload-simulation/tests/recovery.rs
+++ b/crates/loomflow-overload-simulation/tests/recovery.rs
@@ -12,7 +12,7 @@
         played.before,
         played.during,
         played.after,
-        played.took,
+        played.recovered_after_s,
         played.handshakes_before,
         played.handshakes_after,
     );
--- a/crates/loomflow-protocol/src/lib.rs
+++ b/crates/loomflow-protocol/src/lib.rs
@@ -16,5 +16,6 @@
 pub use buffer::Buffer;
 pub use decoder::{Decoder, Malformed};
 
-/// A duration, or a point in time since the Unix epoch, in milliseconds.
+/// A duration, or a point in time since the Unix epoch, in milliseconds. A fraction, since peers state times as decimals. It
+/// is the type of `loomflow::time::Millis`, on which this package does not depend.
 pub type Millis = f64;
--- a/crates/loomflow-test-servers/src/broker/mod.rs
+++ b/crates/loomflow-test-servers/src/broker/mod.rs
@@ -124,10 +124,12 @@
         broker
     }
 
-    /// A broker with limits: heartbeat interval (s), frame size (bytes) and channel number.
-    pub fn limited(heartbeat: u16, frame_max: u32, channel_max: u16) -> Broker {
+    /// A broker with limits: heartbeat interval, frame size and channel number.
+    pub fn limited(heartbeat_s: u16, frame_max_bytes: u32, channel_max: u16) -> Broker {
         let mut state = State::default();
-        (state.heartbeat, state.frame_max, state.channel_max) = (heartbeat, frame_max, channel_max);
+        state.heartbeat_s = heartbeat_s;
+        state.frame_max_bytes = frame_max_bytes;
+        state.channel_max = channel_max;
         Broker::with(state)
     }
 
--- a/crates/loomflow-test-servers/src/broker/state/frames.rs
+++ b/crates/loomflow-test-servers/src/broker/state/frames.rs
@@ -42,8 +42,8 @@
                 if ok.response.as_bytes() != expected.as_bytes() {
                     return self.close_connection(id, 403, "ACCESS_REFUSED");
                 }
-                let (channel_max, frame_max, heartbeat) = (self.channel_max, self.frame_max, self.heartbeat);
-                let tune = connection::Tune { channel_max, frame_max, heartbeat };
+                let (channel_max, frame_max) = (self.channel_max, self.frame_max_bytes);
+                let tune = connection::Tune { channel_max, frame_max, heartbeat: self.heartbeat_s };
                 self.send(id, 0, AMQPClass::Connection(Connections::Tune(tune)));
             }
             Connections::Open(_) => {
--- a/crates/loomflow-test-servers/src/broker/state/mod.rs
+++ b/crates/loomflow-test-servers/src/broker/state/mod.rs
@@ -110,9 +110,9 @@
     /// Password that is accepted.
     pub password: String,
     /// Heartbeat interval that is proposed, s.
-    pub heartbeat: u16,
+    pub heartbeat_s: u16,
     /// Largest frame that is proposed, bytes.
-    pub frame_max: u32,
+    pub frame_max_bytes: u32,
     /// Highest channel number that is proposed.
     pub channel_max: u16,
     /// Faults to inject.
@@ -135,8 +135,8 @@
         State {
             user: "guest".into(),
             password: "guest".into(),
-            heartbeat: 10,
-            frame_max: 131_072,
+            heartbeat_s: 10,
+            frame_max_bytes: 131_072,
             channel_max: 2_047,
             faults: Faults::default(),
             deliveries: 0,
