--- a/src/controller/arrivals.rs
+++ b/src/controller/arrivals.rs
@@ -93,7 +93,7 @@
 
     /// Queues a request, and schedules its check for when its objective comes out of reach.
     pub(super) fn enqueue(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         let priority_weight = self.settings.classes[request.class].priority_weight;
         let expected_run = request.expected_run;
         let weight = weight_per_work(&self.settings, priority_weight, request.is_over_quota, expected_run);
@@ -105,7 +105,7 @@
     }
 
     pub(super) fn request_cancelled(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         request.is_answered = true;
         if self.settings.has_cancellations && !request.is_retry {
             let objective = self.settings.classes[request.class].latency_objective;
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -11,12 +11,7 @@
 
 impl Controller {
     pub(super) fn call_needed(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        if request.stage != RequestStage::Running || request.is_answered {
-            return;
-        }
-        request.await_call(self.now);
-        self.running -= 1.0;
+        let Some(request) = self.requests.await_call(id, self.now) else { return };
         self.call_queue.insert(request.queue_key);
         self.stall_detector.record_progress(self.now);
     }
@@ -38,7 +33,7 @@
 
     fn issue_call(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let deadline = self.call_permits.bounded_deadline(self.call_deadline(id), self.now);
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         request.start_call();
         self.call_permits.start_call();
         out.push(Action::Call { id, deadline });
@@ -49,14 +44,14 @@
     }
 
     fn call_deadline(&self, id: RequestId) -> Millis {
-        let Some(request) = self.requests.get(&id) else { return self.now };
+        let Some(request) = self.requests.get(id) else { return self.now };
         let last_response = self.deadlines.last_check(request.deadline);
         let is_idempotent = self.is_idempotent(request.class);
         self.call_times().deadline(self.now, is_idempotent, request.objective_at, last_response)
     }
 
     fn gets_permit_in_time(&self, id: RequestId, permits: f64) -> bool {
-        let Some(request) = self.requests.get(&id) else { return true };
+        let Some(request) = self.requests.get(id) else { return true };
         let wait = self.call_times().permit_wait(self.call_queue.ready_len(), permits);
         self.now + wait + request.expected_run < request.objective_at
     }
@@ -68,7 +63,7 @@
         duration: Millis,
         out: &mut Vec<Action>,
     ) {
-        let Some(request) = self.requests.get_mut(&id).filter(|r| r.stage == RequestStage::Calling) else {
+        let Some(request) = self.requests.get_mut(id).filter(|r| r.stage == RequestStage::Calling) else {
             return;
         };
         request.stage = RequestStage::AwaitingCall;
@@ -76,7 +71,7 @@
         self.call_permits.end_call(self.now);
         if outcome == AttemptOutcome::Ok {
             self.call_permits.record_success(duration);
-            self.resume_run(id);
+            self.requests.resume_run(id, self.now);
             return;
         }
         if may_linger(outcome) {
@@ -96,7 +91,7 @@
     }
 
     fn schedule_call_retry(&mut self, id: RequestId) -> bool {
-        let Some(request) = self.requests.get(&id) else { return false };
+        let Some(request) = self.requests.get(id) else { return false };
         let last_response = self.deadlines.last_check(request.deadline);
         let retry_at = self.call_times().retry_at(self.now, request.call_attempts, last_response);
         if let Some(retry_at) = retry_at {
@@ -107,14 +102,14 @@
 
     /// Lets a run go on without its call, where that is of use.
     fn skip_call(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
-        let Some(request) = self.requests.get(&id) else { return false };
+        let Some(request) = self.requests.get(id) else { return false };
         if !may_be_omitted(&self.settings.classes[request.class])
             || request.stage != RequestStage::AwaitingCall
         {
             return false;
         }
         self.call_queue.remove(request.queue_key);
-        self.resume_run(id);
+        self.requests.resume_run(id, self.now);
         out.push(Action::SkipCall(id));
         true
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -36,8 +36,6 @@
 mod stall_detector;
 mod tenant_quota;
 
-use std::collections::BTreeMap;
-
 use self::call_permits::CallPermits;
 use self::call_queue::CallQueue;
 use self::concurrency_limit::ConcurrencyLimit;
@@ -47,14 +45,14 @@
 use self::memory::MemoryAccount;
 use self::objective::EffectiveObjective;
 use self::queue::RequestQueue;
-use self::request::Request;
+use self::request::ActiveRequests;
 use self::run_estimates::RunEstimates;
 use self::send_share::SendShare;
 use self::shutdown::Shutdown;
 use self::slow_start::SlowStart;
 use self::stall_detector::StallDetector;
 use self::tenant_quota::TenantQuotas;
-use crate::interface::{Action, Event, Gauges, Load, ReloadableSettings, RequestId, Settings};
+use crate::interface::{Action, Event, Gauges, Load, ReloadableSettings, Settings};
 use crate::retained_keys::RetainedKeys;
 use crate::time::{Millis, micros};
 
@@ -71,9 +69,7 @@
     now: Millis,
     next_tick: Millis,
     gauges: Gauges,
-    requests: BTreeMap<RequestId, Request>,
-    /// Requests on the cores.
-    running: f64,
+    requests: ActiveRequests,
     queue: RequestQueue,
     deadlines: Deadlines,
     share: SendShare,
@@ -102,8 +98,7 @@
             now,
             next_tick: Millis::NEG_INFINITY,
             gauges: Gauges::default(),
-            requests: BTreeMap::new(),
-            running: 0.0,
+            requests: ActiveRequests::default(),
             queue: RequestQueue::default(),
             deadlines: Deadlines::new(settings.batch_interval),
             share: SendShare::new(shortest_objective, period, now),
@@ -161,7 +156,7 @@
             share: self.share.sent(),
             hold_time_ratio: self.share.queue_time_ratio(),
             limit: self.run_limit(),
-            running: self.running,
+            running: self.requests.running(),
         }
     }
 
@@ -206,7 +201,7 @@
     }
 
     fn oldest_queue_time(&self) -> Millis {
-        let queued = self.queue.ids().filter_map(|id| self.requests.get(&id));
+        let queued = self.queue.ids().filter_map(|id| self.requests.get(id));
         queued.fold(0.0, |oldest: Millis, request| oldest.max(self.now - request.arrived_at))
     }
 
@@ -222,7 +217,7 @@
     fn gauges_received(&mut self, gauges: Gauges) {
         self.gauges = gauges;
         if let Some(runnable) = gauges.runnable {
-            self.idle_timeout.record_overhead(runnable, self.running, self.settings.cores);
+            self.idle_timeout.record_overhead(runnable, self.requests.running(), self.settings.cores);
         }
     }
 
--- a/src/controller/request.rs
+++ b/src/controller/request.rs
@@ -1,10 +1,13 @@
-//! The state of a request that has no response yet, or whose run has not ended: its times, its stage and
-//! the steps between stages.
+//! The state of each request that has no response yet, or whose run has not ended: its times, its stage and
+//! the steps between stages; and how many of them are on the cores.
 //!
 //! Inputs: events of the request with their times (ms). Each stage belongs to one account: the queue, the
 //! runs, or the calls.
 
+use std::collections::BTreeMap;
+
 use super::queue::QueueKey;
+use crate::interface::RequestId;
 use crate::time::Millis;
 
 /// How far a request has come.
@@ -67,7 +70,7 @@
 
 impl Request {
     /// Its run starts; the cores have been stalled for `stall_time` in all.
-    pub(super) fn start_run(&mut self, now: Millis, stall_time: Millis) {
+    fn start_run(&mut self, now: Millis, stall_time: Millis) {
         self.stage = RequestStage::Running;
         self.queue_time = now - self.arrived_at;
         self.on_cores_since = now;
@@ -75,7 +78,7 @@
     }
 
     /// Its run needs a call, and leaves the cores.
-    pub(super) fn await_call(&mut self, now: Millis) {
+    fn await_call(&mut self, now: Millis) {
         self.stage = RequestStage::AwaitingCall;
         self.off_cores_since = now;
         self.call_attempts = 0;
@@ -88,7 +91,7 @@
     }
 
     /// Its run is back on the cores, with or without the result of its call.
-    pub(super) fn resume_run(&mut self, now: Millis) {
+    fn resume_run(&mut self, now: Millis) {
         self.stage = RequestStage::Running;
         self.off_cores_time += now - self.off_cores_since;
         self.on_cores_since = now;
@@ -101,5 +104,72 @@
     }
 }
 
+/// The requests by id. Those on the cores are counted by the steps that put them there and take them off.
+#[derive(Default)]
+pub(super) struct ActiveRequests {
+    by_id: BTreeMap<RequestId, Request>,
+    /// Requests in [`RequestStage::Running`]; a float, since it is compared with limits.
+    running: f64,
+}
+
+impl ActiveRequests {
+    /// The number of requests on the cores.
+    pub(super) fn running(&self) -> f64 {
+        self.running
+    }
+
+    pub(super) fn get(&self, id: RequestId) -> Option<&Request> {
+        self.by_id.get(&id)
+    }
+
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut Request> {
+        self.by_id.get_mut(&id)
+    }
+
+    /// All requests, from the lowest id to the highest.
+    pub(super) fn iter(&self) -> impl DoubleEndedIterator<Item = (RequestId, &Request)> {
+        self.by_id.iter().map(|(id, request)| (*id, request))
+    }
+
+    /// Adds a request that has not started.
+    pub(super) fn insert(&mut self, id: RequestId, request: Request) {
+        self.by_id.insert(id, request);
+    }
+
+    pub(super) fn remove(&mut self, id: RequestId) -> Option<Request> {
+        let request = self.by_id.remove(&id)?;
+        if request.stage == RequestStage::Running {
+            self.running -= 1.0;
+        }
+        Some(request)
+    }
+
+    /// The run of a request starts; the cores have been stalled for `stall_time` in all.
+    pub(super) fn start_run(&mut self, id: RequestId, now: Millis, stall_time: Millis) -> Option<&Request> {
+        let request = self.by_id.get_mut(&id)?;
+        request.start_run(now, stall_time);
+        self.running += 1.0;
+        Some(request)
+    }
+
+    /// A run needs a call, and leaves the cores. `None` if it is not on them, or no response is due.
+    pub(super) fn await_call(&mut self, id: RequestId, now: Millis) -> Option<&Request> {
+        let request = self.by_id.get_mut(&id)?;
+        if request.stage != RequestStage::Running || request.is_answered {
+            return None;
+        }
+        request.await_call(now);
+        self.running -= 1.0;
+        Some(request)
+    }
+
+    /// A run is back on the cores, with or without the result of its call.
+    pub(super) fn resume_run(&mut self, id: RequestId, now: Millis) {
+        let Some(request) = self.by_id.get_mut(&id) else { return };
+        request.resume_run(now);
+        self.running += 1.0;
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/controller/request/tests.rs
+++ b/src/controller/request/tests.rs
@@ -1,4 +1,4 @@
-use super::{Request, RequestStage};
+use super::{ActiveRequests, Request, RequestStage};
 
 #[test]
 fn calls_and_stalls_do_not_count_as_run_time() {
@@ -15,3 +15,35 @@
     assert_eq!(request.run_time(250.0, 70.0), 110.0);
     assert!(!request.stage.is_before_run());
 }
+
+#[test]
+fn requests_are_counted_while_they_are_on_the_cores() {
+    let mut requests = ActiveRequests::default();
+    for id in [1, 2] {
+        requests.insert(id, Request::default());
+        assert!(requests.start_run(id, 0.0, 0.0).is_some());
+    }
+    requests.insert(3, Request::default());
+    assert_eq!(requests.running(), 2.0);
+    assert!(requests.await_call(1, 10.0).is_some());
+    assert!(requests.await_call(1, 10.0).is_none(), "it is off the cores already");
+    assert_eq!(requests.running(), 1.0);
+    requests.resume_run(1, 20.0);
+    assert_eq!(requests.running(), 2.0);
+    assert!(requests.await_call(2, 30.0).is_some());
+    for (id, running_after) in [(3, 1.0), (2, 1.0), (1, 0.0)] {
+        assert!(requests.remove(id).is_some());
+        assert_eq!(requests.running(), running_after);
+    }
+    assert!(requests.start_run(1, 40.0, 0.0).is_none(), "it is gone");
+    assert_eq!(requests.running(), 0.0);
+}
+
+#[test]
+fn an_answered_run_gets_no_call() {
+    let mut requests = ActiveRequests::default();
+    requests.insert(1, Request { is_answered: true, ..Request::default() });
+    assert!(requests.start_run(1, 0.0, 0.0).is_some());
+    assert!(requests.await_call(1, 10.0).is_none());
+    assert_eq!(requests.running(), 1.0);
+}
--- a/src/controller/responses.rs
+++ b/src/controller/responses.rs
@@ -22,7 +22,7 @@
     }
 
     fn check_deadline(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(&id).filter(|request| !request.is_answered) else { return };
+        let Some(request) = self.requests.get(id).filter(|request| !request.is_answered) else { return };
         let is_queued = request.stage == RequestStage::Queued;
         let last_check = self.deadlines.last_check(request.deadline);
         if self.now >= last_check {
@@ -44,7 +44,7 @@
             let Some(id) = self.queue.last() else { return };
             let wait = self.limit.wait_for(self.queue.work());
             let is_hopeless = |request: &Request| self.is_hopeless(request, wait);
-            if !self.requests.get(&id).is_some_and(is_hopeless) {
+            if !self.requests.get(id).is_some_and(is_hopeless) {
                 return;
             }
             self.shed(id, true, out);
@@ -73,12 +73,12 @@
     /// The newest request that waits for another's result: it takes memory, and no run ends its wait.
     fn newest_awaiting_result(&self) -> Option<RequestId> {
         let mut newest_first = self.requests.iter().rev();
-        newest_first.find(|(_, request)| request.stage == RequestStage::AwaitingResult).map(|(id, _)| *id)
+        newest_first.find(|(_, request)| request.stage == RequestStage::AwaitingResult).map(|(id, _)| id)
     }
 
     /// Gives the final response to a request that is not going to be served, at once, and ends its work.
     pub(super) fn shed(&mut self, id: RequestId, is_final: bool, out: &mut Vec<Action>) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         request.is_answered = true;
         match request.stage {
             RequestStage::Queued => self.shed_queued(id, is_final, out),
@@ -95,7 +95,7 @@
     }
 
     fn shed_queued(&mut self, id: RequestId, is_final: bool, out: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(id) else { return };
         if !request.is_retry {
             self.objective.record_rejection(self.now - request.arrived_at);
         }
@@ -106,7 +106,7 @@
     }
 
     fn shed_running(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(id) else { return };
         // An idempotent request that failed would be retried elsewhere, too late.
         let is_rejected = self.is_idempotent(request.class);
         let response = if is_rejected { self.rejection(id, true) } else { Action::Fail(id) };
@@ -153,15 +153,15 @@
         self.next_tick = self.now;
         out.push(Action::SetHealth { is_healthy: false, is_cached: true });
         let respond_by = self.shutdown.respond_by();
-        let is_late = |(_, request): &(&RequestId, &Request)| request.deadline > respond_by;
-        let late: Vec<RequestId> = self.requests.iter().filter(is_late).map(|(id, _)| *id).collect();
+        let is_late = |(_, request): &(RequestId, &Request)| request.deadline > respond_by;
+        let late: Vec<RequestId> = self.requests.iter().filter(is_late).map(|(id, _)| id).collect();
         for id in late {
             self.advance_deadline(id, respond_by);
         }
     }
 
     fn advance_deadline(&mut self, id: RequestId, deadline: Millis) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         request.deadline = deadline;
         request.objective_at = request.objective_at.min(deadline);
         self.deadlines.schedule(self.deadlines.last_check(deadline), id);
--- a/src/controller/runs.rs
+++ b/src/controller/runs.rs
@@ -24,7 +24,7 @@
 
     /// Starts the next run, or sheds it if it is hopeless; returns whether another run may start.
     fn start_or_shed(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
-        let Some(request) = self.requests.get(&id) else { return false };
+        let Some(request) = self.requests.get(id) else { return false };
         if self.is_hopeless(request, 0.0) {
             self.shed(id, true, out);
             return true;
@@ -41,21 +41,13 @@
     }
 
     fn start_run(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        request.start_run(self.now, self.stall_detector.stall_time());
+        let stall_time = self.stall_detector.stall_time();
+        let Some(request) = self.requests.start_run(id, self.now, stall_time) else { return };
         self.memory.start_run(request.memory_kb);
-        self.running += 1.0;
         self.queue.remove(request.queue_key, request.expected_run);
         out.push(Action::Run(id));
     }
 
-    /// A run is back on the cores after its call.
-    pub(super) fn resume_run(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        request.resume_run(self.now);
-        self.running += 1.0;
-    }
-
     /// The limit on concurrent runs that is in effect.
     pub(super) fn run_limit(&self) -> f64 {
         self.limit.effective(self.share.is_reading_late())
@@ -65,8 +57,8 @@
         let waiting = self.call_queue.waiting();
         let off_cores = self.call_permits.in_flight() + waiting;
         let speed = self.slow_start.speed(self.now);
-        self.running + waiting < self.run_limit()
-            && self.limit.survives_one_more(self.running, off_cores, speed)
+        self.requests.running() + waiting < self.run_limit()
+            && self.limit.survives_one_more(self.requests.running(), off_cores, speed)
     }
 
     pub(super) fn forecast(&self, request: &Request, wait: Millis) -> Forecast {
@@ -109,11 +101,10 @@
 
     /// Removes a request from everything that counts it.
     pub(super) fn remove(&mut self, id: RequestId) -> Option<Request> {
-        let request = self.requests.remove(&id)?;
+        let request = self.requests.remove(id)?;
         match request.stage {
             RequestStage::Queued => self.queue.remove(request.queue_key, request.expected_run),
-            RequestStage::AwaitingResult => {}
-            RequestStage::Running => self.running -= 1.0,
+            RequestStage::AwaitingResult | RequestStage::Running => {}
             RequestStage::AwaitingCall => self.call_queue.remove(request.queue_key),
             RequestStage::Calling => self.call_permits.release(),
         }
@@ -128,7 +119,7 @@
     /// Sheds the queue while the cores are stalled.
     pub(super) fn check_stall(&mut self, out: &mut Vec<Action>) {
         let has_progress = self.stall_detector.has_progress_within(self.share.max_read_delay(), self.now);
-        if self.running == 0.0 || has_progress || self.share.is_reading_late() {
+        if self.requests.running() == 0.0 || has_progress || self.share.is_reading_late() {
             return;
         }
         if !self.stall_detector.update(self.overdue_ends()) {
@@ -142,9 +133,9 @@
     /// How many runs ought to have ended since the last one did. Everything runnable shares the cores
     /// alike, reads and new connections too.
     fn overdue_ends(&self) -> f64 {
-        let runnable = self.gauges.runnable.unwrap_or(0.0).max(self.running);
-        let runs = self.requests.values().filter(|request| request.stage == RequestStage::Running);
-        let ends: f64 = runs.map(|request| self.overdue_ends_of(request)).sum();
+        let runnable = self.gauges.runnable.unwrap_or(0.0).max(self.requests.running());
+        let runs = self.requests.iter().filter(|(_, request)| request.stage == RequestStage::Running);
+        let ends: f64 = runs.map(|(_, request)| self.overdue_ends_of(request)).sum();
         ends * (self.settings.cores / runnable).min(1.0)
     }
 
