--- a/crates/loomflow-test-servers/src/broker/state/mod.rs
+++ b/crates/loomflow-test-servers/src/broker/state/mod.rs
@@ -1,7 +1,9 @@
 //! State machine of the broker: exchanges, queues, channels and consumers of the AMQP 0-9-1 specification, with the usual
 //! extensions (confirms, nack, dead letters, blocked, consumer cancel). It owns no socket.
 
+mod delivery;
 mod frames;
+mod reply_code;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -46,7 +48,32 @@
     ready: VecDeque<Message>,
     /// Exchange and routing key of rejected messages.
     dead_letter: Option<(String, String)>,
-    consumers: VecDeque<(ConnectionId, u16, String)>,
+    consumers: VecDeque<ConsumerAddress>,
+}
+
+/// Where a consumer is: its connection, its channel there and its tag on that.
+#[derive(Clone, Debug, PartialEq)]
+struct ConsumerAddress {
+    connection: ConnectionId,
+    channel: u16,
+    tag: String,
+}
+
+/// A publish whose content is received: its method, then the header, then the body.
+struct Publishing {
+    method: basic::Publish,
+    header: Option<AMQPContentHeader>,
+    body: Vec<u8>,
+}
+
+impl Publishing {
+    fn new(method: basic::Publish) -> Publishing {
+        Publishing { method, header: None, body: Vec::new() }
+    }
+
+    fn is_complete(&self) -> bool {
+        self.header.as_ref().is_some_and(|header| self.body.len() as u64 >= header.body_size)
+    }
 }
 
 #[derive(Clone, Copy, PartialEq)]
@@ -81,7 +108,7 @@
     unacked: BTreeMap<u64, Unacked>,
     /// Sequence number of the next publish, if publishes are confirmed.
     confirms: Option<u64>,
-    publishing: Option<(basic::Publish, Option<AMQPContentHeader>, Vec<u8>)>,
+    publishing: Option<Publishing>,
 }
 
 /// What the broker knows of a client's connection.
@@ -257,7 +284,9 @@
         let all: Vec<(ConnectionId, u16)> = self
             .queues
             .get(queue)
-            .map(|q| q.consumers.iter().map(|c| (c.0, c.1)).collect())
+            .map(|queue| {
+                queue.consumers.iter().map(|consumer| (consumer.connection, consumer.channel)).collect()
+            })
             .unwrap_or_default();
         for (id, number) in all {
             self.close_channel(id, number, code, "told to");
@@ -268,11 +297,11 @@
     /// Cancels every consumer of a queue, as if it were deleted.
     pub fn cancel_consumers(&mut self, queue: &str) {
         let all = self.queues.get_mut(queue).map(|q| std::mem::take(&mut q.consumers)).unwrap_or_default();
-        for (id, number, consumer_tag) in all {
+        for ConsumerAddress { connection: id, channel: number, tag } in all {
             if let Some(channel) = self.connections.get_mut(&id).and_then(|c| c.channels.get_mut(&number)) {
-                channel.consumers.remove(&consumer_tag);
+                channel.consumers.remove(&tag);
             }
-            let consumer_tag = consumer_tag.as_str().into();
+            let consumer_tag = tag.as_str().into();
             self.send(
                 id,
                 number,
@@ -356,7 +385,7 @@
             return;
         };
         for queue in self.queues.values_mut() {
-            queue.consumers.retain(|(other, channel, _)| (*other, *channel) != (id, number));
+            queue.consumers.retain(|consumer| (consumer.connection, consumer.channel) != (id, number));
         }
         for one in channel.unacked.into_values().rev() {
             self.requeue(one);
--- a/crates/loomflow-test-servers/src/fleet.rs
+++ b/crates/loomflow-test-servers/src/fleet.rs
@@ -2,6 +2,9 @@
 //!
 //! Tests observe the processes and the gateway ports from outside, not what the fleet reports about itself.
 
+mod members;
+mod processes;
+
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Write};
 use std::net::SocketAddr;
@@ -10,16 +13,20 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use rustix::io::Errno;
 use rustix::process::{Pid, Resource, Rlimit, Signal, kill_process, prlimit};
 use serde_json::Value;
 
+use self::processes::{children, stop};
 use crate::base::loopback_address;
 use crate::relay::{LinkFault, Relay};
-use crate::{ServerFixture, Worker, site};
+use crate::{ServerFixture, Worker};
 
 /// How long a test waits for something that must happen. Only failures take this long.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Number of members that vote in a fleet of at least as many.
+const LARGE_FLEET_VOTERS: usize = 5;
+/// Number of members that vote in a smaller fleet.
+const SMALL_FLEET_VOTERS: usize = 3;
 
 /// A server of the fleet and its test servers.
 pub struct Member {
@@ -72,10 +79,25 @@
     }
 }
 
+impl Plan {
+    /// Number of members that vote.
+    fn voters(&self) -> usize {
+        if self.members >= LARGE_FLEET_VOTERS { LARGE_FLEET_VOTERS } else { SMALL_FLEET_VOTERS }
+    }
+}
+
 fn name(member_index: usize) -> String {
     format!("n{}", member_index + 1)
 }
 
+/// Creates the folder of a fleet, whose name is unique by an address of the fleet.
+fn create_folder(address: SocketAddr) -> PathBuf {
+    let name = format!("loomflow-fleet-{}", address.to_string().replace([':', '.'], "-"));
+    let folder = std::env::temp_dir().join(name);
+    std::fs::create_dir_all(&folder).expect("a folder");
+    folder
+}
+
 impl Fleet {
     /// As [`Fleet::start_with`], with the program of this build.
     pub fn start(plan: Plan) -> Fleet {
@@ -90,58 +112,19 @@
     /// As [`Fleet::start_with`]; `restore` puts stored data into the fleet's folder before any member starts.
     pub fn start_from(plan: Plan, program: &Path, restore: impl FnOnce(&Path)) -> Fleet {
         let addresses: Vec<SocketAddr> = (0..plan.members).map(|_| loopback_address()).collect();
-        let folder = std::env::temp_dir()
-            .join(format!("loomflow-fleet-{}", addresses[0].to_string().replace([':', '.'], "-")));
-        std::fs::create_dir_all(&folder).expect("a folder");
+        let folder = create_folder(addresses[0]);
         restore(&folder);
-        let relay = |from: usize, to: usize| {
-            let seed = plan.seed.wrapping_mul(0x9E37_79B9).wrapping_add((from * 64 + to) as u64);
-            (from != to).then(|| Relay::start(addresses[to], seed))
-        };
-        let relays: Vec<Vec<Option<Relay>>> =
-            (0..plan.members).map(|from| (0..plan.members).map(|to| relay(from, to)).collect()).collect();
-        let voters = if plan.members >= 5 { 5 } else { 3 };
-        let members = (0..plan.members).map(|member_index| {
-            let mut settings = site(20_000.0);
-            settings["Domain"]["Cpus"] = plan.cores.into();
-            settings["Domain"]["CallsByClass"] = serde_json::json!([false, false, false]);
-            let mut fixture = ServerFixture::new(settings);
-            program.clone_into(&mut fixture.program);
-            fixture.config["name"] = name(member_index).into();
+        let relays = members::start_relays(&plan, &addresses);
+        let member = |member_index: usize| {
             let state = folder.join(name(member_index));
-            let mut text = format!(
-                "fleet:\n  name: test\n  zone: z{}\n  listen: {}\n  state: {}\n",
-                member_index % plan.zones,
-                addresses[member_index],
-                state.display()
-            );
-            text += plan.extra;
-            text += "  voters:\n";
-            for (voter, address) in addresses.iter().enumerate().take(voters) {
-                let _ = writeln!(text, "    - {{name: {}, address: \"{address}\"}}", name(voter));
-            }
-            text += "  via:\n";
-            for (to, relay) in relays[member_index].iter().enumerate() {
-                if let Some(relay) = relay {
-                    let _ = writeln!(text, "    {}: \"{}\"", name(to), relay.address);
-                }
-            }
-            fixture.options(&text);
-            fixture.variables = vec![
-                ("LOOMFLOW_TEST_FOLDER".into(), folder.clone().into()),
-                ("LOOMFLOW_TEST_PROGRAM".into(), program.to_owned().into()),
-            ];
+            let options = members::options(&plan, member_index, &addresses, &relays[member_index], &state);
+            let fixture = members::fixture(&plan, member_index, program, &folder, &options);
             let worker = Worker::start(plan.cores, plan.work);
             Member { fixture, worker, state, address: addresses[member_index] }
-        });
-        let mut fleet = Fleet {
-            members: members.collect(),
-            relays,
-            folder,
-            seed: plan.seed,
-            paused: Vec::new(),
-            timeline: Vec::new(),
         };
+        let members = (0..plan.members).map(member).collect();
+        let mut fleet =
+            Fleet { members, relays, folder, seed: plan.seed, paused: Vec::new(), timeline: Vec::new() };
         (0..plan.members).for_each(|member_index| fleet.start_member(member_index));
         fleet
     }
@@ -157,14 +140,13 @@
         let fleet = self;
         let (code, _, errors) = fleet.run_command(0, &["found"]);
         assert_eq!(code, 0, "{errors}");
-        let all = plan.members;
         fleet.wait_until("all are here and the voters vote", |fleet| {
             let status = fleet.status(0);
             let members = status["members"]
                 .as_array()
                 .map_or(0, |members| members.iter().filter(|member| member["standing"] == "Serving").count());
             let voters = status["voters"].as_array().map_or(0, Vec::len);
-            status["fresh"] == true && members == all && voters == if all >= 5 { 5 } else { 3 }
+            status["fresh"] == true && members == plan.members && voters == plan.voters()
         });
         fleet
     }
@@ -408,49 +390,6 @@
     }
 }
 
-/// Stops a process (SIGSTOP) and waits until all its threads stand still; false if it has ended.
-fn stop(pid: u32) -> bool {
-    match kill_process(Pid::from_raw(pid as i32).expect("an id"), Signal::STOP) {
-        Err(Errno::SRCH) => return false,
-        sent => sent.expect("it is stopped"),
-    }
-    let until = Instant::now() + WAIT_TIMEOUT;
-    loop {
-        let states = thread_states(pid);
-        if states.iter().all(|state| matches!(state, 'Z' | 'X')) {
-            return false;
-        }
-        if states.iter().all(|state| matches!(state, 'T' | 'Z' | 'X')) {
-            return true;
-        }
-        assert!(Instant::now() < until, "{pid} does not stop: {states:?}");
-        std::thread::sleep(Duration::from_millis(1));
-    }
-}
-
-/// The state letter of each thread of a process; none if it is gone.
-fn thread_states(pid: u32) -> Vec<char> {
-    let Ok(tasks) = std::fs::read_dir(format!("/proc/{pid}/task")) else { return Vec::new() };
-    let state = |task: std::io::Result<std::fs::DirEntry>| {
-        let stat = std::fs::read_to_string(task.ok()?.path().join("stat")).ok()?;
-        stat.rsplit_once(") ")?.1.chars().next()
-    };
-    tasks.filter_map(state).collect()
-}
-
-/// The child processes of a process.
-fn children(parent: u32) -> Vec<u32> {
-    let entries = std::fs::read_dir("/proc").expect("processes");
-    let child = |entry: std::io::Result<std::fs::DirEntry>| {
-        let pid: u32 = entry.ok()?.file_name().to_str()?.parse().ok()?;
-        let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-        // The parent is the second field after the program name.
-        let parent_of_pid: u32 = stat.rsplit_once(") ")?.1.split_whitespace().nth(1)?.parse().ok()?;
-        (parent_of_pid == parent).then_some(pid)
-    };
-    entries.filter_map(child).collect()
-}
-
 impl Drop for Fleet {
     fn drop(&mut self) {
         self.members.iter_mut().for_each(|member| member.fixture.kill());
--- a/crates/loomflow-test-servers/src/lines.rs
+++ b/crates/loomflow-test-servers/src/lines.rs
@@ -1,14 +1,17 @@
 //! Connections with lines and bodies, as the engine and the downstream service use.
 
-use std::io::{BufRead, BufReader, Read, Write};
+use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::mpsc::{Receiver, RecvTimeoutError, channel};
+use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
 use std::thread;
 
 use crate::base::{QUIET_PERIOD, RESPONSE_TIMEOUT};
 
+/// Ends each line and each body.
+const LINE_END: &[u8] = b"\r\n";
+
 /// A line and the body that follows it, if any.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
@@ -39,39 +42,9 @@
     ) -> PeerConnection {
         stream.set_nodelay(true).expect("no delay");
         let (sender, lines) = channel();
-        let (reader, mut writer) =
-            (stream.try_clone().expect("a clone"), stream.try_clone().expect("a clone"));
-        thread::spawn(move || {
-            let mut reader = BufReader::new(reader);
-            loop {
-                let mut bytes = Vec::new();
-                match reader.read_until(b'\n', &mut bytes) {
-                    Ok(1..) if bytes.ends_with(b"\r\n") => {}
-                    _ => return,
-                }
-                let text = String::from_utf8(bytes[..bytes.len() - 2].to_vec()).expect("text");
-                let mut line = Line { text, body: Vec::new() };
-                if with_body.contains(&line.word(0)) {
-                    let size: usize =
-                        line.text.rsplit(' ').next().expect("a word").parse().expect("a length");
-                    let mut body = vec![0; size + 2];
-                    if reader.read_exact(&mut body).is_err() {
-                        return;
-                    }
-                    assert!(body.ends_with(b"\r\n"), "{line:?}");
-                    body.truncate(size);
-                    line.body = body;
-                }
-                let answers_stat = answers_stat.load(Ordering::Acquire);
-                if answers_stat && line.word(0) == "STAT" {
-                    let _ = writer.write_all(format!("STATS {} 0 1 0.1 4\r\n", line.word(1)).as_bytes());
-                } else if answers_stat && line.word(0) == "TEST" {
-                    let _ = writer.write_all(format!("TESTED {} fine\r\n", line.word(1)).as_bytes());
-                } else if sender.send(line).is_err() {
-                    return;
-                }
-            }
-        });
+        let reader = stream.try_clone().expect("a clone");
+        let writer = stream.try_clone().expect("a clone");
+        thread::spawn(move || read_lines(reader, writer, with_body, &answers_stat, &sender));
         PeerConnection { stream, lines }
     }
 
@@ -150,11 +123,56 @@
     }
 }
 
+/// Reads lines until the connection ends or nobody takes them, and responds to gauge and health queries if it is to.
+fn read_lines(
+    reader: TcpStream,
+    mut writer: TcpStream,
+    with_body: &[&str],
+    answers_stat: &AtomicBool,
+    lines: &Sender<Line>,
+) {
+    let mut reader = BufReader::new(reader);
+    while let Some(line) = read_line(&mut reader, with_body) {
+        let response = query_response(&line).filter(|_| answers_stat.load(Ordering::Acquire));
+        if let Some(response) = response {
+            let _ = writer.write_all(response.as_bytes());
+        } else if lines.send(line).is_err() {
+            return;
+        }
+    }
+}
+
+/// Reads a line and its body; `None` at the end of the connection.
+fn read_line(reader: &mut impl BufRead, with_body: &[&str]) -> Option<Line> {
+    let mut bytes = Vec::new();
+    reader.read_until(b'\n', &mut bytes).ok()?;
+    let text = bytes.strip_suffix(LINE_END)?;
+    let text = String::from_utf8(text.to_vec()).expect("text");
+    let mut line = Line { text, body: Vec::new() };
+    if with_body.contains(&line.word(0)) {
+        let size: usize = line.text.rsplit(' ').next().expect("a word").parse().expect("a length");
+        line.body = vec![0; size + LINE_END.len()];
+        reader.read_exact(&mut line.body).ok()?;
+        assert!(line.body.ends_with(LINE_END), "{line:?}");
+        line.body.truncate(size);
+    }
+    Some(line)
+}
+
+/// The response to a query for gauges or health, if the line is one.
+fn query_response(line: &Line) -> Option<String> {
+    match line.word(0) {
+        "STAT" => Some(format!("STATS {} 0 1 0.1 4\r\n", line.word(1))),
+        "TEST" => Some(format!("TESTED {} fine\r\n", line.word(1))),
+        _ => None,
+    }
+}
+
 /// A line that ends in the length of the body that follows it.
 fn with_body(head: &str, body: &[u8]) -> Vec<u8> {
     let mut bytes = format!("{head} {}\r\n", body.len()).into_bytes();
     bytes.extend_from_slice(body);
-    bytes.extend_from_slice(b"\r\n");
+    bytes.extend_from_slice(LINE_END);
     bytes
 }
 
