--- a/crates/loomflow-amqp/src/consumer_pool/tests.rs
+++ b/crates/loomflow-amqp/src/consumer_pool/tests.rs
@@ -37,6 +37,12 @@
     }
 }
 
+/// Whether the broker may deliver to a consumer.
+fn accepts_delivery(consumer: &PooledConsumer) -> bool {
+    let consumes = matches!(consumer.state, ConsumerState::Consuming | ConsumerState::Cancelling);
+    consumes && consumer.unsettled < usize::from(consumer.prefetch)
+}
+
 proptest! {
     /// The unsettled deliveries never exceed the window or their number when it shrank, and at rest more than two
     /// thirds of the window are in use.
@@ -53,18 +59,14 @@
                     window = to;
                 }
                 PoolStep::Answer(count) => carry_out(&mut pool, commands.drain(..count.min(commands.len()))),
-                PoolStep::Deliver(at) => {
-                    let consumer = &pool.consumers[at];
-                    if matches!(consumer.state, ConsumerState::Consuming | ConsumerState::Cancelling) && consumer.unsettled < usize::from(consumer.prefetch) {
-                        prop_assert!(pool.delivered(at));
-                    }
-                }
+                PoolStep::Deliver(at) => prop_assert!(!accepts_delivery(&pool.consumers[at]) || pool.delivered(at)),
                 PoolStep::Settle(at) => pool.settled(at),
                 PoolStep::Close(at) => {
                     commands.retain(|(consumer, _)| *consumer != at);
                     pool.channel_closed(at, now);
                 }
-                PoolStep::BrokerCancels(at) => if pool.consumers[at].state == ConsumerState::Consuming { pool.cancelled_by_broker(at, now) },
+                PoolStep::BrokerCancels(at) if pool.consumers[at].state == ConsumerState::Consuming => pool.cancelled_by_broker(at, now),
+                PoolStep::BrokerCancels(_) => {}
             }
             commands.extend(pool.resize(window, now));
             bound = bound.min(window.max(pool.consumers.iter().map(PooledConsumer::max_unsettled).sum()));
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -24,6 +24,38 @@
     if (3.0..7.0).contains(&second) { burst } else { 0.75 }
 }
 
+/// The engine: so many runs at once, the rest in the order in which they were asked for.
+#[derive(Default)]
+struct Engine {
+    waiting: VecDeque<(RequestId, f64)>,
+    busy: Vec<OnCore>,
+}
+
+impl Engine {
+    /// Takes the runs that have ended off the cores.
+    fn take_ended(&mut self, now: f64) -> Vec<OnCore> {
+        let (ended, going) = self.busy.iter().partition(|(ends, _, _)| *ends <= now);
+        self.busy = going;
+        ended
+    }
+
+    /// Puts waiting runs on free cores.
+    fn fill_cores(&mut self, now: f64, work: f64) {
+        while self.busy.len() < CORES {
+            let Some((id, asked)) = self.waiting.pop_front() else { break };
+            // Runs spread from half to one and a half times the usual, as the id falls.
+            let spread = 0.5 + (f64::from(id) * 0.618_034).fract();
+            self.busy.push((now + work * spread, id, asked));
+        }
+    }
+
+    fn gauges(&self) -> Gauges {
+        let runnable = (self.busy.len() + self.waiting.len()) as f64;
+        let core_use = self.busy.len() as f64 / CORES as f64;
+        Gauges { core_utilization: Some(core_use), runnable: Some(runnable), ..IDLE }
+    }
+}
+
 /// What came of the requests asked in the burst, from its second second on: in time in each second over what the engine
 /// does, and how many were served after their aim.
 fn play(burst: f64, work: f64) -> ([f64; 3], usize, Vec<f64>) {
@@ -36,7 +68,7 @@
     let speed = CORES as f64 * 1000.0 / work;
     let (mut due, mut next_id) = (start, 1);
     let mut reached = BTreeMap::new();
-    let (mut waiting, mut busy): (VecDeque<(RequestId, f64)>, Vec<OnCore>) = (VecDeque::new(), vec![]);
+    let mut engine = Engine::default();
     let (mut in_time, mut late) = ([0.0; 3], 0);
     while driver.now < start + 10_000.0 {
         let mut actions = driver.pass(STEP);
@@ -48,10 +80,7 @@
             actions.extend(driver.arrive(id, SAFE));
             due += 1000.0 / (speed * rate_at((due - start) / 1000.0, burst));
         }
-        // The engine: so many cores, the rest in the order they came.
-        let (over, going): (Vec<_>, Vec<_>) = busy.iter().partition(|(ends, _, _)| *ends <= now);
-        busy = going;
-        for (_, id, asked) in over {
+        for (_, id, asked) in engine.take_ended(now) {
             actions.extend(driver.finish(id, now - asked));
             let second = (reached[&id] - start) / 1000.0;
             if (4.0..7.0).contains(&second) {
@@ -60,16 +89,9 @@
                 in_time[second as usize - 4] += if is_late { 0.0 } else { 1.0 / speed };
             }
         }
-        waiting.extend(runs(&actions).into_iter().map(|id| (id, now)));
-        while busy.len() < CORES {
-            let Some((id, asked)) = waiting.pop_front() else { break };
-            // Runs spread from half to one and a half times the usual, as the id falls.
-            let spread = 0.5 + (f64::from(id) * 0.618_034).fract();
-            busy.push((now + work * spread, id, asked));
-        }
-        let on = (busy.len() + waiting.len()) as f64;
-        let core_use = busy.len() as f64 / CORES as f64;
-        driver.gauges = Gauges { core_utilization: Some(core_use), runnable: Some(on), ..IDLE };
+        engine.waiting.extend(runs(&actions).into_iter().map(|id| (id, now)));
+        engine.fill_cores(now, work);
+        driver.gauges = engine.gauges();
     }
     (in_time, late, driver.shares_told())
 }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -116,33 +116,43 @@
         }
     }
 
+    fn run_started(&mut self, id: RequestId) {
+        let Some(s) = self.open.get_mut(&id) else { return };
+        let (class, reached) = (self.set.classes[s.class].clone(), s.reached);
+        let again = s.ran || s.at == At::Reusing;
+        let root = s.root;
+        (s.at, s.ran) = (At::Running, true);
+        if class.idempotency != Idempotency::Always && again {
+            self.break_rule(format!("{id} run twice"));
+        }
+        if class.idempotency == Idempotency::ByKey {
+            if !self.entries.contains_key(&id) {
+                self.break_rule(format!("{id} run without an entry"));
+            }
+            let ran_at = root.and_then(|root| self.ran.get(&root));
+            if ran_at.is_some_and(|at| reached <= at + class.idempotency_window) {
+                self.break_rule(format!("{id} repeats a run within the window"));
+            }
+            self.ran.insert(id, reached);
+        }
+        if self.notice.is_some_and(|(at, _)| reached > at + self.set.drain_grace) {
+            self.break_rule(format!("{id} run though it came past the grace"));
+        }
+    }
+
+    fn call_started(&mut self, id: RequestId, deadline: f64) {
+        let Some(s) = self.open.get_mut(&id).filter(|s| s.at == At::Blocked) else { return };
+        s.at = At::Calling;
+        s.abandon_at = if deadline > 0.0 { deadline } else { f64::MAX };
+        let is_idempotent = self.set.classes[s.class].idempotency == Idempotency::Always;
+        if s.call_may_have_run && !is_idempotent {
+            self.break_rule(format!("{id} repeats a call that may have run"));
+        }
+    }
+
     fn acted(&mut self, action: &Action) {
         match action {
-            Action::Run(id) => {
-                let Some(s) = self.open.get_mut(id) else { return };
-                let (class, reached) = (self.set.classes[s.class].clone(), s.reached);
-                let again = s.ran || s.at == At::Reusing;
-                let root = s.root;
-                (s.at, s.ran) = (At::Running, true);
-                if class.idempotency != Idempotency::Always && again {
-                    self.break_rule(format!("{id} run twice"));
-                }
-                if class.idempotency == Idempotency::ByKey {
-                    if !self.entries.contains_key(id) {
-                        self.break_rule(format!("{id} run without an entry"));
-                    }
-                    let repeat = root
-                        .and_then(|r| self.ran.get(&r))
-                        .is_some_and(|at| reached <= at + class.idempotency_window);
-                    if repeat {
-                        self.break_rule(format!("{id} repeats a run within the window"));
-                    }
-                    self.ran.insert(*id, reached);
-                }
-                if self.notice.is_some_and(|(at, _)| reached > at + self.set.drain_grace) {
-                    self.break_rule(format!("{id} run though it came past the grace"));
-                }
-            }
+            Action::Run(id) => self.run_started(*id),
             Action::ReuseResult(id) => {
                 if let Some(s) = self.open.get_mut(id) {
                     s.at = At::Reusing;
@@ -150,16 +160,7 @@
             }
             Action::Reject { id, .. } => self.answer(*id, true),
             Action::Fail(id) => self.answer(*id, false),
-            Action::Call { id, deadline: abandon_at } => {
-                let Some(s) = self.open.get_mut(id).filter(|s| s.at == At::Blocked) else { return };
-                s.at = At::Calling;
-                s.abandon_at = if *abandon_at > 0.0 { *abandon_at } else { f64::MAX };
-                let repeat =
-                    s.call_may_have_run && self.set.classes[s.class].idempotency != Idempotency::Always;
-                if repeat {
-                    self.break_rule(format!("{id} repeats a call that may have run"));
-                }
-            }
+            Action::Call { id, deadline } => self.call_started(*id, *deadline),
             Action::SkipCall(id) => {
                 if let Some(s) = self.open.get_mut(id) {
                     s.at = At::Running;
@@ -501,47 +502,56 @@
     }
 }
 
+/// Faults of a broken controller, which change its actions.
+mod faults {
+    use super::*;
+
+    pub fn forgets_failures(actions: &mut Vec<Action>, _: &Checker) {
+        actions.retain(|action| !matches!(action, Action::Fail(_)));
+    }
+
+    pub fn answers_twice(actions: &mut Vec<Action>, _: &Checker) {
+        let is_failure = |action: &&Action| matches!(action, Action::Fail(_));
+        let failures: Vec<Action> = actions.iter().filter(is_failure).cloned().collect();
+        actions.extend(failures);
+    }
+
+    pub fn runs_repeats(actions: &mut Vec<Action>, _: &Checker) {
+        for action in actions {
+            if let Action::ReuseResult(id) = *action {
+                *action = Action::Run(id);
+            }
+        }
+    }
+
+    pub fn refuses_what_ran(actions: &mut Vec<Action>, _: &Checker) {
+        for action in actions {
+            if let Action::Fail(id) = *action {
+                *action = Action::Reject { id, retry_after: 0.0, is_final: false };
+            }
+        }
+    }
+
+    pub fn runs_all(actions: &mut Vec<Action>, checker: &Checker) {
+        actions.extend(checker.ids(At::Held).into_iter().map(Action::Run));
+    }
+
+    pub fn repeats_every_call(actions: &mut Vec<Action>, checker: &Checker) {
+        let call = |id| Action::Call { id, deadline: 0.0 };
+        actions.extend(checker.ids(At::Blocked).into_iter().map(call));
+    }
+}
+
 /// The checker is worth something only if it fails modules that are broken on purpose.
 #[test]
 fn the_checker_detects_broken_controllers() {
     let faults: [(&str, Fault, &str); 6] = [
-        ("forgets failures", |a, _| a.retain(|x| !matches!(x, Action::Fail(_))), "not answered"),
-        (
-            "answers twice",
-            |a, _| {
-                let fails: Vec<Action> = a.iter().filter(|x| matches!(x, Action::Fail(_))).cloned().collect();
-                a.extend(fails);
-            },
-            "answered twice",
-        ),
-        (
-            "runs repeats",
-            |a, _| {
-                for x in a.iter_mut() {
-                    if let Action::ReuseResult(id) = *x {
-                        *x = Action::Run(id);
-                    }
-                }
-            },
-            "within the window",
-        ),
-        (
-            "refuses what ran",
-            |a, _| {
-                for x in a.iter_mut() {
-                    if let Action::Fail(id) = *x {
-                        *x = Action::Reject { id, retry_after: 0.0, is_final: false };
-                    }
-                }
-            },
-            "refused though it ran",
-        ),
-        ("runs all", |a, c| a.extend(c.ids(At::Held).into_iter().map(Action::Run)), "on the cores"),
-        (
-            "repeats every call",
-            |a, c| a.extend(c.ids(At::Blocked).into_iter().map(|id| Action::Call { id, deadline: 0.0 })),
-            "repeats a call",
-        ),
+        ("forgets failures", faults::forgets_failures, "not answered"),
+        ("answers twice", faults::answers_twice, "answered twice"),
+        ("runs repeats", faults::runs_repeats, "within the window"),
+        ("refuses what ran", faults::refuses_what_ran, "refused though it ran"),
+        ("runs all", faults::runs_all, "on the cores"),
+        ("repeats every call", faults::repeats_every_call, "repeats a call"),
     ];
     for (name, fault, expected) in faults {
         let seen = std::cell::RefCell::new(BTreeSet::new());
