--- a/crates/loomflow-benchmark/src/amqp.rs
+++ b/crates/loomflow-benchmark/src/amqp.rs
@@ -244,16 +244,21 @@
     report.require_max("cpu_ratio", by_queue / by_resp, 1.5);
 }
 
+/// Publishes the jobs that are due at a rate since `start`, from `number` on.
+fn publish_due(broker: &Broker, number: &mut u32, start: Instant, requests_per_s: f64) {
+    while f64::from(*number) < start.elapsed().as_secs_f64() * requests_per_s {
+        broker.publish(job((*number).into()));
+        *number += 1;
+    }
+}
+
 /// Publishes jobs at a rate and waits for what becomes of them; the answer is how many were served.
-fn fill(broker: &Broker, rate: f64, span: Duration) -> usize {
+fn fill(broker: &Broker, requests_per_s: f64, span: Duration) -> usize {
     let start = Instant::now();
     let (mut number, mut served) = (0_u32, 0);
     let count = |broker: &Broker| broker.take("replies").iter().filter(|r| r.kind() == "served").count();
     while start.elapsed() < span {
-        while f64::from(number) < start.elapsed().as_secs_f64() * rate {
-            broker.publish(job(number.into()));
-            number += 1;
-        }
+        publish_due(broker, &mut number, start, requests_per_s);
         served += count(broker);
         thread::sleep(Duration::from_millis(2));
     }
@@ -358,10 +363,7 @@
     let (mut number, mut seconds) = (0_u32, Vec::new());
     let (mut served, mut rejected) = (0, 0);
     while start.elapsed() < span {
-        while f64::from(number) < start.elapsed().as_secs_f64() * OVERLOAD_REQUESTS_PER_S {
-            broker.publish(job(number.into()));
-            number += 1;
-        }
+        publish_due(broker, &mut number, start, OVERLOAD_REQUESTS_PER_S);
         for reply in broker.take("replies") {
             match reply.kind().as_str() {
                 "served" => served += 1,
--- a/crates/loomflow-load/src/fleet.rs
+++ b/crates/loomflow-load/src/fleet.rs
@@ -9,17 +9,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use loomflow_test_servers::worker::result_of;
 use loomflow_test_servers::{Gateway, GatewayResponse, call, fields, next_attempt_id};
 
-use crate::{Plan, RequestOutcome, Results};
+use crate::{MAX_OPEN_REQUESTS, Plan, RequestOutcome, Results};
 
 /// Maximum number of servers to which a request is sent.
 const MAX_ATTEMPTS: u32 = 6;
 /// A server that could not be reached is tried again after this.
 const RECONNECT_AFTER: Duration = Duration::from_millis(100);
-/// Requests open on one connection.
-const MAX_OPEN: usize = 32;
+/// Longest sleep before retries are checked for, s.
+const MAX_SLEEP_S: f64 = 0.002;
 
 struct OpenRequest {
     sent_at: Instant,
@@ -131,21 +130,20 @@
 
 fn send_requests(shared: &Arc<Shared>, plan: &Plan) {
     let start = Instant::now();
-    let (mut due, mut number, mut turn) = (0.0, 0, 0);
+    let (mut schedule, mut turn) = (plan.schedule(), 0);
     while start.elapsed() < plan.duration && !shared.is_over.load(Ordering::Acquire) {
         let waiting = lock(&shared.retries).pop_front();
         if let Some(request) = waiting {
             send(shared, plan, request, &mut turn);
             continue;
         }
-        let now = start.elapsed().as_secs_f64();
-        if now < due {
-            thread::sleep(Duration::from_secs_f64((due - now).min(0.002)));
+        let now_s = start.elapsed().as_secs_f64();
+        if now_s < schedule.due_s() {
+            thread::sleep(Duration::from_secs_f64((schedule.due_s() - now_s).min(MAX_SLEEP_S)));
             continue;
         }
-        due += 1.0 / plan.rate(due).max(0.1);
-        number += 1;
-        let request = OpenRequest { sent_at: Instant::now(), body: plan.body(number), attempts: 0 };
+        schedule.advance();
+        let request = OpenRequest { sent_at: Instant::now(), body: plan.body(schedule.taken()), attempts: 0 };
         lock(&shared.results).record_sent(request.body.clone(), request.sent_at);
         send(shared, plan, request, &mut turn);
     }
@@ -171,7 +169,7 @@
         *turn = (*turn + 1) % shared.servers.len();
         let mut server = lock(&shared.servers[*turn]);
         let Server { stream, generation, open } = &mut *server;
-        let Some(to) = stream.as_mut().filter(|_| open.len() < MAX_OPEN) else { continue };
+        let Some(to) = stream.as_mut().filter(|_| open.len() < MAX_OPEN_REQUESTS) else { continue };
         let tag = shared.tags.fetch_add(1, Ordering::Relaxed) + 1;
         if to.write_all(&call(tag, plan.class, &fields(&next_attempt_id()), &request.body)).is_ok() {
             open.insert((*generation, tag), request);
@@ -211,16 +209,11 @@
     let Some(request) = lock(&shared.servers[number]).open.remove(&(generation, answer.tag)) else {
         return;
     };
-    let outcome = match answer.status.as_str() {
-        "OK" if answer.body == result_of(&request.body) => RequestOutcome::Served,
-        "OK" => RequestOutcome::Wrong,
-        "BUSY" if request.attempts < MAX_ATTEMPTS => {
-            lock(&shared.retries).push_back(request);
-            return;
-        }
-        "BUSY" => RequestOutcome::Rejected,
-        _ => RequestOutcome::Failed,
-    };
+    let outcome = RequestOutcome::of_response(answer, &request.body);
+    if outcome == RequestOutcome::Rejected && request.attempts < MAX_ATTEMPTS {
+        lock(&shared.retries).push_back(request);
+        return;
+    }
     lock(&shared.results).record_outcome(request.sent_at, outcome, Instant::now());
 }
 
--- a/crates/loomflow-load/src/lib.rs
+++ b/crates/loomflow-load/src/lib.rs
@@ -16,3 +16,6 @@
 pub use plan::Plan;
 pub use results::{Counts, RequestOutcome, Results};
 pub use scenario::{Front, Scenario, ScenarioResults};
+
+/// Maximum number of open requests on one gateway connection.
+const MAX_OPEN_REQUESTS: usize = 32;
--- a/crates/loomflow-load/src/queue.rs
+++ b/crates/loomflow-load/src/queue.rs
@@ -61,19 +61,18 @@
 /// Publishes each message of a plan when it is due.
 fn publish_all(broker: &Broker, plan: &Plan, results: &mut Results) {
     let start = results.start;
-    let (mut due, mut number) = (0.0, 0);
-    while due < plan.duration.as_secs_f64() {
-        let ahead = due - start.elapsed().as_secs_f64();
-        if ahead > 0.0 {
-            thread::sleep(Duration::from_secs_f64(ahead));
+    let mut schedule = plan.schedule();
+    while schedule.due_s() < plan.duration.as_secs_f64() {
+        let ahead_s = schedule.due_s() - start.elapsed().as_secs_f64();
+        if ahead_s > 0.0 {
+            thread::sleep(Duration::from_secs_f64(ahead_s));
         }
-        let (body, now) = (plan.body(number), Instant::now());
+        let (body, now) = (plan.body(schedule.taken()), Instant::now());
         let id = String::from_utf8_lossy(&body).into_owned();
         broker.publish(message("jobs", &id, &body).reply_to("replies", &id).with_sent_time());
         results.record_sent(body, now);
         results.second(now).record_signal(broker.with_state(|state| state.credit("jobs")) as f64);
-        number += 1;
-        due += 1.0 / plan.rate(due).max(0.1);
+        schedule.advance();
     }
 }
 
--- a/crates/loomflow-load/src/resp.rs
+++ b/crates/loomflow-load/src/resp.rs
@@ -7,13 +7,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use loomflow_test_servers::worker::result_of;
 use loomflow_test_servers::{Gateway, GatewayResponse, call, fields, next_attempt_id};
 
-use crate::{Plan, RequestOutcome, Results};
+use crate::{MAX_OPEN_REQUESTS, Plan, RequestOutcome, Results};
 
-/// Maximum number of open requests on one connection.
-const MAX_OPEN_REQUESTS: usize = 32;
+/// Longest sleep before the duration of the plan is checked again, s.
+const MAX_SLEEP_S: f64 = 0.005;
 
 struct OpenRequest {
     sent_at: Instant,
@@ -80,16 +79,15 @@
     start: Instant,
     results: &Mutex<Results>,
 ) {
-    let (mut due, mut number) = (0.0, 0);
+    let mut schedule = plan.schedule();
     while start.elapsed() < plan.duration {
-        let now = start.elapsed().as_secs_f64();
-        if now < due {
-            thread::sleep(Duration::from_secs_f64((due - now).min(0.005)));
+        let now_s = start.elapsed().as_secs_f64();
+        if now_s < schedule.due_s() {
+            thread::sleep(Duration::from_secs_f64((schedule.due_s() - now_s).min(MAX_SLEEP_S)));
             continue;
         }
-        due += 1.0 / plan.rate(due).max(0.1);
-        number += 1;
-        send(connections, plan.class, plan.body(number), results);
+        schedule.advance();
+        send(connections, plan.class, plan.body(schedule.taken()), results);
     }
 }
 
@@ -125,11 +123,5 @@
     if let Some(share) = response.fields.split(',').find_map(|field| field.strip_prefix("signal=")) {
         results.second(request.sent_at).record_signal(share.parse().unwrap_or(0.0));
     }
-    let outcome = match response.status.as_str() {
-        "OK" if response.body != result_of(&request.body) => RequestOutcome::Wrong,
-        "OK" => RequestOutcome::Served,
-        "BUSY" => RequestOutcome::Rejected,
-        _ => RequestOutcome::Failed,
-    };
-    results.record_outcome(request.sent_at, outcome, now);
+    results.record_outcome(request.sent_at, RequestOutcome::of_response(response, &request.body), now);
 }
--- a/crates/loomflow-load/src/results.rs
+++ b/crates/loomflow-load/src/results.rs
@@ -4,6 +4,8 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
+use loomflow_test_servers::GatewayResponse;
+use loomflow_test_servers::worker::result_of;
 
 /// Longer queue times are recorded as this one, µs.
 const MAX_QUEUE_TIME_MICROS: u64 = 3_600_000_000;
@@ -23,6 +25,18 @@
     Wrong,
 }
 
+impl RequestOutcome {
+    /// The outcome of a request with this body, by its final response.
+    pub(crate) fn of_response(response: &GatewayResponse, body: &[u8]) -> RequestOutcome {
+        match response.status.as_str() {
+            "OK" if response.body != result_of(body) => RequestOutcome::Wrong,
+            "OK" => RequestOutcome::Served,
+            "BUSY" => RequestOutcome::Rejected,
+            _ => RequestOutcome::Failed,
+        }
+    }
+}
+
 /// Counts of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
