--- a/crates/loomflow-benchmark/src/callers.rs
+++ b/crates/loomflow-benchmark/src/callers.rs
@@ -6,7 +6,7 @@
 use std::thread;
 
 use loomflow_overload_simulation::fault::FaultKind;
-use loomflow_overload_simulation::quota::{SteadyTenant, judged_beyond};
+use loomflow_overload_simulation::quota::{SteadyTenant, over_quota_part};
 use loomflow_overload_simulation::recovery::{Recovery, Timeline, recovery};
 use loomflow_overload_simulation::setup::IdlePolicy;
 use loomflow_overload_simulation::setup::Setup;
@@ -23,7 +23,7 @@
     ("a third of the callers", FaultKind::CallersDown { fraction: 1.0 / 3.0 }),
     ("a fifth of the servers", FaultKind::ServersDown { fraction: 0.2 }),
 ];
-/// The module, and the baselines beside it.
+/// The controller, and the baselines beside it.
 const POLICIES: [IdlePolicy; 4] =
     [IdlePolicy::Controller, IdlePolicy::NeverClose, IdlePolicy::CloseWhenFull, IdlePolicy::CloseImmediately];
 /// Fleets of the steady tenant, its quota over the whole fleet in requests a second, and what it sends of it.
@@ -43,7 +43,7 @@
     seeds: u64,
 }
 
-/// Plays all cases; the bound counts for the module, while the baselines are there to compare with.
+/// Plays all cases; the bound counts for the controller, while the baselines are there to compare with.
 pub fn measure(quick: bool) -> Report {
     let mut report = Report::new("callers");
     let cases = cases(quick);
@@ -75,7 +75,13 @@
 /// How many requests of a steady tenant the modules judge to be over its quota. No bound yet: 0.05 at 0.9 is wanted.
 fn tenants(report: &mut Report) {
     let over_quota = |servers, sends| {
-        judged_beyond(SteadyTenant { servers, quota_per_s: QUOTA_PER_S, sends, seconds: 1_000.0, seed: 1 })
+        over_quota_part(SteadyTenant {
+            servers,
+            quota_per_s: QUOTA_PER_S,
+            sent_part: sends,
+            seconds: 1_000.0,
+            seed: 1,
+        })
     };
     let row = |servers: usize| {
         let shares = SENDS.iter().map(|sends| format!("{:.3}", over_quota(servers, *sends)));
--- a/crates/loomflow-overload-simulation/src/client.rs
+++ b/crates/loomflow-overload-simulation/src/client.rs
@@ -60,7 +60,7 @@
 impl Request {
     /// Draws a request around the mean work; its estimate is within a fifth.
     pub fn draw(
-        habits: &ClientPolicy,
+        policy: &ClientPolicy,
         now: SimulationMicros,
         mean: Millis,
         spread: f64,
@@ -71,7 +71,7 @@
             sent_at: now,
             work,
             estimated_work: work * (0.8 + 0.4 * rng.f64()),
-            retries_left: if habits.max_retries == 0 { 0 } else { rng.u32(1..=habits.max_retries) },
+            retries_left: if policy.max_retries == 0 { 0 } else { rng.u32(1..=policy.max_retries) },
             serial: 0,
             caller: 0,
             servers_tried: Vec::new(),
--- a/crates/loomflow-overload-simulation/src/ledger.rs
+++ b/crates/loomflow-overload-simulation/src/counts.rs
@@ -1,10 +1,10 @@
-//! Results of a simulation by second.
+//! What a simulation counts, by second.
 
 use crate::clock::{SECOND, SimulationMicros};
 
 /// Counts of one second; outcomes of requests are counted in the second in which they were first sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Second {
+pub struct SecondCounts {
     /// Requests sent by clients.
     pub sent: u64,
     /// Requests answered within the objective.
@@ -20,12 +20,12 @@
     /// Attempts rejected by a server.
     pub rejected: u64,
     /// Sums over the servers that are up, sampled once per second.
-    pub sample: Sample,
+    pub sample: ServerSums,
 }
 
 /// Sums over the servers that are up.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Sample {
+pub struct ServerSums {
     /// Servers up.
     pub servers: u64,
     /// Sum of their send shares.
@@ -46,17 +46,17 @@
 
 /// All seconds of a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ledger {
+pub struct CountsBySecond {
     /// In order, from the start.
-    pub seconds: Vec<Second>,
+    pub seconds: Vec<SecondCounts>,
 }
 
-impl Ledger {
+impl CountsBySecond {
     /// The second of a time.
-    pub fn at(&mut self, moment: SimulationMicros) -> &mut Second {
+    pub fn at(&mut self, moment: SimulationMicros) -> &mut SecondCounts {
         let second = (moment / SECOND) as usize;
         if self.seconds.len() <= second {
-            self.seconds.resize(second + 1, Second::default());
+            self.seconds.resize(second + 1, SecondCounts::default());
         }
         &mut self.seconds[second]
     }
@@ -68,7 +68,7 @@
     }
 
     /// A sum over the seconds `from..to`.
-    pub fn sum(&self, from: usize, to: usize, of: impl Fn(&Second) -> u64) -> f64 {
+    pub fn sum(&self, from: usize, to: usize, of: impl Fn(&SecondCounts) -> u64) -> f64 {
         let to = to.min(self.seconds.len());
         self.seconds[from.min(to)..to].iter().map(of).sum::<u64>() as f64
     }
--- a/crates/loomflow-overload-simulation/src/fleet.rs
+++ b/crates/loomflow-overload-simulation/src/fleet.rs
@@ -12,7 +12,7 @@
 use crate::clock::{EventQueue, SECOND, SimulationMicros};
 use crate::connections::{ConnectionId, ConnectionTable, Connections};
 use crate::cores::AttemptId;
-use crate::ledger::Ledger;
+use crate::counts::CountsBySecond;
 use crate::server::{Server, ServerResponse};
 use crate::setup::Setup;
 
@@ -86,14 +86,14 @@
     connections: Connections,
     requests: Vec<Request>,
     attempts: Vec<Attempt>,
-    ledger: Ledger,
+    counts: CountsBySecond,
     checker: Checker,
 }
 
 /// Results of a simulation.
 pub struct SimulationResults {
     /// Counts by second.
-    pub ledger: Ledger,
+    pub counts: CountsBySecond,
     /// Rules that the servers violated.
     pub violations: Vec<Violation>,
 }
@@ -112,7 +112,7 @@
             connections: Connections::default(),
             requests: Vec::new(),
             attempts: Vec::new(),
-            ledger: Ledger::default(),
+            counts: CountsBySecond::default(),
             checker: Checker::new(setup.client_policy.timeout),
             setup,
         };
@@ -130,7 +130,7 @@
             self.step(event);
         }
         let violations = self.checker.violations(end).to_vec();
-        SimulationResults { ledger: self.ledger, violations }
+        SimulationResults { counts: self.counts, violations }
     }
 
     fn step(&mut self, event: Event) {
--- a/crates/loomflow-overload-simulation/src/fleet/calls.rs
+++ b/crates/loomflow-overload-simulation/src/fleet/calls.rs
@@ -18,7 +18,7 @@
             Request::draw(&setup.client_policy, now, setup.mean_work, setup.work_spread, &mut self.rng);
         let index = self.requests.len();
         self.requests.push(request);
-        self.ledger.at(now).sent += 1;
+        self.counts.at(now).sent += 1;
         self.events.schedule(now + self.setup.client_policy.timeout, Event::ClientTimeout { request: index });
         self.start_attempt(index);
         let gap = -(1.0 - self.rng.f64()).ln() / self.setup.requests_per_second();
@@ -70,7 +70,7 @@
             ServerResponse::Failed => self.try_next_server(request),
             ServerResponse::Rejected { retry_after, is_final } => {
                 self.callers[caller].retry_after_received(now, server, retry_after);
-                self.ledger.at(now).rejected += 1;
+                self.counts.at(now).rejected += 1;
                 if is_final && !self.callers[caller].ignores_final() {
                     self.attempt_failed(request);
                 } else {
@@ -99,7 +99,7 @@
         request.servers_tried.clear();
         let timeout = Event::AttemptTimeout { request: index, serial: request.serial };
         self.events.schedule(now + self.setup.client_policy.attempt_timeout, timeout);
-        self.ledger.at(now).client_attempts += 1;
+        self.counts.at(now).client_attempts += 1;
         self.try_next_server(index);
     }
 
@@ -147,7 +147,7 @@
             opens_connection,
             is_retry,
         });
-        self.ledger.at(self.events.now()).attempts += 1;
+        self.counts.at(self.events.now()).attempts += 1;
         self.send(Event::AttemptArrives { attempt: id });
     }
 
@@ -156,7 +156,7 @@
         let request = &mut self.requests[index];
         request.is_finished = true;
         if now <= request.sent_at + self.setup.client_policy.objective {
-            self.ledger.at(request.sent_at).in_time += 1;
+            self.counts.at(request.sent_at).in_time += 1;
         }
     }
 
--- a/crates/loomflow-overload-simulation/src/fleet/machines.rs
+++ b/crates/loomflow-overload-simulation/src/fleet/machines.rs
@@ -3,10 +3,10 @@
 use crate::clock::SECOND;
 use crate::connections::{ConnectionId, ConnectionTable};
 use crate::cores::AttemptId;
+use crate::counts::ServerSums;
 use crate::fleet::{Attempt, Due, Event, Fleet, Machine};
-use crate::ledger::Sample;
 use crate::server::{IncomingRequest, Output, Server};
-use crate::settings::module_settings;
+use crate::settings::controller_settings;
 
 impl Fleet {
     /// Draws every machine's table and starts its server.
@@ -22,7 +22,7 @@
 
     pub(super) fn start_server(&mut self, index: usize, is_slow_start: bool) {
         let now = self.now();
-        let settings = module_settings(&self.setup, is_slow_start);
+        let settings = controller_settings(&self.setup, is_slow_start);
         let machine = &mut self.machines[index];
         machine.incarnation += 1;
         machine.table = ConnectionTable::new(machine.table_bound);
@@ -72,11 +72,11 @@
         let now = self.now();
         let machine = &mut self.machines[server];
         if machine.server.is_none() || !machine.table.accept() {
-            self.ledger.at(now).connections_rejected += 1;
+            self.counts.at(now).connections_rejected += 1;
             return false;
         }
         self.attempts[id as usize].connection = Some(self.connections.open(caller, server));
-        self.ledger.at(now).handshakes += 1;
+        self.counts.at(now).handshakes += 1;
         true
     }
 
@@ -172,7 +172,7 @@
     pub(super) fn sample(&mut self) {
         let now = self.now();
         let immediate_timeout = self.setup.caller_policy.idle_timeout.min(SECOND);
-        let mut sample = Sample::default();
+        let mut sample = ServerSums::default();
         for machine in &self.machines {
             let Some(server) = &machine.server else { continue };
             let load = server.load();
@@ -185,7 +185,7 @@
             sample.full += u64::from(machine.table.is_full());
             sample.closing += u64::from(server.idle_timeout() < immediate_timeout);
         }
-        self.ledger.at(now).sample = sample;
+        self.counts.at(now).sample = sample;
         if now + SECOND < self.setup.duration {
             self.events.schedule(now + SECOND, Event::Sample);
         }
--- a/crates/loomflow-overload-simulation/src/lib.rs
+++ b/crates/loomflow-overload-simulation/src/lib.rs
@@ -5,7 +5,7 @@
 //! - [`clock`], [`network`], [`cores`], [`connections`], [`server`], [`caller`], [`client`]: the parts, as state
 //!   machines.
 //! - [`fleet`]: the simulation of all parts.
-//! - [`ledger`]: results by second; [`checker`]: the rules for responses, checked on the wire.
+//! - [`counts`]: results by second; [`checker`]: the rules for responses, checked on the wire.
 //! - [`recovery`]: experiment on the recovery of a fleet after the loss of a part of it.
 //! - [`quota`]: experiment on the quota of a tenant whose requests are spread over the servers at random.
 
@@ -17,9 +17,9 @@
 pub mod clock;
 pub mod connections;
 pub mod cores;
+pub mod counts;
 pub mod fault;
 pub mod fleet;
-pub mod ledger;
 pub mod network;
 pub mod quota;
 pub mod recovery;
--- a/crates/loomflow-overload-simulation/src/quota.rs
+++ b/crates/loomflow-overload-simulation/src/quota.rs
@@ -9,7 +9,7 @@
 use loomflow::interface::{Action, Arrival, AttemptOutcome, Class, Event, RequestId, Settings, Tenant};
 use loomflow::time::{MILLIS_PER_SECOND, Millis};
 
-use crate::settings::module_settings;
+use crate::settings::controller_settings;
 use crate::setup::Setup;
 
 /// The place of the tenant's class and of the probe's class among the classes.
@@ -34,7 +34,7 @@
     /// Its quota over the whole fleet, requests a second.
     pub quota_per_s: f64,
     /// What it sends, as a part of its quota.
-    pub sends: f64,
+    pub sent_part: f64,
     /// Seconds over which its requests are counted.
     pub seconds: f64,
     /// Seed of everything random.
@@ -42,14 +42,14 @@
 }
 
 /// The part of its requests that the controllers count as over its quota, 0 to 1.
-pub fn judged_beyond(tenant: SteadyTenant) -> f64 {
+pub fn over_quota_part(tenant: SteadyTenant) -> f64 {
     let mut rng = Rng::with_seed(tenant.seed);
     let settings = settings(&tenant);
-    let mut servers: Vec<Judge> =
-        (0..tenant.servers).map(|_| Judge::new(settings.clone(), rng.u64(..))).collect();
+    let mut servers: Vec<SingleCoreServer> =
+        (0..tenant.servers).map(|_| SingleCoreServer::new(settings.clone(), rng.u64(..))).collect();
     let (mut now_s, mut sent, mut over_quota) = (0.0, 0.0, 0.0);
     loop {
-        now_s += -(1.0 - rng.f64()).ln() / (tenant.quota_per_s * tenant.sends);
+        now_s += -(1.0 - rng.f64()).ln() / (tenant.quota_per_s * tenant.sent_part);
         if now_s >= SETTLING_TIME_S + tenant.seconds {
             return over_quota / sent;
         }
@@ -64,7 +64,7 @@
 
 fn settings(tenant: &SteadyTenant) -> Settings {
     let fleet = Setup::fleet(tenant.servers, 1, tenant.seed);
-    let mut settings = module_settings(&fleet, false);
+    let mut settings = controller_settings(&fleet, false);
     let class = Class { latency_objective: NEVER_MS, timeout: NEVER_MS, ..settings.classes[0].clone() };
     let probe = Class { priority_weight: PROBE_WEIGHT, ..class.clone() };
     settings.classes = vec![class, probe];
@@ -76,17 +76,18 @@
 }
 
 /// The controller of one server with one core, and so one request that runs at a time.
-struct Judge {
+struct SingleCoreServer {
     controller: Controller,
     requests: RequestId,
 }
 
-impl Judge {
-    fn new(settings: Settings, seed: u64) -> Judge {
-        Judge { controller: Controller::new(settings, seed, 0.0), requests: 0 }
+impl SingleCoreServer {
+    fn new(settings: Settings, seed: u64) -> SingleCoreServer {
+        SingleCoreServer { controller: Controller::new(settings, seed, 0.0), requests: 0 }
     }
 
-    /// Has a request of the tenant wait beside a probe while another one runs, and sees which of the two comes first.
+    /// Whether a request of the tenant counts as over its quota. It is queued with a probe while another request runs, and runs
+    /// last if its weight is the lower one.
     fn classifies_over_quota(&mut self, now: Millis) -> bool {
         self.arrives(now, PROBE_CLASS, NO_TENANT);
         let mut running = self.decide(now);
--- a/crates/loomflow-overload-simulation/src/recovery.rs
+++ b/crates/loomflow-overload-simulation/src/recovery.rs
@@ -2,9 +2,9 @@
 
 use crate::checker::Violation;
 use crate::clock::{SECOND, SimulationMicros};
+use crate::counts::CountsBySecond;
 use crate::fault::{Fault, FaultKind};
 use crate::fleet::Fleet;
-use crate::ledger::Ledger;
 use crate::setup::Setup;
 
 /// Part of its former service from which on a fleet counts as recovered.
@@ -51,7 +51,7 @@
     /// Callers' attempts a request from [`RECOVERY_SECONDS`] after the return on.
     pub attempts_after: f64,
     /// Second by second.
-    pub ledger: Ledger,
+    pub counts: CountsBySecond,
     /// What the servers did against the rules.
     pub violations: Vec<Violation>,
 }
@@ -64,7 +64,7 @@
 
     /// The part of the servers that closed idle connections at once in the last second.
     pub fn closing_at_end(&self) -> f64 {
-        let last = self.ledger.seconds.iter().rfind(|second| second.sample.servers > 0);
+        let last = self.counts.seconds.iter().rfind(|second| second.sample.servers > 0);
         last.map_or(0.0, |second| second.sample.closing as f64 / second.sample.servers as f64)
     }
 }
@@ -77,19 +77,19 @@
     setup.faults =
         vec![Fault { kind, starts_at: seconds(timeline.lost_s), ends_at: seconds(timeline.returned_s) }];
     let results = Fleet::new(setup).play();
-    let ledger = results.ledger;
+    let counts = results.counts;
     let late = timeline.returned_s + RECOVERY_SECONDS;
-    let before = ledger.service(timeline.settled_s, unharmed);
+    let before = counts.service(timeline.settled_s, unharmed);
     Recovery {
         before,
-        during: ledger.service(timeline.lost_s, timeline.returned_s),
-        after: ledger.service(late, timeline.end_s),
-        recovered_after_s: recovered_after_s(&ledger, before, timeline),
-        handshakes_before: handshakes(&ledger, timeline.settled_s, unharmed),
-        handshakes_after: handshakes(&ledger, late, timeline.end_s),
-        attempts_after: attempts(&ledger, late, timeline.end_s),
+        during: counts.service(timeline.lost_s, timeline.returned_s),
+        after: counts.service(late, timeline.end_s),
+        recovered_after_s: recovered_after_s(&counts, before, timeline),
+        handshakes_before: handshakes(&counts, timeline.settled_s, unharmed),
+        handshakes_after: handshakes(&counts, late, timeline.end_s),
+        attempts_after: attempts(&counts, late, timeline.end_s),
         violations: results.violations,
-        ledger,
+        counts,
     }
 }
 
@@ -97,17 +97,17 @@
     count as SimulationMicros * SECOND
 }
 
-fn handshakes(ledger: &Ledger, from: usize, to: usize) -> f64 {
-    ledger.sum(from, to, |second| second.handshakes) / (to - from) as f64
+fn handshakes(counts: &CountsBySecond, from: usize, to: usize) -> f64 {
+    counts.sum(from, to, |second| second.handshakes) / (to - from) as f64
 }
 
-fn attempts(ledger: &Ledger, from: usize, to: usize) -> f64 {
-    ledger.sum(from, to, |second| second.attempts) / ledger.sum(from, to, |second| second.sent)
+fn attempts(counts: &CountsBySecond, from: usize, to: usize) -> f64 {
+    counts.sum(from, to, |second| second.attempts) / counts.sum(from, to, |second| second.sent)
 }
 
-fn recovered_after_s(ledger: &Ledger, before: f64, timeline: Timeline) -> Option<usize> {
+fn recovered_after_s(counts: &CountsBySecond, before: f64, timeline: Timeline) -> Option<usize> {
     let last = timeline.end_s - WINDOW_SECONDS;
     let back = (timeline.returned_s..=last)
-        .find(|at| ledger.service(*at, at + WINDOW_SECONDS) >= RECOVERED_PART * before)?;
+        .find(|at| counts.service(*at, at + WINDOW_SECONDS) >= RECOVERED_PART * before)?;
     Some(back - timeline.returned_s)
 }
--- a/crates/loomflow-overload-simulation/src/server.rs
+++ b/crates/loomflow-overload-simulation/src/server.rs
@@ -10,7 +10,7 @@
 
 use crate::clock::{MILLISECOND, SECOND, SimulationMicros, from_millis, to_millis};
 use crate::cores::{AttemptId, Cores, Job};
-use crate::settings::TICK;
+use crate::settings::MIN_BATCH_INTERVAL;
 use crate::setup::{IdlePolicy, ServerSetup};
 
 /// Window over which the utilization of the cores is measured.
@@ -297,7 +297,7 @@
 
     fn schedule_batch(&mut self, now: SimulationMicros, out: &mut Vec<Output>) {
         if self.batch_at.is_none() {
-            let at = now.max(self.last_batch + TICK);
+            let at = now.max(self.last_batch + MIN_BATCH_INTERVAL);
             self.batch_at = Some(at);
             out.push(Output::BatchAt(at));
         }
@@ -380,7 +380,7 @@
     fn update_speed(&mut self, now: SimulationMicros, table_fill: f64, out: &mut Vec<Output>) {
         let over = (table_fill - self.setup.table_cost_from) / (1.0 - self.setup.table_cost_from);
         let table = 1.0 - self.setup.table_cost * over.clamp(0.0, 1.0);
-        let speed = self.warmth(now) * self.health * table;
+        let speed = self.slow_start_speed(now) * self.health * table;
         if speed != self.speed {
             self.speed = speed;
             self.cores.set_speed(now, speed);
@@ -388,7 +388,7 @@
         }
     }
 
-    fn warmth(&self, now: SimulationMicros) -> f64 {
+    fn slow_start_speed(&self, now: SimulationMicros) -> f64 {
         if !self.is_slow_start {
             return 1.0;
         }
--- a/crates/loomflow-overload-simulation/src/settings.rs
+++ b/crates/loomflow-overload-simulation/src/settings.rs
@@ -6,10 +6,10 @@
 use crate::setup::Setup;
 
 /// Shortest interval between two batches of a server.
-pub const TICK: SimulationMicros = 5_000;
+pub const MIN_BATCH_INTERVAL: SimulationMicros = 5_000;
 
 /// Settings of a server, with slow start if it restarts while the others serve.
-pub fn module_settings(setup: &Setup, is_slow_start: bool) -> Settings {
+pub fn controller_settings(setup: &Setup, is_slow_start: bool) -> Settings {
     Settings {
         classes: vec![class(setup)],
         tenants: Vec::new(),
@@ -42,7 +42,7 @@
         core_concurrency: 8.0,
         concurrency_window: 2_000.0,
         max_retry_after: 1_000.0,
-        batch_interval: to_millis(TICK),
+        batch_interval: to_millis(MIN_BATCH_INTERVAL),
     }
 }
 
--- a/crates/loomflow-overload-simulation/tests/parts.rs
+++ b/crates/loomflow-overload-simulation/tests/parts.rs
@@ -6,7 +6,7 @@
 use loomflow_overload_simulation::cores::{Cores, Job};
 use loomflow_overload_simulation::fault::FaultKind;
 use loomflow_overload_simulation::fleet::Fleet;
-use loomflow_overload_simulation::quota::{SteadyTenant, judged_beyond};
+use loomflow_overload_simulation::quota::{SteadyTenant, over_quota_part};
 use loomflow_overload_simulation::recovery::{Recovery, Timeline, recovery};
 use loomflow_overload_simulation::setup::IdlePolicy;
 use loomflow_overload_simulation::setup::Setup;
@@ -84,7 +84,7 @@
     let play = |seed| {
         let mut setup = Setup::fleet(5, 15, seed);
         setup.duration = 5 * SECOND;
-        Fleet::new(setup).play().ledger
+        Fleet::new(setup).play().counts
     };
     assert_eq!(play(1), play(1));
     assert_ne!(play(1), play(2));
@@ -97,8 +97,8 @@
         setup.duration = 24 * SECOND;
         setup.load = 0.5;
         setup.server.idle_policy = policy;
-        let ledger = Fleet::new(setup).play().ledger;
-        ledger.sum(12, 24, |s| s.handshakes) / ledger.sum(12, 24, |s| s.attempts)
+        let counts = Fleet::new(setup).play().counts;
+        counts.sum(12, 24, |s| s.handshakes) / counts.sum(12, 24, |s| s.attempts)
     };
     let (kept, closed) = (play(IdlePolicy::NeverClose), play(IdlePolicy::CloseImmediately));
     assert!(kept < 0.1, "{kept}");
@@ -117,7 +117,7 @@
     let (room, kept) = (play(IdlePolicy::CloseWhenFull), play(IdlePolicy::NeverClose));
     assert!(room.before > 0.9 && room.is_back(), "{} {}", room.before, room.after);
     // Tables full of connections that nobody uses in time turn callers away before anything goes wrong.
-    let refused = |play: &Recovery| play.ledger.sum(11, 15, |s| s.connections_rejected);
+    let refused = |play: &Recovery| play.counts.sum(11, 15, |s| s.connections_rejected);
     assert!(kept.before < 0.9 * room.before, "{} {}", kept.before, room.before);
     assert!(refused(&room) == 0.0 && refused(&kept) > 0.0);
 }
@@ -136,8 +136,9 @@
 
 #[test]
 fn a_tenant_far_beyond_its_quota_is_seen_and_one_far_below_it_is_not() {
-    let tenant = |sends| SteadyTenant { servers: 1, quota_per_s: 4.0, sends, seconds: 200.0, seed: 1 };
-    assert_eq!(judged_beyond(tenant(0.3)), 0.0);
-    let beyond = judged_beyond(tenant(2.0));
+    let tenant =
+        |sent_part| SteadyTenant { servers: 1, quota_per_s: 4.0, sent_part, seconds: 200.0, seed: 1 };
+    assert_eq!(over_quota_part(tenant(0.3)), 0.0);
+    let beyond = over_quota_part(tenant(2.0));
     assert!((0.45..0.55).contains(&beyond), "{beyond}");
 }
--- a/crates/loomflow-test-servers/src/broker/mod.rs
+++ b/crates/loomflow-test-servers/src/broker/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in of an AMQP 0-9-1 broker on loopback, with faults on command.
+//! Test broker of AMQP 0-9-1 on loopback, with faults to inject.
 
 pub mod state;
 
@@ -153,11 +153,11 @@
     }
 
     /// Accesses the state, and sends the frames that result.
-    pub fn with_state<T>(&self, does: impl FnOnce(&mut State) -> T) -> T {
+    pub fn with_state<T>(&self, action: impl FnOnce(&mut State) -> T) -> T {
         let mut state = self.state();
-        let done = does(&mut state);
+        let result = action(&mut state);
         self.shared.send(&mut state);
-        done
+        result
     }
 
     /// Declares a queue.
@@ -212,13 +212,13 @@
     }
 
     /// Stops or resumes reading.
-    pub fn set_stalled(&self, is: bool) {
-        self.shared.is_stalled.store(is, Ordering::Release);
+    pub fn set_stalled(&self, is_stalled: bool) {
+        self.shared.is_stalled.store(is_stalled, Ordering::Release);
     }
 
     /// Refuses connections, or accepts them again.
-    pub fn refuse_connections(&self, is: bool) {
-        self.shared.is_refusing.store(is, Ordering::Release);
+    pub fn refuse_connections(&self, is_refusing: bool) {
+        self.shared.is_refusing.store(is_refusing, Ordering::Release);
     }
 
     /// Sends bytes on all connections.
--- a/crates/loomflow-test-servers/src/broker/state/mod.rs
+++ b/crates/loomflow-test-servers/src/broker/state/mod.rs
@@ -77,13 +77,13 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Kind {
+enum ExchangeKind {
     Direct,
     Fanout,
 }
 
 struct Exchange {
-    kind: Kind,
+    kind: ExchangeKind,
     bindings: BTreeSet<(String, String)>,
 }
 
@@ -214,7 +214,7 @@
 
     /// Declares an exchange with its bindings of routing key to queue.
     pub fn exchange(&mut self, name: &str, kind: &str, bindings: &[(&str, &str)]) {
-        let kind = if kind == "fanout" { Kind::Fanout } else { Kind::Direct };
+        let kind = if kind == "fanout" { ExchangeKind::Fanout } else { ExchangeKind::Direct };
         let exchange = self
             .exchanges
             .entry(name.to_owned())
@@ -226,7 +226,7 @@
     pub fn publish(&mut self, message: Message) -> bool {
         let names: Vec<String> = match self.exchanges.get(&message.exchange) {
             Some(exchange) => {
-                let fits = |key: &str| exchange.kind == Kind::Fanout || key == message.routing_key;
+                let fits = |key: &str| exchange.kind == ExchangeKind::Fanout || key == message.routing_key;
                 exchange
                     .bindings
                     .iter()
@@ -311,9 +311,9 @@
     }
 
     /// Blocks or unblocks publishing on all connections.
-    pub fn block(&mut self, is: bool) {
+    pub fn block(&mut self, is_blocked: bool) {
         for id in self.connections() {
-            let method = if is {
+            let method = if is_blocked {
                 Connections::Blocked(connection::Blocked { reason: "told to".into() })
             } else {
                 Connections::Unblocked(connection::Unblocked {})
@@ -323,11 +323,15 @@
     }
 
     /// Starts or stops the flow on all channels.
-    pub fn flow(&mut self, active: bool) {
+    pub fn flow(&mut self, is_active: bool) {
         for id in self.connections() {
             let numbers: Vec<u16> = self.connections[&id].channels.keys().copied().collect();
             for number in numbers {
-                self.send(id, number, AMQPClass::Channel(Channels::Flow(channel::Flow { active })));
+                self.send(
+                    id,
+                    number,
+                    AMQPClass::Channel(Channels::Flow(channel::Flow { active: is_active })),
+                );
             }
         }
     }
@@ -387,14 +391,14 @@
         for queue in self.queues.values_mut() {
             queue.consumers.retain(|consumer| (consumer.connection, consumer.channel) != (id, number));
         }
-        for one in channel.unacked.into_values().rev() {
-            self.requeue(one);
+        for delivery in channel.unacked.into_values().rev() {
+            self.requeue(delivery);
         }
     }
 
-    fn requeue(&mut self, one: Unacked) {
-        if let Some(queue) = self.queues.get_mut(&one.queue) {
-            queue.ready.push_front(Message { redelivered: true, ..one.message });
+    fn requeue(&mut self, delivery: Unacked) {
+        if let Some(queue) = self.queues.get_mut(&delivery.queue) {
+            queue.ready.push_front(Message { redelivered: true, ..delivery.message });
         }
     }
 }
--- a/crates/loomflow-test-servers/src/control.rs
+++ b/crates/loomflow-test-servers/src/control.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the control plane: receives reports and responds as the test wants.
+//! Test server of the control plane: receives reports, and responds as a test sets it.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/loomflow-test-servers/src/engine.rs
+++ b/crates/loomflow-test-servers/src/engine.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the engine, scripted line by line.
+//! Test server of the engine, scripted line by line.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/loomflow-test-servers/src/gateway.rs
+++ b/crates/loomflow-test-servers/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a gateway: sends requests and reads responses.
+//! A gateway of the tests: sends requests and reads responses.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/loomflow-test-servers/src/ledger.rs
+++ b/crates/loomflow-test-servers/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the downstream service, scripted line by line.
+//! Test server of the downstream service, scripted line by line.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
--- a/crates/loomflow-test-servers/src/worker.rs
+++ b/crates/loomflow-test-servers/src/worker.rs
@@ -1,4 +1,4 @@
-//! Stand-in engine that runs requests by itself: each core has one run at a time, and further runs queue in order of
+//! Test engine that runs requests by itself: each core has one run at a time, and further runs queue in order of
 //! arrival. It records every run, so that tests notice duplicates.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -112,8 +112,8 @@
     }
 
     /// Holds the end of all runs, or releases it.
-    pub fn set_held(&self, is: bool) {
-        self.inner().is_held = is;
+    pub fn set_held(&self, is_held: bool) {
+        self.inner().is_held = is_held;
         self.shared.changed.notify_all();
     }
 
