--- a/crates/loomflow-load/src/resp.rs
+++ b/crates/loomflow-load/src/resp.rs
@@ -7,13 +7,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use loomflow_test_servers::worker::result_of;
 use loomflow_test_servers::{Gateway, GatewayResponse, call, fields, next_attempt_id};
 
-use crate::{Plan, RequestOutcome, Results};
+use crate::{MAX_OPEN_REQUESTS, Plan, RequestOutcome, Results};
 
-/// Maximum number of open requests on one connection.
-const MAX_OPEN_REQUESTS: usize = 32;
+/// Longest sleep before the duration of the plan is checked again, s.
+const MAX_SLEEP_S: f64 = 0.005;
 
 struct OpenRequest {
     sent_at: Instant,
@@ -22,7 +21,8 @@
 
 type OpenRequests = Arc<Mutex<BTreeMap<u64, OpenRequest>>>;
 
-struct Connection {
+/// A gateway's connection, with the requests that are open on it.
+struct GatewayConnection {
     gateway: TcpStream,
     open: OpenRequests,
     tag: u64,
@@ -34,17 +34,17 @@
     let start = Instant::now();
     let until = start + plan.duration + response_timeout;
     let results = Arc::new(Mutex::new(Results::new(start, plan.objective)));
-    let mut connections: VecDeque<Connection> = VecDeque::new();
+    let mut connections: VecDeque<GatewayConnection> = VecDeque::new();
     let mut readers = Vec::new();
     for _ in 0..plan.connections {
         let gateway = Gateway::open(listen);
         let (open, for_reader) = (OpenRequests::default(), results.clone());
         let writer = gateway.stream.try_clone().expect("a clone");
-        connections.push_back(Connection { gateway: writer, open: open.clone(), tag: 0 });
+        connections.push_back(GatewayConnection { gateway: writer, open: open.clone(), tag: 0 });
         readers.push(thread::spawn(move || read_responses(gateway, until, &open, &for_reader)));
     }
     send_all(&mut connections, plan, start, &results);
-    let has_open = |connection: &Connection| !connection.open.lock().expect("open").is_empty();
+    let has_open = |connection: &GatewayConnection| !connection.open.lock().expect("open").is_empty();
     while Instant::now() < until && connections.iter().any(has_open) {
         thread::sleep(Duration::from_millis(5));
     }
@@ -73,22 +73,26 @@
 }
 
 /// Sends each request of a plan when it is due.
-fn send_all(connections: &mut VecDeque<Connection>, plan: &Plan, start: Instant, results: &Mutex<Results>) {
-    let (mut due, mut number) = (0.0, 0);
+fn send_all(
+    connections: &mut VecDeque<GatewayConnection>,
+    plan: &Plan,
+    start: Instant,
+    results: &Mutex<Results>,
+) {
+    let mut schedule = plan.schedule();
     while start.elapsed() < plan.duration {
-        let now = start.elapsed().as_secs_f64();
-        if now < due {
-            thread::sleep(Duration::from_secs_f64((due - now).min(0.005)));
+        let now_s = start.elapsed().as_secs_f64();
+        if now_s < schedule.due_s() {
+            thread::sleep(Duration::from_secs_f64((schedule.due_s() - now_s).min(MAX_SLEEP_S)));
             continue;
         }
-        due += 1.0 / plan.rate(due).max(0.1);
-        number += 1;
-        send(connections, plan.class, plan.body(number), results);
+        schedule.advance();
+        send(connections, plan.class, plan.body(schedule.taken()), results);
     }
 }
 
 /// Sends a request on the next connection with capacity.
-fn send(connections: &mut VecDeque<Connection>, class: &str, body: Vec<u8>, results: &Mutex<Results>) {
+fn send(connections: &mut VecDeque<GatewayConnection>, class: &str, body: Vec<u8>, results: &Mutex<Results>) {
     let sent_at = Instant::now();
     results.lock().expect("results").record_sent(body.clone(), sent_at);
     for _ in 0..connections.len() {
@@ -119,11 +123,5 @@
     if let Some(share) = response.fields.split(',').find_map(|field| field.strip_prefix("signal=")) {
         results.second(request.sent_at).record_signal(share.parse().unwrap_or(0.0));
     }
-    let outcome = match response.status.as_str() {
-        "OK" if response.body != result_of(&request.body) => RequestOutcome::Wrong,
-        "OK" => RequestOutcome::Served,
-        "BUSY" => RequestOutcome::Rejected,
-        _ => RequestOutcome::Failed,
-    };
-    results.record_outcome(request.sent_at, outcome, now);
+    results.record_outcome(request.sent_at, RequestOutcome::of_response(response, &request.body), now);
 }
--- a/crates/loomflow-load/src/results.rs
+++ b/crates/loomflow-load/src/results.rs
@@ -4,6 +4,8 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
+use loomflow_test_servers::GatewayResponse;
+use loomflow_test_servers::worker::result_of;
 
 /// Longer queue times are recorded as this one, µs.
 const MAX_QUEUE_TIME_MICROS: u64 = 3_600_000_000;
@@ -23,6 +25,18 @@
     Wrong,
 }
 
+impl RequestOutcome {
+    /// The outcome of a request with this body, by its final response.
+    pub(crate) fn of_response(response: &GatewayResponse, body: &[u8]) -> RequestOutcome {
+        match response.status.as_str() {
+            "OK" if response.body != result_of(body) => RequestOutcome::Wrong,
+            "OK" => RequestOutcome::Served,
+            "BUSY" => RequestOutcome::Rejected,
+            _ => RequestOutcome::Failed,
+        }
+    }
+}
+
 /// Counts of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
@@ -41,7 +55,7 @@
     /// Answered with a wrong result or more than once.
     pub wrong: u32,
     /// When the last of them was answered, s since the start.
-    pub last_answered_at: f64,
+    pub last_answered_at_s: f64,
     signal_sum: f64,
     signal_count: u32,
 }
@@ -66,7 +80,7 @@
         self.failed += other.failed;
         self.lost += other.lost;
         self.wrong += other.wrong;
-        self.last_answered_at = self.last_answered_at.max(other.last_answered_at);
+        self.last_answered_at_s = self.last_answered_at_s.max(other.last_answered_at_s);
         self.signal_sum += other.signal_sum;
         self.signal_count += other.signal_count;
     }
@@ -132,7 +146,7 @@
             RequestOutcome::Wrong => &mut counts.wrong,
         };
         *count += 1;
-        counts.last_answered_at = counts.last_answered_at.max(answered_at);
+        counts.last_answered_at_s = counts.last_answered_at_s.max(answered_at);
     }
 
     /// When the request with this body was sent.
--- a/crates/loomflow-overload-simulation/src/connections.rs
+++ b/crates/loomflow-overload-simulation/src/connections.rs
@@ -4,13 +4,13 @@
 
 use std::collections::VecDeque;
 
-use crate::clock::Micros;
+use crate::clock::SimulationMicros;
 
 /// Id of a connection within a simulation.
 pub type ConnectionId = u32;
 
-/// One connection.
-pub struct Connection {
+/// One connection from a caller to a server.
+pub struct CallerConnection {
     /// The caller that opened it.
     pub caller: usize,
     /// The server that accepted it.
@@ -18,29 +18,29 @@
     /// False once either end has closed it.
     pub is_open: bool,
     /// Since when it has carried no request.
-    pub idle_since: Option<Micros>,
+    pub idle_since: Option<SimulationMicros>,
 }
 
 /// All connections of a simulation, including closed ones.
 #[derive(Default)]
 pub struct Connections {
-    slots: Vec<Connection>,
+    slots: Vec<CallerConnection>,
 }
 
 impl Connections {
     /// A new connection that carries its first request.
     pub fn open(&mut self, caller: usize, server: usize) -> ConnectionId {
-        self.slots.push(Connection { caller, server, is_open: true, idle_since: None });
+        self.slots.push(CallerConnection { caller, server, is_open: true, idle_since: None });
         self.slots.len() as ConnectionId - 1
     }
 
     /// A connection by its id.
-    pub fn get(&self, id: ConnectionId) -> &Connection {
+    pub fn get(&self, id: ConnectionId) -> &CallerConnection {
         &self.slots[id as usize]
     }
 
     /// Marks when the connection became idle, or that it carries a request again.
-    pub fn set_idle(&mut self, id: ConnectionId, since: Option<Micros>) {
+    pub fn set_idle(&mut self, id: ConnectionId, since: Option<SimulationMicros>) {
         self.slots[id as usize].idle_since = since;
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// The open connections that satisfy a predicate.
-    pub fn filter_open(&self, predicate: impl Fn(&Connection) -> bool) -> Vec<ConnectionId> {
+    pub fn filter_open(&self, predicate: impl Fn(&CallerConnection) -> bool) -> Vec<ConnectionId> {
         let all = self.slots.iter().enumerate();
         all.filter(|(_, connection)| connection.is_open && predicate(connection))
             .map(|(id, _)| id as ConnectionId)
@@ -63,7 +63,7 @@
     capacity: usize,
     open: usize,
     /// Connections in the order in which they became idle; those used or closed since are skipped.
-    idle: VecDeque<(Micros, ConnectionId)>,
+    idle: VecDeque<(SimulationMicros, ConnectionId)>,
 }
 
 impl ConnectionTable {
@@ -90,12 +90,17 @@
     }
 
     /// A connection became idle.
-    pub fn idle(&mut self, now: Micros, id: ConnectionId) {
+    pub fn idle(&mut self, now: SimulationMicros, id: ConnectionId) {
         self.idle.push_back((now, id));
     }
 
     /// The connections that have been idle for `limit`, to be closed.
-    pub fn overdue(&mut self, now: Micros, limit: Micros, connections: &Connections) -> Vec<ConnectionId> {
+    pub fn overdue(
+        &mut self,
+        now: SimulationMicros,
+        limit: SimulationMicros,
+        connections: &Connections,
+    ) -> Vec<ConnectionId> {
         let mut overdue = Vec::new();
         while let Some((_, id)) = self.idle.front().copied().filter(|(since, _)| *since + limit <= now) {
             self.idle.pop_front();
--- a/crates/loomflow-overload-simulation/src/fleet.rs
+++ b/crates/loomflow-overload-simulation/src/fleet.rs
@@ -9,10 +9,10 @@
 use crate::caller::Caller;
 use crate::checker::{Checker, Violation};
 use crate::client::Request;
-use crate::clock::{EventQueue, Micros, SECOND};
+use crate::clock::{EventQueue, SECOND, SimulationMicros};
 use crate::connections::{ConnectionId, ConnectionTable, Connections};
 use crate::cores::AttemptId;
-use crate::ledger::Ledger;
+use crate::counts::CountsBySecond;
 use crate::server::{Server, ServerResponse};
 use crate::setup::Setup;
 
@@ -86,14 +86,14 @@
     connections: Connections,
     requests: Vec<Request>,
     attempts: Vec<Attempt>,
-    ledger: Ledger,
+    counts: CountsBySecond,
     checker: Checker,
 }
 
 /// Results of a simulation.
-pub struct Outcome {
+pub struct SimulationResults {
     /// Counts by second.
-    pub ledger: Ledger,
+    pub counts: CountsBySecond,
     /// Rules that the servers violated.
     pub violations: Vec<Violation>,
 }
@@ -112,7 +112,7 @@
             connections: Connections::default(),
             requests: Vec::new(),
             attempts: Vec::new(),
-            ledger: Ledger::default(),
+            counts: CountsBySecond::default(),
             checker: Checker::new(setup.client_policy.timeout),
             setup,
         };
@@ -124,13 +124,13 @@
     }
 
     /// Runs until every request is answered or abandoned.
-    pub fn play(mut self) -> Outcome {
+    pub fn play(mut self) -> SimulationResults {
         let end = self.setup.duration + self.setup.client_policy.timeout + SECOND;
         while let Some(event) = self.events.next_before(end) {
             self.step(event);
         }
         let violations = self.checker.violations(end).to_vec();
-        Outcome { ledger: self.ledger, violations }
+        SimulationResults { counts: self.counts, violations }
     }
 
     fn step(&mut self, event: Event) {
@@ -151,7 +151,7 @@
         }
     }
 
-    fn now(&self) -> Micros {
+    fn now(&self) -> SimulationMicros {
         self.events.now()
     }
 
--- a/crates/loomflow-overload-simulation/src/quota.rs
+++ b/crates/loomflow-overload-simulation/src/quota.rs
@@ -7,10 +7,11 @@
 use fastrand::Rng;
 use loomflow::controller::Controller;
 use loomflow::interface::{
-    Action, Arrival, Class, Event, Outcome, RequestAttributes, RequestId, Settings, Tenant,
+    Action, Arrival, AttemptOutcome, Class, Event, RequestAttributes, RequestId, Settings, Tenant,
 };
+use loomflow::time::{MILLIS_PER_SECOND, Millis};
 
-use crate::settings::module_settings;
+use crate::settings::controller_settings;
 use crate::setup::Setup;
 
 /// The place of the tenant's class and of the probe's class among the classes.
@@ -23,7 +24,7 @@
 const PROBE_WEIGHT: f64 = 0.5;
 const OVER_QUOTA_WEIGHT: f64 = 0.1;
 /// A latency objective so long that nothing in the experiment is ever late, ms.
-const NEVER_MS: f64 = 1e9;
+const NEVER_MS: Millis = 1e9;
 /// Seconds before the count begins: saved tokens are used up by then or stay for good.
 const SETTLING_TIME_S: f64 = 60.0;
 
@@ -35,7 +36,7 @@
     /// Its quota over the whole fleet, requests a second.
     pub quota_per_s: f64,
     /// What it sends, as a part of its quota.
-    pub sends: f64,
+    pub sent_part: f64,
     /// Seconds over which its requests are counted.
     pub seconds: f64,
     /// Seed of everything random.
@@ -43,20 +44,20 @@
 }
 
 /// The part of its requests that the controllers count as over its quota, 0 to 1.
-pub fn judged_beyond(tenant: SteadyTenant) -> f64 {
+pub fn over_quota_part(tenant: SteadyTenant) -> f64 {
     let mut rng = Rng::with_seed(tenant.seed);
     let settings = settings(&tenant);
-    let mut servers: Vec<Judge> =
-        (0..tenant.servers).map(|_| Judge::new(settings.clone(), rng.u64(..))).collect();
-    let (mut now, mut sent, mut over_quota) = (0.0, 0.0, 0.0);
+    let mut servers: Vec<SingleCoreServer> =
+        (0..tenant.servers).map(|_| SingleCoreServer::new(settings.clone(), rng.u64(..))).collect();
+    let (mut now_s, mut sent, mut over_quota) = (0.0, 0.0, 0.0);
     loop {
-        now += -(1.0 - rng.f64()).ln() / (tenant.quota_per_s * tenant.sends);
-        if now >= SETTLING_TIME_S + tenant.seconds {
+        now_s += -(1.0 - rng.f64()).ln() / (tenant.quota_per_s * tenant.sent_part);
+        if now_s >= SETTLING_TIME_S + tenant.seconds {
             return over_quota / sent;
         }
         let server = rng.usize(..servers.len());
-        let is_over = servers[server].classifies_over_quota(now * 1_000.0);
-        if now >= SETTLING_TIME_S {
+        let is_over = servers[server].classifies_over_quota(now_s * MILLIS_PER_SECOND);
+        if now_s >= SETTLING_TIME_S {
             sent += 1.0;
             over_quota += f64::from(u8::from(is_over));
         }
@@ -65,7 +66,7 @@
 
 fn settings(tenant: &SteadyTenant) -> Settings {
     let fleet = Setup::fleet(tenant.servers, 1, tenant.seed);
-    let mut settings = module_settings(&fleet, false);
+    let mut settings = controller_settings(&fleet, false);
     let class = Class { latency_objective: NEVER_MS, timeout: NEVER_MS, ..settings.classes[0].clone() };
     let probe = Class { priority_weight: PROBE_WEIGHT, ..class.clone() };
     settings.classes = vec![class, probe];
@@ -77,18 +78,19 @@
 }
 
 /// The controller of one server with one core, and so one request that runs at a time.
-struct Judge {
+struct SingleCoreServer {
     controller: Controller,
     requests: RequestId,
 }
 
-impl Judge {
-    fn new(settings: Settings, seed: u64) -> Judge {
-        Judge { controller: Controller::new(settings, seed, 0.0), requests: 0 }
+impl SingleCoreServer {
+    fn new(settings: Settings, seed: u64) -> SingleCoreServer {
+        SingleCoreServer { controller: Controller::new(settings, seed, 0.0), requests: 0 }
     }
 
-    /// Has a request of the tenant wait beside a probe while another one runs, and sees which of the two comes first.
-    fn classifies_over_quota(&mut self, now: f64) -> bool {
+    /// Whether a request of the tenant counts as over its quota. It is queued with a probe while another request runs, and runs
+    /// last if its weight is the lower one.
+    fn classifies_over_quota(&mut self, now: Millis) -> bool {
         self.arrives(now, PROBE_CLASS, NO_TENANT);
         let mut running = self.decide(now);
         let tested = self.arrives(now, TENANT_CLASS, TENANT);
@@ -96,14 +98,14 @@
         let mut order = Vec::new();
         while let Some(id) = running {
             order.push(id);
-            let ended = Event::RunEnded { id, outcome: Outcome::Ok, duration: 0.0 };
+            let ended = Event::RunEnded { id, outcome: AttemptOutcome::Ok, duration: 0.0 };
             self.controller.event(now, ended, &mut Vec::new());
             running = self.decide(now);
         }
         order.last() == Some(&tested)
     }
 
-    fn arrives(&mut self, now: f64, class: usize, tenant: usize) -> RequestId {
+    fn arrives(&mut self, now: Millis, class: usize, tenant: usize) -> RequestId {
         self.requests += 1;
         let arrival = Arrival {
             id: self.requests,
@@ -126,7 +128,7 @@
     }
 
     /// Ends a batch, and gives the request that is to run.
-    fn decide(&mut self, now: f64) -> Option<RequestId> {
+    fn decide(&mut self, now: Millis) -> Option<RequestId> {
         let mut actions = Vec::new();
         self.controller.decide(now, &mut actions);
         actions.iter().find_map(|action| match action {
--- a/crates/loomflow-overload-simulation/src/server.rs
+++ b/crates/loomflow-overload-simulation/src/server.rs
@@ -5,17 +5,20 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use loomflow::controller::Controller;
-use loomflow::interface::{Action, Arrival, Event, Gauges, Load, Outcome, RequestAttributes, Settings};
+use loomflow::interface::{
+    Action, Arrival, AttemptOutcome, Event, Gauges, Load, RequestAttributes, Settings,
+};
+use loomflow::time::Millis;
 
-use crate::clock::{MILLISECOND, Micros, SECOND, from_millis, to_millis};
+use crate::clock::{MILLISECOND, SECOND, SimulationMicros, from_millis, to_millis};
 use crate::cores::{AttemptId, Cores, Job};
-use crate::settings::TICK;
+use crate::settings::MIN_BATCH_INTERVAL;
 use crate::setup::{IdlePolicy, ServerSetup};
 
 /// Window over which the utilization of the cores is measured.
-const UTILIZATION_WINDOW: Micros = SECOND / 2;
+const UTILIZATION_WINDOW: SimulationMicros = SECOND / 2;
 /// Idle timeout of connections under [`IdlePolicy::CloseImmediately`].
-const IMMEDIATE_IDLE_TIMEOUT: Micros = 50 * MILLISECOND;
+const IMMEDIATE_IDLE_TIMEOUT: SimulationMicros = 50 * MILLISECOND;
 /// Part of the connection table that may stay in use under [`IdlePolicy::CloseWhenFull`].
 const MAX_TABLE_FILL: f64 = 0.75;
 /// Memory of a request, KB; memory is never short in this model.
@@ -33,9 +36,9 @@
     /// Whether its caller or its client attempted it before.
     pub is_retry: bool,
     /// Work, ms on one core.
-    pub work: f64,
+    pub work: Millis,
     /// Work as its caller estimates it, ms on one core.
-    pub estimated_work: f64,
+    pub estimated_work: Millis,
 }
 
 /// Final response to an attempt.
@@ -46,7 +49,7 @@
     /// Rejected; it never ran.
     Rejected {
         /// How long the caller should back off.
-        retry_after: Micros,
+        retry_after: SimulationMicros,
         /// Whether no other server should be tried.
         is_final: bool,
     },
@@ -67,15 +70,16 @@
         share: f64,
     },
     /// `cores_due` is to be called at this time, with this version.
-    CoresAt(Micros, u64),
+    CoresAt(SimulationMicros, u64),
     /// `batch_due` is to be called at this time.
-    BatchAt(Micros),
+    BatchAt(SimulationMicros),
     /// `wake_due` is to be called at this time.
-    WakeAt(Micros),
+    WakeAt(SimulationMicros),
 }
 
+/// How far a request has come toward the controller.
 #[derive(Clone, Copy, PartialEq)]
-enum Stage {
+enum IntakeStage {
     Unread,
     Reading,
     /// Known to the controller.
@@ -84,10 +88,10 @@
 
 struct RequestEntry {
     incoming: IncomingRequest,
-    reached: Micros,
-    stage: Stage,
+    reached: SimulationMicros,
+    stage: IntakeStage,
     answered: bool,
-    began: Micros,
+    began: SimulationMicros,
 }
 
 /// One incarnation of a server.
@@ -100,22 +104,22 @@
     reading: usize,
     requests: BTreeMap<AttemptId, RequestEntry>,
     inbox: Vec<Event>,
-    batch_at: Option<Micros>,
-    last_batch: Micros,
+    batch_at: Option<SimulationMicros>,
+    last_batch: SimulationMicros,
     share: f64,
-    idle_timeout: Micros,
-    started: Micros,
+    idle_timeout: SimulationMicros,
+    started: SimulationMicros,
     is_slow_start: bool,
     /// Remaining speed under a fault, 0 to 1.
     health: f64,
     speed: f64,
     /// Busy time of the cores at the last ticks.
-    busy: VecDeque<(Micros, f64)>,
+    busy: VecDeque<(SimulationMicros, Millis)>,
 }
 
 impl Server {
     /// Starts a server.
-    pub fn start(setup: &ServerSetup, settings: Settings, seed: u64, now: Micros) -> Server {
+    pub fn start(setup: &ServerSetup, settings: Settings, seed: u64, now: SimulationMicros) -> Server {
         let idle_timeout = match setup.idle_policy {
             IdlePolicy::CloseImmediately => IMMEDIATE_IDLE_TIMEOUT,
             IdlePolicy::Controller | IdlePolicy::NeverClose | IdlePolicy::CloseWhenFull => {
@@ -145,7 +149,7 @@
     }
 
     /// Current idle timeout of connections.
-    pub fn idle_timeout(&self) -> Micros {
+    pub fn idle_timeout(&self) -> SimulationMicros {
         self.idle_timeout
     }
 
@@ -178,9 +182,9 @@
     }
 
     /// A request arrives.
-    pub fn reached(&mut self, now: Micros, incoming: IncomingRequest, out: &mut Vec<Output>) {
+    pub fn reached(&mut self, now: SimulationMicros, incoming: IncomingRequest, out: &mut Vec<Output>) {
         let requests =
-            RequestEntry { incoming, reached: now, stage: Stage::Unread, answered: false, began: now };
+            RequestEntry { incoming, reached: now, stage: IntakeStage::Unread, answered: false, began: now };
         self.requests.insert(incoming.attempt, requests);
         self.unread.push_back(incoming.attempt);
         if self.read_next(now) {
@@ -189,13 +193,13 @@
     }
 
     /// The caller of an attempt closed its connection.
-    pub fn caller_disconnected(&mut self, now: Micros, attempt: AttemptId, out: &mut Vec<Output>) {
+    pub fn caller_disconnected(&mut self, now: SimulationMicros, attempt: AttemptId, out: &mut Vec<Output>) {
         match self.requests.get(&attempt).map(|request| request.stage) {
             // A request that is being read is read to its end: only then the disconnect is noticed.
-            Some(Stage::Unread | Stage::Reading) => {
+            Some(IntakeStage::Unread | IntakeStage::Reading) => {
                 self.requests.remove(&attempt);
             }
-            Some(Stage::Taken) => {
+            Some(IntakeStage::Taken) => {
                 self.unanswerable(attempt);
                 self.inbox.push(Event::RequestCancelled(attempt));
                 self.schedule_batch(now, out);
@@ -205,14 +209,14 @@
     }
 
     /// A job on the cores may be finished.
-    pub fn cores_due(&mut self, now: Micros, version: u64, out: &mut Vec<Output>) {
+    pub fn cores_due(&mut self, now: SimulationMicros, version: u64, out: &mut Vec<Output>) {
         if version != self.cores_version {
             return;
         }
         while let Some(job) = self.cores.take_done(now) {
             match job {
                 Job::Read(attempt) => self.was_read(now, attempt, out),
-                Job::Run(attempt) => self.run_done(now, attempt, Outcome::Ok, out),
+                Job::Run(attempt) => self.run_done(now, attempt, AttemptOutcome::Ok, out),
             }
         }
         self.read_next(now);
@@ -220,14 +224,20 @@
     }
 
     /// The next batch is due.
-    pub fn batch_due(&mut self, now: Micros, out: &mut Vec<Output>) {
+    pub fn batch_due(&mut self, now: SimulationMicros, out: &mut Vec<Output>) {
         if self.batch_at.is_some_and(|at| at <= now) {
             self.batch(now, out);
         }
     }
 
     /// The controller's timer has fired.
-    pub fn wake_due(&mut self, now: Micros, table_fill: f64, connections: usize, out: &mut Vec<Output>) {
+    pub fn wake_due(
+        &mut self,
+        now: SimulationMicros,
+        table_fill: f64,
+        connections: usize,
+        out: &mut Vec<Output>,
+    ) {
         self.update_speed(now, table_fill, out);
         self.measure(now);
         let gauges = Gauges {
@@ -240,18 +250,24 @@
         self.batch(now, out);
     }
 
-    fn was_read(&mut self, now: Micros, attempt: AttemptId, out: &mut Vec<Output>) {
+    fn was_read(&mut self, now: SimulationMicros, attempt: AttemptId, out: &mut Vec<Output>) {
         self.reading -= 1;
         let Some(request) = self.requests.get_mut(&attempt) else { return };
-        request.stage = Stage::Taken;
+        request.stage = IntakeStage::Taken;
         let arrival = arrival(&request.incoming, to_millis(now - request.reached));
         self.inbox.push(Event::RequestArrived(arrival));
         self.schedule_batch(now, out);
     }
 
-    fn run_done(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome, out: &mut Vec<Output>) {
+    fn run_done(
+        &mut self,
+        now: SimulationMicros,
+        attempt: AttemptId,
+        outcome: AttemptOutcome,
+        out: &mut Vec<Output>,
+    ) {
         let Some(request) = self.requests.remove(&attempt) else { return };
-        if outcome == Outcome::Ok && !request.answered {
+        if outcome == AttemptOutcome::Ok && !request.answered {
             out.push(Output::Answer { attempt, response: ServerResponse::Served, share: self.share });
         }
         let took = to_millis(now - request.began);
@@ -260,12 +276,12 @@
     }
 
     /// Starts to read waiting requests, one per core; returns whether any was started.
-    fn read_next(&mut self, now: Micros) -> bool {
+    fn read_next(&mut self, now: SimulationMicros) -> bool {
         let mut any = false;
         while (self.reading as f64) < self.setup.cores {
             let Some(attempt) = self.unread.pop_front() else { break };
             let Some(request) = self.requests.get_mut(&attempt) else { continue };
-            request.stage = Stage::Reading;
+            request.stage = IntakeStage::Reading;
             let handshake = if request.incoming.is_new_connection { self.setup.handshake_work } else { 0.0 };
             self.cores.add(now, Job::Read(attempt), self.setup.read_work + handshake);
             self.reading += 1;
@@ -281,16 +297,16 @@
         }
     }
 
-    fn schedule_batch(&mut self, now: Micros, out: &mut Vec<Output>) {
+    fn schedule_batch(&mut self, now: SimulationMicros, out: &mut Vec<Output>) {
         if self.batch_at.is_none() {
-            let at = now.max(self.last_batch + TICK);
+            let at = now.max(self.last_batch + MIN_BATCH_INTERVAL);
             self.batch_at = Some(at);
             out.push(Output::BatchAt(at));
         }
     }
 
     /// Passes the events since the last batch to the controller, and carries out its actions.
-    fn batch(&mut self, now: Micros, out: &mut Vec<Output>) {
+    fn batch(&mut self, now: SimulationMicros, out: &mut Vec<Output>) {
         self.batch_at = None;
         self.last_batch = now;
         let mut actions = Vec::new();
@@ -309,7 +325,7 @@
     }
 
     /// Carries out an action; returns whether it changed the jobs on the cores.
-    fn carry_out(&mut self, now: Micros, action: Action, out: &mut Vec<Output>) -> bool {
+    fn carry_out(&mut self, now: SimulationMicros, action: Action, out: &mut Vec<Output>) -> bool {
         match action {
             Action::Run(id) => return self.run(now, id),
             Action::Preempt(id) => return self.stop(now, id, out),
@@ -333,17 +349,17 @@
         false
     }
 
-    fn run(&mut self, now: Micros, id: AttemptId) -> bool {
+    fn run(&mut self, now: SimulationMicros, id: AttemptId) -> bool {
         let Some(request) = self.requests.get_mut(&id) else { return false };
         request.began = now;
         self.cores.add(now, Job::Run(id), request.incoming.work);
         true
     }
 
-    fn stop(&mut self, now: Micros, id: AttemptId, out: &mut Vec<Output>) -> bool {
+    fn stop(&mut self, now: SimulationMicros, id: AttemptId, out: &mut Vec<Output>) -> bool {
         let was_running = self.cores.remove(now, Job::Run(id));
         if was_running {
-            self.run_done(now, id, Outcome::Cancelled, out);
+            self.run_done(now, id, AttemptOutcome::Cancelled, out);
         }
         was_running
     }
@@ -363,10 +379,10 @@
         }
     }
 
-    fn update_speed(&mut self, now: Micros, table_fill: f64, out: &mut Vec<Output>) {
+    fn update_speed(&mut self, now: SimulationMicros, table_fill: f64, out: &mut Vec<Output>) {
         let over = (table_fill - self.setup.table_cost_from) / (1.0 - self.setup.table_cost_from);
         let table = 1.0 - self.setup.table_cost * over.clamp(0.0, 1.0);
-        let speed = self.warmth(now) * self.health * table;
+        let speed = self.slow_start_speed(now) * self.health * table;
         if speed != self.speed {
             self.speed = speed;
             self.cores.set_speed(now, speed);
@@ -374,7 +390,7 @@
         }
     }
 
-    fn warmth(&self, now: Micros) -> f64 {
+    fn slow_start_speed(&self, now: SimulationMicros) -> f64 {
         if !self.is_slow_start {
             return 1.0;
         }
@@ -383,7 +399,7 @@
     }
 
     /// Samples the utilization of the cores.
-    fn measure(&mut self, now: Micros) {
+    fn measure(&mut self, now: SimulationMicros) {
         let busy = self.cores.busy_time(now);
         self.busy.push_back((now, busy));
         while self.busy.len() > 2 && self.busy[1].0 + UTILIZATION_WINDOW <= now {
@@ -392,7 +408,7 @@
     }
 }
 
-fn arrival(incoming: &IncomingRequest, age: f64) -> Arrival {
+fn arrival(incoming: &IncomingRequest, age: Millis) -> Arrival {
     Arrival {
         id: incoming.attempt,
         attributes: RequestAttributes {
--- a/crates/loomflow-server/src/owner/actions.rs
+++ b/crates/loomflow-server/src/owner/actions.rs
@@ -1,6 +1,6 @@
 //! What the controller has decided, carried out.
 
-use loomflow::interface::{Action, Event, FeedbackSignal, Idempotency, Outcome, RequestId};
+use loomflow::interface::{Action, AttemptOutcome, Event, FeedbackSignal, Idempotency, RequestId};
 use loomflow::time::Millis;
 use loomflow_protocol::engine::Command;
 
@@ -47,7 +47,7 @@
 
     fn run(&mut self, id: RequestId) {
         let Some(entry) = self.requests.get_mut(id).filter(|entry| !entry.is_answered) else {
-            self.controller.queue(Event::RunEnded { id, outcome: Outcome::NotStarted, duration: 0.0 });
+            self.controller.queue(Event::RunEnded { id, outcome: AttemptOutcome::NotStarted, duration: 0.0 });
             return;
         };
         let class = &self.site.classes[entry.class];
@@ -91,7 +91,7 @@
             deadline,
         };
         if !self.peers.ledger.call(call, self.now.ms) {
-            let outcome = Outcome::Unreachable;
+            let outcome = AttemptOutcome::Unreachable;
             self.controller.queue(Event::CallEnded { id, outcome, duration: 0.0 });
         }
     }
--- a/crates/loomflow-test-servers/src/broker/mod.rs
+++ b/crates/loomflow-test-servers/src/broker/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in of an AMQP 0-9-1 broker on loopback, with faults on command.
+//! Test broker of AMQP 0-9-1 on loopback, with faults to inject.
 
 pub mod state;
 
@@ -124,10 +124,12 @@
         broker
     }
 
-    /// A broker with limits: heartbeat interval (s), frame size (bytes) and channel number.
-    pub fn limited(heartbeat: u16, frame_max: u32, channel_max: u16) -> Broker {
+    /// A broker with limits: heartbeat interval, frame size and channel number.
+    pub fn limited(heartbeat_s: u16, frame_max_bytes: u32, channel_max: u16) -> Broker {
         let mut state = State::default();
-        (state.heartbeat, state.frame_max, state.channel_max) = (heartbeat, frame_max, channel_max);
+        state.heartbeat_s = heartbeat_s;
+        state.frame_max_bytes = frame_max_bytes;
+        state.channel_max = channel_max;
         Broker::with(state)
     }
 
@@ -151,11 +153,11 @@
     }
 
     /// Accesses the state, and sends the frames that result.
-    pub fn with_state<T>(&self, does: impl FnOnce(&mut State) -> T) -> T {
+    pub fn with_state<T>(&self, action: impl FnOnce(&mut State) -> T) -> T {
         let mut state = self.state();
-        let done = does(&mut state);
+        let result = action(&mut state);
         self.shared.send(&mut state);
-        done
+        result
     }
 
     /// Declares a queue.
@@ -210,13 +212,13 @@
     }
 
     /// Stops or resumes reading.
-    pub fn set_stalled(&self, is: bool) {
-        self.shared.is_stalled.store(is, Ordering::Release);
+    pub fn set_stalled(&self, is_stalled: bool) {
+        self.shared.is_stalled.store(is_stalled, Ordering::Release);
     }
 
     /// Refuses connections, or accepts them again.
-    pub fn refuse_connections(&self, is: bool) {
-        self.shared.is_refusing.store(is, Ordering::Release);
+    pub fn refuse_connections(&self, is_refusing: bool) {
+        self.shared.is_refusing.store(is_refusing, Ordering::Release);
     }
 
     /// Sends bytes on all connections.
--- a/crates/loomflow-test-servers/src/broker/state/mod.rs
+++ b/crates/loomflow-test-servers/src/broker/state/mod.rs
@@ -1,7 +1,9 @@
 //! State machine of the broker: exchanges, queues, channels and consumers of the AMQP 0-9-1 specification, with the usual
 //! extensions (confirms, nack, dead letters, blocked, consumer cancel). It owns no socket.
 
+mod delivery;
 mod frames;
+mod reply_code;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -46,17 +48,42 @@
     ready: VecDeque<Message>,
     /// Exchange and routing key of rejected messages.
     dead_letter: Option<(String, String)>,
-    consumers: VecDeque<(ConnectionId, u16, String)>,
+    consumers: VecDeque<ConsumerAddress>,
+}
+
+/// Where a consumer is: its connection, its channel there and its tag on that.
+#[derive(Clone, Debug, PartialEq)]
+struct ConsumerAddress {
+    connection: ConnectionId,
+    channel: u16,
+    tag: String,
+}
+
+/// A publish whose content is received: its method, then the header, then the body.
+struct Publishing {
+    method: basic::Publish,
+    header: Option<AMQPContentHeader>,
+    body: Vec<u8>,
+}
+
+impl Publishing {
+    fn new(method: basic::Publish) -> Publishing {
+        Publishing { method, header: None, body: Vec::new() }
+    }
+
+    fn is_complete(&self) -> bool {
+        self.header.as_ref().is_some_and(|header| self.body.len() as u64 >= header.body_size)
+    }
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Kind {
+enum ExchangeKind {
     Direct,
     Fanout,
 }
 
 struct Exchange {
-    kind: Kind,
+    kind: ExchangeKind,
     bindings: BTreeSet<(String, String)>,
 }
 
@@ -81,11 +108,12 @@
     unacked: BTreeMap<u64, Unacked>,
     /// Sequence number of the next publish, if publishes are confirmed.
     confirms: Option<u64>,
-    publishing: Option<(basic::Publish, Option<AMQPContentHeader>, Vec<u8>)>,
+    publishing: Option<Publishing>,
 }
 
+/// What the broker knows of a client's connection.
 #[derive(Default)]
-struct Connection {
+struct ClientConnection {
     channels: BTreeMap<u16, Channel>,
 }
 
@@ -109,9 +137,9 @@
     /// Password that is accepted.
     pub password: String,
     /// Heartbeat interval that is proposed, s.
-    pub heartbeat: u16,
+    pub heartbeat_s: u16,
     /// Largest frame that is proposed, bytes.
-    pub frame_max: u32,
+    pub frame_max_bytes: u32,
     /// Highest channel number that is proposed.
     pub channel_max: u16,
     /// Faults to inject.
@@ -124,7 +152,7 @@
     pub max_unacked: usize,
     exchanges: BTreeMap<String, Exchange>,
     queues: BTreeMap<String, Queue>,
-    connections: BTreeMap<ConnectionId, Connection>,
+    connections: BTreeMap<ConnectionId, ClientConnection>,
     /// Frames to send, by connection; `None` closes it.
     out: Vec<(ConnectionId, Option<AMQPFrame>)>,
 }
@@ -134,8 +162,8 @@
         State {
             user: "guest".into(),
             password: "guest".into(),
-            heartbeat: 10,
-            frame_max: 131_072,
+            heartbeat_s: 10,
+            frame_max_bytes: 131_072,
             channel_max: 2_047,
             faults: Faults::default(),
             deliveries: 0,
@@ -186,7 +214,7 @@
 
     /// Declares an exchange with its bindings of routing key to queue.
     pub fn exchange(&mut self, name: &str, kind: &str, bindings: &[(&str, &str)]) {
-        let kind = if kind == "fanout" { Kind::Fanout } else { Kind::Direct };
+        let kind = if kind == "fanout" { ExchangeKind::Fanout } else { ExchangeKind::Direct };
         let exchange = self
             .exchanges
             .entry(name.to_owned())
@@ -198,7 +226,7 @@
     pub fn publish(&mut self, message: Message) -> bool {
         let names: Vec<String> = match self.exchanges.get(&message.exchange) {
             Some(exchange) => {
-                let fits = |key: &str| exchange.kind == Kind::Fanout || key == message.routing_key;
+                let fits = |key: &str| exchange.kind == ExchangeKind::Fanout || key == message.routing_key;
                 exchange
                     .bindings
                     .iter()
@@ -256,7 +284,9 @@
         let all: Vec<(ConnectionId, u16)> = self
             .queues
             .get(queue)
-            .map(|q| q.consumers.iter().map(|c| (c.0, c.1)).collect())
+            .map(|queue| {
+                queue.consumers.iter().map(|consumer| (consumer.connection, consumer.channel)).collect()
+            })
             .unwrap_or_default();
         for (id, number) in all {
             self.close_channel(id, number, code, "told to");
@@ -267,11 +297,11 @@
     /// Cancels every consumer of a queue, as if it were deleted.
     pub fn cancel_consumers(&mut self, queue: &str) {
         let all = self.queues.get_mut(queue).map(|q| std::mem::take(&mut q.consumers)).unwrap_or_default();
-        for (id, number, consumer_tag) in all {
+        for ConsumerAddress { connection: id, channel: number, tag } in all {
             if let Some(channel) = self.connections.get_mut(&id).and_then(|c| c.channels.get_mut(&number)) {
-                channel.consumers.remove(&consumer_tag);
+                channel.consumers.remove(&tag);
             }
-            let consumer_tag = consumer_tag.as_str().into();
+            let consumer_tag = tag.as_str().into();
             self.send(
                 id,
                 number,
@@ -281,9 +311,9 @@
     }
 
     /// Blocks or unblocks publishing on all connections.
-    pub fn block(&mut self, is: bool) {
+    pub fn block(&mut self, is_blocked: bool) {
         for id in self.connections() {
-            let method = if is {
+            let method = if is_blocked {
                 Connections::Blocked(connection::Blocked { reason: "told to".into() })
             } else {
                 Connections::Unblocked(connection::Unblocked {})
@@ -293,11 +323,15 @@
     }
 
     /// Starts or stops the flow on all channels.
-    pub fn flow(&mut self, active: bool) {
+    pub fn flow(&mut self, is_active: bool) {
         for id in self.connections() {
             let numbers: Vec<u16> = self.connections[&id].channels.keys().copied().collect();
             for number in numbers {
-                self.send(id, number, AMQPClass::Channel(Channels::Flow(channel::Flow { active })));
+                self.send(
+                    id,
+                    number,
+                    AMQPClass::Channel(Channels::Flow(channel::Flow { active: is_active })),
+                );
             }
         }
     }
@@ -313,7 +347,7 @@
 
     /// A client has opened a connection.
     pub fn connection_opened(&mut self, id: ConnectionId) {
-        self.connections.insert(id, Connection::default());
+        self.connections.insert(id, ClientConnection::default());
         self.send(
             id,
             0,
@@ -355,16 +389,16 @@
             return;
         };
         for queue in self.queues.values_mut() {
-            queue.consumers.retain(|(other, channel, _)| (*other, *channel) != (id, number));
+            queue.consumers.retain(|consumer| (consumer.connection, consumer.channel) != (id, number));
         }
-        for one in channel.unacked.into_values().rev() {
-            self.requeue(one);
+        for delivery in channel.unacked.into_values().rev() {
+            self.requeue(delivery);
         }
     }
 
-    fn requeue(&mut self, one: Unacked) {
-        if let Some(queue) = self.queues.get_mut(&one.queue) {
-            queue.ready.push_front(Message { redelivered: true, ..one.message });
+    fn requeue(&mut self, delivery: Unacked) {
+        if let Some(queue) = self.queues.get_mut(&delivery.queue) {
+            queue.ready.push_front(Message { redelivered: true, ..delivery.message });
         }
     }
 }
--- a/src/controller/arrivals.rs
+++ b/src/controller/arrivals.rs
@@ -7,7 +7,7 @@
 use super::deadlines;
 use super::key_retention::KeyRetention;
 use super::queue::{QueueKey, weight_per_work};
-use super::request::{Request, Stage};
+use super::request::{Request, RequestStage};
 use crate::interface::{Action, Arrival, Class, Idempotency, RequestAttributes, RequestId};
 use crate::time::micros;
 
@@ -67,7 +67,7 @@
     }
 
     fn await_result(&mut self, id: RequestId, mut request: Request, out: &mut Vec<Action>) {
-        request.stage = Stage::AwaitingResult;
+        request.stage = RequestStage::AwaitingResult;
         self.deadlines.schedule(self.deadlines.last_check(request.deadline), id);
         self.requests.insert(id, request);
         out.push(Action::ReuseResult(id));
@@ -92,7 +92,7 @@
 
     /// Queues a request, and schedules its check for when its objective comes out of reach.
     pub(super) fn enqueue(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         let priority_weight = self.settings.classes[request.class].priority_weight;
         let expected_run = request.expected_run;
         let weight = weight_per_work(&self.settings, priority_weight, request.is_over_quota, expected_run);
@@ -104,7 +104,7 @@
     }
 
     pub(super) fn request_cancelled(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         request.is_answered = true;
         if self.settings.has_cancellations && !request.is_retry {
             let objective = self.settings.classes[request.class].latency_objective;
@@ -112,15 +112,15 @@
             self.objective.record_cancellation(age, objective, self.settings.batch_interval);
         }
         match request.stage {
-            Stage::Queued => {
+            RequestStage::Queued => {
                 self.release_key(id, out);
                 self.remove(id);
             }
-            Stage::AwaitingResult => {
+            RequestStage::AwaitingResult => {
                 self.remove(id);
             }
-            Stage::Running => self.preempt(id, out),
-            Stage::AwaitingCall | Stage::Calling => self.call_queue.remove(request.queue_key),
+            RequestStage::Running => self.preempt(id, out),
+            RequestStage::AwaitingCall | RequestStage::Calling => self.call_queue.remove(request.queue_key),
         }
     }
 }
