--- a/crates/loomflow-adapter/src/wire.rs
+++ b/crates/loomflow-adapter/src/wire.rs
@@ -256,3 +256,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/loomflow-adapter/tests/message_errors.rs
@@ -0,0 +1,260 @@
+//! What the adapter says of each key of each message when its value is absent, null, of another type or out of range,
+//! and which of two errors it names.
+//!
+//! `message_errors/recorded.tsv` was recorded with the adapter that looked keys up in a tree of JSON values:
+//!
+//!     cargo test -p loomflow-adapter --test message_errors -- --ignored record
+//!
+//! A line has a key, what the adapter says, and the values that it says it of.
+
+use std::collections::BTreeMap;
+use std::fmt::Write as _;
+use std::io::Write as _;
+use std::path::{Path, PathBuf};
+use std::process::{Command, Stdio};
+
+use serde_json::{Value, json};
+
+const ACCEPTED: &str = "accepted";
+/// Stands for a key that is left out.
+const ABSENT: &str = "absent";
+
+fn fixture() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/message_errors/recorded.tsv")
+}
+
+/// What the adapter says of its input, without its own name.
+fn verdict(lines: &[String]) -> String {
+    let mut child = Command::new(env!("CARGO_BIN_EXE_loomflow-adapter"))
+        .stdin(Stdio::piped())
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped())
+        .spawn()
+        .expect("the adapter starts");
+    let mut input = child.stdin.take().expect("its input");
+    // It may end before it has read all.
+    let _ = input.write_all((lines.join("\n") + "\n").as_bytes());
+    drop(input);
+    let output = child.wait_with_output().expect("the adapter ends");
+    let said = String::from_utf8(output.stderr).expect("a message");
+    assert_eq!(output.status.success(), said.is_empty(), "{said}");
+    match said.strip_prefix("loomflow-adapter: ") {
+        Some(message) => message.trim_end().to_owned(),
+        None => ACCEPTED.to_owned(),
+    }
+}
+
+fn batch(items: &[Value]) -> Value {
+    json!({"batch": 8, "Ts": 1000.0, "items": items})
+}
+
+fn boot() -> Value {
+    json!({"msg": "BOOT", "ServerId": 3, "Seed": 5, "Settings": {
+        "Classes": [{"Effect": "safe", "HardLimit": 9000.0, "Name": "a", "OnTime": 3000.0, "Points": 1.0}],
+        "Domain": {"Cpus": 2, "HeapKb": 10000.0, "RunMemFactor": 8.0, "Gauges": ["core_use", "on_cores"]},
+        "Rules": {"FallMultiple": 5.0}}})
+}
+
+/// Every message with every key that is read, in the order in which they are checked.
+fn messages() -> Vec<(&'static str, Vec<&'static str>, Value)> {
+    let arrival = json!({
+        "msg": "WORK_ITEM", "ServerId": 3, "Ref": 10, "Service": 0, "Account": 0, "Remaining": 600.0,
+        "WeightHint": 40.0, "Kb": 20.0, "Prio": 0.5, "Resent": false, "From": 1, "Age": 2.0, "SameAs": 0,
+    });
+    let ended = |name: &str| json!({"msg": name, "ServerId": 3, "Ref": 9, "Disposition": 10, "Spent": 5.0});
+    let about = |name: &str| json!({"msg": name, "ServerId": 3, "Ref": 9});
+    let arrival_keys = vec![
+        "msg",
+        "ServerId",
+        "Service",
+        "Account",
+        "Ref",
+        "Remaining",
+        "WeightHint",
+        "Kb",
+        "Prio",
+        "Resent",
+        "From",
+        "Age",
+        "SameAs",
+    ];
+    let ended_keys = vec!["msg", "ServerId", "Ref", "Disposition", "Spent"];
+    vec![
+        ("BOOT", vec!["msg", "ServerId", "Seed", "Settings"], boot()),
+        ("TEARDOWN", vec!["msg", "ServerId"], json!({"msg": "TEARDOWN", "ServerId": 3})),
+        ("WORK_ITEM", arrival_keys, arrival),
+        ("WITHDRAWN", vec!["msg", "ServerId", "Ref"], about("WITHDRAWN")),
+        ("ALARM", vec!["msg", "ServerId", "Load"], json!({"msg": "ALARM", "ServerId": 3, "Load": [0.1, 0]})),
+        ("BLOCKED", vec!["msg", "ServerId", "Ref"], about("BLOCKED")),
+        (
+            "TERMINATE_SOON",
+            vec!["msg", "ServerId", "Remaining"],
+            json!({"msg": "TERMINATE_SOON", "ServerId": 3, "Remaining": 900.0}),
+        ),
+        ("CAME_BACK", ended_keys.clone(), ended("CAME_BACK")),
+        ("FINISHED", ended_keys, ended("FINISHED")),
+        ("NEWS", vec!["msg", "ServerId", "Ref"], about("NEWS")),
+    ]
+}
+
+/// Values that every key is tried with.
+fn values() -> Vec<Value> {
+    let texts = [
+        "null",
+        "true",
+        "\"\"",
+        "\"x\"",
+        "\"3\"",
+        "-1",
+        "0",
+        "3",
+        "3.0",
+        "0.5",
+        "10",
+        "99",
+        "1e300",
+        "4294967295",
+        "4294967296",
+        "18446744073709551615",
+        "18446744073709551616",
+        "[]",
+        "[null]",
+        "[1]",
+        "[1,\"x\",null,true]",
+        "{}",
+        "{\"Domain\":{}}",
+        "{\"Domain\":{},\"Rules\":{}}",
+        "{\"Domain\":[]}",
+    ];
+    texts.iter().map(|text| serde_json::from_str(text).expect("a value")).collect()
+}
+
+/// An object with another value of a key.
+fn with(object: &Value, key: &str, value: Option<&Value>) -> Value {
+    let mut object = object.clone();
+    let keys = object.as_object_mut().expect("an object");
+    match value {
+        Some(value) => drop(keys.insert(key.to_owned(), value.clone())),
+        None => drop(keys.remove(key)),
+    }
+    object
+}
+
+/// An instance, with a request that runs, and then the message.
+fn play(message: &Value) -> String {
+    let request = json!({"msg": "WORK_ITEM", "ServerId": 3, "Ref": 9, "Service": 0, "Kb": 5.0});
+    let before = json!({"batch": 7, "Ts": 990.0, "items": [boot(), request]});
+    // The message is not the first of its batch, so that its index shows.
+    let news = json!({"msg": "NEWS"});
+    verdict(&[before.to_string(), batch(&[news, message.clone()]).to_string()])
+}
+
+/// What is said of every value of a key, as lines of the fixture.
+fn write_lines(lines: &mut String, key: &str, play: impl Fn(Option<&Value>) -> String) {
+    let mut verdicts: BTreeMap<String, Vec<String>> = BTreeMap::new();
+    verdicts.entry(play(None)).or_default().push(ABSENT.to_owned());
+    for value in values() {
+        verdicts.entry(play(Some(&value))).or_default().push(value.to_string());
+    }
+    for (verdict, values) in verdicts {
+        writeln!(lines, "{key}\t{verdict}\t{}", values.join(" ")).expect("a line");
+    }
+}
+
+fn all_lines() -> String {
+    let mut lines = String::new();
+    for key in ["batch", "Ts", "items"] {
+        write_lines(&mut lines, key, |value| verdict(&[with(&batch(&[]), key, value).to_string()]));
+    }
+    for (name, keys, message) in messages() {
+        for key in keys {
+            write_lines(&mut lines, &format!("{name}.{key}"), |value| play(&with(&message, key, value)));
+        }
+    }
+    lines
+}
+
+#[test]
+fn every_key_of_every_message_has_the_recorded_errors() {
+    let recorded = std::fs::read_to_string(fixture()).expect("the fixture");
+    let lines = all_lines();
+    for (line, recorded) in lines.lines().zip(recorded.lines()) {
+        assert_eq!(line, recorded);
+    }
+    assert_eq!(lines.lines().count(), recorded.lines().count());
+}
+
+#[test]
+#[ignore = "writes the fixture; see the head of this file"]
+fn record() {
+    std::fs::write(fixture(), all_lines()).expect("the fixture is written");
+}
+
+/// A value that no key accepts but those of objects and lists, which the table has with values of their own.
+fn invalid(key: &str) -> Value {
+    if key == "Settings" { json!({"Domain": {}, "Rules": {}}) } else { json!({"x": -1}) }
+}
+
+#[test]
+fn of_two_errors_in_a_message_the_first_in_the_order_of_the_checks_is_named() {
+    for (name, keys, message) in messages() {
+        for (at, first) in keys.iter().enumerate() {
+            let one = with(&message, first, Some(&invalid(first)));
+            for second in &keys[at + 1..] {
+                let two = with(&one, second, Some(&invalid(second)));
+                assert_eq!(play(&two), play(&one), "{name}: {first}, {second}");
+            }
+        }
+    }
+}
+
+#[test]
+fn values_that_are_unknown_are_named_before_errors_of_later_keys() {
+    let messages: BTreeMap<&str, Value> =
+        messages().into_iter().map(|(name, _, message)| (name, message)).collect();
+    let cases = [
+        ("WORK_ITEM", "ServerId", 4, "Service", "WORK_ITEM: ServerId: instance 4 is unknown"),
+        ("WORK_ITEM", "Service", 4, "Ref", "WORK_ITEM: Service: class 4 is unknown"),
+        ("CAME_BACK", "Disposition", 90, "Spent", "CAME_BACK: Disposition: 90 is not known"),
+        ("FINISHED", "Disposition", 0, "Spent", "FINISHED: Disposition: 0 is not known"),
+    ];
+    for (name, key, unknown, later, message) in cases {
+        let one = with(&messages[name], key, Some(&json!(unknown)));
+        let two = with(&one, later, Some(&json!("x")));
+        for event in [one, two] {
+            assert_eq!(play(&event), format!("batch 8: {message}"));
+        }
+    }
+}
+
+#[test]
+fn messages_before_the_invalid_one_are_handled_first() {
+    let unknown = json!({"msg": "TERMINATE_SOON", "ServerId": 4, "Remaining": 1.0});
+    let invalid = json!({"msg": "TERMINATE_SOON", "ServerId": 3});
+    let error = verdict(&[batch(&[boot(), unknown, invalid.clone()]).to_string()]);
+    assert_eq!(error, "batch 8: TERMINATE_SOON: ServerId: instance 4 is unknown");
+    let error = verdict(&[batch(&[boot(), invalid, json!(5)]).to_string()]);
+    assert_eq!(error, "batch 8: items[2]: not an object");
+}
+
+#[test]
+fn of_a_key_that_comes_twice_the_last_value_counts() {
+    let line = r#"{"batch": "x", "Ts": 1, "batch": 8, "items": [], "Ts": 2, "items": 5}"#;
+    assert_eq!(verdict(&[line.to_owned()]), "batch 8: items: not an array");
+}
+
+#[test]
+fn lines_that_are_not_json_are_named_with_their_position() {
+    let cases = [
+        ("", "batch: not JSON: EOF while parsing a value at line 1 column 0"),
+        ("{\"batch\": 8", "batch: not JSON: EOF while parsing an object at line 1 column 11"),
+        ("{} {}", "batch: not JSON: trailing characters at line 1 column 4"),
+        ("{\"Ts\": 1e400}", "batch: not JSON: number out of range at line 1 column 12"),
+        ("[]", "batch: not an object"),
+        ("null", "batch: not an object"),
+        ("5", "batch: not an object"),
+    ];
+    for (line, message) in cases {
+        assert_eq!(verdict(&[line.to_owned()]), message, "{line}");
+    }
+}
