--- a/crates/loomflow-adapter/src/main.rs
+++ b/crates/loomflow-adapter/src/main.rs
@@ -11,6 +11,7 @@
 
 use error::BatchError;
 use thiserror::Error;
+use wire::Reply;
 
 /// Why the adapter stops.
 #[derive(Debug, Error)]
@@ -29,14 +30,14 @@
     for line in io::stdin().lock().lines() {
         let line = line.map_err(AdapterError::Input)?;
         let reply = host.play_batch(&line)?;
-        write_line(&mut output, &reply).map_err(AdapterError::Output)?;
+        write_reply(&mut output, &reply).map_err(AdapterError::Output)?;
     }
     Ok(())
 }
 
-/// Writes a line and flushes it: the simulator waits for each reply.
-fn write_line(output: &mut impl Write, line: &str) -> io::Result<()> {
-    output.write_all(line.as_bytes())?;
+/// Writes a reply as a line and flushes it: the simulator waits for each.
+fn write_reply(output: &mut impl Write, reply: &Reply) -> io::Result<()> {
+    serde_json::to_writer(&mut *output, reply)?;
     output.write_all(b"\n")?;
     output.flush()
 }
--- a/crates/loomflow-adapter/src/wire.rs
+++ b/crates/loomflow-adapter/src/wire.rs
@@ -1,12 +1,17 @@
 //! Translation between the simulator's JSON messages and the controller's events and actions.
 
+mod actions;
+
 use std::collections::BTreeMap;
 
 use loomflow::controller::Controller;
 use loomflow::interface::{Action, Arrival, Event, Gauges, Outcome, RequestId};
 use loomflow::time::Millis;
 use loomflow_settings::{FieldError, JsonObject, Site};
-use serde_json::{Value, json};
+use serde_json::Value;
+
+use self::actions::ActionMessage;
+pub use self::actions::Reply;
 
 use crate::error::{BatchError, ItemError, MessageError};
 
@@ -65,22 +70,22 @@
 }
 
 impl Host {
-    /// Plays a batch, one line of input, and returns the line of output.
+    /// Plays a batch, one line of input.
     ///
     /// # Errors
     ///
     /// The batch cannot be played; the message names the batch, the message and the key.
-    pub fn play_batch(&mut self, line: &str) -> Result<String, BatchError> {
+    pub fn play_batch(&mut self, line: &str) -> Result<Reply, BatchError> {
         let value: Value = serde_json::from_str(line)?;
         let batch = JsonObject::new("", &value).map_err(BatchError::NotAnObject)?;
         let number = batch.integer("batch").map_err(BatchError::Number)?;
-        let outbox = self.play_items(&batch).map_err(|source| BatchError::Item { number, source })?;
-        Ok(json!({"batch": number, "outbox": outbox}).to_string())
+        let actions = self.play_items(&batch).map_err(|source| BatchError::Item { number, source })?;
+        Ok(Reply { number, actions })
     }
 
     /// Passes the events of a batch to their instances, and then lets each of these instances decide, in the order of their
     /// first events.
-    fn play_items(&mut self, batch: &JsonObject) -> Result<Vec<Value>, ItemError> {
+    fn play_items(&mut self, batch: &JsonObject) -> Result<Vec<ActionMessage>, ItemError> {
         let now = batch.required_number("Ts")?;
         let mut order = Vec::new();
         for item in batch.children("items")? {
@@ -88,7 +93,7 @@
             self.handle_message(now, name, &item, &mut order)
                 .map_err(|source| ItemError::Message { name: name.to_owned(), source })?;
         }
-        let mut outbox = Vec::new();
+        let mut messages = Vec::new();
         for id in order {
             let Some(instance) = self.instances.get_mut(&id).filter(|instance| instance.needs_decision)
             else {
@@ -96,9 +101,9 @@
             };
             instance.needs_decision = false;
             instance.controller.decide(now, &mut instance.actions);
-            outbox.extend(instance.actions.drain(..).map(|action| action_message(id, action)));
+            messages.extend(instance.actions.drain(..).map(|action| ActionMessage::new(id, action)));
         }
-        Ok(outbox)
+        Ok(messages)
     }
 
     /// Handles a message. Unknown ones are ignored.
@@ -229,33 +234,3 @@
         other => return Err(MessageError::UnknownOutcome(other)),
     })
 }
-
-fn action_message(server: u64, action: Action) -> Value {
-    let about_request = |message: &str, id: RequestId| json!({"msg": message, "ServerId": server, "Ref": id});
-    match action {
-        Action::Run(id) => about_request("TAKE", id),
-        Action::ReuseResult(id) => about_request("REPLAY", id),
-        Action::Reject { id, retry_after, is_final } => {
-            json!({"msg": "SHED", "ServerId": server, "Ref": id, "Pause": retry_after, "Final": is_final})
-        }
-        Action::Fail(id) => about_request("FINISH_ERROR", id),
-        Action::Preempt(id) => about_request("ABORT_WORK", id),
-        Action::Call { id, deadline } => {
-            json!({"msg": "GO_CALL", "ServerId": server, "Ref": id, "AbandonAt": deadline})
-        }
-        Action::SkipCall(id) => about_request("DEGRADE", id),
-        Action::RetainKey { id, ttl } => json!({"msg": "RETAIN", "ServerId": server, "Ref": id, "Ttl": ttl}),
-        Action::ReleaseKey(id) => about_request("ERASE", id),
-        Action::SetHealth { is_healthy, is_cached } => {
-            json!({"msg": "STATUS", "ServerId": server, "Stored": is_cached, "Want": is_healthy})
-        }
-        Action::SetSignal(signal) => json!({"msg": "STAMP", "ServerId": server, "X": signal}),
-        Action::SetIdleTimeout(timeout) => json!({"msg": "REAP_AFTER", "ServerId": server, "Ttl": timeout}),
-        Action::SetTimer(at) => {
-            json!({"msg": "SET_TIMER", "ServerId": server, "Cookie": "t", "AlarmTime": at})
-        }
-    }
-}
-
-#[cfg(test)]
-mod tests;
--- a/crates/loomflow-adapter/src/wire/tests.rs
+++ b/crates/loomflow-adapter/src/wire/actions/tests.rs
@@ -3,7 +3,7 @@
 const SERVER: u64 = 18_446_744_073_709_551_615;
 
 fn text(action: Action) -> String {
-    serde_json::to_string(&action_message(SERVER, action)).unwrap()
+    serde_json::to_string(&ActionMessage::new(SERVER, action)).unwrap()
 }
 
 /// The message of an action, with the number of the server in the place of `SERVER`.
