--- /dev/null
+++ b/crates/loomflow-settings/tests/file_errors.rs
@@ -0,0 +1,270 @@
+//! What a server says of each key of its configuration file when the value is absent, null, of another type or out of
+//! range, and which of two errors it names.
+//!
+//! `file_errors/recorded.tsv` was recorded with the code that looked keys up in a tree of JSON values:
+//!
+//!     cargo test -p loomflow-settings --test file_errors -- --ignored record
+//!
+//! A line has a key, what is said, and the values that it is said of.
+
+use std::collections::BTreeMap;
+use std::fmt::Write as _;
+use std::path::{Path, PathBuf};
+
+use loomflow_settings::Config;
+use serde_json::{Value, json};
+
+const ACCEPTED: &str = "accepted";
+/// Stands for a key that is left out.
+const ABSENT: &str = "absent";
+
+fn fixture() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/file_errors/recorded.tsv")
+}
+
+/// Every key.
+fn complete() -> Value {
+    json!({
+        "name": "n1", "listen": "127.0.0.1:1", "engine": "127.0.0.1:2", "control": "127.0.0.1:3",
+        "ledger": "127.0.0.1:4", "seed": "f00d", "stop_ms": 3000.0,
+        "limits": {"sockets": 100, "memory_mb": 64, "cores": 1.5},
+        "settings": {
+            "Classes": [
+                {"Name": "read", "Effect": "safe", "OnTime": 11.0, "AimStretch": 12.0, "HardLimit": 13.0,
+                 "Points": 14.0, "LateShare": 0.15, "Window": 16.0},
+                {"Name": "book", "Effect": "keyed", "OnTime": 1.0, "HardLimit": 2.0, "Points": 3.0},
+            ],
+            "Orgs": [{"Name": "a", "QuotaPerS": 21.0}, {"Name": "b"}],
+            "OverShareWorth": 0.22, "ValueBy": "work", "Servers": 23, "Stage": 2, "Period": 24.0,
+            "Domain": {
+                "ClientsTotal": 31, "Cpus": 32, "HeapKb": 33.0, "RunMemFactor": 34.0, "KeyKb": 35.0,
+                "Downstream": "shared", "CallShare": 36.0, "CallsOver": 37.0, "StaysFor": 38.0,
+                "CallsByClass": [true, false], "DegradedWorth": [0.39, 0.0], "Fresh": 40.0, "Halt": "drop",
+                "Say": "weight", "Heeded": 41.0, "Idle": 42.0, "PassesDeadline": true, "TellsGone": true,
+                "Cold": true, "Gauges": ["links", "core_use"], "DeepChecks": true,
+            },
+            "Prices": {"Handshake": 51.0},
+            "Limits": {"RetryAfter": true, "MaxRetryAfter": 52.0},
+            "Rules": {"ColdShare": 0.61, "Cold": 62.0, "AnswerSlack": 63.0, "DrainGrace": 64.0,
+                      "FallMultiple": 65.0, "TipAfter": 66.0},
+        },
+    })
+}
+
+/// All values of the file by their JSON pointers, but the file itself.
+fn pointers(value: &Value, pointer: &str, found: &mut Vec<String>) {
+    let children: Vec<(String, &Value)> = match value {
+        Value::Object(keys) => keys.iter().map(|(key, value)| (key.clone(), value)).collect(),
+        Value::Array(members) => {
+            members.iter().enumerate().map(|(index, value)| (index.to_string(), value)).collect()
+        }
+        _ => Vec::new(),
+    };
+    for (name, child) in children {
+        let pointer = format!("{pointer}/{name}");
+        found.push(pointer.clone());
+        pointers(child, &pointer, found);
+    }
+}
+
+/// Values that every key is tried with.
+fn values() -> Vec<Value> {
+    let texts = [
+        "null",
+        "true",
+        "\"\"",
+        "\"x\"",
+        "\"ü/\"",
+        "\"ff\"",
+        "\"10000000000000000\"",
+        "\"127.0.0.1:9\"",
+        "\"off\"",
+        "-1",
+        "-0.5",
+        "0",
+        "0.0",
+        "0.5",
+        "3",
+        "3.0",
+        "1e300",
+        "4294967295",
+        "4294967296",
+        "18446744073709551615",
+        "18446744073709551616",
+        "[]",
+        "[null]",
+        "[1]",
+        "[\"a\",null]",
+        "[true,\"x\",0.5,{}]",
+        "{}",
+        "{\"x\":1}",
+    ];
+    texts.iter().map(|text| serde_json::from_str(text).expect("a value")).collect()
+}
+
+/// The complete file with another value at a pointer; without the key or the member if there is none.
+fn with(file: &Value, pointer: &str, value: Option<&Value>) -> Value {
+    let mut file = file.clone();
+    let (parent, name) = pointer.rsplit_once('/').expect("a pointer");
+    match (file.pointer_mut(parent).expect("the parent"), value) {
+        (Value::Object(keys), Some(value)) => drop(keys.insert(name.to_owned(), value.clone())),
+        (Value::Object(keys), None) => drop(keys.remove(name)),
+        (Value::Array(members), Some(value)) => {
+            members[name.parse::<usize>().expect("an index")] = value.clone();
+        }
+        (Value::Array(members), None) => drop(members.remove(name.parse().expect("an index"))),
+        (other, _) => panic!("{pointer}: {other}"),
+    }
+    file
+}
+
+fn verdict(file: &Value) -> String {
+    Config::parse(&file.to_string()).map_or_else(|error| error.to_string(), |_| ACCEPTED.to_owned())
+}
+
+/// What is said of every value of a key, as lines of the fixture.
+fn write_lines(lines: &mut String, file: &Value, pointer: &str, key: &str) {
+    let mut verdicts: BTreeMap<String, Vec<String>> = BTreeMap::new();
+    verdicts.entry(verdict(&with(file, pointer, None))).or_default().push(ABSENT.to_owned());
+    for value in values() {
+        verdicts.entry(verdict(&with(file, pointer, Some(&value)))).or_default().push(value.to_string());
+    }
+    for (verdict, values) in verdicts {
+        writeln!(lines, "{key}\t{verdict}\t{}", values.join(" ")).expect("a line");
+    }
+}
+
+fn all_lines() -> String {
+    let (file, mut keys) = (complete(), Vec::new());
+    pointers(&file, "", &mut keys);
+    let mut lines = String::new();
+    for pointer in keys {
+        write_lines(&mut lines, &file, &pointer, &pointer);
+    }
+    // The longest retry-after is read only where one is passed on.
+    let none = with(&file, "/settings/Limits/RetryAfter", Some(&json!(false)));
+    write_lines(&mut lines, &none, "/settings/Limits/MaxRetryAfter", "without RetryAfter: MaxRetryAfter");
+    lines
+}
+
+#[test]
+fn every_key_of_a_file_has_the_recorded_errors() {
+    let recorded = std::fs::read_to_string(fixture()).expect("the fixture");
+    let lines = all_lines();
+    for (line, recorded) in lines.lines().zip(recorded.lines()) {
+        assert_eq!(line, recorded);
+    }
+    assert_eq!(lines.lines().count(), recorded.lines().count());
+}
+
+#[test]
+#[ignore = "writes the fixture; see the head of this file"]
+fn record() {
+    std::fs::write(fixture(), all_lines()).expect("the fixture is written");
+}
+
+/// The order in which keys are checked, each with a value that is an error.
+fn checks() -> Vec<(&'static str, Value)> {
+    let texts = |keys: &[&'static str]| keys.iter().map(|key| (*key, json!(false))).collect::<Vec<_>>();
+    let numbers = |keys: &[&'static str]| keys.iter().map(|key| (*key, json!("x"))).collect::<Vec<_>>();
+    let mut checks = texts(&["/seed", "/name", "/listen", "/engine", "/control", "/ledger"]);
+    checks.extend(numbers(&["/stop_ms", "/limits/sockets", "/limits/memory_mb", "/limits/cores"]));
+    checks.extend(numbers(&[
+        "/settings",
+        "/settings/Domain",
+        "/settings/Rules",
+        "/settings/Limits",
+        "/settings/Prices",
+        "/settings/Domain/CallsByClass",
+        "/settings/Domain/DegradedWorth",
+        "/settings/Classes",
+        "/settings/Classes/1",
+        "/settings/Classes/0/Effect",
+        "/settings/Classes/0/OnTime",
+        "/settings/Classes/0/AimStretch",
+        "/settings/Classes/0/HardLimit",
+        "/settings/Classes/0/Points",
+        "/settings/Classes/0/LateShare",
+        "/settings/Classes/0/Window",
+        "/settings/Classes/1/Effect",
+        "/settings/Orgs",
+        "/settings/Orgs/0",
+        "/settings/Orgs/1/QuotaPerS",
+        "/settings/OverShareWorth",
+    ]));
+    checks.extend(texts(&["/settings/ValueBy"]));
+    checks.extend(numbers(&[
+        "/settings/Servers",
+        "/settings/Domain/ClientsTotal",
+        "/settings/Stage",
+        "/settings/Domain/Cpus",
+        "/settings/Domain/HeapKb",
+        "/settings/Domain/RunMemFactor",
+        "/settings/Domain/KeyKb",
+    ]));
+    checks.extend(texts(&["/settings/Domain/Downstream"]));
+    checks.extend(numbers(&[
+        "/settings/Domain/CallShare",
+        "/settings/Domain/CallsOver",
+        "/settings/Domain/StaysFor",
+        "/settings/Domain/Fresh",
+    ]));
+    checks.extend(texts(&["/settings/Domain/Halt", "/settings/Domain/Say"]));
+    checks.extend(numbers(&[
+        "/settings/Domain/Heeded",
+        "/settings/Domain/Idle",
+        "/settings/Prices/Handshake",
+        "/settings/Domain/PassesDeadline",
+        "/settings/Domain/TellsGone",
+        "/settings/Domain/Cold",
+        "/settings/Rules/ColdShare",
+        "/settings/Rules/Cold",
+        "/settings/Rules/AnswerSlack",
+        "/settings/Rules/DrainGrace",
+        "/settings/Rules/FallMultiple",
+        "/settings/Rules/TipAfter",
+        "/settings/Limits/RetryAfter",
+        "/settings/Limits/MaxRetryAfter",
+        "/settings/Period",
+    ]));
+    checks.extend(texts(&["/settings/Classes/0/Name", "/settings/Orgs/1/Name", "/settings/Domain/Gauges"]));
+    checks.extend(numbers(&["/settings/Domain/DeepChecks"]));
+    checks
+}
+
+#[test]
+fn of_two_errors_the_first_in_the_order_of_the_checks_is_named() {
+    let (file, checks) = (complete(), checks());
+    for (at, (first, value)) in checks.iter().enumerate() {
+        let one = with(&file, first, Some(value));
+        let message = verdict(&one);
+        assert_ne!(message, ACCEPTED, "{first}");
+        for (second, value) in &checks[at + 1..] {
+            let is_same_branch = second.starts_with(&format!("{first}/"));
+            if !is_same_branch {
+                assert_eq!(verdict(&with(&one, second, Some(value))), message, "{first}, {second}");
+            }
+        }
+    }
+}
+
+#[test]
+fn of_a_key_that_is_missing_and_a_later_one_that_is_invalid_the_missing_one_is_named() {
+    let (file, checks) = (complete(), checks());
+    let required = checks.iter().enumerate().filter_map(|(at, (key, _))| {
+        let one = with(&file, key, None);
+        let message = verdict(&one);
+        (message != ACCEPTED).then_some((at, *key, one, message))
+    });
+    let mut count = 0;
+    for (at, key, one, message) in required {
+        count += 1;
+        for (second, value) in &checks[at + 1..] {
+            let is_same_branch = second.starts_with(&format!("{key}/"));
+            if !is_same_branch && one.pointer(second).is_some() {
+                assert_eq!(verdict(&with(&one, second, Some(value))), message, "{key}, {second}");
+            }
+        }
+    }
+    assert_eq!(count, 18, "keys that must be present");
+}
