--- a/crates/loomflow-adapter/src/main.rs
+++ b/crates/loomflow-adapter/src/main.rs
@@ -4,14 +4,16 @@
 #![forbid(unsafe_code)]
 
 mod error;
+mod host;
 mod wire;
 
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
 use error::BatchError;
+use host::Host;
 use thiserror::Error;
-use wire::Reply;
+use wire::actions::Reply;
 
 /// Why the adapter stops.
 #[derive(Debug, Error)]
@@ -25,7 +27,7 @@
 }
 
 fn run() -> Result<(), AdapterError> {
-    let mut host = wire::Host::default();
+    let mut host = Host::default();
     let mut output = BufWriter::new(io::stdout().lock());
     for line in io::stdin().lock().lines() {
         let line = line.map_err(AdapterError::Input)?;
--- a/crates/loomflow-settings/src/config.rs
+++ b/crates/loomflow-settings/src/config.rs
@@ -6,7 +6,7 @@
 
 use crate::document::{Document, SETTINGS};
 use crate::error::{ConfigError, FieldError};
-use crate::json_object::JsonObject;
+use crate::json::JsonObject;
 use crate::site::Site;
 
 const DEFAULT_SOCKETS: u64 = 1024;
--- a/crates/loomflow-settings/src/error.rs
+++ b/crates/loomflow-settings/src/error.rs
@@ -20,6 +20,13 @@
     pub fn new(key: impl Into<String>, problem: impl Into<String>) -> FieldError {
         FieldError { key: key.into(), problem: problem.into() }
     }
+
+    /// The same error, with the key as seen from outside the object or the array at `path`.
+    pub(crate) fn within(self, path: &str) -> FieldError {
+        let is_member = self.key.starts_with('[');
+        let separator = if path.is_empty() || self.key.is_empty() || is_member { "" } else { "." };
+        FieldError { key: format!("{path}{separator}{}", self.key), problem: self.problem }
+    }
 }
 
 impl fmt::Display for FieldError {
--- /dev/null
+++ b/crates/loomflow-settings/src/json/fields.rs
@@ -0,0 +1,79 @@
+//! Functions for `#[serde(deserialize_with = "...")]` on the fields of a struct, and types of fields.
+
+use serde::de::{Deserialize, Deserializer, Error, IgnoredAny};
+
+use super::deserializer::MISSING;
+
+/// A value, or the default of its type if it is absent.
+///
+/// # Errors
+///
+/// The value has another type.
+pub fn or_default<'de, T, D>(deserializer: D) -> Result<T, D::Error>
+where
+    T: Deserialize<'de> + Default,
+    D: Deserializer<'de>,
+{
+    Option::deserialize(deserializer).map(Option::unwrap_or_default)
+}
+
+/// A number that must be present and above 0.
+///
+/// # Errors
+///
+/// The value is missing or invalid.
+pub fn positive<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
+    let number = f64::deserialize(deserializer)?;
+    if number > 0.0 { Ok(number) } else { Err(D::Error::custom("not above 0")) }
+}
+
+/// A number that must not be below 0; 0 if absent.
+///
+/// # Errors
+///
+/// The value is invalid.
+pub fn non_negative<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
+    let number: f64 = or_default(deserializer)?;
+    if number >= 0.0 { Ok(number) } else { Err(D::Error::custom("below 0")) }
+}
+
+/// A string that must be present and not empty.
+///
+/// # Errors
+///
+/// The value is missing or no string.
+pub fn required_text<'de, D: Deserializer<'de>>(deserializer: D) -> Result<&'de str, D::Error> {
+    let text = <&str>::deserialize(deserializer)?;
+    if text.is_empty() { Err(D::Error::custom(MISSING)) } else { Ok(text) }
+}
+
+/// An array of strings; empty if absent.
+///
+/// # Errors
+///
+/// The value is no array, or one of its members no string.
+pub fn texts<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<String>, D::Error> {
+    let members: Vec<Lenient<String>> = or_default(deserializer)?;
+    let texts: Option<Vec<String>> = members.into_iter().map(Lenient::ok).collect();
+    texts.ok_or_else(|| D::Error::custom("not all texts"))
+}
+
+/// A member of a list in which a value of another type is no error.
+#[derive(Clone, Debug, serde::Deserialize)]
+#[serde(untagged)]
+pub enum Lenient<T> {
+    /// A value of the type.
+    Valid(T),
+    /// A value of another type.
+    Invalid(IgnoredAny),
+}
+
+impl<T> Lenient<T> {
+    /// The value, if it has the type.
+    pub fn ok(self) -> Option<T> {
+        match self {
+            Lenient::Valid(value) => Some(value),
+            Lenient::Invalid(_) => None,
+        }
+    }
+}
--- a/crates/loomflow-settings/src/json_object.rs
+++ b/crates/loomflow-settings/src/json/object.rs
@@ -1,19 +1,21 @@
-//! Typed access to JSON objects, key by key. Errors carry the full path of the key.
+//! Objects of a JSON document.
 
 use std::sync::LazyLock;
 
+use serde::Deserialize;
 use serde_json::{Map, Value};
 
+use super::deserializer::{NOT_AN_OBJECT, ValueDeserializer};
 use crate::error::FieldError;
 
 /// An absent object.
-static EMPTY: LazyLock<Map<String, Value>> = LazyLock::new(Map::new);
+static EMPTY: LazyLock<Value> = LazyLock::new(|| Value::Object(Map::new()));
 
 /// A JSON object and its path within the document.
 #[derive(Clone, Debug)]
 pub struct JsonObject<'a> {
     path: String,
-    map: &'a Map<String, Value>,
+    value: &'a Value,
 }
 
 impl<'a> JsonObject<'a> {
@@ -23,8 +25,20 @@
     ///
     /// `value` is not an object.
     pub fn new(path: &str, value: &'a Value) -> Result<JsonObject<'a>, FieldError> {
-        let map = value.as_object().ok_or_else(|| FieldError::new(path, "not an object"))?;
-        Ok(JsonObject { path: path.to_owned(), map })
+        if value.is_object() {
+            Ok(JsonObject { path: path.to_owned(), value })
+        } else {
+            Err(FieldError::new(path, NOT_AN_OBJECT))
+        }
+    }
+
+    /// Deserializes a type from the keys of this object; keys that it has no field for are ignored.
+    ///
+    /// # Errors
+    ///
+    /// A key is missing or invalid.
+    pub fn deserialize<T: Deserialize<'a>>(&self) -> Result<T, FieldError> {
+        T::deserialize(ValueDeserializer::new(self.value)).map_err(|error| error.within(&self.path))
     }
 
     /// The full path of a key of this object.
@@ -43,7 +57,7 @@
 
     /// The value of a key; null counts as absent.
     pub fn get(&self, key: &str) -> Option<&'a Value> {
-        self.map.get(key).filter(|value| !value.is_null())
+        self.value.get(key).filter(|value| !value.is_null())
     }
 
     fn typed<T>(
@@ -163,7 +177,7 @@
     pub fn child_or_empty(&self, key: &str) -> Result<JsonObject<'a>, FieldError> {
         match self.get(key) {
             Some(value) => JsonObject::new(&self.path_of(key), value),
-            None => Ok(JsonObject { path: self.path_of(key), map: &EMPTY }),
+            None => Ok(JsonObject { path: self.path_of(key), value: &EMPTY }),
         }
     }
 
--- a/crates/loomflow-settings/src/lib.rs
+++ b/crates/loomflow-settings/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod error;
 pub mod fleet;
 pub mod guard;
-mod json_object;
+pub mod json;
 mod lookup;
 pub mod options;
 mod shaped;
@@ -20,6 +20,6 @@
 
 pub use config::Config;
 pub use error::{ConfigError, FieldError};
-pub use json_object::JsonObject;
+pub use json::JsonObject;
 pub use options::Options;
 pub use site::Site;
--- a/crates/loomflow-settings/src/options/tests.rs
+++ b/crates/loomflow-settings/src/options/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::amqp::Credentials;
-use crate::json_object::JsonObject;
+use crate::json::JsonObject;
 
 const GOOD: &str = "
 amqp:
--- a/crates/loomflow-settings/src/site.rs
+++ b/crates/loomflow-settings/src/site.rs
@@ -7,7 +7,7 @@
 
 use crate::document::TENANTS;
 use crate::error::FieldError;
-use crate::json_object::JsonObject;
+use crate::json::JsonObject;
 use crate::lookup::Lookup;
 use crate::tenants::Tenants;
 
--- a/crates/loomflow-settings/src/tenants.rs
+++ b/crates/loomflow-settings/src/tenants.rs
@@ -9,7 +9,7 @@
 use serde_json::{Map, Number, Value};
 
 use crate::error::FieldError;
-use crate::json_object::JsonObject;
+use crate::json::JsonObject;
 use crate::lookup::NamedList;
 use crate::shaped::{Shaped, deserialize_shaped};
 
