--- a/crates/loomflow-settings/src/site.rs
+++ b/crates/loomflow-settings/src/site.rs
@@ -1,16 +1,19 @@
 //! The settings object of a site: the settings of the decision module, and the names that only the fronts need.
 
-use loomflow::interface::{
-    Class, Downstream, FeedbackSignal, Gauges, Idempotency, Preemption, ReloadableSettings, Settings,
-};
-use serde_json::Value;
+mod keys;
 
+use loomflow::interface::{Class, Gauges, ReloadableSettings, Settings, Tenant};
+
+use self::keys::{CallSettings, ClassKeys, ClassName, ControllerKeys, FrontKeys, Sections};
 use crate::document::TENANTS;
 use crate::error::FieldError;
 use crate::json::JsonObject;
 use crate::lookup::Lookup;
 use crate::tenants::Tenants;
 
+/// Key of the list of classes.
+const CLASSES: &str = "Classes";
+
 /// Settings of a site.
 #[derive(Clone, Debug)]
 pub struct Site {
@@ -32,20 +35,17 @@
     /// # Errors
     ///
     /// A key is missing or invalid.
-    pub fn parse(root: &JsonObject) -> Result<Site, FieldError> {
-        Site::parse_with_tenants(root, &Tenants::from_value(root.get(TENANTS)))
+    pub fn parse(object: &JsonObject) -> Result<Site, FieldError> {
+        Site::parse_with_tenants(object, &Tenants::from_value(object.get(TENANTS)))
     }
 
     /// Parses a settings object whose tenants were deserialized separately.
-    pub(crate) fn parse_with_tenants(root: &JsonObject, tenants: &Tenants) -> Result<Site, FieldError> {
-        let domain = root.child("Domain")?;
-        Ok(Site {
-            settings: parse_settings(root, &domain, tenants)?,
-            classes: parse_names(root, "Classes")?,
-            tenants: tenants.names(&root.path_of(TENANTS))?,
-            gauges: domain.texts("Gauges")?,
-            deep_checks: domain.boolean("DeepChecks")?,
-        })
+    pub(crate) fn parse_with_tenants(object: &JsonObject, tenants: &Tenants) -> Result<Site, FieldError> {
+        let settings = parse_settings(object, tenants)?;
+        let classes = parse_class_names(object)?;
+        let tenants = tenants.names(&object.path_of(TENANTS))?;
+        let FrontKeys { gauges, deep_checks } = object.deserialize()?;
+        Ok(Site { settings, classes, tenants, gauges, deep_checks })
     }
 
     /// Takes over the values of `later` that may change while serving (see [`guard`](crate::guard)). Classes and tenants
@@ -105,126 +105,78 @@
     }
 }
 
-fn parse_names(root: &JsonObject, key: &str) -> Result<Vec<String>, FieldError> {
-    root.children(key)?.iter().map(|child| child.text("Name").map(str::to_owned)).collect()
-}
-
-/// Whether classes make downstream calls, and the weight of a result without the call.
-struct CallSettings<'a> {
-    calls: &'a [Value],
-    degraded_weights: &'a [Value],
-}
-
-impl CallSettings<'_> {
-    fn makes_calls(&self, class: usize) -> bool {
-        self.calls.get(class).and_then(Value::as_bool).unwrap_or(false)
-    }
-
-    fn degraded_weight(&self, class: usize) -> f64 {
-        self.degraded_weights.get(class).and_then(Value::as_f64).unwrap_or(0.0)
-    }
+fn parse_class_names(object: &JsonObject) -> Result<Vec<String>, FieldError> {
+    let names = object.children(CLASSES)?;
+    names.iter().map(|class| class.deserialize().map(|ClassName { name }| name)).collect()
 }
 
-fn parse_classes(root: &JsonObject, domain: &JsonObject) -> Result<Vec<Class>, FieldError> {
-    let call_settings =
-        CallSettings { calls: domain.list("CallsByClass")?, degraded_weights: domain.list("DegradedWorth")? };
+fn parse_classes(object: &JsonObject) -> Result<Vec<Class>, FieldError> {
+    let calls: CallSettings = object.deserialize()?;
     let mut classes = Vec::new();
-    for (index, class) in root.children("Classes")?.iter().enumerate() {
+    for (index, class) in object.children(CLASSES)?.iter().enumerate() {
+        let class: ClassKeys = class.deserialize()?;
         classes.push(Class {
-            idempotency: parse_idempotency(class)?,
-            latency_objective: class.positive("OnTime")?,
-            objective_per_work: class.non_negative("AimStretch")?,
-            timeout: class.positive("HardLimit")?,
-            priority_weight: class.required_number("Points")?,
-            late_weight: class.number("LateShare")?,
-            idempotency_window: class.non_negative("Window")?,
-            makes_calls: call_settings.makes_calls(index),
-            degraded_weight: call_settings.degraded_weight(index),
+            idempotency: class.idempotency,
+            latency_objective: class.latency_objective,
+            objective_per_work: class.objective_per_work,
+            timeout: class.timeout,
+            priority_weight: class.priority_weight,
+            late_weight: class.late_weight,
+            idempotency_window: class.idempotency_window,
+            makes_calls: calls.makes_calls(index),
+            degraded_weight: calls.degraded_weight(index),
         });
     }
     if classes.is_empty() {
-        return root.error("Classes", "no class");
+        return object.error(CLASSES, "no class");
     }
     Ok(classes)
 }
 
-fn parse_idempotency(class: &JsonObject) -> Result<Idempotency, FieldError> {
-    match class.text("Effect")? {
-        "safe" => Ok(Idempotency::Always),
-        "keyed" => Ok(Idempotency::ByKey),
-        "unsafe" => Ok(Idempotency::Never),
-        other => class.error("Effect", &format!("{other:?} is not known")),
-    }
+fn parse_settings(object: &JsonObject, tenants: &Tenants) -> Result<Settings, FieldError> {
+    let _: Sections = object.deserialize()?;
+    let classes = parse_classes(object)?;
+    let tenants = tenants.quotas(&object.path_of(TENANTS))?;
+    let keys = ControllerKeys::read(object)?;
+    Ok(settings(classes, tenants, keys))
 }
 
-fn parse_downstream(domain: &JsonObject) -> Result<Downstream, FieldError> {
-    Ok(match domain.text("Downstream")? {
-        "shared" => Downstream::Shared,
-        "tier" => Downstream::Tier,
-        _ => Downstream::None,
-    })
-}
-
-fn parse_preemption(domain: &JsonObject) -> Result<Preemption, FieldError> {
-    Ok(match domain.text("Halt")? {
-        "drop" => Preemption::DiscardsProgress,
-        "pause" => Preemption::KeepsProgress,
-        _ => Preemption::Unsupported,
-    })
-}
-
-fn parse_feedback_signal(domain: &JsonObject) -> Result<FeedbackSignal, FieldError> {
-    Ok(match domain.text("Say")? {
-        "level" => FeedbackSignal::LowestRank,
-        "credit" => FeedbackSignal::Credit,
-        "weight" => FeedbackSignal::SendShare,
-        _ => FeedbackSignal::Unused,
-    })
-}
-
-/// The maximum time that rejected callers back off, ms; 0 if the site does not support it.
-fn parse_max_retry_after(limits: &JsonObject) -> Result<f64, FieldError> {
-    if limits.boolean("RetryAfter")? { limits.non_negative("MaxRetryAfter") } else { Ok(0.0) }
-}
-
-fn parse_settings(root: &JsonObject, domain: &JsonObject, tenants: &Tenants) -> Result<Settings, FieldError> {
-    let rules = root.child("Rules")?;
-    let limits = root.child_or_empty("Limits")?;
-    let prices = root.child_or_empty("Prices")?;
-    Ok(Settings {
-        classes: parse_classes(root, domain)?,
-        tenants: tenants.quotas(&root.path_of(TENANTS))?,
-        over_quota_weight: root.number("OverShareWorth")?,
-        is_weight_per_work: root.text("ValueBy")? == "work",
-        server_count: root.non_negative("Servers")?,
-        caller_count: domain.non_negative("ClientsTotal")?,
-        tier: u32::try_from(root.integer_or("Stage", 0)?).or_else(|_| root.error("Stage", "too large"))?,
-        cores: domain.positive("Cpus")?,
-        memory_kb: domain.positive("HeapKb")?,
-        run_memory_factor: domain.positive("RunMemFactor")?,
-        key_kb: domain.non_negative("KeyKb")?,
-        downstream: parse_downstream(domain)?,
-        call_quota: domain.non_negative("CallShare")?,
-        call_quota_window: domain.non_negative("CallsOver")?,
-        call_linger: domain.non_negative("StaysFor")?,
-        result_cache_ttl: domain.non_negative("Fresh")?,
-        preemption: parse_preemption(domain)?,
-        feedback_signal: parse_feedback_signal(domain)?,
-        signal_ttl: domain.non_negative("Heeded")?,
-        idle_timeout: domain.non_negative("Idle")?,
-        handshake_price: prices.number("Handshake")?,
-        has_caller_deadlines: domain.boolean("PassesDeadline")?,
-        has_cancellations: domain.boolean("TellsGone")?,
-        is_slow_start: domain.boolean("Cold")?,
-        slow_start_share: rules.number("ColdShare")?,
-        slow_start_duration: rules.non_negative("Cold")?,
-        response_slack: rules.non_negative("AnswerSlack")?,
-        drain_grace: rules.non_negative("DrainGrace")?,
-        core_concurrency: rules.positive("FallMultiple")?,
-        concurrency_window: rules.non_negative("TipAfter")?,
-        max_retry_after: parse_max_retry_after(&limits)?,
-        batch_interval: root.non_negative("Period")?,
-    })
+fn settings(classes: Vec<Class>, tenants: Vec<Tenant>, keys: ControllerKeys) -> Settings {
+    let ControllerKeys { fleet, machine, calls, callers, rules, max_retry_after, batch_interval } = keys;
+    Settings {
+        classes,
+        tenants,
+        over_quota_weight: fleet.over_quota_weight,
+        is_weight_per_work: fleet.is_weight_per_work,
+        server_count: fleet.server_count,
+        caller_count: fleet.caller_count,
+        tier: fleet.tier,
+        cores: machine.cores,
+        memory_kb: machine.memory_kb,
+        run_memory_factor: machine.run_memory_factor,
+        key_kb: machine.key_kb,
+        downstream: calls.downstream,
+        call_quota: calls.call_quota,
+        call_quota_window: calls.call_quota_window,
+        call_linger: calls.call_linger,
+        result_cache_ttl: callers.result_cache_ttl,
+        preemption: callers.preemption,
+        feedback_signal: callers.feedback_signal,
+        signal_ttl: callers.signal_ttl,
+        idle_timeout: callers.idle_timeout,
+        handshake_price: callers.handshake_price,
+        has_caller_deadlines: callers.has_caller_deadlines,
+        has_cancellations: callers.has_cancellations,
+        is_slow_start: rules.is_slow_start,
+        slow_start_share: rules.slow_start_share,
+        slow_start_duration: rules.slow_start_duration,
+        response_slack: rules.response_slack,
+        drain_grace: rules.drain_grace,
+        core_concurrency: rules.core_concurrency,
+        concurrency_window: rules.concurrency_window,
+        max_retry_after,
+        batch_interval,
+    }
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/loomflow-settings/src/site/keys.rs
@@ -0,0 +1,300 @@
+//! The keys of the settings object in the terms of the controller, in the order in which they are checked.
+//!
+//! The names of the keys stand in `rename` and nowhere else. `Section.Key` is a key of an object within the settings.
+
+use loomflow::interface::{Downstream, FeedbackSignal, Idempotency, Preemption};
+use loomflow::time::Millis;
+use serde::de::{Deserializer, Error};
+
+use crate::error::FieldError;
+use crate::json::JsonObject;
+use crate::json::fields::{Lenient, non_negative, or_default, positive, texts};
+
+/// The sections, for a check of their shape before any of their keys is read.
+#[derive(serde::Deserialize)]
+pub(super) struct Sections {
+    #[serde(rename = "Domain")]
+    _machine: Section,
+    #[serde(rename = "Rules")]
+    _rules: Section,
+    #[serde(rename = "Limits")]
+    _limits: Option<Section>,
+    #[serde(rename = "Prices")]
+    _prices: Option<Section>,
+}
+
+/// Any object.
+#[derive(serde::Deserialize)]
+struct Section {}
+
+/// What classes lose without their downstream call.
+#[derive(serde::Deserialize)]
+pub(super) struct CallSettings {
+    /// Whether requests of a class may call downstream, by the class's index; false by default and for another type.
+    #[serde(rename = "Domain.CallsByClass", deserialize_with = "or_default")]
+    makes_calls: Vec<Lenient<bool>>,
+    /// The share of the weight that a response without its call still earns, 0 to 1, by the class's index; 0 by default and
+    /// for another type.
+    #[serde(rename = "Domain.DegradedWorth", deserialize_with = "or_default")]
+    degraded_weights: Vec<Lenient<f64>>,
+}
+
+impl CallSettings {
+    pub(super) fn makes_calls(&self, class: usize) -> bool {
+        matches!(self.makes_calls.get(class), Some(Lenient::Valid(true)))
+    }
+
+    pub(super) fn degraded_weight(&self, class: usize) -> f64 {
+        match self.degraded_weights.get(class) {
+            Some(Lenient::Valid(weight)) => *weight,
+            _ => 0.0,
+        }
+    }
+}
+
+/// A class of requests.
+#[derive(serde::Deserialize)]
+pub(super) struct ClassKeys {
+    /// Whether its requests may run more than once. Required.
+    #[serde(rename = "Effect", deserialize_with = "idempotency")]
+    pub(super) idempotency: Idempotency,
+    /// A response within this time of the first attempt earns the full weight, ms. Required, above 0.
+    #[serde(rename = "OnTime", deserialize_with = "positive")]
+    pub(super) latency_objective: Millis,
+    /// The objective grows by this multiple of the request's estimated work; 0 by default.
+    #[serde(rename = "AimStretch", deserialize_with = "non_negative")]
+    pub(super) objective_per_work: f64,
+    /// The client waits no longer than this, over all its attempts, ms. Required, above 0.
+    #[serde(rename = "HardLimit", deserialize_with = "positive")]
+    pub(super) timeout: Millis,
+    /// The weight of a response in time. Required.
+    #[serde(rename = "Points")]
+    pub(super) priority_weight: f64,
+    /// The share of the weight that a late response still earns, 0 to 1; 0 by default.
+    #[serde(rename = "LateShare", deserialize_with = "or_default")]
+    pub(super) late_weight: f64,
+    /// How long after an arrival a duplicate may come, ms; 0 by default.
+    #[serde(rename = "Window", deserialize_with = "non_negative")]
+    pub(super) idempotency_window: Millis,
+}
+
+/// The name of a class.
+#[derive(serde::Deserialize)]
+pub(super) struct ClassName {
+    /// Empty by default.
+    #[serde(rename = "Name", deserialize_with = "or_default")]
+    pub(super) name: String,
+}
+
+/// All keys beside classes, tenants and names.
+pub(super) struct ControllerKeys {
+    pub(super) fleet: FleetKeys,
+    pub(super) machine: MachineKeys,
+    pub(super) calls: DownstreamKeys,
+    pub(super) callers: CallerKeys,
+    pub(super) rules: RuleKeys,
+    /// The longest retry-after that callers honor, ms; 0 where none is passed on.
+    pub(super) max_retry_after: Millis,
+    /// Minimum time between two batches, ms.
+    pub(super) batch_interval: Millis,
+}
+
+impl ControllerKeys {
+    pub(super) fn read(object: &JsonObject) -> Result<ControllerKeys, FieldError> {
+        let fleet = object.deserialize()?;
+        let machine = object.deserialize()?;
+        let calls = object.deserialize()?;
+        let callers = object.deserialize()?;
+        let rules: RuleKeys = object.deserialize()?;
+        let max_retry_after = if rules.has_retry_after {
+            let RetryAfterLimit { max_retry_after } = object.deserialize()?;
+            max_retry_after
+        } else {
+            0.0
+        };
+        let BatchKeys { batch_interval } = object.deserialize()?;
+        Ok(ControllerKeys { fleet, machine, calls, callers, rules, max_retry_after, batch_interval })
+    }
+}
+
+/// How requests are weighed, and the fleet that serves them.
+#[derive(serde::Deserialize)]
+pub(super) struct FleetKeys {
+    /// Factor on the weight of a request beyond its tenant's quota; 0 by default.
+    #[serde(rename = "OverShareWorth", deserialize_with = "or_default")]
+    pub(super) over_quota_weight: f64,
+    /// Whether weights count for each unit of work rather than for each request; false by default.
+    #[serde(rename = "ValueBy", deserialize_with = "is_by_work")]
+    pub(super) is_weight_per_work: bool,
+    /// Servers of this tier; 0 by default.
+    #[serde(rename = "Servers", deserialize_with = "non_negative")]
+    pub(super) server_count: f64,
+    /// Callers of this tier; 0 by default.
+    #[serde(rename = "Domain.ClientsTotal", deserialize_with = "non_negative")]
+    pub(super) caller_count: f64,
+    /// 0 for the tier that clients reach, 1 for the next one downstream, and so on; 0 by default.
+    #[serde(rename = "Stage", deserialize_with = "tier")]
+    pub(super) tier: u32,
+}
+
+/// The machine.
+#[derive(serde::Deserialize)]
+pub(super) struct MachineKeys {
+    /// Cores. Required, above 0.
+    #[serde(rename = "Domain.Cpus", deserialize_with = "positive")]
+    pub(super) cores: f64,
+    /// Memory, KB. Required, above 0.
+    #[serde(rename = "Domain.HeapKb", deserialize_with = "positive")]
+    pub(super) memory_kb: f64,
+    /// Memory of a running request, as a multiple of that of a queued one. Required, above 0.
+    #[serde(rename = "Domain.RunMemFactor", deserialize_with = "positive")]
+    pub(super) run_memory_factor: f64,
+    /// Memory of one retained key, KB; 0 by default.
+    #[serde(rename = "Domain.KeyKb", deserialize_with = "non_negative")]
+    pub(super) key_kb: f64,
+}
+
+/// The calls downstream.
+#[derive(serde::Deserialize)]
+pub(super) struct DownstreamKeys {
+    /// What requests call; nothing by default.
+    #[serde(rename = "Domain.Downstream", deserialize_with = "downstream")]
+    pub(super) downstream: Downstream,
+    /// Mean number of calls in flight that the shared dependency allows this server; 0 by default.
+    #[serde(rename = "Domain.CallShare", deserialize_with = "non_negative")]
+    pub(super) call_quota: f64,
+    /// Time over which that mean is taken, ms; 0 by default.
+    #[serde(rename = "Domain.CallsOver", deserialize_with = "non_negative")]
+    pub(super) call_quota_window: Millis,
+    /// How long an abandoned call may stay in the dependency, ms; 0 by default.
+    #[serde(rename = "Domain.StaysFor", deserialize_with = "non_negative")]
+    pub(super) call_linger: Millis,
+}
+
+/// What the callers do, and what is agreed with them.
+#[derive(serde::Deserialize)]
+pub(super) struct CallerKeys {
+    /// How long the result of an idempotent request may answer others, ms; 0 by default, for never.
+    #[serde(rename = "Domain.Fresh", deserialize_with = "non_negative")]
+    pub(super) result_cache_ttl: Millis,
+    /// Whether running requests can be stopped; not by default.
+    #[serde(rename = "Domain.Halt", deserialize_with = "preemption")]
+    pub(super) preemption: Preemption,
+    /// How callers interpret the feedback signal; not at all by default.
+    #[serde(rename = "Domain.Say", deserialize_with = "feedback_signal")]
+    pub(super) feedback_signal: FeedbackSignal,
+    /// How long callers remember the feedback signal, ms; 0 by default, for unknown.
+    #[serde(rename = "Domain.Heeded", deserialize_with = "non_negative")]
+    pub(super) signal_ttl: Millis,
+    /// Callers close connections that are idle for this, ms; 0 by default.
+    #[serde(rename = "Domain.Idle", deserialize_with = "non_negative")]
+    pub(super) idle_timeout: Millis,
+    /// Weight lost for each new connection per first attempt; 0 by default.
+    #[serde(rename = "Prices.Handshake", deserialize_with = "or_default")]
+    pub(super) handshake_price: f64,
+    /// Whether requests state how long their caller will wait; false by default.
+    #[serde(rename = "Domain.PassesDeadline", deserialize_with = "or_default")]
+    pub(super) has_caller_deadlines: bool,
+    /// Whether a caller that gives up cancels its request; false by default.
+    #[serde(rename = "Domain.TellsGone", deserialize_with = "or_default")]
+    pub(super) has_cancellations: bool,
+}
+
+/// Start, shutdown and concurrency.
+#[derive(serde::Deserialize)]
+pub(super) struct RuleKeys {
+    /// Whether the server was started into a running fleet, with cold caches; false by default.
+    #[serde(rename = "Domain.Cold", deserialize_with = "or_default")]
+    pub(super) is_slow_start: bool,
+    /// The share of its full speed with which a server starts, 0 to 1; 0 by default.
+    #[serde(rename = "Rules.ColdShare", deserialize_with = "or_default")]
+    pub(super) slow_start_share: f64,
+    /// How long it takes to reach its full speed, ms; 0 by default.
+    #[serde(rename = "Rules.Cold", deserialize_with = "non_negative")]
+    pub(super) slow_start_duration: Millis,
+    /// A response may come so long after its deadline, ms; 0 by default.
+    #[serde(rename = "Rules.AnswerSlack", deserialize_with = "non_negative")]
+    pub(super) response_slack: Millis,
+    /// What arrives later than this after the shutdown was requested is not run, ms; 0 by default.
+    #[serde(rename = "Rules.DrainGrace", deserialize_with = "non_negative")]
+    pub(super) drain_grace: Millis,
+    /// Runnable requests for each core at which a server at full speed still does not fail. Required, above 0.
+    #[serde(rename = "Rules.FallMultiple", deserialize_with = "positive")]
+    pub(super) core_concurrency: f64,
+    /// Time over which the mean of the runnable requests is taken, ms; 0 by default.
+    #[serde(rename = "Rules.TipAfter", deserialize_with = "non_negative")]
+    pub(super) concurrency_window: Millis,
+    /// Whether a retry-after is passed on to callers; false by default.
+    #[serde(rename = "Limits.RetryAfter", deserialize_with = "or_default")]
+    pub(super) has_retry_after: bool,
+}
+
+/// The longest retry-after, which is read only where one is passed on.
+#[derive(serde::Deserialize)]
+struct RetryAfterLimit {
+    /// The longest retry-after that callers honor, ms; 0 by default.
+    #[serde(rename = "Limits.MaxRetryAfter", deserialize_with = "non_negative")]
+    max_retry_after: Millis,
+}
+
+/// The batches.
+#[derive(serde::Deserialize)]
+struct BatchKeys {
+    /// Minimum time between two batches, ms; 0 by default.
+    #[serde(rename = "Period", deserialize_with = "non_negative")]
+    batch_interval: Millis,
+}
+
+/// What only the fronts need.
+#[derive(serde::Deserialize)]
+pub(super) struct FrontKeys {
+    /// Names of the gauges, in the order in which the engine reports them; none by default.
+    #[serde(rename = "Domain.Gauges", deserialize_with = "texts")]
+    pub(super) gauges: Vec<String>,
+    /// Whether health checks that are not answered from the cache do real work; false by default.
+    #[serde(rename = "Domain.DeepChecks", deserialize_with = "or_default")]
+    pub(super) deep_checks: bool,
+}
+
+fn idempotency<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Idempotency, D::Error> {
+    match or_default(deserializer)? {
+        "safe" => Ok(Idempotency::Always),
+        "keyed" => Ok(Idempotency::ByKey),
+        "unsafe" => Ok(Idempotency::Never),
+        other => Err(D::Error::custom(format_args!("{other:?} is not known"))),
+    }
+}
+
+fn is_by_work<'de, D: Deserializer<'de>>(deserializer: D) -> Result<bool, D::Error> {
+    or_default(deserializer).map(|text: &str| text == "work")
+}
+
+fn tier<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u32, D::Error> {
+    let tier: u64 = or_default(deserializer)?;
+    u32::try_from(tier).map_err(|_| D::Error::custom("too large"))
+}
+
+fn downstream<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Downstream, D::Error> {
+    Ok(match or_default(deserializer)? {
+        "shared" => Downstream::Shared,
+        "tier" => Downstream::Tier,
+        _ => Downstream::None,
+    })
+}
+
+fn preemption<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Preemption, D::Error> {
+    Ok(match or_default(deserializer)? {
+        "drop" => Preemption::DiscardsProgress,
+        "pause" => Preemption::KeepsProgress,
+        _ => Preemption::Unsupported,
+    })
+}
+
+fn feedback_signal<'de, D: Deserializer<'de>>(deserializer: D) -> Result<FeedbackSignal, D::Error> {
+    Ok(match or_default(deserializer)? {
+        "level" => FeedbackSignal::LowestRank,
+        "credit" => FeedbackSignal::Credit,
+        "weight" => FeedbackSignal::SendShare,
+        _ => FeedbackSignal::Unused,
+    })
+}
