--- a/crates/loomflow-settings/src/config.rs
+++ b/crates/loomflow-settings/src/config.rs
@@ -1,17 +1,17 @@
 //! The configuration file of a server (JSON).
 
+mod keys;
+
 use std::io::Read as _;
 use std::net::SocketAddr;
 use std::path::Path;
 
+use self::keys::{ProcessKeys, ServerKeys, parse_seed};
 use crate::document::{Document, SETTINGS};
 use crate::error::{ConfigError, FieldError};
 use crate::json::JsonObject;
 use crate::site::Site;
 
-const DEFAULT_SOCKETS: u64 = 1024;
-const DEFAULT_MEMORY_MB: u64 = 192;
-const DEFAULT_CORES: f64 = 1.0;
 /// Largest file that is read, MiB.
 const MAX_MIB: u64 = 4;
 const MAX_BYTES: u64 = MAX_MIB * 1024 * 1024;
@@ -80,21 +80,24 @@
     }
 
     fn from_document(document: Document) -> Result<Config, FieldError> {
-        let root = JsonObject::new("", &document.tree)?;
-        let seed = root.required_text("seed")?;
+        let file = JsonObject::new("", &document.tree)?;
+        let ServerKeys { seed, name, listen, engine, control, ledger } = file.deserialize()?;
+        let seed = parse_seed(seed)?;
+        let ProcessKeys { stop_ms, sockets, memory_mb, cores } = file.deserialize()?;
+        let site = Site::parse_with_tenants(&file.child(SETTINGS)?, &document.tenants)?;
+        let name = name.to_owned();
         Ok(Config {
-            name: name(&root)?,
-            listen: address(&root, "listen")?,
-            engine: address(&root, "engine")?,
-            control: optional_address(&root, "control")?,
-            ledger: optional_address(&root, "ledger")?,
-            seed: u64::from_str_radix(seed, 16)
-                .or_else(|_| root.error("seed", "not a hexadecimal number of 64 bits"))?,
-            stop_ms: root.positive("stop_ms")?,
-            sockets: positive_limit(&root.child_or_empty("limits")?, "sockets", DEFAULT_SOCKETS)?,
-            memory_mb: positive_limit(&root.child_or_empty("limits")?, "memory_mb", DEFAULT_MEMORY_MB)?,
-            cores: cores(&root.child_or_empty("limits")?)?,
-            site: Site::parse_with_tenants(&root.child(SETTINGS)?, &document.tenants)?,
+            name,
+            listen,
+            engine,
+            control,
+            ledger,
+            seed,
+            stop_ms,
+            sockets,
+            memory_mb,
+            cores,
+            site,
             document,
         })
     }
@@ -135,36 +138,5 @@
     Ok(text)
 }
 
-fn positive_limit(limits: &JsonObject, key: &str, default: u64) -> Result<usize, FieldError> {
-    match limits.integer_or(key, default)? {
-        0 => limits.error(key, "not above 0"),
-        value => Ok(usize::try_from(value).unwrap_or(usize::MAX)),
-    }
-}
-
-/// One thread drives all connections whatever this limit is, but it must be above 0.
-fn cores(limits: &JsonObject) -> Result<f64, FieldError> {
-    if limits.get("cores").is_none() { Ok(DEFAULT_CORES) } else { limits.positive("cores") }
-}
-
-/// The name is part of a URL's path, so only characters that need no escaping there are allowed.
-fn name(root: &JsonObject) -> Result<String, FieldError> {
-    let name = root.required_text("name")?;
-    let is_unreserved = |character: char| character.is_ascii_alphanumeric() || "-._~".contains(character);
-    if name.chars().all(is_unreserved) {
-        Ok(name.to_owned())
-    } else {
-        root.error("name", "holds characters other than letters, digits and -._~")
-    }
-}
-
-fn address(root: &JsonObject, key: &str) -> Result<SocketAddr, FieldError> {
-    root.required_text(key)?.parse().or_else(|_| root.error(key, "not an address with a port"))
-}
-
-fn optional_address(root: &JsonObject, key: &str) -> Result<Option<SocketAddr>, FieldError> {
-    if root.text(key)?.is_empty() { Ok(None) } else { address(root, key).map(Some) }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/loomflow-settings/src/json/fields.rs
+++ b/crates/loomflow-settings/src/json/fields.rs
@@ -4,6 +4,8 @@
 
 use super::deserializer::MISSING;
 
+pub(crate) const NOT_ABOVE_0: &str = "not above 0";
+
 /// A value, or the default of its type if it is absent.
 ///
 /// # Errors
@@ -23,8 +25,11 @@
 ///
 /// The value is missing or invalid.
 pub fn positive<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
-    let number = f64::deserialize(deserializer)?;
-    if number > 0.0 { Ok(number) } else { Err(D::Error::custom("not above 0")) }
+    check_positive(f64::deserialize(deserializer)?)
+}
+
+pub(crate) fn check_positive<E: Error>(number: f64) -> Result<f64, E> {
+    if number > 0.0 { Ok(number) } else { Err(E::custom(NOT_ABOVE_0)) }
 }
 
 /// A number that must not be below 0; 0 if absent.
--- a/crates/loomflow-settings/src/site.rs
+++ b/crates/loomflow-settings/src/site.rs
@@ -128,7 +128,7 @@
         });
     }
     if classes.is_empty() {
-        return object.error(CLASSES, "no class");
+        return Err(object.error(CLASSES, "no class"));
     }
     Ok(classes)
 }
--- a/crates/loomflow-settings/src/tenants.rs
+++ b/crates/loomflow-settings/src/tenants.rs
@@ -10,12 +10,29 @@
 
 use crate::error::FieldError;
 use crate::json::JsonObject;
+use crate::json::fields::{non_negative, or_default};
 use crate::lookup::NamedList;
 use crate::shaped::{Shaped, deserialize_shaped};
 
 const NAME: &str = "Name";
 const QUOTA: &str = "QuotaPerS";
 
+/// The name of a tenant.
+#[derive(serde::Deserialize)]
+struct TenantName {
+    /// Empty by default.
+    #[serde(rename = "Name", deserialize_with = "or_default")]
+    name: String,
+}
+
+/// The quota of a tenant.
+#[derive(serde::Deserialize)]
+struct TenantQuota {
+    /// Requests a second within the quota, over the whole fleet; 0 by default, for no quota.
+    #[serde(rename = "QuotaPerS", deserialize_with = "non_negative")]
+    quota_per_s: f64,
+}
+
 /// The value of `settings.Orgs`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Tenants {
@@ -140,7 +157,8 @@
 
     fn quota(&self, index: usize, path: &str) -> Result<f64, FieldError> {
         if let Some(value) = self.unusual.get(&index) {
-            return JsonObject::new(&member_path(path, index), value)?.non_negative(QUOTA);
+            let member = JsonObject::new(member_path(path, index), value)?;
+            return member.deserialize().map(|TenantQuota { quota_per_s }| quota_per_s);
         }
         let quota = self.records[index].quota.as_ref().and_then(Number::as_f64).unwrap_or(0.0);
         if quota >= 0.0 {
@@ -152,7 +170,10 @@
 
     fn parse_name(&self, index: usize, path: &str) -> Result<String, FieldError> {
         match self.unusual.get(&index) {
-            Some(value) => JsonObject::new(&member_path(path, index), value)?.text(NAME).map(str::to_owned),
+            Some(value) => {
+                let member = JsonObject::new(member_path(path, index), value)?;
+                member.deserialize().map(|TenantName { name }| name)
+            }
             None => Ok(self.stored_name(index).to_owned()),
         }
     }
