--- a/crates/loomflow-settings/src/json/deserializer.rs
+++ b/crates/loomflow-settings/src/json/deserializer.rs
@@ -21,7 +21,7 @@
 }
 
 /// Deserializes a value of a document.
-pub(super) struct ValueDeserializer<'a> {
+pub(crate) struct ValueDeserializer<'a> {
     /// `None` if the key is absent.
     value: Option<&'a Value>,
 }
--- a/crates/loomflow-settings/src/json/object.rs
+++ b/crates/loomflow-settings/src/json/object.rs
@@ -34,7 +34,15 @@
     ///
     /// A key is missing or invalid.
     pub fn deserialize<T: Deserialize<'a>>(&self) -> Result<T, FieldError> {
-        T::deserialize(ValueDeserializer::new(self.value)).map_err(|error| error.within(&self.path))
+        self.deserialize_with(T::deserialize)
+    }
+
+    /// Deserializes as [`deserialize`](Self::deserialize) does, by a function such as that of a `remote` type.
+    pub(crate) fn deserialize_with<T>(
+        &self,
+        deserialize: impl FnOnce(ValueDeserializer<'a>) -> Result<T, FieldError>,
+    ) -> Result<T, FieldError> {
+        deserialize(ValueDeserializer::new(self.value)).map_err(|error| error.within(&self.path))
     }
 
     /// The full path of a key of this object.
--- a/crates/loomflow-settings/src/site.rs
+++ b/crates/loomflow-settings/src/site.rs
@@ -2,9 +2,13 @@
 
 mod keys;
 
-use loomflow::interface::{Class, Gauges, ReloadableSettings, Settings, Tenant};
+use loomflow::interface::{Class, Gauges, ReloadableSettings, Settings};
+use loomflow::time::Millis;
 
-use self::keys::{CallSettings, ClassKeys, ClassName, ControllerKeys, FrontKeys, Sections};
+use self::keys::{
+    BatchKeys, CallSettings, ClassKeys, ClassName, FrontKeys, RetryAfterKeys, RetryAfterLimit, Sections,
+    SettingsKeys,
+};
 use crate::document::TENANTS;
 use crate::error::FieldError;
 use crate::json::JsonObject;
@@ -114,18 +118,9 @@
     let calls: CallSettings = object.deserialize()?;
     let mut classes = Vec::new();
     for (index, class) in object.children(CLASSES)?.iter().enumerate() {
-        let class: ClassKeys = class.deserialize()?;
-        classes.push(Class {
-            idempotency: class.idempotency,
-            latency_objective: class.latency_objective,
-            objective_per_work: class.objective_per_work,
-            timeout: class.timeout,
-            priority_weight: class.priority_weight,
-            late_weight: class.late_weight,
-            idempotency_window: class.idempotency_window,
-            makes_calls: calls.makes_calls(index),
-            degraded_weight: calls.degraded_weight(index),
-        });
+        let class = class.deserialize_with(ClassKeys::deserialize)?;
+        let (makes_calls, degraded_weight) = (calls.makes_calls(index), calls.degraded_weight(index));
+        classes.push(Class { makes_calls, degraded_weight, ..class });
     }
     if classes.is_empty() {
         return Err(object.error(CLASSES, "no class"));
@@ -133,50 +128,24 @@
     Ok(classes)
 }
 
+/// The longest retry-after, ms; 0 where none is passed on.
+fn parse_max_retry_after(object: &JsonObject) -> Result<Millis, FieldError> {
+    let RetryAfterKeys { has_retry_after } = object.deserialize()?;
+    if !has_retry_after {
+        return Ok(0.0);
+    }
+    let RetryAfterLimit { max_retry_after } = object.deserialize()?;
+    Ok(max_retry_after)
+}
+
 fn parse_settings(object: &JsonObject, tenants: &Tenants) -> Result<Settings, FieldError> {
     let _: Sections = object.deserialize()?;
     let classes = parse_classes(object)?;
     let tenants = tenants.quotas(&object.path_of(TENANTS))?;
-    let keys = ControllerKeys::read(object)?;
-    Ok(settings(classes, tenants, keys))
-}
-
-fn settings(classes: Vec<Class>, tenants: Vec<Tenant>, keys: ControllerKeys) -> Settings {
-    let ControllerKeys { fleet, machine, calls, callers, rules, max_retry_after, batch_interval } = keys;
-    Settings {
-        classes,
-        tenants,
-        over_quota_weight: fleet.over_quota_weight,
-        is_weight_per_work: fleet.is_weight_per_work,
-        server_count: fleet.server_count,
-        caller_count: fleet.caller_count,
-        tier: fleet.tier,
-        cores: machine.cores,
-        memory_kb: machine.memory_kb,
-        run_memory_factor: machine.run_memory_factor,
-        key_kb: machine.key_kb,
-        downstream: calls.downstream,
-        call_quota: calls.call_quota,
-        call_quota_window: calls.call_quota_window,
-        call_linger: calls.call_linger,
-        result_cache_ttl: callers.result_cache_ttl,
-        preemption: callers.preemption,
-        feedback_signal: callers.feedback_signal,
-        signal_ttl: callers.signal_ttl,
-        idle_timeout: callers.idle_timeout,
-        handshake_price: callers.handshake_price,
-        has_caller_deadlines: callers.has_caller_deadlines,
-        has_cancellations: callers.has_cancellations,
-        is_slow_start: rules.is_slow_start,
-        slow_start_share: rules.slow_start_share,
-        slow_start_duration: rules.slow_start_duration,
-        response_slack: rules.response_slack,
-        drain_grace: rules.drain_grace,
-        core_concurrency: rules.core_concurrency,
-        concurrency_window: rules.concurrency_window,
-        max_retry_after,
-        batch_interval,
-    }
+    let settings = object.deserialize_with(SettingsKeys::deserialize)?;
+    let max_retry_after = parse_max_retry_after(object)?;
+    let BatchKeys { batch_interval } = object.deserialize()?;
+    Ok(Settings { classes, tenants, max_retry_after, batch_interval, ..settings })
 }
 
 #[cfg(test)]
--- a/crates/loomflow-settings/src/site/keys.rs
+++ b/crates/loomflow-settings/src/site/keys.rs
@@ -2,12 +2,10 @@
 //!
 //! The names of the keys stand in `rename` and nowhere else. `Section.Key` is a key of an object within the settings.
 
-use loomflow::interface::{Downstream, FeedbackSignal, Idempotency, Preemption};
+use loomflow::interface::{Class, Downstream, FeedbackSignal, Idempotency, Preemption, Settings, Tenant};
 use loomflow::time::Millis;
 use serde::de::{Deserializer, Error};
 
-use crate::error::FieldError;
-use crate::json::JsonObject;
 use crate::json::fields::{Lenient, non_negative, or_default, positive, texts};
 
 /// The sections, for a check of their shape before any of their keys is read.
@@ -52,30 +50,35 @@
     }
 }
 
-/// A class of requests.
+/// A class of requests; what its calls are is read apart.
 #[derive(serde::Deserialize)]
+#[serde(remote = "Class")]
 pub(super) struct ClassKeys {
     /// Whether its requests may run more than once. Required.
     #[serde(rename = "Effect", deserialize_with = "idempotency")]
-    pub(super) idempotency: Idempotency,
+    idempotency: Idempotency,
     /// A response within this time of the first attempt earns the full weight, ms. Required, above 0.
     #[serde(rename = "OnTime", deserialize_with = "positive")]
-    pub(super) latency_objective: Millis,
+    latency_objective: Millis,
     /// The objective grows by this multiple of the request's estimated work; 0 by default.
     #[serde(rename = "AimStretch", deserialize_with = "non_negative")]
-    pub(super) objective_per_work: f64,
+    objective_per_work: f64,
     /// The client waits no longer than this, over all its attempts, ms. Required, above 0.
     #[serde(rename = "HardLimit", deserialize_with = "positive")]
-    pub(super) timeout: Millis,
+    timeout: Millis,
     /// The weight of a response in time. Required.
     #[serde(rename = "Points")]
-    pub(super) priority_weight: f64,
+    priority_weight: f64,
     /// The share of the weight that a late response still earns, 0 to 1; 0 by default.
     #[serde(rename = "LateShare", deserialize_with = "or_default")]
-    pub(super) late_weight: f64,
+    late_weight: f64,
     /// How long after an arrival a duplicate may come, ms; 0 by default.
     #[serde(rename = "Window", deserialize_with = "non_negative")]
-    pub(super) idempotency_window: Millis,
+    idempotency_window: Millis,
+    #[serde(skip)]
+    makes_calls: bool,
+    #[serde(skip)]
+    degraded_weight: f64,
 }
 
 /// The name of a class.
@@ -86,144 +89,108 @@
     pub(super) name: String,
 }
 
-/// All keys beside classes, tenants and names.
-pub(super) struct ControllerKeys {
-    pub(super) fleet: FleetKeys,
-    pub(super) machine: MachineKeys,
-    pub(super) calls: DownstreamKeys,
-    pub(super) callers: CallerKeys,
-    pub(super) rules: RuleKeys,
-    /// The longest retry-after that callers honor, ms; 0 where none is passed on.
-    pub(super) max_retry_after: Millis,
-    /// Minimum time between two batches, ms.
-    pub(super) batch_interval: Millis,
-}
-
-impl ControllerKeys {
-    pub(super) fn read(object: &JsonObject) -> Result<ControllerKeys, FieldError> {
-        let fleet = object.deserialize()?;
-        let machine = object.deserialize()?;
-        let calls = object.deserialize()?;
-        let callers = object.deserialize()?;
-        let rules: RuleKeys = object.deserialize()?;
-        let max_retry_after = if rules.has_retry_after {
-            let RetryAfterLimit { max_retry_after } = object.deserialize()?;
-            max_retry_after
-        } else {
-            0.0
-        };
-        let BatchKeys { batch_interval } = object.deserialize()?;
-        Ok(ControllerKeys { fleet, machine, calls, callers, rules, max_retry_after, batch_interval })
-    }
-}
-
-/// How requests are weighed, and the fleet that serves them.
+/// The settings; classes, tenants and the last two are read apart.
 #[derive(serde::Deserialize)]
-pub(super) struct FleetKeys {
+#[serde(remote = "Settings")]
+#[expect(clippy::struct_excessive_bools, reason = "each is an independent fact")]
+pub(super) struct SettingsKeys {
+    #[serde(skip)]
+    classes: Vec<Class>,
+    #[serde(skip)]
+    tenants: Vec<Tenant>,
     /// Factor on the weight of a request beyond its tenant's quota; 0 by default.
     #[serde(rename = "OverShareWorth", deserialize_with = "or_default")]
-    pub(super) over_quota_weight: f64,
+    over_quota_weight: f64,
     /// Whether weights count for each unit of work rather than for each request; false by default.
     #[serde(rename = "ValueBy", deserialize_with = "is_by_work")]
-    pub(super) is_weight_per_work: bool,
+    is_weight_per_work: bool,
     /// Servers of this tier; 0 by default.
     #[serde(rename = "Servers", deserialize_with = "non_negative")]
-    pub(super) server_count: f64,
+    server_count: f64,
     /// Callers of this tier; 0 by default.
     #[serde(rename = "Domain.ClientsTotal", deserialize_with = "non_negative")]
-    pub(super) caller_count: f64,
+    caller_count: f64,
     /// 0 for the tier that clients reach, 1 for the next one downstream, and so on; 0 by default.
     #[serde(rename = "Stage", deserialize_with = "tier")]
-    pub(super) tier: u32,
-}
-
-/// The machine.
-#[derive(serde::Deserialize)]
-pub(super) struct MachineKeys {
+    tier: u32,
     /// Cores. Required, above 0.
     #[serde(rename = "Domain.Cpus", deserialize_with = "positive")]
-    pub(super) cores: f64,
+    cores: f64,
     /// Memory, KB. Required, above 0.
     #[serde(rename = "Domain.HeapKb", deserialize_with = "positive")]
-    pub(super) memory_kb: f64,
+    memory_kb: f64,
     /// Memory of a running request, as a multiple of that of a queued one. Required, above 0.
     #[serde(rename = "Domain.RunMemFactor", deserialize_with = "positive")]
-    pub(super) run_memory_factor: f64,
+    run_memory_factor: f64,
     /// Memory of one retained key, KB; 0 by default.
     #[serde(rename = "Domain.KeyKb", deserialize_with = "non_negative")]
-    pub(super) key_kb: f64,
-}
-
-/// The calls downstream.
-#[derive(serde::Deserialize)]
-pub(super) struct DownstreamKeys {
+    key_kb: f64,
     /// What requests call; nothing by default.
     #[serde(rename = "Domain.Downstream", deserialize_with = "downstream")]
-    pub(super) downstream: Downstream,
+    downstream: Downstream,
     /// Mean number of calls in flight that the shared dependency allows this server; 0 by default.
     #[serde(rename = "Domain.CallShare", deserialize_with = "non_negative")]
-    pub(super) call_quota: f64,
+    call_quota: f64,
     /// Time over which that mean is taken, ms; 0 by default.
     #[serde(rename = "Domain.CallsOver", deserialize_with = "non_negative")]
-    pub(super) call_quota_window: Millis,
+    call_quota_window: Millis,
     /// How long an abandoned call may stay in the dependency, ms; 0 by default.
     #[serde(rename = "Domain.StaysFor", deserialize_with = "non_negative")]
-    pub(super) call_linger: Millis,
-}
-
-/// What the callers do, and what is agreed with them.
-#[derive(serde::Deserialize)]
-pub(super) struct CallerKeys {
+    call_linger: Millis,
     /// How long the result of an idempotent request may answer others, ms; 0 by default, for never.
     #[serde(rename = "Domain.Fresh", deserialize_with = "non_negative")]
-    pub(super) result_cache_ttl: Millis,
+    result_cache_ttl: Millis,
     /// Whether running requests can be stopped; not by default.
     #[serde(rename = "Domain.Halt", deserialize_with = "preemption")]
-    pub(super) preemption: Preemption,
+    preemption: Preemption,
     /// How callers interpret the feedback signal; not at all by default.
     #[serde(rename = "Domain.Say", deserialize_with = "feedback_signal")]
-    pub(super) feedback_signal: FeedbackSignal,
+    feedback_signal: FeedbackSignal,
     /// How long callers remember the feedback signal, ms; 0 by default, for unknown.
     #[serde(rename = "Domain.Heeded", deserialize_with = "non_negative")]
-    pub(super) signal_ttl: Millis,
+    signal_ttl: Millis,
     /// Callers close connections that are idle for this, ms; 0 by default.
     #[serde(rename = "Domain.Idle", deserialize_with = "non_negative")]
-    pub(super) idle_timeout: Millis,
+    idle_timeout: Millis,
     /// Weight lost for each new connection per first attempt; 0 by default.
     #[serde(rename = "Prices.Handshake", deserialize_with = "or_default")]
-    pub(super) handshake_price: f64,
+    handshake_price: f64,
     /// Whether requests state how long their caller will wait; false by default.
     #[serde(rename = "Domain.PassesDeadline", deserialize_with = "or_default")]
-    pub(super) has_caller_deadlines: bool,
+    has_caller_deadlines: bool,
     /// Whether a caller that gives up cancels its request; false by default.
     #[serde(rename = "Domain.TellsGone", deserialize_with = "or_default")]
-    pub(super) has_cancellations: bool,
-}
-
-/// Start, shutdown and concurrency.
-#[derive(serde::Deserialize)]
-pub(super) struct RuleKeys {
+    has_cancellations: bool,
     /// Whether the server was started into a running fleet, with cold caches; false by default.
     #[serde(rename = "Domain.Cold", deserialize_with = "or_default")]
-    pub(super) is_slow_start: bool,
+    is_slow_start: bool,
     /// The share of its full speed with which a server starts, 0 to 1; 0 by default.
     #[serde(rename = "Rules.ColdShare", deserialize_with = "or_default")]
-    pub(super) slow_start_share: f64,
+    slow_start_share: f64,
     /// How long it takes to reach its full speed, ms; 0 by default.
     #[serde(rename = "Rules.Cold", deserialize_with = "non_negative")]
-    pub(super) slow_start_duration: Millis,
+    slow_start_duration: Millis,
     /// A response may come so long after its deadline, ms; 0 by default.
     #[serde(rename = "Rules.AnswerSlack", deserialize_with = "non_negative")]
-    pub(super) response_slack: Millis,
+    response_slack: Millis,
     /// What arrives later than this after the shutdown was requested is not run, ms; 0 by default.
     #[serde(rename = "Rules.DrainGrace", deserialize_with = "non_negative")]
-    pub(super) drain_grace: Millis,
+    drain_grace: Millis,
     /// Runnable requests for each core at which a server at full speed still does not fail. Required, above 0.
     #[serde(rename = "Rules.FallMultiple", deserialize_with = "positive")]
-    pub(super) core_concurrency: f64,
+    core_concurrency: f64,
     /// Time over which the mean of the runnable requests is taken, ms; 0 by default.
     #[serde(rename = "Rules.TipAfter", deserialize_with = "non_negative")]
-    pub(super) concurrency_window: Millis,
+    concurrency_window: Millis,
+    #[serde(skip)]
+    max_retry_after: Millis,
+    #[serde(skip)]
+    batch_interval: Millis,
+}
+
+/// Whether callers are told when they may try again.
+#[derive(serde::Deserialize)]
+pub(super) struct RetryAfterKeys {
     /// Whether a retry-after is passed on to callers; false by default.
     #[serde(rename = "Limits.RetryAfter", deserialize_with = "or_default")]
     pub(super) has_retry_after: bool,
@@ -231,18 +198,18 @@
 
 /// The longest retry-after, which is read only where one is passed on.
 #[derive(serde::Deserialize)]
-struct RetryAfterLimit {
+pub(super) struct RetryAfterLimit {
     /// The longest retry-after that callers honor, ms; 0 by default.
     #[serde(rename = "Limits.MaxRetryAfter", deserialize_with = "non_negative")]
-    max_retry_after: Millis,
+    pub(super) max_retry_after: Millis,
 }
 
 /// The batches.
 #[derive(serde::Deserialize)]
-struct BatchKeys {
+pub(super) struct BatchKeys {
     /// Minimum time between two batches, ms; 0 by default.
     #[serde(rename = "Period", deserialize_with = "non_negative")]
-    batch_interval: Millis,
+    pub(super) batch_interval: Millis,
 }
 
 /// What only the fronts need.
