--- a/crates/loomflow-adapter/src/error.rs
+++ b/crates/loomflow-adapter/src/error.rs
@@ -15,19 +15,19 @@
     /// The batch has no number.
     #[error(transparent)]
     Number(FieldError),
-    /// A batch with this number has an error.
+    /// The content of the batch has an error.
     #[error("batch {number}: {source}")]
-    Item {
+    Content {
         /// Number of the batch.
         number: u64,
         /// The error.
-        source: ItemError,
+        source: ContentError,
     },
 }
 
-/// An error within a batch.
+/// An error in the content of a batch.
 #[derive(Debug, Error)]
-pub enum ItemError {
+pub enum ContentError {
     /// A key of the batch is missing or invalid.
     #[error(transparent)]
     Batch(#[from] FieldError),
--- a/crates/loomflow-adapter/src/host.rs
+++ b/crates/loomflow-adapter/src/host.rs
@@ -9,7 +9,7 @@
 use loomflow_settings::{FieldError, JsonObject, Site};
 use serde_json::Value;
 
-use crate::error::{BatchError, ItemError, MessageError};
+use crate::error::{BatchError, ContentError, MessageError};
 use crate::wire::actions::{ActionMessage, Reply};
 use crate::wire::messages::{
     self, ArrivalMessage, BatchNumber, BatchTime, BootMessage, EndDuration, EndMessage, EventKind,
@@ -41,19 +41,19 @@
         let value: Value = serde_json::from_str(line)?;
         let batch = JsonObject::new("", &value).map_err(BatchError::NotAnObject)?;
         let BatchNumber { number } = batch.deserialize().map_err(BatchError::Number)?;
-        let actions = self.play_messages(&batch).map_err(|source| BatchError::Item { number, source })?;
+        let actions = self.play_messages(&batch).map_err(|source| BatchError::Content { number, source })?;
         Ok(Reply { number, actions })
     }
 
     /// Passes the events of a batch to their instances, and then lets each of these instances decide, in the order of their
     /// first events.
-    fn play_messages(&mut self, batch: &JsonObject) -> Result<Vec<ActionMessage>, ItemError> {
+    fn play_messages(&mut self, batch: &JsonObject) -> Result<Vec<ActionMessage>, ContentError> {
         let BatchTime { now } = batch.deserialize()?;
         let mut order = Vec::new();
         for message in batch.children(messages::LIST)? {
             let MessageName { name } = message.deserialize()?;
             self.handle_message(now, name, &message, &mut order)
-                .map_err(|source| ItemError::Message { name: name.to_owned(), source })?;
+                .map_err(|source| ContentError::Message { name: name.to_owned(), source })?;
         }
         let mut actions = Vec::new();
         for server in order {
--- a/crates/loomflow-adapter/tests/message_errors.rs
+++ b/crates/loomflow-adapter/tests/message_errors.rs
@@ -7,11 +7,11 @@
 //!
 //! A line has a key, what the adapter says, and the values that it says it of.
 
+mod common;
+
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
-use std::io::Write as _;
 use std::path::{Path, PathBuf};
-use std::process::{Command, Stdio};
 
 use serde_json::{Value, json};
 
@@ -25,17 +25,7 @@
 
 /// What the adapter says of its input, without its own name.
 fn verdict(lines: &[String]) -> String {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_loomflow-adapter"))
-        .stdin(Stdio::piped())
-        .stdout(Stdio::null())
-        .stderr(Stdio::piped())
-        .spawn()
-        .expect("the adapter starts");
-    let mut input = child.stdin.take().expect("its input");
-    // It may end before it has read all.
-    let _ = input.write_all((lines.join("\n") + "\n").as_bytes());
-    drop(input);
-    let output = child.wait_with_output().expect("the adapter ends");
+    let output = common::play(lines);
     let said = String::from_utf8(output.stderr).expect("a message");
     assert_eq!(output.status.success(), said.is_empty(), "{said}");
     match said.strip_prefix("loomflow-adapter: ") {
--- a/crates/loomflow-adapter/tests/wire.rs
+++ b/crates/loomflow-adapter/tests/wire.rs
@@ -1,23 +1,12 @@
 //! The adapter as a process: what it answers, and what it says of input that it cannot read.
 
-use std::io::Write;
-use std::process::{Command, Output, Stdio};
+mod common;
+
+use std::process::Output;
 
 use serde_json::{Value, json};
 
-fn play(lines: &[String]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_loomflow-adapter"))
-        .stdin(Stdio::piped())
-        .stdout(Stdio::piped())
-        .stderr(Stdio::piped())
-        .spawn()
-        .expect("the adapter starts");
-    let mut input = child.stdin.take().expect("its input");
-    // It may end before it has read all: that is what some of these lines are for.
-    let _ = input.write_all((lines.join("\n") + "\n").as_bytes());
-    drop(input);
-    child.wait_with_output().expect("the adapter ends")
-}
+use common::play;
 
 fn batch(number: u64, at: f64, items: &[Value]) -> String {
     json!({"Ts": at, "batch": number, "items": items}).to_string()
--- a/crates/loomflow-settings/src/compare.rs
+++ b/crates/loomflow-settings/src/compare.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Map, Value};
 
-use crate::document::{Document, SETTINGS, TENANTS};
+use crate::document::{Document, NAME, SETTINGS, TENANTS};
 use crate::lookup::{Lookup, NamedList};
 use crate::tenants::{TenantList, Tenants};
 
@@ -117,6 +117,16 @@
     }
 }
 
+impl NamedList for [Value] {
+    fn len(&self) -> usize {
+        <[Value]>::len(self)
+    }
+
+    fn name(&self, at: usize) -> Option<&str> {
+        self[at][NAME].as_str()
+    }
+}
+
 /// Members of two lists with the same name, by index; one of them may be missing.
 struct MemberPair<'a> {
     name: &'a str,
--- a/crates/loomflow-settings/src/document.rs
+++ b/crates/loomflow-settings/src/document.rs
@@ -1,7 +1,8 @@
 //! The content of a configuration file, for comparisons key by key.
 //!
 //! The file is deserialized straight from its text. Tenants (`settings.Orgs`), the one list that grows with the size of
-//! the platform, go into a compact [`Tenants`] list; everything else is small and stays a tree of JSON values.
+//! the platform, go into a compact [`Tenants`] list; everything else is small and stays a tree of JSON values, because the
+//! comparison reports keys that no struct has, such as a note on a class, with their values as they stand in the file.
 
 use serde::de::{Deserialize, Deserializer, MapAccess};
 use serde_json::{Map, Value};
@@ -13,6 +14,8 @@
 pub(crate) const SETTINGS: &str = "settings";
 /// Key of the list of tenants in the settings.
 pub(crate) const TENANTS: &str = "Orgs";
+/// Key of the name of a list's member.
+pub(crate) const NAME: &str = "Name";
 
 /// The content of a configuration file.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/loomflow-settings/src/lookup.rs
+++ b/crates/loomflow-settings/src/lookup.rs
@@ -3,8 +3,6 @@
 use std::cell::{Cell, OnceCell};
 use std::collections::HashMap;
 
-use serde_json::Value;
-
 /// Names that scans may compare before an index is built, as a multiple of the list's length.
 const MAX_SCANS: usize = 8;
 
@@ -31,16 +29,6 @@
     }
 }
 
-impl NamedList for [Value] {
-    fn len(&self) -> usize {
-        <[Value]>::len(self)
-    }
-
-    fn name(&self, at: usize) -> Option<&str> {
-        self[at]["Name"].as_str()
-    }
-}
-
 /// Finds members by name. Two versions of a list mostly have the same order, so a scan starts after the member that was
 /// found last; each missing member costs a scan of the whole list. Once the scans have compared [`MAX_SCANS`] times the
 /// list's length, an index is built, so the work is linear whatever the order.
--- a/crates/loomflow-settings/src/tenants.rs
+++ b/crates/loomflow-settings/src/tenants.rs
@@ -8,13 +8,13 @@
 use serde::de::{Deserialize, Deserializer, SeqAccess};
 use serde_json::{Map, Number, Value};
 
+use crate::document::NAME;
 use crate::error::FieldError;
 use crate::json::JsonObject;
 use crate::json::fields::{non_negative, or_default};
 use crate::lookup::NamedList;
 use crate::shaped::{Shaped, deserialize_shaped};
 
-const NAME: &str = "Name";
 const QUOTA: &str = "QuotaPerS";
 
 /// The name of a tenant.
