--- a/crates/loomflow-adapter/src/host.rs
+++ b/crates/loomflow-adapter/src/host.rs
@@ -5,7 +5,6 @@
 use loomflow::controller::Controller;
 use loomflow::interface::{Action, Arrival, Event, Gauges, Outcome, RequestId};
 use loomflow::time::Millis;
-use loomflow_settings::json::fields::Lenient;
 use loomflow_settings::{FieldError, JsonObject, Site};
 use serde_json::Value;
 
@@ -173,7 +172,7 @@
 
     fn gauges(&self, message: &JsonObject) -> Result<Gauges, FieldError> {
         let TimerMessage { gauges } = message.deserialize()?;
-        Ok(Site::gauges(&self.gauges, gauges.into_iter().map(Lenient::ok)))
+        Ok(Site::gauges(&self.gauges, gauges.into_iter().map(|gauge| gauge.0)))
     }
 }
 
--- a/crates/loomflow-settings/src/json/fields.rs
+++ b/crates/loomflow-settings/src/json/fields.rs
@@ -1,6 +1,6 @@
 //! Functions for `#[serde(deserialize_with = "...")]` on the fields of a struct, and types of fields.
 
-use serde::de::{Deserialize, Deserializer, Error, IgnoredAny};
+use serde::de::{Deserialize, Deserializer, Error};
 
 use super::deserializer::MISSING;
 
@@ -59,26 +59,18 @@
 /// The value is no array, or one of its members no string.
 pub fn texts<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<String>, D::Error> {
     let members: Vec<Lenient<String>> = or_default(deserializer)?;
-    let texts: Option<Vec<String>> = members.into_iter().map(Lenient::ok).collect();
+    let texts: Option<Vec<String>> = members.into_iter().map(|member| member.0).collect();
     texts.ok_or_else(|| D::Error::custom("not all texts"))
 }
 
-/// A member of a list in which a value of another type is no error.
-#[derive(Clone, Debug, serde::Deserialize)]
-#[serde(untagged)]
-pub enum Lenient<T> {
-    /// A value of the type.
-    Valid(T),
-    /// A value of another type.
-    Invalid(IgnoredAny),
-}
+/// A member of a list in which a value of another type is no error but `None`.
+///
+/// For deserializers that have the whole document in memory, because a value is given up in its midst.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Lenient<T>(pub Option<T>);
 
-impl<T> Lenient<T> {
-    /// The value, if it has the type.
-    pub fn ok(self) -> Option<T> {
-        match self {
-            Lenient::Valid(value) => Some(value),
-            Lenient::Invalid(_) => None,
-        }
+impl<'de, T: Deserialize<'de>> Deserialize<'de> for Lenient<T> {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Lenient<T>, D::Error> {
+        Ok(Lenient(T::deserialize(deserializer).ok()))
     }
 }
--- a/crates/loomflow-settings/src/json/tests.rs
+++ b/crates/loomflow-settings/src/json/tests.rs
@@ -99,10 +99,10 @@
         "flags": [true, false, null, 1, "true"],
     });
     let lists: Lists = JsonObject::new("", &value).unwrap().deserialize().unwrap();
-    let numbers: Vec<Option<f64>> = lists.numbers.into_iter().map(Lenient::ok).collect();
+    let numbers: Vec<Option<f64>> = lists.numbers.into_iter().map(|number| number.0).collect();
     let large = 18_446_744_073_709_551_615_u64 as f64;
     assert_eq!(numbers[..4], [Some(1.0), Some(-2.0), Some(0.5), Some(large)]);
     assert_eq!(numbers[4..], [None; 5]);
-    let flags: Vec<Option<bool>> = lists.flags.into_iter().map(Lenient::ok).collect();
+    let flags: Vec<Option<bool>> = lists.flags.into_iter().map(|flag| flag.0).collect();
     assert_eq!(flags, [Some(true), Some(false), None, None, None]);
 }
--- a/crates/loomflow-settings/src/site/keys.rs
+++ b/crates/loomflow-settings/src/site/keys.rs
@@ -39,14 +39,11 @@
 
 impl CallSettings {
     pub(super) fn makes_calls(&self, class: usize) -> bool {
-        matches!(self.makes_calls.get(class), Some(Lenient::Valid(true)))
+        self.makes_calls.get(class).and_then(|member| member.0).unwrap_or(false)
     }
 
     pub(super) fn degraded_weight(&self, class: usize) -> f64 {
-        match self.degraded_weights.get(class) {
-            Some(Lenient::Valid(weight)) => *weight,
-            _ => 0.0,
-        }
+        self.degraded_weights.get(class).and_then(|member| member.0).unwrap_or(0.0)
     }
 }
 
