--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,21 +1,17 @@
 //! `docs/decisions.md` names each decision with its constants and its test: all of them exist, with those values.
 
+mod repository;
+
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
+use repository::{policy_files, read, root};
+
 /// Columns of the page's tables.
 const COLUMNS: [&str; 6] = ["question", "decision", "inputs (unit)", "constants (unit)", "reason", "test"];
 /// The cell of a row without constants.
 const NO_CONSTANTS: &str = "none";
 
-fn root() -> &'static Path {
-    Path::new(env!("CARGO_MANIFEST_DIR"))
-}
-
-fn read(path: &Path) -> String {
-    std::fs::read_to_string(path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
-}
-
 /// A row of the page.
 struct Row {
     line: usize,
@@ -35,7 +31,7 @@
 }
 
 fn rows() -> Vec<Row> {
-    let page = read(&root().join("docs/decisions.md"));
+    let page = read("docs/decisions.md");
     let mut rows = Vec::new();
     for (at, line) in page.lines().enumerate().filter(|(_, line)| line.starts_with('|')) {
         let cells: Vec<String> =
@@ -55,7 +51,7 @@
     name: &'a str,
 }
 
-/// Finds the file of `crate::module::Type::name`.
+/// Finds the file of `crate::module::Type::name`, by its path from the root.
 fn resolve(path: &str) -> Option<CodePath<'_>> {
     let parts: Vec<&str> = path.split("::").collect();
     let (name, rest) = parts.split_last()?;
@@ -64,8 +60,8 @@
     let type_name = rest.last().copied().filter(is_type);
     let modules = if type_name.is_some() { &rest[..rest.len() - 1] } else { rest };
     let source = match *package {
-        "loomflow" => root().join("src"),
-        package => root().join("crates").join(package.replace('_', "-")).join("src"),
+        "loomflow" => PathBuf::from("src"),
+        package => Path::new("crates").join(package.replace('_', "-")).join("src"),
     };
     let folder = modules.iter().fold(source, |folder, module| folder.join(module));
     let beside = folder.with_extension("rs");
@@ -74,7 +70,7 @@
     } else {
         [beside, folder.join("mod.rs")]
     };
-    let file = candidates.into_iter().find(|file| file.is_file())?;
+    let file = candidates.into_iter().find(|file| root().join(file).is_file())?;
     Some(CodePath { file, type_name, name })
 }
 
@@ -125,14 +121,6 @@
     names
 }
 
-/// The files that the deploy file names as those with the controller's decisions.
-fn policy_files() -> Vec<PathBuf> {
-    let deploy = read(&root().join("deploy/balancer.toml"));
-    let (_, list) = deploy.split_once("policy = [").expect("a list of files in the deploy file");
-    let (list, _) = list.split_once(']').expect("the end of the list");
-    list.split('"').skip(1).step_by(2).map(|file| root().join(file)).collect()
-}
-
 #[test]
 fn each_row_is_complete() {
     for row in rows() {
@@ -182,7 +170,7 @@
         for test in row.quoted("test") {
             let at = format!("docs/decisions.md:{}: {test}", row.line);
             let (file, name) = test.split_once("::").unwrap_or_else(|| panic!("{at}: no file"));
-            let source = read(&root().join(file));
+            let source = read(file);
             let body = source.split(&format!("fn {name}(")).next().expect("a text");
             assert!(body.len() < source.len(), "{at}: there is no such test");
             let attributes = body.rsplit("\n\n").next().expect("a text");
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,8 +1,12 @@
 //! The pages name only files, packages and identifiers that exist, and every log line has its row.
 
+mod repository;
+
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
+use repository::{read, root, rust_files};
+
 /// Folders of pages; every page in them is checked, but for [`HISTORY`].
 const PAGE_FOLDERS: [&str; 5] = ["", "docs", "docs/design", "docs/operators", "deploy/sites"];
 /// Pages that record what was, in the words of their time.
@@ -38,27 +42,6 @@
 /// Texts that show the form of a name and are none: the page, the text.
 const FORMS: [(&str, &str); 1] = [("docs/decisions.md", "crate::module::Type::function")];
 
-fn root() -> &'static Path {
-    Path::new(env!("CARGO_MANIFEST_DIR"))
-}
-
-fn read(page: &str) -> String {
-    std::fs::read_to_string(root().join(page)).unwrap_or_else(|error| panic!("{page}: {error}"))
-}
-
-/// All Rust files below a folder.
-fn sources(folder: &Path) -> Vec<PathBuf> {
-    let mut files = Vec::new();
-    for entry in std::fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry").path()) {
-        if entry.is_dir() && !entry.ends_with("target") {
-            files.extend(sources(&entry));
-        } else if entry.extension().is_some_and(|extension| extension == "rs") {
-            files.push(entry);
-        }
-    }
-    files
-}
-
 /// The texts between single backticks of a page, code blocks aside.
 fn quoted(page: &str) -> Vec<String> {
     let lines = page.lines().filter(|line| !line.starts_with("    "));
@@ -78,12 +61,12 @@
 /// the package that it belongs to. What only a comment names does not count, and neither does this file, which lists
 /// foreign names.
 fn identifiers_by_file() -> Vec<BTreeSet<String>> {
-    let files = ["src", "crates", "tests"].into_iter().flat_map(|folder| sources(&root().join(folder)));
+    let files = ["src", "crates", "tests"].into_iter().flat_map(rust_files);
     let files = files.filter(|file| !file.ends_with("tests/documentation.rs"));
     let identifiers_of_file = |file: PathBuf| {
-        let text = std::fs::read_to_string(&file).expect("a source file");
+        let text = read(&file);
         let code = text.lines().filter(|line| !line.trim_start().starts_with("//"));
-        let path = file.strip_prefix(root()).expect("a file of this repository").with_extension("");
+        let path = file.with_extension("");
         let modules: Vec<&str> = path.iter().filter_map(|part| part.to_str()).collect();
         // In code a package's name has underscores.
         let crates = modules.iter().map(|module| module.replace('-', "_"));
@@ -253,9 +236,9 @@
     let page = read("docs/on-call.md");
     let rows: Vec<&str> = page.lines().filter(|line| line.starts_with("| `")).collect();
     let mut count = 0;
-    let files = sources(&root().join("crates/loomflow-server/src"));
+    let files = rust_files("crates/loomflow-server/src");
     for file in files.iter().filter(|file| !file.ends_with("log.rs")) {
-        let source = std::fs::read_to_string(file).expect("a source file");
+        let source = read(file);
         // A message that is a placeholder comes from a state machine, whose page has it.
         for message in log_messages(&source).into_iter().filter(|message| message != "{text}") {
             count += 1;
@@ -273,8 +256,8 @@
 /// Inline test modules are for test files.
 #[test]
 fn tests_are_in_test_files() {
-    for file in ["src", "crates"].into_iter().flat_map(|folder| sources(&root().join(folder))) {
-        let text = std::fs::read_to_string(&file).expect("a source file");
+    for file in ["src", "crates"].into_iter().flat_map(rust_files) {
+        let text = read(&file);
         let inline = text.lines().find(|line| line.contains("mod tests {"));
         assert!(inline.is_none(), "{}: {}", file.display(), inline.unwrap_or_default());
     }
