--- a/crates/loomflow-server/tests/amqp.rs
+++ b/crates/loomflow-server/tests/amqp.rs
@@ -1,17 +1,21 @@
-//! The AMQP front as a process between a test broker that misbehaves on command and an engine that counts runs.
+//! The AMQP interface of a server process, between a test broker that misbehaves on command and a test engine that counts
+//! runs: each message is run at most once, answered, and settled.
+
+mod common;
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+use common::{LONG_TIMEOUT, SERVE, reload};
 use loomflow_test_servers::broker::{AMQPFrame, Broker, Message, Settled, message};
 use loomflow_test_servers::worker::result_of;
 use loomflow_test_servers::*;
 
-const LONG: f64 = 20_000.0;
 const WORK: Duration = Duration::from_millis(5);
 
+/// Options of a server that consumes the queue `jobs`; `more` are further lines of the section.
 fn options(brokers: &[&Broker], more: &str) -> String {
-    let brokers: Vec<String> = brokers.iter().map(|b| format!("\"{}\"", b.address)).collect();
+    let brokers: Vec<String> = brokers.iter().map(|broker| format!("\"{}\"", broker.address)).collect();
     format!(
         "amqp:\n  brokers: [{}]\n  credentials: CREDENTIALS\n  dead_letter: {{routing_key: dead}}\n{more}
   queues:\n    - {{name: jobs, class: book, tenant: acme}}\n",
@@ -19,9 +23,19 @@
     )
 }
 
-fn started() -> (Broker, Worker, ServerFixture) {
-    let (broker, worker) = (Broker::with_jobs(), Worker::start(4, WORK));
-    let fixture = ServerFixture::start_with(site(LONG), &options(&[&broker], ""), &worker);
+/// A broker with the queues of the tests, and an engine with this number of cores.
+fn start_peers(cores: usize) -> (Broker, Worker) {
+    (Broker::with_jobs(), Worker::start(cores, WORK))
+}
+
+/// Starts a server with options.
+fn serve(options: &str, worker: &Worker) -> ServerFixture {
+    ServerFixture::start_with(site(LONG_TIMEOUT), options, worker)
+}
+
+fn start_serving() -> (Broker, Worker, ServerFixture) {
+    let (broker, worker) = start_peers(4);
+    let fixture = serve(&options(&[&broker], ""), &worker);
     (broker, worker, fixture)
 }
 
@@ -36,26 +50,56 @@
     }
 }
 
-/// That each of so many jobs ran once, was answered once and is nowhere any more.
-fn all_served_once(broker: &Broker, worker: &Worker, count: usize) {
+/// The next reply.
+fn next_reply(broker: &Broker) -> Message {
+    broker.wait_for_messages("replies", 1).swap_remove(0)
+}
+
+/// The next message of the dead-letter queue.
+fn next_dead_letter(broker: &Broker) -> Message {
+    broker.wait_for_messages("dead", 1).swap_remove(0)
+}
+
+fn reason(message: &Message) -> Option<String> {
+    message.header_text("x-loomflow-reason")
+}
+
+/// Expects that a reply reports a failure of a run whose effect is unknown.
+fn expect_uncertain_failure(reply: &Message) {
+    let ran = reply.header_text("x-loomflow-ran");
+    assert_eq!((reply.kind().as_str(), ran.as_deref()), ("failed", Some("perhaps")));
+}
+
+fn expect_no_run_twice(worker: &Worker) {
+    let counts = worker.run_counts();
+    assert!(counts.values().all(|count| *count == 1), "{counts:?}");
+}
+
+/// Expects that this many jobs ran, each once, and that none was dead-lettered.
+fn expect_run_once(broker: &Broker, worker: &Worker, count: usize) {
+    expect_no_run_twice(worker);
+    assert_eq!(worker.run_count(), count);
+    assert!(broker.take("dead").is_empty());
+}
+
+/// Expects that each of the jobs ran once, was answered once and was settled.
+fn expect_all_served_once(broker: &Broker, worker: &Worker, count: usize) {
     broker.wait_until_empty("jobs");
     let replies = broker.wait_for_messages("replies", count);
-    let heard: BTreeSet<String> = replies.iter().map(Message::correlation).collect();
-    assert_eq!((replies.len(), heard.len()), (count, count));
+    let correlations: BTreeSet<String> = replies.iter().map(Message::correlation).collect();
+    assert_eq!((replies.len(), correlations.len()), (count, count));
     for reply in replies {
         let id = reply.correlation()[2..].to_owned();
         assert_eq!((reply.kind().as_str(), reply.body), ("served", result_of(id.as_bytes())));
     }
-    assert!(worker.run_counts().values().all(|times| *times == 1), "{:?}", worker.run_counts());
-    assert_eq!(worker.run_count(), count);
-    assert!(broker.take("dead").is_empty());
+    expect_run_once(broker, worker, count);
 }
 
 #[test]
 fn messages_run_once_and_are_answered_confirmed_and_acked() {
-    let (broker, worker, _world) = started();
+    let (broker, worker, _fixture) = start_serving();
     publish_jobs(&broker, 0..200);
-    all_served_once(&broker, &worker, 200);
+    expect_all_served_once(&broker, &worker, 200);
     let settled = broker.with_state(|state| state.settled.clone());
     assert_eq!(settled.iter().filter(|(_, how)| *how == Settled::Acked).count(), 200);
     assert_eq!(settled.len(), 200);
@@ -63,51 +107,52 @@
 
 #[test]
 fn a_redelivery_joins_an_open_run_or_gets_the_recorded_reply() {
-    let (broker, worker, _world) = started();
+    let (broker, worker, _fixture) = start_serving();
     worker.set_held(true);
     publish_jobs(&broker, 0..6);
     worker.wait_for_runs(1);
-    // All that is unacknowledged comes again, while its runs are open.
+    // All unacknowledged messages are delivered again while their runs are open.
     broker.disconnect_all();
-    broker.wait_until("it is back", |state| state.unacked("jobs") > 0);
+    broker.wait_until("it is redelivered", |state| state.unacked("jobs") > 0);
     worker.set_held(false);
-    all_served_once(&broker, &worker, 6);
+    expect_all_served_once(&broker, &worker, 6);
 }
 
-/// While the first is in hand (`identity.rs` has that order exactly), and once it has been served.
+/// While the first message is open, and once it has been served.
 #[test]
 fn a_key_of_another_tenant_is_distinct_and_a_different_body_is_rejected() {
-    let (broker, worker) = (Broker::with_jobs(), Worker::start(4, WORK));
-    let publish = |whose: &str, body: &[u8], name: &str| {
-        broker.publish(message("jobs", "k", body).header("whose", whose).reply_to("replies", name));
+    let (broker, worker) = start_peers(4);
+    let publish = |tenant: &str, body: &[u8], name: &str| {
+        broker.publish(message("jobs", "k", body).header("tenant", tenant).reply_to("replies", name));
     };
-    let heard = |count| -> Vec<(String, String, Vec<u8>)> {
-        let said = |reply: &Message| reply.header_text("x-loomflow-reason").unwrap_or(reply.kind());
-        let all = broker.wait_for_messages("replies", count);
-        let mut all: Vec<_> = all.into_iter().map(|r| (r.correlation(), said(&r), r.body)).collect();
-        all.sort();
-        all
+    let replies = |count| -> Vec<(String, String, Vec<u8>)> {
+        let status = |reply: &Message| reason(reply).unwrap_or(reply.kind());
+        let replies = broker.wait_for_messages("replies", count);
+        let mut replies: Vec<_> =
+            replies.into_iter().map(|reply| (reply.correlation(), status(&reply), reply.body)).collect();
+        replies.sort();
+        replies
     };
-    let refused = |name: &str| (name.to_owned(), "key-of-another".to_owned(), Vec::new());
+    let rejected = |name: &str| (name.to_owned(), "key-of-another".to_owned(), Vec::new());
     let served = |name: &str, body: &[u8]| (name.to_owned(), "served".to_owned(), result_of(body));
     publish("acme", b"one", "a");
     publish("acme", b"two", "b");
     publish("other", b"three", "c");
-    let text = options(&[&broker], "").replace("tenant: acme", "tenant_header: whose");
-    let _world = ServerFixture::start_with(site(LONG), &text, &worker);
-    assert_eq!(heard(3), [served("a", b"one"), refused("b"), served("c", b"three")]);
+    let text = options(&[&broker], "").replace("tenant: acme", "tenant_header: tenant");
+    let _fixture = serve(&text, &worker);
+    assert_eq!(replies(3), [served("a", b"one"), rejected("b"), served("c", b"three")]);
     publish("acme", b"two", "d");
     publish("acme", b"one", "e");
     publish("other", b"three", "f");
-    assert_eq!(heard(3), [refused("d"), served("e", b"one"), served("f", b"three")]);
+    assert_eq!(replies(3), [rejected("d"), served("e", b"one"), served("f", b"three")]);
     assert_eq!(worker.run_count(), 2);
     assert_eq!(broker.wait_for_messages("dead", 2).len(), 2);
 }
 
 #[test]
 fn a_confirmed_reply_is_not_repeated_when_only_the_ack_was_lost() {
-    let (broker, worker, _world) = started();
-    // A lost ack keeps its place in the consumer's credit, which begins with one and grows to two.
+    let (broker, worker, _fixture) = start_serving();
+    // A message whose ack was lost counts against the prefetch limit, which starts at one and grows to two.
     broker.faults(|faults| faults.forget_acks = 2);
     publish_jobs(&broker, 0..2);
     assert_eq!(broker.wait_for_messages("replies", 2).len(), 2);
@@ -120,20 +165,17 @@
 
 #[test]
 fn an_expired_message_is_dead_lettered_immediately() {
-    let (broker, worker) = (Broker::with_jobs(), Worker::start(4, WORK));
+    let (broker, worker) = start_peers(4);
     let options = options(&[&broker], "").replace("acme}", "acme, sent_from: timestamp_in_ms}");
-    let _world = ServerFixture::start_with(site(LONG), &options, &worker);
+    let _fixture = serve(&options, &worker);
     broker.publish(job(1).with_number_header("timestamp_in_ms", 1));
-    let reply = &broker.wait_for_messages("replies", 1)[0];
-    let said =
+    let reply = next_reply(&broker);
+    let headers =
         ["x-loomflow-reason", "x-loomflow-ran"].map(|name| reply.header_text(name).unwrap_or_default());
-    assert_eq!((reply.kind().as_str(), said), ("failed", ["out-of-time", "no"].map(str::to_owned)));
+    assert_eq!((reply.kind().as_str(), headers), ("failed", ["out-of-time", "no"].map(str::to_owned)));
     assert!(reply.header_text("x-loomflow-holdoff").is_some());
-    assert_eq!(
-        broker.wait_for_messages("dead", 1)[0].header_text("x-loomflow-reason").as_deref(),
-        Some("out-of-time")
-    );
-    // One that was sent just now, one of a clock that is ahead, and one that says nothing are run.
+    assert_eq!(reason(&next_dead_letter(&broker)).as_deref(), Some("out-of-time"));
+    // A message that was sent just now, one by a clock that is ahead, and one without a time are run.
     broker.publish(job(2).with_sent_time());
     broker.publish(job(3).with_number_header("timestamp_in_ms", i64::MAX));
     broker.publish(job(4));
@@ -144,54 +186,50 @@
 
 #[test]
 fn a_channel_closed_between_publish_and_confirm_loses_nothing() {
-    let (broker, worker, _world) = started();
+    let (broker, worker, _fixture) = start_serving();
     broker.faults(|faults| faults.unconfirmed = 1);
     broker.publish(job(1));
-    let first = broker.wait_for_messages("replies", 1);
+    let first = next_reply(&broker);
     broker.disconnect_all();
-    // Whether the broker had taken the first reply cannot be known: it comes twice, the run does not.
-    assert_eq!(broker.wait_for_messages("replies", 1)[0].body, first[0].body);
+    // The server cannot know whether the broker took the first reply: it is sent twice, and the job runs once.
+    assert_eq!(next_reply(&broker).body, first.body);
     broker.wait_until_empty("jobs");
     assert_eq!(worker.run_count(), 1);
 }
 
 #[test]
 fn after_a_restart_a_redelivered_effect_is_dead_lettered_as_unknown() {
-    let (broker, worker, mut fixture) = started();
+    let (broker, worker, mut fixture) = start_serving();
     worker.set_held(true);
     broker.publish(job(1));
     worker.wait_for_runs(1);
     fixture.kill();
     worker.set_held(false);
     worker.server_died();
-    broker.wait_until("it is back", |state| state.ready("jobs") == 1);
-    fixture.start("exec \"$0\" serve");
-    let dead = broker.wait_for_messages("dead", 1);
-    assert_eq!(dead[0].header_text("x-loomflow-reason").as_deref(), Some("run-unknown"));
-    assert_eq!(dead[0].header_text("x-loomflow-queue").as_deref(), Some("jobs"));
-    let reply = &broker.wait_for_messages("replies", 1)[0];
-    assert_eq!(
-        (reply.kind().as_str(), reply.header_text("x-loomflow-ran").as_deref()),
-        ("failed", Some("perhaps"))
-    );
+    broker.wait_until("it is redelivered", |state| state.ready("jobs") == 1);
+    fixture.start(SERVE);
+    let dead = next_dead_letter(&broker);
+    assert_eq!(reason(&dead).as_deref(), Some("run-unknown"));
+    assert_eq!(dead.header_text("x-loomflow-queue").as_deref(), Some("jobs"));
+    expect_uncertain_failure(&next_reply(&broker));
     broker.wait_until_empty("jobs");
     assert_eq!(worker.run_count(), 1);
 }
 
 #[test]
 fn without_a_key_only_first_deliveries_run() {
-    let (broker, worker, _world) = started();
+    let (broker, worker, _fixture) = start_serving();
     broker.publish(message("jobs", "", b"first").reply_to("replies", "a"));
-    assert_eq!(broker.wait_for_messages("replies", 1)[0].kind(), "served");
+    assert_eq!(next_reply(&broker).kind(), "served");
     broker.publish(Message { redelivered: true, ..message("jobs", "", b"second") });
-    assert_eq!(broker.wait_for_messages("dead", 1)[0].body, b"second");
+    assert_eq!(next_dead_letter(&broker).body, b"second");
     assert_eq!(worker.run_count(), 1);
 }
 
 #[test]
 fn two_deliveries_of_one_message_run_once_and_each_caller_is_answered() {
-    let (broker, worker, _world) = started();
-    // Room for several at once comes with the first that are served.
+    let (broker, worker, _fixture) = start_serving();
+    // The prefetch limit grows as messages are served.
     publish_jobs(&broker, 100..160);
     broker.wait_for_messages("replies", 60);
     worker.set_held(true);
@@ -199,64 +237,67 @@
     broker.publish(message("jobs", "j1", b"j1").reply_to("replies", "other"));
     broker.faults(|faults| faults.duplicate = 1);
     broker.publish(job(2));
-    broker.wait_until("all are in hand", |state| state.unacked("jobs") == 4);
+    broker.wait_until("all are delivered", |state| state.unacked("jobs") == 4);
     worker.set_held(false);
     broker.wait_until_empty("jobs");
-    let heard: BTreeSet<String> =
+    let correlations: BTreeSet<String> =
         broker.wait_for_messages("replies", 4).iter().map(Message::correlation).collect();
-    assert_eq!(heard, ["c-j1", "c-j2", "other"].map(String::from).into());
+    assert_eq!(correlations, ["c-j1", "c-j2", "other"].map(String::from).into());
     assert_eq!(worker.run_count(), 62);
 }
 
 #[test]
 fn a_failed_run_is_never_requeued() {
-    let (broker, worker, _world) = started();
+    let (broker, worker, _fixture) = start_serving();
     worker.fail_next(1);
     broker.publish(job(1));
-    let dead = &broker.wait_for_messages("dead", 1)[0];
-    assert_eq!(dead.header_text("x-loomflow-reason").as_deref(), Some("may-have-run"));
+    let dead = next_dead_letter(&broker);
+    assert_eq!(reason(&dead).as_deref(), Some("may-have-run"));
     assert_eq!((dead.body.as_slice(), dead.correlation().as_str()), (&b"j1"[..], "c-j1"));
-    let reply = &broker.wait_for_messages("replies", 1)[0];
-    assert_eq!(
-        (reply.kind().as_str(), reply.header_text("x-loomflow-ran").as_deref()),
-        ("failed", Some("perhaps"))
-    );
-    // Who asks again hears the same.
+    expect_uncertain_failure(&next_reply(&broker));
+    // A repeat gets the same reply.
     broker.publish(job(1));
-    assert_eq!(broker.wait_for_messages("replies", 1)[0].kind(), "failed");
+    assert_eq!(next_reply(&broker).kind(), "failed");
     assert_eq!(worker.run_count(), 1);
 }
 
 #[test]
 fn an_unacceptable_message_is_dead_lettered_with_its_reason() {
-    let (broker, worker) = (Broker::with_jobs(), Worker::start(1, WORK));
+    let (broker, worker) = start_peers(1);
     let queues = "  max_message_bytes: 100\n";
     let text = options(&[&broker], queues).replace("class: book", "class_header: kind");
-    let _world = ServerFixture::start_with(site(LONG), &text, &worker);
+    let _fixture = serve(&text, &worker);
     let cases = [
         (message("jobs", "a", b"x"), "no-class"),
         (message("jobs", "b", b"x").header("kind", "none"), "unknown-class"),
         (message("jobs", "c", &[0; 101]).header("kind", "book"), "too-large"),
     ];
-    for (bad, why) in cases {
-        broker.publish(bad.clone().reply_to("replies", why));
-        let dead = &broker.wait_for_messages("dead", 1)[0];
-        assert_eq!(dead.header_text("x-loomflow-reason").as_deref(), Some(why));
-        assert_eq!(
-            broker.wait_for_messages("replies", 1)[0].header_text("x-loomflow-reason").as_deref(),
-            Some(why)
-        );
+    for (unacceptable, expected) in cases {
+        broker.publish(unacceptable.reply_to("replies", expected));
+        assert_eq!(reason(&next_dead_letter(&broker)).as_deref(), Some(expected));
+        assert_eq!(reason(&next_reply(&broker)).as_deref(), Some(expected));
     }
     broker.publish(message("jobs", "d", b"x").header("kind", "read").reply_to("replies", "fine"));
-    assert_eq!(broker.wait_for_messages("replies", 1)[0].kind(), "served");
+    assert_eq!(next_reply(&broker).kind(), "served");
 }
 
 #[test]
 fn deeply_nested_tables_close_the_connection_and_not_the_server() {
-    let (broker, worker, mut fixture) = started();
+    let (broker, worker, mut fixture) = start_serving();
     broker.publish(job(1));
     broker.wait_for_messages("replies", 1);
-    // A header by hand: 3,000 tables in each other.
+    let before = broker.with_state(|state| state.connections()[0]);
+    broker.send_bytes(&deeply_nested_header());
+    broker.wait_until("it has reconnected", |state| {
+        state.consumers("jobs") > 0 && state.connections()[0] != before
+    });
+    broker.publish(job(2));
+    assert_eq!(next_reply(&broker).correlation(), "c-j2");
+    assert!(fixture.is_running() && worker.run_count() == 2);
+}
+
+/// The frame of a content header with 3,000 nested tables.
+fn deeply_nested_header() -> Vec<u8> {
     let mut payload = [0, 60, 0, 0, 0, 0, 0, 0, 0, 0, 0, 5, 0x20, 0].to_vec();
     for inner in (0..=3_000_u32).rev() {
         payload.extend((inner * 7).to_be_bytes());
@@ -266,36 +307,32 @@
     frame.extend((payload.len() as u32).to_be_bytes());
     frame.extend(payload);
     frame.push(0xCE);
-    let before = broker.with_state(|state| state.connections()[0]);
-    broker.send_bytes(&frame);
-    broker.wait_until("it is connected anew", |s| s.consumers("jobs") > 0 && s.connections()[0] != before);
-    broker.publish(job(2));
-    assert_eq!(broker.wait_for_messages("replies", 1)[0].correlation(), "c-j2");
-    assert!(fixture.is_running() && worker.run_count() == 2);
+    frame
 }
 
 #[test]
 fn after_frames_out_of_order_the_connection_is_reopened_and_nothing_runs_twice() {
-    let over = [&[1, 0, 2][..], &1_000_000_u32.to_be_bytes()].concat();
-    let wrong: [&[u8]; 6] = [
+    let too_long = [&[1, 0, 2][..], &1_000_000_u32.to_be_bytes()].concat();
+    let malformed: [&[u8]; 6] = [
         b"HTTP/1.1 400 Bad Request\r\n",
-        &over,
+        &too_long,
         // A heartbeat without its end, a body without a header, a header without a method, a delivery on channel 1.
         &[8, 0, 0, 0, 0, 0, 0, 0],
         &[3, 0, 2, 0, 0, 0, 1, b'x', 0xCE],
         &[2, 0, 2, 0, 0, 0, 14, 0, 60, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0xCE],
         &[1, 0, 9, 0, 0, 0, 4, 0, 60, 0, 31, 0xCE],
     ];
-    let (broker, worker, mut fixture) = started();
-    for (at, bytes) in wrong.iter().enumerate() {
+    let (broker, worker, mut fixture) = start_serving();
+    for (at, bytes) in malformed.iter().enumerate() {
         broker.publish(job(at));
         broker.send_bytes(bytes);
         broker.wait_until("it is connected again", |s| s.consumers("jobs") > 0);
     }
     broker.wait_until_empty("jobs");
-    broker.wait_until("all are heard", |state| state.ready("replies") >= wrong.len());
-    assert!(worker.run_counts().values().all(|times| *times == 1) && fixture.is_running());
-    // An acknowledgement of what was never published means nothing.
+    broker.wait_until("all are answered", |state| state.ready("replies") >= malformed.len());
+    expect_no_run_twice(&worker);
+    assert!(fixture.is_running());
+    // An acknowledgement of a message that was never published is ignored.
     let ack = amqp_ack(77);
     broker.with_state(|state| state.send_raw(&[ack]));
     broker.publish(job(99));
@@ -311,11 +348,11 @@
 
 #[test]
 fn a_nacked_or_unroutable_publish_is_retried_or_dead_lettered() {
-    let (broker, worker, _world) = started();
+    let (broker, worker, _fixture) = start_serving();
     broker.faults(|faults| faults.nack = 2);
     publish_jobs(&broker, 0..3);
-    all_served_once(&broker, &worker, 3);
-    // Nobody is there any more to hear this one.
+    expect_all_served_once(&broker, &worker, 3);
+    // The reply queue of this message does not exist.
     broker.publish(message("jobs", "lonely", b"x").reply_to("gone", "x"));
     broker.wait_until_empty("jobs");
     assert_eq!(worker.run_count(), 4);
@@ -323,11 +360,11 @@
 
 #[test]
 fn nothing_is_consumed_while_publishing_is_blocked() {
-    let (broker, worker, _world) = started();
+    let (broker, worker, _fixture) = start_serving();
     broker.publish(job(0));
     broker.wait_for_messages("replies", 1);
     broker.with_state(|state| state.block(true));
-    // A consumer that was being started when the broker blocked is cancelled once it has begun.
+    // A consumer that was being started when the broker blocked is cancelled once it is registered.
     broker.wait_until("it consumes no more", |state| state.consumers("jobs") == 0);
     std::thread::sleep(QUIET_PERIOD);
     broker.wait_until("it consumes no more", |state| state.consumers("jobs") == 0);
@@ -341,7 +378,7 @@
 
 #[test]
 fn cancelled_consumers_and_closed_channels_are_reopened() {
-    let (broker, worker, _world) = started();
+    let (broker, worker, _fixture) = start_serving();
     broker.publish(job(0));
     broker.wait_for_messages("replies", 1);
     broker.with_state(|state| state.cancel_consumers("jobs"));
@@ -352,14 +389,9 @@
     worker.wait_for_runs(3);
     broker.with_state(|state| state.close_channels("jobs", 541));
     worker.set_held(false);
-    all_served_once_after(&broker, &worker, 8, 2);
-}
-
-fn all_served_once_after(broker: &Broker, worker: &Worker, count: usize, heard: usize) {
     broker.wait_until_empty("jobs");
-    assert_eq!(broker.wait_for_messages("replies", count - heard).len(), count - heard);
-    assert!(worker.run_counts().values().all(|times| *times == 1) && worker.run_count() == count);
-    assert!(broker.take("dead").is_empty());
+    assert_eq!(broker.wait_for_messages("replies", 6).len(), 6);
+    expect_run_once(&broker, &worker, 8);
 }
 
 #[test]
@@ -367,7 +399,7 @@
     let (one, other) = (Broker::with_jobs(), Broker::with_jobs());
     one.refuse_connections(true);
     let worker = Worker::start(2, WORK);
-    let _world = ServerFixture::start_with(site(LONG), &options(&[&one, &other], ""), &worker);
+    let _fixture = serve(&options(&[&one, &other], ""), &worker);
     other.publish(job(1));
     assert_eq!(other.wait_for_messages("replies", 1).len(), 1);
     one.refuse_connections(false);
@@ -384,11 +416,11 @@
         broker.declare(queue);
     }
     let worker = Worker::start(2, WORK);
-    let fixture = ServerFixture::start_with(site(LONG), &options(&[&broker], ""), &worker);
+    let fixture = serve(&options(&[&broker], ""), &worker);
     broker.publish(message("jobs", "long", &[7; 10_000]).reply_to("replies", "c"));
-    assert_eq!(broker.wait_for_messages("replies", 1)[0].body, result_of(&[7; 10_000]));
+    assert_eq!(next_reply(&broker).body, result_of(&[7; 10_000]));
     broker.set_stalled(true);
-    broker.wait_until("it has gone and come back", |state| {
+    broker.wait_until("it has reconnected", |state| {
         state.connections().len() != 1 || state.connections()[0] > 1
     });
     broker.set_stalled(false);
@@ -397,7 +429,7 @@
 
 #[test]
 fn draining_settles_runs_requeues_the_rest_and_closes_in_order() {
-    let (broker, worker, mut fixture) = started();
+    let (broker, worker, mut fixture) = start_serving();
     publish_jobs(&broker, 0..40);
     broker.wait_for_messages("replies", 40);
     worker.set_run_duration(Duration::from_millis(400));
@@ -406,9 +438,9 @@
     fixture.terminate();
     assert_eq!(fixture.exit_code(), Some(0));
     let replies = broker.take("replies");
-    assert_eq!(replies.len(), worker.run_count() - 40, "each run was heard of");
+    assert_eq!(replies.len(), worker.run_count() - 40, "one reply for each run");
     assert!(replies.iter().all(|reply| reply.kind() == "served"));
-    // The rest stands in its queue as if it had never been touched.
+    // The other messages are in their queue, not marked as redelivered.
     let left = broker.take("jobs");
     assert_eq!(left.len() + worker.run_count(), 70);
     assert!(left.iter().all(|message| !message.redelivered));
@@ -418,7 +450,7 @@
 #[test]
 fn draining_ends_in_time_when_the_channel_closes_or_the_broker_stops_reading() {
     for stalls in [false, true] {
-        let (broker, worker, mut fixture) = started();
+        let (broker, worker, mut fixture) = start_serving();
         worker.set_held(true);
         publish_jobs(&broker, 0..8);
         worker.wait_for_runs(1);
@@ -431,7 +463,7 @@
         }
         worker.set_held(false);
         assert_eq!(fixture.exit_code(), Some(0));
-        assert!(worker.run_counts().values().all(|times| *times == 1));
+        expect_no_run_twice(&worker);
     }
 }
 
@@ -440,20 +472,16 @@
     let broker = Broker::with_jobs();
     broker.with_state(|state| state.password = "another".into());
     let worker = Worker::start(1, WORK);
-    let fixture = ServerFixture::start_with(site(LONG), &options(&[&broker], ""), &worker);
-    let until = std::time::Instant::now() + RESPONSE_TIMEOUT;
-    while !fixture.log().contains("403") {
-        assert!(std::time::Instant::now() < until, "{}", fixture.log());
-        std::thread::sleep(Duration::from_millis(10));
-    }
+    let fixture = serve(&options(&[&broker], ""), &worker);
+    fixture.wait_for_log("403");
     assert!(!fixture.log().contains("guest"), "{}", fixture.log());
 }
 
 #[test]
 fn the_log_is_json_if_the_options_set_it() {
-    let (broker, worker) = (Broker::with_jobs(), Worker::start(1, WORK));
+    let (broker, worker) = start_peers(1);
     let text = format!("log: {{format: json}}\n{}", options(&[&broker], ""));
-    let fixture = ServerFixture::start_with(site(LONG), &text, &worker);
+    let fixture = serve(&text, &worker);
     broker.publish(job(1));
     broker.wait_for_messages("replies", 1);
     for line in fixture.log().lines() {
@@ -465,12 +493,12 @@
 
 #[test]
 fn a_missing_queue_does_not_affect_the_others() {
-    let (broker, worker) = (Broker::with_jobs(), Worker::start(4, WORK));
+    let (broker, worker) = start_peers(4);
     broker.declare("reads");
     let more =
         "    - {name: reads, class: read, tenant: other}\n    - {name: late, class: read, tenant: other}\n";
     let text = format!("{}{more}", options(&[&broker], ""));
-    let fixture = ServerFixture::start_with(site(LONG), &text, &worker);
+    let fixture = serve(&text, &worker);
     for id in 0..30 {
         broker.publish(job(id));
         broker.publish(message("reads", &format!("r{id}"), b"r").reply_to("replies", &format!("r{id}")));
@@ -480,46 +508,40 @@
         60
     );
     assert!(fixture.log().contains("404"), "{}", fixture.log());
-    // Once it is there it is consumed, too.
+    // Once it is declared it is consumed, too.
     broker.declare("late");
     broker.publish(message("late", "l", b"l").reply_to("replies", "l"));
-    assert_eq!(broker.wait_for_messages("replies", 1)[0].kind(), "served");
+    assert_eq!(next_reply(&broker).kind(), "served");
 }
 
 #[test]
 fn a_reload_applies_to_queues() {
-    let (broker, worker) = (Broker::with_jobs(), Worker::start(4, WORK));
+    let (broker, worker) = start_peers(4);
     let text = options(&[&broker], "").replace("tenant: acme", "tenant_header: tenant");
-    let fixture = ServerFixture::start_with(site(LONG), &text, &worker);
-    let ask = |id: &str| {
+    let fixture = serve(&text, &worker);
+    let request = |id: &str| {
         broker.publish(message("jobs", id, b"x").header("tenant", "newcomer").reply_to("replies", id));
-        broker.wait_for_messages("replies", 1)[0].kind()
+        next_reply(&broker).kind()
     };
-    assert_eq!(ask("a"), "failed");
+    assert_eq!(request("a"), "failed");
     let mut new = fixture.config.clone();
     new["settings"]["Orgs"]
         .as_array_mut()
         .unwrap()
         .push(serde_json::json!({"Name": "newcomer", "QuotaPerS": 9.0}));
-    fixture.write(&new.to_string());
-    fixture.signal("HUP");
-    let until = std::time::Instant::now() + RESPONSE_TIMEOUT;
-    while !fixture.log().contains("reloaded") {
-        assert!(std::time::Instant::now() < until, "{}", fixture.log());
-        std::thread::sleep(Duration::from_millis(5));
-    }
-    assert_eq!(ask("b"), "served");
+    reload(&fixture, &new, "reloaded");
+    assert_eq!(request("b"), "served");
 }
 
 #[test]
 fn a_backlog_for_a_slow_engine_stays_at_the_broker() {
-    let (broker, worker) = (Broker::with_jobs(), Worker::start(2, WORK));
+    let (broker, worker) = start_peers(2);
     worker.set_held(true);
     broker.with_state(|state| assert!((0..5_000).all(|id| state.publish(job(id)))));
-    let _world = ServerFixture::start_with(site(LONG), &options(&[&broker], ""), &worker);
+    let _fixture = serve(&options(&[&broker], ""), &worker);
     worker.wait_for_runs(1);
     std::thread::sleep(QUIET_PERIOD);
-    // Nothing was served yet that would show room for a second.
+    // The prefetch limit is one until a message was served.
     assert_eq!(broker.with_state(|state| (state.max_unacked, state.ready("jobs"))), (1, 4_999));
     worker.set_held(false);
     broker.wait_until("some are served", |state| state.ready("replies") >= 200);
@@ -534,11 +556,11 @@
         let link = |one: std::io::Result<std::fs::DirEntry>| std::fs::read_link(one.ok()?.path()).ok();
         held.filter_map(link).filter(|to| to.to_string_lossy().starts_with("socket:")).count()
     };
-    let off = ServerFixture::start_with(site(LONG), "", &worker);
+    let off = serve("", &worker);
     let broker = Broker::with_jobs();
-    let on = ServerFixture::start_with(site(LONG), &options(&[&broker], ""), &Worker::start(1, WORK));
+    let on = serve(&options(&[&broker], ""), &Worker::start(1, WORK));
     broker.wait_until("it consumes", |state| state.consumers("jobs") > 0);
-    // The gateways that waited for service go in their time; one link is the whole difference.
+    // The gateways that waited for service are closed some time later; one connection is the whole difference.
     let until = std::time::Instant::now() + RESPONSE_TIMEOUT;
     while sockets(&on) != sockets(&off) + 1 {
         assert!(
@@ -553,7 +575,7 @@
 
 #[test]
 fn results_go_to_their_exchange_and_dead_letters_default_to_those_of_the_queue() {
-    let (broker, worker) = (Broker::with_jobs(), Worker::start(2, WORK));
+    let (broker, worker) = start_peers(2);
     broker.with_state(|state| {
         state.declare("jobs", Some(("", "queue's own")));
         state.declare("queue's own", None);
@@ -562,7 +584,7 @@
     });
     let text = options(&[&broker], "  results: {exchange: out, routing_key: done}")
         .replace("  dead_letter: {routing_key: dead}\n", "");
-    let _world = ServerFixture::start_with(site(LONG), &text, &worker);
+    let _fixture = serve(&text, &worker);
     broker.publish(message("jobs", "a", b"a"));
     let result = &broker.wait_for_messages("results", 1)[0];
     assert_eq!((result.kind().as_str(), result.correlation().as_str()), ("served", "a"));
--- a/crates/loomflow-server/tests/command_line.rs
+++ b/crates/loomflow-server/tests/command_line.rs
@@ -1,7 +1,11 @@
-//! The command line and the configuration: what is wrong is named on one line, with the right exit code.
+//! The command line and the check of the configuration: each error is named on one line, with the right exit code, and an
+//! address in use is awaited.
+
+mod common;
 
 use std::process::{Command, Output};
 
+use common::{SERVE, idle_gateway};
 use loomflow_test_servers::*;
 use serde_json::{Value, json};
 
@@ -28,13 +32,13 @@
     (errors(&output), output.status.code())
 }
 
-fn good() -> Value {
+fn valid_config() -> Value {
     ServerFixture::new(site(1000.0)).config.clone()
 }
 
 #[test]
 fn a_valid_configuration_is_reported_good_and_unknown_keys_are_ignored() {
-    let mut config = good();
+    let mut config = valid_config();
     config["new"] = json!({"a": [1]});
     config["settings"]["Domain"]["New"] = json!(true);
     assert_eq!(check("good", &config.to_string()), (String::new(), Some(0)));
@@ -42,37 +46,37 @@
 
 #[test]
 fn each_error_names_its_key_on_one_line() {
-    let wrong = |path: &str, value: Value| {
-        let mut config = good();
+    let with_value = |path: &str, value: Value| {
+        let mut config = valid_config();
         *config.pointer_mut(path).expect("a key") = value;
         config
     };
     let cases = [
-        (wrong("/name", json!(5)), "name"),
-        (wrong("/name", json!("a/b")), "name"),
-        (wrong("/listen", json!("here")), "listen"),
-        (wrong("/engine", Value::Null), "engine"),
-        (wrong("/ledger", json!("127.0.0.1")), "ledger"),
-        (wrong("/control", json!([])), "control"),
-        (wrong("/seed", json!("xyz")), "seed"),
-        (wrong("/stop_ms", json!(0)), "stop_ms"),
-        (wrong("/limits/sockets", json!(0)), "limits.sockets"),
-        (wrong("/limits/memory_mb", json!(0)), "limits.memory_mb"),
-        (wrong("/limits/cores", json!(-1)), "limits.cores"),
-        (wrong("/settings", json!("none")), "settings"),
-        (wrong("/settings/Classes", json!([])), "settings.Classes"),
-        (wrong("/settings/Classes/1/Effect", json!("odd")), "settings.Classes[1].Effect"),
-        (wrong("/settings/Classes/0/OnTime", json!(-1)), "settings.Classes[0].OnTime"),
-        (wrong("/settings/Orgs/1/QuotaPerS", json!("many")), "settings.Orgs[1].QuotaPerS"),
-        (wrong("/settings/Domain/Cpus", json!("four")), "settings.Domain.Cpus"),
-        (wrong("/settings/Domain/HeapKb", json!(0)), "settings.Domain.HeapKb"),
-        (wrong("/settings/Domain/Gauges", json!([1])), "settings.Domain.Gauges"),
-        (wrong("/settings/Rules", Value::Null), "settings.Rules"),
+        (with_value("/name", json!(5)), "name"),
+        (with_value("/name", json!("a/b")), "name"),
+        (with_value("/listen", json!("here")), "listen"),
+        (with_value("/engine", Value::Null), "engine"),
+        (with_value("/ledger", json!("127.0.0.1")), "ledger"),
+        (with_value("/control", json!([])), "control"),
+        (with_value("/seed", json!("xyz")), "seed"),
+        (with_value("/stop_ms", json!(0)), "stop_ms"),
+        (with_value("/limits/sockets", json!(0)), "limits.sockets"),
+        (with_value("/limits/memory_mb", json!(0)), "limits.memory_mb"),
+        (with_value("/limits/cores", json!(-1)), "limits.cores"),
+        (with_value("/settings", json!("none")), "settings"),
+        (with_value("/settings/Classes", json!([])), "settings.Classes"),
+        (with_value("/settings/Classes/1/Effect", json!("odd")), "settings.Classes[1].Effect"),
+        (with_value("/settings/Classes/0/OnTime", json!(-1)), "settings.Classes[0].OnTime"),
+        (with_value("/settings/Orgs/1/QuotaPerS", json!("many")), "settings.Orgs[1].QuotaPerS"),
+        (with_value("/settings/Domain/Cpus", json!("four")), "settings.Domain.Cpus"),
+        (with_value("/settings/Domain/HeapKb", json!(0)), "settings.Domain.HeapKb"),
+        (with_value("/settings/Domain/Gauges", json!([1])), "settings.Domain.Gauges"),
+        (with_value("/settings/Rules", Value::Null), "settings.Rules"),
     ];
     for (at, (config, key)) in cases.into_iter().enumerate() {
-        let (said, code) = check(&format!("fault-{at}"), &config.to_string());
-        assert_eq!((said.lines().count(), code), (1, Some(1)), "{key}: {said}");
-        assert!(said.contains(&format!("{key}: ")), "{key}: {said}");
+        let (output, code) = check(&format!("fault-{at}"), &config.to_string());
+        assert_eq!((output.lines().count(), code), (1, Some(1)), "{key}: {output}");
+        assert!(output.contains(&format!("{key}: ")), "{key}: {output}");
     }
 }
 
@@ -81,16 +85,16 @@
     let output = loomflow(&["check-config", "--config", "/no/such/file.json"]);
     assert_eq!((errors(&output).lines().count(), output.status.code()), (1, Some(1)));
     assert!(errors(&output).contains("/no/such/file.json"));
-    let (said, code) = check("text", "{not json");
-    assert_eq!((said.lines().count(), code), (1, Some(1)));
-    assert!(said.contains("not JSON"), "{said}");
+    let (output, code) = check("text", "{not json");
+    assert_eq!((output.lines().count(), code), (1, Some(1)));
+    assert!(output.contains("not JSON"), "{output}");
 }
 
 #[test]
 fn an_unavailable_address_is_named() {
     let mut fixture = ServerFixture::new(site(1000.0));
     let taken = std::net::TcpListener::bind(fixture.listen).expect("the address");
-    fixture.start("exec \"$0\" serve");
+    fixture.start(SERVE);
     assert_eq!(fixture.exit_code(), Some(1));
     // One line as it begins to wait, and one as it gives up; both name the address.
     let log = fixture.complete_log();
@@ -105,13 +109,11 @@
 fn an_address_that_becomes_available_is_awaited() {
     let mut fixture = ServerFixture::new(site(1000.0));
     let taken = std::net::TcpListener::bind(fixture.listen).expect("the address");
-    fixture.start("exec \"$0\" serve");
+    fixture.start(SERVE);
     std::thread::sleep(QUIET_PERIOD);
     assert!(fixture.is_running());
     release(taken);
-    let mut gateway = fixture.gateway();
-    gateway.send(&health(1, false));
-    assert_eq!(gateway.response().status, "UP");
+    idle_gateway(&fixture);
 }
 
 #[test]
--- a/crates/loomflow-server/tests/deploy.rs
+++ b/crates/loomflow-server/tests/deploy.rs
@@ -66,7 +66,7 @@
 }
 
 /// A server started by the deploy line that serves, with the engine it works with.
-fn started() -> (ServerFixture, Worker) {
+fn start_deployed() -> (ServerFixture, Worker) {
     let worker = Worker::start(1, Duration::from_millis(5));
     let mut fixture = ServerFixture::new(site(10_000.0));
     fixture.config["engine"] = worker.address.to_string().into();
@@ -77,7 +77,7 @@
 
 #[test]
 fn the_deployed_server_is_one_dynamically_linked_process_with_one_listener() {
-    let (fixture, _worker) = started();
+    let (fixture, _worker) = start_deployed();
     let pid = fixture.pid();
     // `exec` left no shell between the bench and the server.
     let exe = std::fs::read_link(format!("/proc/{pid}/exe")).expect("its program");
@@ -103,6 +103,6 @@
 
 #[test]
 fn no_thread_of_an_idle_server_spins() {
-    let (fixture, _worker) = started();
+    let (fixture, _worker) = start_deployed();
     assert_eq!(fixture.spinning_threads(), Vec::<String>::new(), "threads that never waited");
 }
--- a/crates/loomflow-server/tests/duties.rs
+++ b/crates/loomflow-server/tests/duties.rs
@@ -1,23 +1,17 @@
-//! Duties of a fleet of real servers, with faults between them. Judged by what the jobs left in files behind a fence: who
-//! wrote, by which token, in which order; and by processes.
+//! Duties in fleets of server processes, with faults of processes and links. Checked from outside: by the lines that the
+//! duties' jobs append to a file behind a fence, in which order and under which tokens, and by the processes.
 
+mod common;
+
+use std::collections::BTreeSet;
 use std::fs::{File, OpenOptions};
 use std::os::unix::fs::MetadataExt;
-use std::path::{Path, PathBuf};
-use std::process::Command;
+use std::path::Path;
+use std::process::{Child, Command};
 
+use common::fleet::*;
 use loomflow_test_servers::fleet::{Fleet, Plan};
-use loomflow_test_servers::relay::LinkFault;
-
-const CUT: LinkFault = LinkFault {
-    is_cut: true,
-    is_stalled: false,
-    lost: 0.0,
-    duplicated: 0.0,
-    reordered: 0.0,
-    delay: std::time::Duration::ZERO,
-};
-const NONE: LinkFault = LinkFault { is_cut: false, ..CUT };
+use loomflow_test_servers::program;
 
 /// Writes a line behind the fence again and again: the token, and the process that writes.
 const WRITES: &str = r#"
@@ -41,117 +35,131 @@
             done
 "#;
 
-const FOUR: Plan = Plan {
-    members: 4,
-    zones: 1,
-    extra: WRITES,
-    cores: 4,
-    work: std::time::Duration::from_millis(5),
-    seed: 1,
-};
-
-/// The tokens that were let in, in their order.
-fn lines(fleet: &Fleet) -> Vec<u64> {
+const PLAN: Plan = Plan { extra: WRITES, ..FOUR_MEMBERS };
+
+/// The tokens under which lines were written, in order.
+fn written_tokens(fleet: &Fleet) -> Vec<u64> {
     let text = std::fs::read_to_string(fleet.folder().join("lines")).unwrap_or_default();
     text.lines().filter_map(|line| line.parse().ok()).collect()
 }
 
-fn token(fleet: &Fleet) -> u64 {
-    lines(fleet).last().copied().unwrap_or(0)
+fn last_token(fleet: &Fleet) -> u64 {
+    written_tokens(fleet).last().copied().unwrap_or(0)
+}
+
+/// The owner of a duty, as a member reports it.
+fn owner(fleet: &Fleet, observer: usize, duty: &str) -> Option<usize> {
+    let (_, output, _) = fleet.run_command(observer, &["duty", "show", duty, "--json"]);
+    let number: usize = json(&output)["owner"]["name"].as_str()?.strip_prefix('n')?.parse().ok()?;
+    Some(number - 1)
 }
 
-fn owner(fleet: &Fleet, by: usize, duty: &str) -> Option<usize> {
-    let (_, told, _) = fleet.run_command(by, &["duty", "show", duty, "--json"]);
-    let row: serde_json::Value = serde_json::from_str(&told).ok()?;
-    row["owner"]["name"].as_str()?.strip_prefix('n')?.parse::<usize>().ok().map(|n| n - 1)
+/// Waits until a duty has an owner, as a member reports it.
+fn wait_for_owner(fleet: &Fleet, observer: usize, duty: &str) -> usize {
+    fleet.wait_until("it has an owner", |fleet| owner(fleet, observer, duty).is_some());
+    owner(fleet, observer, duty).expect("an owner")
 }
 
-/// Waits until it is owned, and gives the owner by the word of `by`.
-fn owned(fleet: &Fleet, by: usize, duty: &str) -> usize {
-    fleet.wait_until("it has an owner", |fleet| owner(fleet, by, duty).is_some());
-    owner(fleet, by, duty).expect("an owner")
+/// Waits until a duty has another owner than the former one.
+fn wait_for_new_owner(fleet: &Fleet, observer: usize, duty: &str, former: usize) {
+    fleet.wait_until("another member owns it", |fleet| {
+        owner(fleet, observer, duty).is_some_and(|owner| owner != former)
+    });
 }
 
-/// As [`owned`], until the owner knows of it itself: the leader knows it first, and the owner is told after that.
-fn owned_and_told(fleet: &Fleet, by: usize, duty: &str) -> usize {
-    let one = owned(fleet, by, duty);
+/// As [`wait_for_owner`], until the owner itself reports the duty: the leader knows of the ownership earlier.
+fn wait_for_informed_owner(fleet: &Fleet, observer: usize, duty: &str) -> usize {
+    let owner = wait_for_owner(fleet, observer, duty);
     let question = serde_json::json!({ "Owns": duty }).to_string();
     fleet.wait_until("its owner knows it", |fleet| {
-        !fleet.send_operator_line(one, &question)["Owned"].is_null()
+        !fleet.send_operator_line(owner, &question)["Owned"].is_null()
     });
-    one
+    owner
+}
+
+/// Waits until a line is written under a later token than this.
+fn wait_for_later_token(fleet: &Fleet, before: u64) -> u64 {
+    fleet.wait_until("a later owner writes", |fleet| last_token(fleet) > before);
+    last_token(fleet)
+}
+
+/// Expects that no line was written under a lower token than the line before.
+fn expect_order(fleet: &Fleet) {
+    let tokens = written_tokens(fleet);
+    assert!(tokens.is_sorted(), "{tokens:?}\n{}", fleet.diagnostics());
 }
 
-/// Waits until it is written by a later token than this.
-fn written_after(fleet: &Fleet, before: u64) -> u64 {
-    fleet.wait_until("a later owner writes", |fleet| token(fleet) > before);
-    token(fleet)
+/// Starts a fleet whose duty is owned and writes; returns its owner and token.
+fn start_writing() -> (Fleet, usize, u64) {
+    let fleet = Fleet::start_bootstrapped(PLAN);
+    let token = wait_for_later_token(&fleet, 0);
+    let owner = wait_for_owner(&fleet, 0, "writes");
+    (fleet, owner, token)
 }
 
-/// Nothing was let in after what a later owner wrote.
-fn in_order(fleet: &Fleet) {
-    let all = lines(fleet);
-    assert!(all.windows(2).all(|pair| pair[0] <= pair[1]), "{all:?}\n{}", fleet.diagnostics());
+/// Another member than this one.
+fn other_member(member: usize) -> usize {
+    (member + 1) % PLAN.members
 }
 
 #[test]
 fn one_owner_works_and_another_takes_over_when_it_is_killed() {
-    let mut fleet = Fleet::start_bootstrapped(FOUR);
-    let first = written_after(&fleet, 0);
-    let one = owned(&fleet, 0, "writes");
-    fleet.kill(one);
-    let second = written_after(&fleet, first);
+    let (mut fleet, owner, first) = start_writing();
+    fleet.kill(owner);
+    let second = wait_for_later_token(&fleet, first);
     assert!(second > first);
-    fleet.start_member(one);
-    fleet.wait_until("the old one is back", |fleet| !fleet.local_status(one).is_null());
-    in_order(&fleet);
+    fleet.start_member(owner);
+    fleet.wait_until("the former owner is back", |fleet| !fleet.local_status(owner).is_null());
+    expect_order(&fleet);
 }
 
 #[test]
 fn an_owner_paused_between_check_and_effect_is_fenced_off() {
-    let mut fleet = Fleet::start_bootstrapped(FOUR);
-    let first = written_after(&fleet, 0);
-    // Between check and effect: the job was started by the owner, and its effect stands before the fence, which is held shut.
-    // One that is stopped behind it would have the lock, and all who come later would wait until it goes on.
-    let gate = shut_fence(&fleet);
-    let mut effect = None;
-    fleet.wait_until("its effect stands before the fence", |_| {
-        effect = waits_for(&gate);
-        effect.is_some()
+    let mut fleet = Fleet::start_bootstrapped(PLAN);
+    let first = wait_for_later_token(&fleet, 0);
+    // Between check and effect: the owner has started the job, and its effect waits for the fence, whose lock the test has.
+    // If it were paused behind the fence it would have the lock, and later owners would wait until it is resumed.
+    let lock = lock_fence(&fleet);
+    let effect = wait_for_waiting_effect(&fleet, &lock);
+    let former = wait_for_owner(&fleet, 0, "writes");
+    let observer = other_member(former);
+    let processes = pause_with_effect(&mut fleet, former, effect);
+    // Closing it would not suffice: a process that another test is just starting may have a copy.
+    lock.unlock().expect("the lock is released");
+    let second = wait_for_later_token(&fleet, first);
+    assert_ne!(wait_for_owner(&fleet, observer, "writes"), former);
+    // A third owner follows the second.
+    expect_success(&fleet, observer, &["duty", "release", "writes"]);
+    let third = wait_for_later_token(&fleet, second);
+    fleet.resume_processes(&processes);
+    fleet.wait_until("the job that was paused has ended", |_| {
+        processes[1..].iter().all(|pid| !is_process_running(*pid))
     });
-    let one = owned(&fleet, 0, "writes");
-    let by = (one + 1) % 4;
-    // The server, the process that watches over the job, the job, and its effect: nothing of it can end itself in time.
-    let all = fleet.pause_process_tree(one);
-    assert!(all.len() >= 4, "{all:?}");
-    let effect = effect.expect("found above");
-    assert!(all[3..].contains(&effect), "{effect} of {all:?}\n{}", fleet.diagnostics());
-    // Not only closed: a process that another test is just starting may have a copy.
-    gate.unlock().expect("the lock is given up");
-    let second = written_after(&fleet, first);
-    let other = owned(&fleet, by, "writes");
-    assert_ne!(other, one);
-    // A second owner, and a third.
-    assert_eq!(fleet.run_command(by, &["duty", "release", "writes"]).0, 0);
-    let third = written_after(&fleet, second);
-    fleet.resume_processes(&all);
-    fleet.wait_until("what was stopped has ended", |_| all[1..].iter().all(|pid| !runs(*pid)));
-    let lines_then = lines(&fleet).len();
-    fleet.wait_until("the third goes on", |fleet| lines(fleet).len() > lines_then);
-    assert!(token(&fleet) >= third);
-    in_order(&fleet);
-}
-
-/// Takes the lock of the jobs' fence: until it is given up, whoever comes with a token waits, and nothing is let in.
-fn shut_fence(fleet: &Fleet) -> File {
+    wait_for_more_lines(&fleet, 1);
+    assert!(last_token(&fleet) >= third);
+    expect_order(&fleet);
+}
+
+/// Takes the lock of the jobs' fence: until it is released, every effect waits.
+fn lock_fence(fleet: &Fleet) -> File {
     let lock = OpenOptions::new().create(true).append(true).open(fleet.folder().join("fence.lock"));
     let lock = lock.expect("the lock's file");
     lock.lock().expect("the lock");
     lock
 }
 
-/// The process that waits for this lock.
-fn waits_for(lock: &File) -> Option<u32> {
+/// Waits until an effect waits for the lock of the fence; returns its process id.
+fn wait_for_waiting_effect(fleet: &Fleet, lock: &File) -> u32 {
+    let mut effect = None;
+    fleet.wait_until("an effect waits for the fence", |_| {
+        effect = waiting_process(lock);
+        effect.is_some()
+    });
+    effect.expect("found above")
+}
+
+/// The process that waits for a lock.
+fn waiting_process(lock: &File) -> Option<u32> {
     let ending = format!(":{}", lock.metadata().expect("the lock's file").ino());
     let locks = std::fs::read_to_string("/proc/locks").expect("locks");
     // Such a line: `7: -> FLOCK  ADVISORY  WRITE 28392 fe:00:10125384 0 EOF`, with the process and the file's number.
@@ -161,66 +169,96 @@
     })
 }
 
-fn runs(pid: u32) -> bool {
+/// Pauses a server and its processes, so that none of them can end in time: the server, the process that supervises the job,
+/// the job, and its effect.
+fn pause_with_effect(fleet: &mut Fleet, member: usize, effect: u32) -> Vec<u32> {
+    let processes = fleet.pause_process_tree(member);
+    assert!(processes.len() >= 4, "{processes:?}");
+    assert!(processes[3..].contains(&effect), "{effect} of {processes:?}\n{}", fleet.diagnostics());
+    processes
+}
+
+fn is_process_running(pid: u32) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     stat.rsplit_once(") ").is_some_and(|(_, rest)| !rest.starts_with('Z'))
 }
 
+/// Waits until this many further lines were written.
+fn wait_for_more_lines(fleet: &Fleet, count: usize) {
+    let before = written_tokens(fleet).len();
+    fleet.wait_until("further lines are written", |fleet| written_tokens(fleet).len() >= before + count);
+}
+
 #[test]
 fn an_owner_partitioned_from_the_voters_ends_its_job() {
-    let mut fleet = Fleet::start_bootstrapped(FOUR);
-    let first = written_after(&fleet, 0);
-    let one = owned(&fleet, 0, "writes");
-    fleet.isolate(&[one], CUT);
-    let second = written_after(&fleet, first);
-    assert!(owned(&fleet, (one + 1) % 4, "writes") != one && second > first);
-    fleet.isolate(&[one], NONE);
-    fleet.wait_until("it hears again", |fleet| owner(fleet, one, "writes").is_some());
-    in_order(&fleet);
+    let (mut fleet, former, first) = start_writing();
+    fleet.isolate(&[former], PARTITIONED);
+    let second = wait_for_later_token(&fleet, first);
+    assert!(wait_for_owner(&fleet, other_member(former), "writes") != former && second > first);
+    fleet.isolate(&[former], NO_FAULT);
+    wait_for_owner(&fleet, former, "writes");
+    expect_order(&fleet);
 }
 
 #[test]
 fn a_draining_owner_hands_over_before_it_exits() {
-    let mut fleet = Fleet::start_bootstrapped(FOUR);
-    let first = written_after(&fleet, 0);
-    let one = owned(&fleet, 0, "writes");
-    fleet.members[one].fixture.terminate();
-    assert_eq!(fleet.wait_for_exit(one), Some(0));
-    written_after(&fleet, first);
-    let (_, told, _) = fleet.run_command((one + 1) % 4, &["duty", "history", "--json"]);
-    let events: serde_json::Value = serde_json::from_str(&told).unwrap();
-    let lost = events.as_array().unwrap().iter().filter(|event| event["what"] == "Lost").count();
-    assert_eq!(lost, 0, "{told}\n{}", fleet.diagnostics());
-    in_order(&fleet);
+    let (mut fleet, former, first) = start_writing();
+    fleet.members[former].fixture.terminate();
+    assert_eq!(fleet.wait_for_exit(former), Some(0));
+    wait_for_later_token(&fleet, first);
+    let (_, output, _) = fleet.run_command(other_member(former), &["duty", "history", "--json"]);
+    let events = json(&output);
+    let lost = events.as_array().expect("events").iter().filter(|event| event["what"] == "Lost").count();
+    assert_eq!(lost, 0, "{output}\n{}", fleet.diagnostics());
+    expect_order(&fleet);
+}
+
+/// Runs `duty run by-hand` with a command; returns its exit code.
+fn run_duty(fleet: &Fleet, member: usize, command: &[&str]) -> i32 {
+    fleet.run_command_with(member, &["duty", "run", "by-hand"], command).0
 }
 
 #[test]
 fn duty_run_runs_only_as_owner_and_reports_it_by_its_exit_code() {
-    let mut fleet = Fleet::start_bootstrapped(FOUR);
-    let one = owned_and_told(&fleet, 0, "by-hand");
-    let other = (one + 1) % 4;
-    assert_eq!(fleet.run_command_with(other, &["duty", "run", "by-hand"], &["true"]).0, 3);
-    let (code, told, _) =
-        fleet.run_command_with(one, &["duty", "run", "by-hand"], &["sh", "-c", "echo $LOOMFLOW_DUTY"]);
-    assert_eq!((code, told.trim()), (0, "by-hand"));
-    assert_eq!(fleet.run_command_with(one, &["duty", "run", "by-hand"], &["false"]).0, 1);
-    assert_eq!(fleet.run_command(one, &["duty", "run", "by-hand"]).0, 2, "which command?");
-    // It ignores the word to end, and is ended by force; the duty is handed over after it.
-    let folder = fleet.folder().to_owned();
-    let script = format!("trap '' TERM; echo > {0}/began; while :; do sleep 0.1; done", folder.display());
-    let waits = fleet.spawn(one, &["duty", "run", "by-hand"], &["sh", "-c", &script]);
-    fleet.wait_until("it runs", |fleet| fleet.folder().join("began").exists());
-    assert_eq!(fleet.run_command(other, &["duty", "release", "by-hand"]).0, 0);
-    let ended = waits.wait_with_output().expect("it ends");
-    assert_eq!(ended.status.code(), Some(4));
-    fleet.wait_until("another owns it", |fleet| owner(fleet, other, "by-hand").is_some_and(|now| now != one));
-    // A server that is gone answers nobody: what was started ends by itself before the lease is over.
-    let now = owned_and_told(&fleet, other, "by-hand");
-    std::fs::remove_file(folder.join("began")).unwrap();
-    let waits = fleet.spawn(now, &["duty", "run", "by-hand"], &["sh", "-c", &script]);
-    fleet.wait_until("it runs", |fleet| fleet.folder().join("began").exists());
-    fleet.kill(now);
-    assert_eq!(waits.wait_with_output().expect("it ends").status.code(), Some(4));
+    let fleet = Fleet::start_bootstrapped(PLAN);
+    let owner = wait_for_informed_owner(&fleet, 0, "by-hand");
+    assert_eq!(run_duty(&fleet, other_member(owner), &["true"]), 3);
+    let print_duty = ["sh", "-c", "echo $LOOMFLOW_DUTY"];
+    let (code, output, _) = fleet.run_command_with(owner, &["duty", "run", "by-hand"], &print_duty);
+    assert_eq!((code, output.trim()), (0, "by-hand"));
+    assert_eq!(run_duty(&fleet, owner, &["false"]), 1);
+    assert_eq!(run_duty(&fleet, owner, &[]), 2, "no command");
+}
+
+/// Starts a job of `by-hand` that ignores SIGTERM, and waits until it runs.
+fn start_stubborn_job(fleet: &Fleet, owner: usize) -> Child {
+    let marker = fleet.folder().join("began");
+    let script = format!("trap '' TERM; echo > {}; while :; do sleep 0.1; done", marker.display());
+    let job = fleet.spawn(owner, &["duty", "run", "by-hand"], &["sh", "-c", &script]);
+    fleet.wait_until("the job runs", |_| marker.exists());
+    std::fs::remove_file(marker).expect("the marker is removed");
+    job
+}
+
+fn expect_lost_duty(job: Child) {
+    let output = job.wait_with_output().expect("the job ends");
+    assert_eq!(output.status.code(), Some(4));
+}
+
+#[test]
+fn duty_run_kills_a_job_that_ignores_sigterm_when_its_duty_is_lost() {
+    let mut fleet = Fleet::start_bootstrapped(PLAN);
+    let owner = wait_for_informed_owner(&fleet, 0, "by-hand");
+    let observer = other_member(owner);
+    let job = start_stubborn_job(&fleet, owner);
+    expect_success(&fleet, observer, &["duty", "release", "by-hand"]);
+    expect_lost_duty(job);
+    wait_for_new_owner(&fleet, observer, "by-hand", owner);
+    // A server that is killed renews nothing: the job ends before the lease does.
+    let owner = wait_for_informed_owner(&fleet, observer, "by-hand");
+    let job = start_stubborn_job(&fleet, owner);
+    fleet.kill(owner);
+    expect_lost_duty(job);
 }
 
 #[test]
@@ -234,107 +272,113 @@
     jobs:
       - {name: fails, every: 1s, run: [sh, -c, exit 7]}
 ";
-    let fleet = Fleet::start_bootstrapped(Plan { extra: FAILS, ..FOUR });
+    let fleet = Fleet::start_bootstrapped(Plan { extra: FAILS, ..PLAN });
     let parked = |fleet: &Fleet| {
-        let (_, told, _) = fleet.run_command(0, &["duty", "show", "fails", "--json"]);
-        serde_json::from_str::<serde_json::Value>(&told).ok()?["parked"].as_str().map(str::to_owned)
+        let (_, output, _) = fleet.run_command(0, &["duty", "show", "fails", "--json"]);
+        json(&output)["parked"].as_str().map(str::to_owned)
     };
     fleet.wait_until("it is parked", |fleet| parked(fleet).is_some());
     assert!(parked(&fleet).unwrap().contains("exit status"), "{:?}", parked(&fleet));
     fleet.wait_until("nobody owns it", |fleet| owner(fleet, 0, "fails").is_none());
-    assert_eq!(fleet.run_command(1, &["duty", "resume", "fails"]).0, 0);
-    owned(&fleet, 0, "fails");
-    assert_eq!(fleet.run_command(1, &["duty", "park", "no-such", "x"]).0, 1);
+    expect_success(&fleet, 1, &["duty", "resume", "fails"]);
+    wait_for_owner(&fleet, 0, "fails");
+    expect_rejection(&fleet, 1, &["duty", "park", "no-such", "x"]);
 }
 
 #[test]
 fn tokens_never_decrease_when_all_voters_restart_and_the_leader_is_killed() {
-    let mut fleet = Fleet::start_bootstrapped(FOUR);
-    let first = written_after(&fleet, 0);
-    (0..3).for_each(|voter| fleet.kill(voter));
-    (0..3).for_each(|voter| fleet.start_member(voter));
+    let mut fleet = Fleet::start_bootstrapped(PLAN);
+    let first = wait_for_later_token(&fleet, 0);
+    for voter in VOTERS {
+        fleet.kill(voter);
+    }
+    for voter in VOTERS {
+        fleet.start_member(voter);
+    }
     fleet.wait_until("a leader", |fleet| fleet.leader(1).is_some());
-    written_after(&fleet, first - 1);
+    wait_for_later_token(&fleet, first - 1);
     let leader = fleet.leader(1).unwrap();
-    let by = (leader + 1) % 3;
     fleet.kill(leader);
-    fleet.wait_until("another leader", |fleet| fleet.leader(by).is_some_and(|now| now != leader));
-    let count = lines(&fleet).len();
-    fleet.wait_until("the work goes on", |fleet| lines(fleet).len() > count + 5);
-    in_order(&fleet);
+    wait_for_new_leader(&fleet, (leader + 1) % VOTERS.len(), leader);
+    wait_for_more_lines(&fleet, 6);
+    expect_order(&fleet);
 }
 
 #[test]
 fn duties_continue_in_order_over_lossy_duplicating_reordering_links() {
-    let mut fleet = Fleet::start_bootstrapped(FOUR);
-    let first = written_after(&fleet, 0);
-    let delay = std::time::Duration::from_millis(20);
-    fleet.set_fault_on_all_links(LinkFault { lost: 0.1, duplicated: 0.2, reordered: 0.2, delay, ..NONE });
-    let one = owned(&fleet, 0, "writes");
-    fleet.kill(one);
-    written_after(&fleet, first);
-    in_order(&fleet);
+    let mut fleet = Fleet::start_bootstrapped(PLAN);
+    let first = wait_for_later_token(&fleet, 0);
+    fleet.set_fault_on_all_links(LOSSY);
+    let owner = wait_for_owner(&fleet, 0, "writes");
+    fleet.kill(owner);
+    wait_for_later_token(&fleet, first);
+    expect_order(&fleet);
 }
 
 #[test]
 fn every_member_knows_the_last_summary_and_its_owner() {
-    let fleet = Fleet::start_bootstrapped(Plan { extra: "  duties: {lease_s: 2, summary_s: 1}\n", ..FOUR });
-    for one in 0..4 {
-        fleet.wait_until("it is told", |fleet| {
-            let summary = fleet.local_status(one)["summary"].clone();
+    let fleet = Fleet::start_bootstrapped(Plan { extra: "  duties: {lease_s: 2, summary_s: 1}\n", ..PLAN });
+    for member in 0..PLAN.members {
+        fleet.wait_until("it has the summary", |fleet| {
+            let summary = fleet.local_status(member)["summary"].clone();
             summary["summary"]["members"] == 4 && summary["token"].as_u64() > Some(0)
         });
     }
 }
 
+const CAMPAIGN: &str =
+    "tickets:\n  - {server: n4, reason: k, lasts: 1m}\n  - {server: n3, reason: k, lasts: 1m}\n";
+
+/// Kills the owner of the campaign and restarts it once another member owns the campaign. Leaves out the member that is out
+/// for its ticket.
+fn replace_campaign_owner(fleet: &mut Fleet, member_out: usize) {
+    let owner = wait_for_owner(fleet, 0, "campaign");
+    if owner != member_out {
+        fleet.kill(owner);
+        wait_for_new_owner(fleet, (owner + 1) % VOTERS.len(), "campaign", owner);
+        fleet.start_member(owner);
+    }
+}
+
+/// The tickets that the fleet's history names.
+fn tickets_in_history(fleet: &Fleet) -> BTreeSet<u64> {
+    let (_, output, _) = fleet.run_command(0, &["work", "history", "--json"]);
+    let events = json(&output);
+    events.as_array().expect("events").iter().filter_map(|event| event["ticket"].as_u64()).collect()
+}
+
 #[test]
 fn a_campaign_resumes_where_its_killed_owner_stopped() {
-    let mut fleet =
-        Fleet::start_bootstrapped(Plan { extra: "  warm_for_s: 1\n  duties: {lease_s: 2}\n", ..FOUR });
+    let extra = "  warm_for_s: 1\n  duties: {lease_s: 2}\n";
+    let mut fleet = Fleet::start_bootstrapped(Plan { extra, ..PLAN });
     let file = fleet.folder().join("campaign.yaml");
-    std::fs::write(
-        &file,
-        "tickets:\n  - {server: n4, reason: k, lasts: 1m}\n  - {server: n3, reason: k, lasts: 1m}\n",
-    )
-    .unwrap();
-    let words = ["work", "ask", "--file", file.to_str().unwrap(), "--campaign", "kernel", "--batch", "1"];
-    assert_eq!(fleet.run_command(0, &words).0, 0);
-    assert_eq!(fleet.run_command(0, &words).0, 1, "it is there already");
+    std::fs::write(&file, CAMPAIGN).expect("the campaign is written");
+    let file = file.to_str().expect("a path");
+    let start_campaign = ["work", "ask", "--file", file, "--campaign", "kernel", "--batch", "1"];
+    expect_success(&fleet, 0, &start_campaign);
+    // The fleet has this campaign already.
+    expect_rejection(&fleet, 0, &start_campaign);
     assert_eq!(fleet.wait_for_exit(3), Some(0));
-    let by = |owner: usize| (owner + 1) % 3;
-    let owner = owned(&fleet, 0, "campaign");
-    if owner != 3 {
-        fleet.kill(owner);
-        fleet.wait_until("another carries it", |fleet| {
-            self::owner(fleet, by(owner), "campaign").is_some_and(|now| now != owner)
-        });
-        fleet.start_member(owner);
-    }
+    replace_campaign_owner(&mut fleet, 3);
     fleet.start_member(3);
     assert_eq!(fleet.wait_for_exit(2), Some(0), "{}", fleet.diagnostics());
     fleet.start_member(2);
-    fleet.wait_until("it is done", |fleet| {
+    fleet.wait_until("the campaign is done", |fleet| {
         fleet.run_command(0, &["work", "campaigns", "--json"]).1.contains("\"Done\"")
     });
-    let (_, told, _) = fleet.run_command(0, &["work", "history", "--json"]);
-    let events: serde_json::Value = serde_json::from_str(&told).unwrap();
-    let tickets: std::collections::BTreeSet<u64> =
-        events.as_array().unwrap().iter().filter_map(|event| event["ticket"].as_u64()).collect();
-    assert_eq!(tickets.len(), 2, "{told}");
-    assert_eq!(fleet.run_command(0, &["work", "drop", "kernel"]).0, 0);
-    assert_eq!(fleet.run_command(0, &["work", "drop", "kernel"]).0, 1);
+    let tickets = tickets_in_history(&fleet);
+    assert_eq!(tickets.len(), 2, "{tickets:?}");
+    expect_success(&fleet, 0, &["work", "drop", "kernel"]);
+    expect_rejection(&fleet, 0, &["work", "drop", "kernel"]);
 }
 
-// ---- The receiver's half ----
-
-fn program() -> PathBuf {
-    loomflow_test_servers::program()
-}
+// ---- The fence without a fleet ----
 
+/// Runs a command behind a fence; returns its exit code.
 fn fence(file: &Path, token: &str, command: &[&str]) -> Option<i32> {
     let words = ["fleet", "fence", file.to_str().unwrap(), "--duty", "d", "--token", token, "--"];
-    let done = Command::new(program()).args(words).args(command).output().expect("it runs");
-    done.status.code()
+    let output = Command::new(program()).args(words).args(command).output().expect("it runs");
+    output.status.code()
 }
 
 #[test]
--- a/crates/loomflow-server/tests/gateways.rs
+++ b/crates/loomflow-server/tests/gateways.rs
@@ -1,38 +1,35 @@
-//! Gateways that pipeline, split, stall, break off, open too much or send what cannot be read.
+//! Gateway connections of a server process: pipelined, split, stalled, reset, flooding or too many, with malformed and
+//! invalid messages. Each test checks the responses, and that other gateways are still served.
 
 mod common;
 
 use std::io::Write;
-use std::time::Duration;
+use std::net::Shutdown;
+use std::thread::{self, JoinHandle};
+use std::time::{Duration, Instant};
 
-use common::{attach, finish_run, start_configured, start_run};
+use common::*;
 use loomflow_test_servers::*;
+use serde_json::Value;
 
-const LONG: f64 = 20_000.0;
-
-/// That the server still serves others.
-fn serves(fixture: &ServerFixture, engine: &PeerConnection, number: u64) {
+/// Expects that the server serves another gateway; the engine's notice has this number.
+fn expect_serving(fixture: &ServerFixture, engine: &PeerConnection, number: u64) {
     let mut gateway = fixture.gateway();
     let id = gateway.call(1, "read", b"still here");
-    loop {
-        let run = engine.expect("RUN");
-        if run.word(1) == id {
-            break;
-        }
-    }
+    while expect_run(engine) != id {}
     engine.send_done(number, &id, b"yes");
     assert_eq!(gateway.response().body, b"yes");
 }
 
 #[test]
 fn requests_are_read_wherever_their_bytes_are_split() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     let id = next_attempt_id();
     let bytes = [call(1, "read", &fields(&id), b"body"), health(2, false)].concat();
-    for piece in bytes.chunks(7) {
-        gateway.send(piece);
-        std::thread::sleep(Duration::from_millis(2));
+    for part in bytes.chunks(7) {
+        gateway.send(part);
+        thread::sleep(Duration::from_millis(2));
     }
     assert_eq!(engine.expect("RUN").body, b"body");
     assert_eq!(gateway.response().tag, 2);
@@ -42,12 +39,12 @@
 
 #[test]
 fn a_full_pipeline_in_one_write_is_served() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     let ids: Vec<String> = (0..32).map(|_| next_attempt_id()).collect();
-    let all: Vec<u8> =
+    let pipeline: Vec<u8> =
         ids.iter().zip(1..).flat_map(|(id, tag)| call(tag, "read", &fields(id), &[7; 2048])).collect();
-    gateway.send(&all);
+    gateway.send(&pipeline);
     let mut tags = Vec::new();
     for number in 1..=32 {
         let run = engine.expect("RUN");
@@ -64,10 +61,11 @@
     call(tag, "no-such-class", &fields(&next_attempt_id()), &[1; 2000])
 }
 
-/// Writes up to `max` requests, until nothing more is read. Returns how many were begun, and the rest of the last one.
+/// Writes up to `max` requests, until the server reads no more. Returns the number of requests, and the unsent rest of the
+/// last one.
 fn write_until_blocked(gateway: &mut Gateway, max: u64) -> (u64, Vec<u8>) {
-    let (mut sent, mut rest, mut quiet) = (0, Vec::new(), 0);
-    while quiet < 20 {
+    let (mut sent, mut rest, mut blocked) = (0, Vec::new(), 0);
+    while blocked < 20 {
         if rest.is_empty() && sent < max {
             sent += 1;
             rest = long_call(sent);
@@ -75,8 +73,8 @@
         if let Ok(count) = gateway.stream.write(&rest) {
             rest.drain(..count);
         } else {
-            quiet += 1;
-            std::thread::sleep(Duration::from_millis(5));
+            blocked += 1;
+            thread::sleep(Duration::from_millis(5));
         }
         if sent == max && rest.is_empty() {
             break;
@@ -88,70 +86,66 @@
 #[test]
 fn a_gateway_that_stops_reading_delays_nobody_and_gets_all_responses() {
     const MANY: u64 = 400;
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut slow = fixture.gateway();
     socket2::SockRef::from(&slow.stream).set_recv_buffer_size(4096).unwrap();
-    // Far more answers than its socket takes: reading from it stops in between.
+    // Far more responses than fit into its socket: the server stops reading from it.
     slow.stream.set_nonblocking(true).unwrap();
     let (sent, rest) = write_until_blocked(&mut slow, MANY);
-    serves(&fixture, &engine, 1);
+    expect_serving(&fixture, &engine, 1);
     slow.stream.set_nonblocking(false).unwrap();
     slow.stream.set_write_timeout(Some(RESPONSE_TIMEOUT)).unwrap();
     let mut writer = slow.stream.try_clone().unwrap();
-    let thread = std::thread::spawn(move || {
+    let thread = thread::spawn(move || {
         writer.write_all(&rest).unwrap();
         for tag in sent + 1..=MANY {
             writer.write_all(&long_call(tag)).unwrap();
         }
     });
-    let mut tags: Vec<u64> = (0..MANY).map(|_| slow.response().tag).collect();
+    expect_each_answered_once(&mut slow, MANY);
     thread.join().unwrap();
-    tags.sort_unstable();
-    assert_eq!(tags, (1..=MANY).collect::<Vec<u64>>());
 }
 
 #[test]
 fn a_reset_connection_affects_no_other() {
-    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     let id = start_run(&mut gateway, &engine, 1, "read");
     gateway.reset();
     engine.send_done(1, &id, b"for nobody");
-    serves(&fixture, &engine, 2);
+    expect_serving(&fixture, &engine, 2);
     assert!(fixture.is_running());
 }
 
-/// That a run whose caller is gone ends at its call, and leaves its place to others.
+/// A run whose gateway has disconnected ends at its call and frees its capacity.
 #[test]
 fn open_requests_of_a_disconnected_gateway_are_cancelled() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let ledger = fixture.ledger.open();
-    // More than may run at once: some are running, one of them at its call, some are held.
+    // More than run at the same time: four run, one of them waits for its call, and the others are queued.
     let mut gateway = fixture.gateway();
     let ids: Vec<String> = (1..=8).map(|tag| gateway.call(tag, "pay", b"x")).collect();
-    let runs: Vec<String> = (0..4).map(|_| engine.expect("RUN").word(1).to_owned()).collect();
+    let runs: Vec<String> = (0..4).map(|_| expect_run(&engine)).collect();
     assert!(runs.iter().all(|id| ids.contains(id)));
     engine.send_need(1, &runs[0], b"call");
-    let below = ledger.link();
-    below.expect("post");
-    // Another run takes the place of the one at its call.
+    let call = ledger.link();
+    call.expect("post");
+    // Another run takes the place of the one that waits.
     engine.expect("RUN");
-    for (number, gone) in [gateway].into_iter().enumerate() {
-        if number % 2 == 0 { drop(gone) } else { gone.reset() }
-    }
-    below.expect_closed();
-    // What was held is never run: the next run is another gateway's.
+    drop(gateway);
+    call.expect_closed();
+    // What was queued is never run: the next run is that of another gateway.
     engine.expect_quiet();
     engine.send_with_body(&format!("DONE 2 {} broken_off 5", runs[0]), b"");
     for (id, number) in runs[1..].iter().zip(3..) {
         engine.send_done(number, id, b"for nobody");
     }
-    serves(&fixture, &engine, 9);
+    expect_serving(&fixture, &engine, 9);
 }
 
 #[test]
 fn a_malformed_message_fails_the_open_requests_and_closes_the_connection() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let cases: [&[u8]; 6] = [
         b"GET / HTTP/1.1\r\n\r\n",
         b"*99999999\r\n",
@@ -166,63 +160,53 @@
         engine.expect("RUN");
         engine.expect("RUN");
         gateway.send(bytes);
-        let mut tags: Vec<u64> = (0..2)
-            .map(|_| {
-                let answer = gateway.response();
-                assert_eq!(answer.status, "FAILED");
-                answer.tag
-            })
-            .collect();
-        tags.sort_unstable();
-        assert_eq!(tags, [1, 2]);
+        let responses = responses_by_tag(&mut gateway, 2);
+        assert_eq!(tags(&responses), [1, 2]);
+        assert!(responses.iter().all(|response| response.status == "FAILED"), "{responses:?}");
         gateway.expect_closed();
-        // Their runs end for nobody.
+        // The ends of their runs have no effect.
         engine.send_done(2 * number - 1, &ids[0], b"no");
         engine.send_done(2 * number, &ids[1], b"no");
     }
-    serves(&fixture, &engine, 99);
+    expect_serving(&fixture, &engine, 99);
 }
 
 #[test]
 fn a_tag_reused_while_open_closes_the_connection() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     let id = start_run(&mut gateway, &engine, 5, "read");
     gateway.call(5, "read", b"another");
-    let answer = gateway.response();
-    assert_eq!((answer.tag, answer.status.as_str()), (5, "FAILED"));
+    expect_status(&mut gateway, 5, "FAILED");
     gateway.expect_closed();
     engine.send_done(1, &id, b"no");
-    serves(&fixture, &engine, 2);
+    expect_serving(&fixture, &engine, 2);
 }
 
 #[test]
 fn partial_messages_and_silence_time_out() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut silent = fixture.gateway();
-    let mut half = fixture.gateway();
-    let id = half.call(1, "read", b"x");
+    let mut partial = fixture.gateway();
+    let id = partial.call(1, "read", b"x");
     engine.expect("RUN");
-    half.send(b"*5\r\n$8\r\nRPC.");
+    partial.send(b"*5\r\n$8\r\nRPC.");
     silent.expect_closed();
-    let answer = half.response();
-    assert_eq!((answer.tag, answer.status.as_str()), (1, "FAILED"));
-    half.expect_closed();
+    expect_status(&mut partial, 1, "FAILED");
+    partial.expect_closed();
     engine.send_done(1, &id, b"no");
-    serves(&fixture, &engine, 2);
+    expect_serving(&fixture, &engine, 2);
 }
 
 #[test]
 fn gateways_are_accepted_while_silent_connections_use_all_descriptors() {
-    let mut fixture = ServerFixture::new(site(LONG));
+    let mut fixture = ServerFixture::new(site(LONG_TIMEOUT));
     fixture.config["limits"]["sockets"] = 96.into();
     fixture.start("ulimit -n 96; exec \"$0\" serve");
     let engine = attach(&fixture, "ATTACH 0");
-    let mut kept = fixture.gateway();
-    kept.send(&health(1, false));
-    assert_eq!(kept.response().status, "UP");
+    let _idle = idle_gateway(&fixture);
     let mut silent: Vec<Gateway> = (0..300).map(|_| fixture.gateway()).collect();
-    serves(&fixture, &engine, 1);
+    expect_serving(&fixture, &engine, 1);
     assert!(fixture.descriptors() <= 96, "{}", fixture.descriptors());
     for gateway in &mut silent {
         gateway.expect_closed();
@@ -232,30 +216,29 @@
 
 #[test]
 fn unknown_names_and_missing_fields_get_a_failed_response() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
-    let good = fields(&next_attempt_id());
+    let valid = fields(&next_attempt_id());
     let cases = [
-        call(1, "no-such-class", &good, b""),
-        call(2, "read", &good.replace("owner=acme", "owner=nobody"), b""),
-        call(3, "read", &good.replace(",owner=acme", ""), b""),
-        call(4, "read", &good.replace("req=", "request="), b""),
-        call(5, "read", &good.replace("need=24.5", "need=much"), b""),
+        call(1, "no-such-class", &valid, b""),
+        call(2, "read", &valid.replace("owner=acme", "owner=nobody"), b""),
+        call(3, "read", &valid.replace(",owner=acme", ""), b""),
+        call(4, "read", &valid.replace("req=", "request="), b""),
+        call(5, "read", &valid.replace("need=24.5", "need=much"), b""),
         array(&[b"RPC.SING", b"6", b"read"]),
         array(&[b"RPC.CALL", b"7"]),
     ];
     for (tag, bytes) in (1..).zip(cases) {
         gateway.send(&bytes);
-        let answer = gateway.response();
-        assert_eq!((answer.tag, answer.status.as_str()), (tag, "FAILED"));
+        expect_status(&mut gateway, tag, "FAILED");
     }
     engine.expect_quiet();
-    serves(&fixture, &engine, 1);
+    expect_serving(&fixture, &engine, 1);
 }
 
 #[test]
 fn an_attempt_id_in_use_does_not_run_twice() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     let id = start_run(&mut gateway, &engine, 1, "pay");
     gateway.send(&call(2, "pay", &fields(&id), b"x"));
@@ -267,7 +250,7 @@
 
 #[test]
 fn values_out_of_range_are_rejected() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     let cases = [
         ("ms=12.50", "ms=0"),
@@ -283,30 +266,30 @@
         ("ts=", "ts=-"),
         ("ts=17", "ts=07"),
     ];
-    for (tag, (good, bad)) in (1..).zip(cases) {
+    for (tag, (valid, invalid)) in (1..).zip(cases) {
         let fields = fields(&next_attempt_id());
-        assert!(fields.contains(good));
-        gateway.send(&call(tag, "read", &fields.replace(good, bad), b"x"));
+        assert!(fields.contains(valid));
+        gateway.send(&call(tag, "read", &fields.replace(valid, invalid), b"x"));
         let answer = gateway.response();
-        assert_eq!((answer.tag, answer.status.as_str()), (tag, "FAILED"), "{bad}");
+        assert_eq!((answer.tag, answer.status.as_str()), (tag, "FAILED"), "{invalid}");
     }
     engine.expect_quiet();
-    serves(&fixture, &engine, 1);
+    expect_serving(&fixture, &engine, 1);
 }
 
 #[test]
 fn open_requests_are_bounded_by_memory() {
     let (fixture, _engine) =
-        start_configured(site(LONG), |fixture| fixture.config["limits"]["memory_mb"] = 1.into());
+        start_configured(site(LONG_TIMEOUT), |fixture| fixture.config["limits"]["memory_mb"] = 1.into());
     // 51 requests of 2.5 KB in an eighth of 1 MB.
-    let mut all = [fixture.gateway(), fixture.gateway()];
-    for gateway in &mut all {
+    let mut gateways = [fixture.gateway(), fixture.gateway()];
+    for gateway in &mut gateways {
         for tag in 1..=32 {
             gateway.call(tag, "read", &[7; 2048]);
         }
     }
     let mut busy = 0;
-    for gateway in &mut all {
+    for gateway in &mut gateways {
         while let Ok(Some(answer)) = gateway.next_response(QUIET_PERIOD) {
             assert_eq!(answer.status, "BUSY");
             busy += 1;
@@ -317,34 +300,31 @@
 
 #[test]
 fn half_of_the_descriptors_can_be_used_by_connections() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let before = fixture.descriptors();
-    let mut all: Vec<Gateway> = (0..512).map(|_| fixture.gateway()).collect();
-    for (gateway, tag) in all.iter_mut().zip(1..) {
+    let mut gateways: Vec<Gateway> = (0..512).map(|_| fixture.gateway()).collect();
+    for (gateway, tag) in gateways.iter_mut().zip(1..) {
         gateway.send(&health(tag, false));
     }
-    for (gateway, tag) in all.iter_mut().zip(1..) {
+    for (gateway, tag) in gateways.iter_mut().zip(1..) {
         assert_eq!(gateway.response().tag, tag);
     }
     assert!(fixture.descriptors() <= before + 512 + 1, "{} and {before}", fixture.descriptors());
-    drop(all);
-    serves(&fixture, &engine, 1);
+    drop(gateways);
+    expect_serving(&fixture, &engine, 1);
 }
 
 #[test]
 fn the_server_survives_descriptor_exhaustion() {
-    let mut fixture = ServerFixture::new(site(LONG));
+    let mut fixture = ServerFixture::new(site(LONG_TIMEOUT));
     fixture.start("ulimit -n 40; exec \"$0\" serve");
     let _engine = attach(&fixture, "ATTACH 0");
-    let mut all: Vec<Gateway> = (0..60).map(|_| fixture.gateway()).collect();
-    all[0].send(&health(1, false));
-    assert_eq!(all[0].response().status, "UP");
-    std::thread::sleep(QUIET_PERIOD);
+    let mut gateways: Vec<Gateway> = (0..60).map(|_| fixture.gateway()).collect();
+    check_health(&mut gateways[0], 1);
+    thread::sleep(QUIET_PERIOD);
     assert!(fixture.is_running());
-    drop(all);
-    let mut gateway = fixture.gateway();
-    gateway.send(&health(1, false));
-    assert_eq!(gateway.response().status, "UP");
+    drop(gateways);
+    idle_gateway(&fixture);
 }
 
 #[test]
@@ -353,15 +333,14 @@
     let mut gateway = fixture.gateway();
     let id = start_run(&mut gateway, &engine, 1, "pay");
     fixture.signal("STOP");
-    // Its result and new requests arrive while nothing is read, and its time runs out as well.
+    // Its result and new requests arrive while nothing is read, and its timeout passes.
     engine.send_done(1, &id, b"y");
     for tag in 2..=10 {
         gateway.send(&health(tag, false));
     }
-    std::thread::sleep(Duration::from_millis(1_200));
+    thread::sleep(Duration::from_millis(1_200));
     fixture.signal("CONT");
-    let mut answers: Vec<GatewayResponse> = (1..=10).map(|_| gateway.response()).collect();
-    answers.sort_by_key(|answer| answer.tag);
+    let answers = responses_by_tag(&mut gateway, 10);
     assert_eq!((answers[0].tag, answers[0].status.as_str()), (1, "OK"));
     assert!(answers[1..].iter().all(|answer| answer.status == "UP"));
     gateway.expect_quiet();
@@ -369,165 +348,174 @@
 
 #[test]
 fn an_unread_log_does_not_affect_service() {
-    let mut fixture = ServerFixture::new(site(LONG));
+    let mut fixture = ServerFixture::new(site(LONG_TIMEOUT));
     fixture.close_log();
-    fixture.start("exec \"$0\" serve");
+    fixture.start(SERVE);
     let engine = attach(&fixture, "ATTACH 0");
     for _ in 0..3 {
         let mut gateway = fixture.gateway();
         gateway.send(b"nonsense\r\n");
         gateway.expect_closed();
     }
-    serves(&fixture, &engine, 1);
+    expect_serving(&fixture, &engine, 1);
     assert!(fixture.is_running());
 }
 
-/// Slow both ways and honest: it is heard, however long the whole of its request takes.
+/// A slow request is served, however long the whole of it takes.
 #[test]
 fn a_slow_request_is_served_and_a_stalled_one_times_out() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
-    let (mut slow, mut still) = (fixture.gateway(), fixture.gateway());
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
+    let (mut slow, mut stalled) = (fixture.gateway(), fixture.gateway());
     let id = next_attempt_id();
     let bytes = call(1, "read", &fields(&id), b"x");
-    still.send(&bytes[..20]);
-    // Each part comes long before a peer counts as stuck, and all of them take longer.
+    stalled.send(&bytes[..20]);
+    // Each part arrives long before a connection counts as stalled, and all of them together take longer than that.
     for part in bytes.chunks(bytes.len() / 12) {
         slow.send(part);
-        std::thread::sleep(std::time::Duration::from_millis(200));
+        thread::sleep(Duration::from_millis(200));
     }
     engine.expect("RUN");
     engine.send_done(1, &id, b"y");
     assert_eq!(slow.response().body, b"y");
-    // The other has heard its end.
-    assert_eq!(still.next_response(RESPONSE_TIMEOUT), Ok(None));
+    // The stalled connection was closed.
+    assert_eq!(stalled.next_response(RESPONSE_TIMEOUT), Ok(None));
 }
 
-/// A site that closes connections soon after their last answer.
-fn impatient() -> serde_json::Value {
-    let mut settings = site(LONG);
+/// A site that closes idle connections after 50 ms.
+fn site_with_short_idle_timeout() -> Value {
+    let mut settings = site(LONG_TIMEOUT);
     settings["Domain"]["Idle"] = 50.0.into();
     settings
 }
 
-fn heard_bye(gateway: &mut Gateway) {
-    gateway.send(&health(1, false));
-    assert_eq!(gateway.response().status, "UP");
-    assert_eq!(gateway.response().status, "BYE");
+/// A gateway that was sent a goodbye because it is idle.
+fn gateway_with_goodbye(fixture: &ServerFixture) -> Gateway {
+    let mut gateway = idle_gateway(fixture);
+    expect_goodbye(&mut gateway);
+    gateway
 }
 
 #[test]
 fn a_request_that_crosses_the_goodbye_is_served() {
-    let (fixture, engine) = ServerFixture::start_serving(impatient());
-    let mut gateway = fixture.gateway();
-    heard_bye(&mut gateway);
+    let (fixture, engine) = ServerFixture::start_serving(site_with_short_idle_timeout());
+    let mut gateway = gateway_with_goodbye(&fixture);
     for (tag, number) in (2..5).zip(1..) {
-        let id = start_run(&mut gateway, &engine, tag, "pay");
-        finish_run(&mut gateway, &engine, number, &id);
+        serve_request(&mut gateway, &engine, tag, "pay", number);
     }
-    // Nothing more comes, so it ends; the word was said once.
+    // Nothing more is sent, so the connection is closed, without a second goodbye.
     gateway.expect_closed();
 }
 
 #[test]
 fn a_request_after_an_idle_close_is_not_run() {
-    let (fixture, engine) = ServerFixture::start_serving(impatient());
-    let mut gateway = fixture.gateway();
-    heard_bye(&mut gateway);
+    let (fixture, engine) = ServerFixture::start_serving(site_with_short_idle_timeout());
+    let mut gateway = gateway_with_goodbye(&fixture);
     gateway.expect_closed();
-    // It rested until it was closed, and speaks now: first a part of its message, then the rest.
+    // A request on the closed connection, in two parts.
     let bytes = call(2, "pay", &fields(&next_attempt_id()), b"x");
     gateway.send(&bytes[..20]);
     gateway.send(&bytes[20..]);
     assert_eq!(gateway.next_response(QUIET_PERIOD), Ok(None));
     engine.expect_quiet();
     let mut other = fixture.gateway();
-    let id = other.call(3, "pay", b"x");
-    assert_eq!(engine.expect("RUN").word(1), id);
+    start_run(&mut other, &engine, 3, "pay");
 }
 
 #[test]
 fn a_half_closed_gateway_still_gets_its_responses() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     let ids: Vec<String> = (1..=4).map(|tag| gateway.call(tag, "read", b"x")).collect();
     for (id, number) in ids.iter().zip(1..) {
         engine.expect("RUN");
         engine.send_done(number, id, &[7; 4096]);
     }
-    // Another hears of it after all of that was said, as answers of one batch are given in order.
-    serves(&fixture, &engine, 9);
-    gateway.stream.shutdown(std::net::Shutdown::Write).expect("its side is closed");
+    // Once another gateway is served all responses were sent, as those of one batch are sent in order.
+    expect_serving(&fixture, &engine, 9);
+    gateway.stream.shutdown(Shutdown::Write).expect("its side is closed");
     for _ in &ids {
         assert_eq!(gateway.response().body, [7; 4096]);
     }
     gateway.expect_closed();
 }
 
-/// Floods until it is told to stop, and then rests without closing: its descriptor comes back all the same.
+/// Writes to connections, whether or not it is read, for as long as this.
+fn flood(gateways: &mut [Gateway], duration: Duration) {
+    let until = Instant::now() + duration;
+    while Instant::now() < until {
+        for gateway in &mut *gateways {
+            let _ = gateway.stream.write(&[b'x'; 100]);
+        }
+        thread::sleep(Duration::from_millis(3));
+    }
+}
+
+/// Waits until the server has no more descriptors than this.
+fn wait_for_descriptors(fixture: &ServerFixture, limit: usize) {
+    let until = Instant::now() + RESPONSE_TIMEOUT;
+    while fixture.descriptors() > limit {
+        assert!(Instant::now() < until, "{} over {limit}", fixture.descriptors());
+        thread::sleep(Duration::from_millis(20));
+    }
+}
+
+/// Gateways that flood after a malformed message and then keep their side open: the server frees its descriptors.
 #[test]
 fn closed_connections_are_released_although_their_peers_flood() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let before = fixture.descriptors();
     let mut flooding: Vec<Gateway> = (0..40).map(|_| fixture.gateway()).collect();
     for gateway in &mut flooding {
         gateway.send(b"this is no RESP\r\n");
         gateway.stream.set_nonblocking(true).expect("it does not wait");
     }
-    // The time in which they are still read is over at another fraction of a millisecond on each.
-    let until = std::time::Instant::now() + std::time::Duration::from_millis(250);
-    while std::time::Instant::now() < until {
-        for gateway in &mut flooding {
-            let _ = std::io::Write::write(&mut gateway.stream, &[b'x'; 100]);
-        }
-        std::thread::sleep(std::time::Duration::from_millis(3));
-    }
-    let until = std::time::Instant::now() + RESPONSE_TIMEOUT;
-    while fixture.descriptors() > before {
-        assert!(std::time::Instant::now() < until, "{} over {before}", fixture.descriptors());
-        std::thread::sleep(std::time::Duration::from_millis(20));
-    }
+    // The server stops reading at another fraction of a millisecond on each connection.
+    flood(&mut flooding, Duration::from_millis(250));
+    wait_for_descriptors(&fixture, before);
     drop(flooding);
-    serves(&fixture, &engine, 1);
+    expect_serving(&fixture, &engine, 1);
 }
 
-/// Who floods with what cannot be taken is held up by that, and others are not.
+/// Writes bytes to a gateway's connection in a thread.
+fn write_in_background(gateway: &Gateway, bytes: Vec<u8>) -> JoinHandle<std::io::Result<()>> {
+    let mut writer = gateway.stream.try_clone().expect("a clone");
+    thread::spawn(move || writer.write_all(&bytes))
+}
+
+/// A flood of rejected requests delays its own gateway only.
 #[test]
 fn other_requests_are_answered_during_a_flood_of_rejected_ones() {
     const FLOOD: u64 = 3_000;
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut flooding = fixture.gateway();
     let flood: Vec<u8> =
         (1..=FLOOD).flat_map(|tag| call(tag, "no-such-class", &fields(&next_attempt_id()), b"x")).collect();
-    let mut writer = flooding.stream.try_clone().expect("a clone");
-    let writes = std::thread::spawn(move || std::io::Write::write_all(&mut writer, &flood));
-    // It has begun.
+    let writes = write_in_background(&flooding, flood);
+    // The flood has started.
     flooding.response();
-    (1..=40).for_each(|number| serves(&fixture, &engine, number));
+    (1..=40).for_each(|number| expect_serving(&fixture, &engine, number));
     flooding.stream.set_nonblocking(true).expect("it does not wait");
-    let mut come = 1;
-    while let Ok(Some(_)) = flooding.next_response(std::time::Duration::ZERO) {
-        come += 1;
+    let mut answered = 1;
+    while let Ok(Some(_)) = flooding.next_response(Duration::ZERO) {
+        answered += 1;
     }
-    assert!(come < FLOOD, "all of the flood was taken before others");
-    flooding.stream.shutdown(std::net::Shutdown::Both).expect("it ends");
+    assert!(answered < FLOOD, "all of the flood was answered before other requests");
+    flooding.stream.shutdown(Shutdown::Both).expect("it ends");
     drop(writes.join().expect("it ends"));
 }
 
 #[test]
 fn each_of_a_flood_of_health_checks_is_answered_once_without_the_engine() {
     const FLOOD: u64 = 600;
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
-    // Questions would be lines like others from now on.
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
+    // From now on the test sees the server's queries, too.
     fixture.engine.answers_by_itself(false);
     let mut flooding = fixture.gateway();
     let flood: Vec<u8> = (1..=FLOOD).flat_map(|tag| health(tag, true)).collect();
-    let mut writer = flooding.stream.try_clone().expect("a clone");
-    let writes = std::thread::spawn(move || std::io::Write::write_all(&mut writer, &flood));
-    let mut tags: Vec<u64> = (0..FLOOD).map(|_| flooding.response().tag).collect();
-    tags.sort_unstable();
-    assert_eq!(tags, (1..=FLOOD).collect::<Vec<u64>>());
+    let writes = write_in_background(&flooding, flood);
+    expect_each_answered_once(&mut flooding, FLOOD);
     writes.join().expect("it ends").expect("all is sent");
-    // The next that the engine hears is a request, or a question for its gauges, and none to do work.
+    // The engine gets the next request, and before it only queries of its gauges.
     let id = flooding.call(FLOOD + 1, "pay", b"x");
     loop {
         let line = engine.line();
--- a/crates/loomflow-server/tests/links.rs
+++ b/crates/loomflow-server/tests/links.rs
@@ -1,33 +1,95 @@
-//! Engine and ledger breaking, silent, late or talking nonsense, at each stage of a run.
+//! Connections of a server process to its engine and its ledger: scripted peers disconnect, fall silent, reply late or send
+//! malformed messages at each stage of a run, and a gateway checks the responses.
 
 mod common;
 
-use common::{answer_call, attach, finish_run, start_run};
+use common::*;
 use loomflow_test_servers::*;
 
-const LONG: f64 = 20_000.0;
-/// A request's whole time where it has to run out.
-const SHORT: f64 = 1_500.0;
+/// A timeout of requests, in ms, that passes in the test.
+const SHORT_TIMEOUT: f64 = 1_500.0;
+const CLASSES: [&str; 3] = ["read", "pay", "book"];
+/// An attempt id that no request has.
+const UNKNOWN_ID: &str = "00000000000000ff";
 
-/// A server whose first request waits for its call.
+/// A server with its scripted peers and a gateway.
+struct Serving {
+    fixture: ServerFixture,
+    engine: PeerConnection,
+    ledger: OpenLedger,
+    gateway: Gateway,
+}
+
+fn start_serving(timeout: f64) -> Serving {
+    let (fixture, engine) = ServerFixture::start_serving(site(timeout));
+    let (ledger, gateway) = (fixture.ledger.open(), fixture.gateway());
+    Serving { fixture, engine, ledger, gateway }
+}
+
+/// A server whose first request waits for the reply to its call.
 struct Calling {
     fixture: ServerFixture,
     engine: PeerConnection,
     ledger: OpenLedger,
-    below: PeerConnection,
+    call: PeerConnection,
     gateway: Gateway,
     id: String,
 }
 
-fn calling(class: &str, limit: f64) -> Calling {
-    let (fixture, engine) = ServerFixture::start_serving(site(limit));
-    let ledger = fixture.ledger.open();
-    let mut gateway = fixture.gateway();
+fn start_calling(class: &str, timeout: f64) -> Calling {
+    let Serving { fixture, engine, ledger, mut gateway } = start_serving(timeout);
     let id = start_run(&mut gateway, &engine, 1, class);
-    engine.send_need(1, &id, b"call");
-    let below = ledger.link();
-    below.expect("post");
-    Calling { fixture, engine, ledger, below, gateway, id }
+    let call = start_call(&ledger, &engine, 1, &id, b"call");
+    Calling { fixture, engine, ledger, call, gateway, id }
+}
+
+/// Makes a run call the ledger, by the engine's notice of this number; returns the connection of the call.
+fn start_call(
+    ledger: &OpenLedger,
+    engine: &PeerConnection,
+    number: u64,
+    id: &str,
+    body: &[u8],
+) -> PeerConnection {
+    engine.send_need(number, id, body);
+    let connection = ledger.link();
+    let post = connection.expect("post");
+    assert_eq!((post.word(1), post.body.as_slice()), (id, body));
+    connection
+}
+
+/// Answers a call.
+fn reply(connection: &PeerConnection, id: &str, body: &[u8]) {
+    connection.send_with_body(&format!("{id} posted"), body);
+}
+
+/// Expects that the reply to a call is passed to its run.
+fn expect_feed(engine: &PeerConnection, id: &str, body: &[u8]) {
+    let feed = engine.expect("FEED");
+    assert_eq!((feed.word(1), feed.body.as_slice()), (id, body));
+}
+
+/// Expects the command to run a request with the body of [`start_run`].
+fn expect_run_of(engine: &PeerConnection, id: &str) {
+    let run = engine.expect("RUN");
+    assert_eq!((run.word(1), run.body.as_slice()), (id, &b"x"[..]));
+}
+
+/// Ends a run without a result.
+fn end_run(engine: &PeerConnection, number: u64, id: &str, outcome: &str) {
+    engine.send_with_body(&format!("DONE {number} {id} {outcome}"), b"");
+}
+
+/// Answers a query of the gauges, as one that closes a replay.
+fn send_stats(engine: &PeerConnection, query: &Line) {
+    engine.send_line(&format!("STATS {} 0 1 0.1 4", query.word(1)));
+}
+
+/// The next connection to the engine, whose `ATTACH` is not answered yet.
+fn next_unattached(fixture: &ServerFixture, line: &str) -> PeerConnection {
+    let engine = fixture.engine.link();
+    assert_eq!(engine.line().text, line);
+    engine
 }
 
 // ---- The engine's link ----
@@ -35,16 +97,14 @@
 #[test]
 fn a_run_requested_while_disconnected_is_sent_on_the_next_connection() {
     for class in ["read", "pay"] {
-        let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+        let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
         let mut gateway = fixture.gateway();
         engine.disconnect();
-        let engine = fixture.engine.link();
-        assert_eq!(engine.line().text, "ATTACH 0");
+        let engine = next_unattached(&fixture, "ATTACH 0");
         let id = gateway.call(1, class, b"x");
         gateway.expect_quiet();
         engine.send_line("HELLO running 60000");
-        let run = engine.expect("RUN");
-        assert_eq!((run.word(1), run.body.as_slice()), (id.as_str(), &b"x"[..]));
+        expect_run_of(&engine, &id);
         finish_run(&mut gateway, &engine, 1, &id);
         engine.expect_quiet();
     }
@@ -52,39 +112,35 @@
 
 #[test]
 fn an_uncertain_run_is_sent_again_whatever_its_effect() {
-    for class in ["read", "pay", "book"] {
-        let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    for class in CLASSES {
+        let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
         let mut gateway = fixture.gateway();
         let id = start_run(&mut gateway, &engine, 1, class);
         engine.disconnect();
         let engine = attach(&fixture, "ATTACH 0");
-        let again = engine.expect("RUN");
-        assert_eq!((again.word(1), again.body.as_slice()), (id.as_str(), &b"x"[..]));
-        // It had been over all the time: the second is answered as late, after the result.
+        expect_run_of(&engine, &id);
+        // The run had ended already: the repeated command is answered as late, after the result.
         engine.send_done(1, &id, b"y");
-        engine.send_with_body(&format!("DONE 2 {id} late 0"), b"");
+        end_run(&engine, 2, &id, "late 0");
         assert_eq!(gateway.response().status, "OK");
         gateway.expect_quiet();
         engine.expect_quiet();
     }
 }
 
-/// How long ago that was is told by our clock, and a pause of the machine counts in it: of a run it must not matter.
+/// Ages are measured by the server's clock, in which a pause of the machine counts: for a run the age must not matter.
 #[test]
 fn after_a_disconnect_an_old_run_is_sent_again_and_an_old_reply_is_not() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
-    let ledger = fixture.ledger.open();
-    let mut gateway = fixture.gateway();
+    let Serving { fixture, engine, ledger, mut gateway } = start_serving(LONG_TIMEOUT);
     let fed = start_run(&mut gateway, &engine, 1, "read");
     engine.send_need(1, &fed, b"call");
-    ledger.link().send_with_body(&format!("{fed} posted"), b"reply");
+    reply(&ledger.link(), &fed, b"reply");
     engine.expect("FEED");
     let running = start_run(&mut gateway, &engine, 2, "pay");
     std::thread::sleep(std::time::Duration::from_millis(400));
     engine.disconnect();
     let engine = attach(&fixture, "ATTACH 1");
-    let again = engine.expect("RUN");
-    assert_eq!((again.word(1), again.body.as_slice()), (running.as_str(), &b"x"[..]));
+    expect_run_of(&engine, &running);
     engine.expect_quiet();
     for (id, number) in [(&fed, 2), (&running, 3)] {
         engine.send_done(number, id, b"y");
@@ -95,25 +151,21 @@
 
 #[test]
 fn notices_are_replayed_after_the_last_one_read_and_handled_once() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
-    let ledger = fixture.ledger.open();
-    let mut gateway = fixture.gateway();
+    let Serving { fixture, engine, ledger, mut gateway } = start_serving(LONG_TIMEOUT);
     let a = gateway.call(1, "pay", b"a");
     engine.expect("RUN");
     let b = gateway.call(2, "pay", b"b");
     engine.expect("RUN");
-    engine.send_need(1, &a, b"call");
-    let below = ledger.link();
-    assert_eq!(below.expect("post").word(1), a);
+    let call = start_call(&ledger, &engine, 1, &a, b"call");
     engine.disconnect();
     let engine = fixture.engine.link();
-    // The first is old; the second came while there was no link.
+    // The first was read before; the second was sent while there was no connection.
     let notices = [(format!("NEED 1 {a}"), &b"call"[..]), (format!("DONE 2 {b} fine 5"), b"B")];
     engine.accept_attach_replaying("ATTACH 1", &notices);
     assert_eq!(gateway.response().body, b"B");
-    below.expect_quiet();
-    below.send_with_body(&format!("{a} posted"), b"ok");
-    assert_eq!(engine.expect("FEED").word(1), a);
+    call.expect_quiet();
+    reply(&call, &a, b"ok");
+    expect_feed(&engine, &a, b"ok");
     engine.send_done(3, &a, b"A");
     assert_eq!(gateway.response().body, b"A");
     engine.expect_quiet();
@@ -121,35 +173,33 @@
 
 #[test]
 fn a_reply_received_while_disconnected_is_fed_on_the_next_connection() {
-    let Calling { fixture, engine, ledger: _ledger, below, mut gateway, id } = calling("pay", LONG);
+    let Calling { fixture, engine, ledger: _ledger, call, mut gateway, id } =
+        start_calling("pay", LONG_TIMEOUT);
     engine.disconnect();
-    let engine = fixture.engine.link();
-    assert_eq!(engine.line().text, "ATTACH 1");
-    below.send_with_body(&format!("{id} posted"), b"reply");
+    let engine = next_unattached(&fixture, "ATTACH 1");
+    reply(&call, &id, b"reply");
     engine.expect_quiet();
     engine.send_line("HELLO running 60000");
-    assert_eq!(engine.expect("FEED").body, b"reply");
+    expect_feed(&engine, &id, b"reply");
     finish_run(&mut gateway, &engine, 2, &id);
 }
 
 #[test]
 fn an_uncertain_reply_is_fed_again_without_an_effect() {
     for class in ["read", "pay"] {
-        let Calling { fixture, engine, ledger, below, mut gateway, id } = calling(class, LONG);
-        below.send_with_body(&format!("{id} posted"), b"reply");
+        let Calling { fixture, engine, ledger, call, mut gateway, id } = start_calling(class, LONG_TIMEOUT);
+        reply(&call, &id, b"reply");
         engine.expect("FEED");
         engine.disconnect();
         let engine = attach(&fixture, "ATTACH 1");
-        // A notice that was read before is not taken for a further call.
+        // A repeated notice is not a further call.
         engine.send_need(1, &id, b"call");
         if class == "read" {
-            assert_eq!(engine.expect("FEED").body, b"reply");
-            // The next call of the run comes after it, and is made.
-            engine.send_need(2, &id, b"second");
-            let second = ledger.link();
-            assert_eq!(second.expect("post").body, b"second");
-            second.send_with_body(&format!("{id} posted"), b"other");
-            assert_eq!(engine.expect("FEED").body, b"other");
+            expect_feed(&engine, &id, b"reply");
+            // A further call of the run is made.
+            let second = start_call(&ledger, &engine, 2, &id, b"second");
+            reply(&second, &id, b"other");
+            expect_feed(&engine, &id, b"other");
         }
         engine.expect_quiet();
         ledger.has_no_link();
@@ -159,28 +209,28 @@
 
 #[test]
 fn a_repeated_reply_that_may_have_reached_another_call_fails_its_request() {
-    let Calling { fixture, engine, ledger, below, mut gateway, id } = calling("read", LONG);
-    below.send_with_body(&format!("{id} posted"), b"reply");
+    let Calling { fixture, engine, ledger, call, mut gateway, id } = start_calling("read", LONG_TIMEOUT);
+    reply(&call, &id, b"reply");
     engine.expect("FEED");
     engine.disconnect();
     let engine = fixture.engine.link();
     fixture.engine.answers_by_itself(false);
     engine.accept_attach("ATTACH 1");
     let closes_replay = engine.expect("STAT");
-    engine.send_line(&format!("STATS {} 0 1 0.1 4", closes_replay.word(1)));
-    // The question, the reply, and a call that was on its way before either was read.
+    send_stats(&engine, &closes_replay);
+    // The next query, the reply, and a call that the engine sent before it had read either.
     engine.expect("STAT");
-    assert_eq!(engine.expect("FEED").body, b"reply");
+    expect_feed(&engine, &id, b"reply");
     engine.send_need(2, &id, b"second");
     assert_eq!(gateway.response().status, "FAILED");
     ledger.has_no_link();
-    engine.send_with_body(&format!("DONE 3 {id} broken_off 5"), b"");
+    end_run(&engine, 3, &id, "broken_off 5");
     gateway.expect_quiet();
 }
 
 #[test]
 fn a_partially_read_result_is_repeated_on_the_next_connection() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     let id = start_run(&mut gateway, &engine, 1, "pay");
     engine.send_bytes(format!("DONE 1 {id} fine 5 6\r\nres").as_bytes());
@@ -194,37 +244,36 @@
 
 #[test]
 fn a_malformed_notice_reconnects_the_engine() {
-    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     engine.send_line("THIS IS NO NOTICE");
     engine.expect_closed();
     let engine = attach(&fixture, "ATTACH 0");
     let mut gateway = fixture.gateway();
-    let id = start_run(&mut gateway, &engine, 1, "read");
-    finish_run(&mut gateway, &engine, 1, &id);
+    serve_request(&mut gateway, &engine, 1, "read", 1);
     assert!(fixture.log().contains("engine"));
     assert!(fixture.is_running());
 }
 
 #[test]
 fn notices_about_unknown_requests_are_ignored() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
-    engine.send_done(1, "00000000000000ff", b"y");
-    engine.send_need(2, "00000000000000ff", b"call");
-    engine.send_line("NO RUN 00000000000000ff");
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
+    engine.send_done(1, UNKNOWN_ID, b"y");
+    engine.send_need(2, UNKNOWN_ID, b"call");
+    engine.send_line(&format!("NO RUN {UNKNOWN_ID}"));
     engine.send_line("NOTE 3 a remark with no meaning");
     engine.send_line("TESTED 99 fault");
     let mut gateway = fixture.gateway();
-    let id = start_run(&mut gateway, &engine, 1, "read");
-    finish_run(&mut gateway, &engine, 4, &id);
+    serve_request(&mut gateway, &engine, 1, "read", 4);
 }
 
 #[test]
 fn a_rejected_run_command_fails_the_request_unless_it_has_started() {
-    let Calling { fixture: _world, engine, ledger: _ledger, below, mut gateway, id } = calling("pay", LONG);
+    let Calling { fixture: _fixture, engine, ledger: _ledger, call, mut gateway, id } =
+        start_calling("pay", LONG_TIMEOUT);
     engine.send_line(&format!("NO RUN {id}"));
     gateway.expect_quiet();
-    below.send_with_body(&format!("{id} posted"), b"ok");
-    assert_eq!(engine.expect("FEED").word(1), id);
+    reply(&call, &id, b"ok");
+    expect_feed(&engine, &id, b"ok");
     finish_run(&mut gateway, &engine, 2, &id);
     let id = start_run(&mut gateway, &engine, 2, "pay");
     engine.send_line(&format!("NO RUN {id}"));
@@ -232,25 +281,24 @@
     gateway.expect_quiet();
 }
 
-/// A link breaks while what it replays is still being read: what waits to be said is said on the link after it.
+/// A connection breaks while its replay is being read: commands that wait are sent on the next one.
 #[test]
 fn a_connection_replaced_during_replay_loses_nothing() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     fixture.engine.answers_by_itself(false);
     engine.disconnect();
     let replaying = attach(&fixture, "ATTACH 0");
-    let question = replaying.expect("STAT");
+    let former_query = replaying.expect("STAT");
     let id = gateway.call(1, "pay", b"x");
-    // It has been taken in.
-    gateway.send(&health(2, false));
-    assert_eq!(gateway.response().status, "UP");
+    // Once this is answered the request has been received, too.
+    check_health(&mut gateway, 2);
     replaying.disconnect();
     let engine = attach(&fixture, "ATTACH 0");
-    let next = engine.expect("STAT");
-    // An answer to the question of the former link closes nothing.
-    engine.send_line(&format!("STATS {} 0 1 0.1 4", question.word(1)));
-    engine.send_line(&format!("STATS {} 0 1 0.1 4", next.word(1)));
+    let query = engine.expect("STAT");
+    // The answer to the query on the former connection does not close this replay.
+    send_stats(&engine, &former_query);
+    send_stats(&engine, &query);
     assert_eq!(engine.expect("RUN").word(1), id);
     finish_run(&mut gateway, &engine, 1, &id);
 }
@@ -259,25 +307,25 @@
 
 #[test]
 fn a_call_is_retried_after_a_refused_connection() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     let id = start_run(&mut gateway, &engine, 1, "pay");
     engine.send_need(1, &id, b"call");
-    // It opens while the call is being tried again, or stays shut until the tries are used up.
+    // The ledger opens while the call is retried, or after the last retry.
     let ledger = fixture.ledger.open();
     if let Ok(Some(answer)) = gateway.next_response(QUIET_PERIOD) {
         assert_eq!(answer.status, "FAILED");
     } else {
-        let _below = answer_call(&ledger, &engine, &id);
+        let _call = answer_call(&ledger, &engine, &id);
         finish_run(&mut gateway, &engine, 2, &id);
     }
 }
 
 #[test]
 fn a_call_with_an_effect_is_not_retried_after_a_disconnect() {
-    let Calling { fixture: _world, engine: _engine, ledger, below, mut gateway, id: _id } =
-        calling("pay", LONG);
-    below.disconnect();
+    let Calling { fixture: _fixture, engine: _engine, ledger, call, mut gateway, id: _id } =
+        start_calling("pay", LONG_TIMEOUT);
+    call.disconnect();
     let answer = gateway.response();
     assert_eq!(answer.status, "FAILED");
     ledger.has_no_link();
@@ -285,48 +333,49 @@
 
 #[test]
 fn a_call_with_an_effect_is_retried_after_queue_full_but_not_after_an_error() {
-    let Calling { fixture: _world, engine: _engine, ledger, below, mut gateway, id } = calling("pay", LONG);
-    below.send_line(&format!("{id} queue_full"));
-    let below = ledger.link();
-    assert_eq!(below.expect("post").body, b"call");
-    below.send_line(&format!("{id} error"));
+    let Calling { fixture: _fixture, engine: _engine, ledger, call, mut gateway, id } =
+        start_calling("pay", LONG_TIMEOUT);
+    call.send_line(&format!("{id} queue_full"));
+    let call = ledger.link();
+    assert_eq!(call.expect("post").body, b"call");
+    call.send_line(&format!("{id} error"));
     assert_eq!(gateway.response().status, "FAILED");
     ledger.has_no_link();
 }
 
 #[test]
 fn an_idempotent_call_is_retried_after_a_disconnect() {
-    let Calling { fixture: _world, engine, ledger, below, mut gateway, id } = calling("read", LONG);
-    below.disconnect();
-    let _below = answer_call(&ledger, &engine, &id);
+    let Calling { fixture: _fixture, engine, ledger, call, mut gateway, id } =
+        start_calling("read", LONG_TIMEOUT);
+    call.disconnect();
+    let _call = answer_call(&ledger, &engine, &id);
     finish_run(&mut gateway, &engine, 2, &id);
 }
 
 #[test]
 fn a_silent_ledger_fails_the_request_and_its_late_reply_is_ignored() {
-    let Calling { fixture: _world, engine, ledger, below, mut gateway, id } = calling("pay", SHORT);
+    let Calling { fixture: _fixture, engine, ledger, call, mut gateway, id } =
+        start_calling("pay", SHORT_TIMEOUT);
     assert_eq!(gateway.response().status, "FAILED");
-    // Its connection is of no further use.
-    below.expect_closed();
-    engine.send_with_body(&format!("DONE 2 {id} broken_off 1500"), b"");
-    below.send_with_body(&format!("{id} posted"), b"late");
+    // Its connection is not used again.
+    call.expect_closed();
+    end_run(&engine, 2, &id, "broken_off 1500");
+    reply(&call, &id, b"late");
     gateway.expect_quiet();
     engine.expect_quiet();
     let id = start_run(&mut gateway, &engine, 2, "pay");
     engine.send_need(3, &id, b"call");
-    let _below = answer_call(&ledger, &engine, &id);
+    let _call = answer_call(&ledger, &engine, &id);
 }
 
 #[test]
 fn a_malformed_reply_closes_the_ledger_connection() {
-    let Calling { mut fixture, engine, ledger, below, mut gateway, id } = calling("pay", LONG);
-    below.send_line("what is this");
+    let Calling { mut fixture, engine, ledger, call, mut gateway, id } = start_calling("pay", LONG_TIMEOUT);
+    call.send_line("what is this");
     assert_eq!(gateway.response().status, "FAILED");
-    engine.send_with_body(&format!("DONE 2 {id} broken_off 9"), b"");
+    end_run(&engine, 2, &id, "broken_off 9");
     let id = start_run(&mut gateway, &engine, 2, "pay");
-    engine.send_need(3, &id, b"call");
-    let below = ledger.link();
-    assert_eq!(below.expect("post").word(1), id);
+    let _call = start_call(&ledger, &engine, 3, &id, b"call");
     assert!(fixture.log().contains("ledger"));
     assert!(fixture.is_running());
 }
@@ -334,138 +383,134 @@
 #[test]
 fn a_malformed_reply_fails_no_other_call() {
     let without_end = "x".repeat(100_000);
-    let spoilt = [
+    let malformed = [
         "noise\u{7f}\r\n",
         &without_end,
         "ID posted 3221225472\r\n",
         "ID posted -5\r\n",
         "ID posted 3\r\ntoo long\r\n",
     ];
-    for text in spoilt {
-        let Calling { fixture: _world, engine, ledger, below, mut gateway, id } = calling("pay", LONG);
+    for text in malformed {
+        let Calling { fixture: _fixture, engine, ledger, call, mut gateway, id } =
+            start_calling("pay", LONG_TIMEOUT);
         let other = start_run(&mut gateway, &engine, 2, "pay");
-        engine.send_need(2, &other, b"call");
-        let beside = ledger.link();
-        beside.expect("post");
-        below.send_bytes(text.replace("ID", &id).as_bytes());
+        let other_call = start_call(&ledger, &engine, 2, &other, b"call");
+        call.send_bytes(text.replace("ID", &id).as_bytes());
         assert_eq!((gateway.response().tag, gateway.next_response(QUIET_PERIOD)), (1, Err(Silence)));
-        below.expect_closed();
-        beside.send_with_body(&format!("{other} posted"), b"ok");
-        assert_eq!(engine.expect("FEED").word(1), other);
+        call.expect_closed();
+        reply(&other_call, &other, b"ok");
+        expect_feed(&engine, &other, b"ok");
     }
 }
 
 #[test]
 fn duplicate_and_unknown_replies_are_ignored() {
-    let Calling { fixture: _world, engine, ledger, below, mut gateway, id } = calling("read", LONG);
-    below.send_with_body("00000000000000ff posted", b"whose");
-    below.send_with_body(&format!("{id} posted"), b"reply");
-    assert_eq!(engine.expect("FEED").body, b"reply");
-    // The same request calls again: a late copy of the first reply is no reply to that.
-    engine.send_need(2, &id, b"second");
-    let second = ledger.link();
-    assert_eq!(second.expect("post").body, b"second");
-    below.send_with_body(&format!("{id} posted"), b"reply");
+    let Calling { fixture: _fixture, engine, ledger, call, mut gateway, id } =
+        start_calling("read", LONG_TIMEOUT);
+    reply(&call, UNKNOWN_ID, b"whose");
+    reply(&call, &id, b"reply");
+    expect_feed(&engine, &id, b"reply");
+    // A repeated reply to the first call is no reply to the second.
+    let second = start_call(&ledger, &engine, 2, &id, b"second");
+    reply(&call, &id, b"reply");
     engine.expect_quiet();
-    second.send_with_body(&format!("{id} posted"), b"other");
-    second.send_with_body(&format!("{id} posted"), b"other");
-    assert_eq!(engine.expect("FEED").body, b"other");
+    reply(&second, &id, b"other");
+    reply(&second, &id, b"other");
+    expect_feed(&engine, &id, b"other");
     finish_run(&mut gateway, &engine, 3, &id);
     engine.expect_quiet();
 }
 
 #[test]
 fn a_call_with_an_effect_never_uses_an_idle_connection() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
-    let ledger = fixture.ledger.open();
-    let mut gateway = fixture.gateway();
-    let mut kept = Vec::new();
-    for (number, class) in (0..).zip(["read", "pay", "book"]) {
+    let Serving { fixture: _fixture, engine, ledger, mut gateway } = start_serving(LONG_TIMEOUT);
+    let mut idle_connections = Vec::new();
+    for (number, class) in (0..).zip(CLASSES) {
         let id = start_run(&mut gateway, &engine, number, class);
         engine.send_need(2 * number + 1, &id, b"call");
-        let below = answer_call(&ledger, &engine, &id);
+        let call = answer_call(&ledger, &engine, &id);
         finish_run(&mut gateway, &engine, 2 * number + 2, &id);
-        kept.push(below);
+        idle_connections.push(call);
     }
 }
 
 #[test]
 fn an_idle_closed_connection_is_reopened_for_the_next_call() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
-    let ledger = fixture.ledger.open();
-    let mut gateway = fixture.gateway();
+    let Serving { fixture: _fixture, engine, ledger, mut gateway } = start_serving(LONG_TIMEOUT);
     for number in 0..2u64 {
         let id = start_run(&mut gateway, &engine, number, "pay");
         engine.send_need(3 * number + 1, &id, b"call");
-        let below = answer_call(&ledger, &engine, &id);
+        let call = answer_call(&ledger, &engine, &id);
         finish_run(&mut gateway, &engine, 3 * number + 2, &id);
-        below.disconnect();
+        call.disconnect();
         std::thread::sleep(QUIET_PERIOD);
     }
 }
 
-// ---- Runs whose end is never heard of give their place back ----
+// ---- Capacity of runs without a known end ----
 
-/// As many runs as the module begins at first on the test server's four cores.
-fn fill(gateway: &mut Gateway, engine: &PeerConnection) -> Vec<String> {
-    (1..=4).map(|tag| start_run(gateway, engine, tag, "pay")).collect()
+/// Runs that a server starts at first on the scripted engine's four cores.
+const CAPACITY: u64 = 4;
+
+/// Starts as many runs as there is capacity for; returns their ids.
+fn fill_capacity(gateway: &mut Gateway, engine: &PeerConnection) -> Vec<String> {
+    (1..=CAPACITY).map(|tag| start_run(gateway, engine, tag, "pay")).collect()
 }
 
-fn all_fail(gateway: &mut Gateway) {
-    for _ in 1..=4 {
+fn expect_all_failed(gateway: &mut Gateway) {
+    for _ in 1..=CAPACITY {
         assert_eq!(gateway.response().status, "FAILED");
     }
 }
 
-fn has_room(gateway: &mut Gateway, engine: &PeerConnection) {
-    let id = start_run(gateway, engine, 9, "pay");
-    finish_run(gateway, engine, 9, &id);
+/// Expects that a request is run and answered.
+fn expect_capacity(gateway: &mut Gateway, engine: &PeerConnection) {
+    serve_request(gateway, engine, 9, "pay", 9);
 }
 
 #[test]
 fn runs_that_failed_before_a_disconnect_free_their_capacity() {
-    let (fixture, engine) = ServerFixture::start_serving(site(SHORT));
+    let (fixture, engine) = ServerFixture::start_serving(site(SHORT_TIMEOUT));
     let mut gateway = fixture.gateway();
-    let ids = fill(&mut gateway, &engine);
-    all_fail(&mut gateway);
+    let ids = fill_capacity(&mut gateway, &engine);
+    expect_all_failed(&mut gateway);
     engine.disconnect();
     let engine = attach(&fixture, "ATTACH 0");
-    // They are known to run, and their ends come with the replay.
+    // The engine still has the runs, and their ends come with the replay.
     for (id, number) in ids.iter().zip(1..) {
-        engine.send_with_body(&format!("DONE {number} {id} broken_off 1500"), b"");
+        end_run(&engine, number, id, "broken_off 1500");
     }
-    has_room(&mut gateway, &engine);
+    expect_capacity(&mut gateway, &engine);
 }
 
 #[test]
 fn runs_that_failed_after_a_disconnect_free_their_capacity() {
-    let (fixture, engine) = ServerFixture::start_serving(site(SHORT));
+    let (fixture, engine) = ServerFixture::start_serving(site(SHORT_TIMEOUT));
     let mut gateway = fixture.gateway();
-    let ids = fill(&mut gateway, &engine);
+    let ids = fill_capacity(&mut gateway, &engine);
     engine.disconnect();
     let engine = attach(&fixture, "ATTACH 0");
     for _ in &ids {
         engine.expect("RUN");
     }
-    all_fail(&mut gateway);
+    expect_all_failed(&mut gateway);
     for (id, number) in ids.iter().zip(1..) {
-        engine.send_with_body(&format!("DONE {number} {id} late 0"), b"");
+        end_run(&engine, number, id, "late 0");
     }
-    has_room(&mut gateway, &engine);
+    expect_capacity(&mut gateway, &engine);
 }
 
 #[test]
 fn unsent_runs_are_dropped_once_their_request_is_finished() {
-    let (fixture, engine) = ServerFixture::start_serving(site(SHORT));
+    let (fixture, engine) = ServerFixture::start_serving(site(SHORT_TIMEOUT));
     let mut gateway = fixture.gateway();
     engine.disconnect();
-    let engine = fixture.engine.link();
-    assert_eq!(engine.line().text, "ATTACH 0");
-    for tag in 1..=4 {
+    let engine = next_unattached(&fixture, "ATTACH 0");
+    for tag in 1..=CAPACITY {
         gateway.call(tag, "pay", b"x");
     }
-    all_fail(&mut gateway);
+    expect_all_failed(&mut gateway);
     engine.send_line("HELLO running 60000");
     engine.expect_quiet();
-    has_room(&mut gateway, &engine);
+    expect_capacity(&mut gateway, &engine);
 }
--- a/crates/loomflow-server/tests/published_client.rs
+++ b/crates/loomflow-server/tests/published_client.rs
@@ -1,5 +1,5 @@
-//! A published AMQP client (`lapin`) against the test broker, as publisher and as consumer, so that a misreading of
-//! the specification cannot hide on both of our sides; and the same client as the caller of a server.
+//! A published AMQP client (`lapin`) against the test broker, as publisher and as consumer, so that a misreading of the
+//! specification by both the broker and the server is found; and the same client as the caller of a server.
 
 use std::time::Duration;
 
@@ -11,16 +11,17 @@
 use loomflow_test_servers::worker::result_of;
 use loomflow_test_servers::*;
 
-const PLENTY: Duration = Duration::from_secs(20);
+/// How long a step may take. Only failures take this long.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-async fn connected(broker: &Broker) -> Connection {
+async fn connect(broker: &Broker) -> Connection {
     let address = format!("amqp://guest:guest@{}/%2f", broker.address);
     let runtime = async_rs::Runtime::tokio_current();
     let opening = Connection::connect_with_runtime(&address, ConnectionProperties::default(), runtime);
-    tokio::time::timeout(PLENTY, opening).await.expect("in time").expect("a connection")
+    tokio::time::timeout(TIMEOUT, opening).await.expect("in time").expect("a connection")
 }
 
-async fn queue(channel: &Channel, name: &str, arguments: FieldTable) {
+async fn declare_queue(channel: &Channel, name: &str, arguments: FieldTable) {
     let options = QueueDeclareOptions::default();
     channel.queue_declare(name.into(), options, arguments).await.expect("a queue");
 }
@@ -43,41 +44,41 @@
 }
 
 async fn next(consumer: &mut Consumer) -> Delivery {
-    let one = tokio::time::timeout(PLENTY, consumer.next()).await.expect("in time");
-    one.expect("a delivery").expect("no error")
+    let delivery = tokio::time::timeout(TIMEOUT, consumer.next()).await.expect("in time");
+    delivery.expect("a delivery").expect("no error")
 }
 
-async fn none(consumer: &mut Consumer) {
+async fn expect_no_delivery(consumer: &mut Consumer) {
     assert!(tokio::time::timeout(QUIET_PERIOD, consumer.next()).await.is_err());
 }
 
 #[tokio::test]
-async fn it_publishes_with_confirms_and_hears_of_what_was_refused_or_not_routed() {
+async fn a_published_client_gets_confirms_nacks_and_returned_messages() {
     let broker = Broker::start();
-    let connection = connected(&broker).await;
+    let connection = connect(&broker).await;
     let channel = connection.create_channel().await.unwrap();
     channel.confirm_select(ConfirmSelectOptions::default()).await.unwrap();
-    queue(&channel, "q", FieldTable::default()).await;
-    let none = BasicProperties::default();
-    assert!(matches!(publish(&channel, "", "q", b"1", none.clone()).await, Confirmation::Ack(None)));
+    declare_queue(&channel, "q", FieldTable::default()).await;
+    let properties = BasicProperties::default();
+    assert!(matches!(publish(&channel, "", "q", b"1", properties.clone()).await, Confirmation::Ack(None)));
     broker.faults(|faults| faults.nack = 1);
-    assert!(matches!(publish(&channel, "", "q", b"2", none.clone()).await, Confirmation::Nack(None)));
-    let Confirmation::Ack(Some(back)) = publish(&channel, "", "nowhere", b"3", none).await else {
-        panic!("it comes back")
+    assert!(matches!(publish(&channel, "", "q", b"2", properties.clone()).await, Confirmation::Nack(None)));
+    let Confirmation::Ack(Some(back)) = publish(&channel, "", "nowhere", b"3", properties).await else {
+        panic!("it is returned")
     };
     assert_eq!((back.reply_code, back.delivery.data.as_slice()), (312, &b"3"[..]));
 }
 
 #[tokio::test]
-async fn it_consumes_within_its_prefetch_and_settles_each_way() {
+async fn a_published_client_consumes_within_its_prefetch_limit_and_settles_each_way() {
     let broker = Broker::start();
-    let connection = connected(&broker).await;
+    let connection = connect(&broker).await;
     let channel = connection.create_channel().await.unwrap();
     let mut arguments = FieldTable::default();
     arguments.insert("x-dead-letter-exchange".into(), AMQPValue::LongString("".into()));
     arguments.insert("x-dead-letter-routing-key".into(), AMQPValue::LongString("dead".into()));
-    queue(&channel, "q", arguments).await;
-    queue(&channel, "dead", FieldTable::default()).await;
+    declare_queue(&channel, "q", arguments).await;
+    declare_queue(&channel, "dead", FieldTable::default()).await;
     let body = vec![9; 10_000];
     for _ in 0..3 {
         publish(&channel, "", "q", &body, BasicProperties::default()).await;
@@ -85,7 +86,7 @@
     channel.basic_qos(2, BasicQosOptions::default()).await.unwrap();
     let mut consumer = consume(&channel, "q").await;
     let (first, second) = (next(&mut consumer).await, next(&mut consumer).await);
-    none(&mut consumer).await;
+    expect_no_delivery(&mut consumer).await;
     assert_eq!((first.data.len(), first.redelivered), (10_000, false));
     first.ack(BasicAckOptions::default()).await.unwrap();
     let third = next(&mut consumer).await;
@@ -99,12 +100,12 @@
 }
 
 #[tokio::test]
-async fn exchanges_route_and_a_wrong_word_closes_the_channel() {
+async fn exchanges_route_messages_and_an_unknown_queue_closes_the_channel() {
     let broker = Broker::start();
-    let connection = connected(&broker).await;
+    let connection = connect(&broker).await;
     let channel = connection.create_channel().await.unwrap();
     for name in ["a", "b"] {
-        queue(&channel, name, FieldTable::default()).await;
+        declare_queue(&channel, name, FieldTable::default()).await;
     }
     for (exchange, kind, key) in
         [("all", lapin::ExchangeKind::Fanout, ""), ("one", lapin::ExchangeKind::Direct, "k")]
@@ -149,20 +150,20 @@
 }
 
 #[tokio::test]
-async fn it_calls_a_server_by_queue_and_hears_each_reply_once() {
+async fn a_published_client_calls_a_server_and_gets_each_reply_once() {
     let broker = Broker::start();
     let worker = Worker::start(4, Duration::from_millis(2));
-    let connection = connected(&broker).await;
+    let connection = connect(&broker).await;
     let channel = connection.create_channel().await.unwrap();
     for name in ["jobs", "dead", "mine"] {
-        queue(&channel, name, FieldTable::default()).await;
+        declare_queue(&channel, name, FieldTable::default()).await;
     }
     let options = options(&broker);
     let fixture = tokio::task::spawn_blocking({
         let worker = worker.clone();
         move || ServerFixture::start_with(site(5_000.0), &options, &worker)
     });
-    let _world = fixture.await.expect("a server");
+    let _fixture = fixture.await.expect("a server");
     channel.confirm_select(ConfirmSelectOptions::default()).await.unwrap();
     for number in 0..50 {
         let name = format!("m{number}");
@@ -182,7 +183,7 @@
         }
         assert!(kinds.insert(name, kind).is_none(), "one reply each");
     }
-    none(&mut replies).await;
+    expect_no_delivery(&mut replies).await;
     assert_eq!(kinds.values().filter(|kind| *kind == "served").count(), 45);
     assert_eq!((worker.run_count(), broker.wait_for_messages("dead", 5).len()), (45, 5));
 }
--- a/crates/loomflow-server/tests/reload.rs
+++ b/crates/loomflow-server/tests/reload.rs
@@ -1,90 +1,82 @@
-//! SIGHUP: new addresses count at once, nothing in hand is lost, and a bad file changes nothing.
+//! Reload of a server process's configuration by SIGHUP: new addresses and settings take effect at once, no open request is
+//! lost, and an invalid file changes nothing.
 
 mod common;
 
-use common::{attach, finish_run, start_run};
+use common::*;
 use loomflow_test_servers::*;
+use serde_json::{Value, json};
 
-const LONG: f64 = 20_000.0;
-
-/// Reloads a configuration, and waits for a line of the log.
-fn reload(fixture: &ServerFixture, config: &serde_json::Value, line: &str) {
-    fixture.write(&config.to_string());
+/// Writes a configuration with new addresses of the peers and requests a reload; returns the former peers.
+fn reload_with_new_peers(fixture: &mut ServerFixture) -> (Engine, Ledger, Control) {
+    let former = fixture.move_peers();
     fixture.signal("HUP");
-    fixture.wait_for_log(line);
+    former
 }
 
 #[test]
 fn a_reload_moves_engine_ledger_and_control_plane_with_runs_and_calls_open() {
-    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
-    let old_ledger = fixture.ledger.open();
-    let mut gateway = fixture.gateway();
-    let running = gateway.call(1, "pay", b"a");
-    engine.expect("RUN");
-    let calling = gateway.call(2, "pay", b"b");
-    engine.expect("RUN");
-    engine.send_need(1, &calling, b"call");
-    let old_call = old_ledger.link();
-    old_call.expect("post");
-    let held = fixture.move_peers();
-    fixture.signal("HUP");
-    // The new link goes on where the old one was.
+    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
+    let former_ledger = fixture.ledger.open();
+    let OpenRequests { mut gateway, running, calling, call } =
+        start_open_requests(&fixture, &engine, &former_ledger, "pay");
+    let former_peers = reload_with_new_peers(&mut fixture);
+    // The new connection continues where the former one was.
     let moved = fixture.engine.link();
     moved.accept_attach_replaying("ATTACH 1", &[(format!("DONE 2 {running} fine 5"), b"A")]);
     assert_eq!(gateway.response().body, b"A");
-    // A call in hand is finished where it was made; its reply and all later calls go the new way.
-    old_call.send_with_body(&format!("{calling} posted"), b"ok");
+    // An open call ends where it was made; its reply and all later calls go to the new peers.
+    call.send_with_body(&format!("{calling} posted"), b"ok");
     assert_eq!(moved.expect("FEED").word(1), calling);
     let ledger = fixture.ledger.open();
     moved.send_need(3, &calling, b"second");
     ledger.link().expect("post");
-    old_ledger.has_no_link();
-    assert!(fixture.control.report().ends_with("{\"condition\":\"Ready\"}"));
-    // The old link takes nothing more, and ends.
+    former_ledger.has_no_link();
+    expect_ready_report(&fixture.control);
+    // Nothing more is sent on the former connection, and it is closed.
     engine.expect_closed();
-    drop(held);
+    drop(former_peers);
     assert!(fixture.is_running());
 }
 
 #[test]
 fn commands_sent_just_before_a_move_are_not_lost() {
-    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
-    let _old = fixture.move_peers();
+    let _former_peers = fixture.move_peers();
     let id = start_run(&mut gateway, &engine, 1, "read");
     fixture.signal("HUP");
     let moved = attach(&fixture, "ATTACH 0");
-    // A second RUN of what runs already does nothing, and this one has no effect.
-    assert_eq!(moved.expect("RUN").word(1), id);
+    // The command is repeated: a run that the engine has already is not started twice.
+    assert_eq!(expect_run(&moved), id);
     finish_run(&mut gateway, &moved, 1, &id);
 }
 
 #[test]
 fn an_invalid_file_changes_nothing_and_its_key_is_logged() {
-    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
-    let good = fixture.config.clone();
-    let mut wrong = good.clone();
-    wrong["ledger"] = "nowhere".into();
+    let valid = fixture.config.clone();
+    let mut invalid = valid.clone();
+    invalid["ledger"] = "nowhere".into();
     let cases = [
-        (Some(wrong.to_string()), "ledger: not an address"),
-        (Some(good.to_string()[..200].to_owned()), "not JSON"),
+        (Some(invalid.to_string()), "ledger: not an address"),
+        (Some(valid.to_string()[..200].to_owned()), "not JSON"),
         (Some("[".repeat(100_000)), "not JSON"),
         (Some(String::new()), "not JSON: EOF"),
         (None, "cannot be read"),
     ];
-    for (number, (text, why)) in (1..).zip(cases) {
+    for (number, (text, fault)) in (1..).zip(cases) {
         match text {
             Some(text) => fixture.write(&text),
             None => fixture.remove_file(),
         }
         fixture.signal("HUP");
-        fixture.wait_for_log(why);
-        let id = start_run(&mut gateway, &engine, number, "read");
-        finish_run(&mut gateway, &engine, number, &id);
+        fixture.wait_for_log(fault);
+        serve_request(&mut gateway, &engine, number, "read", number);
     }
-    // The same file again disturbs nothing; what cannot change is named.
-    let mut other = good;
+    // Keys that only a start can change are logged.
+    let mut other = valid;
     other["seed"] = "1".into();
     other["limits"]["sockets"] = 99.into();
     reload(&fixture, &other, "these keys take effect at the next start keys=\"limits.sockets, seed\"");
@@ -94,32 +86,27 @@
 
 #[test]
 fn consecutive_moves_end_at_the_last_address() {
-    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     engine.disconnect();
-    let first = fixture.move_peers();
-    fixture.signal("HUP");
-    let second = fixture.move_peers();
-    fixture.signal("HUP");
+    let first = reload_with_new_peers(&mut fixture);
+    let second = reload_with_new_peers(&mut fixture);
     let engine = attach(&fixture, "ATTACH 0");
-    let id = start_run(&mut gateway, &engine, 1, "pay");
-    finish_run(&mut gateway, &engine, 1, &id);
+    serve_request(&mut gateway, &engine, 1, "pay", 1);
     drop((first, second));
 }
 
 #[test]
 fn a_move_during_shutdown_still_answers_all_open_requests() {
-    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     let id = start_run(&mut gateway, &engine, 1, "pay");
-    let _old = fixture.move_peers();
-    fixture.terminate();
-    assert_eq!(gateway.response().status, "BYE");
+    let _former_peers = fixture.move_peers();
+    shut_down(&fixture, &mut gateway);
     fixture.signal("HUP");
     let moved = attach(&fixture, "ATTACH 0");
     finish_run(&mut gateway, &moved, 1, &id);
-    drop(gateway);
-    assert_eq!(fixture.exit_code(), Some(0));
+    expect_exit(&mut fixture, gateway);
 }
 
 /// Sends a request of a tenant.
@@ -128,23 +115,27 @@
     gateway.send(&call(tag, "read", &fields, b"x"));
 }
 
+/// Sends a request of a tenant, which has to be run and answered.
+fn serve_tenant(gateway: &mut Gateway, engine: &PeerConnection, tag: u64, tenant: &str, number: u64) {
+    call_for(gateway, tag, tenant);
+    let id = expect_run(engine);
+    finish_run(gateway, engine, number, &id);
+}
+
 #[test]
 fn reloadable_settings_take_effect_and_a_violation_changes_nothing() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     call_for(&mut gateway, 1, "newcomer");
-    assert_eq!(gateway.response().status, "FAILED");
-    // A new tenant, and an aim: taken up. The order of the lists does not matter.
+    expect_status(&mut gateway, 1, "FAILED");
+    // A new tenant, at the head of the list, and a new latency objective take effect.
     let mut new = fixture.config.clone();
     let tenants = new["settings"]["Orgs"].as_array_mut().unwrap();
-    tenants.insert(0, serde_json::json!({"Name": "newcomer", "QuotaPerS": 5.0}));
+    tenants.insert(0, json!({"Name": "newcomer", "QuotaPerS": 5.0}));
     new["settings"]["Classes"][0]["OnTime"] = 100.0.into();
     reload(&fixture, &new, "live=\"settings.Classes[read].OnTime, settings.Orgs[newcomer]\"");
-    call_for(&mut gateway, 2, "newcomer");
-    let run = engine.expect("RUN");
-    engine.send_done(1, run.word(1), b"y");
-    assert_eq!(gateway.response().status, "OK");
-    // One that would break rules is turned down whole: its address does not count either.
+    serve_tenant(&mut gateway, &engine, 2, "newcomer", 1);
+    // A file that breaks rules is rejected as a whole, with its new address.
     let mut bad = new.clone();
     bad["settings"]["Classes"][2]["Effect"] = "safe".into();
     bad["settings"]["Rules"]["DrainGrace"] = 3000.0.into();
@@ -155,66 +146,61 @@
         "key=\"settings.Classes[book].Effect\" value=\"safe\" rule=\"what has run could be run again\"",
     );
     fixture.wait_for_log("settings.Rules.DrainGrace");
-    call_for(&mut gateway, 3, "acme");
-    let run = engine.expect("RUN");
-    engine.send_done(2, run.word(1), b"y");
-    assert_eq!(gateway.response().status, "OK");
-    // A class in use stays.
-    let mut gone = new;
-    gone["settings"]["Classes"].as_array_mut().unwrap().remove(1);
-    gateway.send(&call(4, "pay", &fields(&next_attempt_id()), b"x"));
-    engine.expect("RUN");
-    reload(&fixture, &gone, "settings.Classes[pay]");
+    serve_tenant(&mut gateway, &engine, 3, "acme", 2);
+    // A class in use cannot be removed.
+    let mut without_class = new;
+    without_class["settings"]["Classes"].as_array_mut().unwrap().remove(1);
+    start_run(&mut gateway, &engine, 4, "pay");
+    reload(&fixture, &without_class, "settings.Classes[pay]");
 }
 
+/// A change of a configuration that makes it that of another server or site, and the key that the log names.
+type ForeignConfiguration = (fn(&mut Value), &'static str);
+
+const FOREIGN_CONFIGURATIONS: [ForeignConfiguration; 4] = [
+    (|file| file["name"] = "n4".into(), "key=\"name\" value=\"n4\""),
+    (|file| file["listen"] = "127.0.0.1:7".into(), "key=\"listen\" value=\"127.0.0.1:7\""),
+    (
+        |file| file["settings"]["Classes"] = json!([class("scan", "safe", LONG_TIMEOUT)]),
+        "key=\"settings.Classes\" value=\"scan\"",
+    ),
+    // Server and classes have the same names, but the tenants are others.
+    (
+        |file| {
+            file["settings"]["Orgs"] = json!([{"Name": "stranger", "QuotaPerS": 1.0}]);
+            file["settings"]["Classes"][0]["OnTime"] = 1.0.into();
+        },
+        "key=\"settings.Orgs\" value=\"stranger\"",
+    ),
+];
+
 #[test]
 fn the_file_of_another_server_or_site_is_rejected() {
-    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
-    let mine = fixture.config.clone();
-    // No server has been told of it.
-    let stranger = Engine::start();
-    let other = |change: &dyn Fn(&mut serde_json::Value)| {
-        let mut file = mine.clone();
+    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
+    let own = fixture.config.clone();
+    let foreign_engine = Engine::start();
+    for (change, key) in FOREIGN_CONFIGURATIONS {
+        let mut file = own.clone();
         change(&mut file);
-        file["engine"] = stranger.address.to_string().into();
-        file
-    };
-    let others = [
-        (other(&|file| file["name"] = "n4".into()), "key=\"name\" value=\"n4\""),
-        (other(&|file| file["listen"] = "127.0.0.1:7".into()), "key=\"listen\" value=\"127.0.0.1:7\""),
-        (
-            other(&|file| file["settings"]["Classes"] = serde_json::json!([class("scan", "safe", LONG)])),
-            "key=\"settings.Classes\" value=\"scan\"",
-        ),
-        // Its classes bear the same names, and so does it.
-        (
-            other(&|file| {
-                file["settings"]["Orgs"] = serde_json::json!([{"Name": "stranger", "QuotaPerS": 1.0}]);
-                file["settings"]["Classes"][0]["OnTime"] = 1.0.into();
-            }),
-            "key=\"settings.Orgs\" value=\"stranger\"",
-        ),
-    ];
-    for (file, why) in others {
-        reload(&fixture, &file, why);
+        file["engine"] = foreign_engine.address.to_string().into();
+        reload(&fixture, &file, key);
     }
-    stranger.has_no_link();
-    // What is its own is taken up after that as before, and what waits in the mailbox keeps its class.
+    foreign_engine.has_no_link();
+    // The server's own file is accepted after that, and an open request keeps its class.
     let mut gateway = fixture.gateway();
     let id = start_run(&mut gateway, &engine, 1, "pay");
-    let _old = fixture.move_peers();
-    fixture.signal("HUP");
+    let _former_peers = reload_with_new_peers(&mut fixture);
     let moved = attach(&fixture, "ATTACH 0");
     finish_run(&mut gateway, &moved, 1, &id);
 }
 
 #[test]
 fn no_configuration_file_blocks_a_shutdown_request() {
-    let (mut fixture, _engine) = ServerFixture::start_serving(site(LONG));
+    let (mut fixture, _engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     fixture.write(&format!("{{\"x\": \"{}\"}}", "y".repeat(8 * 1024 * 1024)));
     fixture.signal("HUP");
     fixture.wait_for_log("longer than 4 MiB");
-    // A pipe that nobody writes to.
+    // A pipe without a writer.
     fixture.remove_file();
     fixture.make_pipe();
     fixture.signal("HUP");
@@ -225,17 +211,15 @@
 
 #[test]
 fn a_simultaneous_reload_and_shutdown_are_both_handled() {
-    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (mut fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     let id = start_run(&mut gateway, &engine, 1, "pay");
-    let _old = fixture.move_peers();
-    fixture.signal("HUP");
+    let _former_peers = reload_with_new_peers(&mut fixture);
     fixture.terminate();
     let moved = attach(&fixture, "ATTACH 0");
     moved.send_done(1, &id, b"y");
-    let mut words = [gateway.response().status, gateway.response().status];
-    words.sort();
-    assert_eq!(words, ["BYE", "OK"]);
-    drop(gateway);
-    assert_eq!(fixture.exit_code(), Some(0));
+    let mut statuses = [gateway.response().status, gateway.response().status];
+    statuses.sort();
+    assert_eq!(statuses, ["BYE", "OK"]);
+    expect_exit(&mut fixture, gateway);
 }
--- a/crates/loomflow-server/tests/repeats.rs
+++ b/crates/loomflow-server/tests/repeats.rs
@@ -1,68 +1,64 @@
-//! Repeats of requests, at the moments at which they could be taken for something else.
+//! Repeats of keyed requests at a server process: with another body, of another tenant, and of a request that never ran.
 
-use loomflow_test_servers::*;
-
-const LONG: f64 = 20_000.0;
+mod common;
 
-/// A keyed request of a tenant, with its key.
-fn keyed(owner: &str, key: &str) -> String {
-    format!("{},opkey={key}", fields(&next_attempt_id()).replace("owner=acme", &format!("owner={owner}")))
-}
+use common::*;
+use loomflow_test_servers::*;
 
-fn refused_as_unfit(gateway: &mut Gateway, tag: u64) {
-    let answer = gateway.response();
-    assert_eq!((answer.tag, answer.status.as_str()), (tag, "FAILED"));
+/// Sends a keyed request of a tenant.
+fn call_keyed(gateway: &mut Gateway, tag: u64, tenant: &str, body: &[u8]) {
+    let fields = fields(&next_attempt_id()).replace("owner=acme", &format!("owner={tenant}"));
+    gateway.send(&call(tag, "book", &format!("{fields},opkey=k"), body));
 }
 
 #[test]
 fn a_key_with_a_different_body_is_rejected() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
-    let (mut honest, mut other) = (fixture.gateway(), fixture.gateway());
-    honest.send(&call(1, "book", &keyed("acme", "k"), b"one"));
-    let id = engine.expect("RUN").word(1).to_owned();
-    other.send(&call(1, "book", &keyed("acme", "k"), b"two"));
-    refused_as_unfit(&mut other, 1);
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
+    let (mut first, mut other) = (fixture.gateway(), fixture.gateway());
+    call_keyed(&mut first, 1, "acme", b"one");
+    let id = expect_run(&engine);
+    call_keyed(&mut other, 1, "acme", b"two");
+    expect_status(&mut other, 1, "FAILED");
     engine.send_done(1, &id, b"booked");
-    assert_eq!(honest.response().body, b"booked");
-    other.send(&call(2, "book", &keyed("acme", "k"), b"two"));
-    refused_as_unfit(&mut other, 2);
-    // The same once more is the same still.
-    other.send(&call(3, "book", &keyed("acme", "k"), b"one"));
+    assert_eq!(first.response().body, b"booked");
+    call_keyed(&mut other, 2, "acme", b"two");
+    expect_status(&mut other, 2, "FAILED");
+    // A repeat with the first body gets its result.
+    call_keyed(&mut other, 3, "acme", b"one");
     assert_eq!(other.response().body, b"booked");
     engine.expect_quiet();
 }
 
 #[test]
 fn the_same_key_of_another_tenant_is_distinct() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
-    for (tag, owner) in [(1, "acme"), (2, "other")] {
-        gateway.send(&call(tag, "book", &keyed(owner, "k"), b"x"));
-        let id = engine.expect("RUN").word(1).to_owned();
-        engine.send_done(tag, &id, owner.as_bytes());
-        assert_eq!(gateway.response().body, owner.as_bytes());
+    for (tag, tenant) in [(1, "acme"), (2, "other")] {
+        call_keyed(&mut gateway, tag, tenant, b"x");
+        let id = expect_run(&engine);
+        engine.send_done(tag, &id, tenant.as_bytes());
+        assert_eq!(gateway.response().body, tenant.as_bytes());
     }
-    for (tag, owner) in [(3, "acme"), (4, "other")] {
-        gateway.send(&call(tag, "book", &keyed(owner, "k"), b"x"));
-        assert_eq!(gateway.response().body, owner.as_bytes());
+    for (tag, tenant) in [(3, "acme"), (4, "other")] {
+        call_keyed(&mut gateway, tag, tenant, b"x");
+        assert_eq!(gateway.response().body, tenant.as_bytes());
     }
     engine.expect_quiet();
 }
 
 #[test]
 fn a_repeat_of_a_request_that_never_ran_may_run() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
-    gateway.send(&call(1, "book", &keyed("acme", "k"), b"x"));
-    let id = engine.expect("RUN").word(1).to_owned();
-    gateway.send(&call(2, "book", &keyed("acme", "k"), b"x"));
+    call_keyed(&mut gateway, 1, "acme", b"x");
+    let id = expect_run(&engine);
+    call_keyed(&mut gateway, 2, "acme", b"x");
     gateway.expect_quiet();
     engine.send_with_body(&format!("DONE 1 {id} late 0"), b"");
-    let mut answers = [gateway.response(), gateway.response()];
-    answers.sort_by_key(|answer| answer.tag);
-    assert_eq!(answers.map(|answer| answer.status), ["FAILED", "BUSY"]);
-    gateway.send(&call(3, "book", &keyed("acme", "k"), b"x"));
-    let id = engine.expect("RUN").word(1).to_owned();
+    let answers = responses_by_tag(&mut gateway, 2);
+    assert_eq!((answers[0].status.as_str(), answers[1].status.as_str()), ("FAILED", "BUSY"));
+    call_keyed(&mut gateway, 3, "acme", b"x");
+    let id = expect_run(&engine);
     engine.send_done(2, &id, b"booked");
     assert_eq!(gateway.response().body, b"booked");
 }
--- a/crates/loomflow-server/tests/service.rs
+++ b/crates/loomflow-server/tests/service.rs
@@ -1,16 +1,15 @@
-//! The life of a request on real sockets: every message in both directions, for every effect kind.
+//! Requests served by a server process between scripted peers: every message in both directions, for each idempotency, and
+//! what the site's settings allow.
 
 mod common;
 
-use common::{attach, finish_run, start_run};
+use common::*;
 use loomflow_test_servers::*;
 use serde_json::json;
 
-const LONG: f64 = 20_000.0;
-
 #[test]
 fn a_request_runs_and_its_result_is_returned_unchanged() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     let id = gateway.call(7, "read", b"a body\r\nof any \0 bytes\xff");
     let run = engine.expect("RUN");
@@ -25,13 +24,12 @@
 
 #[test]
 fn a_failed_stopped_or_late_run_gets_a_failed_response() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
-    for (at, end) in (1..).zip(["fault", "broken_off", "late"]) {
-        let id = start_run(&mut gateway, &engine, at, "pay");
-        engine.send_with_body(&format!("DONE {at} {id} {end} 5"), b"");
-        let answer = gateway.response();
-        assert_eq!((answer.tag, answer.status.as_str()), (at, "FAILED"));
+    for (tag, outcome) in (1..).zip(["fault", "broken_off", "late"]) {
+        let id = start_run(&mut gateway, &engine, tag, "pay");
+        engine.send_with_body(&format!("DONE {tag} {id} {outcome} 5"), b"");
+        expect_status(&mut gateway, tag, "FAILED");
     }
     let id = start_run(&mut gateway, &engine, 9, "pay");
     engine.send_line(&format!("NO RUN {id}"));
@@ -41,24 +39,24 @@
 #[test]
 fn a_downstream_call_is_posted_and_its_reply_fed_unchanged() {
     for class in ["read", "pay", "book"] {
-        let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+        let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
         let ledger = fixture.ledger.open();
         let mut gateway = fixture.gateway();
         let id = start_run(&mut gateway, &engine, 1, class);
         engine.send_need(1, &id, b"call\r\n\0body");
-        let below = ledger.link();
-        let post = below.expect("post");
+        let call = ledger.link();
+        let post = call.expect("post");
         assert_eq!((post.word(1), post.body.as_slice()), (id.as_str(), &b"call\r\n\0body"[..]));
-        let wait: f64 = post.word(2).parse().unwrap();
-        assert!((1.0..=LONG).contains(&wait));
-        below.send_with_body(&format!("{id} posted"), b"\r\nreply\xff");
+        let timeout: f64 = post.word(2).parse().unwrap();
+        assert!((1.0..=LONG_TIMEOUT).contains(&timeout));
+        call.send_with_body(&format!("{id} posted"), b"\r\nreply\xff");
         let feed = engine.expect("FEED");
         assert_eq!((feed.word(1), feed.body.as_slice()), (id.as_str(), &b"\r\nreply\xff"[..]));
-        // A run may need several calls, one after the other. They go on connections of their own.
+        // A run may make several calls, one after the other, each on its own connection.
         engine.send_need(2, &id, b"second");
-        let below = ledger.link();
-        assert_eq!(below.expect("post").body, b"second");
-        below.send_with_body(&format!("{id} posted"), b"");
+        let call = ledger.link();
+        assert_eq!(call.expect("post").body, b"second");
+        call.send_with_body(&format!("{id} posted"), b"");
         engine.expect("FEED");
         engine.send_done(3, &id, b"done");
         assert_eq!(gateway.response().status, "OK");
@@ -70,7 +68,7 @@
 fn a_server_without_a_ledger_fails_requests_with_calls() {
     let mut fixture = ServerFixture::new(site(1000.0));
     fixture.config.as_object_mut().unwrap().remove("ledger");
-    fixture.start("exec \"$0\" serve");
+    fixture.start(SERVE);
     let engine = attach(&fixture, "ATTACH 0");
     let mut gateway = fixture.gateway();
     let mut tag = 0;
@@ -89,13 +87,10 @@
 
 #[test]
 fn health_checks_are_answered_before_the_engine_connects_and_requests_after() {
-    let mut fixture = ServerFixture::new(site(LONG));
-    fixture.start("exec \"$0\" serve");
-    let engine = fixture.engine.link();
+    let (fixture, engine) = start_unattached();
     assert_eq!(engine.line().text, "ATTACH 0");
     let mut gateway = fixture.gateway();
-    gateway.send(&health(1, false));
-    assert_eq!(gateway.response().status, "UP");
+    check_health(&mut gateway, 1);
     gateway.send(&health(2, true));
     assert_eq!(gateway.response().status, "DOWN");
     assert!(fixture.control.report().starts_with("PUT /v2/endpoints/n3 HTTP/1.1 {\"condition\":\"Ready\"}"));
@@ -108,27 +103,26 @@
             break;
         }
     }
-    let id = start_run(&mut gateway, &engine, 100, "read");
-    finish_run(&mut gateway, &engine, 1, &id);
+    serve_request(&mut gateway, &engine, 100, "read", 1);
 }
 
 #[test]
 fn an_idempotent_request_runs_once_and_its_repeats_get_its_result() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let (mut one, mut two) = (fixture.gateway(), fixture.gateway());
     let keyed = |id: &str, key: &str| format!("{},opkey={key}", fields(id));
     let first = next_attempt_id();
     one.send(&call(1, "book", &keyed(&first, "k1"), b"x"));
     engine.expect("RUN");
-    // While it runs, on another connection; then after it has run.
+    // A repeat while it runs, on another connection; then one after it has run.
     two.send(&call(1, "book", &keyed(&next_attempt_id(), "k1"), b"x"));
     two.expect_quiet();
     engine.expect_quiet();
     engine.send_done(1, &first, b"booked");
     assert_eq!((one.response().body, two.response().body), (b"booked".to_vec(), b"booked".to_vec()));
     two.send(&call(2, "book", &keyed(&next_attempt_id(), "k1"), b"x"));
-    let again = two.response();
-    assert_eq!((again.status.as_str(), again.body.as_slice()), ("OK", &b"booked"[..]));
+    let repeat = two.response();
+    assert_eq!((repeat.status.as_str(), repeat.body.as_slice()), ("OK", &b"booked"[..]));
     engine.expect_quiet();
     // Another key is another request.
     two.send(&call(3, "book", &keyed(&next_attempt_id(), "k2"), b"x"));
@@ -137,7 +131,7 @@
 
 #[test]
 fn a_repeat_of_a_failed_idempotent_request_fails() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     let keyed = |id: &str| format!("{},opkey=k1", fields(id));
     let first = next_attempt_id();
@@ -157,19 +151,19 @@
 
 #[test]
 fn reads_share_a_cached_result() {
-    let mut settings = site(LONG);
+    let mut settings = site(LONG_TIMEOUT);
     settings["Domain"]["Fresh"] = json!(60_000.0);
     let (fixture, engine) = ServerFixture::start_serving(settings);
     let mut gateway = fixture.gateway();
-    let about = |id: &str, subject: &str| format!("{},subject={subject}", fields(id));
+    let fields_of = |id: &str, subject: &str| format!("{},subject={subject}", fields(id));
     let first = next_attempt_id();
-    gateway.send(&call(1, "read", &about(&first, "7f"), b"x"));
+    gateway.send(&call(1, "read", &fields_of(&first, "7f"), b"x"));
     engine.expect("RUN");
-    gateway.send(&call(2, "read", &about(&next_attempt_id(), "7f"), b"x"));
+    gateway.send(&call(2, "read", &fields_of(&next_attempt_id(), "7f"), b"x"));
     engine.expect_quiet();
     engine.send_done(1, &first, b"page");
     assert_eq!((gateway.response().body, gateway.response().body), (b"page".to_vec(), b"page".to_vec()));
-    gateway.send(&call(3, "read", &about(&next_attempt_id(), "80"), b"x"));
+    gateway.send(&call(3, "read", &fields_of(&next_attempt_id(), "80"), b"x"));
     engine.expect("RUN");
 }
 
@@ -180,7 +174,7 @@
     let (fixture, engine) = ServerFixture::start_serving(settings);
     let mut gateway = fixture.gateway();
     let id = start_run(&mut gateway, &engine, 1, "read");
-    // Nothing comes of it: the request is given up in time, and its run ended.
+    // The request is given up in time, and its run is stopped.
     assert_ne!(gateway.response().status, "OK");
     assert_eq!(engine.line().text, format!("HALT {id}"));
     engine.send_with_body(&format!("DONE 1 {id} broken_off 600"), b"");
@@ -189,11 +183,11 @@
 
 #[test]
 fn a_call_is_skipped_if_the_site_allows_it() {
-    let mut settings = site(LONG);
+    let mut settings = site(LONG_TIMEOUT);
     settings["Domain"]["DegradedWorth"] = json!([0.9, 0.9, 0.9]);
     let (fixture, engine) = ServerFixture::start_serving(settings);
     let mut gateway = fixture.gateway();
-    // Nobody listens where the calls go: for one with an effect too, that proves that nothing ran.
+    // The ledger refuses connections, so the call cannot have had an effect.
     let id = start_run(&mut gateway, &engine, 1, "pay");
     engine.send_need(1, &id, b"call");
     assert_eq!(engine.line().text, format!("SKIP {id}"));
@@ -203,7 +197,7 @@
 
 #[test]
 fn responses_go_to_their_own_connection_and_tag_in_any_order() {
-    let (fixture, engine) = ServerFixture::start_serving(site(LONG));
+    let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let (mut one, mut two) = (fixture.gateway(), fixture.gateway());
     let a = one.call(1, "read", b"a");
     engine.expect("RUN");
@@ -227,10 +221,8 @@
         gateway.call(tag, ["read", "pay", "book"][tag as usize % 3], b"x");
     }
     let start = std::time::Instant::now();
-    let mut tags: Vec<u64> = (0..32).map(|_| gateway.response().tag).collect();
-    assert!(start.elapsed() < RESPONSE_TIMEOUT / 2, "answers came far too late");
-    tags.sort_unstable();
-    assert_eq!(tags, (1..=32).collect::<Vec<u64>>());
+    expect_each_answered_once(&mut gateway, 32);
+    assert!(start.elapsed() < RESPONSE_TIMEOUT / 2, "the responses are far too late");
     gateway.expect_quiet();
     drop(engine);
 }
--- a/crates/loomflow-server/tests/starting.rs
+++ b/crates/loomflow-server/tests/starting.rs
@@ -1,28 +1,31 @@
-//! The start: what a server does before everything it speaks with is there.
+//! Start of a server process before its engine, its ledger or its control plane: what is answered before they are there, and
+//! that all of them are connected in any order.
 
-use loomflow_test_servers::*;
+mod common;
+
+use std::net::TcpListener;
 
-const LONG: f64 = 20_000.0;
+use common::*;
+use loomflow_test_servers::*;
 
-/// In whatever order they come up: a request is run once the engine is there, and its call made once the ledger is.
+/// A request is run once the engine is connected, and its call made once the ledger is, in any order.
 #[test]
 fn engine_ledger_and_control_plane_may_start_in_any_order() {
     for first in ["engine", "ledger", "control"] {
-        let mut fixture = ServerFixture::new(site(LONG));
+        let mut fixture = ServerFixture::new(site(LONG_TIMEOUT));
         let down = loopback_address();
         fixture.config["control"] = down.to_string().into();
         let mut ledger = (first == "ledger").then(|| fixture.ledger.open());
-        let control = |down| Control::at(std::net::TcpListener::bind(down).expect("its address"));
-        let mut reports = (first == "control").then(|| control(down));
-        fixture.start("exec \"$0\" serve");
+        let start_control = |address| Control::at(TcpListener::bind(address).expect("its address"));
+        let mut control = (first == "control").then(|| start_control(down));
+        fixture.start(SERVE);
         let engine = fixture.engine.link();
-        // Health is answered before anything is up; what cannot be decided on is given back.
+        // Health checks are answered before the engine is connected; requests are rejected.
         let mut gateway = fixture.gateway();
-        gateway.send(&health(1, false));
-        assert_eq!(gateway.response().status, "UP");
+        check_health(&mut gateway, 1);
         if first != "engine" {
             gateway.call(2, "pay", b"x");
-            assert_eq!(gateway.response().status, "BUSY");
+            expect_status(&mut gateway, 2, "BUSY");
         }
         engine.accept_attach("ATTACH 0");
         fixture.wait_for_service();
@@ -32,9 +35,8 @@
         engine.send_need(1, &id, b"call");
         ledger.link().send_with_body(&format!("{id} posted"), b"ok");
         assert_eq!(engine.expect("FEED").word(1), id);
-        engine.send_done(2, &id, b"y");
-        assert_eq!(gateway.response().body, b"y");
-        let reports = reports.take().unwrap_or_else(|| control(down));
-        assert!(reports.report().ends_with("{\"condition\":\"Ready\"}"));
+        finish_run(&mut gateway, &engine, 2, &id);
+        let control = control.take().unwrap_or_else(|| start_control(down));
+        expect_ready_report(&control);
     }
 }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -512,16 +512,16 @@
     actions.extend(failures);
 }
 
-fn run_repeats(actions: &mut Vec<Action>, _: &Checker) {
-    for action in actions.iter_mut() {
+fn run_repeats(actions: &mut [Action]) {
+    for action in actions {
         if let Action::ReuseResult(id) = *action {
             *action = Action::Run(id);
         }
     }
 }
 
-fn reject_what_ran(actions: &mut Vec<Action>, _: &Checker) {
-    for action in actions.iter_mut() {
+fn reject_what_ran(actions: &mut [Action]) {
+    for action in actions {
         if let Action::Fail(id) = *action {
             *action = Action::Reject { id, retry_after: 0.0, is_final: false };
         }
@@ -541,8 +541,8 @@
 const FAULTS: [(&str, Fault, &str); 6] = [
     ("forgets failures", forget_failures, "not answered"),
     ("answers twice", answer_twice, "answered twice"),
-    ("runs repeats", run_repeats, "within the window"),
-    ("rejects what ran", reject_what_ran, "refused though it ran"),
+    ("runs repeats", |actions, _| run_repeats(actions), "within the window"),
+    ("rejects what ran", |actions, _| reject_what_ran(actions), "refused though it ran"),
     ("runs all", run_all, "on the cores"),
     ("repeats every call", repeat_every_call, "repeats a call"),
 ];
