--- a/crates/loomflow-fleet-simulation/tests/common/mod.rs
+++ b/crates/loomflow-fleet-simulation/tests/common/mod.rs
@@ -11,6 +11,29 @@
     lines.chain(waits).collect::<Vec<_>>().join("\n")
 }
 
+/// Lets time pass until a moment, ms. An invariant that is violated fails the test.
+pub fn advance(simulation: &mut Simulation, until: u64) {
+    if let Err(violation) = simulation.run_until(until) {
+        panic!("{violation}");
+    }
+}
+
+/// Lets time pass in steps until a condition holds; returns the moment.
+pub fn advance_until(
+    simulation: &mut Simulation,
+    step: u64,
+    condition: &str,
+    holds: impl Fn(&Simulation) -> bool,
+) -> u64 {
+    let end = simulation.now + 120_000;
+    while !holds(simulation) {
+        assert!(simulation.now < end, "never: {condition}\n{}", timeline(simulation));
+        let next = simulation.now + step;
+        advance(simulation, next);
+    }
+    simulation.now
+}
+
 /// Plays faults on a fleet until a time, ms. An invariant that is violated fails the test.
 pub fn run(
     config: SimulationConfig,
--- a/crates/loomflow-fleet-simulation/tests/hard_cases.rs
+++ b/crates/loomflow-fleet-simulation/tests/hard_cases.rs
@@ -1,4 +1,5 @@
-//! What goes wrong in a fleet, case by case, in virtual time. Each case is a script; the witness looks on all the while.
+//! Maintenance tickets of a simulated fleet under faults, case by case, in virtual time. Each case is a script of faults and
+//! requests; the invariants are checked after every event.
 
 mod common;
 
@@ -7,51 +8,51 @@
 use loomflow_fleet_simulation::Fault::*;
 use loomflow_fleet_simulation::{Scenario, Simulation, SimulationConfig};
 
-use common::{run, timeline};
+use common::{advance_until, run, timeline};
 
 fn config(machines: usize, voters: usize) -> SimulationConfig {
     SimulationConfig { machines, voters, ..SimulationConfig::default() }
 }
 
-/// The stages of all tickets in the order of their numbers, by the leader's word.
+/// The stages of all tickets in the order of their numbers, as the leader has them.
 fn stages(simulation: &Simulation) -> Vec<Stage> {
     assert!(simulation.leader().is_some(), "nobody leads\n{}", timeline(simulation));
     simulation.tickets().into_iter().map(|ticket| ticket.stage).collect()
 }
 
-fn ends(simulation: &Simulation, stages_wanted: &[Stage]) {
-    assert_eq!(stages(simulation), stages_wanted, "{}", timeline(simulation));
+fn expect_stages(simulation: &Simulation, expected: &[Stage]) {
+    assert_eq!(stages(simulation), expected, "{}", timeline(simulation));
 }
 
-/// When each left: machine and moment.
-fn left(simulation: &Simulation) -> Vec<(usize, u64)> {
+/// The machine and the moment of each departure.
+fn departures(simulation: &Simulation) -> Vec<(usize, u64)> {
     simulation.invariants.departures.iter().map(|departure| (departure.machine, departure.at)).collect()
 }
 
 #[test]
-fn a_fleet_forms_and_each_goes_in_turn_the_leader_last() {
+fn servers_drain_one_after_the_other_and_the_leader_last() {
     let simulation = run(config(5, 3), [(12_000, RequestWork((0..5).collect(), Routine))], 200_000);
-    ends(&simulation, &[Stage::Done; 5]);
-    let order: Vec<usize> = left(&simulation).into_iter().map(|(one, _)| one).collect();
-    // The first machine founded the fleet and led it.
+    expect_stages(&simulation, &[Stage::Done; 5]);
+    let order: Vec<usize> = departures(&simulation).into_iter().map(|(machine, _)| machine).collect();
+    // The first machine bootstrapped the fleet and led it.
     assert_eq!((order.len(), order.last()), (5, Some(&0)), "{}", timeline(&simulation));
 }
 
 #[test]
-fn zones_are_taken_one_after_the_other() {
+fn zones_take_turns() {
     let simulation = run(
         SimulationConfig { zones: 3, ..config(9, 3) },
         [(12_000, RequestWork((3..9).collect(), Routine))],
         250_000,
     );
-    ends(&simulation, &[Stage::Done; 6]);
-    let zones: Vec<usize> = left(&simulation).into_iter().map(|(one, _)| one % 3).collect();
+    expect_stages(&simulation, &[Stage::Done; 6]);
+    let zones: Vec<usize> = departures(&simulation).into_iter().map(|(machine, _)| machine % 3).collect();
     assert!(zones.windows(2).all(|pair| pair[0] != pair[1]), "{zones:?}");
 }
 
 #[test]
 fn a_leader_killed_between_grant_and_notification_loses_nothing() {
-    // The leader's words reach only the voter beside it, so the grant is agreed on and its server is not told.
+    // The leader reaches only one other voter, so the grant is committed and its server is not notified.
     let cuts = (2..5).map(|to| (12_900, CutLink(0, to)));
     let steps = [
         (13_000, RequestWork(vec![3], Routine)),
@@ -60,23 +61,20 @@
         (60_000, Start(0)),
     ];
     let simulation = run(config(5, 3), cuts.chain(steps), 120_000);
-    ends(&simulation, &[Stage::Done]);
+    expect_stages(&simulation, &[Stage::Done]);
 }
 
 #[test]
-fn a_grant_heard_after_it_lapsed_does_nothing() {
-    // Stopped before it can begin, woken when its grant is long void and another is out.
-    // Two may be out: the one that is stopped counts as one of them.
+fn a_grant_received_after_it_lapsed_has_no_effect() {
+    // The server is paused before it can begin, and resumed when its grant has lapsed and another server is out.
+    // Two may be out: the paused server counts as one of them.
     let rules = Rules { begin_within_millis: 4_000, max_out: Limit::Count(2), ..Rules::default() };
     let mut simulation =
         Simulation::new(SimulationConfig { rules, maintenance_millis: 20_000, ..config(5, 3) }, 7);
     simulation.run_until(12_000).unwrap();
     simulation.inject(&RequestWork(vec![4], Routine));
-    // As soon as the grant is agreed on, before its server has heard of it.
-    while stages(&simulation) != [Stage::Granted] {
-        let next = simulation.now + 1;
-        simulation.run_until(next).unwrap();
-    }
+    // The grant is committed, and its server has not received it.
+    advance_until(&mut simulation, 1, "it is granted", |simulation| stages(simulation) == [Stage::Granted]);
     simulation.inject(&Stop(4, 12_000));
     let now = simulation.now;
     simulation.run_until(now + 8_000).unwrap();
@@ -84,25 +82,30 @@
     simulation.inject(&Withdraw(1));
     simulation.inject(&RequestWork(vec![3], Routine));
     simulation.run_until(now + 11_900).unwrap();
-    let before = left(&simulation);
-    assert_eq!(before.iter().map(|(one, _)| *one).collect::<Vec<_>>(), [3], "{}", timeline(&simulation));
-    // It wakes, and finds the grant that it was never told of, or was told of before it stood still.
+    let before = departures(&simulation);
+    assert_eq!(
+        before.iter().map(|(machine, _)| *machine).collect::<Vec<_>>(),
+        [3],
+        "{}",
+        timeline(&simulation)
+    );
+    // It is resumed, and receives the grant, or had received it before it was paused.
     simulation.run_until(now + 16_000).unwrap();
-    assert_eq!(left(&simulation), before, "{}", timeline(&simulation));
+    assert_eq!(departures(&simulation), before, "{}", timeline(&simulation));
     simulation.run_until(now + 120_000).unwrap();
-    ends(&simulation, &[Stage::Withdrawn, Stage::Done]);
+    expect_stages(&simulation, &[Stage::Withdrawn, Stage::Done]);
 }
 
 #[test]
-fn of_two_sides_of_a_cut_only_the_one_with_a_majority_goes_on() {
+fn only_the_majority_side_of_a_partition_grants() {
     let mut simulation = Simulation::new(config(5, 3), 7);
     let cut = Scenario::new([(12_000, Isolate(vec![0, 4])), (12_100, RequestWork(vec![4], Routine))]);
     simulation.run(&cut, 20_000).unwrap();
-    // The other side asks too, of a voter there.
+    // The other side gets a request, too.
     simulation.inject(&Kill(0));
     simulation.inject(&RequestWork(vec![3], Routine));
     simulation.run_until(60_000).unwrap();
-    assert!(left(&simulation).iter().all(|(one, _)| *one != 4), "{}", timeline(&simulation));
+    assert!(departures(&simulation).iter().all(|(machine, _)| *machine != 4), "{}", timeline(&simulation));
     simulation.inject(&HealNetwork);
     simulation.inject(&Start(0));
     simulation.run_until(460_000).unwrap();
@@ -110,38 +113,35 @@
 }
 
 #[test]
-fn cut_off_in_one_way_only_a_server_is_not_evidence_and_goes_when_it_is_heard_again() {
-    // It hears all and is not heard by the voters.
+fn a_server_that_cannot_send_drains_only_once_it_is_received_again() {
+    // It receives all messages, and the voters receive none of its own.
     let cuts = (0..3).map(|to| (12_000, CutLink(4, to)));
     let steps = [(16_000, RequestWork(vec![4, 3], Routine))];
     let mut simulation = Simulation::new(config(5, 3), 7);
     simulation.run(&Scenario::new(cuts.chain(steps)), 59_000).unwrap();
-    assert!(left(&simulation).iter().all(|(one, _)| *one != 4), "{}", timeline(&simulation));
+    assert!(departures(&simulation).iter().all(|(machine, _)| *machine != 4), "{}", timeline(&simulation));
     simulation.inject(&HealNetwork);
     simulation.run_until(400_000).unwrap();
-    ends(&simulation, &[Stage::Done, Stage::Done]);
+    expect_stages(&simulation, &[Stage::Done, Stage::Done]);
 }
 
 #[test]
-fn a_server_stopped_while_it_drains_keeps_its_place_until_it_is_back() {
+fn a_server_paused_while_draining_keeps_its_slot_until_it_is_back() {
     let mut simulation = Simulation::new(config(5, 3), 7);
     simulation.run_until(12_000).unwrap();
     simulation.inject(&RequestWork(vec![4, 3], Routine));
-    while left(&simulation).is_empty() {
-        let next = simulation.now + 10;
-        simulation.run_until(next).unwrap();
-    }
-    let first = left(&simulation)[0].0;
+    advance_until(&mut simulation, 10, "a server departs", |simulation| !departures(simulation).is_empty());
+    let first = departures(&simulation)[0].0;
     simulation.inject(&Stop(first, 30_000));
     let now = simulation.now;
     simulation.run_until(now + 29_000).unwrap();
-    assert_eq!(left(&simulation).len(), 1, "{}", timeline(&simulation));
+    assert_eq!(departures(&simulation).len(), 1, "{}", timeline(&simulation));
     simulation.run_until(now + 200_000).unwrap();
-    ends(&simulation, &[Stage::Done, Stage::Done]);
+    expect_stages(&simulation, &[Stage::Done, Stage::Done]);
 }
 
 #[test]
-fn a_machine_that_never_returns_is_overdue_and_written_off_frees_its_place() {
+fn an_overdue_machine_frees_its_slot_once_it_is_abandoned_and_started() {
     let steps = [
         (11_000, SetMaintenance(4, None)),
         (12_000, RequestWork(vec![4], Routine)),
@@ -149,26 +149,26 @@
     ];
     let mut simulation = Simulation::new(config(5, 3), 7);
     simulation.run(&Scenario::new(steps), 100_000).unwrap();
-    ends(&simulation, &[Stage::Overdue, Stage::Requested]);
+    expect_stages(&simulation, &[Stage::Overdue, Stage::Requested]);
     simulation.inject(&Abandon(1));
-    // It still counts as one that is gone, for an hour, unless it is started again.
+    // It counts as absent for an hour, unless it is started.
     simulation.run_until(140_000).unwrap();
-    ends(&simulation, &[Stage::Abandoned, Stage::Requested]);
+    expect_stages(&simulation, &[Stage::Abandoned, Stage::Requested]);
     simulation.inject(&Start(4));
     simulation.run_until(240_000).unwrap();
-    ends(&simulation, &[Stage::Abandoned, Stage::Done]);
+    expect_stages(&simulation, &[Stage::Abandoned, Stage::Done]);
 }
 
 #[test]
-fn back_as_another_incarnation_under_a_new_ticket_it_goes_once_more_and_not_twice_at_once() {
+fn a_second_ticket_of_a_server_drains_its_next_incarnation() {
     let steps = [(12_000, RequestWork(vec![4], Routine)), (14_500, RequestWork(vec![4], Routine))];
     let simulation = run(config(5, 3), steps, 200_000);
-    ends(&simulation, &[Stage::Done, Stage::Done]);
-    assert_eq!(left(&simulation).len(), 2);
+    expect_stages(&simulation, &[Stage::Done, Stage::Done]);
+    assert_eq!(departures(&simulation).len(), 2);
 }
 
 #[test]
-fn a_voter_back_with_an_empty_folder_is_let_in_as_another() {
+fn a_voter_with_an_empty_state_directory_rejoins_as_a_new_replica() {
     let steps = [
         (14_000, Kill(1)),
         (14_000, LoseDisk(1)),
@@ -176,111 +176,112 @@
         (30_000, RequestWork(vec![1, 2], Routine)),
     ];
     let simulation = run(config(4, 3), steps, 300_000);
-    ends(&simulation, &[Stage::Done, Stage::Done]);
+    expect_stages(&simulation, &[Stage::Done, Stage::Done]);
     let leader = simulation.leader().unwrap();
     let consensus = simulation.machines[leader].node.as_ref().unwrap().consensus().unwrap();
-    assert_eq!(consensus.voters().len(), 3, "its former self has no vote any more");
+    assert_eq!(consensus.voters().len(), 3, "the former replica has no vote");
 }
 
 #[test]
-fn a_voter_whose_disk_is_full_neither_votes_nor_dies_and_comes_back_by_itself() {
+fn a_voter_with_a_full_disk_does_not_lead_and_votes_again_once_it_can_write() {
     let full = [(12_000, FillDisk(0, true)), (14_000, RequestWork(vec![4], Routine))];
     let mut simulation = Simulation::new(config(5, 3), 7);
     simulation.run(&Scenario::new(full), 60_000).unwrap();
     assert_ne!(simulation.leader(), Some(0), "{}", timeline(&simulation));
-    ends(&simulation, &[Stage::Done]);
+    expect_stages(&simulation, &[Stage::Done]);
     simulation.inject(&FillDisk(0, false));
     simulation.inject(&Kill(1));
     simulation.inject(&RequestWork(vec![3], Routine));
-    // The budget of one is taken by the dead voter, but there is a majority again, with the mended one.
+    // The killed voter takes the only slot, but there is a majority again, with the voter that can write.
     simulation.run_until(90_000).unwrap();
     assert!(simulation.leader().is_some(), "{}", timeline(&simulation));
 }
 
 #[test]
 fn all_voters_resume_after_a_simultaneous_restart() {
-    let kill = (0..3).map(|one| (13_500, Kill(one)));
-    let start = (0..3).map(|one| (20_000, Start(one)));
+    let kill = (0..3).map(|machine| (13_500, Kill(machine)));
+    let start = (0..3).map(|machine| (20_000, Start(machine)));
     let simulation =
         run(config(5, 3), kill.chain(start).chain([(12_000, RequestWork(vec![4, 3], Routine))]), 400_000);
-    ends(&simulation, &[Stage::Done, Stage::Done]);
+    expect_stages(&simulation, &[Stage::Done, Stage::Done]);
 }
 
 #[test]
-fn nobody_goes_while_a_zone_is_lost() {
-    let lost = [2, 5].map(|one| (16_000, Kill(one)));
-    let back = [2, 5].map(|one| (80_000, Start(one)));
+fn no_server_drains_while_a_zone_is_lost() {
+    let lost = [2, 5].map(|machine| (16_000, Kill(machine)));
+    let back = [2, 5].map(|machine| (80_000, Start(machine)));
     let config = SimulationConfig {
         zones: 3,
         rules: Rules { max_out: Limit::Count(2), ..Rules::default() },
         ..config(9, 3)
     };
     let mut simulation = Simulation::new(config, 7);
-    let asked = [(12_000, RequestWork(vec![3, 4, 6, 7], Routine))];
-    simulation.run(&Scenario::new(lost.into_iter().chain(asked)), 75_000).unwrap();
-    let late = left(&simulation).iter().filter(|(_, at)| *at > 18_000).count();
+    let requests = [(12_000, RequestWork(vec![3, 4, 6, 7], Routine))];
+    simulation.run(&Scenario::new(lost.into_iter().chain(requests)), 75_000).unwrap();
+    let late = departures(&simulation).iter().filter(|(_, at)| *at > 18_000).count();
     assert_eq!(late, 0, "{}", timeline(&simulation));
     simulation.run(&Scenario::new(back), 400_000).unwrap();
-    ends(&simulation, &[Stage::Done; 4]);
+    expect_stages(&simulation, &[Stage::Done; 4]);
 }
 
 #[test]
-fn overload_that_rises_after_the_grant_takes_it_back() {
+fn a_grant_is_recalled_if_overload_rises() {
     let mut simulation = Simulation::new(config(5, 3), 7);
     simulation.run_until(12_000).unwrap();
-    // It cannot take the grant up at once.
+    // It is paused, so that it cannot take the grant up.
     simulation.inject(&RequestWork(vec![4], Routine));
-    while stages(&simulation) != [Stage::Granted] {
-        let next = simulation.now + 1;
-        simulation.run_until(next).unwrap();
-    }
+    advance_until(&mut simulation, 1, "it is granted", |simulation| stages(simulation) == [Stage::Granted]);
     simulation.inject(&Stop(4, 3_300));
     simulation.inject(&SetLoad(7.5));
     let now = simulation.now;
     simulation.run_until(now + 30_000).unwrap();
     assert_eq!(
-        (stages(&simulation), left(&simulation)),
+        (stages(&simulation), departures(&simulation)),
         (vec![Stage::Requested], vec![]),
         "{}",
         timeline(&simulation)
     );
     simulation.inject(&SetLoad(3.0));
     simulation.run_until(now + 420_000).unwrap();
-    ends(&simulation, &[Stage::Done]);
+    expect_stages(&simulation, &[Stage::Done]);
 }
 
 #[test]
-fn nobody_goes_in_overload_and_all_go_after_it() {
+fn no_server_drains_in_overload_and_all_drain_after_it() {
     let steps = [(12_000, SetLoad(7.0)), (16_000, RequestWork(vec![3, 4], Routine))];
     let mut simulation = Simulation::new(config(5, 3), 7);
     simulation.run(&Scenario::new(steps), 60_000).unwrap();
-    assert_eq!(left(&simulation), [], "{}", timeline(&simulation));
+    assert_eq!(departures(&simulation), [], "{}", timeline(&simulation));
     simulation.inject(&SetLoad(3.0));
     simulation.run_until(600_000).unwrap();
-    ends(&simulation, &[Stage::Done, Stage::Done]);
+    expect_stages(&simulation, &[Stage::Done, Stage::Done]);
 }
 
 #[test]
-fn a_withdrawn_ticket_goes_or_does_not_go_and_never_both() {
-    // Withdrawn at each moment around its grant and begin, with messages that take up to half a second.
+fn a_ticket_is_either_withdrawn_or_carried_out() {
+    // Withdrawn at each moment around its grant and its begin, with message delays of up to half a second.
     for at in (12_050..13_500).step_by(50) {
         let steps = [(11_000, SetMaxDelay(500)), (12_000, RequestWork(vec![4], Routine)), (at, Withdraw(1))];
         let simulation = run(config(5, 3), steps, 200_000);
         let stage = stages(&simulation)[0];
-        let went = !left(&simulation).is_empty();
-        let agreed = matches!((stage, went), (Stage::Withdrawn, false) | (Stage::Done, true));
-        assert!(agreed, "withdrawn at {at}: {stage:?}, went {went}\n{}", timeline(&simulation));
+        let has_departed = !departures(&simulation).is_empty();
+        let is_consistent = matches!((stage, has_departed), (Stage::Withdrawn, false) | (Stage::Done, true));
+        assert!(
+            is_consistent,
+            "withdrawn at {at}: {stage:?}, departed {has_departed}\n{}",
+            timeline(&simulation)
+        );
     }
 }
 
 #[test]
-fn a_member_that_flaps_keeps_the_others_waiting_and_breaks_nothing() {
+fn tickets_are_done_after_a_member_has_flapped() {
     let flap = (0..20).flat_map(|n| {
         let at = 12_000 + n * 3_000;
         [(at, Kill(4)), (at + 1_500, Start(4))]
     });
     let simulation = run(config(5, 3), flap.chain([(13_000, RequestWork(vec![3, 4], Routine))]), 500_000);
-    ends(&simulation, &[Stage::Done, Stage::Done]);
+    expect_stages(&simulation, &[Stage::Done, Stage::Done]);
 }
 
 #[test]
@@ -289,7 +290,7 @@
     let mut simulation = Simulation::new(config(5, 3), 7);
     simulation.run(&Scenario::new(steps), 59_000).unwrap();
     assert!(
-        simulation.machines[4].node.is_none() && left(&simulation).is_empty(),
+        simulation.machines[4].node.is_none() && departures(&simulation).is_empty(),
         "{}",
         timeline(&simulation)
     );
@@ -300,22 +301,22 @@
     );
     simulation.inject(&Start(4));
     simulation.run_until(200_000).unwrap();
-    ends(&simulation, &[Stage::Done]);
+    expect_stages(&simulation, &[Stage::Done]);
 }
 
 #[test]
-fn four_in_ten_joining_within_seconds_are_known_to_all_and_hold_nobody_up_for_long() {
+fn members_that_join_within_seconds_become_known_to_all_and_delay_tickets_briefly() {
     let config =
         SimulationConfig { rules: Rules { max_out: Limit::Share(0.1), ..Rules::default() }, ..config(50, 5) };
     let late: Vec<usize> = (30..50).collect();
-    let gone = late.iter().map(|one| (4_000, Kill(*one)));
-    let back = late.iter().map(|one| (30_000 + 100 * *one as u64, Start(*one)));
+    let gone = late.iter().map(|machine| (4_000, Kill(*machine)));
+    let back = late.iter().map(|machine| (30_000 + 100 * *machine as u64, Start(*machine)));
     let mut simulation = Simulation::new(config, 7);
     simulation.invariants.compares_states = false;
     simulation
         .run(&Scenario::new(gone.chain(back).chain([(45_000, RequestWork(vec![7, 8], Routine))])), 120_000)
         .unwrap();
-    ends(&simulation, &[Stage::Done, Stage::Done]);
+    expect_stages(&simulation, &[Stage::Done, Stage::Done]);
     for machine in &simulation.machines {
         let known = machine.node.as_ref().unwrap().membership().known();
         assert_eq!(known.len(), 49, "{}", timeline(&simulation));
@@ -323,22 +324,22 @@
 }
 
 #[test]
-fn a_majority_of_folders_lost_is_made_anew_from_one_with_numbers_that_leap() {
+fn a_fleet_recovers_from_one_state_directory_with_skipped_ticket_numbers() {
     let mut simulation = Simulation::new(config(5, 3), 7);
     simulation.run(&Scenario::new([(12_000, RequestWork(vec![4], Routine))]), 60_000).unwrap();
-    for one in [0, 1] {
-        simulation.inject(&Kill(one));
-        simulation.inject(&LoseDisk(one));
-        simulation.inject(&Start(one));
+    for machine in [0, 1] {
+        simulation.inject(&Kill(machine));
+        simulation.inject(&LoseDisk(machine));
+        simulation.inject(&Start(machine));
     }
     simulation.run_until(80_000).unwrap();
     assert_eq!(simulation.leader(), None, "a majority is lost");
     let now = simulation.now;
     let node = simulation.machines[2].node.as_mut().unwrap();
-    // Its own clock does not matter here.
+    // The time of its own clock does not matter here.
     node.recover(now).unwrap();
     simulation.run_until(140_000).unwrap();
-    assert_eq!(stages(&simulation)[0], Stage::Done, "what the folder held is there");
+    assert_eq!(stages(&simulation)[0], Stage::Done, "the stored ticket is recovered");
     simulation.inject(&RequestWork(vec![4], Routine));
     simulation.run_until(260_000).unwrap();
     let last = simulation.tickets().last().cloned().unwrap();
--- a/crates/loomflow-fleet-simulation/tests/seeds.rs
+++ b/crates/loomflow-fleet-simulation/tests/seeds.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn seeded_days_break_nothing_and_every_ticket_comes_to_its_end() {
+fn random_scenarios_violate_no_invariant_and_every_ticket_is_closed() {
     let from = |name| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     let seeds = match (from("LOOMFLOW_SEED"), from("LOOMFLOW_SEEDS")) {
         (Some(seed), _) => seed..seed + 1,
