--- a/crates/loomflow-fleet/src/duty/assign/tests.rs
+++ b/crates/loomflow-fleet/src/duty/assign/tests.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn who_is_in_overload_takes_nothing_new_unless_all_are() {
+fn an_overloaded_server_acquires_nothing_new_unless_all_are_overloaded() {
     let mut duties = duties_and_sessions(40, 4);
     let mut servers = candidates(4);
     (servers[0].can_acquire, servers[0].weight) = (false, 0.3);
--- a/crates/loomflow-fleet/src/duty/client_session/tests.rs
+++ b/crates/loomflow-fleet/src/duty/client_session/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn the_deadline_counts_from_before_it_was_asked_less_the_drift() {
+fn a_session_counts_from_before_its_renewal_was_sent_less_the_drift() {
     let mut session = ClientSession::default();
     session.renewal_sent(1, 100);
     session.renewed(ownership(1, &[("d", 1)]), 100, 900);
@@ -17,14 +17,14 @@
 }
 
 #[test]
-fn an_answer_later_than_the_lease_is_worth_nothing() {
+fn a_response_later_than_the_lease_is_ignored() {
     let mut session = ClientSession::default();
     session.renewed(ownership(1, &[("d", 1)]), 100, 1_200);
     assert_eq!((session.owned_token("d", 1_200), session.take_changes()), (None, vec![]));
 }
 
 #[test]
-fn a_duty_that_is_heard_of_again_after_the_release_is_not_taken_up() {
+fn a_released_duty_is_not_acquired_again_by_the_same_token() {
     let mut session = ClientSession::default();
     session.renewed(ownership(1, &[("d", 4)]), 0, 1);
     assert_eq!(session.release("d"), Some(4));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn words_of_another_session_neither_give_nor_keep() {
+fn responses_of_another_session_neither_assign_nor_extend() {
     let mut session = ClientSession::default();
     session.renewed(ownership(2, &[("d", 7)]), 0, 1);
     session.notified(ownership(1, &[("e", 3)]), 2);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn what_is_told_without_asking_makes_nothing_longer() {
+fn a_notification_does_not_extend_the_session() {
     let mut session = ClientSession::default();
     session.renewed(ownership(1, &[]), 0, 1);
     session.notified(ownership(1, &[("d", 1)]), 900);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_recall_is_told_once_and_not_unsaid_by_an_older_word() {
+fn a_recall_is_reported_once_and_not_undone_by_an_older_message() {
     let mut session = ClientSession::default();
     session.renewed(ownership(1, &[("d", 1)]), 0, 1);
     let mut recalled = ownership(1, &[("d", 1)]);
--- a/crates/loomflow-fleet/src/duty/fence/tests.rs
+++ b/crates/loomflow-fleet/src/duty/fence/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn what_cannot_be_kept_is_not_admitted_and_changes_nothing() {
+fn a_token_that_cannot_be_stored_is_not_admitted_and_changes_nothing() {
     let mut fence = Fence::default();
     assert_eq!(fence.admit("d", 5, |_| Err("full")), Err(FenceError::Storage("full")));
     assert_eq!(fence, Fence::default());
--- a/crates/loomflow-fleet/src/duty/job/tests.rs
+++ b/crates/loomflow-fleet/src/duty/job/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_run_starts_when_the_record_has_its_number_and_never_twice() {
+fn a_run_starts_once_its_begin_is_stored_and_never_twice() {
     let owned_duty = scheduled_duty(600, false);
     let mut runs = JobRuns::new(&owned_duty);
     assert_eq!(runs.step(Some(&owned_duty), 0, 630), None);
@@ -26,14 +26,14 @@
 }
 
 #[test]
-fn what_a_former_owner_left_unended_is_begun_again() {
+fn an_unfinished_run_of_a_former_owner_is_begun_again() {
     let owned_duty = scheduled_duty(600, true);
     let mut runs = JobRuns::new(&owned_duty);
     assert_eq!(runs.step(Some(&owned_duty), 0, 700), Some(JobAction::Write(OwnerUpdate::Began(600))));
 }
 
 #[test]
-fn handed_over_while_it_runs_it_is_told_to_end_and_released_after() {
+fn a_recalled_run_is_terminated_and_its_duty_released_after_it() {
     let mut owned_duty = scheduled_duty(600, true);
     let mut runs = JobRuns::new(&owned_duty);
     runs.step(Some(&owned_duty), 0, 700);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn recalled_between_the_number_and_the_start_nothing_starts() {
+fn a_duty_that_is_recalled_before_its_process_starts_starts_none() {
     let mut owned_duty = scheduled_duty(600, true);
     let mut runs = JobRuns::new(&owned_duty);
     runs.step(Some(&owned_duty), 0, 700);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_operators_wish_is_run_once() {
+fn a_requested_run_begins_once() {
     let mut owned_duty = OwnedDuty { schedule: None, is_run_requested: true, ..scheduled_duty(600, false) };
     let mut runs = JobRuns::new(&owned_duty);
     assert_eq!(runs.step(Some(&owned_duty), 0, 700), Some(JobAction::Write(OwnerUpdate::Began(700))));
--- a/crates/loomflow-fleet/src/duty/summary/tests.rs
+++ b/crates/loomflow-fleet/src/duty/summary/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn those_who_serve_are_summed_and_the_fullest_zone_comes_first() {
+fn members_that_serve_are_summed_and_the_fullest_zone_comes_first() {
     let summary = summed(&[
         ("a", "x", MemberState::Serving, 1.0),
         ("b", "y", MemberState::Serving, 3.0),
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn nobody_who_serves_is_no_division() {
+fn a_fleet_in_which_nobody_serves_has_a_summary() {
     assert_eq!(summed(&[]).share, 1.0);
     assert_eq!(summed(&[("a", "x", MemberState::Cold, 1.0)]).fullest_zones, []);
 }
--- a/crates/loomflow-fleet/src/duty/supervisor/tests.rs
+++ b/crates/loomflow-fleet/src/duty/supervisor/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn one_that_takes_too_long_has_its_grace_and_one_that_is_lost_has_none() {
+fn a_process_that_timed_out_has_a_grace_period_and_one_whose_duty_is_lost_has_none() {
     let settings = LeaseSettings { lease_millis: 1_000, max_attempts: 3 };
     let mut supervisor = ProcessSupervisor::new(settings, 100_000, 5_000, 0);
     assert_eq!((supervisor.step(4_999), supervisor.step(5_000)), (None, Some(StopSignal::Terminate)));
--- a/crates/loomflow-fleet/src/maintenance/campaign/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/campaign/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_batch_that_is_asked_for_again_is_refused_and_the_next_goes_on_where_it_stopped() {
+fn a_batch_that_is_requested_twice_is_rejected_and_the_next_continues_after_it() {
     let (mut campaigns, mut maintenance) = started();
     assert_eq!(campaigns.apply(&mut maintenance, 2, "n1", &next(0)), Ok(vec![1, 2]));
     assert!(
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn it_halts_when_a_batch_comes_back_worse_or_not_at_all() {
+fn a_campaign_halts_when_a_batch_comes_back_worse_or_not_at_all() {
     let done = Some(TicketStage::Done);
     let both = |a, b| [("a", a), ("b", b)];
     assert_eq!(next_step(&view(&both(done, Some(TicketStage::Out)), Some(0.9))), None, "one is still out");
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn halted_it_goes_on_only_when_it_is_resumed() {
+fn a_halted_campaign_continues_only_when_it_is_resumed() {
     let (mut campaigns, mut maintenance) = started();
     campaigns.apply(&mut maintenance, 2, "n1", &next(0)).unwrap();
     let halt =
--- a/crates/loomflow-fleet/src/maintenance/headroom/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/headroom/tests.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn whoever_has_no_young_digest_bears_nothing() {
+fn a_member_without_a_recent_load_report_has_no_capacity() {
     let mut members = fleet(3, 4.0, 1.0, 0.5);
     assert!(holds(&members, &Headroom::default(), 1));
     members.get_mut("n2").unwrap().load_report = None;
--- a/crates/loomflow-fleet/src/maintenance/rules/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/rules/tests.rs
@@ -7,6 +7,6 @@
 }
 
 #[test]
-fn one_voter_never_goes_and_a_majority_of_five_hangs_on_nobody() {
+fn a_single_voter_stays_and_of_five_one_more_than_a_majority() {
     assert_eq!([1, 2, 3, 5].map(voters_needed), [1, 2, 2, 4]);
 }
--- a/crates/loomflow-fleet/src/maintenance/ticket/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/ticket/tests.rs
@@ -2,7 +2,7 @@
 use crate::fixtures::ticket_request;
 
 #[test]
-fn the_table_names_each_move_of_each_stage_once() {
+fn the_table_has_each_transition_of_each_stage_once() {
     for (at, rule) in TABLE.iter().enumerate() {
         let twins = TABLE
             .iter()
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn every_move_of_every_stage_by_every_hand_is_made_or_refused_for_its_reason() {
+fn every_transition_of_every_stage_by_every_actor_is_made_or_rejected_with_its_reason() {
     for from in TicketStage::ALL {
         for transition in Transition::ALL {
             let rule = TABLE.iter().find(|rule| rule.from == from && rule.transition == transition);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn what_has_begun_is_not_withdrawn_and_what_is_asked_is_not_written_off() {
+fn a_begun_ticket_is_not_withdrawn_and_a_requested_one_is_not_abandoned() {
     assert_eq!(
         next_stage(TicketStage::Begun, Transition::Withdraw, Actor::Operator),
         Err(Rejection::TooLate(TicketStage::Begun))
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_place_is_kept_from_the_grant_until_it_is_warm_for_good_or_written_off() {
+fn a_place_is_reserved_from_the_grant_until_the_ticket_is_done_or_abandoned() {
     // No way leads from a stage that has a place to one that does not, but these.
     for rule in TABLE.iter().filter(|rule| rule.from.has_place() && !rule.to.has_place()) {
         let free = matches!(
--- a/crates/loomflow-fleet/src/member/tests.rs
+++ b/crates/loomflow-fleet/src/member/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_later_start_wins_over_any_life_of_the_former() {
+fn a_later_start_wins_over_any_renewal_of_a_former_one() {
     assert!(identity(2, 0).win_addr_conflict(&identity(1, 9)));
     assert!(!identity(1, 9).win_addr_conflict(&identity(2, 0)));
     assert!(!identity(1, 1).win_addr_conflict(&identity(1, 1)));
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn what_is_told_of_a_member_makes_the_same_member() {
+fn an_identity_is_the_same_after_it_was_sent() {
     let told = postcard::to_stdvec(&identity(3, 2)).unwrap();
     let heard: MemberIdentity = postcard::from_bytes(&told).unwrap();
     assert_eq!((heard.addr(), heard), (identity(3, 2).addr(), identity(3, 2)));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn figures_that_no_module_has_are_not_sound() {
+fn a_load_report_with_impossible_figures_is_invalid() {
     let good = LoadReport { share: 1.0, ..LoadReport::default() };
     assert!(good.is_valid());
     for bad in [f32::NAN, f32::INFINITY, -1.0] {
--- a/crates/loomflow-fleet/src/wire/tests.rs
+++ b/crates/loomflow-fleet/src/wire/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn what_is_too_long_or_foreign_or_garbled_is_named() {
+fn a_message_that_is_too_long_foreign_or_unreadable_has_its_error() {
     let sealed = encode(&message(vec![1, 2, 3])).unwrap();
     assert_eq!(decode("riga", &sealed[LENGTH_BYTES..]), Ok(message(vec![1, 2, 3])));
     assert_eq!(decode("other", &sealed[LENGTH_BYTES..]), Err(FrameError::Foreign));
@@ -21,7 +21,7 @@
 
 proptest! {
     #[test]
-    fn messages_come_whole_at_every_split(
+    fn messages_are_complete_at_every_split_of_their_bytes(
         sizes in proptest::collection::vec(0usize..300, 1..6),
         cuts in proptest::collection::vec(1usize..64, 1..40),
     ) {
--- a/crates/loomflow-fleet/tests/ticket_model.rs
+++ b/crates/loomflow-fleet/tests/ticket_model.rs
@@ -1,8 +1,8 @@
 //! The ticket table, checked exhaustively within bounds: three servers, two tickets, one place, with crashes, and messages
-//! that are lost, late or said any number of times. The log is taken as agreed on; what is checked is everything that hangs
-//! on it: the machine itself (the real one), and what a server does on what it hears.
+//! that are lost, late or duplicated. Entries are taken for committed at once; what is checked is everything that follows from
+//! them: the state machine itself (the real one), and what a server does on what it receives.
 //!
-//! Left out: writing off, which frees a place by an operator's word that the machine does not come back.
+//! Left out: abandoning a ticket, which frees its place because an operator says that the server does not come back.
 
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -14,30 +14,30 @@
 use stateright::{Checker, Model, Property};
 
 const SERVERS: usize = 3;
-/// Each server starts so often at the most.
-const STARTS: u64 = 2;
-/// Grants that are void before they are taken up, in all.
-const VOID: u8 = 2;
-/// Servers that die by themselves, in all.
-const CRASHES: u8 = 1;
+/// Starts of each server.
+const MAX_STARTS: u64 = 2;
+/// Grants that lapse or are recalled before they are taken up, in all.
+const MAX_VOID_GRANTS: u8 = 2;
+/// Servers that crash, in all.
+const MAX_CRASHES: u8 = 1;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Process {
-    Up,
+    Serving,
     /// It drains, by this ticket.
-    Leaving(TicketId),
-    /// It went by this ticket.
+    Draining(TicketId),
+    /// It shut down by this ticket.
     Out(TicketId),
     Dead,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    /// To a server: it is granted its turn.
+    /// To a server: its ticket is granted.
     Granted { server: usize, ticket: TicketId, grant: u64, incarnation: u64 },
-    /// From a server: it takes the grant up.
+    /// From a server: it begins by the grant.
     Begin { server: usize, ticket: TicketId, grant: u64, incarnation: u64 },
-    /// To a server: its begin is agreed on.
+    /// To a server: its begin is committed.
     Begun { server: usize, ticket: TicketId, incarnation: u64 },
 }
 
@@ -47,63 +47,65 @@
     /// Entries so far: each has a number of its own, as repeats that the machine answers from memory are the easier case.
     entries: u128,
     servers: [(Process, u64); SERVERS],
-    /// All that was ever said and may be heard at any time, any number of times.
-    said: BTreeSet<Message>,
+    /// All messages ever sent: each may arrive at any time, any number of times.
+    sent: BTreeSet<Message>,
     crashes: u8,
-    void: u8,
-    withdrawn: bool,
+    void_grants: u8,
+    has_withdrawn: bool,
 }
 
 impl State {
-    /// What of the machine matters for what may still happen: times and history do not.
+    /// What of the state machine matters for what may still happen: times and history do not.
     fn shown(&self) -> Vec<(TicketId, TicketStage, u64, u64, u64, u8)> {
         let open = self.maintenance.open().values();
         open.map(|t| (t.id, t.stage, t.grant, t.incarnation, t.returned_incarnation, t.lapses)).collect()
     }
 
-    /// Puts an entry into the log; whether it was done.
-    fn agree(&mut self, issuer: Issuer, command: MaintenanceCommand, after: u64) -> bool {
+    /// Applies an entry; whether the state machine accepted it.
+    fn commit(&mut self, issuer: Issuer, command: MaintenanceCommand, after: u64) -> bool {
         self.entries += 1;
         let entry = Entry { id: self.entries, at: self.maintenance.time() + after, issuer, command };
         let bytes = postcard::to_stdvec(&entry).unwrap();
         matches!(self.maintenance.apply(&bytes), Some((_, Response::Done(_))))
     }
 
-    fn went(&self) -> usize {
-        let went = |(process, _): &&(Process, u64)| matches!(process, Process::Leaving(_) | Process::Out(_));
-        self.servers.iter().filter(went).count()
+    fn departed_count(&self) -> usize {
+        let has_departed =
+            |(process, _): &&(Process, u64)| matches!(process, Process::Draining(_) | Process::Out(_));
+        self.servers.iter().filter(has_departed).count()
     }
 }
 
 impl PartialEq for State {
     fn eq(&self, other: &State) -> bool {
         self.shown() == other.shown()
-            && (self.servers, self.crashes, self.void, self.withdrawn)
-                == (other.servers, other.crashes, other.void, other.withdrawn)
-            && self.said == other.said
+            && (self.servers, self.crashes, self.void_grants, self.has_withdrawn)
+                == (other.servers, other.crashes, other.void_grants, other.has_withdrawn)
+            && self.sent == other.sent
     }
 }
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        (self.shown(), self.servers, &self.said, self.crashes, self.void, self.withdrawn).hash(hasher);
+        (self.shown(), self.servers, &self.sent, self.crashes, self.void_grants, self.has_withdrawn)
+            .hash(hasher);
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
     Grant(TicketId),
-    /// The leader tells the server of a granted ticket.
-    Tell(TicketId),
+    /// The leader notifies the server of a granted ticket.
+    Notify(TicketId),
     /// Time passes until the grant lapses.
     Lapse(TicketId),
     Recall(TicketId),
     Withdraw(TicketId),
-    /// What the leader sees of a server that holds a place.
-    See(TicketId, Transition),
+    /// The leader observes a server that has a place.
+    Observe(TicketId, Transition),
     Deliver(Message),
-    /// A server that leaves is gone.
-    End(usize),
+    /// A server that drains shuts down.
+    FinishDrain(usize),
     Start(usize),
     Crash(usize),
 }
@@ -112,13 +114,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
-    /// A server leaves when it is granted, without waiting for its begin to be agreed on.
-    LeavesOnTheGrant,
-    /// A begun answer is taken for any start of the server.
-    ForgetsItsStart,
+    /// A server drains when its ticket is granted, without waiting until its begin is committed.
+    DrainsOnGrant,
+    /// The response to a begin counts for any start of the server.
+    IgnoresIncarnation,
 }
 
-struct Fleet {
+struct TicketModel {
     fault: Fault,
 }
 
@@ -145,7 +147,7 @@
 fn observe(state: &mut State, last: &State, id: TicketId, transition: Transition) -> Option<bool> {
     let ticket = last.maintenance.open().get(&id)?;
     let (process, incarnation) = last.servers[number(&ticket.request.server)];
-    let is_up = matches!(process, Process::Up | Process::Leaving(_));
+    let is_up = matches!(process, Process::Serving | Process::Draining(_));
     // As the observation has it: one that is back is up, with another start than the one that left.
     let incarnation = match transition {
         Transition::Depart => ticket.incarnation.max(ticket.returned_incarnation),
@@ -153,23 +155,23 @@
         Transition::Return if incarnation == ticket.incarnation => return None,
         _ => incarnation,
     };
-    Some(state.agree(Issuer::Leader, transition_of(last, transition, id, incarnation), 1))
+    Some(state.commit(Issuer::Leader, transition_of(last, transition, id, incarnation), 1))
 }
 
-impl Fleet {
+impl TicketModel {
     /// A message arrives; whether that changes anything.
     fn deliver(&self, state: &mut State, last: &State, message: Message) -> Option<bool> {
         let changed = match message {
             Message::Granted { server, ticket, grant, incarnation } => {
                 let (process, own) = last.servers[server];
-                if process != Process::Up || own != incarnation {
+                if process != Process::Serving || own != incarnation {
                     return None;
                 }
-                if self.fault == Fault::LeavesOnTheGrant {
-                    state.servers[server].0 = Process::Leaving(ticket);
+                if self.fault == Fault::DrainsOnGrant {
+                    state.servers[server].0 = Process::Draining(ticket);
                     true
                 } else {
-                    state.said.insert(Message::Begin { server, ticket, grant, incarnation })
+                    state.sent.insert(Message::Begin { server, ticket, grant, incarnation })
                 }
             }
             Message::Begin { server, ticket, grant, incarnation } => {
@@ -180,21 +182,21 @@
                     grant,
                     incarnation,
                 };
-                state.agree(by, command, 1)
-                    && state.said.insert(Message::Begun { server, ticket, incarnation })
+                state.commit(by, command, 1)
+                    && state.sent.insert(Message::Begun { server, ticket, incarnation })
             }
             Message::Begun { server, ticket, incarnation } => {
                 let (process, own) = last.servers[server];
-                let meant = own == incarnation || self.fault == Fault::ForgetsItsStart;
-                state.servers[server].0 = Process::Leaving(ticket);
-                process == Process::Up && meant
+                let is_addressed = own == incarnation || self.fault == Fault::IgnoresIncarnation;
+                state.servers[server].0 = Process::Draining(ticket);
+                process == Process::Serving && is_addressed
             }
         };
         Some(changed)
     }
 }
 
-impl Model for Fleet {
+impl Model for TicketModel {
     type State = State;
     type Action = Action;
 
@@ -202,11 +204,11 @@
         let mut state = State {
             maintenance: MaintenanceState::default(),
             entries: 0,
-            servers: [(Process::Up, 1); SERVERS],
-            said: BTreeSet::new(),
+            servers: [(Process::Serving, 1); SERVERS],
+            sent: BTreeSet::new(),
             crashes: 0,
-            void: 0,
-            withdrawn: false,
+            void_grants: 0,
+            has_withdrawn: false,
         };
         let wanted = |server| TicketRequest {
             server: name(server),
@@ -216,7 +218,7 @@
             duration_millis: 24 * 3_600_000,
             window: None,
         };
-        assert!(state.agree(
+        assert!(state.commit(
             Issuer::Operator("ops".into()),
             MaintenanceCommand::CreateTickets(vec![wanted(0), wanted(1)]),
             1
@@ -228,11 +230,11 @@
         for ticket in state.maintenance.open().values() {
             let id = ticket.id;
             match ticket.stage {
-                TicketStage::Requested if state.withdrawn => actions.push(Action::Grant(id)),
+                TicketStage::Requested if state.has_withdrawn => actions.push(Action::Grant(id)),
                 TicketStage::Requested => actions.extend([Action::Grant(id), Action::Withdraw(id)]),
                 TicketStage::Granted => {
-                    actions.push(Action::Tell(id));
-                    if state.void < VOID {
+                    actions.push(Action::Notify(id));
+                    if state.void_grants < MAX_VOID_GRANTS {
                         actions.extend([Action::Lapse(id), Action::Recall(id)]);
                     }
                 }
@@ -241,17 +243,17 @@
             if ticket.stage.has_place() && ticket.stage != TicketStage::Granted {
                 // A server may be taken for dead that is not.
                 let seen = [Transition::Depart, Transition::Return, Transition::Ready, Transition::Finish];
-                actions.extend(seen.map(|by| Action::See(id, by)));
+                actions.extend(seen.map(|by| Action::Observe(id, by)));
             }
         }
-        actions.extend(state.said.iter().map(|message| Action::Deliver(*message)));
+        actions.extend(state.sent.iter().map(|message| Action::Deliver(*message)));
         for (server, (process, incarnation)) in state.servers.iter().enumerate() {
             match process {
-                Process::Leaving(_) => actions.push(Action::End(server)),
-                Process::Out(_) | Process::Dead if *incarnation < STARTS => {
+                Process::Draining(_) => actions.push(Action::FinishDrain(server)),
+                Process::Out(_) | Process::Dead if *incarnation < MAX_STARTS => {
                     actions.push(Action::Start(server));
                 }
-                Process::Up if state.crashes < CRASHES => actions.push(Action::Crash(server)),
+                Process::Serving if state.crashes < MAX_CRASHES => actions.push(Action::Crash(server)),
                 _ => {}
             }
         }
@@ -265,39 +267,39 @@
             Action::Grant(id) => {
                 let incarnation = last.servers[number(&of(id)?.request.server)].1;
                 let census = Census { zones: vec![(String::new(), SERVERS as u32)], away: Vec::new() };
-                state.agree(Issuer::Leader, MaintenanceCommand::Grant { ticket: id, incarnation, census }, 1)
+                state.commit(Issuer::Leader, MaintenanceCommand::Grant { ticket: id, incarnation, census }, 1)
             }
-            Action::Tell(id) => {
+            Action::Notify(id) => {
                 let ticket = of(id)?;
                 let (grant, incarnation) = (ticket.grant, ticket.incarnation);
                 let server = number(&ticket.request.server);
-                state.said.insert(Message::Granted { server, ticket: id, grant, incarnation })
+                state.sent.insert(Message::Granted { server, ticket: id, grant, incarnation })
             }
             Action::Lapse(id) => {
-                state.void += 1;
-                state.agree(
+                state.void_grants += 1;
+                state.commit(
                     Issuer::Leader,
                     MaintenanceCommand::Clock,
                     of(id)?.deadline - last.maintenance.time(),
                 )
             }
             Action::Recall(id) => {
-                state.void += 1;
-                state.agree(Issuer::Leader, transition(Transition::Recall, id, of(id)?.incarnation), 1)
+                state.void_grants += 1;
+                state.commit(Issuer::Leader, transition(Transition::Recall, id, of(id)?.incarnation), 1)
             }
             Action::Withdraw(id) => {
-                state.withdrawn = true;
-                state.agree(Issuer::Operator("ops".into()), transition(Transition::Withdraw, id, 0), 1)
+                state.has_withdrawn = true;
+                state.commit(Issuer::Operator("ops".into()), transition(Transition::Withdraw, id, 0), 1)
             }
-            Action::See(id, transition) => observe(&mut state, last, id, transition)?,
+            Action::Observe(id, transition) => observe(&mut state, last, id, transition)?,
             Action::Deliver(message) => self.deliver(&mut state, last, message)?,
-            Action::End(server) => {
-                let Process::Leaving(ticket) = last.servers[server].0 else { return None };
+            Action::FinishDrain(server) => {
+                let Process::Draining(ticket) = last.servers[server].0 else { return None };
                 state.servers[server].0 = Process::Out(ticket);
                 true
             }
             Action::Start(server) => {
-                state.servers[server] = (Process::Up, last.servers[server].1 + 1);
+                state.servers[server] = (Process::Serving, last.servers[server].1 + 1);
                 true
             }
             Action::Crash(server) => {
@@ -311,10 +313,10 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(ONE_OUT, |_, state: &State| state.went() <= 1),
-            Property::always(PLACE_HELD, |_, state: &State| {
+            Property::always(ONE_DEPARTED, |_, state: &State| state.departed_count() <= 1),
+            Property::always(PLACE_RESERVED, |_, state: &State| {
                 state.servers.iter().enumerate().all(|(server, (process, _))| match process {
-                    Process::Leaving(ticket) | Process::Out(ticket) => {
+                    Process::Draining(ticket) | Process::Out(ticket) => {
                         state.maintenance.holders().get(&name(server)) == Some(ticket)
                     }
                     _ => true,
@@ -327,13 +329,13 @@
     }
 }
 
-const ONE_OUT: &str = "at most one is out by a ticket";
-const PLACE_HELD: &str = "whoever is out holds the place";
+const ONE_DEPARTED: &str = "at most one server departs at a time";
+const PLACE_RESERVED: &str = "a server that departed has the place";
 
 #[test]
 fn no_order_of_messages_and_deaths_takes_two_out_or_one_without_its_place() {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
-    let checker = Fleet { fault: Fault::None }.checker().threads(threads).spawn_bfs().join();
+    let checker = TicketModel { fault: Fault::None }.checker().threads(threads).spawn_bfs().join();
     let (all, different) = (checker.state_count(), checker.unique_state_count());
     println!("{all} states, {different} of them different, to a depth of {}", checker.max_depth());
     checker.assert_properties();
@@ -341,10 +343,10 @@
 }
 
 #[test]
-fn what_is_built_wrong_is_found() {
-    for fault in [Fault::LeavesOnTheGrant, Fault::ForgetsItsStart] {
-        let checker = Fleet { fault }.checker().spawn_bfs().join();
-        let found = [ONE_OUT, PLACE_HELD].iter().any(|rule| checker.discovery(rule).is_some());
+fn planted_faults_are_found() {
+    for fault in [Fault::DrainsOnGrant, Fault::IgnoresIncarnation] {
+        let checker = TicketModel { fault }.checker().spawn_bfs().join();
+        let found = [ONE_DEPARTED, PLACE_RESERVED].iter().any(|rule| checker.discovery(rule).is_some());
         assert!(found, "{fault:?}");
     }
 }
