--- a/crates/loomflow-benchmark/src/order/simulated.rs
+++ b/crates/loomflow-benchmark/src/order/simulated.rs
@@ -153,7 +153,7 @@
     let mut simulation = lossy_fleet(30, 5, seed);
     let died = simulation.now;
     simulation.inject(&Fault::Kill(29));
-    while simulation.now < died + 60_000 && !simulation.is_known_dead(29) {
+    while simulation.now < died + 60_000 && !simulation.is_known_down(29) {
         let next = simulation.now + 50;
         let _ = simulation.run_until(next);
     }
@@ -165,12 +165,12 @@
     let mut simulation = lossy_fleet(10, 3, seed);
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut count = 0;
-    let mut before = simulation.believed_dead();
+    let mut before = simulation.considered_down();
     for _ in 0..720 {
         simulation.inject(&Fault::Stop(rng.usize(0..10), 300));
         let next = simulation.now + 5_000;
         let _ = simulation.run_until(next);
-        let now = simulation.believed_dead();
+        let now = simulation.considered_down();
         count += now.difference(&before).count() as u64;
         before = now;
     }
--- a/crates/loomflow-benchmark/src/scale/control.rs
+++ b/crates/loomflow-benchmark/src/scale/control.rs
@@ -253,7 +253,7 @@
     let mut simulation = formed(machines);
     let (last, died) = (machines - 1, simulation.now);
     simulation.inject(&Fault::Kill(last));
-    while !simulation.is_known_dead(last) && simulation.now < died + 120_000 {
+    while !simulation.is_known_down(last) && simulation.now < died + 120_000 {
         go(&mut simulation, 100);
     }
     (simulation.now - died) as f64 / 1000.0
--- a/crates/loomflow-fleet-simulation/src/simulation.rs
+++ b/crates/loomflow-fleet-simulation/src/simulation.rs
@@ -11,6 +11,8 @@
 mod queries;
 mod shutdown;
 
+use std::fmt;
+
 use loomflow_fleet::maintenance::Response;
 use loomflow_fleet::member::{LoadReport, Phase, RequestId};
 use loomflow_fleet::node::{Effect, Node};
@@ -50,6 +52,20 @@
     pub response: Option<Response>,
 }
 
+/// A line of the log.
+pub struct LogEntry {
+    /// The simulated time, ms.
+    pub at: WholeMillis,
+    /// What happened.
+    pub text: String,
+}
+
+impl fmt::Display for LogEntry {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        write!(formatter, "{:>8} {}", self.at, self.text)
+    }
+}
+
 /// A fleet in virtual time.
 pub struct Simulation {
     /// What the fleet is made of.
@@ -67,8 +83,8 @@
     load: f64,
     /// Requests of operators.
     pub operator_calls: Vec<OperatorCall>,
-    /// What has happened, with its moments.
-    pub log: Vec<(WholeMillis, String)>,
+    /// What has happened.
+    pub log: Vec<LogEntry>,
 }
 
 impl Simulation {
@@ -122,7 +138,7 @@
     }
 
     fn log(&mut self, text: String) {
-        self.log.push((self.now, text));
+        self.log.push(LogEntry { at: self.now, text });
     }
 
     /// Runs a scenario as far as `until`, and goes on until then.
@@ -175,8 +191,8 @@
         let checked = self.invariants.check(active, &self.machines);
         checked.and_then(|()| self.check_one_owner(active)).map_err(|violation| {
             let first = self.log.len().saturating_sub(SHOWN_LOG_LINES);
-            let lines = self.log[first..].iter().map(|(at, text)| format!("{at:>8} {text}"));
-            let timeline = lines.collect::<Vec<_>>().join("\n");
+            let lines: Vec<String> = self.log[first..].iter().map(LogEntry::to_string).collect();
+            let timeline = lines.join("\n");
             InvariantViolation { at: self.now, violation, timeline }
         })
     }
--- a/crates/loomflow-fleet-simulation/src/simulation/queries.rs
+++ b/crates/loomflow-fleet-simulation/src/simulation/queries.rs
@@ -69,21 +69,21 @@
         tickets
     }
 
-    /// Whether every member that runs believes this machine to be dead.
-    pub fn is_known_dead(&self, machine: MachineId) -> bool {
+    /// Whether every member that runs considers this machine down.
+    pub fn is_known_down(&self, machine: MachineId) -> bool {
         let mut nodes = self.machines.iter().filter_map(|other| other.node.as_ref());
-        nodes.all(|node| believes_dead(node, machine))
+        nodes.all(|node| considers_down(node, machine))
     }
 
-    /// Pairs of members that run of which the first believes the second to be dead.
-    pub fn believed_dead(&self) -> BTreeSet<(MachineId, MachineId)> {
+    /// Pairs of members that run of which the first considers the second down.
+    pub fn considered_down(&self) -> BTreeSet<(MachineId, MachineId)> {
         let running = || {
             let all = self.machines.iter().enumerate();
             all.filter_map(|(id, machine)| Some((id, machine.node.as_ref()?)))
         };
         let mut pairs = BTreeSet::new();
         for (observer, node) in running() {
-            let dead = running().filter(|(other, _)| believes_dead(node, *other));
+            let dead = running().filter(|(other, _)| considers_down(node, *other));
             pairs.extend(dead.map(|(other, _)| (observer, other)));
         }
         pairs
@@ -104,7 +104,7 @@
     }
 }
 
-fn believes_dead(node: &Node, machine: MachineId) -> bool {
+fn considers_down(node: &Node, machine: MachineId) -> bool {
     let known = node.membership().get(&server_name(machine));
     known.is_some_and(|known| known.state() == MemberState::Down)
 }
--- a/crates/loomflow-fleet-simulation/tests/common/mod.rs
+++ b/crates/loomflow-fleet-simulation/tests/common/mod.rs
@@ -5,7 +5,7 @@
 /// What happened, and why each server waits.
 pub fn timeline(simulation: &Simulation) -> String {
     let waits = (0..simulation.machines.len()).flat_map(|one| simulation.explain(one));
-    let lines = simulation.log.iter().map(|(at, what)| format!("{at:>8} {what}"));
+    let lines = simulation.log.iter().map(ToString::to_string);
     lines.chain(waits).collect::<Vec<_>>().join("\n")
 }
 
--- a/crates/loomflow-fleet-simulation/tests/duties.rs
+++ b/crates/loomflow-fleet-simulation/tests/duties.rs
@@ -1,5 +1,5 @@
-//! What goes wrong with duties, case by case, in virtual time. The witness looks on after every event: one owner at a time by
-//! the machines' own clocks, no token of two machines, no effect let in after that of a later owner.
+//! What goes wrong with duties, case by case, in virtual time. The invariants are checked after every event: one owner at a time
+//! by the machines' own clocks, no token of two machines, no effect admitted after that of a later owner.
 
 mod common;
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// The one who owns it now.
+/// The only owner of a duty.
 fn owner(simulation: &Simulation, duty: usize) -> usize {
     let owners = simulation.owners(&loomflow_fleet_simulation::config::duty_name(duty));
     assert_eq!(owners.len(), 1, "d{duty}\n{}", timeline(simulation));
@@ -34,88 +34,90 @@
     (0..simulation.config.duties).map(|duty| owner(simulation, duty)).collect()
 }
 
-fn go(simulation: &mut Simulation, until: u64) {
+fn run_to(simulation: &mut Simulation, until: u64) {
     if let Err(what) = simulation.run_until(until) {
         panic!("{what}");
     }
 }
 
-/// Moves on until something holds; gives the moment.
-fn go_until(simulation: &mut Simulation, what: &str, holds: impl Fn(&Simulation) -> bool) -> u64 {
+/// Runs until a condition holds; returns the time.
+fn run_until_condition(simulation: &mut Simulation, what: &str, holds: impl Fn(&Simulation) -> bool) -> u64 {
     let end = simulation.now + 120_000;
     while !holds(simulation) {
         assert!(simulation.now < end, "never: {what}\n{}", timeline(simulation));
         let next = simulation.now + 10;
-        go(simulation, next);
+        run_to(simulation, next);
     }
     simulation.now
 }
 
 #[test]
-fn every_duty_has_one_owner_and_nothing_moves_on_a_quiet_day() {
+fn every_duty_has_one_owner_and_none_migrates_on_a_quiet_day() {
     let mut simulation = run(config(5, 3, 20), [], 30_000);
     let before = all_owned(&simulation);
     let each: BTreeSet<usize> = before.iter().copied().collect();
     assert!(each.len() >= 4, "{before:?}");
     let token = simulation.leader_state().unwrap().duties.last_token();
-    go(&mut simulation, 30_000 + 600_000);
+    run_to(&mut simulation, 30_000 + 600_000);
     assert_eq!(all_owned(&simulation), before);
     let after = simulation.leader_state().unwrap().duties.last_token();
     assert_eq!(after, token, "moves on a quiet day");
 }
 
 #[test]
-fn an_owner_that_dies_is_followed_within_one_and_a_half_leases() {
+fn an_owner_that_dies_is_replaced_within_one_and_a_half_leases() {
     let mut simulation = run(config(5, 3, 6), [], 30_000);
     let one = owner(&simulation, 0);
     simulation.inject(&Kill(one));
     let died = simulation.now;
-    let at = go_until(&mut simulation, "another owns it", |simulation| !simulation.owners("d0").is_empty());
+    let at = run_until_condition(&mut simulation, "another owns it", |simulation| {
+        !simulation.owners("d0").is_empty()
+    });
     assert!(at - died <= LEASE * 3 / 2, "{} ms", at - died);
-    go(&mut simulation, at + 2_000);
+    run_to(&mut simulation, at + 2_000);
     all_owned(&simulation);
 }
 
 #[test]
-fn an_owner_that_was_stopped_between_check_and_act_is_refused_after_two_others() {
+fn an_owner_stopped_between_check_and_effect_is_rejected_after_two_others() {
     let mut simulation = run(config(5, 5, 1), [], 30_000);
     let first = owner(&simulation, 0);
     simulation.inject(&Stop(first, 60_000));
-    go_until(&mut simulation, "a second", |simulation| {
+    run_until_condition(&mut simulation, "a second", |simulation| {
         simulation.owners("d0").iter().any(|one| *one != first)
     });
     let second = owner(&simulation, 0);
     simulation.inject(&Kill(second));
-    go_until(&mut simulation, "a third", |simulation| !simulation.owners("d0").is_empty());
+    run_until_condition(&mut simulation, "a third", |simulation| !simulation.owners("d0").is_empty());
     let third = owner(&simulation, 0);
     assert!(third != first && third != second);
     let rejected = simulation.invariants.receiver.rejected;
-    go(&mut simulation, 95_000);
+    run_to(&mut simulation, 95_000);
     assert_eq!(simulation.invariants.receiver.rejected, rejected + 1, "{}", timeline(&simulation));
     assert_eq!(owner(&simulation, 0), third);
 }
 
 #[test]
-fn one_cut_off_from_the_voters_gives_up_before_another_takes_over() {
+fn an_owner_isolated_from_the_voters_gives_up_before_another_takes_over() {
     let mut simulation = run(config(6, 3, 12), [], 30_000);
     let one =
         (0..12).map(|duty| owner(&simulation, duty)).find(|one| *one >= 3).expect("one that does not vote");
     let its: Vec<usize> = (0..12).filter(|duty| owner(&simulation, *duty) == one).collect();
     simulation.inject(&Isolate(vec![one]));
-    go(&mut simulation, 45_000);
+    run_to(&mut simulation, 45_000);
     assert!(its.iter().all(|duty| owner(&simulation, *duty) != one));
     simulation.inject(&HealNetwork);
-    go(&mut simulation, 90_000);
+    run_to(&mut simulation, 90_000);
     all_owned(&simulation);
 }
 
 #[test]
-fn a_leader_that_dies_alone_moves_no_duty_of_others() {
+fn a_leader_that_dies_migrates_no_duty_of_others() {
     let mut simulation = run(config(5, 5, 20), [], 30_000);
     let leader = simulation.leader().unwrap();
     let before = all_owned(&simulation);
     simulation.inject(&Kill(leader));
-    go(&mut simulation, 60_000);
+    run_to(&mut simulation, 60_000);
     for (duty, was) in before.iter().enumerate().filter(|(_, was)| **was != leader) {
         assert_eq!(owner(&simulation, duty), *was, "{}", timeline(&simulation));
     }
@@ -123,19 +125,19 @@
 }
 
 #[test]
-fn a_server_that_leaves_hands_over_within_a_fifth_of_a_second() {
+fn a_server_that_drains_hands_over_within_a_fifth_of_a_second() {
     let mut simulation = run(config(5, 3, 10), [], 30_000);
     let one = owner(&simulation, 3);
     simulation.inject(&Terminate(one));
     let left = simulation.now;
-    let at = go_until(&mut simulation, "all have other owners", |simulation| {
+    let at = run_until_condition(&mut simulation, "all have other owners", |simulation| {
         (0..10).all(|duty| simulation.owners(&format!("d{duty}")).iter().any(|owner| *owner != one))
     });
     assert!(at - left <= 200, "{} ms", at - left);
 }
 
 #[test]
-fn all_voters_restarted_at_once_give_no_token_twice() {
+fn voters_restarted_at_once_assign_no_token_twice() {
     let kills = (0..3).map(|one| (30_000, Kill(one)));
     let starts = (0..3).map(|one| (33_000, Start(one)));
     let simulation = run(config(5, 3, 8), kills.chain(starts), 90_000);
@@ -143,7 +145,7 @@
 }
 
 #[test]
-fn a_voter_with_an_empty_folder_changes_nothing_and_after_a_majority_lost_theirs_tokens_leap() {
+fn a_lost_data_directory_changes_nothing_and_recovery_leaves_a_gap_in_the_tokens() {
     let one = [(30_000, Kill(1)), (30_000, LoseDisk(1)), (32_000, Start(1))];
     let mut simulation = run(config(5, 3, 6), one, 60_000);
     all_owned(&simulation);
@@ -152,30 +154,30 @@
         simulation.inject(&Kill(one));
         simulation.inject(&LoseDisk(one));
     }
-    go(&mut simulation, 70_000);
+    run_to(&mut simulation, 70_000);
     let now = simulation.local_time(0);
     simulation.machines[0].node.as_mut().unwrap().recover(now).unwrap();
     simulation.inject(&Start(1));
     simulation.inject(&Start(2));
-    go(&mut simulation, 130_000);
+    run_to(&mut simulation, 130_000);
     all_owned(&simulation);
     let after = simulation.machines[0].node.as_ref().unwrap().fleet_state().unwrap().duties.last_token();
     assert!(after > token + (1 << 20));
 }
 
 #[test]
-fn an_hour_of_sleep_is_no_gain_of_time() {
+fn an_hour_of_sleep_does_not_extend_a_lease() {
     let mut simulation = run(config(5, 3, 10), [], 30_000);
     let one =
         (0..10).map(|duty| owner(&simulation, duty)).find(|one| *one >= 3).expect("one that does not vote");
     simulation.inject(&Stop(one, 3_600_000));
-    go(&mut simulation, 30_000 + 3_600_000 + 30_000);
+    run_to(&mut simulation, 30_000 + 3_600_000 + 30_000);
     all_owned(&simulation);
     assert!(simulation.invariants.receiver.rejected > 0);
 }
 
 #[test]
-fn clocks_that_drift_as_far_as_is_stated_keep_owners_apart() {
+fn clocks_within_the_drift_bound_keep_owners_apart() {
     let config =
         SimulationConfig { max_clock_drift: loomflow_fleet::duty::MAX_CLOCK_DRIFT / 2.0, ..config(6, 3, 8) };
     let faults = (0..12).map(|n| {
@@ -186,10 +188,10 @@
 }
 
 #[test]
-fn clocks_that_drift_further_leave_it_to_the_fence() {
+fn clocks_beyond_the_drift_bound_leave_it_to_the_fence() {
     let config = SimulationConfig { max_clock_drift: 0.4, ..config(6, 3, 8) };
     let mut simulation = Simulation::new(config, 7);
-    // Two may believe that they own a duty; what is let in still comes in the order of its tokens.
+    // Two may take themselves for the owner; effects are still admitted in the order of their tokens.
     simulation.invariants.expects_one_owner = false;
     let faults = (0..24).map(|n| {
         (30_000 + n * 5_000, if n % 2 == 0 { Isolate(vec![n as usize / 2 % 6]) } else { HealNetwork })
@@ -201,31 +203,31 @@
 }
 
 #[test]
-fn an_owner_in_overload_hands_over_and_takes_nothing_new() {
+fn an_overloaded_owner_hands_over_and_acquires_nothing_new() {
     let mut simulation = run(config(4, 3, 12), [], 40_000);
     let one = owner(&simulation, 0);
     simulation.inject(&SetShare(one, 0.2));
-    go(&mut simulation, 160_000);
+    run_to(&mut simulation, 160_000);
     let owners = all_owned(&simulation);
     assert!(!owners.contains(&one), "{owners:?}");
     simulation.inject(&SetShare((one + 1) % 4, 0.2));
     simulation.inject(&Kill((one + 2) % 4));
-    go(&mut simulation, 300_000);
+    run_to(&mut simulation, 300_000);
     assert!(!all_owned(&simulation).contains(&one));
 }
 
 #[test]
-fn a_third_of_the_members_die_and_little_more_moves_than_was_theirs() {
+fn a_third_of_the_members_die_and_little_more_migrates_than_they_owned() {
     let mut simulation = Simulation::new(config(30, 5, 300), 7);
     simulation.invariants.compares_states = false;
-    go(&mut simulation, 40_000);
+    run_to(&mut simulation, 40_000);
     let before = all_owned(&simulation);
     // None of the voters.
     let dead: Vec<usize> = (10..20).collect();
     for one in &dead {
         simulation.inject(&Kill(*one));
     }
-    go(&mut simulation, 60_000);
+    run_to(&mut simulation, 60_000);
     let after = all_owned(&simulation);
     let lost = before.iter().filter(|one| dead.contains(one)).count();
     let moved = before.iter().zip(&after).filter(|(a, b)| a != b).count();
@@ -233,7 +235,7 @@
 }
 
 #[test]
-fn a_member_that_flaps_each_second_takes_no_other_ones_duties() {
+fn a_member_that_flaps_each_second_acquires_no_duty_of_another() {
     let flaps = (0..20).flat_map(|n| [(30_000 + n * 2_000, Kill(4)), (31_000 + n * 2_000, Start(4))]);
     let simulation = run(config(5, 3, 10), flaps, 120_000);
     all_owned(&simulation);
@@ -245,14 +247,16 @@
     let mut last = None;
     // The first has owned it for long, and its death says nothing.
     for _ in 0..6 {
-        go_until(&mut simulation, "it has an owner", |simulation| !simulation.owners("d1").is_empty());
+        run_until_condition(&mut simulation, "it has an owner", |simulation| {
+            !simulation.owners("d1").is_empty()
+        });
         let one = owner(&simulation, 1);
         simulation.inject(&Kill(one));
         if let Some(before) = last.replace(one) {
             simulation.inject(&Start(before));
         }
     }
-    go(&mut simulation, 120_000);
+    run_to(&mut simulation, 120_000);
     assert!(simulation.owners("d1").is_empty());
     let record = simulation.leader_state().unwrap();
     let parked = record.duties.duties()["d1"].parked.clone().unwrap();
@@ -262,7 +266,7 @@
 }
 
 #[test]
-fn with_loss_doubling_disorder_and_delay_there_is_one_owner_at_a_time() {
+fn one_owner_at_a_time_over_lossy_duplicating_reordering_links() {
     let faults = [
         (20_000, SetLoss(0.2, 0.3)),
         (20_000, SetMaxDelay(1_500)),
--- a/crates/loomflow-fleet-simulation/tests/hard_cases.rs
+++ b/crates/loomflow-fleet-simulation/tests/hard_cases.rs
@@ -1,4 +1,5 @@
-//! What goes wrong in a fleet, case by case, in virtual time. Each case is a script; the witness looks on all the while.
+//! What goes wrong in a fleet, case by case, in virtual time. Each case is a scenario; the invariants are checked
+//! after every event.
 
 mod common;
 
@@ -13,7 +14,7 @@
     SimulationConfig { machines, voters, ..SimulationConfig::default() }
 }
 
-/// The stages of all tickets in the order of their numbers, by the leader's word.
+/// The stages of all tickets in the order of their numbers, by the leader's state.
 fn stages(simulation: &Simulation) -> Vec<TicketStage> {
     assert!(simulation.leader().is_some(), "nobody leads\n{}", timeline(simulation));
     simulation.tickets().into_iter().map(|ticket| ticket.stage).collect()
@@ -31,35 +32,35 @@
     assert_eq!(stages(simulation), stages_wanted, "{}", timeline(simulation));
 }
 
-/// When each left: machine and moment.
-fn left(simulation: &Simulation) -> Vec<(usize, u64)> {
+/// Machine and time of each departure.
+fn departures(simulation: &Simulation) -> Vec<(usize, u64)> {
     simulation.invariants.departures.iter().map(|departure| (departure.machine, departure.at)).collect()
 }
 
 #[test]
-fn a_fleet_forms_and_each_goes_in_turn_the_leader_last() {
+fn a_fleet_forms_and_each_server_is_maintained_the_leader_last() {
     let simulation = run(config(5, 3), [(12_000, RequestWork((0..5).collect(), Routine))], 200_000);
     ends(&simulation, &[TicketStage::Done; 5]);
-    let order: Vec<usize> = left(&simulation).into_iter().map(|(one, _)| one).collect();
+    let order: Vec<usize> = departures(&simulation).into_iter().map(|(one, _)| one).collect();
     // The first machine founded the fleet and led it.
     assert_eq!((order.len(), order.last()), (5, Some(&0)), "{}", timeline(&simulation));
 }
 
 #[test]
-fn zones_are_taken_one_after_the_other() {
+fn zones_are_maintained_one_after_the_other() {
     let simulation = run(
         SimulationConfig { zones: 3, ..config(9, 3) },
         [(12_000, RequestWork((3..9).collect(), Routine))],
         250_000,
     );
     ends(&simulation, &[TicketStage::Done; 6]);
-    let zones: Vec<usize> = left(&simulation).into_iter().map(|(one, _)| one % 3).collect();
+    let zones: Vec<usize> = departures(&simulation).into_iter().map(|(one, _)| one % 3).collect();
     assert!(zones.windows(2).all(|pair| pair[0] != pair[1]), "{zones:?}");
 }
 
 #[test]
 fn a_leader_killed_between_grant_and_notification_loses_nothing() {
-    // The leader's words reach only the voter beside it, so the grant is agreed on and its server is not told.
+    // The leader's messages reach only one other voter, so the grant is committed and its server is not notified.
     let cuts = (2..5).map(|to| (12_900, CutLink(0, to)));
     let steps = [
         (13_000, RequestWork(vec![3], Routine)),
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn a_grant_heard_after_it_lapsed_does_nothing() {
+fn a_grant_received_after_it_lapsed_has_no_effect() {
     // Stopped before it can begin, woken when its grant is long void and another is out.
     // Two may be out: the one that is stopped counts as one of them.
     let rules = Rules { begin_within_millis: 4_000, max_out: Limit::Count(2), ..Rules::default() };
@@ -88,25 +89,25 @@
     simulation.inject(&Withdraw(1));
     simulation.inject(&RequestWork(vec![3], Routine));
     simulation.run_until(now + 11_900).unwrap();
-    let before = left(&simulation);
+    let before = departures(&simulation);
     assert_eq!(before.iter().map(|(one, _)| *one).collect::<Vec<_>>(), [3], "{}", timeline(&simulation));
-    // It wakes, and finds the grant that it was never told of, or was told of before it stood still.
+    // It continues, and finds the grant that it was never notified of, or was notified of before it stopped.
     simulation.run_until(now + 16_000).unwrap();
-    assert_eq!(left(&simulation), before, "{}", timeline(&simulation));
+    assert_eq!(departures(&simulation), before, "{}", timeline(&simulation));
     simulation.run_until(now + 120_000).unwrap();
     ends(&simulation, &[TicketStage::Withdrawn, TicketStage::Done]);
 }
 
 #[test]
-fn of_two_sides_of_a_cut_only_the_one_with_a_majority_goes_on() {
+fn of_two_sides_of_a_partition_only_the_one_with_a_majority_grants() {
     let mut simulation = Simulation::new(config(5, 3), 7);
     let cut = Scenario::new([(12_000, Isolate(vec![0, 4])), (12_100, RequestWork(vec![4], Routine))]);
     simulation.run(&cut, 20_000).unwrap();
-    // The other side asks too, of a voter there.
+    // The other side requests maintenance as well, from a voter there.
     simulation.inject(&Kill(0));
     simulation.inject(&RequestWork(vec![3], Routine));
     simulation.run_until(60_000).unwrap();
-    assert!(left(&simulation).iter().all(|(one, _)| *one != 4), "{}", timeline(&simulation));
+    assert!(departures(&simulation).iter().all(|(one, _)| *one != 4), "{}", timeline(&simulation));
     simulation.inject(&HealNetwork);
     simulation.inject(&Start(0));
     simulation.run_until(460_000).unwrap();
@@ -114,13 +115,13 @@
 }
 
 #[test]
-fn cut_off_in_one_way_only_a_server_is_not_evidence_and_goes_when_it_is_heard_again() {
-    // It hears all and is not heard by the voters.
+fn a_server_that_cannot_send_is_granted_only_after_the_link_is_healed() {
+    // It receives from the voters, which do not receive from it.
     let cuts = (0..3).map(|to| (12_000, CutLink(4, to)));
     let steps = [(16_000, RequestWork(vec![4, 3], Routine))];
     let mut simulation = Simulation::new(config(5, 3), 7);
     simulation.run(&Scenario::new(cuts.chain(steps)), 59_000).unwrap();
-    assert!(left(&simulation).iter().all(|(one, _)| *one != 4), "{}", timeline(&simulation));
+    assert!(departures(&simulation).iter().all(|(one, _)| *one != 4), "{}", timeline(&simulation));
     simulation.inject(&HealNetwork);
     simulation.run_until(400_000).unwrap();
     ends(&simulation, &[TicketStage::Done, TicketStage::Done]);
@@ -131,21 +132,21 @@
     let mut simulation = Simulation::new(config(5, 3), 7);
     simulation.run_until(12_000).unwrap();
     simulation.inject(&RequestWork(vec![4, 3], Routine));
-    while left(&simulation).is_empty() {
+    while departures(&simulation).is_empty() {
         let next = simulation.now + 10;
         simulation.run_until(next).unwrap();
     }
-    let first = left(&simulation)[0].0;
+    let first = departures(&simulation)[0].0;
     simulation.inject(&Stop(first, 30_000));
     let now = simulation.now;
     simulation.run_until(now + 29_000).unwrap();
-    assert_eq!(left(&simulation).len(), 1, "{}", timeline(&simulation));
+    assert_eq!(departures(&simulation).len(), 1, "{}", timeline(&simulation));
     simulation.run_until(now + 200_000).unwrap();
     ends(&simulation, &[TicketStage::Done, TicketStage::Done]);
 }
 
 #[test]
-fn a_machine_that_never_returns_is_overdue_and_written_off_frees_its_place() {
+fn a_server_that_never_returns_is_overdue_and_frees_its_place_when_it_is_abandoned() {
     let steps = [
         (11_000, SetMaintenance(4, None)),
         (12_000, RequestWork(vec![4], Routine)),
@@ -164,15 +165,15 @@
 }
 
 #[test]
-fn back_as_another_incarnation_under_a_new_ticket_it_goes_once_more_and_not_twice_at_once() {
+fn a_server_that_returned_is_maintained_once_more_by_a_new_ticket() {
     let steps = [(12_000, RequestWork(vec![4], Routine)), (14_500, RequestWork(vec![4], Routine))];
     let simulation = run(config(5, 3), steps, 200_000);
     ends(&simulation, &[TicketStage::Done, TicketStage::Done]);
-    assert_eq!(left(&simulation).len(), 2);
+    assert_eq!(departures(&simulation).len(), 2);
 }
 
 #[test]
-fn a_voter_back_with_an_empty_folder_is_let_in_as_another() {
+fn a_voter_with_an_empty_data_directory_rejoins_as_a_new_replica() {
     let steps = [
         (14_000, Kill(1)),
         (14_000, LoseDisk(1)),
@@ -211,7 +212,7 @@
 }
 
 #[test]
-fn nobody_goes_while_a_zone_is_lost() {
+fn nothing_is_granted_while_a_zone_is_lost() {
     let lost = [2, 5].map(|one| (16_000, Kill(one)));
     let back = [2, 5].map(|one| (80_000, Start(one)));
     let config = SimulationConfig {
@@ -222,14 +223,14 @@
     let mut simulation = Simulation::new(config, 7);
     let asked = [(12_000, RequestWork(vec![3, 4, 6, 7], Routine))];
     simulation.run(&Scenario::new(lost.into_iter().chain(asked)), 75_000).unwrap();
-    let late = left(&simulation).iter().filter(|(_, at)| *at > 18_000).count();
+    let late = departures(&simulation).iter().filter(|(_, at)| *at > 18_000).count();
     assert_eq!(late, 0, "{}", timeline(&simulation));
     simulation.run(&Scenario::new(back), 400_000).unwrap();
     ends(&simulation, &[TicketStage::Done; 4]);
 }
 
 #[test]
-fn overload_that_rises_after_the_grant_takes_it_back() {
+fn overload_that_rises_after_the_grant_recalls_it() {
     let mut simulation = Simulation::new(config(5, 3), 7);
     simulation.run_until(12_000).unwrap();
     // It cannot take the grant up at once.
@@ -240,7 +241,7 @@
     let now = simulation.now;
     simulation.run_until(now + 30_000).unwrap();
     assert_eq!(
-        (stages(&simulation), left(&simulation)),
+        (stages(&simulation), departures(&simulation)),
         (vec![TicketStage::Requested], vec![]),
         "{}",
         timeline(&simulation)
@@ -251,31 +252,31 @@
 }
 
 #[test]
-fn nobody_goes_in_overload_and_all_go_after_it() {
+fn nothing_is_granted_in_overload_and_all_are_maintained_after_it() {
     let steps = [(12_000, SetLoad(7.0)), (16_000, RequestWork(vec![3, 4], Routine))];
     let mut simulation = Simulation::new(config(5, 3), 7);
     simulation.run(&Scenario::new(steps), 60_000).unwrap();
-    assert_eq!(left(&simulation), [], "{}", timeline(&simulation));
+    assert_eq!(departures(&simulation), [], "{}", timeline(&simulation));
     simulation.inject(&SetLoad(3.0));
     simulation.run_until(600_000).unwrap();
     ends(&simulation, &[TicketStage::Done, TicketStage::Done]);
 }
 
 #[test]
-fn a_withdrawn_ticket_goes_or_does_not_go_and_never_both() {
+fn a_withdrawn_ticket_is_either_withdrawn_or_done() {
     // Withdrawn at each moment around its grant and begin, with messages that take up to half a second.
     for at in (12_050..13_500).step_by(50) {
         let steps = [(11_000, SetMaxDelay(500)), (12_000, RequestWork(vec![4], Routine)), (at, Withdraw(1))];
         let simulation = run(config(5, 3), steps, 200_000);
         let stage = stages(&simulation)[0];
-        let went = !left(&simulation).is_empty();
+        let went = !departures(&simulation).is_empty();
         let agreed = matches!((stage, went), (TicketStage::Withdrawn, false) | (TicketStage::Done, true));
         assert!(agreed, "withdrawn at {at}: {stage:?}, went {went}\n{}", timeline(&simulation));
     }
 }
 
 #[test]
-fn a_member_that_flaps_keeps_the_others_waiting_and_breaks_nothing() {
+fn a_member_that_flaps_delays_the_others_and_breaks_no_invariant() {
     let flap = (0..20).flat_map(|n| {
         let at = 12_000 + n * 3_000;
         [(at, Kill(4)), (at + 1_500, Start(4))]
@@ -290,7 +291,7 @@
     let mut simulation = Simulation::new(config(5, 3), 7);
     simulation.run(&Scenario::new(steps), 59_000).unwrap();
     assert!(
-        simulation.machines[4].node.is_none() && left(&simulation).is_empty(),
+        simulation.machines[4].node.is_none() && departures(&simulation).is_empty(),
         "{}",
         timeline(&simulation)
     );
@@ -305,7 +306,7 @@
 }
 
 #[test]
-fn four_in_ten_joining_within_seconds_are_known_to_all_and_hold_nobody_up_for_long() {
+fn four_in_ten_that_join_within_seconds_are_known_to_all_and_delay_maintenance_briefly() {
     let config =
         SimulationConfig { rules: Rules { max_out: Limit::Share(0.1), ..Rules::default() }, ..config(50, 5) };
     let late: Vec<usize> = (30..50).collect();
@@ -324,7 +325,7 @@
 }
 
 #[test]
-fn a_majority_of_folders_lost_is_made_anew_from_one_with_numbers_that_leap() {
+fn a_fleet_that_lost_a_majority_of_its_data_directories_is_recovered_from_one_with_a_gap_in_its_numbers() {
     let mut simulation = Simulation::new(config(5, 3), 7);
     simulation.run(&Scenario::new([(12_000, RequestWork(vec![4], Routine))]), 60_000).unwrap();
     for one in [0, 1] {
--- a/crates/loomflow-fleet-simulation/tests/seeds.rs
+++ b/crates/loomflow-fleet-simulation/tests/seeds.rs
@@ -21,7 +21,7 @@
     let scenario = Scenario::random(seed, machines, voters, 12_000, 60_000);
     let mut simulation = Simulation::new(config, seed);
     let fail = |simulation: &Simulation, what: String| {
-        let lines: Vec<String> = simulation.log.iter().map(|(at, what)| format!("{at:>8} {what}")).collect();
+        let lines: Vec<String> = simulation.log.iter().map(ToString::to_string).collect();
         let waits: Vec<String> = (0..machines).flat_map(|one| simulation.explain(one)).collect();
         format!("seed {seed}: {what}\n{}\n{}", lines.join("\n"), waits.join("\n"))
     };
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn seeded_days_break_nothing_and_every_ticket_comes_to_its_end() {
+fn seeded_days_break_no_invariant_and_close_every_ticket() {
     let from = |name| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     let seeds = match (from("LOOMFLOW_SEED"), from("LOOMFLOW_SEEDS")) {
         (Some(one), _) => one..one + 1,
--- a/crates/loomflow-fleet/src/consensus/voter_changes/tests.rs
+++ b/crates/loomflow-fleet/src/consensus/voter_changes/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use ConfChangeType::{AddLearnerNode, AddNode, RemoveNode};
 
-/// Seats 1 to 9 are of "a", "b", "c", then again.
+/// The next change. Replicas 1 to 9 are of the servers "a", "b", "c" in turn.
 fn changes(
     voters: &[u64],
     learners: &[u64],
--- a/crates/loomflow-fleet/src/duty/summary/tests.rs
+++ b/crates/loomflow-fleet/src/duty/summary/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
-/// Name, zone, standing, runs in hand.
+
+/// Sums up members by their name, zone, state and running requests.
 fn summed(rows: &[(&str, &str, MemberState, f32)]) -> Summary {
     let names: Vec<(ServerName, Zone)> = rows.iter().map(|row| (row.0.into(), row.1.into())).collect();
     summarize(rows.iter().zip(&names).map(|(row, (name, zone))| MemberLoad {
--- a/crates/loomflow-fleet/tests/maintenance.rs
+++ b/crates/loomflow-fleet/tests/maintenance.rs
@@ -1,4 +1,4 @@
-//! The order's machine under generated entries, in any order and of any sense: what must hold does.
+//! Invariants of the state machine of maintenance under generated entries, in any order, valid or not.
 
 use loomflow_fleet::consensus::StateMachine;
 use loomflow_fleet::maintenance::rules::{Limit, Rules};
@@ -11,7 +11,7 @@
 
 const SERVERS: usize = 6;
 
-fn wanted(server: usize) -> TicketRequest {
+fn ticket_request(server: usize) -> TicketRequest {
     TicketRequest {
         server: format!("n{server}"),
         zone: format!("z{}", server % 2),
@@ -43,7 +43,7 @@
     let moves = (1u64..12, proptest::sample::select(Transition::ALL.to_vec()), 0u64..12, 1u64..4);
     let away = proptest::collection::vec(0..SERVERS, 0..2);
     prop_oneof![
-        2 => (0..SERVERS).prop_map(|n| MaintenanceCommand::CreateTickets(vec![wanted(n)])),
+        2 => (0..SERVERS).prop_map(|n| MaintenanceCommand::CreateTickets(vec![ticket_request(n)])),
         8 => moves.prop_map(|(ticket, transition, grant, incarnation)| MaintenanceCommand::Transition { ticket, transition, grant, incarnation }),
         4 => (1u64..12, 1u64..4, away).prop_map(|(ticket, incarnation, away)| {
             MaintenanceCommand::Grant { ticket, incarnation, census: census(&away) }
@@ -53,17 +53,17 @@
     ]
 }
 
-fn put(maintenance: &mut MaintenanceState, entry: &Entry) -> Option<Response> {
+fn apply(maintenance: &mut MaintenanceState, entry: &Entry) -> Option<Response> {
     maintenance.apply(&postcard::to_stdvec(entry).unwrap()).map(|(_, response)| response)
 }
 
-/// A machine with voters and room for two, one of them in each zone.
-fn machine() -> MaintenanceState {
+/// A state with three voters that lets two servers be out, one of each zone.
+fn initial_state() -> MaintenanceState {
     let mut maintenance = MaintenanceState::default();
     maintenance.set_voters(vec!["n0".into(), "n1".into(), "n2".into()]);
     let rules =
         Rules { max_out: Limit::Count(2), max_out_per_zone: Some(Limit::Count(1)), ..Rules::default() };
-    put(
+    apply(
         &mut maintenance,
         &Entry { id: u128::MAX, at: 0, issuer: Issuer::Leader, command: MaintenanceCommand::Rules(rules) },
     );
@@ -72,16 +72,16 @@
 
 proptest! {
     #[test]
-    fn no_entries_break_the_budget_or_what_is_kept(
+    fn no_entries_break_the_limits_or_the_saved_state(
         entries in proptest::collection::vec((issuer(), command(), 0u64..8_000), 1..120),
     ) {
-        let (mut maintenance, mut at) = (machine(), 0);
+        let (mut maintenance, mut at) = (initial_state(), 0);
         for (number, (issuer, command, passed)) in entries.into_iter().enumerate() {
             at += passed;
             let time = maintenance.time();
             let entry = Entry { id: number as u128, at, issuer, command };
-            let response = put(&mut maintenance, &entry);
-            prop_assert!(maintenance.time() >= time, "time goes on");
+            let response = apply(&mut maintenance, &entry);
+            prop_assert!(maintenance.time() >= time, "time never decreases");
             // Each server holds at most one place; of each zone at most one is out, of the voters at most one.
             let holders: Vec<&str> = maintenance.holders().keys().map(String::as_str).collect();
             prop_assert!(holders.len() <= 2, "{holders:?}");
@@ -93,44 +93,44 @@
             }
             let voters = holders.iter().filter(|name| ["n0", "n1", "n2"].contains(name)).count();
             prop_assert!(voters <= 1, "{holders:?}");
-            // A repeat gets the same and does nothing.
+            // A repeated entry gets the same response and changes nothing.
             if !matches!(entry.issuer, Issuer::Leader) {
                 let before = maintenance.save();
-                prop_assert_eq!(put(&mut maintenance, &entry), response);
+                prop_assert_eq!(apply(&mut maintenance, &entry), response);
                 prop_assert_eq!(before, maintenance.save());
             }
-            // What is read back is the same, and goes on the same.
+            // A state that was saved and loaded is the same, and stays so.
             let mut back = MaintenanceState::load(&maintenance.save()).unwrap();
             prop_assert_eq!(back.holders(), maintenance.holders());
             prop_assert_eq!(back.next_deadline(), maintenance.next_deadline());
             let later = Entry { id: 1 << 100, at: at + 50_000, issuer: Issuer::Leader, command: MaintenanceCommand::Clock };
-            put(&mut back, &later);
+            apply(&mut back, &later);
             let mut same = maintenance.clone();
-            put(&mut same, &later);
+            apply(&mut same, &later);
             prop_assert_eq!(back.save(), same.save());
         }
     }
 
     #[test]
     fn no_bytes_make_it_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let mut maintenance = machine();
+        let mut maintenance = initial_state();
         let _ = maintenance.apply(&bytes);
         let _ = MaintenanceState::load(&bytes);
     }
 }
 
 #[test]
-fn ten_thousand_asked_at_once_are_taken_and_what_is_beyond_the_bound_is_refused_whole() {
+fn ten_thousand_tickets_at_once_are_accepted_and_a_request_beyond_the_bound_is_rejected_entirely() {
     let many = |from: usize, count: usize| {
-        MaintenanceCommand::CreateTickets((from..from + count).map(wanted).collect())
+        MaintenanceCommand::CreateTickets((from..from + count).map(ticket_request).collect())
     };
-    let ask = |id, command| Entry { id, at: 0, issuer: Issuer::Operator("ops".into()), command };
-    let mut maintenance = machine();
-    match put(&mut maintenance, &ask(1, many(0, 10_000))) {
+    let operator_entry = |id, command| Entry { id, at: 0, issuer: Issuer::Operator("ops".into()), command };
+    let mut maintenance = initial_state();
+    match apply(&mut maintenance, &operator_entry(1, many(0, 10_000))) {
         Some(Response::Done(tickets)) => assert_eq!(tickets.len(), 10_000),
         other => panic!("{other:?}"),
     }
-    let rejected = put(&mut maintenance, &ask(2, many(20_000, 3_000)));
+    let rejected = apply(&mut maintenance, &operator_entry(2, many(20_000, 3_000)));
     assert_eq!(rejected, Some(Response::Rejected(Rejection::TooMany(10_000))));
     assert_eq!(maintenance.open().len(), 10_000);
     assert!(maintenance.events().count() <= MAX_EVENTS && MAX_OPEN_TICKETS >= 10_000);
@@ -144,7 +144,7 @@
             grant: 0,
             incarnation: 0,
         };
-        put(&mut maintenance, &ask(u128::from(id) + 10, withdraw));
+        apply(&mut maintenance, &operator_entry(u128::from(id) + 10, withdraw));
     }
     assert_eq!((maintenance.open().len(), maintenance.closed().count()), (0, MAX_CLOSED_TICKETS));
     assert!(maintenance.closed().all(|ticket| ticket.stage == TicketStage::Withdrawn));
--- a/crates/loomflow-server/src/fleet/links.rs
+++ b/crates/loomflow-server/src/fleet/links.rs
@@ -119,7 +119,7 @@
         match read(link, now, handle_message) {
             Ok(ReadResult::Drained) => None,
             Ok(ReadResult::HasMore) => {
-                // Readiness is told once: asked for anew it is told again, after the others have had their turn.
+                // Readiness is reported once; registered anew it is reported again, after that of the other links.
                 let _ = registry.reregister(&mut link.stream, token, Interest::READABLE);
                 None
             }
@@ -223,14 +223,14 @@
     }
 }
 
-/// What is left of a connection after its turn.
+/// What is left of a connection after a bounded read.
 enum ReadResult {
     Drained,
     HasMore,
     Closed,
 }
 
-/// Reads what is there, or a turn's worth of it.
+/// Reads what is there, up to a bound, so that one link does not hold up the others.
 fn read(
     link: &mut IncomingLink,
     now: WholeMillis,
