--- a/crates/loomflow-fleet-simulation/tests/common/mod.rs
+++ b/crates/loomflow-fleet-simulation/tests/common/mod.rs
@@ -7,7 +7,7 @@
 /// The events of a simulation, and why each machine waits.
 pub fn timeline(simulation: &Simulation) -> String {
     let waits = (0..simulation.machines.len()).flat_map(|machine| simulation.explain(machine));
-    let lines = simulation.log.iter().map(|(at, what)| format!("{at:>8} {what}"));
+    let lines = simulation.log.iter().map(ToString::to_string);
     lines.chain(waits).collect::<Vec<_>>().join("\n")
 }
 
