--- a/crates/loomflow-server/src/budget.rs
+++ b/crates/loomflow-server/src/budget.rs
@@ -3,16 +3,16 @@
 use loomflow_settings::Config;
 use rustix::process::{Resource, getrlimit};
 
-/// One in so many descriptors is for connections to the ledger.
+/// Connections to the ledger get the descriptors divided by this.
 const LEDGER_PART: usize = 8;
 const MIN_LEDGER_CONNECTIONS: usize = 2;
 /// Descriptors for everything but gateways and ledger: standard streams, the listening socket, the poller, signals, the
 /// engine and the control plane, each former link beside the current one.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Above this part of the gateways' connections the longest idle are closed.
+/// Above this fraction (numerator, denominator) of the gateways' connections the longest idle are closed.
 const NEAR_CAPACITY: (usize, usize) = (3, 4);
 
-/// One in so many bytes is for each of: responses that gateways have not read, cached results, the idempotency cache's
+/// The memory divided by this is for each of: responses that gateways have not read, cached results, the idempotency cache's
 /// entries, and requests. The rest is for the program, the coroutines' stacks and buffers (at most 24 KB a connection).
 const MEMORY_PART: usize = 8;
 /// Memory of one request with its body.
--- a/crates/loomflow-server/src/clock.rs
+++ b/crates/loomflow-server/src/clock.rs
@@ -38,7 +38,7 @@
         Now { ms: self.start.elapsed().as_secs_f64() * 1000.0, unix: unix.as_secs_f64() * 1000.0 }
     }
 
-    /// Lets time pass at once.
+    /// Advances the monotonic clock.
     #[cfg(test)]
     pub fn advance(&mut self, by: Duration) {
         self.start = self.start.checked_sub(by).expect("the machine has been up for longer");
--- a/crates/loomflow-server/src/connection/driver.rs
+++ b/crates/loomflow-server/src/connection/driver.rs
@@ -13,9 +13,9 @@
 use super::runtime::sleep;
 use crate::close_reason::CloseReason;
 
-/// Messages that are read from one connection before the others have their turn.
+/// How many messages are read from one connection before the others have their turn.
 const MAX_MESSAGES_PER_TURN: usize = 16;
-/// A connection is opened within this time.
+/// How long opening a connection may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Opens a connection after a backoff, unless it has been closed by then.
@@ -86,8 +86,8 @@
             Err(reason) => return reason,
         }
         if let Some(reason) = handle.close_due() {
-            // What arrived before the close was received. Only its reader knows of it: whoever found the connection idle
-            // knew what had been read.
+            // What arrived before the close counts as received. The owner, which found the connection idle, only knows what
+            // had been read; the driver alone knows whether there is more.
             let was_idle = reason == CloseReason::IdleTimeout;
             if was_idle && has_unread_input(stream.inner(), &mut decoder) && handle.cancel_idle_close() {
                 continue;
@@ -107,6 +107,7 @@
     !buffer.unread().is_empty()
 }
 
+/// What is known after a turn of reading.
 enum ReadOutcome {
     /// There may be more to read, once others have had their turn or the connection's throttle delay has passed.
     MoreToRead,
@@ -116,7 +117,7 @@
     InputClosed(CloseReason),
 }
 
-/// What has come of a read.
+/// The outcome of one read.
 enum Filled {
     /// There may be a further message in the buffer.
     Buffer,
--- a/crates/loomflow-server/src/connection/handle.rs
+++ b/crates/loomflow-server/src/connection/handle.rs
@@ -10,7 +10,7 @@
 use super::violations::Violations;
 use crate::close_reason::CloseReason;
 
-/// With so many unwritten bytes, nothing more is read.
+/// While this many bytes are unwritten, nothing more is read.
 const MAX_UNWRITTEN_BYTES: usize = 64 * 1024;
 
 /// A connection, to everyone but its driver.
@@ -18,6 +18,7 @@
     state: Mutex<HandleState>,
 }
 
+/// What driver and owner share, under the handle's lock.
 struct HandleState {
     write_queue: WriteQueue,
     /// Requests that were read and not answered, and how many there may be where each needs a response.
@@ -119,7 +120,7 @@
     /// As [`ConnectionHandle::enqueue`], for the response to one request.
     pub fn enqueue_response(&self, write: impl FnOnce(&mut Vec<u8>)) {
         {
-            // An abort may have settled all requests meanwhile.
+            // An abort may have settled all requests before.
             let mut state = self.lock();
             state.open_requests = state.open_requests.saturating_sub(1);
         }
@@ -148,7 +149,7 @@
         is_idle_close
     }
 
-    /// Closes the connection at once, whatever is unwritten. Returns how many bytes were written.
+    /// Closes the connection immediately, and discards what is unwritten. Returns how many bytes were written.
     pub fn abort(&self) -> u64 {
         let mut state = self.lock();
         state.write_queue.discard();
@@ -188,15 +189,17 @@
         self.lock().violations.record(Instant::now());
     }
 
+    /// How long the driver waits before it reads more.
     pub(super) fn throttle_delay(&self) -> Duration {
         self.lock().violations.throttle_delay(Instant::now())
     }
 
+    /// Sets how the driver is woken, or that it is not.
     pub(super) fn set_waker(&self, waker: Option<WaitIoWaker>) {
         self.lock().waker = waker;
     }
 
-    /// So many bytes were read that are no complete message.
+    /// Records how many bytes were read that are no complete message.
     pub(super) fn set_unread(&self, bytes: usize) {
         let mut state = self.lock();
         state.partial_message = PartialMessage::updated(state.partial_message, bytes, Instant::now());
--- a/crates/loomflow-server/src/connection/linger.rs
+++ b/crates/loomflow-server/src/connection/linger.rs
@@ -14,7 +14,7 @@
 pub const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
 /// The maximum time that counts for a single wait: the peer could not close while the machine was paused.
 const MAX_WAIT: Duration = Duration::from_millis(50);
-/// What is read meanwhile is discarded: so much at once, and then an interval, so that a flood costs little.
+/// What is read while lingering is discarded, at most this much in each interval, so that a flood costs little.
 const READ_BYTES: usize = 4096;
 const READ_INTERVAL: Duration = Duration::from_millis(5);
 
@@ -49,7 +49,7 @@
         (!self.0.is_zero()).then(|| self.0.min(MAX_WAIT))
     }
 
-    /// A wait took so long by the clock.
+    /// Accounts for a wait that took `elapsed` by the clock.
     fn consume(&mut self, elapsed: Duration) {
         self.0 = self.0.saturating_sub(elapsed.min(MAX_WAIT));
     }
--- a/crates/loomflow-server/src/connection/partial_message.rs
+++ b/crates/loomflow-server/src/connection/partial_message.rs
@@ -2,9 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-/// The rest of a message is waited for so long after its last byte: a slow peer is waited for, a stalled one is not.
+/// How long after its last byte the rest of a message is waited for: a slow peer is waited for, a stalled one is not.
 const STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The rest of a message is waited for so long after its first byte.
+/// How long after its first byte the rest of a message is waited for.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// When a message began to arrive, and how much of it has.
--- a/crates/loomflow-server/src/connection/runtime.rs
+++ b/crates/loomflow-server/src/connection/runtime.rs
@@ -39,7 +39,7 @@
     may::coroutine::yield_now();
 }
 
-/// Lets further reads wait for so long.
+/// Sets how long further reads wait.
 pub fn set_read_timeout(stream: &TcpStream, timeout: Duration) -> std::io::Result<()> {
     stream.set_read_timeout(Some(to_whole_millis(timeout)))
 }
--- a/crates/loomflow-server/src/connection/violations.rs
+++ b/crates/loomflow-server/src/connection/violations.rs
@@ -4,7 +4,7 @@
 
 /// Delay before more is read, for each recent violation: a flood throttles its own sender.
 const THROTTLE_STEP: Duration = Duration::from_millis(5);
-/// Further violations make no difference.
+/// The maximum number of violations that count.
 const MAX_VIOLATIONS: u32 = 20;
 /// One violation decays after each interval: a connection that is open for days is throttled for recent violations only.
 const DECAY_INTERVAL: Duration = Duration::from_secs(1);
--- a/crates/loomflow-server/src/engine.rs
+++ b/crates/loomflow-server/src/engine.rs
@@ -22,14 +22,14 @@
 /// Delay before a link is opened again; the first attempt has none.
 const MIN_BACKOFF_MS: Millis = 10.0;
 const MAX_BACKOFF_MS: Millis = 500.0;
-/// After a link that was attached for so long the next one is opened without a backoff.
+/// A link that was attached for this time is stable: after it the next one is opened without a backoff.
 const STABLE_AFTER_MS: Millis = 1000.0;
-/// The engine answers the query that closes its replay within this time, or is taken to have done so.
+/// How long the engine may take to answer the query that ends its replay. After that the replay counts as ended.
 const REPLAY_TIMEOUT_MS: Millis = 300.0;
-/// Gauges that are older are not used.
+/// Gauges older than this are not used.
 const GAUGES_MAX_AGE_MS: Millis = 500.0;
 
-/// The settings of an engine that started so long ago, with what is left of its slow start. The speed rises evenly.
+/// The settings of an engine that started `age` ago, with the rest of its slow start. The speed rises linearly.
 pub fn with_remaining_slow_start(settings: &Settings, is_starting: bool, age: Millis) -> Settings {
     let mut remaining = settings.clone();
     remaining.is_slow_start = is_starting && age < settings.slow_start_duration;
@@ -58,6 +58,7 @@
     TimedOut,
 }
 
+/// How far the current link has come.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum LinkState {
     Connecting,
--- a/crates/loomflow-server/src/front/amqp/mod.rs
+++ b/crates/loomflow-server/src/front/amqp/mod.rs
@@ -26,9 +26,9 @@
 use crate::log;
 use crate::mailbox::{BrokerEvent, LinkId, Mailbox};
 
-/// The counts are logged so often, where they have changed.
+/// Time between two log lines of the counts; none is written while they have not changed.
 const REPORT_INTERVAL_MS: Millis = 10_000.0;
-/// A link that is no longer used may write for so long what is queued on it.
+/// How long a link that was replaced may write what is queued on it.
 const FINAL_WRITE_TIMEOUT_MS: Millis = 1_000.0;
 
 /// The front for queues of AMQP brokers.
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Takes a response; what follows from it is sent at the next check of deadlines, which is due at once.
+    /// Passes a response to the consumer. Its frames are sent at the next check of deadlines, which is then due immediately.
     pub fn respond(&mut self, id: u64, response: Response, now: Millis) {
         let response = match response {
             Response::Served(result) => MessageResponse::Served(result),
--- a/crates/loomflow-server/src/front/interface.rs
+++ b/crates/loomflow-server/src/front/interface.rs
@@ -13,7 +13,7 @@
 pub enum ReplyHandle {
     /// A connection of a gateway, and the tag of a request on it.
     Tag(ConnectionId, u64),
-    /// A message of a broker, by a number of our own.
+    /// A message of a broker, by the number that the consumer gave it.
     Delivery(u64),
 }
 
@@ -24,7 +24,7 @@
     Submit(Box<Submission>),
     /// To respond to a request that cannot be handled, for this reason.
     Invalid(ReplyHandle, &'static str),
-    /// To cancel a request: nobody reads its response any more.
+    /// To cancel a request whose response cannot be delivered any more.
     Cancel(ReplyHandle),
     /// To respond to a health check.
     HealthCheck {
@@ -35,12 +35,12 @@
     },
 }
 
-/// A request as its front read it: names are indices into the settings, timestamps are durations.
+/// A request as its front has read it.
 #[derive(Debug)]
 pub struct Submission {
     /// Where the response goes.
     pub reply_handle: ReplyHandle,
-    /// Names the attempt towards engine and ledger; no other request has the same at the same time.
+    /// Identifies the attempt to engine and ledger; unique among the requests in progress.
     pub attempt_id: AttemptId,
     /// Its idempotency key, where it has one.
     pub key: Option<IdempotencyKey>,
@@ -69,7 +69,7 @@
 }
 
 impl Response<'_> {
-    /// A rejection without advice: the caller may try another server at once.
+    /// A rejection without a retry-after: the caller may try another server immediately.
     pub const REJECTED: Response<'static> = Response::Rejected { retry_after: 0.0, is_final: false };
 }
 
--- a/crates/loomflow-server/src/front/resp/classify.rs
+++ b/crates/loomflow-server/src/front/resp/classify.rs
@@ -1,4 +1,4 @@
-//! From a gateway's request to a submission: names become indices into the settings, timestamps become ages.
+//! Turns a gateway's request into a submission: names become indices into the settings, timestamps become ages.
 
 use loomflow::interface::{Idempotency, RequestAttributes};
 use loomflow::time::Millis;
@@ -9,12 +9,12 @@
 use crate::front::interface::{ReplyHandle, Submission};
 use crate::idempotency::IdempotencyKey;
 
-/// A timestamp may be this much older than the class's timeout, after a pause of the machine.
+/// How much older than the class's timeout a timestamp may be, after a pause of the machine.
 const MAX_TIMESTAMP_AGE_MS: Millis = 60_000.0;
-/// A timestamp may be ahead of this machine's clock by so much.
+/// How far a timestamp may be ahead of this machine's clock.
 const MAX_CLOCK_SKEW_MS: Millis = 1_000.0;
-/// Estimated work, and the wait that a caller states, are at most this multiple of the class's timeout: a larger figure in the
-/// queue would make all other requests seem too late.
+/// The maximum of estimated work and of the wait that a caller states, as a multiple of the class's timeout. A larger figure
+/// in the queue would make all other requests seem too late.
 const MAX_ESTIMATE_FACTOR: f64 = 25.0;
 
 /// Where a request's names are in the settings.
--- a/crates/loomflow-server/src/front/resp/connections/capacity.rs
+++ b/crates/loomflow-server/src/front/resp/connections/capacity.rs
@@ -12,9 +12,9 @@
 /// Bounds on the connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// With more connections than this the longest idle are closed.
+    /// Above this number of connections the longest idle are closed.
     pub near_capacity: usize,
-    /// With so many connections, others wait to be accepted.
+    /// At this number of connections no further one is accepted.
     pub max_connections: usize,
     /// Bytes of responses that gateways have not read, in all.
     pub max_unwritten_bytes: usize,
--- a/crates/loomflow-server/src/front/resp/connections/closing.rs
+++ b/crates/loomflow-server/src/front/resp/connections/closing.rs
@@ -2,8 +2,8 @@
 
 use loomflow::time::Millis;
 
-/// A connection that is being closed is aborted once its peer has read nothing for so long: a slow reader is waited for,
-/// one that does not read is not.
+/// A connection that is being closed is aborted after its peer has read nothing for this time. A slow reader is waited for, a
+/// peer that does not read is not.
 pub(super) const CLOSE_STALL_TIMEOUT_MS: Millis = 2_000.0;
 /// It is aborted once its peer has not read everything after this time.
 pub(super) const CLOSE_TIMEOUT_MS: Millis = 10_000.0;
--- a/crates/loomflow-server/src/front/resp/connections/connection.rs
+++ b/crates/loomflow-server/src/front/resp/connections/connection.rs
@@ -37,6 +37,7 @@
 }
 
 impl GatewayConnection {
+    /// A connection that was accepted.
     pub(super) fn new(handle: Arc<ConnectionHandle>, now: Millis) -> GatewayConnection {
         GatewayConnection {
             handle,
--- a/crates/loomflow-server/src/front/resp/connections/interleavings.rs
+++ b/crates/loomflow-server/src/front/resp/connections/interleavings.rs
@@ -29,9 +29,9 @@
     Connect(u64),
     /// A gateway sends a request, with a new tag or with its last one again.
     SendRequest(u64, bool),
-    /// A driver reads and writes, and its gateway reads at most so many bytes.
+    /// A driver reads and writes, and its gateway reads at most this many bytes.
     Drive(u64, usize),
-    /// The owner handles so many of the drivers' events.
+    /// The owner handles at most this many of the drivers' events.
     HandleEvents(usize),
     /// The oldest or the newest open request of a connection gets its response.
     Respond(u64, bool),
--- a/crates/loomflow-server/src/front/resp/connections/shutdown.rs
+++ b/crates/loomflow-server/src/front/resp/connections/shutdown.rs
@@ -5,7 +5,7 @@
 use super::timeouts::GOODBYE_TIMEOUT_MS;
 use crate::connection::LINGER_TIMEOUT;
 
-/// The process ends so long before it would be killed, whatever is unwritten.
+/// How long before the kill the process ends, whatever is unwritten.
 pub(super) const KILL_MARGIN_MS: Millis = 50.0;
 
 /// The deadlines of a graceful shutdown.
--- a/crates/loomflow-server/src/front/resp/connections/timeouts.rs
+++ b/crates/loomflow-server/src/front/resp/connections/timeouts.rs
@@ -12,11 +12,11 @@
 /// The timeouts that apply to all connections at a check.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Timeouts {
-    /// A goodbye is sent on a connection that has been idle for so long.
+    /// How long a connection may be idle before a goodbye is sent on it.
     pub(super) idle: Millis,
-    /// A connection is closed so long after a goodbye.
+    /// How long after a goodbye a connection is closed.
     pub(super) goodbye: Millis,
-    /// The rest of a message is still waited for.
+    /// Whether the rest of a partial message is waited for.
     pub(super) waits_for_partial_messages: bool,
 }
 
--- a/crates/loomflow-server/src/front/resp/listener.rs
+++ b/crates/loomflow-server/src/front/resp/listener.rs
@@ -20,11 +20,11 @@
 use crate::mailbox::{ConnectionId, FrontEvent, GatewayEvent, Mailbox, OwnerEvent};
 use connection_limit::{ConnectionLimit, ConnectionPermit};
 
-/// Time between two attempts, after a failure and while there is no capacity.
+/// Time between two attempts to bind or accept, after a failure and while there is no capacity.
 const RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// The former process of this server may use the address until it is killed, and so long after that.
+/// How long after the kill of this server's former process its address may still be in use.
 const ADDRESS_RELEASE_MARGIN: Duration = Duration::from_secs(1);
-/// A failure to accept that persists is logged again after this time.
+/// Time between two log lines of a failure to accept that persists.
 const FAILURE_LOG_INTERVAL: Duration = Duration::from_secs(60);
 /// Connections that the system queues until they are accepted.
 const BACKLOG: i32 = 1024;
@@ -101,7 +101,7 @@
     ADDRESS_RELEASE_MARGIN + Duration::from_secs_f64(stop_ms / 1000.0)
 }
 
-/// `may`'s own bind would share the port with whoever listens there already.
+/// `may`'s own bind would share the port with another process that listens on it.
 fn bind(address: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -129,7 +129,7 @@
 ) {
     let mut failures = FailureLog::default();
     loop {
-        // Also once it is stopped: whoever the system has accepted gets a response as soon as others have left.
+        // Also after the stop: connections in the system's queue are accepted as soon as others have been closed.
         if !has_capacity() {
             connection::sleep(RETRY_INTERVAL);
             continue;
--- a/crates/loomflow-server/src/front/resp/listener/connection_limit.rs
+++ b/crates/loomflow-server/src/front/resp/listener/connection_limit.rs
@@ -14,6 +14,7 @@
 }
 
 impl ConnectionLimit {
+    /// A limit of which nothing is used.
     pub(super) fn new(max_connections: usize) -> ConnectionLimit {
         ConnectionLimit { max_connections, permits: Arc::new(()) }
     }
--- a/crates/loomflow-server/src/front/resp/mod.rs
+++ b/crates/loomflow-server/src/front/resp/mod.rs
@@ -187,13 +187,13 @@
         self.connections.set_idle_timeout(timeout);
     }
 
-    /// No further connection is accepted, and no further request is wanted. It has to be drained by `deadline`.
+    /// No further connection is accepted, and each open one gets a goodbye. All have to be closed by `deadline`.
     pub fn stop_intake(&mut self, deadline: Millis, kill_deadline: Millis, now: Millis) {
         self.acceptor.stop();
         self.connections.begin_shutdown(deadline, kill_deadline, now);
     }
 
-    /// Whether nobody can connect any more, and all connections are closed.
+    /// Whether the listening socket and all connections are closed.
     pub fn is_drained(&self, now: Millis) -> bool {
         (!self.is_listening || self.connections.is_kill_imminent(now)) && self.connections.is_drained(now)
     }
--- a/crates/loomflow-server/src/idempotency.rs
+++ b/crates/loomflow-server/src/idempotency.rs
@@ -1,8 +1,9 @@
 //! The idempotency cache: connects a duplicate to the request that ran, and keeps the results that answer duplicates.
 //! How long a request is retained is decided by the controller; how much is retained is bounded here.
 //!
-//! A request here arrives once, and its time of arrival decides which original it repeats; a message of a broker may come
-//! again at any time and from elsewhere, so that `loomflow_amqp::idempotency` decides by what the broker marks instead.
+//! A request of a gateway arrives once, and its time of arrival decides which original it repeats. A message of a broker may be
+//! delivered again at any time and by another server, so `loomflow_amqp::idempotency` decides by its records of the key and by
+//! the broker's redelivery mark instead.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -63,6 +64,7 @@
     NotRun,
 }
 
+/// A request that is retained.
 struct CacheEntry {
     key: IdempotencyKey,
     is_idempotent: bool,
@@ -105,7 +107,7 @@
     evictable: BTreeSet<(Micros, RequestId)>,
     /// A duplicate of a request whose result was evicted gets a failure.
     results: ResultBudget<RequestId>,
-    /// With so many entries reads are evicted and nothing else: a new request with an effect is rejected.
+    /// At this number of entries reads are evicted. Requests with an effect never are: new ones are rejected.
     max_entries: usize,
     body_hasher: BodyHasher,
 }
--- a/crates/loomflow-server/src/idempotency/tests/generated.rs
+++ b/crates/loomflow-server/src/idempotency/tests/generated.rs
@@ -18,7 +18,7 @@
     tenant: usize,
     text: u8,
     body: u8,
-    /// It is read so long after it arrived, in ms.
+    /// How long after its arrival it is read, in ms.
     read_delay: f64,
 }
 
--- a/crates/loomflow-server/src/log.rs
+++ b/crates/loomflow-server/src/log.rs
@@ -6,7 +6,7 @@
 
 use loomflow_settings::options::LogFormat;
 
-/// Lines a second, and lines at once.
+/// Lines a second, and the maximum number of lines in a burst.
 const RATE: f64 = 5.0;
 const BURST: f64 = 20.0;
 
@@ -33,8 +33,7 @@
     };
 }
 
-/// One line, written at once by `eprintln!`. That panics where nobody reads the log any more, which is no reason to stop
-/// serving.
+/// One line, written by a single `eprintln!`. It panics if standard error is closed, which is no reason to stop serving.
 struct LogLine {
     prefix: &'static str,
     bytes: Vec<u8>,
--- a/crates/loomflow-server/src/owner/actions.rs
+++ b/crates/loomflow-server/src/owner/actions.rs
@@ -1,4 +1,4 @@
-//! What the controller has decided, carried out.
+//! Carries out the controller's actions.
 
 use loomflow::interface::{Action, Event, FeedbackSignal, Idempotency, Outcome, RequestId};
 use loomflow::time::Millis;
@@ -12,6 +12,7 @@
 use crate::request_table::Progress;
 
 impl Owner {
+    /// Carries out actions in order.
     pub(super) fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             self.carry_out_action(action);
--- a/crates/loomflow-server/src/owner/batch_schedule.rs
+++ b/crates/loomflow-server/src/owner/batch_schedule.rs
@@ -4,9 +4,9 @@
 
 use loomflow::time::Millis;
 
-/// The maximum time between two batches: idle connections and deadlines are checked as often.
+/// The maximum time between two batches, and so between two checks of idle connections and deadlines.
 const MAX_SLEEP_MS: Millis = 100.0;
-/// A batch that is this late follows a pause of the machine.
+/// A batch that begins this long after its deadline follows a pause of the machine.
 const PAUSE_THRESHOLD_MS: Millis = 20.0;
 
 /// When the next batch is due.
@@ -31,12 +31,13 @@
         Duration::from_micros((timeout * 1000.0).ceil() as u64)
     }
 
-    /// Whether the machine has paused meanwhile: what arrived during the pause is to be read before deadlines are checked.
+    /// Whether the machine has paused since the last batch: what arrived during the pause has to be read before deadlines are
+    /// checked.
     pub(super) fn follows_pause(&self, now: Millis) -> bool {
         now - self.deadline > PAUSE_THRESHOLD_MS
     }
 
-    /// How long the batch is delayed until the interval since the last one has passed; none where it is due.
+    /// How long the batch has to be delayed, so that the interval since the last one has passed; none if it has.
     pub(super) fn delay(&self, now: Millis) -> Option<Duration> {
         let delay = self.last_batch_at + self.interval - now;
         (delay > 0.0).then(|| Duration::from_micros((delay * 1000.0) as u64))
--- a/crates/loomflow-server/src/owner/controller_host.rs
+++ b/crates/loomflow-server/src/owner/controller_host.rs
@@ -25,7 +25,7 @@
         self.controller.is_some()
     }
 
-    /// Starts the controller. Its first decision is due at once.
+    /// Starts the controller. Its first decision is due immediately.
     pub(super) fn start(&mut self, settings: Settings, seed: u64, now: Millis) {
         self.controller = Some(Controller::new(settings, seed, now));
         self.needs_decision = true;
--- a/crates/loomflow-server/src/owner/engine_events.rs
+++ b/crates/loomflow-server/src/owner/engine_events.rs
@@ -1,4 +1,4 @@
-//! What the engine reports about runs, and the commands that are sent to it again after a lost link.
+//! Handles the engine's notices, and sends commands again after a lost link.
 
 use loomflow::interface::{Event, Outcome, RequestId};
 use loomflow::time::Millis;
@@ -14,6 +14,7 @@
 use crate::request_table::Progress;
 
 impl Owner {
+    /// Handles a notice that was not read before.
     pub(super) fn handle_notice(&mut self, notice: Notice) {
         match notice {
             Notice::Hello { is_starting, age } => self.engine_attached(is_starting, age),
--- a/crates/loomflow-server/src/owner/health_checks.rs
+++ b/crates/loomflow-server/src/owner/health_checks.rs
@@ -8,7 +8,7 @@
 
 use crate::front::interface::ReplyHandle;
 
-/// A deep health check that the engine has not answered within this time has failed.
+/// How long the engine may take to answer a deep health check. After that the check has failed.
 const HEALTH_CHECK_TIMEOUT_MS: Millis = 1000.0;
 
 /// A deep health check that the engine has not answered.
@@ -20,7 +20,7 @@
 /// The server's health, and the checks that wait for the engine.
 pub(super) struct HealthChecks {
     is_healthy: bool,
-    /// Checks are answered without the engine: so from the first decision of the controller on, which caches the health.
+    /// Checks are answered without the engine. The controller's first decision sets it.
     is_cached: bool,
     /// What is reported to the control plane.
     ready: Arc<AtomicBool>,
@@ -34,6 +34,7 @@
         HealthChecks { is_healthy: true, is_cached: false, ready, pending: BTreeMap::new() }
     }
 
+    /// The health that is reported.
     pub(super) fn is_healthy(&self) -> bool {
         self.is_healthy
     }
--- a/crates/loomflow-server/src/owner/interleavings.rs
+++ b/crates/loomflow-server/src/owner/interleavings.rs
@@ -24,14 +24,14 @@
 const GATEWAY: u64 = 1;
 /// The timeout of a request. Half of it, the latency objective, is longer than all steps of an interleaving take.
 const TIMEOUT_MS: f64 = 60_000.0;
-/// A command that was sent so long before a link is lost is known to have arrived.
+/// A command that was sent this long before a link is lost is known to have arrived.
 const DELIVERY_TIME: Duration = Duration::from_millis(300);
 const READ: &str = "read";
 const PAYMENT: &str = "pay";
 const BOOKING: &str = "book";
 /// A read may run again, a payment must not, and a booking has a key.
 const CLASSES: [&str; 3] = [READ, PAYMENT, BOOKING];
-/// So many rounds are more than the steps of an interleaving need to finish.
+/// More rounds than the requests of any interleaving need to finish.
 const SETTLE_ROUNDS: usize = 400;
 /// Seconds after which what is uncertain has timed out.
 const TIMEOUT_S: usize = 80;
@@ -41,20 +41,20 @@
 enum EngineLinkStep {
     /// A gateway sends a request of a class.
     SubmitRequest(usize),
-    /// The system takes so many bytes of the link, which are on their way then.
+    /// The system takes at most this many bytes of the link, which are on their way then.
     WriteCommands(usize),
     /// The engine reads all that is on its way.
     ReceiveCommands,
     /// A run continues to its next call, or to its end.
     AdvanceRun(usize),
-    /// The server reads so many notices.
+    /// The server reads at most this many notices.
     DeliverNotices(usize),
     /// The ledger replies to a call.
     ReplyToCall(usize),
-    /// The link is lost: so many of the bytes on their way arrive, and none of the notices.
+    /// The link is lost: at most this many of the bytes on their way arrive, and none of the notices.
     LoseLink(usize),
-    /// The engine's address changes. All that is on its way arrives, and after that so many notices are read on the former
-    /// link.
+    /// The engine's address changes. All that is on its way arrives, and after that at most this many notices are read on the
+    /// former link.
     ChangeAddress(usize),
     /// The next link is attached and its replay ends.
     Attach,
--- a/crates/loomflow-server/src/owner/mod.rs
+++ b/crates/loomflow-server/src/owner/mod.rs
@@ -8,8 +8,8 @@
 //! - this file: one batch;
 //! - `controller_host`: the controller, and the events that are queued for it;
 //! - `requests`: requests, from a front's submission to their response; `admission`: whether one is accepted;
-//! - `engine_events`: what the engine reports, and commands that are sent again after a lost link;
-//! - `actions`: what the controller has decided, carried out;
+//! - `engine_events`: handles the engine's notices, and sends commands again after a lost link;
+//! - `actions`: carries out the controller's actions;
 //! - `timers`, `health_checks`, `fleet_reporter`, `peers`: state of one concern each;
 //! - `reload`: a new configuration;
 //! - `shutdown`: the stages of a graceful shutdown; `draining`: what the owner does at each.
@@ -73,6 +73,7 @@
     Fleet(#[from] fleet::StartError),
 }
 
+/// The state of the main thread.
 struct Owner {
     config: Config,
     site: Site,
@@ -82,7 +83,7 @@
     controller: ControllerHost,
     requests: RequestTable,
     admission_limit: AdmissionLimit,
-    /// Reused from batch to batch; empty between them.
+    /// A buffer for the fronts' requests, reused from batch to batch and empty between them.
     front_requests: Vec<FrontRequest>,
     idempotency: IdempotencyCache,
     fronts: Fronts,
@@ -138,8 +139,8 @@
         BatchSchedule::new(self.now.ms, self.site.settings.batch_interval, deadline)
     }
 
-    /// Handles a batch: all events, then deadlines and timers, then one decision of the controller, and a further one
-    /// for as long as actions have consequences.
+    /// Handles a batch: all events, then deadlines and timers, then a decision of the controller, and a further one as long
+    /// as events follow from its actions.
     fn process_batch(&mut self, events: Vec<OwnerEvent>) {
         self.now = self.clock.now();
         for event in events {
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Does what is due at a time.
+    /// Handles the timers that are due.
     fn fire_timers(&mut self) {
         let now = self.now.ms;
         self.check_grace_period();
--- a/crates/loomflow-server/src/owner/requests.rs
+++ b/crates/loomflow-server/src/owner/requests.rs
@@ -47,7 +47,7 @@
         self.admission_limit.check_capacity(self.controller.is_started(), self.requests.len())
     }
 
-    /// Nobody reads the response to this request any more.
+    /// Cancels the request of a response that nobody reads any more.
     fn cancel(&mut self, reply_handle: ReplyHandle) {
         let Some(id) = self.requests.find_unanswered(reply_handle) else { return };
         self.requests.mark_answered(id, self.now.ms);
@@ -98,6 +98,7 @@
         }
     }
 
+    /// Responds to a health check: the server is healthy if the check has passed and the controller agrees.
     pub(super) fn respond_to_health_check(&mut self, reply_handle: ReplyHandle, has_passed: bool) {
         let response = Response::Health(has_passed && self.health.is_healthy());
         self.fronts.respond(reply_handle, response, self.now.ms);
--- a/crates/loomflow-server/src/owner/shutdown.rs
+++ b/crates/loomflow-server/src/owner/shutdown.rs
@@ -3,7 +3,7 @@
 
 use loomflow::time::Millis;
 
-/// What is owed to peers that do not respond is abandoned so long before the process is killed.
+/// How long before the kill a shutdown has to be complete: what peers have not read by then is abandoned.
 const SHUTDOWN_MARGIN_MS: Millis = 300.0;
 /// The margin is at most this share of the time until the kill.
 const MAX_MARGIN_SHARE: f64 = 0.25;
@@ -19,6 +19,7 @@
     pub(super) kill_deadline: Millis,
 }
 
+/// The stages of a graceful shutdown, in order.
 #[derive(Clone, Copy, Debug)]
 enum ShutdownStage {
     Serving,
--- a/crates/loomflow-server/src/owner/timers.rs
+++ b/crates/loomflow-server/src/owner/timers.rs
@@ -4,7 +4,7 @@
 
 use loomflow::time::{Micros, Millis, micros};
 
-/// Gauges are polled so long before the timer that passes them on.
+/// How long before a timer the gauges are polled that it passes on.
 const GAUGE_POLL_LEAD_MS: Millis = 8.0;
 
 /// The timers that have not fired.
--- a/crates/loomflow-server/src/request_table.rs
+++ b/crates/loomflow-server/src/request_table.rs
@@ -22,8 +22,8 @@
     AwaitingCall,
 }
 
-/// The engine reports the end of every run. One whose request was answered so long ago is taken to have ended without a
-/// report, so that its entry does not stay for good.
+/// How long after its response the end of a run is waited for. The engine reports every end; a run without a report by then
+/// counts as ended, so that its entry does not stay forever.
 const RUN_END_TIMEOUT_MS: Millis = 60_000.0;
 
 /// One request.
@@ -49,7 +49,7 @@
     pub progress: Progress,
     /// The last command to the engine, until a notice confirms that it arrived.
     pub pending_command: Option<PendingCommand>,
-    /// The last reply to its call was sent a second time, right behind this fence.
+    /// The last reply to its call was sent a second time, right behind the fence with this tag.
     pub resent_reply_fence: Option<u64>,
     /// The body of its call.
     pub call_body: Vec<u8>,
@@ -162,7 +162,7 @@
         Some(entry)
     }
 
-    /// Requests that were answered so long ago that the end of their run is not to be expected any more.
+    /// Requests that were answered [`RUN_END_TIMEOUT_MS`] ago or more: the end of their run will not be reported.
     pub fn lost_runs(&self, now: Millis) -> Vec<RequestId> {
         let is_overdue =
             |entry: &RequestEntry| entry.is_answered && now - entry.answered_at >= RUN_END_TIMEOUT_MS;
