--- a/crates/loomflow-server/src/front/interface.rs
+++ b/crates/loomflow-server/src/front/interface.rs
@@ -22,8 +22,13 @@
 pub enum FrontRequest {
     /// To handle a request.
     Submit(Box<Submission>),
-    /// To respond to a request that cannot be handled, for this reason.
-    Invalid(ReplyHandle, &'static str),
+    /// To respond to a request that cannot be handled.
+    Invalid {
+        /// Where the response goes.
+        reply_handle: ReplyHandle,
+        /// What is wrong with it.
+        reason: InvalidRequest,
+    },
     /// To cancel a request whose response cannot be delivered any more.
     Cancel(ReplyHandle),
     /// To respond to a health check.
@@ -35,6 +40,37 @@
     },
 }
 
+/// Why a request cannot be handled.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum InvalidRequest {
+    /// The settings have no such class.
+    UnknownClass,
+    /// It names no tenant, although the settings have tenants.
+    MissingTenant,
+    /// The settings have no such tenant.
+    UnknownTenant,
+    /// Its timestamp is too old, or too far in the future.
+    TimestampOutOfRange,
+    /// Its estimated work is not positive, or too large.
+    EstimatedWorkOutOfRange,
+    /// It states a wait that is too long.
+    RemainingWaitOutOfRange,
+}
+
+impl InvalidRequest {
+    /// The reason for the log, with the protocol's names.
+    pub fn reason(self) -> &'static str {
+        match self {
+            InvalidRequest::UnknownClass => "the class is not known",
+            InvalidRequest::MissingTenant => "owner is missing",
+            InvalidRequest::UnknownTenant => "the owner is not known",
+            InvalidRequest::TimestampOutOfRange => "ts is out of range",
+            InvalidRequest::EstimatedWorkOutOfRange => "ms is out of range",
+            InvalidRequest::RemainingWaitOutOfRange => "timeout is out of range",
+        }
+    }
+}
+
 /// A request as its front has read it.
 #[derive(Debug)]
 pub struct Submission {
@@ -83,3 +119,6 @@
     /// It may have run, and may have had its effect.
     MayHaveRun,
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/loomflow-server/src/front/interface/tests.rs
@@ -0,0 +1,16 @@
+use super::*;
+
+#[test]
+fn the_reason_of_an_invalid_request_names_the_field_of_the_protocol() {
+    let reasons = [
+        (InvalidRequest::UnknownClass, "the class is not known"),
+        (InvalidRequest::MissingTenant, "owner is missing"),
+        (InvalidRequest::UnknownTenant, "the owner is not known"),
+        (InvalidRequest::TimestampOutOfRange, "ts is out of range"),
+        (InvalidRequest::EstimatedWorkOutOfRange, "ms is out of range"),
+        (InvalidRequest::RemainingWaitOutOfRange, "timeout is out of range"),
+    ];
+    for (invalid, reason) in reasons {
+        assert_eq!(invalid.reason(), reason);
+    }
+}
--- a/crates/loomflow-server/src/front/resp/classify.rs
+++ b/crates/loomflow-server/src/front/resp/classify.rs
@@ -6,7 +6,7 @@
 use loomflow_settings::Site;
 
 use crate::clock::Now;
-use crate::front::interface::{ReplyHandle, Submission};
+use crate::front::interface::{InvalidRequest, ReplyHandle, Submission};
 use crate::idempotency::IdempotencyKey;
 
 /// How much older than the class's timeout a timestamp may be, after a pause of the machine.
@@ -26,29 +26,36 @@
     pub tenant: usize,
 }
 
-/// Finds a request's class and tenant, and checks its figures. The error is the reason why it is invalid.
-pub fn classify(site: &Site, call: &Call, now: Now) -> Result<Classification, &'static str> {
-    let class = site.classes.iter().position(|name| *name == call.class).ok_or("the class is not known")?;
+/// Finds a request's class and tenant, and checks its figures.
+///
+/// # Errors
+/// The request is invalid.
+pub fn classify(site: &Site, call: &Call, now: Now) -> Result<Classification, InvalidRequest> {
+    let class = site.classes.iter().position(|name| *name == call.class);
+    let class = class.ok_or(InvalidRequest::UnknownClass)?;
     let tenant = match &call.tenant {
         _ if site.tenants.is_empty() => 0,
-        None => return Err("owner is missing"),
-        Some(owner) => site.tenants.iter().position(|name| name == owner).ok_or("the owner is not known")?,
+        None => return Err(InvalidRequest::MissingTenant),
+        Some(tenant) => {
+            let tenant = site.tenants.iter().position(|name| name == tenant);
+            tenant.ok_or(InvalidRequest::UnknownTenant)?
+        }
     };
     check_figures(call, site.settings.classes[class].timeout, now)?;
     Ok(Classification { class, tenant })
 }
 
-fn check_figures(call: &Call, timeout: Millis, now: Now) -> Result<(), &'static str> {
+fn check_figures(call: &Call, timeout: Millis, now: Now) -> Result<(), InvalidRequest> {
     let oldest = now.unix - timeout - MAX_TIMESTAMP_AGE_MS;
     if !(oldest..=now.unix + MAX_CLOCK_SKEW_MS).contains(&call.arrived_at) {
-        return Err("ts is out of range");
+        return Err(InvalidRequest::TimestampOutOfRange);
     }
     let max_estimate = timeout * MAX_ESTIMATE_FACTOR;
     if call.estimated_work.is_some_and(|work| work <= 0.0 || work > max_estimate) {
-        return Err("ms is out of range");
+        return Err(InvalidRequest::EstimatedWorkOutOfRange);
     }
     if call.remaining_wait.is_some_and(|wait| wait > max_estimate) {
-        return Err("timeout is out of range");
+        return Err(InvalidRequest::RemainingWaitOutOfRange);
     }
     Ok(())
 }
--- a/crates/loomflow-server/src/front/resp/classify/tests.rs
+++ b/crates/loomflow-server/src/front/resp/classify/tests.rs
@@ -4,7 +4,7 @@
 const TIMEOUT_MS: Millis = 1_000.0;
 const NOW: Now = Now { ms: 5_000.0, unix: 1_000_000.0 };
 
-fn check(change: impl FnOnce(&mut Call)) -> Result<(), &'static str> {
+fn check(change: impl FnOnce(&mut Call)) -> Result<(), InvalidRequest> {
     let mut call = fixtures::call(NOW.unix);
     change(&mut call);
     check_figures(&call, TIMEOUT_MS, NOW)
@@ -14,18 +14,24 @@
 fn a_timestamp_is_accepted_within_the_timeout_a_pause_and_the_clock_skew() {
     let oldest = NOW.unix - TIMEOUT_MS - MAX_TIMESTAMP_AGE_MS;
     assert_eq!(check(|call| call.arrived_at = oldest), Ok(()));
-    assert_eq!(check(|call| call.arrived_at = oldest - 1.0), Err("ts is out of range"));
+    assert_eq!(check(|call| call.arrived_at = oldest - 1.0), Err(InvalidRequest::TimestampOutOfRange));
     let newest = NOW.unix + MAX_CLOCK_SKEW_MS;
     assert_eq!(check(|call| call.arrived_at = newest), Ok(()));
-    assert_eq!(check(|call| call.arrived_at = newest + 1.0), Err("ts is out of range"));
+    assert_eq!(check(|call| call.arrived_at = newest + 1.0), Err(InvalidRequest::TimestampOutOfRange));
 }
 
 #[test]
 fn an_estimate_and_a_wait_are_accepted_up_to_a_multiple_of_the_timeout() {
     let max = TIMEOUT_MS * MAX_ESTIMATE_FACTOR;
     assert_eq!(check(|call| call.estimated_work = Some(max)), Ok(()));
-    assert_eq!(check(|call| call.estimated_work = Some(max + 1.0)), Err("ms is out of range"));
-    assert_eq!(check(|call| call.estimated_work = Some(0.0)), Err("ms is out of range"));
+    assert_eq!(
+        check(|call| call.estimated_work = Some(max + 1.0)),
+        Err(InvalidRequest::EstimatedWorkOutOfRange)
+    );
+    assert_eq!(check(|call| call.estimated_work = Some(0.0)), Err(InvalidRequest::EstimatedWorkOutOfRange));
     assert_eq!(check(|call| call.remaining_wait = Some(max)), Ok(()));
-    assert_eq!(check(|call| call.remaining_wait = Some(max + 1.0)), Err("timeout is out of range"));
+    assert_eq!(
+        check(|call| call.remaining_wait = Some(max + 1.0)),
+        Err(InvalidRequest::RemainingWaitOutOfRange)
+    );
 }
--- a/crates/loomflow-server/src/front/resp/mod.rs
+++ b/crates/loomflow-server/src/front/resp/mod.rs
@@ -109,7 +109,7 @@
                 let submission = classify::submission(&self.site, reply_handle, call, classification, now);
                 FrontRequest::Submit(Box::new(submission))
             }
-            Err(why) => FrontRequest::Invalid(reply_handle, why),
+            Err(reason) => FrontRequest::Invalid { reply_handle, reason },
         }
     }
 
--- a/crates/loomflow-server/src/owner/admission.rs
+++ b/crates/loomflow-server/src/owner/admission.rs
@@ -2,7 +2,7 @@
 
 use loomflow::interface::RequestId;
 
-use crate::front::interface::{Failure, Response};
+use crate::front::interface::{Failure, InvalidRequest, Response};
 use crate::idempotency::Registration;
 
 /// Why a request is not accepted.
@@ -18,8 +18,8 @@
     AttemptIdInUse,
     /// Its key belongs to a request with another body.
     KeyInUse,
-    /// Its front found it invalid, for this reason.
-    Invalid(&'static str),
+    /// Its front found it invalid.
+    Invalid(InvalidRequest),
 }
 
 impl AdmissionRejection {
@@ -31,7 +31,7 @@
             AdmissionRejection::IdempotencyCacheFull => "the idempotency cache is full",
             AdmissionRejection::AttemptIdInUse => "the attempt id is in use",
             AdmissionRejection::KeyInUse => "the idempotency key is in use with another body",
-            AdmissionRejection::Invalid(reason) => reason,
+            AdmissionRejection::Invalid(invalid) => invalid.reason(),
         }
     }
 
--- a/crates/loomflow-server/src/owner/admission/tests.rs
+++ b/crates/loomflow-server/src/owner/admission/tests.rs
@@ -17,9 +17,11 @@
     ] {
         assert_eq!(rejection.response(), Response::REJECTED, "{rejection:?}");
     }
-    for rejection in
-        [AdmissionRejection::AttemptIdInUse, AdmissionRejection::KeyInUse, AdmissionRejection::Invalid("x")]
-    {
+    for rejection in [
+        AdmissionRejection::AttemptIdInUse,
+        AdmissionRejection::KeyInUse,
+        AdmissionRejection::Invalid(InvalidRequest::UnknownClass),
+    ] {
         assert_eq!(rejection.response(), Response::Failed(Failure::Invalid), "{rejection:?}");
     }
 }
--- a/crates/loomflow-server/src/owner/requests.rs
+++ b/crates/loomflow-server/src/owner/requests.rs
@@ -5,7 +5,7 @@
 use super::Owner;
 use super::admission::{self, AdmissionRejection};
 use crate::engine::PendingCommand;
-use crate::front::interface::{Failure, FrontRequest, ReplyHandle, Response, Submission};
+use crate::front::interface::{Failure, FrontRequest, InvalidRequest, ReplyHandle, Response, Submission};
 use crate::idempotency::{Completion, KeyedRequest};
 use crate::log;
 use crate::request_table::{Progress, RequestEntry};
@@ -23,7 +23,7 @@
         for request in requests.drain(..) {
             match request {
                 FrontRequest::Submit(submission) => self.submit(*submission),
-                FrontRequest::Invalid(reply_handle, why) => self.reject_invalid(reply_handle, why),
+                FrontRequest::Invalid { reply_handle, reason } => self.reject_invalid(reply_handle, reason),
                 FrontRequest::Cancel(reply_handle) => self.cancel(reply_handle),
                 FrontRequest::HealthCheck { reply_handle, is_deep } => {
                     self.check_health(reply_handle, is_deep);
@@ -33,7 +33,7 @@
         self.front_requests = requests;
     }
 
-    fn reject_invalid(&mut self, reply_handle: ReplyHandle, reason: &'static str) {
+    fn reject_invalid(&mut self, reply_handle: ReplyHandle, reason: InvalidRequest) {
         let rejection = self.check_capacity().err().unwrap_or(AdmissionRejection::Invalid(reason));
         self.reject(reply_handle, rejection);
     }
