--- a/crates/loomflow-server/src/front/interface.rs
+++ b/crates/loomflow-server/src/front/interface.rs
@@ -13,7 +13,7 @@
 pub enum ReplyHandle {
     /// A connection of a gateway, and the tag of a request on it.
     Tag(ConnectionId, u64),
-    /// A message of a broker, by a number of our own.
+    /// A message of a broker, by the number that the consumer gave it.
     Delivery(u64),
 }
 
@@ -22,9 +22,14 @@
 pub enum FrontRequest {
     /// To handle a request.
     Submit(Box<Submission>),
-    /// To respond to a request that cannot be handled, for this reason.
-    Invalid(ReplyHandle, &'static str),
-    /// To cancel a request: nobody reads its response any more.
+    /// To respond to a request that cannot be handled.
+    Invalid {
+        /// Where the response goes.
+        reply_handle: ReplyHandle,
+        /// What is wrong with it.
+        reason: InvalidRequest,
+    },
+    /// To cancel a request whose response cannot be delivered any more.
     Cancel(ReplyHandle),
     /// To respond to a health check.
     HealthCheck {
@@ -35,12 +40,43 @@
     },
 }
 
-/// A request as its front read it: names are indices into the settings, timestamps are durations.
+/// Why a request cannot be handled.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum InvalidRequest {
+    /// The settings have no such class.
+    UnknownClass,
+    /// It names no tenant, although the settings have tenants.
+    MissingTenant,
+    /// The settings have no such tenant.
+    UnknownTenant,
+    /// Its timestamp is too old, or too far in the future.
+    TimestampOutOfRange,
+    /// Its estimated work is not positive, or too large.
+    EstimatedWorkOutOfRange,
+    /// It states a wait that is too long.
+    RemainingWaitOutOfRange,
+}
+
+impl InvalidRequest {
+    /// The reason for the log, with the protocol's names.
+    pub fn reason(self) -> &'static str {
+        match self {
+            InvalidRequest::UnknownClass => "the class is not known",
+            InvalidRequest::MissingTenant => "owner is missing",
+            InvalidRequest::UnknownTenant => "the owner is not known",
+            InvalidRequest::TimestampOutOfRange => "ts is out of range",
+            InvalidRequest::EstimatedWorkOutOfRange => "ms is out of range",
+            InvalidRequest::RemainingWaitOutOfRange => "timeout is out of range",
+        }
+    }
+}
+
+/// A request as its front has read it.
 #[derive(Debug)]
 pub struct Submission {
     /// Where the response goes.
     pub reply_handle: ReplyHandle,
-    /// Names the attempt towards engine and ledger; no other request has the same at the same time.
+    /// Identifies the attempt to engine and ledger; unique among the requests in progress.
     pub attempt_id: AttemptId,
     /// Its idempotency key, where it has one.
     pub key: Option<IdempotencyKey>,
@@ -69,7 +105,7 @@
 }
 
 impl Response<'_> {
-    /// A rejection without advice: the caller may try another server at once.
+    /// A rejection without a retry-after: the caller may try another server immediately.
     pub const REJECTED: Response<'static> = Response::Rejected { retry_after: 0.0, is_final: false };
 }
 
@@ -83,3 +119,6 @@
     /// It may have run, and may have had its effect.
     MayHaveRun,
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/loomflow-server/src/front/resp/classify.rs
+++ b/crates/loomflow-server/src/front/resp/classify.rs
@@ -1,4 +1,4 @@
-//! From a gateway's request to a submission: names become indices into the settings, timestamps become ages.
+//! Turns a gateway's request into a submission: names become indices into the settings, timestamps become ages.
 
 use loomflow::interface::{Idempotency, RequestAttributes};
 use loomflow::time::Millis;
@@ -6,15 +6,15 @@
 use loomflow_settings::Site;
 
 use crate::clock::Now;
-use crate::front::interface::{ReplyHandle, Submission};
+use crate::front::interface::{InvalidRequest, ReplyHandle, Submission};
 use crate::idempotency::IdempotencyKey;
 
-/// A timestamp may be this much older than the class's timeout, after a pause of the machine.
+/// How much older than the class's timeout a timestamp may be, after a pause of the machine.
 const MAX_TIMESTAMP_AGE_MS: Millis = 60_000.0;
-/// A timestamp may be ahead of this machine's clock by so much.
+/// How far a timestamp may be ahead of this machine's clock.
 const MAX_CLOCK_SKEW_MS: Millis = 1_000.0;
-/// Estimated work, and the wait that a caller states, are at most this multiple of the class's timeout: a larger figure in the
-/// queue would make all other requests seem too late.
+/// The maximum of estimated work and of the wait that a caller states, as a multiple of the class's timeout. A larger figure
+/// in the queue would make all other requests seem too late.
 const MAX_ESTIMATE_FACTOR: f64 = 25.0;
 
 /// Where a request's names are in the settings.
@@ -26,29 +26,36 @@
     pub tenant: usize,
 }
 
-/// Finds a request's class and tenant, and checks its figures. The error is the reason why it is invalid.
-pub fn classify(site: &Site, call: &Call, now: Now) -> Result<Classification, &'static str> {
-    let class = site.classes.iter().position(|name| *name == call.class).ok_or("the class is not known")?;
+/// Finds a request's class and tenant, and checks its figures.
+///
+/// # Errors
+/// The request is invalid.
+pub fn classify(site: &Site, call: &Call, now: Now) -> Result<Classification, InvalidRequest> {
+    let class = site.classes.iter().position(|name| *name == call.class);
+    let class = class.ok_or(InvalidRequest::UnknownClass)?;
     let tenant = match &call.tenant {
         _ if site.tenants.is_empty() => 0,
-        None => return Err("owner is missing"),
-        Some(owner) => site.tenants.iter().position(|name| name == owner).ok_or("the owner is not known")?,
+        None => return Err(InvalidRequest::MissingTenant),
+        Some(tenant) => {
+            let tenant = site.tenants.iter().position(|name| name == tenant);
+            tenant.ok_or(InvalidRequest::UnknownTenant)?
+        }
     };
     check_figures(call, site.settings.classes[class].timeout, now)?;
     Ok(Classification { class, tenant })
 }
 
-fn check_figures(call: &Call, timeout: Millis, now: Now) -> Result<(), &'static str> {
+fn check_figures(call: &Call, timeout: Millis, now: Now) -> Result<(), InvalidRequest> {
     let oldest = now.unix - timeout - MAX_TIMESTAMP_AGE_MS;
     if !(oldest..=now.unix + MAX_CLOCK_SKEW_MS).contains(&call.arrived_at) {
-        return Err("ts is out of range");
+        return Err(InvalidRequest::TimestampOutOfRange);
     }
     let max_estimate = timeout * MAX_ESTIMATE_FACTOR;
     if call.estimated_work.is_some_and(|work| work <= 0.0 || work > max_estimate) {
-        return Err("ms is out of range");
+        return Err(InvalidRequest::EstimatedWorkOutOfRange);
     }
     if call.remaining_wait.is_some_and(|wait| wait > max_estimate) {
-        return Err("timeout is out of range");
+        return Err(InvalidRequest::RemainingWaitOutOfRange);
     }
     Ok(())
 }
--- a/crates/loomflow-server/src/owner/requests.rs
+++ b/crates/loomflow-server/src/owner/requests.rs
@@ -5,7 +5,7 @@
 use super::Owner;
 use super::admission::{self, AdmissionRejection};
 use crate::engine::PendingCommand;
-use crate::front::interface::{Failure, FrontRequest, ReplyHandle, Response, Submission};
+use crate::front::interface::{Failure, FrontRequest, InvalidRequest, ReplyHandle, Response, Submission};
 use crate::idempotency::{Completion, KeyedRequest};
 use crate::log;
 use crate::request_table::{Progress, RequestEntry};
@@ -23,7 +23,7 @@
         for request in requests.drain(..) {
             match request {
                 FrontRequest::Submit(submission) => self.submit(*submission),
-                FrontRequest::Invalid(reply_handle, why) => self.reject_invalid(reply_handle, why),
+                FrontRequest::Invalid { reply_handle, reason } => self.reject_invalid(reply_handle, reason),
                 FrontRequest::Cancel(reply_handle) => self.cancel(reply_handle),
                 FrontRequest::HealthCheck { reply_handle, is_deep } => {
                     self.check_health(reply_handle, is_deep);
@@ -33,7 +33,7 @@
         self.front_requests = requests;
     }
 
-    fn reject_invalid(&mut self, reply_handle: ReplyHandle, reason: &'static str) {
+    fn reject_invalid(&mut self, reply_handle: ReplyHandle, reason: InvalidRequest) {
         let rejection = self.check_capacity().err().unwrap_or(AdmissionRejection::Invalid(reason));
         self.reject(reply_handle, rejection);
     }
@@ -47,7 +47,7 @@
         self.admission_limit.check_capacity(self.controller.is_started(), self.requests.len())
     }
 
-    /// Nobody reads the response to this request any more.
+    /// Cancels the request of a response that nobody reads any more.
     fn cancel(&mut self, reply_handle: ReplyHandle) {
         let Some(id) = self.requests.find_unanswered(reply_handle) else { return };
         self.requests.mark_answered(id, self.now.ms);
@@ -98,6 +98,7 @@
         }
     }
 
+    /// Responds to a health check: the server is healthy if the check has passed and the controller agrees.
     pub(super) fn respond_to_health_check(&mut self, reply_handle: ReplyHandle, has_passed: bool) {
         let response = Response::Health(has_passed && self.health.is_healthy());
         self.fronts.respond(reply_handle, response, self.now.ms);
