--- a/crates/loomflow-overload-simulation/src/recovery.rs
+++ b/crates/loomflow-overload-simulation/src/recovery.rs
@@ -42,7 +42,7 @@
     pub during: f64,
     /// Service from [`RECOVERY_SECONDS`] after the return on.
     pub after: f64,
-    /// Seconds from the return until the mean service over [`WINDOW_SECONDS`] is back; none where it never is.
+    /// Seconds from the return until the mean service over `WINDOW_SECONDS` is back; none where it never is.
     pub recovered_after_s: Option<usize>,
     /// Handshakes a second, over the whole fleet, before the loss.
     pub handshakes_before: f64,
