--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,4 +1,4 @@
-//! The four rules under random legal event sequences, judged by a checker that knows only the rules.
+//! The four rules under random valid sequences of events, checked by what knows only the rules.
 
 mod common;
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,220 +11,239 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum At {
-    Held,
-    Reusing,
+enum RequestStage {
+    Queued,
+    AwaitingResult,
     Running,
-    Blocked,
+    AwaitingCall,
     Calling,
 }
 
 #[derive(Clone, Debug)]
-struct Seen {
+struct OpenRequest {
     class: usize,
-    reached: f64,
-    due: f64,
-    kb: f64,
-    at: At,
-    answered: bool,
-    ran: bool,
+    arrived_at: f64,
+    deadline: f64,
+    memory_kb: f64,
+    stage: RequestStage,
+    is_answered: bool,
+    has_run: bool,
     /// The outcome of its last call leaves open whether that call ran.
     call_may_have_run: bool,
-    root: Option<RequestId>,
-    abandon_at: f64,
+    original: Option<RequestId>,
+    abandoned_at: f64,
 }
 
-/// Sees events and actions, keeps what the rules need, and collects what breaks them.
+/// Observes events and actions, and collects violations of the rules.
 struct Checker {
-    set: Settings,
+    settings: Settings,
     now: f64,
-    born: f64,
-    open: BTreeMap<RequestId, Seen>,
+    started_at: f64,
+    open: BTreeMap<RequestId, OpenRequest>,
     /// Keyed requests that ran: when they arrived.
-    ran: BTreeMap<RequestId, f64>,
-    entries: BTreeMap<RequestId, f64>,
+    runs: BTreeMap<RequestId, f64>,
+    retained_keys: BTreeMap<RequestId, f64>,
     lingering: Vec<f64>,
-    crowd: Vec<(f64, f64)>,
-    calls: Vec<(f64, f64)>,
-    notice: Option<(f64, f64)>,
-    stopped: bool,
+    concurrency: Vec<(f64, f64)>,
+    calls_in_flight: Vec<(f64, f64)>,
+    /// When a shutdown was requested, and when the process is killed.
+    shutdown: Option<(f64, f64)>,
+    is_killed: bool,
     timers: Vec<f64>,
-    broken: Vec<String>,
+    violations: Vec<String>,
 }
 
 impl Checker {
-    fn new(set: Settings, now: f64) -> Checker {
+    fn new(settings: Settings, now: f64) -> Checker {
         Checker {
-            set,
+            settings,
             now,
-            born: now,
+            started_at: now,
             open: BTreeMap::new(),
-            ran: BTreeMap::new(),
-            entries: BTreeMap::new(),
+            runs: BTreeMap::new(),
+            retained_keys: BTreeMap::new(),
             lingering: vec![],
-            crowd: vec![],
-            calls: vec![],
-            notice: None,
-            stopped: false,
+            concurrency: vec![],
+            calls_in_flight: vec![],
+            shutdown: None,
+            is_killed: false,
             timers: vec![],
-            broken: vec![],
+            violations: vec![],
         }
     }
 
-    fn break_rule(&mut self, text: String) {
-        self.broken.push(format!("at {:.0}: {text}", self.now - self.born));
+    fn record_violation(&mut self, text: String) {
+        self.violations.push(format!("at {:.0}: {text}", self.now - self.started_at));
     }
 
-    fn ids(&self, at: At) -> Vec<RequestId> {
-        self.open.iter().filter(|(_, s)| s.at == at).map(|(id, _)| *id).collect()
+    fn ids(&self, stage: RequestStage) -> Vec<RequestId> {
+        self.open.iter().filter(|(_, request)| request.stage == stage).map(|(id, _)| *id).collect()
     }
 
-    fn read(&mut self, a: &Arrival) {
-        let class = &self.set.classes[a.class];
-        let reached = self.now - a.age;
-        let due =
-            if self.set.has_caller_deadlines { self.now + a.remaining_wait } else { reached + class.timeout };
-        let seen = Seen {
+    fn observe_arrival(&mut self, a: &Arrival) {
+        let class = &self.settings.classes[a.class];
+        let arrived_at = self.now - a.age;
+        let deadline = if self.settings.has_caller_deadlines {
+            self.now + a.remaining_wait
+        } else {
+            arrived_at + class.timeout
+        };
+        let request = OpenRequest {
             class: a.class,
-            reached,
-            due: due.max(self.now),
-            kb: a.memory_kb,
-            at: At::Held,
-            answered: false,
-            ran: false,
+            arrived_at,
+            deadline: deadline.max(self.now),
+            memory_kb: a.memory_kb,
+            stage: RequestStage::Queued,
+            is_answered: false,
+            has_run: false,
             call_may_have_run: false,
-            root: a.original,
-            abandon_at: f64::MAX,
+            original: a.original,
+            abandoned_at: f64::MAX,
         };
-        self.open.insert(a.id, seen);
+        self.open.insert(a.id, request);
     }
 
-    /// A final answer, by an action or by the end of a run.
-    fn answer(&mut self, id: RequestId, refusal: bool) {
-        let Some(s) = self.open.get_mut(&id) else { return };
-        let (again, effect) = (s.answered, self.set.classes[s.class].idempotency);
-        let ran = s.ran || s.root.is_some_and(|r| self.ran.contains_key(&r));
-        s.answered = true;
-        if matches!(s.at, At::Held | At::Reusing) {
+    /// A final response, by an action or by the end of a run.
+    fn respond(&mut self, id: RequestId, is_rejection: bool) {
+        let Some(request) = self.open.get_mut(&id) else { return };
+        let (was_answered, idempotency) =
+            (request.is_answered, self.settings.classes[request.class].idempotency);
+        let has_run = request.has_run || request.original.is_some_and(|r| self.runs.contains_key(&r));
+        request.is_answered = true;
+        if matches!(request.stage, RequestStage::Queued | RequestStage::AwaitingResult) {
             self.open.remove(&id);
         }
-        if again {
-            self.break_rule(format!("{id} answered twice"));
+        if was_answered {
+            self.record_violation(format!("{id} answered twice"));
         }
-        if refusal && ran && effect != Idempotency::Always {
-            self.break_rule(format!("{id} refused though it ran"));
+        if is_rejection && has_run && idempotency != Idempotency::Always {
+            self.record_violation(format!("{id} rejected though it ran"));
         }
     }
 
     fn run_started(&mut self, id: RequestId) {
-        let Some(s) = self.open.get_mut(&id) else { return };
-        let (class, reached) = (self.set.classes[s.class].clone(), s.reached);
-        let again = s.ran || s.at == At::Reusing;
-        let root = s.root;
-        (s.at, s.ran) = (At::Running, true);
-        if class.idempotency != Idempotency::Always && again {
-            self.break_rule(format!("{id} run twice"));
+        let Some(request) = self.open.get_mut(&id) else { return };
+        let (class, arrived_at) = (self.settings.classes[request.class].clone(), request.arrived_at);
+        let is_repeated = request.has_run || request.stage == RequestStage::AwaitingResult;
+        let original = request.original;
+        (request.stage, request.has_run) = (RequestStage::Running, true);
+        if class.idempotency != Idempotency::Always && is_repeated {
+            self.record_violation(format!("{id} run twice"));
         }
         if class.idempotency == Idempotency::ByKey {
-            if !self.entries.contains_key(&id) {
-                self.break_rule(format!("{id} run without an entry"));
+            if !self.retained_keys.contains_key(&id) {
+                self.record_violation(format!("{id} run without a retained key"));
             }
-            let ran_at = root.and_then(|root| self.ran.get(&root));
-            if ran_at.is_some_and(|at| reached <= at + class.idempotency_window) {
-                self.break_rule(format!("{id} repeats a run within the window"));
+            let ran_at = original.and_then(|original| self.runs.get(&original));
+            if ran_at.is_some_and(|at| arrived_at <= at + class.idempotency_window) {
+                self.record_violation(format!("{id} repeats a run within the window"));
             }
-            self.ran.insert(id, reached);
+            self.runs.insert(id, arrived_at);
         }
-        if self.notice.is_some_and(|(at, _)| reached > at + self.set.drain_grace) {
-            self.break_rule(format!("{id} run though it came past the grace"));
+        if self.shutdown.is_some_and(|(at, _)| arrived_at > at + self.settings.drain_grace) {
+            self.record_violation(format!("{id} run though it arrived after the grace period"));
         }
     }
 
     fn call_started(&mut self, id: RequestId, deadline: f64) {
-        let Some(s) = self.open.get_mut(&id).filter(|s| s.at == At::Blocked) else { return };
-        s.at = At::Calling;
-        s.abandon_at = if deadline > 0.0 { deadline } else { f64::MAX };
-        let is_idempotent = self.set.classes[s.class].idempotency == Idempotency::Always;
-        if s.call_may_have_run && !is_idempotent {
-            self.break_rule(format!("{id} repeats a call that may have run"));
+        let Some(request) =
+            self.open.get_mut(&id).filter(|request| request.stage == RequestStage::AwaitingCall)
+        else {
+            return;
+        };
+        request.stage = RequestStage::Calling;
+        request.abandoned_at = if deadline > 0.0 { deadline } else { f64::MAX };
+        let is_idempotent = self.settings.classes[request.class].idempotency == Idempotency::Always;
+        if request.call_may_have_run && !is_idempotent {
+            self.record_violation(format!("{id} repeats a call that may have run"));
         }
     }
 
-    fn acted(&mut self, action: &Action) {
+    fn observe_action(&mut self, action: &Action) {
         match action {
             Action::Run(id) => self.run_started(*id),
             Action::ReuseResult(id) => {
-                if let Some(s) = self.open.get_mut(id) {
-                    s.at = At::Reusing;
+                if let Some(request) = self.open.get_mut(id) {
+                    request.stage = RequestStage::AwaitingResult;
                 }
             }
-            Action::Reject { id, .. } => self.answer(*id, true),
-            Action::Fail(id) => self.answer(*id, false),
+            Action::Reject { id, .. } => self.respond(*id, true),
+            Action::Fail(id) => self.respond(*id, false),
             Action::Call { id, deadline } => self.call_started(*id, *deadline),
             Action::SkipCall(id) => {
-                if let Some(s) = self.open.get_mut(id) {
-                    s.at = At::Running;
+                if let Some(request) = self.open.get_mut(id) {
+                    request.stage = RequestStage::Running;
                 }
             }
-            Action::RetainKey { id, ttl: span } => {
-                self.entries.insert(*id, self.now + span);
+            Action::RetainKey { id, ttl } => {
+                self.retained_keys.insert(*id, self.now + ttl);
             }
             Action::ReleaseKey(id) => {
-                self.entries.remove(id);
+                self.retained_keys.remove(id);
             }
             Action::SetTimer(at) => self.timers.push(*at),
             _ => {}
         }
     }
 
-    /// After the actions of a batch: memory, crowd, calls in hand.
-    fn settle(&mut self) {
+    /// After the actions of a batch: memory, concurrency, calls in flight.
+    fn check_batch(&mut self) {
         let now = self.now;
-        self.entries.retain(|_, until| *until > now);
+        self.retained_keys.retain(|_, until| *until > now);
         self.lingering.retain(|until| *until > now);
-        let weight = |s: &Seen| {
-            if matches!(s.at, At::Held | At::Reusing) { s.kb } else { s.kb * self.set.run_memory_factor }
+        let memory_kb = |request: &OpenRequest| {
+            if matches!(request.stage, RequestStage::Queued | RequestStage::AwaitingResult) {
+                request.memory_kb
+            } else {
+                request.memory_kb * self.settings.run_memory_factor
+            }
         };
-        let used = self.open.values().map(weight).sum::<f64>() + self.entries.len() as f64 * self.set.key_kb;
-        if used > self.set.memory_kb {
-            self.break_rule(format!("{used:.0} kB in use"));
+        let used = self.open.values().map(memory_kb).sum::<f64>()
+            + self.retained_keys.len() as f64 * self.settings.key_kb;
+        if used > self.settings.memory_kb {
+            self.record_violation(format!("{used:.0} kB in use"));
         }
-        self.crowd.push((now, self.ids(At::Running).len() as f64));
-        self.calls.push((now, (self.ids(At::Calling).len() + self.lingering.len()) as f64));
-        let warmed = if self.set.is_slow_start {
-            ((now - self.born) / self.set.slow_start_duration).min(1.0)
+        self.concurrency.push((now, self.ids(RequestStage::Running).len() as f64));
+        self.calls_in_flight
+            .push((now, (self.ids(RequestStage::Calling).len() + self.lingering.len()) as f64));
+        let slow_start_part = if self.settings.is_slow_start {
+            ((now - self.started_at) / self.settings.slow_start_duration).min(1.0)
         } else {
             1.0
         };
-        let speed = self.set.slow_start_share + (1.0 - self.set.slow_start_share) * warmed;
-        let survives = self.set.cores * (1.0 + (self.set.core_concurrency - 1.0) * speed);
-        if let Some(mean) = mean_over(&self.crowd, now, self.set.concurrency_window).filter(|m| *m > survives)
+        let speed = self.settings.slow_start_share + (1.0 - self.settings.slow_start_share) * slow_start_part;
+        let survivable = self.settings.cores * (1.0 + (self.settings.core_concurrency - 1.0) * speed);
+        if let Some(mean) =
+            mean_over(&self.concurrency, now, self.settings.concurrency_window).filter(|m| *m > survivable)
         {
-            self.break_rule(format!("{mean:.2} on the cores, {survives:.2} survive"));
+            self.record_violation(format!("{mean:.2} on the cores, {survivable:.2} are survivable"));
         }
-        if self.set.downstream == Downstream::Shared
-            && let Some(mean) = mean_over(&self.calls, now, self.set.call_quota_window)
-            && mean > self.set.call_quota
+        if self.settings.downstream == Downstream::Shared
+            && let Some(mean) = mean_over(&self.calls_in_flight, now, self.settings.call_quota_window)
+            && mean > self.settings.call_quota
         {
-            self.break_rule(format!("{mean:.3} calls in hand"));
+            self.record_violation(format!("{mean:.3} calls in flight"));
         }
     }
 
-    /// As time passes: what is due must have been answered.
-    fn check_due(&mut self) {
-        let late = |s: &Seen| !s.answered && self.now > s.due + self.set.response_slack;
-        let lost: Vec<RequestId> = self.open.iter().filter(|(_, s)| late(s)).map(|(id, _)| *id).collect();
-        for id in lost {
-            self.break_rule(format!("{id} not answered by its due time"));
-            self.open.get_mut(&id).unwrap().answered = true;
+    /// As time passes: each request must have its response by its deadline.
+    fn check_deadlines(&mut self) {
+        let is_late = |request: &OpenRequest| {
+            !request.is_answered && self.now > request.deadline + self.settings.response_slack
+        };
+        let late: Vec<RequestId> =
+            self.open.iter().filter(|(_, request)| is_late(request)).map(|(id, _)| *id).collect();
+        for id in late {
+            self.record_violation(format!("{id} not answered by its deadline"));
+            self.open.get_mut(&id).unwrap().is_answered = true;
         }
-        if let Some((_, stop)) = self.notice
-            && self.now >= stop
-            && !self.stopped
+        if let Some((_, killed_at)) = self.shutdown
+            && self.now >= killed_at
+            && !self.is_killed
         {
-            self.stopped = true;
-            if let Some(id) = self.open.iter().find(|(_, s)| !s.answered).map(|(id, _)| *id) {
-                self.break_rule(format!("{id} not answered before the stop"));
+            self.is_killed = true;
+            if let Some(id) = self.open.iter().find(|(_, request)| !request.is_answered).map(|(id, _)| *id) {
+                self.record_violation(format!("{id} not answered before the kill"));
             }
         }
     }
@@ -242,13 +261,13 @@
     Some(sum / span)
 }
 
-/// What the module's actions go through before they take effect: nothing, or a fault on purpose.
+/// A change of the controller's actions before they take effect: none, or a fault to detect.
 type Fault = fn(&mut Vec<Action>, &Checker);
 
-struct World {
+struct Simulation {
     controller: Controller,
     checker: Checker,
-    next: RequestId,
+    next_id: RequestId,
     fault: Fault,
 }
 
@@ -264,13 +283,14 @@
     AttemptOutcome::Unreachable,
 ];
 
-impl World {
-    fn new(set: Settings, fault: Fault) -> World {
+impl Simulation {
+    fn new(settings: Settings, fault: Fault) -> Simulation {
         let now = 50_000.0;
-        let controller = Controller::new(set.clone(), 11, now);
-        let mut fixture = World { controller, checker: Checker::new(set, now), next: 1, fault };
-        fixture.batch(vec![]);
-        fixture
+        let controller = Controller::new(settings.clone(), 11, now);
+        let mut simulation =
+            Simulation { controller, checker: Checker::new(settings, now), next_id: 1, fault };
+        simulation.batch(vec![]);
+        simulation
     }
 
     fn batch(&mut self, events: Vec<Event>) {
@@ -278,24 +298,27 @@
         let now = self.checker.now;
         for event in events {
             if let Event::RequestArrived(a) = &event {
-                self.checker.read(a);
+                self.checker.observe_arrival(a);
             }
             self.controller.event(now, event, &mut actions);
         }
         self.controller.decide(now, &mut actions);
         (self.fault)(&mut actions, &self.checker);
         for action in &actions {
-            self.checker.acted(action);
+            self.checker.observe_action(action);
         }
-        self.checker.settle();
+        self.checker.check_batch();
     }
 
     /// Ends the calls that are abandoned by then.
-    fn abandon(&mut self, by: f64) {
+    fn abandon_calls(&mut self, by: f64) {
         loop {
-            let calling = self.checker.open.iter().filter(|(_, s)| s.at == At::Calling && s.abandon_at <= by);
+            let calling =
+                self.checker.open.iter().filter(|(_, request)| {
+                    request.stage == RequestStage::Calling && request.abandoned_at <= by
+                });
             let Some((at, id)) =
-                calling.map(|(id, s)| (s.abandon_at, *id)).min_by(|a, b| a.0.total_cmp(&b.0))
+                calling.map(|(id, request)| (request.abandoned_at, *id)).min_by(|a, b| a.0.total_cmp(&b.0))
             else {
                 return;
             };
@@ -306,15 +329,16 @@
     }
 
     fn end_call(&mut self, id: RequestId, outcome: AttemptOutcome, by: u16) -> Event {
-        let lingers = self.checker.now + self.checker.set.call_linger;
-        let s = self.checker.open.get_mut(&id).unwrap();
-        if s.answered {
+        let lingers = self.checker.now + self.checker.settings.call_linger;
+        let request = self.checker.open.get_mut(&id).unwrap();
+        if request.is_answered {
             self.checker.open.remove(&id);
             self.checker.lingering.push(lingers);
             return Event::RunEnded { id, outcome: AttemptOutcome::Cancelled, duration: 10.0 };
         }
-        s.at = if outcome == AttemptOutcome::Ok { At::Running } else { At::Blocked };
-        s.call_may_have_run = matches!(outcome, AttemptOutcome::Error | AttemptOutcome::TimedOut);
+        request.stage =
+            if outcome == AttemptOutcome::Ok { RequestStage::Running } else { RequestStage::AwaitingCall };
+        request.call_may_have_run = matches!(outcome, AttemptOutcome::Error | AttemptOutcome::TimedOut);
         if outcome == AttemptOutcome::TimedOut {
             self.checker.lingering.push(lingers);
         }
@@ -325,36 +349,35 @@
         let end = self.checker.now + ms;
         loop {
             let next = self.checker.timers.iter().copied().fold(end, f64::min);
-            self.abandon(next);
+            self.abandon_calls(next);
             self.checker.timers.sort_by(f64::total_cmp);
             match self.checker.timers.first().copied() {
                 Some(at) if at <= end => {
                     self.checker.timers.remove(0);
                     self.checker.now = self.checker.now.max(at);
-                    if !self.checker.stopped {
-                        let busy = self.checker.ids(At::Running).len() as f64;
-                        let core_use = Some((busy / self.checker.set.cores).min(1.0));
-                        let gauges =
-                            Gauges { core_utilization: core_use, runnable: Some(busy), ..Gauges::default() };
+                    if !self.checker.is_killed {
+                        let busy = self.checker.ids(RequestStage::Running).len() as f64;
+                        let core_utilization = Some((busy / self.checker.settings.cores).min(1.0));
+                        let gauges = Gauges { core_utilization, runnable: Some(busy), ..Gauges::default() };
                         self.batch(vec![Event::TimerFired(gauges)]);
                     }
-                    self.checker.check_due();
+                    self.checker.check_deadlines();
                 }
                 _ => break,
             }
         }
         self.checker.now = end;
-        self.checker.check_due();
+        self.checker.check_deadlines();
     }
 
-    fn pick(&self, at: At, by: u16) -> Option<RequestId> {
-        let ids = self.checker.ids(at);
+    fn pick(&self, stage: RequestStage, by: u16) -> Option<RequestId> {
+        let ids = self.checker.ids(stage);
         if ids.is_empty() { None } else { Some(ids[by as usize % ids.len()]) }
     }
 
     fn arrival(&mut self, by: u16) -> Event {
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         let mut a = arrival(id, by as usize % 3);
         a.memory_kb = f64::from(5 + by % 40);
         a.age = f64::from(by % 7) * 30.0;
@@ -363,22 +386,26 @@
         Event::RequestArrived(a)
     }
 
-    /// A repeat of a keyed request whose entry lives, as the server would connect the two.
-    fn repeat(&mut self, by: u16) -> Option<Event> {
-        let known: Vec<RequestId> = self.checker.entries.keys().copied().collect();
-        let of = *known.get(by as usize % known.len().max(1))?;
-        let held = self.checker.open.get(&of).is_some_and(|s| s.at == At::Held && !s.answered);
-        if !held && !self.checker.ran.contains_key(&of) {
+    /// A duplicate of a keyed request whose key is retained, as the server finds its original.
+    fn duplicate(&mut self, by: u16) -> Option<Event> {
+        let known: Vec<RequestId> = self.checker.retained_keys.keys().copied().collect();
+        let original = *known.get(by as usize % known.len().max(1))?;
+        let is_queued = self
+            .checker
+            .open
+            .get(&original)
+            .is_some_and(|request| request.stage == RequestStage::Queued && !request.is_answered);
+        if !is_queued && !self.checker.runs.contains_key(&original) {
             return None;
         }
         let Event::RequestArrived(mut a) = self.arrival(by) else { return None };
-        (a.class, a.original, a.age) = (KEYED, Some(of), 0.0);
+        (a.class, a.original, a.age) = (KEYED, Some(original), 0.0);
         Some(Event::RequestArrived(a))
     }
 
     fn step(&mut self, (what, by, wait): EventStep) {
         self.pass(f64::from(wait % 400));
-        if self.checker.stopped {
+        if self.checker.is_killed {
             return;
         }
         let event = match what % 16 {
@@ -387,12 +414,12 @@
                 self.arrive_together(by);
                 None
             }
-            5 => self.repeat(by),
-            6..=8 => self.pick(At::Running, by).map(|id| self.end_run(id, by)),
+            5 => self.duplicate(by),
+            6..=8 => self.pick(RequestStage::Running, by).map(|id| self.end_run(id, by)),
             9..=10 => self.need_call(by),
             11..=13 => {
                 let outcome = CALL_OUTCOMES[by as usize % CALL_OUTCOMES.len()];
-                self.pick(At::Calling, by).map(|id| self.end_call(id, outcome, by))
+                self.pick(RequestStage::Calling, by).map(|id| self.end_call(id, outcome, by))
             }
             14 => self.cancel(by),
             _ if by.is_multiple_of(20) => self.request_shutdown(by),
@@ -412,62 +439,62 @@
 
     fn end_run(&mut self, id: RequestId, by: u16) -> Event {
         let outcome = if by.is_multiple_of(9) { AttemptOutcome::Error } else { AttemptOutcome::Ok };
-        if !self.checker.open[&id].answered {
-            self.checker.answer(id, false);
+        if !self.checker.open[&id].is_answered {
+            self.checker.respond(id, false);
         }
         self.checker.open.remove(&id);
         Event::RunEnded { id, outcome, duration: f64::from(by % 3000) }
     }
 
     fn need_call(&mut self, by: u16) -> Option<Event> {
-        let id = self.pick(At::Running, by).filter(|id| !self.checker.open[id].answered)?;
+        let id = self.pick(RequestStage::Running, by).filter(|id| !self.checker.open[id].is_answered)?;
         let request = self.checker.open.get_mut(&id).unwrap();
-        (request.at, request.call_may_have_run) = (At::Blocked, false);
+        (request.stage, request.call_may_have_run) = (RequestStage::AwaitingCall, false);
         Some(Event::CallNeeded(id))
     }
 
     fn cancel(&mut self, by: u16) -> Option<Event> {
         let ids: Vec<RequestId> = self.checker.open.keys().copied().collect();
         let id = ids.get(by as usize % ids.len().max(1)).copied()?;
-        let request = self.checker.open.get_mut(&id).filter(|request| !request.answered)?;
-        request.answered = true;
-        if matches!(request.at, At::Held | At::Reusing) {
+        let request = self.checker.open.get_mut(&id).filter(|request| !request.is_answered)?;
+        request.is_answered = true;
+        if matches!(request.stage, RequestStage::Queued | RequestStage::AwaitingResult) {
             self.checker.open.remove(&id);
         }
         Some(Event::RequestCancelled(id))
     }
 
     fn request_shutdown(&mut self, by: u16) -> Option<Event> {
-        if self.checker.notice.is_some() {
+        if self.checker.shutdown.is_some() {
             return None;
         }
         let time_left = f64::from(1000 + by % 4000);
-        self.checker.notice = Some((self.checker.now, self.checker.now + time_left));
+        self.checker.shutdown = Some((self.checker.now, self.checker.now + time_left));
         Some(Event::ShutdownRequested { time_left })
     }
 
     /// A request that is answered already ends by itself where it waits for a call.
     fn end_answered_calls(&mut self) {
-        for id in self.checker.ids(At::Blocked) {
-            if self.checker.open[&id].answered {
+        for id in self.checker.ids(RequestStage::AwaitingCall) {
+            if self.checker.open[&id].is_answered {
                 self.checker.open.remove(&id);
                 self.batch(vec![Event::RunEnded { id, outcome: AttemptOutcome::Cancelled, duration: 10.0 }]);
             }
         }
     }
 
-    fn play(set: Settings, steps: &[EventStep], fault: Fault) -> Vec<String> {
-        let mut fixture = World::new(set, fault);
+    fn play(settings: Settings, steps: &[EventStep], fault: Fault) -> Vec<String> {
+        let mut simulation = Simulation::new(settings, fault);
         for step in steps {
-            fixture.step(*step);
+            simulation.step(*step);
         }
-        fixture.pass(9000.0);
-        fixture.checker.broken
+        simulation.pass(9000.0);
+        simulation.checker.violations
     }
 }
 
-/// Settings that press on every rule: small memory, cold or not, told waits or not, each kind of dependency.
-fn pressing(kind: u8) -> Settings {
+/// Settings that test every rule: small memory, with and without slow start and caller deadlines, each kind of dependency.
+fn settings_of_kind(kind: u8) -> Settings {
     let mut s = settings();
     s.memory_kb = 4000.0;
     s.key_kb = 40.0;
@@ -493,8 +520,8 @@
 #[test]
 fn random_histories_violate_no_rule() {
     let played = runner(400).run(&steps(), |(kind, steps)| {
-        let broken = World::play(pressing(kind), &steps, |_, _| {});
-        prop_assert!(broken.is_empty(), "{broken:?}");
+        let violations = Simulation::play(settings_of_kind(kind), &steps, |_, _| {});
+        prop_assert!(violations.is_empty(), "{violations:?}");
         Ok(())
     });
     if let Err(e) = played {
@@ -516,7 +543,7 @@
         actions.extend(failures);
     }
 
-    pub fn runs_repeats(actions: &mut Vec<Action>, _: &Checker) {
+    pub fn runs_duplicates(actions: &mut Vec<Action>, _: &Checker) {
         for action in actions {
             if let Action::ReuseResult(id) = *action {
                 *action = Action::Run(id);
@@ -524,7 +551,7 @@
         }
     }
 
-    pub fn refuses_what_ran(actions: &mut Vec<Action>, _: &Checker) {
+    pub fn rejects_what_ran(actions: &mut Vec<Action>, _: &Checker) {
         for action in actions {
             if let Action::Fail(id) = *action {
                 *action = Action::Reject { id, retry_after: 0.0, is_final: false };
@@ -533,35 +560,35 @@
     }
 
     pub fn runs_all(actions: &mut Vec<Action>, checker: &Checker) {
-        actions.extend(checker.ids(At::Held).into_iter().map(Action::Run));
+        actions.extend(checker.ids(RequestStage::Queued).into_iter().map(Action::Run));
     }
 
     pub fn repeats_every_call(actions: &mut Vec<Action>, checker: &Checker) {
         let call = |id| Action::Call { id, deadline: 0.0 };
-        actions.extend(checker.ids(At::Blocked).into_iter().map(call));
+        actions.extend(checker.ids(RequestStage::AwaitingCall).into_iter().map(call));
     }
 }
 
-/// The checker is worth something only if it fails modules that are broken on purpose.
+/// The checker shows something only if it detects controllers that are broken on purpose.
 #[test]
 fn the_checker_detects_broken_controllers() {
     let faults: [(&str, Fault, &str); 6] = [
         ("forgets failures", faults::forgets_failures, "not answered"),
         ("answers twice", faults::answers_twice, "answered twice"),
-        ("runs repeats", faults::runs_repeats, "within the window"),
-        ("refuses what ran", faults::refuses_what_ran, "refused though it ran"),
+        ("runs duplicates", faults::runs_duplicates, "within the window"),
+        ("rejects what ran", faults::rejects_what_ran, "rejected though it ran"),
         ("runs all", faults::runs_all, "on the cores"),
         ("repeats every call", faults::repeats_every_call, "repeats a call"),
     ];
     for (name, fault, expected) in faults {
-        let seen = std::cell::RefCell::new(BTreeSet::new());
+        let detected = std::cell::RefCell::new(BTreeSet::new());
         let _ = runner(150).run(&steps(), |(kind, steps)| {
-            let broken = World::play(pressing(kind), &steps, fault);
-            for text in broken.iter().filter(|t| t.contains(expected)) {
-                seen.borrow_mut().insert(text.clone());
+            let violations = Simulation::play(settings_of_kind(kind), &steps, fault);
+            for text in violations.iter().filter(|t| t.contains(expected)) {
+                detected.borrow_mut().insert(text.clone());
             }
             Ok(())
         });
-        assert!(!seen.borrow().is_empty(), "a module that {name} passed the checker");
+        assert!(!detected.borrow().is_empty(), "a controller that {name} passed the checker");
     }
 }
