--- a/crates/loomflow-benchmark/src/callers.rs
+++ b/crates/loomflow-benchmark/src/callers.rs
@@ -17,19 +17,19 @@
 const SIZES: [(usize, usize); 3] = [(20, 60), (80, 240), (250, 800)];
 /// A request costs so many handshakes; and the load, one at which a fleet recovers
 /// that retains connections while its tables have capacity.
-const PRICES: [(f64, f64); 3] = [(60.0, 0.87), (10.0, 0.87), (3.0, 0.7)];
+const HANDSHAKE_PRICES_AND_LOADS: [(f64, f64); 3] = [(60.0, 0.87), (10.0, 0.87), (3.0, 0.7)];
 /// What is lost, and how it is called in the table.
-const TROUBLES: [(&str, FaultKind); 2] = [
+const FAULTS: [(&str, FaultKind); 2] = [
     ("a third of the callers", FaultKind::CallersDown { fraction: 1.0 / 3.0 }),
     ("a fifth of the servers", FaultKind::ServersDown { fraction: 0.2 }),
 ];
 /// The controller, and the baselines beside it.
 const POLICIES: [IdlePolicy; 4] =
     [IdlePolicy::Controller, IdlePolicy::NeverClose, IdlePolicy::CloseWhenFull, IdlePolicy::CloseImmediately];
-/// Fleets of the steady tenant, its quota over the whole fleet in requests a second, and what it sends of it.
-const FLEETS: [usize; 3] = [20, 100, 590];
+/// Fleets of the steady tenant, its quota over the whole fleet in requests a second, and the part that it sends of it.
+const FLEET_SIZES: [usize; 3] = [20, 100, 590];
 const QUOTA_PER_S: f64 = 4.0;
-const SENDS: [f64; 3] = [0.5, 0.9, 2.0];
+const SENT_PARTS: [f64; 3] = [0.5, 0.9, 2.0];
 /// Plays at once.
 const THREADS: usize = 4;
 
@@ -74,20 +74,20 @@
 
 /// How many requests of a steady tenant the modules judge to be over its quota. No bound yet: 0.05 at 0.9 is wanted.
 fn tenants(report: &mut Report) {
-    let over_quota = |servers, sends| {
+    let over_quota = |servers, sent_part| {
         over_quota_part(SteadyTenant {
             servers,
             quota_per_s: QUOTA_PER_S,
-            sent_part: sends,
+            sent_part,
             seconds: 1_000.0,
             seed: 1,
         })
     };
     let row = |servers: usize| {
-        let shares = SENDS.iter().map(|sends| format!("{:.3}", over_quota(servers, *sends)));
+        let shares = SENT_PARTS.iter().map(|sent_part| format!("{:.3}", over_quota(servers, *sent_part)));
         std::iter::once(servers.to_string()).chain(shares).collect()
     };
-    let rows = FLEETS.iter().map(|servers| row(*servers)).collect();
+    let rows = FLEET_SIZES.iter().map(|servers| row(*servers)).collect();
     let head = ["servers", "sends 0.5 of its quota", "sends 0.9", "sends twice"];
     report.table("Part of a steady tenant's requests judged beyond its quota of 4 a second", &head, rows);
 }
@@ -97,8 +97,8 @@
     let seeds = if quick { 1 } else { 3 };
     let mut cases = Vec::new();
     for &size in sizes {
-        for (price, load) in PRICES {
-            for fault in TROUBLES {
+        for (price, load) in HANDSHAKE_PRICES_AND_LOADS {
+            for fault in FAULTS {
                 for policy in POLICIES {
                     cases.push(Case { size, price, load, fault, policy, seeds });
                 }
--- a/crates/loomflow-benchmark/src/overload.rs
+++ b/crates/loomflow-benchmark/src/overload.rs
@@ -11,16 +11,17 @@
 const CORES: usize = 4;
 const WORK: Duration = Duration::from_millis(10);
 const GIVE_UP: Duration = Duration::from_secs(1);
-/// Times what the engine does.
-const TIMES: [f64; 4] = [1.2, 1.5, 2.0, 4.0];
-/// Three quarters of what it does, and the burst between these seconds.
-const BASE: f64 = 0.75;
-const BURST: (usize, usize) = (3, 7);
+/// Sustained loads, as multiples of what the engine does.
+const SUSTAINED_LOADS: [f64; 4] = [1.2, 1.5, 2.0, 4.0];
+/// Load outside of the burst, as a multiple of what the engine does.
+const BASE_LOAD: f64 = 0.75;
+/// The burst lies between these seconds.
+const BURST_SECONDS: (usize, usize) = (3, 7);
 /// Seconds until the server has reacted, and a request that was queued up to its objective is over.
-const NOTICED: usize = 1;
+const REACTION_SECONDS: usize = 1;
 
-/// What a play must show.
-struct Shown {
+/// What one run of a case shows.
+struct CaseFigures {
     /// In time over what the engine does, in the worst second and in all, from when the server has noticed.
     worst: f64,
     mean: f64,
@@ -46,10 +47,10 @@
 }
 
 /// A case with what this build shows, and the other one.
-struct Played {
+struct CaseResult {
     case: Case,
-    own: Shown,
-    other: Option<Shown>,
+    own: CaseFigures,
+    other: Option<CaseFigures>,
 }
 
 /// With `other`, that program is played as well, as far as it can be: messages of its queue have no age.
@@ -58,9 +59,9 @@
     let play_both = |case: Case| {
         let own = play(&case, &own, true);
         let other = other.as_ref().map(|other| play(&case, other, false));
-        Played { case, own, other }
+        CaseResult { case, own, other }
     };
-    let all: Vec<Played> = cases(if quick { 4 } else { 10 }).into_iter().map(play_both).collect();
+    let all: Vec<CaseResult> = cases(if quick { 4 } else { 10 }).into_iter().map(play_both).collect();
     print(&report, &all);
     report_bounds(&mut report, &all);
     report
@@ -75,22 +76,22 @@
             name: format!("{times}"),
             rates: vec![(0.0, times)],
             seconds,
-            judged: (NOTICED, seconds),
+            judged: (REACTION_SECONDS, seconds),
         };
-        cases.extend(TIMES.map(sustained));
+        cases.extend(SUSTAINED_LOADS.map(sustained));
         cases.push(Case {
             front,
             front_name,
             name: "burst of 1.5".to_owned(),
-            rates: vec![(0.0, BASE), (BURST.0 as f64, 1.5), (BURST.1 as f64, BASE)],
+            rates: vec![(0.0, BASE_LOAD), (BURST_SECONDS.0 as f64, 1.5), (BURST_SECONDS.1 as f64, BASE_LOAD)],
             seconds: 10,
-            judged: (BURST.0 + NOTICED, BURST.1),
+            judged: (BURST_SECONDS.0 + REACTION_SECONDS, BURST_SECONDS.1),
         });
     }
     cases
 }
 
-fn play(case: &Case, program: &Path, has_sent_time: bool) -> Shown {
+fn play(case: &Case, program: &Path, has_sent_time: bool) -> CaseFigures {
     let mut scenario = Scenario {
         program: program.to_owned(),
         front: case.front,
@@ -105,10 +106,10 @@
     for (_, rate) in &mut scenario.rates {
         *rate *= capacity;
     }
-    shown(&scenario.run(), capacity, case.judged)
+    figures_of(&scenario.run(), capacity, case.judged)
 }
 
-fn print(report: &Report, all: &[Played]) {
+fn print(report: &Report, all: &[CaseResult]) {
     let head = [
         "front",
         "times the engine",
@@ -123,9 +124,10 @@
     report.table("In time over what the engine does", &head, all.iter().map(row).collect());
 }
 
-fn report_bounds(report: &mut Report, all: &[Played]) {
-    let min_of = |of: fn(&Shown) -> f64| all.iter().map(|one| of(&one.own)).fold(f64::INFINITY, f64::min);
-    let max_of = |of: fn(&Shown) -> f64| all.iter().map(|one| of(&one.own)).fold(0.0, f64::max);
+fn report_bounds(report: &mut Report, all: &[CaseResult]) {
+    let min_of =
+        |of: fn(&CaseFigures) -> f64| all.iter().map(|one| of(&one.own)).fold(f64::INFINITY, f64::min);
+    let max_of = |of: fn(&CaseFigures) -> f64| all.iter().map(|one| of(&one.own)).fold(0.0, f64::max);
     report.require_min("in_time_worst_second", min_of(|one| one.worst), 0.9);
     report.figure("in_time_mean", min_of(|one| one.mean));
     report.require_max("held_p99", max_of(|one| one.queue_time_ratio), 1.0);
@@ -135,13 +137,13 @@
     report.require_max("backlog_s", drained_after_s, 1.0);
     let are_rules_kept = all.iter().all(|one| one.own.rules);
     report.require_min("rules_kept", f64::from(u8::from(are_rules_kept)), 1.0);
-    let ratio = |one: &Played| Some(one.own.mean / one.other.as_ref()?.mean.max(0.01));
+    let ratio = |one: &CaseResult| Some(one.own.mean / one.other.as_ref()?.mean.max(0.01));
     if let Some(ratio) = all.iter().filter_map(ratio).reduce(f64::min) {
         report.require_min("over_the_other", ratio, 0.97);
     }
 }
 
-fn shown(scenario_results: &ScenarioResults, capacity: f64, (from, to): (usize, usize)) -> Shown {
+fn figures_of(scenario_results: &ScenarioResults, capacity: f64, (from, to): (usize, usize)) -> CaseFigures {
     let results = &scenario_results.results;
     let in_time = |second: usize| f64::from(results.between(second, second + 1).in_time) / capacity;
     let total = results.between(from, to);
@@ -152,7 +154,7 @@
         .skip(from)
         .map(|queue_time| queue_time.value_at_quantile(0.99));
     let bound = GIVE_UP / 2 + WORK;
-    Shown {
+    CaseFigures {
         worst: (from..to).map(in_time).fold(f64::INFINITY, f64::min),
         mean: f64::from(total.in_time) / capacity / (to - from) as f64,
         queue_time_ratio: queue_time.max().unwrap_or(0) as f64 / bound.as_micros() as f64,
@@ -163,8 +165,8 @@
     }
 }
 
-fn row(played: &Played) -> Vec<String> {
-    let Played { case, own, other } = played;
+fn row(result: &CaseResult) -> Vec<String> {
+    let CaseResult { case, own, other } = result;
     let part = |value: f64| format!("{value:.2}");
     vec![
         case.front_name.to_owned(),
--- a/crates/loomflow-benchmark/src/scale/control.rs
+++ b/crates/loomflow-benchmark/src/scale/control.rs
@@ -16,14 +16,14 @@
 const VOTERS: usize = 5;
 /// Six zones in all, two to a region: the harder reading, as each zone and region is larger.
 const ZONES: usize = 6;
-const ZONES_OF_A_REGION: usize = 2;
-const RACK: usize = 20;
+const ZONES_PER_REGION: usize = 2;
+const RACK_SIZE: usize = 20;
 /// A new fleet is quiet by then, ms.
 const FORMED_MS: u64 = 25_000;
 /// A server may spend 3 KB a second on control.
-const BYTES_A_SECOND: f64 = 3.0 * 1024.0;
+const MAX_BYTES_PER_S: f64 = 3.0 * 1024.0;
 /// From 150 to 590 members a figure may grow by this factor more than the growth that its formula states.
-const BEND: f64 = 1.2;
+const MAX_GROWTH_FACTOR: f64 = 1.2;
 /// Plays at once: the machine is shared.
 const THREADS: usize = 4;
 
@@ -58,7 +58,7 @@
     max_bytes_per_s: f64,
 }
 
-struct Play {
+struct ControlTraffic {
     server: Sent,
     voter: Sent,
     leader: Sent,
@@ -85,18 +85,22 @@
         &plays[at.expect("it was played")]
     };
     let (middle, largest) = (quiet(150), quiet(sizes[sizes.len() - 1]));
-    report.require_max("control_bytes_a_second", largest.server.bytes_per_s, BYTES_A_SECOND);
-    report.require_max("control_bytes_bend", largest.server.bytes_per_s / middle.server.bytes_per_s, BEND);
+    report.require_max("control_bytes_a_second", largest.server.bytes_per_s, MAX_BYTES_PER_S);
+    report.require_max(
+        "control_bytes_bend",
+        largest.server.bytes_per_s / middle.server.bytes_per_s,
+        MAX_GROWTH_FACTOR,
+    );
     report.require_max(
         "control_messages_bend",
         largest.server.messages_per_s / middle.server.messages_per_s,
-        BEND,
+        MAX_GROWTH_FACTOR,
     );
     report.figure("member_kb_simulated", memory_kb.round());
     report.figure("leader_bytes_a_second", largest.leader.bytes_per_s.round());
 }
 
-fn print(report: &Report, cases: &[(usize, Event, &str)], plays: &[Play]) {
+fn print(report: &Report, cases: &[(usize, Event, &str)], plays: &[ControlTraffic]) {
     let sent = |sent: Sent| {
         [
             format!("{:.1}", sent.messages_per_s),
@@ -104,7 +108,7 @@
             format!("{:.0}", sent.max_bytes_per_s),
         ]
     };
-    let row = |((size, _, name), play): (&(usize, Event, &str), &Play)| {
+    let row = |((size, _, name), play): (&(usize, Event, &str), &ControlTraffic)| {
         let mut row = vec![(*name).to_owned(), size.to_string()];
         row.extend([play.server, play.voter, play.leader].into_iter().flat_map(sent));
         row.push(format!("{:.3}", play.cpu_percent));
@@ -130,7 +134,7 @@
     );
 }
 
-fn play(machines: usize, event: Event) -> Play {
+fn play(machines: usize, event: Event) -> ControlTraffic {
     let mut simulation = formed(machines);
     if event == Event::RegionBack {
         cut_region(&mut simulation);
@@ -139,19 +143,19 @@
     }
     begin(&mut simulation, event);
     let seconds = 30;
-    let mut watch = Watch::new(&simulation);
+    let mut monitor = TrafficMonitor::new(&simulation);
     let cpu = proc::own_thread_cpu_ns();
     for second in 0..seconds {
         if event == Event::Restarts && second % 2 == 0 {
             restart(&mut simulation, VOTERS + second % (machines - VOTERS));
         }
         go(&mut simulation, 1_000);
-        watch.second(&simulation);
+        monitor.second(&simulation);
     }
     let cpu = Duration::from_nanos(proc::own_thread_cpu_ns() - cpu).as_secs_f64();
     let cpu_percent = cpu / seconds as f64 / machines as f64 * 100.0;
-    let [server, voter, leader] = watch.kinds.map(Kind::sent);
-    Play { server, voter, leader, cpu_percent }
+    let [server, voter, leader] = monitor.kinds.map(MemberTotals::sent);
+    ControlTraffic { server, voter, leader, cpu_percent }
 }
 
 /// A quiet fleet.
@@ -174,7 +178,9 @@
     let machines = simulation.machines.len();
     match event {
         Event::Quiet | Event::Restarts | Event::RegionBack => {}
-        Event::RackLost => (machines - RACK..machines).for_each(|one| simulation.inject(&Fault::Kill(one))),
+        Event::RackLost => {
+            (machines - RACK_SIZE..machines).for_each(|one| simulation.inject(&Fault::Kill(one)));
+        }
         Event::ZoneLost => {
             let zone = leader(simulation) % ZONES;
             let lost = (0..machines).filter(|one| one % ZONES == zone);
@@ -192,7 +198,7 @@
 
 /// Cuts off the region in which the leader stands.
 fn cut_region(simulation: &mut Simulation) {
-    let region = |one: usize| one % ZONES / ZONES_OF_A_REGION;
+    let region = |one: usize| one % ZONES / ZONES_PER_REGION;
     let cut = region(leader(simulation));
     let side = (0..simulation.machines.len()).filter(|one| region(*one) == cut).collect();
     simulation.inject(&Fault::Isolate(side));
@@ -204,14 +210,14 @@
 
 /// What members of one kind have sent so far.
 #[derive(Clone, Copy, Default)]
-struct Kind {
+struct MemberTotals {
     member_seconds: u64,
     messages: u64,
     bytes: u64,
     max_bytes: u64,
 }
 
-impl Kind {
+impl MemberTotals {
     fn sent(self) -> Sent {
         let each = |count: u64| count as f64 / self.member_seconds.max(1) as f64;
         Sent {
@@ -223,15 +229,15 @@
 }
 
 /// Watches what each member sends, second by second.
-struct Watch {
+struct TrafficMonitor {
     before: Vec<Traffic>,
     /// Servers, voters that follow, the leader.
-    kinds: [Kind; 3],
+    kinds: [MemberTotals; 3],
 }
 
-impl Watch {
-    fn new(simulation: &Simulation) -> Watch {
-        Watch { before: sent_by_all(simulation), kinds: [Kind::default(); 3] }
+impl TrafficMonitor {
+    fn new(simulation: &Simulation) -> TrafficMonitor {
+        TrafficMonitor { before: sent_by_all(simulation), kinds: [MemberTotals::default(); 3] }
     }
 
     /// Counts the second that has just passed. A machine that is dead sends nothing and does not count.
