--- a/crates/loomflow-amqp/tests/common/mod.rs
+++ b/crates/loomflow-amqp/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests without sockets share: settings to vary, and frames out of what a consumer writes.
+//! Shared parts of the tests without sockets: settings to vary, and the decoding of frames that a consumer writes.
 
 use std::collections::VecDeque;
 
@@ -9,7 +9,7 @@
 mod settings;
 pub use self::settings::settings;
 
-/// The whole frames among bytes on their way to a broker.
+/// Decodes the complete frames of bytes that are sent to a broker.
 #[allow(dead_code, reason = "not every test reads frames")]
 pub fn decode(bytes: &mut VecDeque<u8>) -> Vec<Frame> {
     use loomflow_protocol::Decoder;
--- a/crates/loomflow-amqp/tests/common/settings.rs
+++ b/crates/loomflow-amqp/tests/common/settings.rs
@@ -1,8 +1,8 @@
-//! Settings to vary, shared by the tests of the crate and those beside it.
+//! Settings to vary, shared by the unit tests of the package and those in this folder.
 
 use super::{Capacity, Class, KeyFrom, NameFrom, Password, Queue, Settings, Target};
 
-/// One queue with one class.
+/// Settings of one queue with one class.
 pub fn settings(effect: bool) -> Settings {
     Settings {
         brokers: vec![([127, 0, 0, 1], 1).into()],
@@ -12,7 +12,7 @@
         heartbeat_s: 0,
         max_body_bytes: 1_000,
         retention: 1e9,
-        // Little, so that keys of which only a hash is left take part.
+        // Small, so that keys of which only a hash is kept occur.
         capacity: Capacity { records: 8, reply_bytes: 10, retired_keys: 10_000 },
         max_in_flight: 20,
         max_unconfirmed: 8,
--- a/crates/loomflow-amqp/tests/overload.rs
+++ b/crates/loomflow-amqp/tests/overload.rs
@@ -1,5 +1,5 @@
-//! A consumer, the decision module and a simulated engine under overload, without sockets. Messages state when they were
-//! sent, so the module orders and rejects them like calls, and no message runs late.
+//! A consumer and the controller against a simulated engine and the state of the test broker under overload, without sockets.
+//! Messages state when they were sent, so the controller orders and rejects them like calls, and no message runs late.
 
 mod common;
 use std::collections::{BTreeMap, VecDeque};
@@ -16,7 +16,7 @@
 
 const CORES: usize = 4;
 const WORK_MS: f64 = 10.0;
-/// Messages a second that the engine does.
+/// Throughput of the engine.
 const MESSAGES_PER_SECOND: f64 = CORES as f64 * 1000.0 / WORK_MS;
 const CALLER_TIMEOUT_MS: f64 = 1_000.0;
 const CONNECTION: u64 = 1;
@@ -28,7 +28,7 @@
     broker: State,
     consumer: Consumer,
     controller: Controller,
-    /// Deliveries by the module's names.
+    /// Submitted messages by the ids that the controller has for them.
     submitted: BTreeMap<RequestId, SubmittedMessage>,
     last: RequestId,
     waiting: VecDeque<RequestId>,
@@ -155,7 +155,7 @@
         }))
     }
 
-    /// Idle cores take what waits. What could have begun within the step has begun then.
+    /// Idle cores take waiting messages. A run that could have started within the step has started then.
     fn start_runs(&mut self) {
         for core in self.cores.iter_mut().filter(|core| core.1.is_none()) {
             if let Some(id) = self.waiting.pop_front() {
@@ -167,7 +167,7 @@
     fn take_replies(&mut self) {
         for reply in self.broker.take("replies") {
             let number: usize = reply.correlation().parse().unwrap();
-            assert_ne!(reply.kind(), "refused", "whoever gives up in a second is not asked to wait");
+            assert_ne!(reply.kind(), "refused", "a caller with a timeout of a second is not told to wait");
             let before = self.endings.insert(number, (reply.kind() == "served", self.now));
             assert!(before.is_none(), "one final answer");
         }
@@ -192,7 +192,7 @@
                 );
             }
             Action::Fail(id) => {
-                // One that runs is told of when it ends.
+                // A message that runs is answered when its run ends.
                 if let Some(message) = self.submitted.get(&id).filter(|_| !self.waiting.contains(&id)) {
                     self.consumer.respond(message.id, MessageResponse::MayHaveRun, now);
                 }
@@ -203,10 +203,10 @@
         }
     }
 
-    /// Whatever either side has to say, until neither has.
+    /// Passes frames between consumer and broker until neither sends more.
     fn exchange_frames(&mut self) {
         loop {
-            self.consumer.tick(self.now).expect("the connection goes on");
+            self.consumer.tick(self.now).expect("an open connection");
             let mut bytes: VecDeque<u8> = self.consumer.take_output(self.now).into();
             for frame in decode(&mut bytes) {
                 self.broker.handle_frame(CONNECTION, frame);
@@ -216,12 +216,12 @@
                 return;
             }
             for (_, frame) in out {
-                self.consumer.handle_frame(frame.expect("the broker goes on"), self.now).expect("a frame");
+                self.consumer.handle_frame(frame.expect("an open connection"), self.now).expect("a frame");
             }
         }
     }
 
-    /// In time of those sent in each second, over what the engine does.
+    /// Messages of a second that were served in time, as a share of the throughput.
     fn in_time(&self, second: usize) -> f64 {
         let of = |at: f64| (at / 1_000.0) as usize == second;
         let ended = self.endings.iter().filter(|(number, _)| of(self.sent[**number]));
@@ -244,7 +244,7 @@
             while due <= simulation.now {
                 simulation.publish();
                 let rate = if (2_000.0..6_000.0).contains(&due) { times } else { before } * MESSAGES_PER_SECOND;
-                // From one at a time to as they come.
+                // From regular to random intervals.
                 due += 1_000.0 / rate * (1.0 + spread * (random.f64() * 2.0 - 1.0));
             }
             simulation.step();
@@ -252,7 +252,7 @@
         for _ in 0..300 {
             simulation.step();
         }
-        prop_assert_eq!(simulation.endings.len(), simulation.sent.len(), "each has its ending");
+        prop_assert_eq!(simulation.endings.len(), simulation.sent.len(), "each message has its end");
         prop_assert_eq!(simulation.run_late, 0);
         for second in 3..6 {
             prop_assert!(simulation.in_time(second) >= 0.9, "second {}: {:.2}", second, simulation.in_time(second));
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -1,9 +1,10 @@
-//! A fleet that starts cold: twenty and thirty servers within the same second before many callers.
+//! A fleet that starts cold: twenty and thirty servers start within the same second under the load of many callers, and none
+//! runs more requests than it survives.
 //!
-//! Each server is a module of its own on a modelled machine at the slowest speed that the settings allow; they share
-//! nothing. The bound and its proof are in `docs/design/cold-start.md`: with N = cores x (1 + (crowd - 1) x share of
-//! speed), the mean of the requests on the cores over `crowd_span` stays within N, whatever callers do, and so within the
-//! allowance N + 2 x root of N + 2.
+//! Each server is a controller of its own on a modelled machine at the lowest speed that the settings allow; they share nothing.
+//! The bound and its proof are in `docs/design/cold-start.md`: with N = cores x (1 + (`core_concurrency` - 1) x speed), the mean
+//! of the requests on the cores over `concurrency_window` stays within N, whatever callers do, and so within the allowance
+//! N + 2 x root of N + 2.
 
 mod common;
 use std::collections::{BTreeMap, VecDeque};
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests share: settings to vary, and a driver that plays batches and fires the timers asked for.
+//! Shared parts of the controller's tests: settings to vary, and a driver that plays batches of events and fires the timers
+//! that the controller sets.
 #![allow(dead_code)]
 
 use loomflow::controller::Controller;
@@ -26,7 +27,7 @@
     Tenant { quota_per_s }
 }
 
-/// Four cores, one class of each effect, a tier below, nothing told about waits.
+/// Four cores, one class of each idempotency, a downstream tier, no deadlines from callers.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![class(Idempotency::Always), class(Idempotency::ByKey), class(Idempotency::Never)],
@@ -101,7 +102,7 @@
     timers: Vec<f64>,
     /// Runs ended by `finish_next`.
     finished: usize,
-    /// Everything that was answered, with its time.
+    /// All actions, with their times.
     pub log: Vec<(f64, Action)>,
 }
 
@@ -114,7 +115,7 @@
         driver
     }
 
-    /// Plays one batch now and returns what it was answered.
+    /// Plays one batch now; returns its actions.
     pub fn batch(&mut self, events: Vec<Event>) -> Vec<Action> {
         let mut actions = vec![];
         for event in events {
@@ -142,16 +143,16 @@
         self.one(Event::RunEnded { id, outcome: Outcome::Ok, duration: took })
     }
 
-    /// Ends the run that has gone on for longest, in whatever order the hold has begun them.
+    /// Ends the run that was started first of those that have not ended.
     pub fn finish_next(&mut self, took: f64) -> Vec<Action> {
-        let mut begun =
+        let mut started =
             self.log.iter().filter_map(|(_, a)| if let Action::Run(id) = a { Some(*id) } else { None });
-        let next = begun.nth(self.finished).expect("something runs");
+        let next = started.nth(self.finished).expect("something runs");
         self.finished += 1;
         self.finish(next, took)
     }
 
-    /// Lets time pass, firing timers; returns what they were answered.
+    /// Lets time pass and fires the timers; returns the actions.
     pub fn pass(&mut self, ms: f64) -> Vec<Action> {
         let end = self.now + ms;
         let mut all = vec![];
@@ -170,13 +171,13 @@
         all
     }
 
-    /// Every share told, in order.
+    /// All send shares that callers were told, in order.
     pub fn shares_told(&self) -> Vec<f64> {
         let tell = |(_, a): &(f64, Action)| if let Action::SetSignal(x) = a { Some(*x) } else { None };
         self.log.iter().filter_map(tell).collect()
     }
 
-    /// The last share told, 1 where none was.
+    /// The last send share that callers were told; 1 before the first.
     pub fn told(&self) -> f64 {
         self.shares_told().last().copied().unwrap_or(1.0)
     }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,4 +1,5 @@
-//! `docs/decisions.md` names each decision with its constants and its test: all of them exist, with those values.
+//! `docs/decisions.md` against the sources: each function, constant and test that it names exists, each constant has the value
+//! of the code, and no constant or file of the controller is left out.
 
 mod repository;
 
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,4 +1,5 @@
-//! The pages name only files, packages and identifiers that exist, and every log line has its row.
+//! The pages against the sources: they name only files, packages and identifiers that exist, each log line has its row, and
+//! tests are in test files.
 
 mod repository;
 
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,4 +1,5 @@
-//! Rules that generated days (`tests/generated`) found broken beyond the sites' own figures: the smallest case of each.
+//! The controller in the smallest cases in which generated days (`tests/generated`) broke a rule, with settings beyond those of
+//! any site: one test for each.
 
 mod common;
 use common::*;
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,4 +1,5 @@
-//! `scripts/known-red`: tests with an open fault are passed over only with a complete entry, and only while they fail.
+//! `scripts/known-red` against made-up lists: a test with an open fault is passed over only with a complete entry, and only
+//! while it fails.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -1,4 +1,5 @@
-//! The design, sentence by sentence: the send share, the running limit and the permits for calls.
+//! The controller's mechanisms against the sentences of the design, one test for each: the send share, the concurrency limit
+//! and the permits for calls.
 
 mod common;
 use common::*;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The four rules, one by one, and the failures that incidents brought to light.
+//! The controller against the four rules (responses in time, effects, shutdown, memory and concurrency), one case after the
+//! other, and against the failures of earlier incidents.
 
 mod common;
 use common::*;
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,4 +1,5 @@
-//! The files that decide are read aloud in reviews: their list is complete, and their length and width are limited.
+//! The files of the controller against the deploy file and the limits of reviews: the list of them is complete, and their
+//! length and width are limited.
 
 mod repository;
 
