--- a/crates/loomflow-server/tests/fleet.rs
+++ b/crates/loomflow-server/tests/fleet.rs
@@ -24,9 +24,19 @@
     ticket
 }
 
+/// Whether a grant of a ticket has lapsed: the ticket waits again after it was granted. A ticket that was begun is no lapse, and
+/// neither is a history that could not be read.
+fn has_lapsed(fleet: &Fleet, ticket: u64) -> bool {
+    let (_, output, _) = fleet.run_command(0, &["work", "history", "--json"]);
+    let events = json(&output);
+    let events = events.as_array().map(Vec::as_slice).unwrap_or_default();
+    let mut stages = events.iter().filter(|event| event["ticket"] == ticket).map(|event| &event["stage"]);
+    stages.any(|stage| stage == "Granted") && stages.any(|stage| stage == "Asked")
+}
+
 /// Waits until a grant lapses, and withdraws its ticket.
 fn withdraw_lapsed(fleet: &Fleet, ticket: u64) {
-    fleet.wait_until("the grant lapses", |fleet| fleet.stage(0, ticket) != "Granted");
+    fleet.wait_until("the grant lapses", |fleet| has_lapsed(fleet, ticket));
     expect_success(fleet, 0, &["work", "withdraw", &ticket.to_string()]);
 }
 
@@ -85,11 +95,11 @@
 fn a_server_paused_past_its_grant_keeps_serving() {
     let mut fleet = Fleet::start_bootstrapped(TWO_OUT);
     let ticket = grant_behind_fault(&mut fleet, STALLED);
-    fleet.pause(NON_VOTER);
-    // The grant reaches its sockets while it is paused.
+    // All its threads stand still before the grant reaches its sockets: until then it could take the grant up.
+    let paused = fleet.pause_process_tree(NON_VOTER);
     set_faults_from_voters(&mut fleet, NON_VOTER, NO_FAULT);
     withdraw_lapsed(&fleet, ticket);
-    fleet.resume(NON_VOTER);
+    fleet.resume_processes(&paused);
     let other = fleet.request_ticket(0, 2);
     drain_and_restart(&mut fleet, 2, 0, other);
     assert!(fleet.is_running(NON_VOTER), "{}", fleet.diagnostics());
