--- a/crates/loomflow-server/tests/leaving.rs
+++ b/crates/loomflow-server/tests/leaving.rs
@@ -144,7 +144,7 @@
     let (mut fixture, former) = start_with_address_in_use();
     thread::sleep(Duration::from_millis(1_500));
     assert!(fixture.is_running());
-    drop(former);
+    release(former);
     attach(&fixture, "ATTACH 0");
     fixture.wait_for_service();
 }
