--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -430,7 +430,7 @@
     let mut set = settings();
     (set.is_slow_start, set.slow_start_share) = (true, 0.2);
     let driver = Driver::new(set);
-    assert_eq!(driver.shares_told(), [0.2]);
+    assert_eq!(driver.signals(), [0.2]);
 }
 
 /// What waits for its call is not on the cores, and comes back unasked: all that was begun is survived together.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -82,6 +82,11 @@
     }
 }
 
+/// The arrivals of requests of a class.
+pub fn arrivals(ids: std::ops::RangeInclusive<RequestId>, class: usize) -> Vec<Event> {
+    ids.map(|id| Event::RequestArrived(arrival(id, class))).collect()
+}
+
 pub const IDLE: Gauges = Gauges {
     core_utilization: Some(0.3),
     runnable: Some(1.0),
@@ -171,15 +176,24 @@
         all
     }
 
-    /// All send shares that callers were told, in order.
-    pub fn shares_told(&self) -> Vec<f64> {
+    /// Runs requests one after the other, one every 50 ms, each of which was unread for `age` ms.
+    pub fn run_each(&mut self, ids: std::ops::RangeInclusive<RequestId>, age: f64) {
+        for id in ids {
+            self.one(Event::RequestArrived(Arrival { age, ..arrival(id, SAFE) }));
+            self.pass(50.0);
+            self.finish(id, 50.0);
+        }
+    }
+
+    /// All values of the signal to callers, in order.
+    pub fn signals(&self) -> Vec<f64> {
         let tell = |(_, a): &(f64, Action)| if let Action::SetSignal(x) = a { Some(*x) } else { None };
         self.log.iter().filter_map(tell).collect()
     }
 
-    /// The last send share that callers were told; 1 before the first.
-    pub fn told(&self) -> f64 {
-        self.shares_told().last().copied().unwrap_or(1.0)
+    /// The last value of the signal to callers; 1 before the first.
+    pub fn signal(&self) -> f64 {
+        self.signals().last().copied().unwrap_or(1.0)
     }
 
     pub fn started(&self) -> usize {
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -5,10 +5,6 @@
 use common::*;
 use loomflow::interface::*;
 
-fn many(ids: std::ops::RangeInclusive<RequestId>, class: usize) -> Vec<Event> {
-    ids.map(|id| Event::RequestArrived(arrival(id, class))).collect()
-}
-
 fn calls(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Call { .. })).count()
 }
@@ -56,7 +52,7 @@
     let mut d = Driver::new(s);
     d.gauges.runnable = Some(0.0);
     d.pass(60.0);
-    d.batch(many(1..=4, SAFE));
+    d.batch(arrivals(1..=4, SAFE));
     // A run that ends on an idle core with work held raises the limit.
     assert_eq!(runs(&d.finish_next(60.0)).len(), 1);
 }
@@ -71,7 +67,7 @@
     let (mut begun, mut next): (Vec<RequestId>, RequestId) = (vec![], 1);
     // Quick runs on idle cores with work held raise the limit to its ceiling.
     for _ in 0..30 {
-        begun.extend(runs(&d.batch(many(next..=next + 3, UNSAFE))));
+        begun.extend(runs(&d.batch(arrivals(next..=next + 3, UNSAFE))));
         next += 4;
         d.pass(60.0);
         let id = begun.remove(0);
@@ -109,7 +105,7 @@
         d.pass(300.0);
         d.finish(id, 300.0);
     }
-    d.batch(many(11..=14, UNSAFE));
+    d.batch(arrivals(11..=14, UNSAFE));
     d.arrive(20, SAFE);
     // All four wait for a disk: the cores are idle and the limit is full. 300 of its 2,000 ms are needed.
     assert!(refused(&d.pass(1760.0), 20));
@@ -128,9 +124,9 @@
     }
     d.gauges = FULL;
     d.pass(60.0);
-    d.batch(many(100..=103, SAFE));
+    d.batch(arrivals(100..=103, SAFE));
     d.batch((100..=103).map(Event::CallNeeded).collect());
-    d.batch(many(201..=204, UNSAFE));
+    d.batch(arrivals(201..=204, UNSAFE));
     assert!(runs(&d.arrive(300, SAFE)).is_empty());
     d.pass(20.0);
     let back = |id| Event::CallEnded { id, outcome: Outcome::Ok, duration: 20.0 };
@@ -143,7 +139,7 @@
 #[test]
 fn a_shutdown_shorter_than_a_tick_answers_everything_immediately() {
     let mut d = Driver::new(settings());
-    d.batch(many(1..=9, SAFE));
+    d.batch(arrivals(1..=9, SAFE));
     d.pass(55.0);
     let actions = d.one(Event::ShutdownRequested { time_left: 30.0 });
     assert!((1..=9).all(|id| answered(&actions, id)), "{actions:?}");
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -5,42 +5,31 @@
 use common::*;
 use loomflow::interface::*;
 
-/// Keeps a server busy so that each run finished was held for `held`: one in, one out, every 50 ms.
-fn load(driver: &mut Driver, from: RequestId, count: u32, unread: f64) {
-    for id in from..from + count {
-        let mut a = arrival(id, SAFE);
-        a.age = unread;
-        driver.one(Event::RequestArrived(a));
-        driver.pass(50.0);
-        driver.finish(id, 50.0);
-    }
-}
-
 #[test]
 fn the_share_is_one_below_the_setpoint() {
     let mut d = Driver::new(settings());
-    load(&mut d, 1, 100, 20.0);
-    assert_eq!(d.told(), 1.0);
+    d.run_each(1..=100, 20.0);
+    assert_eq!(d.signal(), 1.0);
     assert!(!d.log.iter().any(|(_, a)| matches!(a, Action::SetSignal(_))));
 }
 
 #[test]
 fn the_share_falls_in_bounded_steps_to_its_floor_and_recovers() {
     let mut d = Driver::new(settings());
-    load(&mut d, 1, 200, 1500.0);
-    let said = d.shares_told();
-    assert!(said[0] < 1.0, "it fell at once: {said:?}");
+    d.run_each(1..=200, 1500.0);
+    let shares = d.signals();
+    assert!(shares[0] < 1.0, "it fell at once: {shares:?}");
     let mut last = 1.0;
-    for x in &said {
+    for x in &shares {
         assert!((0.05..=1.0).contains(x));
         assert!((x - last).abs() <= 0.2 + 1e-9, "step from {last} to {x}");
         last = *x;
     }
     assert!((last - 0.05).abs() < 1e-6, "ended at {last}");
     // The integral was frozen at the clamp: minutes of overload are not paid back for minutes.
-    load(&mut d, 1000, 600, 1500.0);
-    load(&mut d, 2000, 400, 10.0);
-    assert_eq!(d.told(), 1.0);
+    d.run_each(1000..=1599, 1500.0);
+    d.run_each(2000..=2399, 10.0);
+    assert_eq!(d.signal(), 1.0);
 }
 
 #[test]
@@ -52,7 +41,7 @@
     }
     assert_eq!(d.started(), 4);
     d.pass(1500.0);
-    assert!(d.told() < 1.0, "four have been held for 1.5 s and none finished");
+    assert!(d.signal() < 1.0, "four have been held for 1.5 s and none finished");
 }
 
 #[test]
@@ -65,7 +54,7 @@
         d.one(Event::RequestArrived(a));
         d.pass(400.0);
     }
-    assert!(d.told() < 0.8, "told {}", d.told());
+    assert!(d.signal() < 0.8, "signal {}", d.signal());
 }
 
 #[test]
@@ -76,7 +65,7 @@
         d.pass(100.0);
     }
     d.pass(800.0);
-    assert!(d.told() < 0.5, "silence is not health: {}", d.told());
+    assert!(d.signal() < 0.5, "silence is not health: {}", d.signal());
 }
 
 #[test]
@@ -142,7 +131,7 @@
     d.batch((8..60).map(|id| spent(id, SAFE, 1_990.0)).collect());
     (1..=3).for_each(|id| drop(d.finish(id, 60.0)));
     d.pass(300.0);
-    assert_eq!(d.told(), 1.0);
+    assert_eq!(d.signal(), 1.0);
 }
 
 #[test]
@@ -247,10 +236,10 @@
     let mut s = settings();
     s.is_slow_start = true;
     let mut d = Driver::new(s);
-    load(&mut d, 1, 10, 20.0);
-    assert!(d.told() < 0.5, "told {}", d.told());
+    d.run_each(1..=10, 20.0);
+    assert!(d.signal() < 0.5, "signal {}", d.signal());
     d.pass(16_000.0);
-    assert_eq!(d.told(), 1.0);
+    assert_eq!(d.signal(), 1.0);
 }
 
 #[test]
@@ -259,14 +248,14 @@
         let mut s = settings();
         s.feedback_signal = signal;
         let mut d = Driver::new(s);
-        load(&mut d, 1, 200, 1500.0);
-        let told = d.told();
-        assert!(if low { told > 0.9 } else { told > 0.0 && told < 1.0 }, "{signal:?} {told}");
+        d.run_each(1..=200, 1500.0);
+        let value = d.signal();
+        assert!(if low { value > 0.9 } else { value > 0.0 && value < 1.0 }, "{signal:?} {value}");
     }
     let mut s = settings();
     s.feedback_signal = FeedbackSignal::Unused;
     let mut d = Driver::new(s);
-    load(&mut d, 1, 100, 1500.0);
+    d.run_each(1..=100, 1500.0);
     assert!(!d.log.iter().any(|(_, a)| matches!(a, Action::SetSignal(_))));
 }
 
@@ -301,7 +290,7 @@
 fn a_stalled_server_rejects_its_queue_and_recovers() {
     let mut d = Driver::new(settings());
     d.gauges = Gauges { core_utilization: Some(1.0), runnable: Some(4.0), ..IDLE };
-    load(&mut d, 1, 20, 20.0);
+    d.run_each(1..=20, 20.0);
     // Four run, as many as there are cores, three wait; then nothing ends, while requests are still read.
     for id in 101..=107 {
         d.arrive(id, SAFE);
@@ -318,7 +307,7 @@
         |a: &Action| matches!(a, Action::Reject { id: 108, retry_after, .. } if *retry_after == longest);
     assert!(newcomer.iter().any(away), "{newcomer:?}");
     d.pass(5000.0);
-    assert_eq!(d.told(), 0.05);
+    assert_eq!(d.signal(), 0.05);
     // What ran through it says nothing of how long runs take: the next ones are not taken for hopeless.
     for id in 101..=104 {
         d.finish(id, 5800.0);
@@ -327,7 +316,7 @@
         assert_eq!(runs(&d.arrive(id, SAFE)), [id]);
     }
     d.pass(300.0);
-    assert_eq!(d.told(), 1.0, "a stall leaves nothing behind in the loop");
+    assert_eq!(d.signal(), 1.0, "a stall leaves nothing behind in the loop");
 }
 
 /// The part of a tenant's requests that one server of a fleet takes to be beyond the tenant's quota, where they come
@@ -375,19 +364,19 @@
 fn the_share_keeps_its_value_through_a_stall() {
     let mut d = Driver::new(settings());
     d.gauges = Gauges { core_utilization: Some(1.0), runnable: Some(4.0), ..IDLE };
-    load(&mut d, 1, 200, 400.0);
-    let before = d.told();
-    assert!((0.5..0.8).contains(&before), "told {before}");
+    d.run_each(1..=200, 400.0);
+    let before = d.signal();
+    assert!((0.5..0.8).contains(&before), "signal {before}");
     for id in 1001..=1008 {
         let mut a = arrival(id, SAFE);
         a.age = 400.0;
         d.one(Event::RequestArrived(a));
     }
     d.pass(5000.0);
-    assert_eq!(d.told(), 0.05, "a stall");
+    assert_eq!(d.signal(), 0.05, "a stall");
     d.finish(1001, 5000.0);
     d.pass(300.0);
-    assert!((d.told() - before).abs() < 0.1, "told {before} before, {} after", d.told());
+    assert!((d.signal() - before).abs() < 0.1, "signal {before} before, {} after", d.signal());
 }
 
 #[test]
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -118,7 +118,7 @@
         engine.start(&actions, now);
         driver.gauges = engine.gauges();
     }
-    results.shares = driver.shares_told();
+    results.shares = driver.signals();
     results
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -5,10 +5,6 @@
 use common::*;
 use loomflow::interface::*;
 
-fn many(ids: std::ops::RangeInclusive<RequestId>, class: usize) -> Vec<Event> {
-    ids.map(|id| Event::RequestArrived(arrival(id, class))).collect()
-}
-
 // ---- Rule 1 ----
 
 #[test]
@@ -68,7 +64,7 @@
 #[test]
 fn no_response_is_sent_after_a_cancellation() {
     let mut d = Driver::new(settings());
-    d.batch(many(1..=6, SAFE));
+    d.batch(arrivals(1..=6, SAFE));
     d.batch((1..=6).map(Event::RequestCancelled).collect());
     let all = d.pass(9000.0);
     assert!((1..=6).all(|id| !answered(&all, id)));
@@ -126,7 +122,7 @@
 fn the_key_of_a_request_that_never_ran_is_released() {
     let mut d = Driver::new(settings());
     d.gauges = FULL;
-    d.batch(many(1..=5, KEYED));
+    d.batch(arrivals(1..=5, KEYED));
     let all = d.pass(7990.0);
     let never_ran = (1..=5).find(|id| refused(&all, *id)).expect("one was held to its end");
     assert!(all.contains(&Action::ReleaseKey(never_ran)));
@@ -168,10 +164,10 @@
     let actions = d.one(Event::ShutdownRequested { time_left: 5000.0 });
     assert!(actions.contains(&Action::SetHealth { is_healthy: false, is_cached: true }));
     d.pass(1900.0);
-    assert_eq!(d.told(), 1.0);
+    assert_eq!(d.signal(), 1.0);
     assert_eq!(runs(&d.arrive(1, SAFE)), [1]);
     d.pass(600.0);
-    assert_eq!(d.told(), 0.0);
+    assert_eq!(d.signal(), 0.0);
 }
 
 #[test]
@@ -208,8 +204,8 @@
     let mut s = settings();
     s.memory_kb = 1000.0;
     let mut d = Driver::new(s);
-    let mut actions = d.batch(many(1..=100, SAFE));
-    actions.extend(d.batch(many(101..=200, SAFE)));
+    let mut actions = d.batch(arrivals(1..=100, SAFE));
+    actions.extend(d.batch(arrivals(101..=200, SAFE)));
     let gone = (1..=200).filter(|id| answered(&actions, *id)).count();
     let running = runs(&actions).len();
     assert!(running > 0);
@@ -225,7 +221,7 @@
         let mut d = Driver::new(s);
         d.gauges.runnable = Some(0.0);
         d.pass(60.0);
-        d.batch(many(1..=80, SAFE));
+        d.batch(arrivals(1..=80, SAFE));
         for id in 1..=30 {
             d.finish(id, 60.0);
         }
@@ -241,7 +237,7 @@
     s.downstream = Downstream::Shared;
     s.call_quota = 2.5;
     let mut d = Driver::new(s);
-    let first = runs(&d.batch(many(1..=4, UNSAFE)));
+    let first = runs(&d.batch(arrivals(1..=4, UNSAFE)));
     let mut calls = vec![];
     for id in first {
         calls.extend(d.one(Event::CallNeeded(id)));
@@ -328,15 +324,9 @@
 fn no_late_service_under_overload() {
     let mut d = Driver::new(settings());
     d.gauges = FULL;
-    for id in 1..=60 {
-        let mut a = arrival(id, SAFE);
-        a.age = 1200.0;
-        d.one(Event::RequestArrived(a));
-        d.pass(50.0);
-        d.finish(id, 50.0);
-    }
-    assert!(d.told() < 0.9);
-    d.batch(many(100..=103, SAFE));
+    d.run_each(1..=60, 1200.0);
+    assert!(d.signal() < 0.9);
+    d.batch(arrivals(100..=103, SAFE));
     d.arrive(104, SAFE);
     assert!(refused(&d.pass(2100.0), 104));
 }
@@ -382,7 +372,7 @@
 #[test]
 fn starved_reading_cuts_the_limit_before_runs_miss_their_objective() {
     let mut d = Driver::new(settings());
-    d.batch(many(1..=30, UNSAFE));
+    d.batch(arrivals(1..=30, UNSAFE));
     d.pass(60.0);
     for id in 1..=6 {
         d.finish(id, 60.0);
@@ -413,7 +403,7 @@
         d.pass(100.0);
         d.one(Event::RunEnded { id, outcome: Outcome::Error, duration: 1.0 });
     }
-    assert!(d.told() < 0.5, "told {}", d.told());
+    assert!(d.signal() < 0.5, "signal {}", d.signal());
 }
 
 /// A slow dependency let requests queue for permits until the last moment, with the limit full of them.
@@ -429,7 +419,7 @@
     d.pass(400.0);
     d.one(Event::CallEnded { id: 1, outcome: Outcome::Ok, duration: 400.0 });
     d.finish(1, 500.0);
-    let started = runs(&d.batch(many(2..=4, SAFE)));
+    let started = runs(&d.batch(arrivals(2..=4, SAFE)));
     let all: Vec<Action> = started.iter().flat_map(|id| d.one(Event::CallNeeded(*id))).collect();
     assert!(all.iter().any(|a| matches!(a, Action::SkipCall(_))), "{all:?}");
 }
@@ -442,7 +432,7 @@
         s.tier = tier;
         let mut d = Driver::new(s);
         d.gauges = FULL;
-        d.batch(many(1..=9, SAFE));
+        d.batch(arrivals(1..=9, SAFE));
         let all = d.pass(1000.0);
         assert_eq!(answered(&all, 9), !held, "tier {tier}");
     }
@@ -549,7 +539,7 @@
         d.finish(id, 100.0);
     }
     // A hundred runs of 100 ms on four cores take 2,500 ms, of an objective of 2,000 ms.
-    let actions = d.batch(many(101..=200, SAFE));
+    let actions = d.batch(arrivals(101..=200, SAFE));
     let rejected = (101..=200).filter(|id| refused(&actions, *id)).count();
     assert!((20..30).contains(&rejected), "{rejected} rejected at once");
 }
@@ -560,6 +550,6 @@
     // A run takes 500 KB of the 920 that may be used.
     (s.memory_kb, s.run_memory_factor) = (1000.0, 50.0);
     let mut d = Driver::new(s);
-    assert_eq!(runs(&d.batch(many(1..=2, UNSAFE))).len(), 1);
+    assert_eq!(runs(&d.batch(arrivals(1..=2, UNSAFE))).len(), 1);
     assert_eq!(runs(&d.finish_next(100.0)).len(), 1);
 }
