--- a/src/controller/aimd.rs
+++ b/src/controller/aimd.rs
@@ -1,5 +1,5 @@
-//! Additive increase, multiplicative decrease: the rule by which limits follow what a server turns out to
-//! bear.
+//! Additive increase, multiplicative decrease: the rule by which limits approach the load that a server
+//! sustains.
 //!
 //! Inputs: time (ms) and the period between two decreases (ms). A decrease takes place at most once a
 //! period, so that its effect shows before the next one.
--- a/src/controller/arrivals.rs
+++ b/src/controller/arrivals.rs
@@ -6,6 +6,7 @@
 use super::Controller;
 use super::deadlines;
 use super::key_retention::KeyRetention;
+use super::load_shedding::RejectionScope;
 use super::queue::{QueueKey, weight_per_work};
 use super::request::{Request, RequestStage};
 use crate::interface::{Action, Arrival, Class, Idempotency, RequestAttributes, RequestId};
@@ -26,7 +27,8 @@
         // Rule 2 (no effect twice): a duplicate of what may have run is never run itself.
         let is_duplicate = original.is_some() && KeyRetention::new(&self.settings).shares_result(&class);
         if request.deadline - self.now <= self.deadlines.margin() {
-            let response = if is_duplicate { Action::Fail(id) } else { self.rejection(id, false) };
+            let response =
+                if is_duplicate { Action::Fail(id) } else { self.rejection(id, RejectionScope::ThisServer) };
             out.push(response);
             return;
         }
@@ -35,7 +37,7 @@
             self.await_result(id, request, out);
         } else if self.cannot_run(&request, &class) {
             self.memory.remove_queued(request.memory_kb);
-            let rejection = self.rejection(id, false);
+            let rejection = self.rejection(id, RejectionScope::ThisServer);
             out.push(rejection);
         } else {
             self.retain_key(arrival, &request, &class, out);
@@ -68,7 +70,7 @@
 
     fn await_result(&mut self, id: RequestId, mut request: Request, out: &mut Vec<Action>) {
         request.stage = RequestStage::AwaitingResult;
-        self.deadlines.schedule(self.deadlines.last_check(request.deadline), id);
+        self.deadlines.schedule(self.deadlines.respond_by(request.deadline), id);
         self.requests.insert(id, request);
         out.push(Action::ReuseResult(id));
     }
@@ -99,8 +101,8 @@
         request.queue_key = QueueKey::new(weight, request.objective_at, id);
         self.queue.insert(request.queue_key, expected_run);
         let start_by = request.objective_at - expected_run - self.run_estimates.off_cores(request.class);
-        let last_check = self.deadlines.last_check(request.deadline);
-        self.deadlines.schedule(start_by.min(last_check), id);
+        let respond_by = self.deadlines.respond_by(request.deadline);
+        self.deadlines.schedule(start_by.min(respond_by), id);
     }
 
     pub(super) fn request_cancelled(&mut self, id: RequestId, out: &mut Vec<Action>) {
--- a/src/controller/call_permits.rs
+++ b/src/controller/call_permits.rs
@@ -10,16 +10,16 @@
 use super::SMOOTHING_WEIGHT;
 use super::aimd::AimdValue;
 use super::call_retry::CALL_TIMEOUT_FACTOR;
-use crate::estimate::Mean;
+use crate::estimate::SmoothedMean;
 use crate::interface::{Downstream, Settings};
 use crate::time::Millis;
 
-/// Part of the call quota that full permits may use: at a mean of all of it the dependency is overloaded.
-const CALL_QUOTA_USED_PART: f64 = 0.85;
+/// Full permits, as a part of the call quota: at a mean of all of it the dependency is overloaded.
+const FULL_PERMITS_PART: f64 = 0.85;
 /// Of the quota beyond full permits, the part that accrues as credit over time; the rest is the size of
 /// the credit.
 const ACCRUING_PART: f64 = 0.5;
-/// The credit covers at least so many lingering calls.
+/// The credit covers at least this many lingering calls.
 const MIN_CREDIT_LINGERS: f64 = 2.0;
 /// Batches after which the end of a call is reported at the latest.
 const REPORT_BATCHES: f64 = 2.0;
@@ -27,10 +27,10 @@
 const MIN_CALL_SAMPLES: u32 = 20;
 /// Calls that take more than this multiple of the best call time overload the dependency.
 const SLOW_CALL_FACTOR: f64 = 3.0;
-/// The used part of the quota is not reduced below this.
-const MIN_CALL_QUOTA_PART: f64 = 0.4;
-/// Each call that is not slow raises the used part of the quota by this.
-const CALL_QUOTA_PART_STEP: f64 = 0.2;
+/// The part of the full permits in use while calls are slow is not reduced below this.
+const MIN_PERMIT_PART: f64 = 0.4;
+/// Each call that is not slow raises that part by this.
+const PERMIT_PART_STEP: f64 = 0.2;
 /// An abandoned call would have taken longer: it counts as this multiple of its duration.
 const ABANDONED_CALL_FACTOR: f64 = 2.0;
 
@@ -42,9 +42,9 @@
     in_flight: f64,
     /// When abandoned calls have left the dependency at the latest.
     lingering_until: Vec<Millis>,
-    /// The part of the quota that is used.
-    quota_part: AimdValue,
-    call_time: Mean,
+    /// The part of the full permits in use: below 1 while calls are slow.
+    permit_part: AimdValue,
+    call_time: SmoothedMean,
     best_call_time: Millis,
     /// Permits that do not depend on the credit.
     full_permits: f64,
@@ -70,8 +70,8 @@
         CallCredit { available: max, max, rate: extra - max / window.max(1.0), updated_at: now }
     }
 
-    fn advance(&mut self, quota_part: f64, borrowed: f64, now: Millis) {
-        let rate = self.rate * quota_part - borrowed;
+    fn advance(&mut self, permit_part: f64, borrowed: f64, now: Millis) {
+        let rate = self.rate * permit_part - borrowed;
         self.available = (self.available + rate * (now - self.updated_at)).min(self.max);
         self.updated_at = now;
     }
@@ -79,15 +79,15 @@
 
 impl CallPermits {
     pub(super) fn new(settings: &Settings, period: Millis, now: Millis) -> CallPermits {
-        let full_permits = (settings.call_quota * CALL_QUOTA_USED_PART).floor();
+        let full_permits = (settings.call_quota * FULL_PERMITS_PART).floor();
         CallPermits {
             downstream: settings.downstream,
             linger: settings.call_linger,
             batch_interval: settings.batch_interval,
             in_flight: 0.0,
             lingering_until: Vec::new(),
-            quota_part: AimdValue::new(1.0, period, now),
-            call_time: Mean::default(),
+            permit_part: AimdValue::new(1.0, period, now),
+            call_time: SmoothedMean::default(),
             best_call_time: Millis::INFINITY,
             full_permits,
             credit: CallCredit::new(settings.call_quota - full_permits, settings, now),
@@ -97,7 +97,7 @@
     /// Accounts for the time since the last event.
     pub(super) fn advance(&mut self, now: Millis) {
         let borrowed = (self.occupied() - self.full_permits).max(0.0);
-        self.credit.advance(self.quota_part.value(), borrowed, now);
+        self.credit.advance(self.permit_part.value(), borrowed, now);
         self.lingering_until.retain(|until| *until > now);
     }
 
@@ -106,7 +106,7 @@
     }
 
     /// The usual time of a call.
-    pub(super) fn call_time(&self) -> Mean {
+    pub(super) fn call_time(&self) -> SmoothedMean {
         self.call_time
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// How many calls may be in flight at once.
-    pub(super) fn available(&self, survivable_concurrency: f64) -> f64 {
+    pub(super) fn permits(&self, survivable_concurrency: f64) -> f64 {
         match self.downstream {
             Downstream::None => 0.0,
             Downstream::Tier => survivable_concurrency,
@@ -125,7 +125,7 @@
     }
 
     fn quota_permits(&self) -> f64 {
-        let permits = (self.full_permits * self.quota_part.value()).ceil();
+        let permits = (self.full_permits * self.permit_part.value()).ceil();
         if self.may_borrow() && permits >= self.full_permits { permits + 1.0 } else { permits }
     }
 
@@ -158,14 +158,14 @@
         self.in_flight -= 1.0;
     }
 
-    /// Ends a call, and adapts the used part of the quota to the call times so far.
+    /// Ends a call, and adapts the part of the full permits in use to the call times so far.
     pub(super) fn end_call(&mut self, now: Millis) {
         self.in_flight -= 1.0;
         if self.call_time.value > SLOW_CALL_FACTOR * self.best_call_time {
-            self.quota_part.decrease(now, MIN_CALL_QUOTA_PART);
+            self.permit_part.decrease(now, MIN_PERMIT_PART);
         } else {
-            self.quota_part.increase(CALL_QUOTA_PART_STEP);
-            self.quota_part.cap(1.0);
+            self.permit_part.increase(PERMIT_PART_STEP);
+            self.permit_part.cap(1.0);
         }
     }
 
--- a/src/controller/call_permits/tests.rs
+++ b/src/controller/call_permits/tests.rs
@@ -15,10 +15,10 @@
 
 #[test]
 fn a_tier_is_bounded_by_what_may_return_and_a_quota_by_its_used_part() {
-    assert_eq!(permits(Downstream::None, 10.0).available(14.0), 0.0);
-    assert_eq!(permits(Downstream::Tier, 10.0).available(14.0), 14.0);
+    assert_eq!(permits(Downstream::None, 10.0).permits(14.0), 0.0);
+    assert_eq!(permits(Downstream::Tier, 10.0).permits(14.0), 14.0);
     // 0.85 of 10 are 8 permits, and one more is borrowed.
-    assert_eq!(permits(Downstream::Shared, 10.0).available(14.0), 9.0);
+    assert_eq!(permits(Downstream::Shared, 10.0).permits(14.0), 9.0);
 }
 
 #[test]
@@ -30,10 +30,10 @@
     assert!((permits.bounded_deadline(9999.0, 0.0) - 790.0).abs() < 1e-6);
     permits.start_call();
     permits.advance(1200.0);
-    assert_eq!(permits.available(0.0), 1.0, "the credit does not cover a call");
+    assert_eq!(permits.permits(0.0), 1.0, "the credit does not cover a call");
     permits.end_call(1200.0);
     permits.advance(6200.0);
-    assert_eq!(permits.available(0.0), 2.0);
+    assert_eq!(permits.permits(0.0), 2.0);
 }
 
 #[test]
@@ -61,7 +61,7 @@
             permits.end_call(now);
             permits.record_success(duration);
         }
-        permits.available(0.0)
+        permits.permits(0.0)
     };
     assert_eq!(available_after(25, 20.0), 9.0);
     assert_eq!(available_after(60, 200.0), 4.0, "0.4 of 8");
--- a/src/controller/call_retry.rs
+++ b/src/controller/call_retry.rs
@@ -5,7 +5,7 @@
 //! retried after a backoff if it cannot take effect twice (rule 2, no effect twice). A response without
 //! its call, where the class allows one, is given as soon as a permit in time is out of reach.
 
-use crate::estimate::Mean;
+use crate::estimate::SmoothedMean;
 use crate::interface::{AttemptOutcome, Class};
 use crate::time::Millis;
 
@@ -24,36 +24,36 @@
 #[derive(Clone, Copy)]
 pub(super) struct CallTimes {
     /// Usual time of a call.
-    pub(super) usual: Mean,
+    pub(super) usual: SmoothedMean,
     pub(super) batch_interval: Millis,
 }
 
 impl CallTimes {
-    /// When a call is abandoned. One that may not run twice has all the time until `last_response`.
+    /// When a call is abandoned. One that may not run twice has all the time until `respond_by`.
     pub(super) fn deadline(
         &self,
         now: Millis,
         is_idempotent: bool,
         objective_at: Millis,
-        last_response: Millis,
+        respond_by: Millis,
     ) -> Millis {
         if !is_idempotent || self.usual.samples == 0 {
-            return last_response;
+            return respond_by;
         }
         let usual = CALL_TIMEOUT_FACTOR * self.usual.value;
         let timeout = usual.max((objective_at - now) / OBJECTIVE_TIME_DIVISOR);
-        (now + timeout).min(last_response).max(now + self.batch_interval)
+        (now + timeout).min(respond_by).max(now + self.batch_interval)
     }
 
     /// When a call is made again after `attempts`; none if there is no attempt or no time left.
-    pub(super) fn retry_at(&self, now: Millis, attempts: u32, last_response: Millis) -> Option<Millis> {
+    pub(super) fn retry_at(&self, now: Millis, attempts: u32, respond_by: Millis) -> Option<Millis> {
         if attempts >= MAX_CALL_ATTEMPTS {
             return None;
         }
         let usual = self.usual.value.max(self.batch_interval);
         let backoff = usual * f64::from(1u32 << attempts) / BACKOFF_DIVISOR;
         let retry_at = now + backoff;
-        let is_in_time = retry_at + self.usual.value < last_response;
+        let is_in_time = retry_at + self.usual.value < respond_by;
         is_in_time.then_some(retry_at)
     }
 
--- a/src/controller/call_retry/tests.rs
+++ b/src/controller/call_retry/tests.rs
@@ -1,8 +1,8 @@
 use super::{CallTimes, may_linger, may_run_again};
-use crate::estimate::Mean;
+use crate::estimate::SmoothedMean;
 use crate::interface::AttemptOutcome;
 
-const TIMES: CallTimes = CallTimes { usual: Mean { value: 100.0, samples: 30 }, batch_interval: 5.0 };
+const TIMES: CallTimes = CallTimes { usual: SmoothedMean { value: 100.0, samples: 30 }, batch_interval: 5.0 };
 
 #[test]
 fn an_idempotent_call_leaves_time_for_a_retry() {
@@ -11,7 +11,7 @@
     assert_eq!(TIMES.deadline(0.0, true, 500.0, 300.0), 300.0);
     assert_eq!(TIMES.deadline(0.0, true, 500.0, 3.0), 5.0, "a batch at least");
     assert_eq!(TIMES.deadline(0.0, false, 500.0, 3000.0), 3000.0);
-    let unknown = CallTimes { usual: Mean::default(), ..TIMES };
+    let unknown = CallTimes { usual: SmoothedMean::default(), ..TIMES };
     assert_eq!(unknown.deadline(0.0, true, 500.0, 3000.0), 3000.0);
 }
 
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -5,6 +5,7 @@
 
 use super::Controller;
 use super::call_retry::{CallTimes, may_be_omitted, may_linger, may_run_again};
+use super::load_shedding::RejectionScope;
 use super::request::RequestStage;
 use crate::interface::{Action, AttemptOutcome, Idempotency, RequestId};
 use crate::time::Millis;
@@ -19,7 +20,7 @@
     /// Issues calls while there are permits; runs that cannot get one in time go on without their call.
     pub(super) fn issue_calls(&mut self, out: &mut Vec<Action>) {
         let speed = self.slow_start.speed(self.now);
-        let permits = self.call_permits.available(self.limit.survivable(speed));
+        let permits = self.call_permits.permits(self.limit.survivable(speed));
         while self.call_permits.occupied() < permits {
             let Some(id) = self.call_queue.pop_first() else { break };
             self.issue_call(id, out);
@@ -45,9 +46,9 @@
 
     fn call_deadline(&self, id: RequestId) -> Millis {
         let Some(request) = self.requests.get(id) else { return self.now };
-        let last_response = self.deadlines.last_check(request.deadline);
+        let respond_by = self.deadlines.respond_by(request.deadline);
         let is_idempotent = self.is_idempotent(request.class);
-        self.call_times().deadline(self.now, is_idempotent, request.objective_at, last_response)
+        self.call_times().deadline(self.now, is_idempotent, request.objective_at, respond_by)
     }
 
     fn gets_permit_in_time(&self, id: RequestId, permits: f64) -> bool {
@@ -86,14 +87,14 @@
     fn call_failed(&mut self, id: RequestId, may_run_again: bool, out: &mut Vec<Action>) {
         let is_retried = may_run_again && self.schedule_call_retry(id);
         if !is_retried && !self.skip_call(id, out) {
-            self.shed(id, false, out);
+            self.shed(id, RejectionScope::ThisServer, out);
         }
     }
 
     fn schedule_call_retry(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
-        let last_response = self.deadlines.last_check(request.deadline);
-        let retry_at = self.call_times().retry_at(self.now, request.call_attempts, last_response);
+        let respond_by = self.deadlines.respond_by(request.deadline);
+        let retry_at = self.call_times().retry_at(self.now, request.call_attempts, respond_by);
         if let Some(retry_at) = retry_at {
             self.call_queue.retry(request.queue_key, retry_at);
         }
--- a/src/controller/concurrency_limit.rs
+++ b/src/controller/concurrency_limit.rs
@@ -50,7 +50,7 @@
     }
 
     /// Decreases the limit since reading is late.
-    pub(super) fn reading_is_late(&mut self, now: Millis) {
+    pub(super) fn decrease_for_late_reading(&mut self, now: Millis) {
         self.limit.decrease(now, self.cores / LATE_READ_CORES_DIVISOR);
     }
 
--- a/src/controller/concurrency_limit/tests.rs
+++ b/src/controller/concurrency_limit/tests.rs
@@ -33,7 +33,7 @@
 fn late_reading_lowers_the_limit_to_a_third_of_the_cores() {
     let mut limit = limit();
     for period in 1..20 {
-        limit.reading_is_late(f64::from(period) * 250.0);
+        limit.decrease_for_late_reading(f64::from(period) * 250.0);
     }
     assert_eq!(limit.effective(true), 4.0 / 3.0);
     assert_eq!(limit.effective(false), 4.0);
--- a/src/controller/deadlines.rs
+++ b/src/controller/deadlines.rs
@@ -32,13 +32,13 @@
         Deadlines { checks: BTreeSet::new(), margin: TICK_MS + MARGIN_BATCHES * batch_interval }
     }
 
-    /// Responses are given so long before their deadline.
+    /// Responses are given this long before their deadline.
     pub(super) fn margin(&self) -> Millis {
         self.margin
     }
 
     /// When a request with this deadline gets its response at the latest.
-    pub(super) fn last_check(&self, deadline: Millis) -> Millis {
+    pub(super) fn respond_by(&self, deadline: Millis) -> Millis {
         deadline - self.margin
     }
 
@@ -73,10 +73,10 @@
     now: Millis,
     objective_at: Millis,
     expected_time: Millis,
-    last_check: Millis,
+    respond_by: Millis,
 ) -> Millis {
     let start_by = (objective_at - expected_time).max(now + TICK_MS);
-    last_check.min(start_by)
+    respond_by.min(start_by)
 }
 
 #[cfg(test)]
--- a/src/controller/deadlines/tests.rs
+++ b/src/controller/deadlines/tests.rs
@@ -4,7 +4,7 @@
 #[test]
 fn checks_are_due_in_their_order_and_a_margin_before_the_deadline() {
     let mut deadlines = Deadlines::new(5.0);
-    assert_eq!(deadlines.last_check(1000.0), 940.0);
+    assert_eq!(deadlines.respond_by(1000.0), 940.0);
     deadlines.schedule(30.0, 1);
     deadlines.schedule(20.0, 2);
     deadlines.schedule(40.0, 3);
--- a/src/controller/idle_timeout.rs
+++ b/src/controller/idle_timeout.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 use super::{SMOOTHING_WEIGHT, TICK_MS};
-use crate::estimate::Mean;
+use crate::estimate::SmoothedMean;
 use crate::interface::{Gauges, Settings};
 use crate::time::Millis;
 
@@ -43,14 +43,14 @@
     /// When each caller last came, for those that came within the reuse window.
     last_arrival_at: BTreeMap<u64, Millis>,
     arrivals: f64,
-    reuse_rate: Mean,
+    reuse_rate: SmoothedMean,
     reuse_evaluated_at: Millis,
     /// Callers return often.
     is_reused: bool,
-    overhead: Mean,
+    overhead: SmoothedMean,
     /// The overhead since the last sample.
-    recent_overhead: Mean,
-    /// The overhead was high, and the cores have not been idle since.
+    recent_overhead: SmoothedMean,
+    /// The overhead was high, and the timeout has not fallen to its minimum since.
     is_overhead_high: bool,
     /// The most connections that were open at once.
     max_open: f64,
@@ -66,11 +66,11 @@
             started_at: now,
             last_arrival_at: BTreeMap::new(),
             arrivals: 0.0,
-            reuse_rate: Mean::default(),
+            reuse_rate: SmoothedMean::default(),
             reuse_evaluated_at: now,
             is_reused: true,
-            overhead: Mean::default(),
-            recent_overhead: Mean::default(),
+            overhead: SmoothedMean::default(),
+            recent_overhead: SmoothedMean::default(),
             is_overhead_high: false,
             max_open: 0.0,
         }
--- a/src/controller/load_shedding.rs
+++ b/src/controller/load_shedding.rs
@@ -1,8 +1,9 @@
 //! Load shedding: which queued request is hopeless, and the Retry-After of its rejection.
 //!
 //! Inputs: time (ms), expected wait and expected time of the request (ms), its objective (ms), jitter. A
-//! request that cannot meet its objective is rejected as soon as that is known: its caller has time for
-//! another server, and the cores are free for requests that can.
+//! request that cannot meet its objective is rejected as soon as that is known, so that the cores are free
+//! for requests that can. That rejection is for all servers: in an overload of the fleet, retries at other
+//! servers would add load and connections.
 
 use crate::time::Millis;
 
@@ -10,6 +11,21 @@
 /// be idle before they return.
 const RETRY_AFTER_PART: f64 = 0.5;
 
+/// The servers that a rejection speaks for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum RejectionScope {
+    /// This server cannot serve the request; its caller may try another one.
+    ThisServer,
+    /// No server is to be tried: the objective of the request is out of reach.
+    AllServers,
+}
+
+impl RejectionScope {
+    pub(super) fn is_final(self) -> bool {
+        self == RejectionScope::AllServers
+    }
+}
+
 /// What is expected of a request that is not running yet.
 #[derive(Clone, Copy)]
 pub(super) struct Forecast {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -195,7 +195,7 @@
             out.push(Action::SetIdleTimeout(timeout));
         }
         if self.share.is_reading_late() {
-            self.limit.reading_is_late(self.now);
+            self.limit.decrease_for_late_reading(self.now);
         }
         self.announce_share(out);
     }
--- a/src/controller/objective.rs
+++ b/src/controller/objective.rs
@@ -6,7 +6,7 @@
 //! no use. A retry has used the time of its first attempt.
 
 use super::{MIN_SAMPLES, SMOOTHING_WEIGHT};
-use crate::estimate::Mean;
+use crate::estimate::SmoothedMean;
 use crate::interface::{Class, RequestAttributes, Settings};
 use crate::time::Millis;
 
@@ -30,9 +30,9 @@
 #[derive(Default)]
 pub(super) struct EffectiveObjective {
     /// The part of the objective after which callers cancel.
-    cancelled_part: Mean,
+    cancelled_part: SmoothedMean,
     /// The age at which first attempts are rejected.
-    rejected_age: Mean,
+    rejected_age: SmoothedMean,
 }
 
 impl EffectiveObjective {
--- a/src/controller/responses.rs
+++ b/src/controller/responses.rs
@@ -6,7 +6,7 @@
 
 use super::Controller;
 use super::deadlines::next_queue_check;
-use super::load_shedding::Availability;
+use super::load_shedding::{Availability, RejectionScope};
 use super::request::{Request, RequestStage};
 use super::shutdown::{Shutdown, ShutdownTimes};
 use crate::interface::{Action, Preemption, RequestId};
@@ -24,17 +24,17 @@
     fn check_deadline(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id).filter(|request| !request.is_answered) else { return };
         let is_queued = request.stage == RequestStage::Queued;
-        let last_check = self.deadlines.last_check(request.deadline);
-        if self.now >= last_check {
-            self.shed(id, false, out);
+        let respond_by = self.deadlines.respond_by(request.deadline);
+        if self.now >= respond_by {
+            self.shed(id, RejectionScope::ThisServer, out);
         } else if is_queued && self.is_hopeless(request, 0.0) {
-            self.shed(id, true, out);
+            self.shed(id, RejectionScope::AllServers, out);
         } else if is_queued {
             let expected_time = self.run_estimates.expected_time(request);
-            let next = next_queue_check(self.now, request.objective_at, expected_time, last_check);
+            let next = next_queue_check(self.now, request.objective_at, expected_time, respond_by);
             self.deadlines.schedule(next, id);
         } else {
-            self.deadlines.schedule(last_check, id);
+            self.deadlines.schedule(respond_by, id);
         }
     }
 
@@ -47,7 +47,7 @@
             if !self.requests.get(id).is_some_and(is_hopeless) {
                 return;
             }
-            self.shed(id, true, out);
+            self.shed(id, RejectionScope::AllServers, out);
         }
     }
 
@@ -65,7 +65,7 @@
             let is_for_run = needed_kb != 0.0;
             let shed = if is_for_run { queued } else { queued.or_else(|| self.newest_awaiting_result()) };
             let Some(id) = shed else { return false };
-            self.shed(id, false, out);
+            self.shed(id, RejectionScope::ThisServer, out);
         }
         true
     }
@@ -77,11 +77,11 @@
     }
 
     /// Gives the final response to a request that is not going to be served, at once, and ends its work.
-    pub(super) fn shed(&mut self, id: RequestId, is_final: bool, out: &mut Vec<Action>) {
+    pub(super) fn shed(&mut self, id: RequestId, scope: RejectionScope, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.is_answered = true;
         match request.stage {
-            RequestStage::Queued => self.shed_queued(id, is_final, out),
+            RequestStage::Queued => self.shed_queued(id, scope, out),
             RequestStage::AwaitingResult => {
                 out.push(Action::Fail(id));
                 self.remove(id);
@@ -94,12 +94,12 @@
         }
     }
 
-    fn shed_queued(&mut self, id: RequestId, is_final: bool, out: &mut Vec<Action>) {
+    fn shed_queued(&mut self, id: RequestId, scope: RejectionScope, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         if !request.is_retry {
             self.objective.record_rejection(self.now - request.arrived_at);
         }
-        let rejection = self.rejection(id, is_final);
+        let rejection = self.rejection(id, scope);
         out.push(rejection);
         self.release_key(id, out);
         self.remove(id);
@@ -109,7 +109,8 @@
         let Some(request) = self.requests.get(id) else { return };
         // An idempotent request that failed would be retried elsewhere, too late.
         let is_rejected = self.is_idempotent(request.class);
-        let response = if is_rejected { self.rejection(id, true) } else { Action::Fail(id) };
+        let response =
+            if is_rejected { self.rejection(id, RejectionScope::AllServers) } else { Action::Fail(id) };
         out.push(response);
         self.preempt(id, out);
     }
@@ -129,7 +130,7 @@
     }
 
     /// A rejection with its Retry-After.
-    pub(super) fn rejection(&mut self, id: RequestId, is_final: bool) -> Action {
+    pub(super) fn rejection(&mut self, id: RequestId, scope: RejectionScope) -> Action {
         let queue_wait = self.limit.wait_for(self.queue.work());
         let is_stalled = self.stall_detector.is_stalled();
         let availability = Availability {
@@ -138,7 +139,7 @@
             max_retry_after: self.settings.max_retry_after,
         };
         let retry_after = availability.retry_after(self.jitter.next_factor());
-        Action::Reject { id, retry_after, is_final }
+        Action::Reject { id, retry_after, is_final: scope.is_final() }
     }
 
     /// Rule 3 (safe shutdown): brings every deadline forward to the end of a shutdown, and the health
@@ -164,7 +165,7 @@
         let Some(request) = self.requests.get_mut(id) else { return };
         request.deadline = deadline;
         request.objective_at = request.objective_at.min(deadline);
-        self.deadlines.schedule(self.deadlines.last_check(deadline), id);
+        self.deadlines.schedule(self.deadlines.respond_by(deadline), id);
         if request.stage == RequestStage::Queued {
             self.queue.remove(request.queue_key, request.expected_run);
             self.enqueue(id);
--- a/src/controller/runs.rs
+++ b/src/controller/runs.rs
@@ -3,7 +3,7 @@
 //! Wires the rules: it passes values on, and fixes the order in which a start is judged. Times are in ms.
 
 use super::Controller;
-use super::load_shedding::Forecast;
+use super::load_shedding::{Forecast, RejectionScope};
 use super::request::{Request, RequestStage};
 use crate::interface::{Action, AttemptOutcome, RequestId};
 use crate::time::Millis;
@@ -26,7 +26,7 @@
     fn start_or_shed(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         if self.is_hopeless(request, 0.0) {
-            self.shed(id, true, out);
+            self.shed(id, RejectionScope::AllServers, out);
             return true;
         }
         let needed_kb = self.memory.needed_for_run(request.memory_kb);
@@ -35,7 +35,8 @@
         if has_memory {
             self.start_run(id, out);
         } else if misses_objective {
-            self.shed(id, true, out);
+            // It was spared as the only one in the queue while cores were idle.
+            self.shed(id, RejectionScope::AllServers, out);
         }
         has_memory
     }
@@ -118,15 +119,22 @@
 
     /// Sheds the queue while the cores are stalled.
     pub(super) fn check_stall(&mut self, out: &mut Vec<Action>) {
-        let has_progress = self.stall_detector.has_progress_within(self.share.max_read_delay(), self.now);
-        if self.requests.running() == 0.0 || has_progress || self.share.is_reading_late() {
-            return;
-        }
-        if !self.stall_detector.update(self.overdue_ends()) {
-            return;
+        if self.is_stalled_now() {
+            self.shed_queue(out);
         }
+    }
+
+    /// Judges whether the cores are stalled. Without runs there is nothing to judge by, and late reading
+    /// explains why no end was reported.
+    fn is_stalled_now(&mut self) -> bool {
+        let has_progress = self.stall_detector.has_progress_within(self.share.max_read_delay(), self.now);
+        let is_judged = self.requests.running() != 0.0 && !has_progress && !self.share.is_reading_late();
+        is_judged && self.stall_detector.update(self.overdue_ends())
+    }
+
+    fn shed_queue(&mut self, out: &mut Vec<Action>) {
         while let Some(last) = self.queue.last() {
-            self.shed(last, true, out);
+            self.shed(last, RejectionScope::AllServers, out);
         }
     }
 
--- a/src/controller/send_share.rs
+++ b/src/controller/send_share.rs
@@ -5,7 +5,7 @@
 //! shortest latency objective). Output: a share from `MIN_SHARE` to 1. Below its setpoint a server asks
 //! for all of its traffic. A share under `OVERLOAD_SHARE` counts as overload.
 
-use crate::estimate::Average;
+use crate::estimate::IntervalMean;
 use crate::interface::{FeedbackSignal, Settings};
 use crate::time::{MILLIS_PER_SECOND, Millis};
 
@@ -43,10 +43,10 @@
     period: Millis,
     sampled_at: Millis,
     /// Of the runs that finished since the last sample.
-    queue_times: Average,
+    queue_times: IntervalMean,
     /// Of the requests that were read since the last sample.
-    read_delays: Average,
-    /// Of the newest arrival.
+    read_delays: IntervalMean,
+    /// Of the newest arrival; kept until the next one.
     read_delay: Millis,
     /// Integral of the error, in seconds.
     integral_s: f64,
@@ -63,8 +63,8 @@
             setpoint: shortest_objective * SETPOINT_PART,
             period,
             sampled_at: now,
-            queue_times: Average::default(),
-            read_delays: Average::default(),
+            queue_times: IntervalMean::default(),
+            read_delays: IntervalMean::default(),
             read_delay: 0.0,
             integral_s: 0.0,
             error: 0.0,
--- a/src/estimate.rs
+++ b/src/estimate.rs
@@ -5,14 +5,14 @@
 /// An exponentially weighted mean. The first samples count alike, so that it is not biased to an initial
 /// value.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Mean {
+pub struct SmoothedMean {
     /// The mean, in the unit of its samples; 0 before the first.
     pub value: f64,
     /// The number of samples.
     pub samples: u32,
 }
 
-impl Mean {
+impl SmoothedMean {
     /// Takes in a sample. Its weight, 0 to 1, is that of an arithmetic mean until there are `1 / weight`
     /// samples.
     pub fn add(&mut self, sample: f64, weight: f64) {
@@ -23,12 +23,12 @@
 
 /// The arithmetic mean of the samples since it was last taken.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Average {
+pub struct IntervalMean {
     sum: f64,
     count: f64,
 }
 
-impl Average {
+impl IntervalMean {
     /// Takes in a sample.
     pub fn add(&mut self, sample: f64) {
         self.sum += sample;
@@ -37,7 +37,7 @@
 
     /// The mean, none without a sample; the next one starts anew.
     pub fn take(&mut self) -> Option<f64> {
-        let Average { sum, count } = std::mem::take(self);
+        let IntervalMean { sum, count } = std::mem::take(self);
         (count > 0.0).then(|| sum / count)
     }
 }
@@ -46,14 +46,14 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunTimes {
     /// Time of a run on the cores.
-    pub on_cores: Mean,
+    pub on_cores: SmoothedMean,
     /// Time of a run off the cores, for its calls.
-    pub off_cores: Mean,
+    pub off_cores: SmoothedMean,
     /// Square of the actual over the expected time on the cores.
-    pub overrun_squared: Mean,
-    work: Mean,
-    work_squared: Mean,
-    on_cores_by_work: Mean,
+    pub overrun_squared: SmoothedMean,
+    work: SmoothedMean,
+    work_squared: SmoothedMean,
+    on_cores_by_work: SmoothedMean,
 }
 
 impl RunTimes {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -78,7 +78,7 @@
     pub core_utilization: Option<f64>,
     /// Everything that runs on or waits for a core.
     pub runnable: Option<f64>,
-    /// The used share of the memory, 0 to 1.
+    /// The used share of the memory, 0 to 1. No decision depends on it.
     pub memory_utilization: Option<f64>,
     /// Open connections.
     pub connections: Option<f64>,
@@ -89,7 +89,7 @@
 pub struct Load {
     /// The share of their usual traffic that callers are asked to send, 0 to 1.
     pub share: f64,
-    /// Mean queueing time over its setpoint, at the last sample.
+    /// Mean queueing time, or mean read delay where that is longer, over its setpoint, at the last sample.
     pub hold_time_ratio: f64,
     /// The limit on concurrent runs.
     pub limit: f64,
@@ -117,7 +117,7 @@
         /// How long it took.
         duration: Millis,
     },
-    /// A run has ended.
+    /// A run has ended, or the wait of a duplicate for the result of its original.
     RunEnded {
         /// The request.
         id: RequestId,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -32,7 +32,7 @@
     /// A running request cannot be stopped.
     #[default]
     Unsupported,
-    /// What was done is lost.
+    /// What was done is lost. No decision distinguishes it from the next.
     DiscardsProgress,
     /// What was done is kept.
     KeepsProgress,
@@ -112,7 +112,7 @@
     pub downstream: Downstream,
     /// Mean number of calls in flight that the shared dependency allows this server.
     pub call_quota: f64,
-    /// Time over which that mean is taken.
+    /// Time over which that mean is taken. No decision depends on it.
     pub call_quota_window: Millis,
     /// How long an abandoned call may stay in the dependency.
     pub call_linger: Millis,
@@ -138,14 +138,14 @@
     pub slow_start_share: f64,
     /// How long it takes to reach its full speed.
     pub slow_start_duration: Millis,
-    /// A response may come so long after its deadline.
+    /// A response may come this long after its deadline.
     pub response_slack: Millis,
     /// What arrives later than this after the shutdown was requested is not run.
     pub drain_grace: Millis,
     /// Runnable requests for each core at which a server at full speed still does not fail, in the mean
     /// of `concurrency_window`.
     pub core_concurrency: f64,
-    /// Time over which that mean is taken.
+    /// Time over which that mean is taken. No decision depends on it.
     pub concurrency_window: Millis,
     /// The longest Retry-After that callers honor; 0 where none is passed on.
     pub max_retry_after: Millis,
