--- a/crates/loomflow-server/src/budget.rs
+++ b/crates/loomflow-server/src/budget.rs
@@ -31,7 +31,7 @@
     pub gateways_near_capacity: usize,
     /// Connections to the ledger at the same time.
     pub ledger: usize,
-    /// Bytes of responses that gateways have not read.
+    /// Bytes of responses that are not yet written to the gateways' sockets.
     pub unwritten_bytes: usize,
     /// Bytes of cached results.
     pub result_bytes: usize,
--- a/crates/loomflow-server/src/front/resp/connections.rs
+++ b/crates/loomflow-server/src/front/resp/connections.rs
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Aborts the connections with the most unread responses where there is no memory for all.
+    /// Aborts the connections with the most bytes not yet written to the socket where there is no memory for all.
     fn abort_slow_readers(&mut self) {
         let unwritten = self
             .connections
--- a/crates/loomflow-server/src/front/resp/connections/capacity.rs
+++ b/crates/loomflow-server/src/front/resp/connections/capacity.rs
@@ -16,7 +16,7 @@
     pub near_capacity: usize,
     /// At this number of connections no further one is accepted.
     pub max_connections: usize,
-    /// Bytes of responses that gateways have not read, in all.
+    /// Bytes of responses that are not yet written to the sockets, in all.
     pub max_unwritten_bytes: usize,
 }
 
@@ -42,7 +42,7 @@
     Wait,
 }
 
-/// Responses that the peer of a connection has not read.
+/// Responses that are not yet written to the socket of a connection.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct UnwrittenResponses {
     pub(super) id: ConnectionId,
