--- a/crates/loomflow-server/src/ledger/connection.rs
+++ b/crates/loomflow-server/src/ledger/connection.rs
@@ -7,9 +7,10 @@
 
 use crate::connection::ConnectionHandle;
 
-/// A connection that has been idle for so long carries no further call and is closed: the ledger may have forgotten it.
+/// A connection that has been idle for this long carries no further call and is closed: the ledger may have forgotten it.
 pub(super) const MAX_IDLE_MS: Millis = 120.0;
-/// A connection is retired after so many calls, which bounds the requests that are checked before a call is placed on it.
+/// A connection takes no further call after this many; it is closed once it is idle. This bounds the requests that are
+/// checked before a call is placed on it.
 pub(super) const MAX_CALLS_PER_CONNECTION: usize = 64;
 /// A connection that was retired finishes its calls within this time.
 pub(super) const RETIRED_DRAIN_MS: Millis = 1_500.0;
@@ -20,8 +21,8 @@
     pub(super) last_used_at: Millis,
     pub(super) calls_in_flight: usize,
     carried_calls: Vec<RequestId>,
-    /// It carries no further call, and is aborted at this time.
-    retire_at: Option<Millis>,
+    /// It is retired: it carries no further call, and is aborted at this time if calls are still in flight on it.
+    abort_at: Option<Millis>,
 }
 
 impl LedgerConnection {
@@ -31,7 +32,7 @@
             last_used_at: now,
             calls_in_flight: 0,
             carried_calls: Vec::new(),
-            retire_at: None,
+            abort_at: None,
         }
     }
 
@@ -42,21 +43,22 @@
         self.carried_calls.push(id);
     }
 
-    /// It carries no further call from now on.
+    /// It carries no further call from now on. Its calls have [`RETIRED_DRAIN_MS`] to finish, counted anew where it is retired
+    /// already.
     pub(super) fn retire(&mut self, now: Millis) {
-        self.retire_at = Some(now + RETIRED_DRAIN_MS);
+        self.abort_at = Some(now + RETIRED_DRAIN_MS);
     }
 
-    /// As [`LedgerConnection::retire`], unless it is retired already.
+    /// Retires it unless it is retired already: the time for its calls to finish is not counted anew.
     pub(super) fn retire_once(&mut self, now: Millis) {
-        if self.retire_at.is_none() {
+        if self.abort_at.is_none() {
             self.retire(now);
         }
     }
 
     /// Whether it may carry a call of this request: a late copy of a reply must not meet a later call of the same one.
     fn may_carry(&self, id: RequestId) -> bool {
-        self.retire_at.is_none()
+        self.abort_at.is_none()
             && self.carried_calls.len() < MAX_CALLS_PER_CONNECTION
             && !self.carried_calls.contains(&id)
     }
@@ -78,8 +80,8 @@
     /// Whether it is closed at the next check: idle for too long, or retired and drained or out of time.
     pub(super) fn is_due(&self, now: Millis) -> bool {
         let is_idle_too_long = now - self.last_used_at >= MAX_IDLE_MS;
-        let is_unused = self.calls_in_flight == 0 && (self.retire_at.is_some() || is_idle_too_long);
-        is_unused || self.retire_at.is_some_and(|retire_at| now >= retire_at)
+        let is_unused = self.calls_in_flight == 0 && (self.abort_at.is_some() || is_idle_too_long);
+        is_unused || self.abort_at.is_some_and(|abort_at| now >= abort_at)
     }
 }
 
