--- a/crates/loomflow-server/src/front/resp/connections.rs
+++ b/crates/loomflow-server/src/front/resp/connections.rs
@@ -172,7 +172,7 @@
     }
 
     fn timeouts(&self, now: Millis) -> Timeouts {
-        let goodbye = Timeouts::goodbye(self.limits.is_near_capacity(self.connections.len()));
+        let goodbye = Timeouts::goodbye_timeout(self.limits.is_near_capacity(self.connections.len()));
         Timeouts {
             idle: self.idle_timeout.unwrap_or(f64::INFINITY),
             goodbye: self.shutdown.map_or(goodbye, |shutdown| goodbye.min(shutdown.goodbye_timeout)),
--- a/crates/loomflow-server/src/front/resp/connections/timeouts.rs
+++ b/crates/loomflow-server/src/front/resp/connections/timeouts.rs
@@ -42,7 +42,7 @@
 
 impl Timeouts {
     /// How long a connection stays open after its goodbye.
-    pub(super) fn goodbye(is_near_capacity: bool) -> Millis {
+    pub(super) fn goodbye_timeout(is_near_capacity: bool) -> Millis {
         if is_near_capacity { GOODBYE_TIMEOUT_NEAR_CAPACITY_MS } else { GOODBYE_TIMEOUT_MS }
     }
 
--- a/crates/loomflow-server/src/front/resp/connections/timeouts/tests.rs
+++ b/crates/loomflow-server/src/front/resp/connections/timeouts/tests.rs
@@ -26,6 +26,6 @@
 
 #[test]
 fn near_capacity_the_time_after_a_goodbye_is_shorter() {
-    assert_eq!(Timeouts::goodbye(false), GOODBYE_TIMEOUT_MS);
-    assert_eq!(Timeouts::goodbye(true), GOODBYE_TIMEOUT_NEAR_CAPACITY_MS);
+    assert_eq!(Timeouts::goodbye_timeout(false), GOODBYE_TIMEOUT_MS);
+    assert_eq!(Timeouts::goodbye_timeout(true), GOODBYE_TIMEOUT_NEAR_CAPACITY_MS);
 }
--- a/crates/loomflow-server/src/owner/draining.rs
+++ b/crates/loomflow-server/src/owner/draining.rs
@@ -23,7 +23,7 @@
             self.health.set_healthy(false);
         }
         self.controller.queue(Event::ShutdownRequested { time_left: self.config.stop_ms });
-        self.update_fronts(|fronts, requests| fronts.begin_drain(deadlines.deadline, now, requests));
+        self.update_fronts(|fronts, requests| fronts.begin_drain(deadlines.complete_by, now, requests));
         self.deliver_controller_events();
     }
 
@@ -32,7 +32,7 @@
         let now = self.now.ms;
         let Some(deadlines) = self.shutdown.stop_intake(now) else { return };
         self.update_fronts(|fronts, requests| {
-            fronts.stop_intake(deadlines.deadline, deadlines.kill_deadline, now, requests);
+            fronts.stop_intake(deadlines.complete_by, deadlines.kill_deadline, now, requests);
         });
     }
 }
--- a/crates/loomflow-server/src/owner/engine_events.rs
+++ b/crates/loomflow-server/src/owner/engine_events.rs
@@ -106,7 +106,7 @@
             }
         };
         let Some(entry) = self.requests.get_mut(id) else { return };
-        // Marked as running, so that `release` leaves the removal to this function, which knows how the run ended.
+        // Marked as running, so that `end_answered` leaves the removal to this function, which knows how the run ended.
         entry.progress = Progress::Running;
         entry.pending_command = None;
         self.respond(id, response);
--- a/crates/loomflow-server/src/owner/event_loop.rs
+++ b/crates/loomflow-server/src/owner/event_loop.rs
@@ -32,7 +32,7 @@
         let events = next_batch(&owner, &mailbox);
         owner.process_batch(events);
     }
-    owner.fleet.drained();
+    owner.fleet.report_drained();
     Ok(())
 }
 
--- a/crates/loomflow-server/src/owner/fleet_reporter.rs
+++ b/crates/loomflow-server/src/owner/fleet_reporter.rs
@@ -10,9 +10,16 @@
 use crate::fleet::{self, Fleet, Meter, StartError};
 use crate::mailbox::Mailbox;
 
+/// The fleet that the options configure.
+struct ConfiguredFleet {
+    fleet: Fleet,
+    /// Says when a report is due.
+    meter: Meter,
+}
+
 /// Reports the load to the fleet.
 pub(super) struct FleetReporter {
-    fleet: Option<(Fleet, Meter)>,
+    fleet: Option<ConfiguredFleet>,
     /// Cores of this server.
     cores: f64,
     slow_start_ends_at: Millis,
@@ -36,7 +43,7 @@
     ) -> Result<FleetReporter, StartError> {
         let fleet = options.fleet.as_ref().map(|fleet| Fleet::start(config, fleet, mailbox.clone()));
         Ok(FleetReporter {
-            fleet: fleet.transpose()?.map(|fleet| (fleet, Meter::new(now))),
+            fleet: fleet.transpose()?.map(|fleet| ConfiguredFleet { fleet, meter: Meter::new(now) }),
             cores: config.site.settings.cores,
             slow_start_ends_at: 0.0,
         })
@@ -50,7 +57,7 @@
     /// Reports the load where a report is due.
     pub(super) fn report(&mut self, load: impl FnOnce() -> Load, state: ServerState, now: Millis) {
         let phase = self.phase(state, now);
-        let Some((fleet, meter)) = &mut self.fleet else { return };
+        let Some(ConfiguredFleet { fleet, meter }) = &mut self.fleet else { return };
         let load = load();
         let Some(mean) = meter.note(now, load.running) else { return };
         let is_healthy = state.is_healthy && state.has_controller;
@@ -69,14 +76,14 @@
 
     /// A shutdown was requested.
     pub(super) fn begin_drain(&self) {
-        if let Some((fleet, _)) = &self.fleet {
+        if let Some(ConfiguredFleet { fleet, .. }) = &self.fleet {
             fleet.begin_drain();
         }
     }
 
-    /// Every request is answered.
-    pub(super) fn drained(&self) {
-        if let Some((fleet, _)) = &self.fleet {
+    /// Reports that every request is answered.
+    pub(super) fn report_drained(&self) {
+        if let Some(ConfiguredFleet { fleet, .. }) = &self.fleet {
             fleet.drained();
         }
     }
--- a/crates/loomflow-server/src/owner/requests.rs
+++ b/crates/loomflow-server/src/owner/requests.rs
@@ -52,7 +52,7 @@
         let Some(id) = self.requests.find_unanswered(reply_handle) else { return };
         self.requests.mark_answered(id, self.now.ms);
         self.controller.queue(Event::RequestCancelled(id));
-        self.release(id);
+        self.end_answered(id);
     }
 
     fn submit(&mut self, submission: Submission) {
@@ -108,7 +108,7 @@
     pub(super) fn respond(&mut self, id: RequestId, response: Response) {
         let Some(entry) = self.requests.mark_answered(id, self.now.ms) else { return };
         self.fronts.respond(entry.reply_handle, response, self.now.ms);
-        self.release(id);
+        self.end_answered(id);
     }
 
     /// Responds that the request has failed, with what is known of its run.
@@ -120,7 +120,7 @@
 
     /// Ends the work for a request that has been answered: one that is not running is removed, the call of one that runs is
     /// cancelled, and its entry stays until the engine reports the end of the run.
-    pub(super) fn release(&mut self, id: RequestId) {
+    pub(super) fn end_answered(&mut self, id: RequestId) {
         let Some(entry) = self.requests.get_mut(id) else { return };
         entry.body = Vec::new();
         match entry.progress {
--- a/crates/loomflow-server/src/owner/shutdown.rs
+++ b/crates/loomflow-server/src/owner/shutdown.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ShutdownDeadlines {
     /// When the shutdown has to be complete.
-    pub(super) deadline: Millis,
+    pub(super) complete_by: Millis,
     /// When the process will be killed.
     pub(super) kill_deadline: Millis,
 }
@@ -58,7 +58,7 @@
         }
         let kill_deadline = now + self.stop_timeout;
         let margin = SHUTDOWN_MARGIN_MS.min(self.stop_timeout * MAX_MARGIN_SHARE);
-        let deadlines = ShutdownDeadlines { deadline: kill_deadline - margin, kill_deadline };
+        let deadlines = ShutdownDeadlines { complete_by: kill_deadline - margin, kill_deadline };
         let intake_stop_at = now + grace_period.min(self.stop_timeout * MAX_GRACE_SHARE);
         self.stage = ShutdownStage::GracePeriod { intake_stop_at, deadlines };
         Some(deadlines)
