--- a/crates/loomflow-server/src/owner/health_checks.rs
+++ b/crates/loomflow-server/src/owner/health_checks.rs
@@ -20,7 +20,8 @@
 /// The server's health, and the checks that wait for the engine.
 pub(super) struct HealthChecks {
     is_healthy: bool,
-    /// Checks are answered without the engine. The controller's first decision sets it.
+    /// Checks are answered without the engine. The controller's first decision sets it, and the controller never asks for
+    /// uncached checks: a deep check reaches the engine only before the first decision.
     is_cached: bool,
     /// What is reported to the control plane.
     ready: Arc<AtomicBool>,
