--- a/crates/loomflow-server/src/owner/engine_events.rs
+++ b/crates/loomflow-server/src/owner/engine_events.rs
@@ -105,11 +105,7 @@
                 (Response::Failed(Failure::NotRun), AttemptOutcome::NotStarted, Completion::NotRun)
             }
         };
-        let Some(entry) = self.requests.get_mut(id) else { return };
-        // Marked as running, so that `end_answered` leaves the removal to this function, which knows how the run ended.
-        entry.progress = Progress::Running;
-        entry.pending_command = None;
-        self.respond(id, response);
+        self.send_response(id, response);
         self.controller.queue(Event::RunEnded { id, outcome, duration });
         self.remove(id, completion);
     }
@@ -153,6 +149,8 @@
     /// so the request fails.
     fn fail_ambiguous_reply(&mut self, id: RequestId) {
         log!("a reply that was sent again may have reached another call: its request fails");
+        // The controller has no event for a failure that the server decides. On this one it decides no response for the request
+        // any more, stops its run where the engine can, and counts it as cancelled by its caller.
         self.controller.queue(Event::RequestCancelled(id));
         self.respond(id, Response::Failed(Failure::MayHaveRun));
     }
--- a/crates/loomflow-server/src/owner/requests.rs
+++ b/crates/loomflow-server/src/owner/requests.rs
@@ -106,9 +106,16 @@
 
     /// Sends the final response, and ends what is done for the request.
     pub(super) fn respond(&mut self, id: RequestId, response: Response) {
-        let Some(entry) = self.requests.mark_answered(id, self.now.ms) else { return };
+        if self.send_response(id, response) {
+            self.end_answered(id);
+        }
+    }
+
+    /// Marks a request as answered, and sends its final response. Returns false where it was answered before.
+    pub(super) fn send_response(&mut self, id: RequestId, response: Response) -> bool {
+        let Some(entry) = self.requests.mark_answered(id, self.now.ms) else { return false };
         self.fronts.respond(entry.reply_handle, response, self.now.ms);
-        self.end_answered(id);
+        true
     }
 
     /// Responds that the request has failed, with what is known of its run.
