--- a/crates/loomflow-benchmark/src/against.rs
+++ b/crates/loomflow-benchmark/src/against.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use loomflow_test_servers::{ServerFixture, Worker, site};
+use loomflow_test_servers::{AutonomousEngine, ServerFixture, site};
 
 use crate::process;
 use crate::report::Report;
@@ -53,7 +53,7 @@
 
 /// CPU of a request, s, and memory at the end, MB.
 fn play(program: &Path, span: Duration) -> (f64, f64) {
-    let worker = Worker::start(4, Duration::from_micros(200));
+    let worker = AutonomousEngine::start(4, Duration::from_micros(200));
     let mut fixture = ServerFixture::new(site(20_000.0));
     program.clone_into(&mut fixture.program);
     fixture.serve_with(&worker);
--- a/crates/loomflow-benchmark/src/amqp.rs
+++ b/crates/loomflow-benchmark/src/amqp.rs
@@ -7,7 +7,7 @@
 
 use loomflow_load::{BackgroundTask, Plan, Results, resp};
 use loomflow_test_servers::broker::{Broker, Faults, Message, message};
-use loomflow_test_servers::{ServerFixture, Worker, class, site};
+use loomflow_test_servers::{AutonomousEngine, ServerFixture, class, site};
 use serde_json::Value;
 
 use crate::process;
@@ -33,7 +33,11 @@
 }
 
 /// A server with an engine that works by itself, and a broker where one is needed.
-fn fixture(settings: Value, worker: &Worker, broker: Option<(&Broker, &str, f64)>) -> ServerFixture {
+fn fixture(
+    settings: Value,
+    worker: &AutonomousEngine,
+    broker: Option<(&Broker, &str, f64)>,
+) -> ServerFixture {
     let mut fixture = ServerFixture::new(settings);
     fixture.program = process::program();
     fixture.config["limits"]["memory_mb"] = 32.into();
@@ -129,7 +133,7 @@
 struct Peers {
     // Dropped in this order: the server before its peers.
     fixture: ServerFixture,
-    worker: Worker,
+    worker: AutonomousEngine,
     broker: Broker,
 }
 
@@ -143,7 +147,7 @@
 }
 
 fn rounds(report: &mut Report, rounds: u32) {
-    let (broker, worker) = (Broker::with_jobs(), Worker::start(CORES, Duration::from_millis(2)));
+    let (broker, worker) = (Broker::with_jobs(), AutonomousEngine::start(CORES, Duration::from_millis(2)));
     let fixture = fixture(site(20_000.0), &worker, Some((&broker, "book", 0.5)));
     let mut peers = Peers { fixture, worker, broker };
     let results = play_rounds(&mut peers, rounds);
@@ -184,7 +188,7 @@
     (served, failed)
 }
 
-fn report_rounds(report: &mut Report, results: &RoundResults, worker: &Worker) {
+fn report_rounds(report: &mut Report, results: &RoundResults, worker: &AutonomousEngine) {
     let (served, failed) = counts_by_message(&results.replies);
     let has_ended = |number: &u64| {
         let id = number.to_string();
@@ -221,7 +225,7 @@
 
 fn cost(report: &mut Report, seconds: u64) {
     let span = Duration::from_secs(seconds);
-    let worker = Worker::start(CORES, Duration::from_micros(200));
+    let worker = AutonomousEngine::start(CORES, Duration::from_micros(200));
     let by_resp = process::cpu_by_resp(&fixture(site(20_000.0), &worker, None), "book", REQUESTS_PER_S, span);
     let (by_queue, count) = {
         let broker = Broker::with_jobs();
@@ -293,7 +297,7 @@
         objective: Duration::from_millis(500),
         prefix: "r",
     };
-    let worker = Worker::start(CORES, WORK);
+    let worker = AutonomousEngine::start(CORES, WORK);
     let resp_alone = {
         let fixture = fixture(settings.clone(), &worker, None);
         resp::play(fixture.listen, &plan, RESPONSE_TIMEOUT)
@@ -383,7 +387,7 @@
 // ---- A long queue ----
 
 fn backlog(report: &mut Report, count: u64) {
-    let (broker, worker) = (Broker::with_jobs(), Worker::start(CORES, Duration::from_millis(50)));
+    let (broker, worker) = (Broker::with_jobs(), AutonomousEngine::start(CORES, Duration::from_millis(50)));
     let filled = broker.with_state(|state| (0..count).all(|number| state.publish(job(number))));
     assert!(filled, "the queue is there");
     let idle = {
--- a/crates/loomflow-benchmark/src/moments/restarts.rs
+++ b/crates/loomflow-benchmark/src/moments/restarts.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use loomflow_test_servers::{
-    Gateway, ServerFixture, Worker, call, fields, health, loopback_address, next_attempt_id,
+    AutonomousEngine, Gateway, ServerFixture, call, fields, health, loopback_address, next_attempt_id,
 };
 
 use super::ms;
@@ -41,7 +41,7 @@
 
 struct Process {
     fixture: ServerFixture,
-    engine: Option<Worker>,
+    engine: Option<AutonomousEngine>,
 }
 
 /// Measures restarts for each state of the peers. `program`: the server.
@@ -81,13 +81,13 @@
 /// Processes that have served once, so that each has had a former life.
 fn started(peers: Peers, program: &Path) -> Vec<Process> {
     let start = |_| {
-        let engine = Worker::start(1, Duration::from_millis(5));
+        let engine = AutonomousEngine::start(1, Duration::from_millis(5));
         let mut fixture = super::fixture(program);
         fixture.config["engine"] = engine.address.to_string().into();
         if peers == Peers::Slow {
             fixture.ledger.post_all_after(SLOW_REPLY);
             // The control plane takes reports and never answers them.
-            fixture.control.answers("");
+            fixture.control.set_response("");
         } else {
             fixture.ledger.post_all();
         }
@@ -113,7 +113,7 @@
         }
     }
     in_parallel(&mut processes, |process| {
-        let attached = process.engine.as_ref().map_or(0, Worker::attached);
+        let attached = process.engine.as_ref().map_or(0, AutonomousEngine::attached);
         let since = Instant::now();
         process.fixture.start("exec \"$0\" serve");
         // Until then the former process may still be the one that answers.
@@ -149,7 +149,7 @@
         let address = process.fixture.config["engine"].as_str().expect("an address").to_owned();
         let listener = TcpListener::bind(&address).expect("the engine's address");
         let since = Instant::now();
-        process.engine = Some(Worker::at(listener, 1, Duration::from_millis(5)));
+        process.engine = Some(AutonomousEngine::at(listener, 1, Duration::from_millis(5)));
         until_served(&process.fixture, since);
         since.elapsed()
     });
--- a/crates/loomflow-benchmark/src/order/cost.rs
+++ b/crates/loomflow-benchmark/src/order/cost.rs
@@ -7,7 +7,7 @@
 use loomflow_fleet::maintenance::{Issuer, MaintenanceCommand, Request};
 use loomflow_fleet::operator::OperatorRequest;
 use loomflow_test_servers::fleet::{Fleet, Plan};
-use loomflow_test_servers::{ServerFixture, Worker, site};
+use loomflow_test_servers::{AutonomousEngine, ServerFixture, site};
 
 use crate::process;
 use crate::report::Report;
@@ -48,7 +48,7 @@
 
 pub fn measure(report: &mut Report, quick: bool, program: &Path) {
     let span = Duration::from_secs(if quick { 5 } else { 30 });
-    let worker = Worker::start(4, Duration::from_millis(5));
+    let worker = AutonomousEngine::start(4, Duration::from_millis(5));
     let mut alone = ServerFixture::new(site(20_000.0));
     program.clone_into(&mut alone.program);
     alone.serve_with(&worker);
--- a/crates/loomflow-benchmark/src/scale/setup.rs
+++ b/crates/loomflow-benchmark/src/scale/setup.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use loomflow_test_servers::{Gateway, ServerFixture, Worker, health, site};
+use loomflow_test_servers::{AutonomousEngine, Gateway, ServerFixture, health, site};
 use serde_json::{Value, json};
 
 /// Timeout of a request, ms: far more than anything here takes.
@@ -26,12 +26,12 @@
 /// A server that serves, and the engine that it sends its runs to.
 pub struct Server {
     pub fixture: ServerFixture,
-    _worker: Worker,
+    _worker: AutonomousEngine,
 }
 
 /// The test server of an engine, as every server here has one.
-pub fn engine() -> Worker {
-    Worker::start(ENGINE_CORES, RUN)
+pub fn engine() -> AutonomousEngine {
+    AutonomousEngine::start(ENGINE_CORES, RUN)
 }
 
 /// Starts a server of that size.
--- a/crates/loomflow-load/src/queue.rs
+++ b/crates/loomflow-load/src/queue.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use loomflow_test_servers::Broker;
+use loomflow_test_servers::autonomous_engine::result_of;
 use loomflow_test_servers::broker::{Message, message};
-use loomflow_test_servers::worker::result_of;
 
 use crate::{BackgroundTask, Plan, RequestOutcome, Results};
 
--- a/crates/loomflow-load/src/results.rs
+++ b/crates/loomflow-load/src/results.rs
@@ -5,7 +5,7 @@
 
 use hdrhistogram::Histogram;
 use loomflow_test_servers::GatewayResponse;
-use loomflow_test_servers::worker::result_of;
+use loomflow_test_servers::autonomous_engine::result_of;
 
 /// Longer queue times are recorded as this one, µs.
 const MAX_QUEUE_TIME_MICROS: u64 = 3_600_000_000;
--- a/crates/loomflow-load/src/scenario.rs
+++ b/crates/loomflow-load/src/scenario.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use loomflow_test_servers::{Broker, ServerFixture, Worker, site};
+use loomflow_test_servers::{AutonomousEngine, Broker, ServerFixture, site};
 
 use crate::{Plan, Results, queue, resp};
 
@@ -64,7 +64,7 @@
 
     /// Runs the scenario and returns its results.
     pub fn run(&self) -> ScenarioResults {
-        let worker = Worker::start(self.cores, self.work);
+        let worker = AutonomousEngine::start(self.cores, self.work);
         // Every fifth run makes a downstream call.
         worker.set_call_interval(5);
         let broker = (self.front == Front::Amqp).then(Broker::with_jobs);
@@ -96,7 +96,7 @@
         }
     }
 
-    fn start_server(&self, worker: &Worker, broker: Option<&Broker>) -> ServerFixture {
+    fn start_server(&self, worker: &AutonomousEngine, broker: Option<&Broker>) -> ServerFixture {
         let mut fixture = ServerFixture::new(site(self.caller_timeout.as_secs_f64() * 1000.0));
         fixture.program.clone_from(&self.program);
         fixture.ledger.post_all();
--- a/crates/loomflow-server/tests/amqp.rs
+++ b/crates/loomflow-server/tests/amqp.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use common::{LONG_TIMEOUT, SERVE, reload};
+use loomflow_test_servers::autonomous_engine::result_of;
 use loomflow_test_servers::broker::{AMQPFrame, Broker, Message, Settled, message};
-use loomflow_test_servers::worker::result_of;
 use loomflow_test_servers::*;
 
 const WORK: Duration = Duration::from_millis(5);
@@ -24,16 +24,16 @@
 }
 
 /// A broker with the queues of the tests, and an engine with this number of cores.
-fn start_peers(cores: usize) -> (Broker, Worker) {
-    (Broker::with_jobs(), Worker::start(cores, WORK))
+fn start_peers(cores: usize) -> (Broker, AutonomousEngine) {
+    (Broker::with_jobs(), AutonomousEngine::start(cores, WORK))
 }
 
 /// Starts a server with options.
-fn serve(options: &str, worker: &Worker) -> ServerFixture {
+fn serve(options: &str, worker: &AutonomousEngine) -> ServerFixture {
     ServerFixture::start_with(site(LONG_TIMEOUT), options, worker)
 }
 
-fn start_serving() -> (Broker, Worker, ServerFixture) {
+fn start_serving() -> (Broker, AutonomousEngine, ServerFixture) {
     let (broker, worker) = start_peers(4);
     let fixture = serve(&options(&[&broker], ""), &worker);
     (broker, worker, fixture)
@@ -70,20 +70,20 @@
     assert_eq!((reply.kind().as_str(), ran.as_deref()), ("failed", Some("perhaps")));
 }
 
-fn expect_no_run_twice(worker: &Worker) {
+fn expect_no_run_twice(worker: &AutonomousEngine) {
     let counts = worker.run_counts();
     assert!(counts.values().all(|count| *count == 1), "{counts:?}");
 }
 
 /// Expects that this many jobs ran, each once, and that none was dead-lettered.
-fn expect_run_once(broker: &Broker, worker: &Worker, count: usize) {
+fn expect_run_once(broker: &Broker, worker: &AutonomousEngine, count: usize) {
     expect_no_run_twice(worker);
     assert_eq!(worker.run_count(), count);
     assert!(broker.take("dead").is_empty());
 }
 
 /// Expects that each of the jobs ran once, was answered once and was settled.
-fn expect_all_served_once(broker: &Broker, worker: &Worker, count: usize) {
+fn expect_all_served_once(broker: &Broker, worker: &AutonomousEngine, count: usize) {
     broker.wait_until_empty("jobs");
     let replies = broker.wait_for_messages("replies", count);
     let correlations: BTreeSet<String> = replies.iter().map(Message::correlation).collect();
@@ -398,7 +398,7 @@
 fn several_brokers_are_tried_in_turn() {
     let (one, other) = (Broker::with_jobs(), Broker::with_jobs());
     one.refuse_connections(true);
-    let worker = Worker::start(2, WORK);
+    let worker = AutonomousEngine::start(2, WORK);
     let _fixture = serve(&options(&[&one, &other], ""), &worker);
     other.publish(job(1));
     assert_eq!(other.wait_for_messages("replies", 1).len(), 1);
@@ -415,7 +415,7 @@
     for queue in ["jobs", "dead", "replies"] {
         broker.declare(queue);
     }
-    let worker = Worker::start(2, WORK);
+    let worker = AutonomousEngine::start(2, WORK);
     let fixture = serve(&options(&[&broker], ""), &worker);
     broker.publish(message("jobs", "long", &[7; 10_000]).reply_to("replies", "c"));
     assert_eq!(next_reply(&broker).body, result_of(&[7; 10_000]));
@@ -471,7 +471,7 @@
 fn a_wrong_password_is_logged_without_naming_it_and_retried_with_backoff() {
     let broker = Broker::with_jobs();
     broker.with_state(|state| state.password = "another".into());
-    let worker = Worker::start(1, WORK);
+    let worker = AutonomousEngine::start(1, WORK);
     let fixture = serve(&options(&[&broker], ""), &worker);
     fixture.wait_for_log("403");
     assert!(!fixture.log().contains("guest"), "{}", fixture.log());
@@ -550,7 +550,7 @@
 
 #[test]
 fn without_options_there_is_no_amqp_front() {
-    let worker = Worker::start(1, WORK);
+    let worker = AutonomousEngine::start(1, WORK);
     let sockets = |fixture: &ServerFixture| {
         let held = std::fs::read_dir(format!("/proc/{}/fd", fixture.pid())).expect("its descriptors");
         let link = |one: std::io::Result<std::fs::DirEntry>| std::fs::read_link(one.ok()?.path()).ok();
@@ -558,7 +558,7 @@
     };
     let off = serve("", &worker);
     let broker = Broker::with_jobs();
-    let on = serve(&options(&[&broker], ""), &Worker::start(1, WORK));
+    let on = serve(&options(&[&broker], ""), &AutonomousEngine::start(1, WORK));
     broker.wait_until("it consumes", |state| state.consumers("jobs") > 0);
     // The gateways that waited for service are closed some time later; one connection is the whole difference.
     let until = std::time::Instant::now() + RESPONSE_TIMEOUT;
--- a/crates/loomflow-server/tests/control_plane.rs
+++ b/crates/loomflow-server/tests/control_plane.rs
@@ -14,12 +14,12 @@
     for answer in
         ["", "HTTP/1.1 20", "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "no HTTP at all\r\n\r\n"]
     {
-        fixture.control.answers(answer);
+        fixture.control.set_response(answer);
         fixture.control.forget();
         assert_eq!(fixture.control.report(), report);
         assert_eq!(fixture.control.report(), report);
     }
-    fixture.control.answers("HTTP/1.1 204 No Content\r\n\r\n");
+    fixture.control.set_response("HTTP/1.1 204 No Content\r\n\r\n");
     assert_eq!(fixture.control.report(), report);
     assert!(fixture.is_running());
 }
--- a/crates/loomflow-server/tests/deploy.rs
+++ b/crates/loomflow-server/tests/deploy.rs
@@ -66,8 +66,8 @@
 }
 
 /// A server started by the deploy line that serves, with the engine it works with.
-fn start_deployed() -> (ServerFixture, Worker) {
-    let worker = Worker::start(1, Duration::from_millis(5));
+fn start_deployed() -> (ServerFixture, AutonomousEngine) {
+    let worker = AutonomousEngine::start(1, Duration::from_millis(5));
     let mut fixture = ServerFixture::new(site(10_000.0));
     fixture.config["engine"] = worker.address.to_string().into();
     fixture.start(&run_line());
--- a/crates/loomflow-server/tests/links.rs
+++ b/crates/loomflow-server/tests/links.rs
@@ -202,7 +202,7 @@
             expect_feed(&engine, &id, b"other");
         }
         engine.expect_quiet();
-        ledger.has_no_link();
+        ledger.expect_no_link();
         finish_run(&mut gateway, &engine, 3, &id);
     }
 }
@@ -223,7 +223,7 @@
     expect_feed(&engine, &id, b"reply");
     engine.send_need(2, &id, b"second");
     assert_eq!(gateway.response().status, "FAILED");
-    ledger.has_no_link();
+    ledger.expect_no_link();
     end_run(&engine, 3, &id, "broken_off 5");
     gateway.expect_quiet();
 }
@@ -328,7 +328,7 @@
     call.disconnect();
     let answer = gateway.response();
     assert_eq!(answer.status, "FAILED");
-    ledger.has_no_link();
+    ledger.expect_no_link();
 }
 
 #[test]
@@ -340,7 +340,7 @@
     assert_eq!(call.expect("post").body, b"call");
     call.send_line(&format!("{id} error"));
     assert_eq!(gateway.response().status, "FAILED");
-    ledger.has_no_link();
+    ledger.expect_no_link();
 }
 
 #[test]
--- a/crates/loomflow-server/tests/published_client.rs
+++ b/crates/loomflow-server/tests/published_client.rs
@@ -8,7 +8,7 @@
 use lapin::options::*;
 use lapin::types::{AMQPValue, FieldTable};
 use lapin::{BasicProperties, Channel, Confirmation, Connection, ConnectionProperties, Consumer};
-use loomflow_test_servers::worker::result_of;
+use loomflow_test_servers::autonomous_engine::result_of;
 use loomflow_test_servers::*;
 
 /// How long a step may take. Only failures take this long.
@@ -152,7 +152,7 @@
 #[tokio::test]
 async fn a_published_client_calls_a_server_and_gets_each_reply_once() {
     let broker = Broker::start();
-    let worker = Worker::start(4, Duration::from_millis(2));
+    let worker = AutonomousEngine::start(4, Duration::from_millis(2));
     let connection = connect(&broker).await;
     let channel = connection.create_channel().await.unwrap();
     for name in ["jobs", "dead", "mine"] {
--- a/crates/loomflow-server/tests/reload.rs
+++ b/crates/loomflow-server/tests/reload.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 
 /// Writes a configuration with new addresses of the peers and requests a reload; returns the former peers.
-fn reload_with_new_peers(fixture: &mut ServerFixture) -> (Engine, Ledger, Control) {
+fn reload_with_new_peers(fixture: &mut ServerFixture) -> (ScriptedEngine, Ledger, Control) {
     let former = fixture.move_peers();
     fixture.signal("HUP");
     former
@@ -31,7 +31,7 @@
     let ledger = fixture.ledger.open();
     moved.send_need(3, &calling, b"second");
     ledger.link().expect("post");
-    former_ledger.has_no_link();
+    former_ledger.expect_no_link();
     expect_ready_report(&fixture.control);
     // Nothing more is sent on the former connection, and it is closed.
     engine.expect_closed();
@@ -178,14 +178,14 @@
 fn the_file_of_another_server_or_site_is_rejected() {
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let own = fixture.config.clone();
-    let foreign_engine = Engine::start();
+    let foreign_engine = ScriptedEngine::start();
     for (change, key) in FOREIGN_CONFIGURATIONS {
         let mut file = own.clone();
         change(&mut file);
         file["engine"] = foreign_engine.address.to_string().into();
         reload(&fixture, &file, key);
     }
-    foreign_engine.has_no_link();
+    foreign_engine.expect_no_link();
     // The server's own file is accepted after that, and an open request keeps its class.
     let mut gateway = fixture.gateway();
     let id = start_run(&mut gateway, &engine, 1, "pay");
--- a/crates/loomflow-server/tests/service.rs
+++ b/crates/loomflow-server/tests/service.rs
@@ -60,7 +60,7 @@
         engine.expect("FEED");
         engine.send_done(3, &id, b"done");
         assert_eq!(gateway.response().status, "OK");
-        ledger.has_no_link();
+        ledger.expect_no_link();
     }
 }
 
--- a/crates/loomflow-server/tests/short_days.rs
+++ b/crates/loomflow-server/tests/short_days.rs
@@ -103,8 +103,8 @@
 }
 
 /// A server with an engine that runs requests by itself.
-fn start_with_worker() -> (ServerFixture, Worker) {
-    let worker = Worker::start(4, Duration::from_millis(1));
+fn start_with_worker() -> (ServerFixture, AutonomousEngine) {
+    let worker = AutonomousEngine::start(4, Duration::from_millis(1));
     let mut fixture = ServerFixture::new(site(LONG_TIMEOUT));
     fixture.serve_with(&worker);
     (fixture, worker)
@@ -158,7 +158,7 @@
         "HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n";
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     for (number, response) in (1..).zip([ONE, "", THREE, "", ONE]) {
-        fixture.control.answers(response);
+        fixture.control.set_response(response);
         fixture.control.forget();
         for _ in 0..3 {
             expect_ready_report(&fixture.control);
--- a/crates/loomflow-test-servers/src/worker.rs
+++ b/crates/loomflow-test-servers/src/autonomous_engine.rs
@@ -51,7 +51,7 @@
 
 /// A test engine that runs requests by itself.
 #[derive(Clone)]
-pub struct Worker {
+pub struct AutonomousEngine {
     /// Its address.
     pub address: SocketAddr,
     shared: Arc<Shared>,
@@ -62,14 +62,14 @@
     [b"done:", body].concat()
 }
 
-impl Worker {
+impl AutonomousEngine {
     /// Each run takes one core for `work`.
-    pub fn start(cores: usize, work: Duration) -> Worker {
-        Worker::at(loopback_listener(), cores, work)
+    pub fn start(cores: usize, work: Duration) -> AutonomousEngine {
+        AutonomousEngine::at(loopback_listener(), cores, work)
     }
 
-    /// As [`Worker::start`], on a listener.
-    pub fn at(listener: TcpListener, cores: usize, work: Duration) -> Worker {
+    /// As [`AutonomousEngine::start`], on a listener.
+    pub fn at(listener: TcpListener, cores: usize, work: Duration) -> AutonomousEngine {
         let address = listener.local_addr().expect("an address");
         let inner = Inner { work, ..Inner::default() };
         let shared = Arc::new(Shared { inner: Mutex::new(inner), changed: Condvar::new(), cores });
@@ -79,7 +79,7 @@
         }
         let for_links = shared.clone();
         thread::spawn(move || links(&listener, &for_links));
-        Worker { address, shared }
+        AutonomousEngine { address, shared }
     }
 
     fn inner(&self) -> MutexGuard<'_, Inner> {
--- a/crates/loomflow-test-servers/src/bin/test-servers.rs
+++ b/crates/loomflow-test-servers/src/bin/test-servers.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use loomflow_test_servers::broker::{Broker, Message, message};
-use loomflow_test_servers::{ServerFixture, Worker, site};
+use loomflow_test_servers::{AutonomousEngine, ServerFixture, site};
 
 const HELP: &str = "\
 publish ID [BODY]   one message to the queue jobs, with a reply wanted
@@ -32,7 +32,7 @@
     let folder = Path::new(&folder);
     std::fs::create_dir_all(folder).expect("the folder");
     let mut test_servers = TestServers {
-        worker: Worker::start(4, Duration::from_millis(10)),
+        worker: AutonomousEngine::start(4, Duration::from_millis(10)),
         broker: Broker::with_jobs(),
         fixture: ServerFixture::new(site(10_000.0)),
         messages_filled: 0,
@@ -49,7 +49,7 @@
 }
 
 struct TestServers {
-    worker: Worker,
+    worker: AutonomousEngine,
     broker: Broker,
     /// Configuration and control plane; its server is not started.
     fixture: ServerFixture,
--- a/crates/loomflow-test-servers/src/control.rs
+++ b/crates/loomflow-test-servers/src/control.rs
@@ -13,7 +13,7 @@
     /// Its address.
     pub address: SocketAddr,
     reports: Receiver<String>,
-    answer: Arc<Mutex<&'static str>>,
+    response: Arc<Mutex<&'static str>>,
 }
 
 impl Control {
@@ -24,16 +24,16 @@
     /// Starts one on a listener.
     pub fn at(listener: TcpListener) -> Control {
         let address = listener.local_addr().expect("an address");
-        let answer = Arc::new(Mutex::new("HTTP/1.1 204 No Content\r\n\r\n"));
+        let response = Arc::new(Mutex::new("HTTP/1.1 204 No Content\r\n\r\n"));
         let (sender, reports) = channel();
-        let shared = answer.clone();
+        let shared = response.clone();
         thread::spawn(move || {
             while let Ok((stream, _)) = listener.accept() {
-                let (sender, answer) = (sender.clone(), shared.clone());
-                thread::spawn(move || reports_on(stream, &sender, &answer));
+                let (sender, response) = (sender.clone(), shared.clone());
+                thread::spawn(move || reports_on(stream, &sender, &response));
             }
         });
-        Control { address, reports, answer }
+        Control { address, reports, response }
     }
 
     /// Starts one whose responses never end.
@@ -56,12 +56,12 @@
                 });
             }
         });
-        Control { address, reports, answer: Arc::new(Mutex::new(with)) }
+        Control { address, reports, response: Arc::new(Mutex::new(with)) }
     }
 
     /// Changes the response to further reports; an empty one is not sent.
-    pub fn answers(&self, with: &'static str) {
-        *self.answer.lock().unwrap() = with;
+    pub fn set_response(&self, response: &'static str) {
+        *self.response.lock().unwrap() = response;
     }
 
     /// The first line and the body of the next report.
@@ -75,7 +75,7 @@
     }
 }
 
-fn reports_on(stream: TcpStream, sender: &Sender<String>, answer: &Mutex<&'static str>) {
+fn reports_on(stream: TcpStream, sender: &Sender<String>, response: &Mutex<&'static str>) {
     let mut writer = stream.try_clone().expect("a clone");
     let mut reader = BufReader::new(stream);
     loop {
@@ -100,7 +100,7 @@
             return;
         }
         let text = format!("{} {}", first.trim_end(), String::from_utf8_lossy(&body));
-        let with = *answer.lock().unwrap();
+        let with = *response.lock().unwrap();
         if sender.send(text).is_err() || writer.write_all(with.as_bytes()).is_err() {
             return;
         }
--- a/crates/loomflow-test-servers/src/fleet.rs
+++ b/crates/loomflow-test-servers/src/fleet.rs
@@ -19,7 +19,7 @@
 use self::processes::{children, stop};
 use crate::base::loopback_address;
 use crate::relay::{LinkFault, Relay};
-use crate::{ServerFixture, Worker};
+use crate::{AutonomousEngine, ServerFixture};
 
 /// How long a test waits for something that must happen. Only failures take this long.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
@@ -33,7 +33,7 @@
     /// The server's process and its test servers.
     pub fixture: ServerFixture,
     /// Its engine.
-    pub worker: Worker,
+    pub worker: AutonomousEngine,
     /// Its state directory.
     pub state: PathBuf,
     /// Where it listens for the fleet.
@@ -119,7 +119,7 @@
             let state = folder.join(name(member_index));
             let options = members::options(&plan, member_index, &addresses, &relays[member_index], &state);
             let fixture = members::fixture(&plan, member_index, program, &folder, &options);
-            let worker = Worker::start(plan.cores, plan.work);
+            let worker = AutonomousEngine::start(plan.cores, plan.work);
             Member { fixture, worker, state, address: addresses[member_index] }
         };
         let members = (0..plan.members).map(member).collect();
@@ -159,7 +159,7 @@
         member.fixture.serve_with(&worker);
     }
 
-    /// Kills a server and its engine.
+    /// Kills a server's process. Its engine keeps running.
     pub fn kill(&mut self, member_index: usize) {
         self.note(format!("{} is killed", name(member_index)));
         self.members[member_index].fixture.kill();
--- a/crates/loomflow-test-servers/src/ledger.rs
+++ b/crates/loomflow-test-servers/src/ledger.rs
@@ -61,7 +61,7 @@
     }
 
     /// Checks that the server opens no connection.
-    pub fn has_no_link(&self) {
+    pub fn expect_no_link(&self) {
         assert!(self.links.recv_timeout(QUIET_PERIOD).is_err());
     }
 }
--- a/crates/loomflow-test-servers/src/lines.rs
+++ b/crates/loomflow-test-servers/src/lines.rs
@@ -38,13 +38,13 @@
     pub(crate) fn new(
         stream: TcpStream,
         with_body: &'static [&'static str],
-        answers_stat: Arc<AtomicBool>,
+        answers_queries: Arc<AtomicBool>,
     ) -> PeerConnection {
         stream.set_nodelay(true).expect("no delay");
         let (sender, lines) = channel();
         let reader = stream.try_clone().expect("a clone");
         let writer = stream.try_clone().expect("a clone");
-        thread::spawn(move || read_lines(reader, writer, with_body, &answers_stat, &sender));
+        thread::spawn(move || read_lines(reader, writer, with_body, &answers_queries, &sender));
         PeerConnection { stream, lines }
     }
 
@@ -128,12 +128,12 @@
     reader: TcpStream,
     mut writer: TcpStream,
     with_body: &[&str],
-    answers_stat: &AtomicBool,
+    answers_queries: &AtomicBool,
     lines: &Sender<Line>,
 ) {
     let mut reader = BufReader::new(reader);
     while let Some(line) = read_line(&mut reader, with_body) {
-        let response = query_response(&line).filter(|_| answers_stat.load(Ordering::Acquire));
+        let response = query_response(&line).filter(|_| answers_queries.load(Ordering::Acquire));
         if let Some(response) = response {
             let _ = writer.write_all(response.as_bytes());
         } else if lines.send(line).is_err() {
@@ -180,12 +180,12 @@
 pub(crate) fn accepting(
     listener: TcpListener,
     with_body: &'static [&'static str],
-    answers_stat: Arc<AtomicBool>,
+    answers_queries: Arc<AtomicBool>,
 ) -> Receiver<PeerConnection> {
     let (sender, links) = channel();
     thread::spawn(move || {
         while let Ok((stream, _)) = listener.accept() {
-            if sender.send(PeerConnection::new(stream, with_body, answers_stat.clone())).is_err() {
+            if sender.send(PeerConnection::new(stream, with_body, answers_queries.clone())).is_err() {
                 return;
             }
         }
--- a/crates/loomflow-test-servers/src/engine.rs
+++ b/crates/loomflow-test-servers/src/scripted_engine.rs
@@ -9,30 +9,34 @@
 use crate::lines::{PeerConnection, accepting};
 
 /// A scripted test server of the engine.
-pub struct Engine {
+pub struct ScriptedEngine {
     /// Its address.
     pub address: SocketAddr,
     links: Receiver<PeerConnection>,
-    answers_stat: Arc<AtomicBool>,
+    answers_queries: Arc<AtomicBool>,
 }
 
-impl Engine {
+impl ScriptedEngine {
     /// Starts one on a free address.
-    pub fn start() -> Engine {
+    pub fn start() -> ScriptedEngine {
         let listener = loopback_listener();
         let address = listener.local_addr().expect("an address");
-        let answers_stat = Arc::new(AtomicBool::new(true));
-        Engine { address, links: accepting(listener, &["RUN", "FEED"], answers_stat.clone()), answers_stat }
+        let answers_queries = Arc::new(AtomicBool::new(true));
+        ScriptedEngine {
+            address,
+            links: accepting(listener, &["RUN", "FEED"], answers_queries.clone()),
+            answers_queries,
+        }
     }
 
     /// Checks that the server opens no connection.
-    pub fn has_no_link(&self) {
+    pub fn expect_no_link(&self) {
         assert!(self.links.recv_timeout(QUIET_PERIOD).is_err());
     }
 
     /// Whether it responds to gauge and health queries by itself, or passes them to the test like other lines.
     pub fn answers_by_itself(&self, does: bool) {
-        self.answers_stat.store(does, Ordering::Release);
+        self.answers_queries.store(does, Ordering::Release);
     }
 
     /// The next connection that the server opens.
--- a/crates/loomflow-test-servers/src/server_fixture.rs
+++ b/crates/loomflow-test-servers/src/server_fixture.rs
@@ -10,13 +10,13 @@
 
 use serde_json::{Value, json};
 
+use crate::autonomous_engine::AutonomousEngine;
 use crate::base::{RESPONSE_TIMEOUT, loopback_address};
 use crate::control::Control;
-use crate::engine::Engine;
 use crate::gateway::{Gateway, call, fields, health, next_attempt_id};
 use crate::ledger::Ledger;
 use crate::lines::PeerConnection;
-use crate::worker::Worker;
+use crate::scripted_engine::ScriptedEngine;
 
 /// Path of the server's program: the directory above that of the running test.
 pub fn program() -> std::path::PathBuf {
@@ -32,7 +32,7 @@
     /// Its configuration.
     pub config: Value,
     /// Its scripted engine.
-    pub engine: Engine,
+    pub engine: ScriptedEngine,
     /// Its downstream service.
     pub ledger: Ledger,
     /// Its control plane.
@@ -54,7 +54,7 @@
 
 impl ServerFixture {
     /// Starts a server with options and an engine that runs requests by itself.
-    pub fn start_with(settings: Value, options: &str, worker: &Worker) -> ServerFixture {
+    pub fn start_with(settings: Value, options: &str, worker: &AutonomousEngine) -> ServerFixture {
         let mut fixture = ServerFixture::new(settings);
         fixture.options(options);
         fixture.serve_with(worker);
@@ -62,7 +62,7 @@
     }
 
     /// Starts the server with an engine, and waits until it serves.
-    pub fn serve_with(&mut self, worker: &Worker) {
+    pub fn serve_with(&mut self, worker: &AutonomousEngine) {
         self.config["engine"] = worker.address.to_string().into();
         self.start("exec \"$0\" serve");
         self.wait_for_service();
@@ -70,7 +70,7 @@
 
     /// Creates the test servers and the configuration without starting the server.
     pub fn new(settings: Value) -> ServerFixture {
-        let (engine, ledger, control) = (Engine::start(), Ledger::new(), Control::start());
+        let (engine, ledger, control) = (ScriptedEngine::start(), Ledger::new(), Control::start());
         let listen = loopback_address();
         let config = json!({"name": "n3", "listen": listen.to_string(), "engine": engine.address.to_string(),
             "control": control.address.to_string(), "ledger": ledger.address.to_string(),
@@ -137,9 +137,9 @@
 
     /// Replaces engine, downstream service and control plane by new ones at new addresses; returns the previous ones, which
     /// stay open until they are dropped.
-    pub fn move_peers(&mut self) -> (Engine, Ledger, Control) {
+    pub fn move_peers(&mut self) -> (ScriptedEngine, Ledger, Control) {
         let previous = (
-            std::mem::replace(&mut self.engine, Engine::start()),
+            std::mem::replace(&mut self.engine, ScriptedEngine::start()),
             std::mem::replace(&mut self.ledger, Ledger::new()),
             std::mem::replace(&mut self.control, Control::start()),
         );
