--- a/crates/loomflow-overload-simulation/src/caller.rs
+++ b/crates/loomflow-overload-simulation/src/caller.rs
@@ -62,7 +62,7 @@
     /// False while it is down.
     pub is_up: bool,
     policy: CallerPolicy,
-    pick: LoadBalancing,
+    load_balancing: LoadBalancing,
     ignores_final: bool,
     /// The servers in its own order.
     list: Vec<usize>,
@@ -82,7 +82,7 @@
         Caller {
             is_up: true,
             policy: policy.clone(),
-            pick: if fewest { LoadBalancing::FewestOutstanding } else { LoadBalancing::RoundRobin },
+            load_balancing: if fewest { LoadBalancing::FewestOutstanding } else { LoadBalancing::RoundRobin },
             ignores_final,
             list,
             cursor: 0,
@@ -109,7 +109,7 @@
                 continue;
             }
             chosen = Some((outstanding, place));
-            if self.pick == LoadBalancing::RoundRobin || outstanding == 0 {
+            if self.load_balancing == LoadBalancing::RoundRobin || outstanding == 0 {
                 break;
             }
         }
--- a/crates/loomflow-overload-simulation/src/fleet/faults.rs
+++ b/crates/loomflow-overload-simulation/src/fleet/faults.rs
@@ -21,7 +21,7 @@
             FaultKind::ServersDown { .. } => {
                 (0..kind.affected_count(self.machines.len())).for_each(|server| self.lose_server(server));
             }
-            FaultKind::ServersSlow { speed, .. } => self.set_health(kind, speed),
+            FaultKind::ServersSlow { speed, .. } => self.set_fault_speed(kind, speed),
         }
     }
 
@@ -36,7 +36,7 @@
                 (0..kind.affected_count(self.machines.len()))
                     .for_each(|server| self.start_server(server, true));
             }
-            FaultKind::ServersSlow { .. } => self.set_health(kind, 1.0),
+            FaultKind::ServersSlow { .. } => self.set_fault_speed(kind, 1.0),
         }
     }
 
@@ -73,11 +73,11 @@
         self.machines[server].server = None;
     }
 
-    fn set_health(&mut self, kind: FaultKind, health: f64) {
+    fn set_fault_speed(&mut self, kind: FaultKind, fault_speed: f64) {
         let affected = kind.affected_count(self.machines.len());
         for machine in &mut self.machines[..affected] {
             if let Some(server) = &mut machine.server {
-                server.set_health(health);
+                server.set_fault_speed(fault_speed);
             }
         }
     }
--- a/crates/loomflow-overload-simulation/src/server.rs
+++ b/crates/loomflow-overload-simulation/src/server.rs
@@ -111,7 +111,7 @@
     started: SimulationMicros,
     is_slow_start: bool,
     /// Remaining speed under a fault, 0 to 1.
-    health: f64,
+    fault_speed: f64,
     speed: f64,
     /// Busy time of the cores at the last ticks.
     busy: VecDeque<(SimulationMicros, Millis)>,
@@ -142,7 +142,7 @@
             idle_timeout,
             started: now,
             is_slow_start,
-            health: 1.0,
+            fault_speed: 1.0,
             speed: 1.0,
             busy: VecDeque::new(),
         }
@@ -177,8 +177,8 @@
     }
 
     /// Changes the remaining speed under a fault, 0 to 1.
-    pub fn set_health(&mut self, health: f64) {
-        self.health = health;
+    pub fn set_fault_speed(&mut self, fault_speed: f64) {
+        self.fault_speed = fault_speed;
     }
 
     /// A request arrives.
@@ -382,7 +382,7 @@
     fn update_speed(&mut self, now: SimulationMicros, table_fill: f64, out: &mut Vec<Output>) {
         let over = (table_fill - self.setup.table_cost_from) / (1.0 - self.setup.table_cost_from);
         let table = 1.0 - self.setup.table_cost * over.clamp(0.0, 1.0);
-        let speed = self.slow_start_speed(now) * self.health * table;
+        let speed = self.slow_start_speed(now) * self.fault_speed * table;
         if speed != self.speed {
             self.speed = speed;
             self.cores.set_speed(now, speed);
