--- a/crates/loomflow-overload-simulation/src/cores.rs
+++ b/crates/loomflow-overload-simulation/src/cores.rs
@@ -39,7 +39,7 @@
         Cores { count, speed: 1.0, received: 0.0, busy: 0.0, updated: now, jobs: Vec::new() }
     }
 
-    /// Puts a job that needs so many milliseconds of one full-speed core on them.
+    /// Puts a job that needs this many milliseconds of one full-speed core on them.
     pub fn add(&mut self, now: SimulationMicros, job: Job, work: Millis) {
         self.advance(now);
         self.jobs.push((job, self.received + work));
--- a/crates/loomflow-server/src/control_plane.rs
+++ b/crates/loomflow-server/src/control_plane.rs
@@ -54,7 +54,7 @@
     addresses
 }
 
-/// How long to wait after a report that took so long, before the next.
+/// How long to wait after a report that took this long, before the next.
 fn wait_after_report(has_failed: bool, took: Duration) -> Duration {
     let interval = if has_failed { RETRY_INTERVAL } else { REPORT_INTERVAL };
     interval.saturating_sub(took).max(RETRY_INTERVAL)
--- a/crates/loomflow-server/src/ledger/placement/tests.rs
+++ b/crates/loomflow-server/src/ledger/placement/tests.rs
@@ -6,7 +6,7 @@
 const READ: PlacedCall = PlacedCall { id: 100, has_effect: false };
 const PAYMENT: PlacedCall = PlacedCall { has_effect: true, ..READ };
 
-/// Connections with so many calls in flight, last used at 0, 1, 2 ms.
+/// Connections with these numbers of calls in flight, last used at 0, 1, 2 ms.
 fn connections(calls_in_flight: &[usize]) -> BTreeMap<LinkId, LedgerConnection> {
     let connection = |(at, calls_in_flight): (usize, &usize)| {
         let mut connection = LedgerConnection::new(Arc::new(ConnectionHandle::new(None)), at as f64);
--- a/crates/loomflow-server/src/main.rs
+++ b/crates/loomflow-server/src/main.rs
@@ -1,5 +1,5 @@
-//! `loomflow`: a server that controls overload with the decision module. Each command of the program is a function here;
-//! [`arguments`] parses the command line.
+//! `loomflow`: a server that controls overload with the controller of the library. Each command of the program is a function
+//! here; [`arguments`] parses the command line.
 
 mod arguments;
 mod budget;
--- a/crates/loomflow-settings/src/json/fields.rs
+++ b/crates/loomflow-settings/src/json/fields.rs
@@ -65,7 +65,7 @@
 
 /// A member of a list in which a value of another type is no error but `None`.
 ///
-/// For deserializers that have the whole document in memory, because a value is given up in its midst.
+/// For deserializers that have the whole document in memory, because a value is abandoned partway through.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lenient<T>(pub Option<T>);
 
--- a/crates/loomflow-settings/src/site.rs
+++ b/crates/loomflow-settings/src/site.rs
@@ -1,4 +1,4 @@
-//! The settings object of a site: the settings of the decision module, and the names that only the fronts need.
+//! The settings object of a site: the settings of the controller, and the names that only the fronts need.
 
 mod keys;
 
@@ -21,7 +21,7 @@
 /// Settings of a site.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// Settings of the decision module.
+    /// Settings of the controller.
     pub settings: Settings,
     /// Names of the classes, by index.
     pub classes: Vec<String>,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The module's gauges from the values that the engine reports in the order of `names`.
+    /// The controller's gauges from the values that the engine reports in the order of `names`.
     pub fn gauges(names: &[String], values: impl Iterator<Item = Option<f64>>) -> Gauges {
         let mut gauges = Gauges::default();
         for (name, value) in names.iter().zip(values) {
--- a/crates/loomflow-settings/src/tenants.rs
+++ b/crates/loomflow-settings/src/tenants.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The tenants as the decision module takes them.
+    /// The tenants as the controller takes them.
     ///
     /// # Errors
     ///
