--- a/crates/loomflow-server/src/clock.rs
+++ b/crates/loomflow-server/src/clock.rs
@@ -4,6 +4,8 @@
 
 use loomflow::time::Millis;
 
+use crate::time::duration_millis;
+
 /// One reading of both clocks.
 #[derive(Clone, Copy, Debug)]
 pub struct Now {
@@ -35,7 +37,7 @@
     /// Reads both clocks.
     pub fn now(&self) -> Now {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
-        Now { ms: self.start.elapsed().as_secs_f64() * 1000.0, unix: unix.as_secs_f64() * 1000.0 }
+        Now { ms: duration_millis(self.start.elapsed()), unix: duration_millis(unix) }
     }
 
     /// Advances the monotonic clock.
--- a/crates/loomflow-server/src/engine.rs
+++ b/crates/loomflow-server/src/engine.rs
@@ -5,7 +5,6 @@
 
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::time::Duration;
 
 use loomflow::interface::Settings;
 use loomflow::time::Millis;
@@ -16,6 +15,7 @@
 use crate::connection::{self, ConnectionHandle};
 use crate::log;
 use crate::mailbox::{LinkId, Mailbox, OwnerEvent};
+use crate::time::exact_duration;
 pub use pending_command::{Delivery, PendingCommand, SentCommand};
 pub use resend::{RequestState, Resend};
 
@@ -120,7 +120,7 @@
         let last = self.last_notice;
         self.handle.enqueue(|out| Command::Attach { last }.write(out));
         let (link, address, backoff) = (self.link, self.address, self.backoff.advance());
-        let backoff = Duration::from_secs_f64(backoff / 1000.0);
+        let backoff = exact_duration(backoff);
         let (handle, mailbox) = (self.handle.clone(), self.mailbox.clone());
         may::go!(move || {
             let reason = match connection::connect_after(address, backoff, &handle) {
--- a/crates/loomflow-server/src/front/amqp/mod.rs
+++ b/crates/loomflow-server/src/front/amqp/mod.rs
@@ -4,7 +4,6 @@
 mod consumer_settings;
 
 use std::sync::Arc;
-use std::time::Duration;
 
 use loomflow::interface::RequestAttributes;
 use loomflow::time::Millis;
@@ -25,6 +24,7 @@
 use crate::idempotency::IdempotencyKey;
 use crate::log;
 use crate::mailbox::{BrokerEvent, LinkId, Mailbox};
+use crate::time::floor_duration;
 
 /// Time between two log lines of the counts; none is written while they have not changed.
 const REPORT_INTERVAL_MS: Millis = 10_000.0;
@@ -78,7 +78,7 @@
         self.handle = Arc::new(ConnectionHandle::new(None));
         let (link, address) = (self.link, self.consumer.broker());
         let (handle, mailbox) = (self.handle.clone(), self.mailbox.clone());
-        let backoff = Duration::from_micros((backoff * 1000.0) as u64);
+        let backoff = floor_duration(backoff);
         may::go!(move || {
             let stream = match connection::connect_after(address, backoff, &handle) {
                 Ok(stream) => stream,
--- a/crates/loomflow-server/src/front/resp/connections/shutdown.rs
+++ b/crates/loomflow-server/src/front/resp/connections/shutdown.rs
@@ -4,6 +4,7 @@
 
 use super::timeouts::GOODBYE_TIMEOUT_MS;
 use crate::connection::LINGER_TIMEOUT;
+use crate::time::duration_millis;
 
 /// How long before the kill the process ends, whatever is unwritten.
 pub(super) const KILL_MARGIN_MS: Millis = 50.0;
@@ -25,7 +26,7 @@
     /// Of the time until `deadline`, one half is for the peers to close their connections, the other for this server.
     pub(super) fn new(deadline: Millis, kill_deadline: Millis, now: Millis) -> ConnectionDeadlines {
         let goodbye_timeout = GOODBYE_TIMEOUT_MS.min((deadline - now).max(0.0) / 2.0);
-        let linger = LINGER_TIMEOUT.as_secs_f64() * 1000.0;
+        let linger = duration_millis(LINGER_TIMEOUT);
         let partial_message_deadline = (deadline - linger).max(now + goodbye_timeout);
         ConnectionDeadlines { goodbye_timeout, partial_message_deadline, deadline, kill_deadline }
     }
--- a/crates/loomflow-server/src/front/resp/listener.rs
+++ b/crates/loomflow-server/src/front/resp/listener.rs
@@ -18,6 +18,7 @@
 use crate::connection::{self, ConnectionHandle};
 use crate::log;
 use crate::mailbox::{ConnectionId, FrontEvent, GatewayEvent, Mailbox, OwnerEvent};
+use crate::time::exact_duration;
 use connection_limit::{ConnectionLimit, ConnectionPermit};
 
 /// Time between two attempts to bind or accept, after a failure and while there is no capacity.
@@ -98,7 +99,7 @@
 
 /// How long an address in use is waited for: until the former process of this server is killed, and a margin.
 fn release_timeout(stop_ms: Millis) -> Duration {
-    ADDRESS_RELEASE_MARGIN + Duration::from_secs_f64(stop_ms / 1000.0)
+    ADDRESS_RELEASE_MARGIN + exact_duration(stop_ms)
 }
 
 /// `may`'s own bind would share the port with another process that listens on it.
--- a/crates/loomflow-server/src/main.rs
+++ b/crates/loomflow-server/src/main.rs
@@ -18,6 +18,7 @@
 mod owner;
 mod request_table;
 mod signals;
+mod time;
 #[cfg(feature = "try")]
 mod try_command;
 
--- a/crates/loomflow-server/src/owner/batch_schedule.rs
+++ b/crates/loomflow-server/src/owner/batch_schedule.rs
@@ -4,6 +4,8 @@
 
 use loomflow::time::Millis;
 
+use crate::time::{ceil_duration, floor_duration};
+
 /// The maximum time between two batches, and so between two checks of idle connections and deadlines.
 const MAX_SLEEP_MS: Millis = 100.0;
 /// A batch that begins this long after its deadline follows a pause of the machine.
@@ -28,7 +30,7 @@
     /// How long to wait for an event.
     pub(super) fn timeout(&self, now: Millis) -> Duration {
         let timeout = (self.deadline - now).max(0.0);
-        Duration::from_micros((timeout * 1000.0).ceil() as u64)
+        ceil_duration(timeout)
     }
 
     /// Whether the machine has paused since the last batch: what arrived during the pause has to be read before deadlines are
@@ -40,7 +42,7 @@
     /// How long the batch has to be delayed, so that the interval since the last one has passed; none if it has.
     pub(super) fn delay(&self, now: Millis) -> Option<Duration> {
         let delay = self.last_batch_at + self.interval - now;
-        (delay > 0.0).then(|| Duration::from_micros((delay * 1000.0) as u64))
+        (delay > 0.0).then(|| floor_duration(delay))
     }
 }
 
--- a/crates/loomflow-server/src/owner/event_loop.rs
+++ b/crates/loomflow-server/src/owner/event_loop.rs
@@ -13,6 +13,7 @@
 use crate::front::Listener;
 use crate::mailbox::{Mailbox, OwnerEvent};
 use crate::signals::Signals;
+use crate::time::floor_duration;
 
 /// How long the coroutine sleeps that reports that the drivers have caught up. All drivers share its thread, so that each has
 /// had a turn to read its socket by then.
@@ -58,7 +59,7 @@
     report_after_reader_turn(mailbox.clone());
     loop {
         let remaining = deadline - clock.now().ms;
-        let received = mailbox.receive(Duration::from_micros((remaining.max(0.0) * 1000.0) as u64));
+        let received = mailbox.receive(floor_duration(remaining.max(0.0)));
         let have_caught_up = received.iter().any(|event| matches!(event, OwnerEvent::ReadersCaughtUp));
         events.extend(received);
         if have_caught_up || remaining <= 0.0 {
@@ -70,7 +71,7 @@
 /// Reports [`OwnerEvent::ReadersCaughtUp`] once the drivers have had their turn.
 fn report_after_reader_turn(mailbox: Arc<Mailbox>) {
     may::go!(move || {
-        connection::sleep(Duration::from_micros((READER_TURN_MS * 1000.0) as u64));
+        connection::sleep(floor_duration(READER_TURN_MS));
         mailbox.send(OwnerEvent::ReadersCaughtUp);
     });
 }
--- a/crates/loomflow-server/src/owner/timers.rs
+++ b/crates/loomflow-server/src/owner/timers.rs
@@ -4,6 +4,8 @@
 
 use loomflow::time::{Micros, Millis, micros};
 
+use crate::time::millis;
+
 /// How long before a timer the gauges are polled that it passes on.
 const GAUGE_POLL_LEAD_MS: Millis = 8.0;
 
@@ -27,7 +29,7 @@
 
     /// When the next timer or poll is due.
     pub(super) fn next_deadline(&self) -> Millis {
-        let timer = self.due.first().map_or(f64::INFINITY, |at| *at as f64 / 1000.0);
+        let timer = self.due.first().map_or(f64::INFINITY, |at| millis(*at));
         timer.min(self.gauge_poll_at)
     }
 
