--- a/crates/loomflow-server/src/front/resp/connections.rs
+++ b/crates/loomflow-server/src/front/resp/connections.rs
@@ -172,7 +172,7 @@
     }
 
     fn timeouts(&self, now: Millis) -> Timeouts {
-        let goodbye = Timeouts::goodbye(self.limits.is_near_capacity(self.connections.len()));
+        let goodbye = Timeouts::goodbye_timeout(self.limits.is_near_capacity(self.connections.len()));
         Timeouts {
             idle: self.idle_timeout.unwrap_or(f64::INFINITY),
             goodbye: self.shutdown.map_or(goodbye, |shutdown| goodbye.min(shutdown.goodbye_timeout)),
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Aborts the connections with the most unread responses where there is no memory for all.
+    /// Aborts the connections with the most bytes not yet written to the socket where there is no memory for all.
     fn abort_slow_readers(&mut self) {
         let unwritten = self
             .connections
