--- a/crates/loomflow-server/src/fleet/load.rs
+++ b/crates/loomflow-server/src/fleet/load.rs
@@ -4,8 +4,8 @@
 use loomflow::time::Millis;
 use loomflow_fleet::member::{LoadReport, Phase};
 
-/// How often the load is reported, ms.
-const REPORT_PERIOD_MILLIS: Millis = 500.0;
+/// How often the server's loop hands the load to the fleet's thread, ms.
+const LOAD_SAMPLE_PERIOD_MS: Millis = 500.0;
 
 /// Averages the number of concurrent runs over time, and says when a report is due.
 pub struct Meter {
@@ -28,7 +28,7 @@
         self.last_change = now;
         self.running = running;
         let period = now - self.period_start;
-        if period < REPORT_PERIOD_MILLIS {
+        if period < LOAD_SAMPLE_PERIOD_MS {
             return None;
         }
         let mean = self.run_millis / period;
