--- a/crates/loomflow-fleet/src/maintenance/ticket.rs
+++ b/crates/loomflow-fleet/src/maintenance/ticket.rs
@@ -349,10 +349,11 @@
     }
 }
 
-/// Why a transition that is not in the table is rejected.
+/// Why a transition that is not in [`TABLE`] is rejected: it comes too early, too late, or after the ticket is closed. The
+/// table alone says what is legal; this only words the rejection.
 fn rejection(from: TicketStage, transition: Transition) -> Rejection {
     use TicketStage::{Abandoned, Back, Begun, Done, Draining, Granted, Lapsed, Ready, Requested, Withdrawn};
-    // The first stage in which each transition is possible, on the way from requested to done.
+    // A rejection says "too early" in a stage before this one. Not always the first stage that the table allows.
     let earliest = match transition {
         Transition::Grant | Transition::Withdraw | Transition::Expire => Requested,
         Transition::Begin | Transition::Recall | Transition::Lapse => Granted,
--- a/crates/loomflow-fleet/src/time.rs
+++ b/crates/loomflow-fleet/src/time.rs
@@ -1,4 +1,4 @@
-//! Units of time, and the only places where they are converted.
+//! Units of time, and conversions between them.
 
 use std::time::Duration;
 
