--- a/crates/loomflow-benchmark/src/order/cost.rs
+++ b/crates/loomflow-benchmark/src/order/cost.rs
@@ -3,8 +3,8 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
+use loomflow_fleet::command::{FleetCommand, FleetRequest, Issuer};
 use loomflow_fleet::maintenance::ticket::{TicketRequest, Urgency};
-use loomflow_fleet::maintenance::{Issuer, MaintenanceCommand, Request};
 use loomflow_fleet::operator::OperatorRequest;
 use loomflow_test_servers::fleet::{Fleet, Plan};
 use loomflow_test_servers::{ServerFixture, Worker, site};
@@ -29,9 +29,9 @@
         duration_millis: 60_000,
         window: None,
     });
-    let command = MaintenanceCommand::CreateTickets(requests.collect());
+    let command = FleetCommand::CreateTickets(requests.collect());
     let request =
-        OperatorRequest::Fleet(Request::Execute { issuer: Issuer::Operator("measure".into()), command });
+        OperatorRequest::Fleet(FleetRequest::Execute { issuer: Issuer::Operator("measure".into()), command });
     fleet.send_operator_line(0, &serde_json::to_string(&request).expect("a line"));
     let open = |fleet: &Fleet, one: usize| fleet.local_status(one)["open"].as_u64().unwrap_or(0);
     fleet.wait_until("all voters have them", |fleet| {
--- a/crates/loomflow-fleet-commands/src/arguments.rs
+++ b/crates/loomflow-fleet-commands/src/arguments.rs
@@ -33,7 +33,7 @@
     Help,
     /// Something of a server.
     Server {
-        command: FleetCommand,
+        command: FleetSubcommand,
         /// The operators' socket.
         socket: PathBuf,
         /// Whether JSON is wanted.
@@ -44,7 +44,7 @@
 }
 
 /// What is asked of a server.
-pub enum FleetCommand {
+pub enum FleetSubcommand {
     Status,
     Explain(String),
     CreateTickets(TicketOptions),
@@ -89,7 +89,7 @@
         Some("help") => Ok(CommandLine::Help),
         Some("fence") => arguments.fence(),
         Some("duty") => {
-            let command = FleetCommand::Duty(arguments.duty_command()?);
+            let command = FleetSubcommand::Duty(arguments.duty_command()?);
             arguments.server(command)
         }
         _ if !arguments.command.is_empty() => Err(UsageError::UnusedCommand),
@@ -179,7 +179,7 @@
         Ok(CommandLine::Fence { file, duty, token, command: self.command })
     }
 
-    fn server(self, command: FleetCommand) -> Result<CommandLine, UsageError> {
+    fn server(self, command: FleetSubcommand) -> Result<CommandLine, UsageError> {
         let socket = match (self.socket, self.options_file) {
             (Some(socket), _) => socket,
             (None, Some(file)) => {
@@ -193,13 +193,13 @@
         Ok(CommandLine::Server { command, socket, is_json: self.is_json })
     }
 
-    fn fleet_command(&mut self) -> Result<FleetCommand, UsageError> {
+    fn fleet_command(&mut self) -> Result<FleetSubcommand, UsageError> {
         let command = match self.words().as_slice() {
-            ["status"] => FleetCommand::Status,
-            ["explain", server] => FleetCommand::Explain((*server).to_owned()),
+            ["status"] => FleetSubcommand::Status,
+            ["explain", server] => FleetSubcommand::Explain((*server).to_owned()),
             ["work", work @ ..] => return self.work_command(&owned(work)),
-            ["found"] => FleetCommand::Bootstrap,
-            ["recover"] if self.is_confirmed => FleetCommand::Recover,
+            ["found"] => FleetSubcommand::Bootstrap,
+            ["recover"] if self.is_confirmed => FleetSubcommand::Recover,
             ["recover"] => return Err(UsageError::NotConfirmed),
             [] => return Err(UsageError::Missing("fleet: what?")),
             words => return Err(UsageError::UnknownCommand(words.join(" "))),
@@ -208,28 +208,28 @@
     }
 
     /// What follows `work`.
-    fn work_command(&mut self, words: &[String]) -> Result<FleetCommand, UsageError> {
+    fn work_command(&mut self, words: &[String]) -> Result<FleetSubcommand, UsageError> {
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
         Ok(match words.as_slice() {
             ["ask"] if self.tickets.ways_to_choose_servers() == 1 => {
-                FleetCommand::CreateTickets(std::mem::take(&mut self.tickets))
+                FleetSubcommand::CreateTickets(std::mem::take(&mut self.tickets))
             }
             ["ask"] => {
                 let message = "one of --server, --zone, --all and --file says which servers";
                 return Err(UsageError::Missing(message));
             }
-            ["campaigns"] => FleetCommand::ListCampaigns,
-            ["resume", name] => FleetCommand::Campaign(CampaignCommand::Resume((*name).to_owned())),
-            ["drop", name] => FleetCommand::Campaign(CampaignCommand::Drop((*name).to_owned())),
-            ["withdraw", ids @ ..] => FleetCommand::MoveTickets(Transition::Withdraw, ticket_ids(ids)?),
-            ["write-off", ids @ ..] => FleetCommand::MoveTickets(Transition::Abandon, ticket_ids(ids)?),
-            ["pause", reason @ ..] => FleetCommand::Pause(reason.join(" ")),
-            ["resume"] => FleetCommand::Resume,
-            ["list"] => FleetCommand::ListTickets,
-            ["history"] => FleetCommand::History,
-            ["watch"] => FleetCommand::Watch,
+            ["campaigns"] => FleetSubcommand::ListCampaigns,
+            ["resume", name] => FleetSubcommand::Campaign(CampaignCommand::Resume((*name).to_owned())),
+            ["drop", name] => FleetSubcommand::Campaign(CampaignCommand::Drop((*name).to_owned())),
+            ["withdraw", ids @ ..] => FleetSubcommand::MoveTickets(Transition::Withdraw, ticket_ids(ids)?),
+            ["write-off", ids @ ..] => FleetSubcommand::MoveTickets(Transition::Abandon, ticket_ids(ids)?),
+            ["pause", reason @ ..] => FleetSubcommand::Pause(reason.join(" ")),
+            ["resume"] => FleetSubcommand::Resume,
+            ["list"] => FleetSubcommand::ListTickets,
+            ["history"] => FleetSubcommand::History,
+            ["watch"] => FleetSubcommand::Watch,
             ["wait"] => match self.tickets.servers.as_slice() {
-                [server] => FleetCommand::Wait { server: server.clone(), timeout: self.wait_timeout },
+                [server] => FleetSubcommand::Wait { server: server.clone(), timeout: self.wait_timeout },
                 _ => return Err(UsageError::Missing("work wait: one --server")),
             },
             _ => return Err(UsageError::UnknownCommand(self.words.join(" "))),
--- a/crates/loomflow-fleet-commands/src/client.rs
+++ b/crates/loomflow-fleet-commands/src/client.rs
@@ -6,10 +6,11 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
+use loomflow_fleet::command::{FleetCommand, FleetRequest, FleetResponse, Issuer};
 use loomflow_fleet::maintenance::state::TicketEvent;
 use loomflow_fleet::maintenance::ticket::Ticket;
-use loomflow_fleet::maintenance::{Issuer, MaintenanceCommand, Request, Response, Status};
 use loomflow_fleet::operator::{OperatorRequest, OperatorResponse, encode_line};
+use loomflow_fleet::status::FleetStatus;
 use serde::Serialize;
 
 use crate::error::CommandError;
@@ -42,32 +43,32 @@
     }
 
     /// Sends one request to the leader.
-    pub fn request(&self, request: Request) -> Result<Response, CommandError> {
+    pub fn request(&self, request: FleetRequest) -> Result<FleetResponse, CommandError> {
         match self.call(&OperatorRequest::Fleet(request))? {
-            OperatorResponse::Response(Response::Rejected(rejection)) => Err(rejection.into()),
+            OperatorResponse::Response(FleetResponse::Rejected(rejection)) => Err(rejection.into()),
             OperatorResponse::Response(response) => Ok(response),
             other => Err(CommandError::unexpected(&other)),
         }
     }
 
     /// Puts a command into the log, in the name of the account.
-    pub fn execute(&self, command: MaintenanceCommand) -> Result<Response, CommandError> {
+    pub fn execute(&self, command: FleetCommand) -> Result<FleetResponse, CommandError> {
         let account = std::env::var("USER").unwrap_or_else(|_| "operator".into());
-        self.request(Request::Execute { issuer: Issuer::Operator(account), command })
+        self.request(FleetRequest::Execute { issuer: Issuer::Operator(account), command })
     }
 
     /// The fleet as its leader sees it.
-    pub fn status(&self) -> Result<Box<Status>, CommandError> {
-        match self.request(Request::Status)? {
-            Response::Status(status) => Ok(status),
+    pub fn status(&self) -> Result<Box<FleetStatus>, CommandError> {
+        match self.request(FleetRequest::Status)? {
+            FleetResponse::Status(status) => Ok(status),
             other => Err(CommandError::unexpected(&other)),
         }
     }
 
     /// All tickets.
     pub fn tickets(&self) -> Result<TicketLists, CommandError> {
-        match self.request(Request::Tickets)? {
-            Response::Tickets { open, closed, events } => Ok(TicketLists { open, closed, events }),
+        match self.request(FleetRequest::Tickets)? {
+            FleetResponse::Tickets { open, closed, events } => Ok(TicketLists { open, closed, events }),
             other => Err(CommandError::unexpected(&other)),
         }
     }
--- a/crates/loomflow-fleet-commands/src/duties.rs
+++ b/crates/loomflow-fleet-commands/src/duties.rs
@@ -2,8 +2,8 @@
 
 use std::process::ExitCode;
 
-use loomflow_fleet::duty::{self, DutyCommand, DutyList, DutyName};
-use loomflow_fleet::maintenance::{MaintenanceCommand, Request, Response};
+use loomflow_fleet::command::{FleetCommand, FleetRequest, FleetResponse};
+use loomflow_fleet::duty::{DutyCommand, DutyList, DutyName, DutyResponse};
 
 use crate::client::Client;
 use crate::error::CommandError;
@@ -39,9 +39,9 @@
             let status = list.duties.first().ok_or(CommandError::UnknownDuty(duty))?;
             client.print(status, || output::duties(&list) + &output::duty_events(&list.events))
         }
-        DutySubcommand::Execute(command) => match client.execute(MaintenanceCommand::Duty(command))? {
-            Response::Duty(duty::Response::Done) => client.print(&"done", || "done".to_owned()),
-            Response::Duty(duty::Response::Rejected(rejection)) => Err(rejection.into()),
+        DutySubcommand::Execute(command) => match client.execute(FleetCommand::Duty(command))? {
+            FleetResponse::Duty(DutyResponse::Done) => client.print(&"done", || "done".to_owned()),
+            FleetResponse::Duty(DutyResponse::Rejected(rejection)) => Err(rejection.into()),
             other => Err(CommandError::unexpected(&other)),
         },
         DutySubcommand::Run(options) => job_process::run(&client.socket, &options),
@@ -49,8 +49,8 @@
 }
 
 fn list(client: &Client) -> Result<Box<DutyList>, CommandError> {
-    match client.request(Request::Duties)? {
-        Response::Duty(duty::Response::List(list)) => Ok(list),
+    match client.request(FleetRequest::Duties)? {
+        FleetResponse::Duty(DutyResponse::List(list)) => Ok(list),
         other => Err(CommandError::unexpected(&other)),
     }
 }
--- a/crates/loomflow-fleet-commands/src/error.rs
+++ b/crates/loomflow-fleet-commands/src/error.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitStatus;
 
-use loomflow_fleet::duty;
+use loomflow_fleet::duty::DutyRejection;
 use loomflow_fleet::duty::fence::FenceError;
 use loomflow_fleet::maintenance::ticket::Rejection;
 use loomflow_settings::error::{SpanError, YamlError};
@@ -90,7 +90,7 @@
     Rejected(#[from] Rejection),
     /// The fleet refuses a command on a duty.
     #[error(transparent)]
-    DutyRejected(#[from] duty::Rejection),
+    DutyRejected(#[from] DutyRejection),
     /// A response to something else.
     #[error("{0}")]
     UnexpectedResponse(String),
--- a/crates/loomflow-fleet-commands/src/lib.rs
+++ b/crates/loomflow-fleet-commands/src/lib.rs
@@ -24,12 +24,13 @@
 
 use std::process::ExitCode;
 
+use loomflow_fleet::command::{FleetCommand, FleetRequest, FleetResponse};
 use loomflow_fleet::maintenance::campaign::CampaignCommand;
 use loomflow_fleet::maintenance::ticket::{TicketId, Transition};
-use loomflow_fleet::maintenance::{MaintenanceCommand, Request, Response, Status};
 use loomflow_fleet::operator::{OperatorRequest, OperatorResponse};
+use loomflow_fleet::status::FleetStatus;
 
-use arguments::{CommandLine, FleetCommand};
+use arguments::{CommandLine, FleetSubcommand};
 use client::Client;
 use error::CommandError;
 pub use error::UsageError;
@@ -92,46 +93,46 @@
     }))
 }
 
-fn execute(command: FleetCommand, client: &Client) -> Result<ExitCode, CommandError> {
+fn execute(command: FleetSubcommand, client: &Client) -> Result<ExitCode, CommandError> {
     match command {
-        FleetCommand::Status => show_status(client),
-        FleetCommand::Explain(server) => match client.request(Request::Explain(server))? {
-            Response::Explanation(explanation) => {
+        FleetSubcommand::Status => show_status(client),
+        FleetSubcommand::Explain(server) => match client.request(FleetRequest::Explain(server))? {
+            FleetResponse::Explanation(explanation) => {
                 client.print(&explanation, || output::explanation(&explanation))
             }
             other => Err(CommandError::unexpected(&other)),
         },
-        FleetCommand::CreateTickets(options) => create_tickets(client, options),
-        FleetCommand::MoveTickets(transition, tickets) => Ok(move_tickets(client, transition, &tickets)),
-        FleetCommand::Campaign(command) => submit(client, MaintenanceCommand::Campaign(command)),
-        FleetCommand::ListCampaigns => match client.request(Request::Campaigns)? {
-            Response::Campaigns(views) => client.print(&views, || output::campaigns(&views)),
+        FleetSubcommand::CreateTickets(options) => create_tickets(client, options),
+        FleetSubcommand::MoveTickets(transition, tickets) => Ok(move_tickets(client, transition, &tickets)),
+        FleetSubcommand::Campaign(command) => submit(client, FleetCommand::Campaign(command)),
+        FleetSubcommand::ListCampaigns => match client.request(FleetRequest::Campaigns)? {
+            FleetResponse::Campaigns(views) => client.print(&views, || output::campaigns(&views)),
             other => Err(CommandError::unexpected(&other)),
         },
-        FleetCommand::Pause(reason) => submit(client, MaintenanceCommand::Pause(reason)),
-        FleetCommand::Resume => submit(client, MaintenanceCommand::Resume),
-        FleetCommand::ListTickets => {
+        FleetSubcommand::Pause(reason) => submit(client, FleetCommand::Pause(reason)),
+        FleetSubcommand::Resume => submit(client, FleetCommand::Resume),
+        FleetSubcommand::ListTickets => {
             let open = client.tickets()?.open;
             let now = client.status().ok().map(|status| status.time);
             client.print(&open, || output::tickets(&open, now))
         }
-        FleetCommand::History => {
+        FleetSubcommand::History => {
             let mut events = client.tickets()?.events;
             events.reverse();
             client.print(&events, || output::ticket_events(&events))
         }
-        FleetCommand::Watch => progress::watch(client),
-        FleetCommand::Wait { server, timeout } => progress::wait(client, &server, timeout),
-        FleetCommand::Duty(command) => duties::run(command, client),
-        FleetCommand::Bootstrap => expect_done(client, &OperatorRequest::Bootstrap),
-        FleetCommand::Recover => expect_done(client, &OperatorRequest::Recover),
+        FleetSubcommand::Watch => progress::watch(client),
+        FleetSubcommand::Wait { server, timeout } => progress::wait(client, &server, timeout),
+        FleetSubcommand::Duty(command) => duties::run(command, client),
+        FleetSubcommand::Bootstrap => expect_done(client, &OperatorRequest::Bootstrap),
+        FleetSubcommand::Recover => expect_done(client, &OperatorRequest::Recover),
     }
 }
 
 /// Without a leader, what this server sees is better than nothing.
 fn show_status(client: &Client) -> Result<ExitCode, CommandError> {
-    let status: Box<Status> = match client.request(Request::Status) {
-        Ok(Response::Status(status)) => status,
+    let status: Box<FleetStatus> = match client.request(FleetRequest::Status) {
+        Ok(FleetResponse::Status(status)) => status,
         _ => match client.call(&OperatorRequest::LocalStatus)? {
             OperatorResponse::LocalStatus(status) => status,
             other => return Err(CommandError::unexpected(&other)),
@@ -143,10 +144,10 @@
 fn create_tickets(client: &Client, options: TicketOptions) -> Result<ExitCode, CommandError> {
     let requests = tickets::requests(&options, &client.status()?.members)?;
     let command = match options.campaign {
-        None => MaintenanceCommand::CreateTickets(requests),
+        None => FleetCommand::CreateTickets(requests),
         Some(name) => {
             let batch_size = options.batch_size.max(1);
-            MaintenanceCommand::Campaign(CampaignCommand::Start { name, requests, batch_size })
+            FleetCommand::Campaign(CampaignCommand::Start { name, requests, batch_size })
         }
     };
     submit(client, command)
@@ -157,7 +158,7 @@
     let mut code = ExitCode::SUCCESS;
     for &ticket in tickets {
         // The grant and the start of the server are not an operator's to name.
-        let command = MaintenanceCommand::Transition { ticket, transition, grant: 0, incarnation: 0 };
+        let command = FleetCommand::Transition { ticket, transition, grant: 0, incarnation: 0 };
         if let Err(error) = submit(client, command) {
             eprintln!("loomflow: ticket {ticket}: {error}");
             code = ExitCode::FAILURE;
@@ -167,9 +168,9 @@
 }
 
 /// Puts an operator's command into the log, and prints the tickets that it was about.
-fn submit(client: &Client, command: MaintenanceCommand) -> Result<ExitCode, CommandError> {
+fn submit(client: &Client, command: FleetCommand) -> Result<ExitCode, CommandError> {
     match client.execute(command)? {
-        Response::Done(tickets) => client.print(&tickets, || {
+        FleetResponse::Done(tickets) => client.print(&tickets, || {
             let numbers: Vec<String> = tickets.iter().map(ToString::to_string).collect();
             if numbers.is_empty() { "done".into() } else { format!("tickets {}", numbers.join(" ")) }
         }),
--- a/crates/loomflow-fleet-commands/src/output.rs
+++ b/crates/loomflow-fleet-commands/src/output.rs
@@ -11,8 +11,8 @@
 use loomflow_fleet::maintenance::scheduling::Explanation;
 use loomflow_fleet::maintenance::state::TicketEvent;
 use loomflow_fleet::maintenance::ticket::{Ticket, TicketStage};
-use loomflow_fleet::maintenance::{MemberRow, Status, SummaryReport};
 use loomflow_fleet::member::LoadReport;
+use loomflow_fleet::status::{FleetStatus, MemberRow, SummaryReport};
 use loomflow_fleet::time::{self, FleetMillis, WholeMillis, whole_seconds};
 
 /// What stands where there is no value.
@@ -49,7 +49,7 @@
 }
 
 /// The fleet as one of its members sees it.
-pub fn status(status: &Status) -> String {
+pub fn status(status: &FleetStatus) -> String {
     let mut text = status_header(status);
     if let Some(reason) = &status.paused {
         let _ = writeln!(text, "work is paused: {reason}");
@@ -66,7 +66,7 @@
     text + &members(status)
 }
 
-fn status_header(status: &Status) -> String {
+fn status_header(status: &FleetStatus) -> String {
     let leader = status.leader.as_deref().unwrap_or("none");
     let source = if status.is_from_leader { "" } else { " (as seen here, which does not lead)" };
     let per_zone = status.rules.max_out_per_zone;
@@ -102,7 +102,7 @@
     )
 }
 
-fn members(status: &Status) -> String {
+fn members(status: &FleetStatus) -> String {
     let mut members: Vec<&MemberRow> = status.members.iter().collect();
     members.sort_by_key(|member| (&member.zone, &member.name));
     let header = ["zone", "server", "role", "state", "ticket", "share", "hold/aim", "runs", "limit", "age s"];
--- a/crates/loomflow-fleet-commands/src/tickets.rs
+++ b/crates/loomflow-fleet-commands/src/tickets.rs
@@ -4,9 +4,9 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use loomflow_fleet::maintenance::MemberRow;
 use loomflow_fleet::maintenance::ticket::{TicketRequest, Urgency};
 use loomflow_fleet::member::Zone;
+use loomflow_fleet::status::MemberRow;
 use loomflow_fleet::time::whole_millis;
 use loomflow_settings::campaign::{self, Campaign, Ticket};
 
--- a/crates/loomflow-fleet-simulation/src/simulation.rs
+++ b/crates/loomflow-fleet-simulation/src/simulation.rs
@@ -13,7 +13,7 @@
 
 use std::fmt;
 
-use loomflow_fleet::maintenance::Response;
+use loomflow_fleet::command::FleetResponse;
 use loomflow_fleet::member::{LoadReport, Phase, RequestId};
 use loomflow_fleet::node::{Effect, Node};
 use loomflow_fleet::time::WholeMillis;
@@ -49,7 +49,7 @@
     /// The machines that it is about.
     pub machines: Vec<MachineId>,
     /// None while there is no response.
-    pub response: Option<Response>,
+    pub response: Option<FleetResponse>,
 }
 
 /// A line of the log.
--- a/crates/loomflow-fleet-simulation/src/simulation/faults.rs
+++ b/crates/loomflow-fleet-simulation/src/simulation/faults.rs
@@ -1,7 +1,7 @@
 //! Carries out the faults of a scenario, and the requests of operators.
 
+use loomflow_fleet::command::{FleetCommand, FleetRequest, Issuer};
 use loomflow_fleet::maintenance::ticket::{TicketId, TicketRequest, Transition, Urgency};
-use loomflow_fleet::maintenance::{Issuer, MaintenanceCommand, Request};
 use loomflow_fleet::time::WholeMillis;
 
 use super::{OperatorCall, Simulation};
@@ -82,24 +82,24 @@
             duration_millis: REQUESTED_MILLIS,
             window: None,
         });
-        let command = MaintenanceCommand::CreateTickets(requests.collect());
+        let command = FleetCommand::CreateTickets(requests.collect());
         self.submit_as_operator(command, machines.to_vec());
     }
 
     fn move_ticket(&mut self, ticket: TicketId, transition: Transition) {
-        let command = MaintenanceCommand::Transition { ticket, transition, grant: 0, incarnation: 0 };
+        let command = FleetCommand::Transition { ticket, transition, grant: 0, incarnation: 0 };
         self.submit_as_operator(command, Vec::new());
     }
 
     /// Submits an operator's command about some machines, at the first machine that runs.
-    pub fn submit_as_operator(&mut self, command: MaintenanceCommand, machines: Vec<MachineId>) {
+    pub fn submit_as_operator(&mut self, command: FleetCommand, machines: Vec<MachineId>) {
         let is_usable = |id: &MachineId| {
             let machine = &self.machines[*id];
             machine.is_serving() && !machine.is_stopped(self.now)
         };
         let Some(id) = (0..self.machines.len()).find(is_usable) else { return };
         let local_time = self.local_time(id);
-        let request = Request::Execute { issuer: Issuer::Operator("ops".into()), command };
+        let request = FleetRequest::Execute { issuer: Issuer::Operator("ops".into()), command };
         if let Some(node) = &mut self.machines[id].node {
             let request = node.submit(request, local_time);
             self.operator_calls.push(OperatorCall { id: request, machines, response: None });
--- a/crates/loomflow-fleet-simulation/src/simulation/queries.rs
+++ b/crates/loomflow-fleet-simulation/src/simulation/queries.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeSet;
 
+use loomflow_fleet::command::{FleetRequest, FleetResponse};
 use loomflow_fleet::consensus::Consensus;
 use loomflow_fleet::fleet_state::FleetState;
 use loomflow_fleet::maintenance::ticket::{TicketId, TicketStage};
-use loomflow_fleet::maintenance::{Request, Response};
 use loomflow_fleet::member::{MemberState, ServerName};
 use loomflow_fleet::node::Node;
 
@@ -44,9 +44,9 @@
     pub fn explain(&self, machine: MachineId) -> Vec<String> {
         let response = self.leader().and_then(|leader| {
             let node = self.machines[leader].node.as_ref()?;
-            node.answer_query(&Request::Explain(server_name(machine)), self.local_time(leader))
+            node.answer_query(&FleetRequest::Explain(server_name(machine)), self.local_time(leader))
         });
-        let Some(Response::Explanation(explanation)) = response else { return Vec::new() };
+        let Some(FleetResponse::Explanation(explanation)) = response else { return Vec::new() };
         let Some((ticket, stage)) = explanation.ticket else { return Vec::new() };
         let state = explanation.state.map_or("unknown", |state| state.as_str());
         let head = format!("n{machine}, {state}: ticket {ticket} {}", stage.as_str());
--- a/crates/loomflow-fleet-simulation/tests/seeds.rs
+++ b/crates/loomflow-fleet-simulation/tests/seeds.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use common::timeline;
-use loomflow_fleet::maintenance::Response;
+use loomflow_fleet::command::FleetResponse;
 use loomflow_fleet::maintenance::ticket::TicketStage;
 use loomflow_fleet_simulation::config::duty_name;
 use loomflow_fleet_simulation::{Scenario, Simulation, SimulationConfig, core_count, run_parallel};
@@ -46,7 +46,7 @@
     let stages = simulation.tickets();
     let machines = simulation.config.machines;
     let is_accepted =
-        simulation.operator_calls.iter().any(|call| matches!(call.response, Some(Response::Done(_))));
+        simulation.operator_calls.iter().any(|call| matches!(call.response, Some(FleetResponse::Done(_))));
     if is_accepted && stages.len() != machines {
         return Err(format!("{} tickets of {machines} are known: {stages:?}", stages.len()));
     }
--- a/crates/loomflow-fleet/src/duty/job.rs
+++ b/crates/loomflow-fleet/src/duty/job.rs
@@ -3,7 +3,7 @@
 //!
 //! A run begins only when its number is committed: so no time is run twice.
 
-use super::{DutyName, OwnedDuty, OwnerUpdate, Rejection, RunId, Token};
+use super::{DutyName, DutyRejection, OwnedDuty, OwnerUpdate, RunId, Token};
 use crate::time::WholeMillis;
 
 /// A run that failed is retried after this, ms.
@@ -125,7 +125,7 @@
     /// The answer to writing that a run begins; none where nothing is known.
     pub fn begin_answered(
         &mut self,
-        answer: Option<&Result<(), Rejection>>,
+        answer: Option<&Result<(), DutyRejection>>,
         owned: Option<&OwnedDuty>,
         now: WholeMillis,
     ) -> Option<JobAction> {
@@ -143,7 +143,7 @@
                 self.state = State::Running { run, is_terminating: false };
                 Some(JobAction::Start(run))
             }
-            Some(Err(Rejection::Begun { run, .. })) => {
+            Some(Err(DutyRejection::Begun { run, .. })) => {
                 self.last_run = *run;
                 self.has_unfinished_run = false;
                 None
--- a/crates/loomflow-fleet/src/duty/job/tests.rs
+++ b/crates/loomflow-fleet/src/duty/job/tests.rs
@@ -20,7 +20,7 @@
     assert_eq!(runs.step(Some(&owned_duty), 3, 665), None);
     // Another owner had begun it: the state shows that, and it is not started.
     assert_eq!(runs.step(Some(&owned_duty), 3, 721), Some(JobAction::Write(OwnerUpdate::Began(720))));
-    let begun = Err(Rejection::Begun { duty: "d".into(), run: 720 });
+    let begun = Err(DutyRejection::Begun { duty: "d".into(), run: 720 });
     assert_eq!(runs.begin_answered(Some(&begun), Some(&owned_duty), 4), None);
     assert_eq!(runs.step(Some(&owned_duty), 5, 722), None);
 }
--- a/crates/loomflow-fleet/src/duty/mod.rs
+++ b/crates/loomflow-fleet/src/duty/mod.rs
@@ -169,7 +169,7 @@
 
 /// The response to a [`DutyCommand`], or to a request for all duties.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Response {
+pub enum DutyResponse {
     /// Done.
     Done,
     /// To [`DutyCommand::KeepAlive`]: what the server owns.
@@ -177,7 +177,7 @@
     Ownership(Ownership),
     /// Not done, and nothing has changed.
     #[serde(rename = "Refused")]
-    Rejected(Rejection),
+    Rejected(DutyRejection),
     /// All duties.
     List(Box<DutyList>),
 }
@@ -221,7 +221,7 @@
 
 /// Why a command on a duty is not done. It changes nothing then.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-pub enum Rejection {
+pub enum DutyRejection {
     /// No duty has this name.
     #[error("no duty is called {0:?}")]
     Unknown(DutyName),
@@ -365,11 +365,11 @@
 ///
 /// # Errors
 /// What is wrong with it.
-pub fn check_name(name: &str) -> Result<(), Rejection> {
+pub fn check_name(name: &str) -> Result<(), DutyRejection> {
     if (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.contains(char::is_control) {
         Ok(())
     } else {
-        Err(Rejection::Invalid(format!(
+        Err(DutyRejection::Invalid(format!(
             "a duty's name has 1 to {MAX_NAME_BYTES} bytes, none of them a control"
         )))
     }
--- a/crates/loomflow-fleet/src/duty/state/apply.rs
+++ b/crates/loomflow-fleet/src/duty/state/apply.rs
@@ -2,8 +2,8 @@
 
 use super::{Duties, Duty, Lease, MAX_EVENTS, MAX_RUN_REQUESTS, PersistentState, Session};
 use crate::duty::{
-    DutyCommand, DutyEvent, DutyEventKind, DutyName, DutySpec, LeaseSettings, MAX_CHECKPOINT_BYTES,
-    MAX_DUTIES, OwnerUpdate, Rejection, Response, RunId, ServerInstance, Token, check_name, truncate_reason,
+    DutyCommand, DutyEvent, DutyEventKind, DutyName, DutyRejection, DutyResponse, DutySpec, LeaseSettings,
+    MAX_CHECKPOINT_BYTES, MAX_DUTIES, OwnerUpdate, RunId, ServerInstance, Token, check_name, truncate_reason,
 };
 use crate::member::ServerName;
 use crate::membership::MAX_MEMBERS;
@@ -23,11 +23,11 @@
     }
 
     /// Applies one command, at the time that was last set.
-    pub fn apply(&mut self, command: &DutyCommand) -> Response {
-        self.execute(command).map_or_else(Response::Rejected, |()| Response::Done)
+    pub fn apply(&mut self, command: &DutyCommand) -> DutyResponse {
+        self.execute(command).map_or_else(DutyResponse::Rejected, |()| DutyResponse::Done)
     }
 
-    fn execute(&mut self, command: &DutyCommand) -> Result<(), Rejection> {
+    fn execute(&mut self, command: &DutyCommand) -> Result<(), DutyRejection> {
         match command {
             DutyCommand::Declare(lease_settings, specs) => return self.declare(*lease_settings, specs),
             DutyCommand::KeepAlive(instances) => instances.iter().for_each(|one| self.renew_session(one)),
@@ -45,9 +45,9 @@
         Ok(())
     }
 
-    fn declare(&mut self, lease_settings: LeaseSettings, specs: &[DutySpec]) -> Result<(), Rejection> {
+    fn declare(&mut self, lease_settings: LeaseSettings, specs: &[DutySpec]) -> Result<(), DutyRejection> {
         if specs.len() > MAX_DUTIES {
-            return Err(Rejection::Invalid(format!("at most {MAX_DUTIES} duties")));
+            return Err(DutyRejection::Invalid(format!("at most {MAX_DUTIES} duties")));
         }
         specs.iter().try_for_each(|spec| check_name(&spec.name))?;
         self.state.lease_settings = Some(lease_settings);
@@ -126,7 +126,7 @@
         duty: &DutyName,
         token: Token,
         successor: Option<&ServerName>,
-    ) -> Result<(), Rejection> {
+    ) -> Result<(), DutyRejection> {
         self.check_token(duty, token)?;
         self.end_lease(duty, DutyEventKind::Released);
         if let Some(successor) = successor {
@@ -135,11 +135,11 @@
         Ok(())
     }
 
-    fn write(&mut self, name: &DutyName, token: Token, update: &OwnerUpdate) -> Result<(), Rejection> {
+    fn write(&mut self, name: &DutyName, token: Token, update: &OwnerUpdate) -> Result<(), DutyRejection> {
         self.check_token(name, token)?;
         match update {
             OwnerUpdate::Checkpoint(bytes) if bytes.len() > MAX_CHECKPOINT_BYTES => {
-                Err(Rejection::Invalid(format!("a checkpoint has at most {MAX_CHECKPOINT_BYTES} bytes")))
+                Err(DutyRejection::Invalid(format!("a checkpoint has at most {MAX_CHECKPOINT_BYTES} bytes")))
             }
             OwnerUpdate::Checkpoint(bytes) => {
                 self.duty_mut(name)?.checkpoint.clone_from(bytes);
@@ -151,12 +151,12 @@
         }
     }
 
-    fn begin_run(&mut self, name: &DutyName, token: Token, run: RunId) -> Result<(), Rejection> {
+    fn begin_run(&mut self, name: &DutyName, token: Token, run: RunId) -> Result<(), DutyRejection> {
         let duty = self.duty_mut(name)?;
         // Written twice by the same owner it has begun once; of another owner's that did not end it is a retry.
         let is_retry = run == duty.last_run && duty.unfinished_run.is_some();
         if run < duty.last_run || (run == duty.last_run && !is_retry) {
-            return Err(Rejection::Begun { duty: name.clone(), run: duty.last_run });
+            return Err(DutyRejection::Begun { duty: name.clone(), run: duty.last_run });
         }
         let is_repeated = is_retry && duty.unfinished_run == Some(token);
         duty.last_run = run;
@@ -169,15 +169,15 @@
     }
 
     /// The duty, if this run is the one that its owner has begun.
-    fn duty_of_run(&mut self, name: &DutyName, token: Token, run: RunId) -> Result<&mut Duty, Rejection> {
+    fn duty_of_run(&mut self, name: &DutyName, token: Token, run: RunId) -> Result<&mut Duty, DutyRejection> {
         let duty = self.duty_mut(name)?;
         if run != duty.last_run || duty.unfinished_run != Some(token) {
-            return Err(Rejection::Begun { duty: name.clone(), run: duty.last_run });
+            return Err(DutyRejection::Begun { duty: name.clone(), run: duty.last_run });
         }
         Ok(duty)
     }
 
-    fn finish_run(&mut self, name: &DutyName, token: Token, run: RunId) -> Result<(), Rejection> {
+    fn finish_run(&mut self, name: &DutyName, token: Token, run: RunId) -> Result<(), DutyRejection> {
         let duty = self.duty_of_run(name, token, run)?;
         duty.unfinished_run = None;
         duty.recent_failures.clear();
@@ -185,7 +185,13 @@
         Ok(())
     }
 
-    fn fail_run(&mut self, name: &DutyName, token: Token, run: RunId, reason: &str) -> Result<(), Rejection> {
+    fn fail_run(
+        &mut self,
+        name: &DutyName,
+        token: Token,
+        run: RunId,
+        reason: &str,
+    ) -> Result<(), DutyRejection> {
         let settings = self.lease_settings();
         let reason = truncate_reason(reason);
         let duty = self.duty_of_run(name, token, run)?;
@@ -197,7 +203,7 @@
         if is_last_attempt { self.park(name, &reason) } else { Ok(()) }
     }
 
-    fn park(&mut self, name: &DutyName, reason: &str) -> Result<(), Rejection> {
+    fn park(&mut self, name: &DutyName, reason: &str) -> Result<(), DutyRejection> {
         let duty = self.duty_mut(name)?;
         // Its owner releases it first: it is working until it reports that it is not.
         duty.recall();
@@ -209,7 +215,7 @@
         Ok(())
     }
 
-    fn resume(&mut self, name: &DutyName) -> Result<(), Rejection> {
+    fn resume(&mut self, name: &DutyName) -> Result<(), DutyRejection> {
         let duty = self.duty_mut(name)?;
         duty.recent_failures.clear();
         if duty.parked.take().is_some() {
@@ -218,8 +224,8 @@
         Ok(())
     }
 
-    fn duty_mut(&mut self, name: &str) -> Result<&mut Duty, Rejection> {
-        self.state.duties.get_mut(name).ok_or_else(|| Rejection::Unknown(name.to_owned()))
+    fn duty_mut(&mut self, name: &str) -> Result<&mut Duty, DutyRejection> {
+        self.state.duties.get_mut(name).ok_or_else(|| DutyRejection::Unknown(name.to_owned()))
     }
 
     /// The fence of the fleet's own state: only the token of the current lease passes. Each rejection is counted and
@@ -227,13 +233,13 @@
     ///
     /// # Errors
     /// The duty is unknown, or the token is not of its current lease.
-    pub fn check_token(&mut self, name: &str, token: Token) -> Result<(), Rejection> {
+    pub fn check_token(&mut self, name: &str, token: Token) -> Result<(), DutyRejection> {
         let duty = self.duty_mut(name)?;
         if duty.lease.as_ref().is_some_and(|lease| lease.token == token) {
             return Ok(());
         }
         duty.rejected_writes += 1;
-        let rejection = Rejection::Stale { duty: name.to_owned(), token, current: duty.token };
+        let rejection = DutyRejection::Stale { duty: name.to_owned(), token, current: duty.token };
         self.record_event(name, DutyEventKind::Rejected, format!("token {token}"));
         Err(rejection)
     }
--- a/crates/loomflow-fleet/src/duty/state/tests.rs
+++ b/crates/loomflow-fleet/src/duty/state/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::duty::{DutyCommand, OwnerUpdate, Rejection, Response};
+use crate::duty::{DutyCommand, DutyRejection, DutyResponse, OwnerUpdate};
 
 #[test]
 fn a_write_of_a_former_owner_is_rejected_and_counted() {
@@ -11,15 +11,15 @@
     duties.apply(&DutyCommand::Assign(vec![(duty.clone(), "a".into())]));
     let successor = Some("b".into());
     let release = DutyCommand::Release { duty: duty.clone(), token: 1, successor };
-    assert_eq!(duties.apply(&release), Response::Done);
+    assert_eq!(duties.apply(&release), DutyResponse::Done);
     let write = |token| {
         let update = OwnerUpdate::Checkpoint(vec![token as u8]);
         DutyCommand::Write { duty: "d".into(), token, update }
     };
-    let stale = Rejection::Stale { duty: duty.clone(), token: 1, current: 2 };
-    assert_eq!(duties.apply(&write(1)), Response::Rejected(stale));
+    let stale = DutyRejection::Stale { duty: duty.clone(), token: 1, current: 2 };
+    assert_eq!(duties.apply(&write(1)), DutyResponse::Rejected(stale));
     assert_eq!(duties.duties()[&duty].rejected_writes, 1);
-    assert_eq!(duties.apply(&write(2)), Response::Done);
+    assert_eq!(duties.apply(&write(2)), DutyResponse::Done);
     assert_eq!(duties.ownership("b").duties[0].checkpoint, [2]);
 }
 
--- a/crates/loomflow-fleet/src/fleet_state.rs
+++ b/crates/loomflow-fleet/src/fleet_state.rs
@@ -1,13 +1,13 @@
 //! The state machine that the log is applied to: maintenance, duties and campaigns. Each checks its own commands; this module
 //! checks who may issue which command on duties and campaigns, and advances all three by the same time.
 
+use crate::command::{Entry, FleetCommand, FleetResponse, Issuer};
 use crate::consensus::{SnapshotError, StateMachine};
 use crate::duty::state::Duties;
-use crate::duty::{self, DutyCommand, Rejection};
+use crate::duty::{DutyCommand, DutyRejection, DutyResponse};
 use crate::maintenance::campaign::{CampaignCommand, Campaigns};
 use crate::maintenance::state::MaintenanceState;
-use crate::maintenance::ticket::Rejection as TicketRejection;
-use crate::maintenance::{Entry, Issuer, MaintenanceCommand, Response};
+use crate::maintenance::ticket::Rejection;
 use crate::member::{RequestId, ServerName};
 
 /// All that the fleet has agreed on.
@@ -26,25 +26,25 @@
 
 impl FleetState {
     /// Applies a command on a campaign: an operator's, or one of the owner of the duty with a valid token.
-    fn apply_to_campaign(&mut self, entry: &Entry, command: &CampaignCommand) -> Response {
+    fn apply_to_campaign(&mut self, entry: &Entry, command: &CampaignCommand) -> FleetResponse {
         let requested_by = match (&entry.issuer, command.token()) {
             (Issuer::Operator(operator), None) => operator,
             (Issuer::Server { name, .. }, Some(token)) => match self.duties.check_token(CAMPAIGN, token) {
                 Ok(()) => name,
-                Err(rejection) => return Response::Duty(duty::Response::Rejected(rejection)),
+                Err(rejection) => return FleetResponse::Duty(DutyResponse::Rejected(rejection)),
             },
-            _ => return Response::Rejected(TicketRejection::NotPermitted),
+            _ => return FleetResponse::Rejected(Rejection::NotPermitted),
         };
         let result = self.campaigns.apply(&mut self.maintenance, entry.id, requested_by, command);
-        result.map_or_else(Response::Rejected, Response::Done)
+        result.map_or_else(FleetResponse::Rejected, FleetResponse::Done)
     }
 
     /// Applies a command on a duty if its issuer may issue it.
-    fn apply_to_duties(&mut self, entry: &Entry, command: &DutyCommand) -> duty::Response {
+    fn apply_to_duties(&mut self, entry: &Entry, command: &DutyCommand) -> DutyResponse {
         if is_permitted(&entry.issuer, command) {
             self.duties.apply(command)
         } else {
-            duty::Response::Rejected(Rejection::Invalid("that is not this hand's to say".into()))
+            DutyResponse::Rejected(DutyRejection::Invalid("that is not this hand's to say".into()))
         }
     }
 }
@@ -64,17 +64,17 @@
 }
 
 impl StateMachine for FleetState {
-    type Output = (RequestId, Response);
+    type Output = (RequestId, FleetResponse);
 
-    fn apply(&mut self, entry: &[u8]) -> Option<(RequestId, Response)> {
+    fn apply(&mut self, entry: &[u8]) -> Option<(RequestId, FleetResponse)> {
         let entry: Entry = postcard::from_bytes(entry).ok()?;
         self.duties.advance_time(entry.at);
         let response = match &entry.command {
-            MaintenanceCommand::Duty(command) => {
+            FleetCommand::Duty(command) => {
                 self.maintenance.advance_time(entry.at);
-                Response::Duty(self.apply_to_duties(&entry, command))
+                FleetResponse::Duty(self.apply_to_duties(&entry, command))
             }
-            MaintenanceCommand::Campaign(command) => {
+            FleetCommand::Campaign(command) => {
                 self.maintenance.advance_time(entry.at);
                 self.apply_to_campaign(&entry, command)
             }
--- a/crates/loomflow-fleet/src/lib.rs
+++ b/crates/loomflow-fleet/src/lib.rs
@@ -10,6 +10,8 @@
 //! - [`consensus`]: a replicated log among several voters (Raft, by `raft`).
 //! - [`maintenance`]: the state machine that schedules maintenance: tickets, whose turn it is, how many, and whether at all.
 //! - [`duty`]: work that one server does for the whole fleet: sessions, leases, fences, assignment.
+//! - [`command`]: commands, log entries, and requests to the leader with its responses.
+//! - [`status`]: the fleet as one member sees it.
 //! - [`fleet_state`]: maintenance, duties and campaigns as the one state machine that the log is applied to.
 //! - [`operator`]: requests and responses on the operators' socket.
 //! - [`node`]: one member, made of all of these.
@@ -21,6 +23,7 @@
 
 #![forbid(unsafe_code)]
 
+pub mod command;
 pub mod consensus;
 pub mod duty;
 #[cfg(test)]
@@ -31,5 +34,6 @@
 pub mod membership;
 pub mod node;
 pub mod operator;
+pub mod status;
 pub mod time;
 pub mod wire;
--- a/crates/loomflow-fleet/src/maintenance/observation.rs
+++ b/crates/loomflow-fleet/src/maintenance/observation.rs
@@ -1,14 +1,14 @@
 //! The transitions that follow from what the leader sees of servers that have places: down, back, ready, and a grant whose
 //! conditions are no longer met.
 
-use super::MaintenanceCommand;
 use super::rules::Rules;
 use super::scheduling::SchedulerView;
 use super::ticket::{Ticket, TicketStage, Transition};
+use crate::command::FleetCommand;
 use crate::member::{Incarnation, MemberView};
 
 /// The transitions that are called for, at most one for each ticket.
-pub fn transitions(view: &SchedulerView) -> Vec<MaintenanceCommand> {
+pub fn transitions(view: &SchedulerView) -> Vec<FleetCommand> {
     let rules = view.maintenance.rules().cloned().unwrap_or_default();
     let with_place = view.maintenance.holders().keys().filter_map(|server| {
         let ticket = view.maintenance.ticket_with_place(server)?;
@@ -17,12 +17,7 @@
     with_place
         .filter_map(|(ticket, member)| {
             let (transition, incarnation) = transition_of(view, &rules, ticket, member)?;
-            Some(MaintenanceCommand::Transition {
-                ticket: ticket.id,
-                transition,
-                grant: ticket.grant,
-                incarnation,
-            })
+            Some(FleetCommand::Transition { ticket: ticket.id, transition, grant: ticket.grant, incarnation })
         })
         .collect()
 }
--- a/crates/loomflow-fleet/src/maintenance/scheduling/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/scheduling/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
+use crate::command::{Entry, FleetCommand, Issuer};
 use crate::consensus::StateMachine;
 use crate::fixtures::ticket_request;
 use crate::maintenance::rules::{Limit, Rules};
 use crate::maintenance::ticket::{TicketRequest, Urgency};
-use crate::maintenance::{Entry, Issuer, MaintenanceCommand};
 use crate::member::LoadReport;
 
 /// A fleet of servers that serve, some of which request maintenance.
@@ -28,14 +28,14 @@
         let members = servers.iter().map(|(name, zone)| ((*name).to_owned(), view(zone))).collect();
         let (maintenance, headroom) = (MaintenanceState::default(), Headroom::default());
         let mut fleet = Fleet { maintenance, members, headroom, entries: 0 };
-        fleet.apply(0, MaintenanceCommand::Rules(Rules { max_out: Limit::Count(1), ..Rules::default() }));
+        fleet.apply(0, FleetCommand::Rules(Rules { max_out: Limit::Count(1), ..Rules::default() }));
         fleet
     }
 
-    fn apply(&mut self, at: FleetMillis, command: MaintenanceCommand) {
+    fn apply(&mut self, at: FleetMillis, command: FleetCommand) {
         self.entries += 1;
         let issuer = match command {
-            MaintenanceCommand::Pause(_) | MaintenanceCommand::Resume => Issuer::Operator("ops".into()),
+            FleetCommand::Pause(_) | FleetCommand::Resume => Issuer::Operator("ops".into()),
             _ => Issuer::Leader,
         };
         let entry = Entry { id: self.entries, at, issuer, command };
@@ -45,7 +45,7 @@
     fn request(&mut self, at: FleetMillis, server: &str, urgency: Urgency) {
         let zone = self.members[server].zone.clone();
         let request = TicketRequest { zone, urgency, ..ticket_request(server) };
-        self.apply(at, MaintenanceCommand::CreateTickets(vec![request]));
+        self.apply(at, FleetCommand::CreateTickets(vec![request]));
     }
 
     fn member(&mut self, name: &str) -> &mut MemberView {
@@ -106,7 +106,7 @@
         fleet.request(0, server, Urgency::Routine);
     }
     let census = fleet.view(0).census();
-    fleet.apply(0, MaintenanceCommand::Grant { ticket: 1, incarnation: 1, census });
+    fleet.apply(0, FleetCommand::Grant { ticket: 1, incarnation: 1, census });
     assert_eq!(fleet.queue(0), ["d", "b", "c"], "not the voter, not the zone that was last");
 }
 
@@ -126,7 +126,7 @@
     let cases: [Case; 7] = [
         ("all is well", None, |_| {}),
         ("operators paused grants", Some(Check::Pause), |fleet| {
-            fleet.apply(0, MaintenanceCommand::Pause("incident".into()));
+            fleet.apply(0, FleetCommand::Pause("incident".into()));
         }),
         ("its server is suspect", Some(Check::Server), |fleet| {
             fleet.member("a").state = MemberState::Suspect;
--- a/crates/loomflow-fleet/src/maintenance/state.rs
+++ b/crates/loomflow-fleet/src/maintenance/state.rs
@@ -12,7 +12,7 @@
 
 use super::rules::Rules;
 use super::ticket::{GrantNumber, Ticket, TicketId, TicketStage};
-use super::{Entry, Response};
+use crate::command::{Entry, FleetResponse};
 use crate::consensus::{RECOVERY_ID_GAP, SnapshotError, StateMachine};
 use crate::member::{RequestId, ServerName, Zone};
 use crate::time::FleetMillis;
@@ -57,7 +57,7 @@
     drains_without_ticket: u64,
     last_granted: (ServerName, Zone),
     events: VecDeque<TicketEvent>,
-    responses: VecDeque<(RequestId, Response)>,
+    responses: VecDeque<(RequestId, FleetResponse)>,
 }
 
 /// Tickets, rules and what has happened.
@@ -151,9 +151,9 @@
 }
 
 impl StateMachine for MaintenanceState {
-    type Output = (RequestId, Response);
+    type Output = (RequestId, FleetResponse);
 
-    fn apply(&mut self, entry: &[u8]) -> Option<(RequestId, Response)> {
+    fn apply(&mut self, entry: &[u8]) -> Option<(RequestId, FleetResponse)> {
         let entry: Entry = postcard::from_bytes(entry).ok()?;
         Some((entry.id, self.apply_entry(&entry)))
     }
--- a/crates/loomflow-fleet/src/maintenance/state/apply.rs
+++ b/crates/loomflow-fleet/src/maintenance/state/apply.rs
@@ -6,10 +6,11 @@
     MAX_CLOSED_TICKETS, MAX_EVENTS, MAX_LAPSES, MAX_OPEN_TICKETS, MAX_REMEMBERED_RESPONSES, MaintenanceState,
     TicketEvent,
 };
+use crate::command::{Entry, FleetCommand, FleetResponse, Issuer};
+use crate::maintenance::Census;
 use crate::maintenance::ticket::{
     Actor, GrantNumber, Rejection, Ticket, TicketId, TicketRequest, TicketStage, Transition, next_stage,
 };
-use crate::maintenance::{Census, Entry, Issuer, MaintenanceCommand, Response};
 use crate::member::{Incarnation, RequestId, ServerName};
 use crate::time::FleetMillis;
 
@@ -21,13 +22,13 @@
     }
 
     /// Applies one entry. A retry gets the response of the first one, and changes nothing.
-    pub fn apply_entry(&mut self, entry: &Entry) -> Response {
+    pub fn apply_entry(&mut self, entry: &Entry) -> FleetResponse {
         let remembered = self.state.responses.iter().rev().find(|(id, _)| *id == entry.id);
         if let Some((_, response)) = remembered {
             return response.clone();
         }
         self.advance_time(entry.at);
-        let response = self.execute(entry).map_or_else(Response::Rejected, Response::Done);
+        let response = self.execute(entry).map_or_else(FleetResponse::Rejected, FleetResponse::Done);
         if !matches!(entry.issuer, Issuer::Leader) {
             self.state.responses.push_back((entry.id, response.clone()));
             if self.state.responses.len() > MAX_REMEMBERED_RESPONSES {
@@ -39,7 +40,7 @@
 
     fn execute(&mut self, entry: &Entry) -> Result<Vec<TicketId>, Rejection> {
         match &entry.command {
-            MaintenanceCommand::CreateTickets(requests) => {
+            FleetCommand::CreateTickets(requests) => {
                 let requested_by = match &entry.issuer {
                     Issuer::Operator(operator) => operator,
                     Issuer::Server { name, .. } => name,
@@ -47,26 +48,26 @@
                 };
                 return self.create_tickets(entry.id, requested_by, requests);
             }
-            MaintenanceCommand::Grant { ticket, incarnation, census } => {
+            FleetCommand::Grant { ticket, incarnation, census } => {
                 return self.grant(&entry.issuer, *ticket, *incarnation, census);
             }
-            MaintenanceCommand::Transition { ticket, transition, grant, incarnation } => {
+            FleetCommand::Transition { ticket, transition, grant, incarnation } => {
                 return self.transition(&entry.issuer, *ticket, *transition, *grant, *incarnation);
             }
-            MaintenanceCommand::Pause(reason) => {
+            FleetCommand::Pause(reason) => {
                 require_operator(&entry.issuer)?;
                 self.state.paused = Some(reason.clone());
             }
-            MaintenanceCommand::Resume => {
+            FleetCommand::Resume => {
                 require_operator(&entry.issuer)?;
                 self.state.paused = None;
             }
             // No issuer is checked for these three: in each round the leader replaces rules that differ from those in its
             // settings, drains without a ticket are only counted, and a clock entry does nothing beyond its time.
-            MaintenanceCommand::Rules(rules) => self.state.rules = Some(rules.clone()),
-            MaintenanceCommand::DrainedWithoutTicket(_) => self.state.drains_without_ticket += 1,
-            MaintenanceCommand::Clock => {}
-            MaintenanceCommand::Duty(_) | MaintenanceCommand::Campaign(_) => {
+            FleetCommand::Rules(rules) => self.state.rules = Some(rules.clone()),
+            FleetCommand::DrainedWithoutTicket(_) => self.state.drains_without_ticket += 1,
+            FleetCommand::Clock => {}
+            FleetCommand::Duty(_) | FleetCommand::Campaign(_) => {
                 return Err(Rejection::NotPermitted);
             }
         }
--- a/crates/loomflow-fleet/src/maintenance/state/apply/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/state/apply/tests.rs
@@ -8,16 +8,16 @@
     let mut apply = |id: u64, at, command| {
         let entry = Entry { id: u128::from(id), at, issuer: Issuer::Leader, command };
         let response = maintenance.apply_entry(&entry);
-        assert!(matches!(response, Response::Done(_)), "{response:?}");
+        assert!(matches!(response, FleetResponse::Done(_)), "{response:?}");
         maintenance.find(1).map(|ticket| (ticket.stage, ticket.lapses))
     };
-    apply(1, 0, MaintenanceCommand::CreateTickets(vec![ticket_request("a")]));
+    apply(1, 0, FleetCommand::CreateTickets(vec![ticket_request("a")]));
     for lapses in 1..=3 {
         let granted_at = u64::from(lapses) * 60_000;
-        apply(2, granted_at, MaintenanceCommand::Grant { ticket: 1, incarnation: 1, census: census.clone() });
-        let before = apply(3, granted_at + 29_999, MaintenanceCommand::Clock);
+        apply(2, granted_at, FleetCommand::Grant { ticket: 1, incarnation: 1, census: census.clone() });
+        let before = apply(3, granted_at + 29_999, FleetCommand::Clock);
         assert_eq!(before, Some((TicketStage::Granted, lapses - 1)));
         let expected = if lapses < 3 { TicketStage::Requested } else { TicketStage::Lapsed };
-        assert_eq!(apply(4, granted_at + 30_000, MaintenanceCommand::Clock), Some((expected, lapses)));
+        assert_eq!(apply(4, granted_at + 30_000, FleetCommand::Clock), Some((expected, lapses)));
     }
 }
--- a/crates/loomflow-fleet/src/node/duties.rs
+++ b/crates/loomflow-fleet/src/node/duties.rs
@@ -5,16 +5,18 @@
 
 use super::requests::ReceivedResponse;
 use super::{Effect, Node};
+use crate::command::{FleetCommand, FleetRequest, FleetResponse};
 use crate::duty::client_session::{ClientSession, OwnershipChange};
 use crate::duty::fence::{Fence, FenceError};
 use crate::duty::summary::{self, Summary};
 use crate::duty::{
-    self, DutyCommand, DutyName, DutySpec, LeaseSettings, OwnerUpdate, Ownership, ServerInstance, Token,
+    DutyCommand, DutyName, DutyResponse, DutySpec, LeaseSettings, OwnedDuty, OwnerUpdate, Ownership,
+    ServerInstance, Token,
 };
 use crate::fleet_state::CAMPAIGN;
 use crate::maintenance::campaign::{self, CampaignCommand, CampaignStep, CampaignView};
-use crate::maintenance::{MaintenanceCommand, Request, Response, Status, SummaryReport};
 use crate::member::{Phase, RequestId, ServerName};
+use crate::status::{FleetStatus, SummaryReport};
 use crate::time::WholeMillis;
 use crate::wire::Body;
 
@@ -123,13 +125,12 @@
     /// All duties that it owns at this moment, with their tokens.
     pub fn owned_duties(&self, now: WholeMillis) -> Vec<(DutyName, Token)> {
         let duties = self.duties.session.duties();
-        let with_token =
-            |owned: &duty::OwnedDuty| Some((owned.duty.clone(), self.owned_token(&owned.duty, now)?));
+        let with_token = |owned: &OwnedDuty| Some((owned.duty.clone(), self.owned_token(&owned.duty, now)?));
         duties.filter_map(with_token).collect()
     }
 
     /// A duty of the session, whether that is still valid or not.
-    pub fn session_duty(&self, duty: &str) -> Option<&duty::OwnedDuty> {
+    pub fn session_duty(&self, duty: &str) -> Option<&OwnedDuty> {
         self.duties.session.duty(duty)
     }
 
@@ -163,7 +164,7 @@
 
     fn send_duty_command(&mut self, command: DutyCommand, now: WholeMillis) -> RequestId {
         let id = self.rng.random();
-        let request = Request::Execute { issuer: self.issuer(), command: MaintenanceCommand::Duty(command) };
+        let request = FleetRequest::Execute { issuer: self.issuer(), command: FleetCommand::Duty(command) };
         self.submit_as(id, request, now);
         id
     }
@@ -185,14 +186,14 @@
         {
             let id = self.rng.random();
             self.duties.summary_query.start(id, token, now + summary_period);
-            self.submit_as(id, Request::Status, now);
+            self.submit_as(id, FleetRequest::Status, now);
         }
         if let Some(token) = self.owned_token(CAMPAIGN, now)
             && now >= self.duties.campaign_query.next_at
         {
             let id = self.rng.random();
             self.duties.campaign_query.start(id, token, now + CAMPAIGN_PERIOD_MILLIS);
-            self.submit_as(id, Request::Campaigns, now);
+            self.submit_as(id, FleetRequest::Campaigns, now);
         }
         self.process_ownership_changes(now);
     }
@@ -207,8 +208,8 @@
         if let Some(unanswered) = self.duties.session.renewal_sent(id, now) {
             self.cancel_request(unanswered);
         }
-        let command = MaintenanceCommand::Duty(DutyCommand::KeepAlive(vec![self.own_instance()]));
-        self.submit_as(id, Request::Execute { issuer: self.issuer(), command }, now);
+        let command = FleetCommand::Duty(DutyCommand::KeepAlive(vec![self.own_instance()]));
+        self.submit_as(id, FleetRequest::Execute { issuer: self.issuer(), command }, now);
     }
 
     /// Does what each campaign calls for. Its commands carry the token, so that a former owner changes nothing.
@@ -225,8 +226,8 @@
                     CampaignCommand::Halt { name, from_index, reason, token }
                 }
             };
-            let command = MaintenanceCommand::Campaign(command);
-            self.submit(Request::Execute { issuer: self.issuer(), command }, now);
+            let command = FleetCommand::Campaign(command);
+            self.submit(FleetRequest::Execute { issuer: self.issuer(), command }, now);
         }
     }
 
@@ -288,7 +289,7 @@
             return true;
         }
         if let Some(token) = self.duties.summary_query.answered(id) {
-            if let Response::Status(status) = response
+            if let FleetResponse::Status(status) = response
                 && self.owned_token(SUMMARY, now) == Some(token)
             {
                 self.send_summary(token, summary_of(status), now);
@@ -296,7 +297,7 @@
             return true;
         }
         if let Some(token) = self.duties.campaign_query.answered(id) {
-            if let Response::Campaigns(views) = response
+            if let FleetResponse::Campaigns(views) = response
                 && self.owned_token(CAMPAIGN, now) == Some(token)
             {
                 self.run_campaigns(token, views, now);
@@ -306,7 +307,7 @@
         if !self.duties.session.is_pending_renewal(id) {
             return false;
         }
-        if let Response::Duty(duty::Response::Ownership(ownership)) = response {
+        if let FleetResponse::Duty(DutyResponse::Ownership(ownership)) = response {
             self.duties.session.renewed(ownership.clone(), sent_at, now);
         }
         self.process_ownership_changes(now);
@@ -369,7 +370,7 @@
 }
 
 /// Sums up what the leader knows of the members.
-fn summary_of(status: &Status) -> Summary {
+fn summary_of(status: &FleetStatus) -> Summary {
     let loads = status.members.iter().map(|member| summary::MemberLoad {
         name: &member.name,
         zone: &member.zone,
--- a/crates/loomflow-fleet/src/node/duty_leadership.rs
+++ b/crates/loomflow-fleet/src/node/duty_leadership.rs
@@ -6,10 +6,12 @@
 use rand::RngExt;
 
 use super::Node;
+use crate::command::{Entry, FleetCommand, FleetResponse, Issuer};
 use crate::consensus::Consensus;
-use crate::duty::state::Session;
-use crate::duty::{self, DutyCommand, DutyName, Ownership, ServerInstance, Token, assign};
-use crate::maintenance::{Entry, Issuer, MaintenanceCommand, Response};
+use crate::duty::state::{Duty, Session};
+use crate::duty::{
+    DutyCommand, DutyName, DutyRejection, DutyResponse, Ownership, ServerInstance, Token, assign,
+};
 use crate::member::{RequestId, ServerName};
 use crate::membership::MAX_MEMBERS;
 use crate::time::WholeMillis;
@@ -69,7 +71,7 @@
         let renewals = std::mem::take(&mut self.leadership.sessions.waiting);
         let id = self.rng.random();
         let instances = renewals.iter().map(|(_, instance)| instance.clone()).collect();
-        let command = MaintenanceCommand::Duty(DutyCommand::KeepAlive(instances));
+        let command = FleetCommand::Duty(DutyCommand::KeepAlive(instances));
         let entry = Entry { id, at: self.fleet_time(now), issuer: Issuer::Leader, command };
         let expires_at = now + RENEWAL_BATCH_TIMEOUT_MILLIS;
         self.leadership.sessions.pending = Some(PendingBatch { id, renewals, expires_at });
@@ -85,44 +87,44 @@
         let Some(PendingBatch { renewals, .. }) = pending else { return false };
         for (id, instance) in renewals {
             let Some(response) = self.renewal_response(&instance) else { break };
-            self.deliver_response(id, Response::Duty(response), now);
+            self.deliver_response(id, FleetResponse::Duty(response), now);
         }
         self.propose_renewals(now);
         true
     }
 
     /// What a server is answered to its renewal.
-    fn renewal_response(&self, instance: &ServerInstance) -> Option<duty::Response> {
+    fn renewal_response(&self, instance: &ServerInstance) -> Option<DutyResponse> {
         let duties = &self.fleet_state()?.duties;
         let session = duties.sessions().get(&instance.name);
         let is_own = |session: &&Session| session.incarnation == instance.incarnation;
         if session.as_ref().is_some_and(is_own) {
-            return Some(duty::Response::Ownership(duties.ownership(&instance.name)));
+            return Some(DutyResponse::Ownership(duties.ownership(&instance.name)));
         }
         let remaining = session.map_or(0, |session| session.expires_at.saturating_sub(duties.time()));
-        Some(duty::Response::Rejected(duty::Rejection::EarlierIncarnation(remaining)))
+        Some(DutyResponse::Rejected(DutyRejection::EarlierIncarnation(remaining)))
     }
 
     /// What is to be committed about duties now.
-    pub(super) fn duty_decisions(&self, now: WholeMillis) -> Vec<MaintenanceCommand> {
+    pub(super) fn duty_decisions(&self, now: WholeMillis) -> Vec<FleetCommand> {
         let (Some(config), Some(state)) = (&self.config.duties, self.fleet_state()) else {
             return Vec::new();
         };
         let specs = config.all_specs();
         if !state.duties.has_declared(config.lease_settings, &specs) {
             // A duty that is owned and no longer declared stays for a while, and is no reason to declare again.
-            let is_leftover = |(name, duty): (&DutyName, &duty::state::Duty)| {
+            let is_leftover = |(name, duty): (&DutyName, &Duty)| {
                 duty.lease.is_some() && specs.iter().all(|spec| spec.name != *name)
             };
             let has_leftovers = state.duties.duties().iter().any(is_leftover);
             if !has_leftovers || state.duties.lease_settings() != config.lease_settings {
-                return vec![MaintenanceCommand::Duty(DutyCommand::Declare(config.lease_settings, specs))];
+                return vec![FleetCommand::Duty(DutyCommand::Declare(config.lease_settings, specs))];
             }
         }
         let members = self.member_views(now);
         let is_departing = |name: &str| state.maintenance.is_departing(name);
         let commands = assign::commands(&state.duties, &members, &is_departing);
-        commands.into_iter().map(MaintenanceCommand::Duty).collect()
+        commands.into_iter().map(FleetCommand::Duty).collect()
     }
 
     /// Who gets a duty that its owner releases, so that it is not without an owner for a moment.
--- a/crates/loomflow-fleet/src/node/leadership.rs
+++ b/crates/loomflow-fleet/src/node/leadership.rs
@@ -7,9 +7,10 @@
 
 use super::duty_leadership::SessionBatches;
 use super::{Effect, Node};
+use crate::command::{Entry, FleetCommand, Issuer};
+use crate::maintenance::observation;
 use crate::maintenance::scheduling::{Decision, SchedulerView};
 use crate::maintenance::state::MaintenanceState;
-use crate::maintenance::{Entry, Issuer, MaintenanceCommand, observation};
 use crate::member::{MemberState, RequestId, ServerName};
 use crate::time::{FleetMillis, WholeMillis};
 
@@ -113,16 +114,16 @@
         }
     }
 
-    fn maintenance_decisions(&mut self, now: WholeMillis) -> Vec<MaintenanceCommand> {
+    fn maintenance_decisions(&mut self, now: WholeMillis) -> Vec<FleetCommand> {
         let time = self.fleet_time(now);
         let members = self.member_views(now);
         let Some(maintenance) = self.maintenance() else { return Vec::new() };
         if maintenance.rules() != Some(&self.config.rules) {
-            return vec![MaintenanceCommand::Rules(self.config.rules.clone())];
+            return vec![FleetCommand::Rules(self.config.rules.clone())];
         }
         let is_clock_due = time >= maintenance.time() + CLOCK_PERIOD_MILLIS;
         if self.next_deadline().is_some_and(|deadline| deadline <= time || is_clock_due) {
-            return vec![MaintenanceCommand::Clock];
+            return vec![FleetCommand::Clock];
         }
         let leader = self.config.name.as_str();
         let view =
@@ -133,7 +134,7 @@
         }
         match view.decide() {
             Some(Decision::Grant { ticket, incarnation }) => {
-                vec![MaintenanceCommand::Grant { ticket, incarnation, census: view.census() }]
+                vec![FleetCommand::Grant { ticket, incarnation, census: view.census() }]
             }
             Some(Decision::TransferLeadership) => {
                 self.transfer_leadership();
@@ -143,7 +144,7 @@
         }
     }
 
-    fn propose_as_leader(&mut self, command: MaintenanceCommand, now: WholeMillis) {
+    fn propose_as_leader(&mut self, command: FleetCommand, now: WholeMillis) {
         let id = self.rng.random();
         let entry = Entry { id, at: self.fleet_time(now), issuer: Issuer::Leader, command };
         self.leadership.pending.insert(id);
--- a/crates/loomflow-fleet/src/node/leadership_transfer/tests.rs
+++ b/crates/loomflow-fleet/src/node/leadership_transfer/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
+use crate::command::{Entry, FleetCommand, Issuer};
 use crate::consensus::StateMachine;
 use crate::fixtures::ticket_request;
-use crate::maintenance::{Census, Entry, Issuer, MaintenanceCommand};
+use crate::maintenance::Census;
 use crate::member::{LoadReport, MemberIdentity, Zone};
 use foca::State::{Alive, Down, Suspect};
 
@@ -9,8 +10,8 @@
 fn maintenance() -> MaintenanceState {
     let census = Census { zones: vec![(Zone::new(), 3)], away: Vec::new() };
     let commands = [
-        MaintenanceCommand::CreateTickets(vec![ticket_request("a")]),
-        MaintenanceCommand::Grant { ticket: 1, incarnation: 1, census },
+        FleetCommand::CreateTickets(vec![ticket_request("a")]),
+        FleetCommand::Grant { ticket: 1, incarnation: 1, census },
     ];
     let mut maintenance = MaintenanceState::default();
     for (id, command) in (1..).zip(commands) {
--- a/crates/loomflow-fleet/src/node/mod.rs
+++ b/crates/loomflow-fleet/src/node/mod.rs
@@ -26,6 +26,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
+use crate::command::{FleetRequest, FleetResponse, Issuer};
 use crate::consensus::storage::{Storage, StorageError};
 use crate::consensus::{Consensus, ConsensusError};
 use crate::duty::client_session::OwnershipChange;
@@ -34,7 +35,6 @@
 use crate::maintenance::rules::Rules;
 use crate::maintenance::state::MaintenanceState;
 use crate::maintenance::ticket::TicketId;
-use crate::maintenance::{Issuer, Request, Response};
 use crate::member::{
     LoadReport, MemberIdentity, MemberState, MemberView, Phase, REPORT_PERIOD_MILLIS, RequestId, ServerName,
     Zone, is_report_recent,
@@ -88,7 +88,7 @@
     /// Shut the server down as on SIGTERM: its begin is committed.
     Drain(TicketId),
     /// The response to a request that was submitted here.
-    Responded(RequestId, Response),
+    Responded(RequestId, FleetResponse),
     /// The server acquired a duty, is to release it, or no longer owns it.
     Duty(OwnershipChange),
     /// A line for the log.
@@ -296,7 +296,7 @@
     }
 
     /// Sends a request of this machine to the leader; its response comes as an effect.
-    pub fn submit(&mut self, request: Request, now: WholeMillis) -> RequestId {
+    pub fn submit(&mut self, request: FleetRequest, now: WholeMillis) -> RequestId {
         let id = self.rng.random();
         self.submit_as(id, request, now);
         self.process_outputs(now);
--- a/crates/loomflow-fleet/src/node/own_ticket.rs
+++ b/crates/loomflow-fleet/src/node/own_ticket.rs
@@ -5,9 +5,9 @@
 
 use super::requests::ReceivedResponse;
 use super::{Effect, Node};
+use crate::command::{FleetCommand, FleetRequest, FleetResponse};
 use crate::consensus::storage::{ReplicaMetadata, Storage, StorageError, WriteBatch};
 use crate::maintenance::ticket::{GrantNumber, Rejection, Ticket, TicketId, TicketStage, Transition};
-use crate::maintenance::{MaintenanceCommand, Request, Response};
 use crate::member::{Incarnation, Phase, RequestId};
 use crate::time::WholeMillis;
 
@@ -95,16 +95,16 @@
         let pending = self.own_ticket.pending_begin.filter(|(begin, _)| *begin == id);
         let Some((_, grant)) = pending else { return false };
         match response {
-            Response::Done(tickets) if is_notification_recent(sent_at, now) => {
+            FleetResponse::Done(tickets) if is_notification_recent(sent_at, now) => {
                 if let Some(ticket) = tickets.first() {
                     self.drain_by_ticket(*ticket, grant, now);
                 }
             }
             // Late, or nothing is known: what a recent notification shows is requested again.
-            Response::Done(_) | Response::Rejected(Rejection::NoLeader) => {
+            FleetResponse::Done(_) | FleetResponse::Rejected(Rejection::NoLeader) => {
                 self.own_ticket.pending_begin = None;
             }
-            Response::Rejected(rejection) => self.log(format!("a grant was not taken up: {rejection}")),
+            FleetResponse::Rejected(rejection) => self.log(format!("a grant was not taken up: {rejection}")),
             _ => {}
         }
         true
@@ -125,8 +125,8 @@
             return;
         }
         self.phase = Phase::Draining;
-        let command = MaintenanceCommand::DrainedWithoutTicket(self.config.name.clone());
-        let request = Request::Execute { issuer: self.issuer(), command };
+        let command = FleetCommand::DrainedWithoutTicket(self.config.name.clone());
+        let request = FleetRequest::Execute { issuer: self.issuer(), command };
         self.submit(request, now);
         self.hand_everything_over(now);
         self.process_outputs(now);
@@ -174,8 +174,8 @@
         now: WholeMillis,
     ) -> RequestId {
         let incarnation = self.identity().incarnation;
-        let command = MaintenanceCommand::Transition { ticket, transition, grant, incarnation };
-        let request = Request::Execute { issuer: self.issuer(), command };
+        let command = FleetCommand::Transition { ticket, transition, grant, incarnation };
+        let request = FleetRequest::Execute { issuer: self.issuer(), command };
         let id = self.rng.random();
         self.submit_as(id, request, now);
         id
--- a/crates/loomflow-fleet/src/node/requests.rs
+++ b/crates/loomflow-fleet/src/node/requests.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeMap;
 
 use super::{Effect, Node};
+use crate::command::{Entry, FleetCommand, FleetRequest, FleetResponse};
 use crate::consensus::ProposeError;
 use crate::duty::DutyCommand;
 use crate::maintenance::ticket::Rejection;
-use crate::maintenance::{Entry, MaintenanceCommand, Request, Response};
 use crate::member::{RequestId, ServerName};
 use crate::time::WholeMillis;
 use crate::wire::Body;
@@ -23,7 +23,7 @@
 
 /// A request of our own.
 struct PendingRequest {
-    request: Request,
+    request: FleetRequest,
     retry_at: WholeMillis,
     expires_at: WholeMillis,
     attempts: usize,
@@ -34,7 +34,7 @@
     /// The request.
     pub id: RequestId,
     /// Its response.
-    pub response: &'a Response,
+    pub response: &'a FleetResponse,
     /// When the request was sent first.
     pub sent_at: WholeMillis,
 }
@@ -61,10 +61,10 @@
 }
 
 impl Node {
-    pub(super) fn submit_as(&mut self, id: RequestId, request: Request, now: WholeMillis) {
+    pub(super) fn submit_as(&mut self, id: RequestId, request: FleetRequest, now: WholeMillis) {
         if self.requests.own.len() >= MAX_OWN {
             let rejection = Rejection::TooMany(MAX_OWN as u32);
-            self.effects.push(Effect::Responded(id, Response::Rejected(rejection)));
+            self.effects.push(Effect::Responded(id, FleetResponse::Rejected(rejection)));
             return;
         }
         let expires_at = now + REQUEST_TIMEOUT_MILLIS;
@@ -89,7 +89,7 @@
             .collect();
         for (id, has_expired) in due {
             if has_expired {
-                self.handle_response(id, Response::Rejected(Rejection::NoLeader), now);
+                self.handle_response(id, FleetResponse::Rejected(Rejection::NoLeader), now);
             } else {
                 self.send_request(id, now);
             }
@@ -119,7 +119,7 @@
         from: ServerName,
         id: RequestId,
         hops: u8,
-        request: Request,
+        request: FleetRequest,
         now: WholeMillis,
     ) {
         if self.requests.forwarded.len() < MAX_FORWARDED {
@@ -136,15 +136,15 @@
     }
 
     /// The leader's part: commands are proposed, everything else is answered at once.
-    fn execute_request(&mut self, id: RequestId, request: Request, now: WholeMillis) {
+    fn execute_request(&mut self, id: RequestId, request: FleetRequest, now: WholeMillis) {
         match request {
-            Request::Execute {
-                command: MaintenanceCommand::Duty(DutyCommand::KeepAlive(instances)), ..
+            FleetRequest::Execute {
+                command: FleetCommand::Duty(DutyCommand::KeepAlive(instances)), ..
             } => {
                 self.queue_renewal(id, instances, now);
             }
-            Request::Execute { issuer, mut command } => {
-                if let MaintenanceCommand::Duty(DutyCommand::Release { duty, successor, .. }) = &mut command {
+            FleetRequest::Execute { issuer, mut command } => {
+                if let FleetCommand::Duty(DutyCommand::Release { duty, successor, .. }) = &mut command {
                     *successor = self.choose_successor(duty, now);
                 }
                 let entry = Entry { id, at: self.fleet_time(now), issuer, command };
@@ -162,7 +162,7 @@
     }
 
     /// Sends a response to whoever sent the request.
-    pub(super) fn deliver_response(&mut self, id: RequestId, response: Response, now: WholeMillis) {
+    pub(super) fn deliver_response(&mut self, id: RequestId, response: FleetResponse, now: WholeMillis) {
         match self.requests.forwarded.remove(&id) {
             Some(address) if address.member != self.config.name => {
                 self.send(&address.member, Body::Response { id, response });
@@ -172,7 +172,7 @@
     }
 
     /// Handles a response: to a request of our own, or to pass on.
-    pub(super) fn handle_response(&mut self, id: RequestId, response: Response, now: WholeMillis) {
+    pub(super) fn handle_response(&mut self, id: RequestId, response: FleetResponse, now: WholeMillis) {
         if let Some(pending) = self.requests.own.remove(&id) {
             let sent_at = pending.expires_at - REQUEST_TIMEOUT_MILLIS;
             let received = ReceivedResponse { id, response: &response, sent_at };
--- a/crates/loomflow-fleet/src/node/status.rs
+++ b/crates/loomflow-fleet/src/node/status.rs
@@ -1,13 +1,14 @@
 //! The fleet as operators see it.
 
 use super::Node;
+use crate::command::{FleetRequest, FleetResponse};
 use crate::consensus::Consensus;
-use crate::duty;
+use crate::duty::DutyResponse;
 use crate::maintenance::scheduling::{Explanation, SchedulerView};
 use crate::maintenance::state::MaintenanceState;
 use crate::maintenance::ticket::TicketStage;
-use crate::maintenance::{MemberRow, Request, Response, Status};
 use crate::member::{MemberState, MemberView, ServerName};
+use crate::status::{FleetStatus, MemberRow};
 use crate::time::WholeMillis;
 
 /// Maximum number of open tickets in one response.
@@ -17,30 +18,30 @@
 
 impl Node {
     /// The response to a query, as far as this member knows. None where it knows nothing of it.
-    pub fn answer_query(&self, request: &Request, now: WholeMillis) -> Option<Response> {
+    pub fn answer_query(&self, request: &FleetRequest, now: WholeMillis) -> Option<FleetResponse> {
         match request {
-            Request::Execute { .. } => None,
-            Request::Status => Some(Response::Status(Box::new(self.status(now)))),
-            Request::Tickets => {
+            FleetRequest::Execute { .. } => None,
+            FleetRequest::Status => Some(FleetResponse::Status(Box::new(self.status(now)))),
+            FleetRequest::Tickets => {
                 let maintenance = self.maintenance()?;
                 let closed = maintenance.closed().rev().take(MAX_HISTORY_IN_RESPONSE);
                 let events = maintenance.events().rev().take(MAX_HISTORY_IN_RESPONSE);
-                Some(Response::Tickets {
+                Some(FleetResponse::Tickets {
                     open: maintenance.open().values().take(MAX_OPEN_IN_RESPONSE).cloned().collect(),
                     closed: closed.cloned().collect(),
                     events: events.cloned().collect(),
                 })
             }
-            Request::Duties => {
+            FleetRequest::Duties => {
                 let list = self.fleet_state()?.duties.list();
-                Some(Response::Duty(duty::Response::List(Box::new(list))))
+                Some(FleetResponse::Duty(DutyResponse::List(Box::new(list))))
             }
-            Request::Campaigns => {
+            FleetRequest::Campaigns => {
                 let state = self.fleet_state()?;
                 let views = state.campaigns.views(&state.maintenance, &self.member_views(now));
-                Some(Response::Campaigns(views))
+                Some(FleetResponse::Campaigns(views))
             }
-            Request::Explain(server) => Some(Response::Explanation(self.explain(server, now)?)),
+            FleetRequest::Explain(server) => Some(FleetResponse::Explanation(self.explain(server, now)?)),
         }
     }
 
@@ -56,13 +57,13 @@
     }
 
     /// The fleet as this member sees it; from the leader only where this one leads.
-    pub fn status(&self, now: WholeMillis) -> Status {
+    pub fn status(&self, now: WholeMillis) -> FleetStatus {
         let empty = MaintenanceState::default();
         let maintenance = self.maintenance().unwrap_or(&empty);
         let voters = self.consensus.as_ref().map(Consensus::voters).unwrap_or_default();
         let members = self.member_views(now).into_iter();
         let members = members.map(|(name, view)| self.member_row(name, view, maintenance, &voters, now));
-        Status {
+        FleetStatus {
             fleet: self.config.fleet.clone(),
             leader: self.leader().cloned(),
             term: self.consensus.as_ref().map_or(0, Consensus::term),
--- a/crates/loomflow-fleet/src/node/tests.rs
+++ b/crates/loomflow-fleet/src/node/tests.rs
@@ -52,7 +52,7 @@
 }
 
 /// Requests that the member sends now, and responses that it gives.
-fn requests_and_responses(node: &mut Node, now: WholeMillis) -> (usize, Vec<Response>) {
+fn requests_and_responses(node: &mut Node, now: WholeMillis) -> (usize, Vec<FleetResponse>) {
     node.tick(now);
     let (mut requests, mut responses) = (0, Vec::new());
     for effect in node.take_effects() {
@@ -71,11 +71,11 @@
 #[test]
 fn a_request_is_repeated_after_700_ms_and_fails_after_ten_seconds() {
     let mut node = member();
-    node.submit(Request::Status, 0);
+    node.submit(FleetRequest::Status, 0);
     assert_eq!(requests_and_responses(&mut node, 1).0, 1);
     let repeated = [699, 700, 701, 1_399, 1_400].map(|now| requests_and_responses(&mut node, now).0);
     assert_eq!(repeated, [0, 1, 0, 0, 1]);
     assert_eq!(requests_and_responses(&mut node, 9_999).1, []);
     let responses = requests_and_responses(&mut node, 10_000).1;
-    assert_eq!(responses, [Response::Rejected(Rejection::NoLeader)]);
+    assert_eq!(responses, [FleetResponse::Rejected(Rejection::NoLeader)]);
 }
--- a/crates/loomflow-fleet/src/operator.rs
+++ b/crates/loomflow-fleet/src/operator.rs
@@ -2,8 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::command::{FleetRequest, FleetResponse};
 use crate::duty::{DutyName, LeaseSettings, Token};
-use crate::maintenance::{Request, Response, Status};
+use crate::status::FleetStatus;
 use crate::time::WholeMillis;
 
 /// Maximum length of a line, bytes: a campaign over as many servers as there may be.
@@ -16,7 +17,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum OperatorRequest {
     /// For the leader, wherever it is.
-    Fleet(Request),
+    Fleet(FleetRequest),
     /// What this server knows by itself, with a leader or without.
     #[serde(rename = "Here")]
     LocalStatus,
@@ -57,10 +58,10 @@
 pub enum OperatorResponse {
     /// The leader's response, or that it could not be reached.
     #[serde(rename = "Answer")]
-    Response(Response),
+    Response(FleetResponse),
     /// The fleet as this server sees it.
     #[serde(rename = "Here")]
-    LocalStatus(Box<Status>),
+    LocalStatus(Box<FleetStatus>),
     /// Done, with nothing to report.
     Done,
     /// The server owns the duty.
--- a/crates/loomflow-fleet/src/wire.rs
+++ b/crates/loomflow-fleet/src/wire.rs
@@ -7,9 +7,9 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::command::{FleetRequest, FleetResponse};
 use crate::duty::{self, Token, summary::Summary};
 use crate::maintenance::ticket::Ticket;
-use crate::maintenance::{Request, Response};
 use crate::member::{LoadReport, MemberIdentity, Replica, RequestId, ServerName};
 use crate::time::WholeMillis;
 
@@ -59,14 +59,14 @@
         /// How often it has been forwarded.
         hops: u8,
         /// The request.
-        request: Request,
+        request: FleetRequest,
     },
     /// A response on its way back.
     Response {
         /// The request that it answers.
         id: RequestId,
         /// The response.
-        response: Response,
+        response: FleetResponse,
     },
     /// The leader notifies a member of the duties that it owns, as soon as that is committed.
     Duties(duty::Ownership),
--- a/crates/loomflow-fleet/tests/maintenance.rs
+++ b/crates/loomflow-fleet/tests/maintenance.rs
@@ -1,12 +1,13 @@
 //! Invariants of the state machine of maintenance under generated entries, in any order, valid or not.
 
+use loomflow_fleet::command::{Entry, FleetCommand, FleetResponse, Issuer};
 use loomflow_fleet::consensus::StateMachine;
+use loomflow_fleet::maintenance::Census;
 use loomflow_fleet::maintenance::rules::{Limit, Rules};
 use loomflow_fleet::maintenance::state::{
     MAX_CLOSED_TICKETS, MAX_EVENTS, MAX_OPEN_TICKETS, MaintenanceState,
 };
 use loomflow_fleet::maintenance::ticket::{Rejection, TicketRequest, TicketStage, Transition, Urgency};
-use loomflow_fleet::maintenance::{Census, Entry, Issuer, MaintenanceCommand, Response};
 use proptest::prelude::*;
 
 const SERVERS: usize = 6;
@@ -39,21 +40,21 @@
     ]
 }
 
-fn command() -> impl Strategy<Value = MaintenanceCommand> {
+fn command() -> impl Strategy<Value = FleetCommand> {
     let moves = (1u64..12, proptest::sample::select(Transition::ALL.to_vec()), 0u64..12, 1u64..4);
     let away = proptest::collection::vec(0..SERVERS, 0..2);
     prop_oneof![
-        2 => (0..SERVERS).prop_map(|n| MaintenanceCommand::CreateTickets(vec![ticket_request(n)])),
-        8 => moves.prop_map(|(ticket, transition, grant, incarnation)| MaintenanceCommand::Transition { ticket, transition, grant, incarnation }),
+        2 => (0..SERVERS).prop_map(|n| FleetCommand::CreateTickets(vec![ticket_request(n)])),
+        8 => moves.prop_map(|(ticket, transition, grant, incarnation)| FleetCommand::Transition { ticket, transition, grant, incarnation }),
         4 => (1u64..12, 1u64..4, away).prop_map(|(ticket, incarnation, away)| {
-            MaintenanceCommand::Grant { ticket, incarnation, census: census(&away) }
+            FleetCommand::Grant { ticket, incarnation, census: census(&away) }
         }),
-        1 => Just(MaintenanceCommand::Clock),
-        1 => prop_oneof![Just(MaintenanceCommand::Pause("x".into())), Just(MaintenanceCommand::Resume)],
+        1 => Just(FleetCommand::Clock),
+        1 => prop_oneof![Just(FleetCommand::Pause("x".into())), Just(FleetCommand::Resume)],
     ]
 }
 
-fn apply(maintenance: &mut MaintenanceState, entry: &Entry) -> Option<Response> {
+fn apply(maintenance: &mut MaintenanceState, entry: &Entry) -> Option<FleetResponse> {
     maintenance.apply(&postcard::to_stdvec(entry).unwrap()).map(|(_, response)| response)
 }
 
@@ -65,7 +66,7 @@
         Rules { max_out: Limit::Count(2), max_out_per_zone: Some(Limit::Count(1)), ..Rules::default() };
     apply(
         &mut maintenance,
-        &Entry { id: u128::MAX, at: 0, issuer: Issuer::Leader, command: MaintenanceCommand::Rules(rules) },
+        &Entry { id: u128::MAX, at: 0, issuer: Issuer::Leader, command: FleetCommand::Rules(rules) },
     );
     maintenance
 }
@@ -103,7 +104,7 @@
             let mut back = MaintenanceState::load(&maintenance.save()).unwrap();
             prop_assert_eq!(back.holders(), maintenance.holders());
             prop_assert_eq!(back.next_deadline(), maintenance.next_deadline());
-            let later = Entry { id: 1 << 100, at: at + 50_000, issuer: Issuer::Leader, command: MaintenanceCommand::Clock };
+            let later = Entry { id: 1 << 100, at: at + 50_000, issuer: Issuer::Leader, command: FleetCommand::Clock };
             apply(&mut back, &later);
             let mut same = maintenance.clone();
             apply(&mut same, &later);
@@ -122,23 +123,23 @@
 #[test]
 fn ten_thousand_tickets_at_once_are_accepted_and_a_request_beyond_the_bound_is_rejected_entirely() {
     let many = |from: usize, count: usize| {
-        MaintenanceCommand::CreateTickets((from..from + count).map(ticket_request).collect())
+        FleetCommand::CreateTickets((from..from + count).map(ticket_request).collect())
     };
     let operator_entry = |id, command| Entry { id, at: 0, issuer: Issuer::Operator("ops".into()), command };
     let mut maintenance = initial_state();
     match apply(&mut maintenance, &operator_entry(1, many(0, 10_000))) {
-        Some(Response::Done(tickets)) => assert_eq!(tickets.len(), 10_000),
+        Some(FleetResponse::Done(tickets)) => assert_eq!(tickets.len(), 10_000),
         other => panic!("{other:?}"),
     }
     let rejected = apply(&mut maintenance, &operator_entry(2, many(20_000, 3_000)));
-    assert_eq!(rejected, Some(Response::Rejected(Rejection::TooMany(10_000))));
+    assert_eq!(rejected, Some(FleetResponse::Rejected(Rejection::TooMany(10_000))));
     assert_eq!(maintenance.open().len(), 10_000);
     assert!(maintenance.events().count() <= MAX_EVENTS && MAX_OPEN_TICKETS >= 10_000);
     let back = MaintenanceState::load(&maintenance.save()).unwrap();
     assert_eq!(back.open(), maintenance.open());
     // All withdrawn: the history is bounded.
     for id in 1..=10_000u64 {
-        let withdraw = MaintenanceCommand::Transition {
+        let withdraw = FleetCommand::Transition {
             ticket: id,
             transition: Transition::Withdraw,
             grant: 0,
--- a/crates/loomflow-fleet/tests/ticket_model.rs
+++ b/crates/loomflow-fleet/tests/ticket_model.rs
@@ -7,10 +7,11 @@
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 
+use loomflow_fleet::command::{Entry, FleetCommand, FleetResponse, Issuer};
 use loomflow_fleet::consensus::StateMachine;
+use loomflow_fleet::maintenance::Census;
 use loomflow_fleet::maintenance::state::MaintenanceState;
 use loomflow_fleet::maintenance::ticket::{TicketId, TicketRequest, TicketStage, Transition, Urgency};
-use loomflow_fleet::maintenance::{Census, Entry, Issuer, MaintenanceCommand, Response};
 use stateright::{Checker, Model, Property};
 
 const SERVERS: usize = 3;
@@ -62,11 +63,11 @@
     }
 
     /// Applies an entry; whether the state machine accepted it.
-    fn commit(&mut self, issuer: Issuer, command: MaintenanceCommand, after: u64) -> bool {
+    fn commit(&mut self, issuer: Issuer, command: FleetCommand, after: u64) -> bool {
         self.entries += 1;
         let entry = Entry { id: self.entries, at: self.maintenance.time() + after, issuer, command };
         let bytes = postcard::to_stdvec(&entry).unwrap();
-        matches!(self.maintenance.apply(&bytes), Some((_, Response::Done(_))))
+        matches!(self.maintenance.apply(&bytes), Some((_, FleetResponse::Done(_))))
     }
 
     fn departed_count(&self) -> usize {
@@ -133,14 +134,9 @@
 }
 
 /// The command that makes a transition of a ticket by its current grant.
-fn transition_of(
-    state: &State,
-    transition: Transition,
-    id: TicketId,
-    incarnation: u64,
-) -> MaintenanceCommand {
+fn transition_of(state: &State, transition: Transition, id: TicketId, incarnation: u64) -> FleetCommand {
     let grant = state.maintenance.open().get(&id).map_or(0, |ticket| ticket.grant);
-    MaintenanceCommand::Transition { ticket: id, transition, grant, incarnation }
+    FleetCommand::Transition { ticket: id, transition, grant, incarnation }
 }
 
 /// The leader reports what it sees of a server; none where it cannot see that.
@@ -176,12 +172,8 @@
             }
             Message::Begin { server, ticket, grant, incarnation } => {
                 let by = Issuer::Server { name: name(server), incarnation };
-                let command = MaintenanceCommand::Transition {
-                    ticket,
-                    transition: Transition::Begin,
-                    grant,
-                    incarnation,
-                };
+                let command =
+                    FleetCommand::Transition { ticket, transition: Transition::Begin, grant, incarnation };
                 state.commit(by, command, 1)
                     && state.sent.insert(Message::Begun { server, ticket, incarnation })
             }
@@ -220,7 +212,7 @@
         };
         assert!(state.commit(
             Issuer::Operator("ops".into()),
-            MaintenanceCommand::CreateTickets(vec![wanted(0), wanted(1)]),
+            FleetCommand::CreateTickets(vec![wanted(0), wanted(1)]),
             1
         ));
         vec![state]
@@ -267,7 +259,7 @@
             Action::Grant(id) => {
                 let incarnation = last.servers[number(&of(id)?.request.server)].1;
                 let census = Census { zones: vec![(String::new(), SERVERS as u32)], away: Vec::new() };
-                state.commit(Issuer::Leader, MaintenanceCommand::Grant { ticket: id, incarnation, census }, 1)
+                state.commit(Issuer::Leader, FleetCommand::Grant { ticket: id, incarnation, census }, 1)
             }
             Action::Notify(id) => {
                 let ticket = of(id)?;
@@ -277,11 +269,7 @@
             }
             Action::Lapse(id) => {
                 state.void_grants += 1;
-                state.commit(
-                    Issuer::Leader,
-                    MaintenanceCommand::Clock,
-                    of(id)?.deadline - last.maintenance.time(),
-                )
+                state.commit(Issuer::Leader, FleetCommand::Clock, of(id)?.deadline - last.maintenance.time())
             }
             Action::Recall(id) => {
                 state.void_grants += 1;
--- a/crates/loomflow-fleet/tests/wire_format.rs
+++ b/crates/loomflow-fleet/tests/wire_format.rs
@@ -4,16 +4,18 @@
 
 use std::fmt::Write as _;
 
+use loomflow_fleet::command::{Entry, FleetCommand, FleetRequest, FleetResponse, Issuer};
 use loomflow_fleet::consensus::StateMachine;
 use loomflow_fleet::consensus::storage::ReplicaMetadata;
 use loomflow_fleet::duty::fence::Fence;
 use loomflow_fleet::duty::schedule::{MissedRuns, Recurrence, Schedule};
 use loomflow_fleet::duty::summary::Summary;
 use loomflow_fleet::duty::{
-    self, DutyCommand, DutyEventKind, DutyList, DutySpec, DutyStatus, LeaseSettings, OwnedDuty, OwnerUpdate,
-    Ownership, ServerInstance,
+    DutyCommand, DutyEvent, DutyEventKind, DutyList, DutyRejection, DutyResponse, DutySpec, DutyStatus,
+    LeaseSettings, OwnedDuty, OwnerUpdate, Ownership, ServerInstance,
 };
 use loomflow_fleet::fleet_state::FleetState;
+use loomflow_fleet::maintenance::Census;
 use loomflow_fleet::maintenance::campaign::{CampaignCommand, CampaignStatus, CampaignView};
 use loomflow_fleet::maintenance::headroom::Estimate;
 use loomflow_fleet::maintenance::rules::{Limit, Rules};
@@ -22,11 +24,9 @@
 use loomflow_fleet::maintenance::ticket::{
     Rejection, Ticket, TicketRequest, TicketStage, Transition, Urgency,
 };
-use loomflow_fleet::maintenance::{
-    Census, Entry, Issuer, MaintenanceCommand, MemberRow, Request, Response, Status, SummaryReport,
-};
 use loomflow_fleet::member::{LoadReport, MemberIdentity, MemberState, Phase, Replica};
 use loomflow_fleet::operator::{OperatorRequest, OperatorResponse, OwnershipConfirmation};
+use loomflow_fleet::status::{FleetStatus, MemberRow, SummaryReport};
 use loomflow_fleet::wire::{self, Body, Message, Notification};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -150,8 +150,7 @@
     ]
 }
 
-fn duty_answers() -> Vec<duty::Response> {
-    use duty::Rejection;
+fn duty_answers() -> Vec<DutyResponse> {
     let row = DutyStatus {
         duty: "d".into(),
         owner: Some(holder()),
@@ -176,7 +175,7 @@
         DutyEventKind::Resumed,
         DutyEventKind::Rejected,
     ];
-    let event = |kind| duty::DutyEvent {
+    let event = |kind| DutyEvent {
         at: 1,
         duty: "d".into(),
         token: 4,
@@ -185,11 +184,11 @@
         detail: "why".into(),
     };
     let rejections = [
-        Rejection::Unknown("d".into()),
-        Rejection::Stale { duty: "d".into(), token: 1, current: 2 },
-        Rejection::EarlierIncarnation(3),
-        Rejection::Begun { duty: "d".into(), run: 4 },
-        Rejection::Invalid("no".into()),
+        DutyRejection::Unknown("d".into()),
+        DutyRejection::Stale { duty: "d".into(), token: 1, current: 2 },
+        DutyRejection::EarlierIncarnation(3),
+        DutyRejection::Begun { duty: "d".into(), run: 4 },
+        DutyRejection::Invalid("no".into()),
     ];
     let listed = DutyList {
         duties: vec![row],
@@ -198,9 +197,9 @@
         time: 8,
         events: kinds.map(event).to_vec(),
     };
-    let mut answers = vec![duty::Response::Done, duty::Response::Ownership(kept())];
-    answers.extend(rejections.map(duty::Response::Rejected));
-    answers.push(duty::Response::List(Box::new(listed)));
+    let mut answers = vec![DutyResponse::Done, DutyResponse::Ownership(kept())];
+    answers.extend(rejections.map(DutyResponse::Rejected));
+    answers.push(DutyResponse::List(Box::new(listed)));
     answers
 }
 
@@ -243,24 +242,24 @@
     Census { zones: vec![("z1".into(), 3)], away: vec![("n3".into(), "z1".into())] }
 }
 
-fn commands() -> Vec<MaintenanceCommand> {
+fn commands() -> Vec<FleetCommand> {
     let mut commands = vec![
-        MaintenanceCommand::CreateTickets(vec![wanted()]),
-        MaintenanceCommand::Grant { ticket: 1, incarnation: 6, census: census() },
-        MaintenanceCommand::Pause("storm".into()),
-        MaintenanceCommand::Resume,
-        MaintenanceCommand::Rules(rules()),
-        MaintenanceCommand::DrainedWithoutTicket("n1".into()),
-        MaintenanceCommand::Clock,
+        FleetCommand::CreateTickets(vec![wanted()]),
+        FleetCommand::Grant { ticket: 1, incarnation: 6, census: census() },
+        FleetCommand::Pause("storm".into()),
+        FleetCommand::Resume,
+        FleetCommand::Rules(rules()),
+        FleetCommand::DrainedWithoutTicket("n1".into()),
+        FleetCommand::Clock,
     ];
-    commands.extend(Transition::ALL.map(|transition| MaintenanceCommand::Transition {
+    commands.extend(Transition::ALL.map(|transition| FleetCommand::Transition {
         ticket: 1,
         transition,
         grant: 5,
         incarnation: 6,
     }));
-    commands.extend(duty_commands().into_iter().map(MaintenanceCommand::Duty));
-    commands.extend(campaign_commands().into_iter().map(MaintenanceCommand::Campaign));
+    commands.extend(duty_commands().into_iter().map(FleetCommand::Duty));
+    commands.extend(campaign_commands().into_iter().map(FleetCommand::Campaign));
     commands
 }
 
@@ -284,7 +283,7 @@
     ]
 }
 
-fn status() -> Status {
+fn status() -> FleetStatus {
     let states = [
         MemberState::Cold,
         MemberState::Serving,
@@ -305,7 +304,7 @@
         report_age_millis: Some(10),
         ticket: Some((1, TicketStage::Out)),
     };
-    Status {
+    FleetStatus {
         fleet: "riga".into(),
         leader: Some("n1".into()),
         term: 1,
@@ -348,39 +347,41 @@
     }
 }
 
-fn answers() -> Vec<Response> {
+fn answers() -> Vec<FleetResponse> {
     let event = |stage| TicketEvent { at: 1, ticket: 2, server: "n1".into(), stage, grant: 3 };
     let mut answers = vec![
-        Response::Done(vec![1, 2]),
-        Response::Status(Box::new(status())),
-        Response::Tickets {
+        FleetResponse::Done(vec![1, 2]),
+        FleetResponse::Status(Box::new(status())),
+        FleetResponse::Tickets {
             open: vec![ticket()],
             closed: vec![ticket()],
             events: TicketStage::ALL.map(event).to_vec(),
         },
-        Response::Explanation(explained()),
-        Response::Campaigns(campaign_views()),
+        FleetResponse::Explanation(explained()),
+        FleetResponse::Campaigns(campaign_views()),
     ];
-    answers.extend(rejections().into_iter().map(Response::Rejected));
-    answers.extend(duty_answers().into_iter().map(Response::Duty));
+    answers.extend(rejections().into_iter().map(FleetResponse::Rejected));
+    answers.extend(duty_answers().into_iter().map(FleetResponse::Duty));
     answers
 }
 
-fn asks() -> Vec<Request> {
+fn asks() -> Vec<FleetRequest> {
     let issuers = [
         Issuer::Leader,
         Issuer::Server { name: "n1".into(), incarnation: 6 },
         Issuer::Operator("ops".into()),
     ];
-    let mut asks: Vec<Request> =
-        issuers.map(|issuer| Request::Execute { issuer, command: MaintenanceCommand::Clock }).to_vec();
-    asks.extend(commands().into_iter().map(|command| Request::Execute { issuer: Issuer::Leader, command }));
+    let mut asks: Vec<FleetRequest> =
+        issuers.map(|issuer| FleetRequest::Execute { issuer, command: FleetCommand::Clock }).to_vec();
+    asks.extend(
+        commands().into_iter().map(|command| FleetRequest::Execute { issuer: Issuer::Leader, command }),
+    );
     asks.extend([
-        Request::Status,
-        Request::Tickets,
-        Request::Explain("n1".into()),
-        Request::Duties,
-        Request::Campaigns,
+        FleetRequest::Status,
+        FleetRequest::Tickets,
+        FleetRequest::Explain("n1".into()),
+        FleetRequest::Duties,
+        FleetRequest::Campaigns,
     ]);
     asks
 }
@@ -433,8 +434,8 @@
         Body::Raft { group: 2, bytes: vec![3] },
         Body::LoadReport { sent_at: 1, load_report: load_report(), replica: Some(replica) },
         Body::Notification(notification),
-        Body::Request { id: 1, hops: 1, request: Request::Status },
-        Body::Response { id: 1, response: Response::Done(vec![4]) },
+        Body::Request { id: 1, hops: 1, request: FleetRequest::Status },
+        Body::Response { id: 1, response: FleetResponse::Done(vec![4]) },
         Body::Duties(kept()),
         Body::Summary { token: 5, summary: summary() },
     ];
@@ -460,26 +461,26 @@
     let own = || DutyCommand::KeepAlive(vec![ServerInstance { name: "n1".into(), incarnation: 6 }]);
     let declared = DutySpec { name: "d".into(), weight: 2, schedule: Some(schedule()) };
     let mut entries = vec![
-        leader(MaintenanceCommand::Rules(rules())),
-        operator(MaintenanceCommand::CreateTickets(vec![TicketRequest { window: None, ..wanted() }])),
-        leader(MaintenanceCommand::Grant { ticket: 1, incarnation: 6, census: Census::default() }),
-        server(MaintenanceCommand::Transition {
+        leader(FleetCommand::Rules(rules())),
+        operator(FleetCommand::CreateTickets(vec![TicketRequest { window: None, ..wanted() }])),
+        leader(FleetCommand::Grant { ticket: 1, incarnation: 6, census: Census::default() }),
+        server(FleetCommand::Transition {
             ticket: 1,
             transition: Transition::Begin,
             grant: 1,
             incarnation: 6,
         }),
-        leader(MaintenanceCommand::Duty(DutyCommand::Declare(LeaseSettings::default(), vec![declared]))),
-        leader(MaintenanceCommand::Duty(own())),
-        leader(MaintenanceCommand::Duty(DutyCommand::Assign(vec![("d".into(), "n1".into())]))),
-        server(MaintenanceCommand::Duty(DutyCommand::Write {
+        leader(FleetCommand::Duty(DutyCommand::Declare(LeaseSettings::default(), vec![declared]))),
+        leader(FleetCommand::Duty(own())),
+        leader(FleetCommand::Duty(DutyCommand::Assign(vec![("d".into(), "n1".into())]))),
+        server(FleetCommand::Duty(DutyCommand::Write {
             duty: "d".into(),
             token: 1,
             update: OwnerUpdate::Began(60),
         })),
     ];
     let start = CampaignCommand::Start { name: "kernel".into(), requests: vec![wanted()], batch_size: 1 };
-    entries.push(operator(MaintenanceCommand::Campaign(start)));
+    entries.push(operator(FleetCommand::Campaign(start)));
     entries.extend(commands().into_iter().map(operator));
     for (at, (issuer, command)) in entries.into_iter().enumerate() {
         let entry = Entry { id: at as u128 + 1, at: at as u64, issuer, command };
--- a/crates/loomflow-server/src/fleet/jobs.rs
+++ b/crates/loomflow-server/src/fleet/jobs.rs
@@ -8,10 +8,10 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{SystemTime, UNIX_EPOCH};
 
+use loomflow_fleet::command::FleetResponse;
 use loomflow_fleet::duty::client_session::OwnershipChange;
 use loomflow_fleet::duty::job::{Exit, JobAction, JobRuns};
-use loomflow_fleet::duty::{self, DutyName, OwnedDuty, OwnerUpdate, Token};
-use loomflow_fleet::maintenance::Response;
+use loomflow_fleet::duty::{DutyName, DutyResponse, OwnedDuty, OwnerUpdate, Token};
 use loomflow_fleet::member::RequestId;
 use loomflow_fleet::node::Node;
 use loomflow_fleet::time::WholeMillis;
@@ -130,7 +130,7 @@
     pub fn write_answered(
         &mut self,
         id: RequestId,
-        response: &Response,
+        response: &FleetResponse,
         node: &mut Node,
         now: WholeMillis,
     ) -> bool {
@@ -140,8 +140,8 @@
         let job = self.owned.get_mut(&duty).filter(|job| is_begin && job.runs.token == token);
         if let Some(job) = job {
             let result = match response {
-                Response::Duty(duty::Response::Done) => Some(Ok(())),
-                Response::Duty(duty::Response::Rejected(rejection)) => Some(Err(rejection.clone())),
+                FleetResponse::Duty(DutyResponse::Done) => Some(Ok(())),
+                FleetResponse::Duty(DutyResponse::Rejected(rejection)) => Some(Err(rejection.clone())),
                 _ => None,
             };
             let owned = currently_owned(node, &duty, now);
