--- a/crates/loomflow-fleet/src/duty/assign.rs
+++ b/crates/loomflow-fleet/src/duty/assign.rs
@@ -27,18 +27,18 @@
     pub can_acquire: bool,
 }
 
-/// Servers that may own duties: with a session, alive with a recent load report, and not about to shut down.
+/// Servers that may own duties: with a session, alive with a recent load report, and without a place for maintenance.
 pub fn candidates(
     duties: &Duties,
     members: &BTreeMap<ServerName, MemberView>,
-    is_departing: &dyn Fn(&str) -> bool,
+    has_place: &dyn Fn(&str) -> bool,
 ) -> Vec<Candidate> {
     let candidates = duties.sessions().keys().filter_map(|name| {
         let member = members.get(name)?;
         let report = member.load_report.filter(|report| member.is_serving() && report.healthy)?;
         let weight = f64::from(report.share.max(MIN_WEIGHT));
         let can_acquire = report.share >= MIN_SHARE_TO_ACQUIRE;
-        (!is_departing(name)).then(|| Candidate { name: name.clone(), weight, can_acquire })
+        (!has_place(name)).then(|| Candidate { name: name.clone(), weight, can_acquire })
     });
     candidates.collect()
 }
@@ -48,9 +48,9 @@
 pub fn commands(
     duties: &Duties,
     members: &BTreeMap<ServerName, MemberView>,
-    is_departing: &dyn Fn(&str) -> bool,
+    has_place: &dyn Fn(&str) -> bool,
 ) -> Vec<DutyCommand> {
-    let candidates = candidates(duties, members, is_departing);
+    let candidates = candidates(duties, members, has_place);
     // In a fleet that forms the first owners are chosen when all servers had time to open a session.
     let lease_millis = duties.lease_settings().lease_millis;
     let must_wait =
@@ -59,7 +59,7 @@
     if !assignments.is_empty() {
         return vec![DutyCommand::Assign(assignments)];
     }
-    recalls(duties, members, &candidates, is_departing).into_iter().map(DutyCommand::Recall).collect()
+    recalls(duties, members, &candidates, has_place).into_iter().map(DutyCommand::Recall).collect()
 }
 
 /// Owners for the duties that are available and need not wait.
--- a/crates/loomflow-fleet/src/duty/assign/tests.rs
+++ b/crates/loomflow-fleet/src/duty/assign/tests.rs
@@ -12,8 +12,8 @@
     let mut state = Duties::default();
     let declared = (0..duties).map(|n| DutySpec::plain(&format!("d{n}"))).collect();
     state.apply(&DutyCommand::Declare(LeaseSettings::default(), declared));
-    let holder = |n| ServerInstance { name: format!("n{n}"), incarnation: 1 };
-    state.apply(&DutyCommand::KeepAlive((0..servers).map(holder).collect()));
+    let instance = |n| ServerInstance { name: format!("n{n}"), incarnation: 1 };
+    state.apply(&DutyCommand::KeepAlive((0..servers).map(instance).collect()));
     state
 }
 
--- a/crates/loomflow-fleet/src/duty/client_session.rs
+++ b/crates/loomflow-fleet/src/duty/client_session.rs
@@ -96,7 +96,7 @@
     pub fn renewed(&mut self, ownership: Ownership, sent_at: WholeMillis, now: WholeMillis) {
         self.pending_renewal = None;
         self.expire(now);
-        let valid_until = sent_at + ownership.lease_settings.holder_duration();
+        let valid_until = sent_at + ownership.lease_settings.owner_duration();
         if ownership.session < self.session || valid_until <= now {
             return;
         }
--- a/crates/loomflow-fleet/src/duty/mod.rs
+++ b/crates/loomflow-fleet/src/duty/mod.rs
@@ -85,7 +85,7 @@
 
 impl LeaseSettings {
     /// How long the owner relies on its session, from before the renewal was sent, ms: the lease less the bound on drift.
-    pub fn holder_duration(&self) -> WholeMillis {
+    pub fn owner_duration(&self) -> WholeMillis {
         scaled(self.lease_millis, 1.0 - MAX_CLOCK_DRIFT)
     }
 
--- a/crates/loomflow-fleet/src/duty/recall.rs
+++ b/crates/loomflow-fleet/src/duty/recall.rs
@@ -17,13 +17,13 @@
 /// Duties that are recalled for balance at once.
 const MAX_RECALLED_AT_ONCE: usize = 4;
 
-/// Duties to be released: all of a server that shuts down; several of one that is in overload, or over its bound by more than
-/// one duty.
+/// Duties to be released: all of a server that has a place for maintenance; several of one that is in overload, or over its
+/// bound by more than one duty.
 pub(super) fn recalls(
     duties: &Duties,
     members: &BTreeMap<ServerName, MemberView>,
     candidates: &[Candidate],
-    is_departing: &dyn Fn(&str) -> bool,
+    has_place: &dyn Fn(&str) -> bool,
 ) -> Vec<DutyName> {
     let is_recalled = |duty: &Duty| duty.lease.as_ref().is_some_and(|lease| lease.is_recalled);
     let is_any_recalled = duties.duties().values().any(is_recalled);
@@ -42,9 +42,7 @@
         let was_owned_long_enough = duties.time().saturating_sub(lease.since) >= MIN_OWNED_MILLIS;
         let is_over_bound = loads.is_over_bound(&lease.owner, f64::from(duty.spec.weight));
         let is_misplaced = was_owned_long_enough && (is_in_overload(lease) || is_over_bound);
-        if (is_departing(&lease.owner) && has_other)
-            || (is_misplaced && recalled.len() < MAX_RECALLED_AT_ONCE)
-        {
+        if (has_place(&lease.owner) && has_other) || (is_misplaced && recalled.len() < MAX_RECALLED_AT_ONCE) {
             recalled.push(name.clone());
         }
     }
--- a/crates/loomflow-fleet/src/duty/recall/tests.rs
+++ b/crates/loomflow-fleet/src/duty/recall/tests.rs
@@ -28,14 +28,14 @@
 }
 
 /// The number of duties that are recalled at a time, where the owner requests this share and has this weight.
-fn recall_count(at: FleetMillis, share_of_owner: f32, weight: f64, departing: Option<&str>) -> usize {
+fn recall_count(at: FleetMillis, share_of_owner: f32, weight: f64, with_place: Option<&str>) -> usize {
     let mut duties = duties();
     duties.advance_time(at);
     let candidates = [
         Candidate { name: "a".into(), weight, can_acquire: share_of_owner >= 0.9 },
         Candidate { name: "b".into(), weight: 1.0, can_acquire: true },
     ];
-    recalls(&duties, &members(share_of_owner), &candidates, &|name| Some(name) == departing).len()
+    recalls(&duties, &members(share_of_owner), &candidates, &|name| Some(name) == with_place).len()
 }
 
 #[test]
--- a/crates/loomflow-fleet/src/maintenance/observation.rs
+++ b/crates/loomflow-fleet/src/maintenance/observation.rs
@@ -10,7 +10,7 @@
 /// The transitions that are called for, at most one for each ticket.
 pub fn transitions(view: &SchedulerView) -> Vec<FleetCommand> {
     let rules = view.maintenance.rules().cloned().unwrap_or_default();
-    let with_place = view.maintenance.holders().keys().filter_map(|server| {
+    let with_place = view.maintenance.tickets_with_place().keys().filter_map(|server| {
         let ticket = view.maintenance.ticket_with_place(server)?;
         Some((ticket, view.members.get(server)))
     });
--- a/crates/loomflow-fleet/src/maintenance/scheduling.rs
+++ b/crates/loomflow-fleet/src/maintenance/scheduling.rs
@@ -180,7 +180,7 @@
 
     /// Load and capacity if this server left, beside those that are out.
     fn estimate(&self, server: &str) -> Estimate {
-        let stays = |name: &str| name != server && !self.maintenance.is_departing(name);
+        let stays = |name: &str| name != server && !self.maintenance.has_place(name);
         self.headroom.estimate(self.members, &stays)
     }
 }
--- a/crates/loomflow-fleet/src/maintenance/scheduling/checks.rs
+++ b/crates/loomflow-fleet/src/maintenance/scheduling/checks.rs
@@ -124,7 +124,7 @@
 
     fn check_server(&self, server: &str) -> Finding {
         use MemberState::{Down, Left, Suspect};
-        let obstacle = match (self.members.get(server), self.maintenance.holders().get(server)) {
+        let obstacle = match (self.members.get(server), self.maintenance.tickets_with_place().get(server)) {
             (_, Some(other)) => Some(format!("it holds a place by ticket {other}")),
             (None, _) => Some("no server of that name was ever here".into()),
             // It could not receive the grant; one that is suspect may be back at once.
--- a/crates/loomflow-fleet/src/maintenance/state.rs
+++ b/crates/loomflow-fleet/src/maintenance/state.rs
@@ -65,7 +65,7 @@
 pub struct MaintenanceState {
     state: PersistentState,
     /// Servers that have a place, with the ticket by which.
-    holders: BTreeMap<ServerName, TicketId>,
+    tickets_with_place: BTreeMap<ServerName, TicketId>,
     /// Tickets with a deadline, the next first.
     deadlines: BTreeSet<(FleetMillis, TicketId)>,
     /// Open tickets of each server.
@@ -119,18 +119,18 @@
     }
 
     /// Servers that have a place, with the ticket by which.
-    pub fn holders(&self) -> &BTreeMap<ServerName, TicketId> {
-        &self.holders
+    pub fn tickets_with_place(&self) -> &BTreeMap<ServerName, TicketId> {
+        &self.tickets_with_place
     }
 
-    /// Whether a server has a place: it is out, or is about to shut down.
-    pub fn is_departing(&self, server: &str) -> bool {
-        self.holders.contains_key(server)
+    /// Whether a server has a place: it is about to shut down, out, overdue, or back and not yet done.
+    pub fn has_place(&self, server: &str) -> bool {
+        self.tickets_with_place.contains_key(server)
     }
 
     /// The ticket by which a server has a place.
     pub fn ticket_with_place(&self, server: &str) -> Option<&Ticket> {
-        self.state.open.get(self.holders.get(server)?)
+        self.state.open.get(self.tickets_with_place.get(server)?)
     }
 
     /// A server's open tickets, oldest first.
--- a/crates/loomflow-fleet/src/maintenance/state/apply.rs
+++ b/crates/loomflow-fleet/src/maintenance/state/apply.rs
@@ -132,7 +132,7 @@
         if ticket.opens_in(self.state.time) > 0 {
             return Err(Rejection::WindowNotOpen);
         }
-        if let Some(other) = self.holders.get(&server) {
+        if let Some(other) = self.tickets_with_place.get(&server) {
             return Err(Rejection::HasPlace(*other));
         }
         self.check_place(&server, &zone, census)?;
@@ -255,7 +255,7 @@
             self.deadlines.insert((at, ticket.id));
         }
         if ticket.stage.has_place() {
-            self.holders.insert(server.clone(), ticket.id);
+            self.tickets_with_place.insert(server.clone(), ticket.id);
         }
         self.tickets_by_server.entry(server.clone()).or_default().insert(ticket.id);
     }
@@ -266,7 +266,7 @@
             self.deadlines.remove(&(at, ticket.id));
         }
         if ticket.stage.has_place() {
-            self.holders.remove(server);
+            self.tickets_with_place.remove(server);
         }
         if let Some(ids) = self.tickets_by_server.get_mut(server) {
             ids.remove(&ticket.id);
--- a/crates/loomflow-fleet/src/maintenance/state/limits.rs
+++ b/crates/loomflow-fleet/src/maintenance/state/limits.rs
@@ -35,7 +35,7 @@
     ) -> BTreeMap<&'a str, &'a str> {
         let mut out: BTreeMap<&str, &str> =
             census.away.iter().map(|(name, zone)| (name.as_str(), zone.as_str())).collect();
-        for (name, id) in &self.holders {
+        for (name, id) in &self.tickets_with_place {
             let zone = self.state.open.get(id).map_or("", |ticket| ticket.request.zone.as_str());
             out.insert(name, zone);
         }
--- a/crates/loomflow-fleet/src/node/duty_leadership.rs
+++ b/crates/loomflow-fleet/src/node/duty_leadership.rs
@@ -122,8 +122,8 @@
             }
         }
         let members = self.member_views(now);
-        let is_departing = |name: &str| state.maintenance.is_departing(name);
-        let commands = assign::commands(&state.duties, &members, &is_departing);
+        let has_place = |name: &str| state.maintenance.has_place(name);
+        let commands = assign::commands(&state.duties, &members, &has_place);
         commands.into_iter().map(FleetCommand::Duty).collect()
     }
 
@@ -131,8 +131,8 @@
     pub(super) fn choose_successor(&self, duty: &str, now: WholeMillis) -> Option<ServerName> {
         let state = self.fleet_state()?;
         let owner = &state.duties.duties().get(duty)?.lease.as_ref()?.owner;
-        let is_departing = |name: &str| state.maintenance.is_departing(name);
-        let candidates = assign::candidates(&state.duties, &self.member_views(now), &is_departing);
+        let has_place = |name: &str| state.maintenance.has_place(name);
+        let candidates = assign::candidates(&state.duties, &self.member_views(now), &has_place);
         assign::successor(&state.duties, &candidates, duty, owner)
     }
 
--- a/crates/loomflow-fleet/src/node/leadership_transfer/tests.rs
+++ b/crates/loomflow-fleet/src/node/leadership_transfer/tests.rs
@@ -18,7 +18,7 @@
         let entry = Entry { id, at: 0, issuer: Issuer::Leader, command };
         maintenance.apply(&postcard::to_stdvec(&entry).unwrap());
     }
-    assert!(maintenance.is_departing("a"));
+    assert!(maintenance.has_place("a"));
     maintenance
 }
 
--- a/crates/loomflow-fleet/src/node/status.rs
+++ b/crates/loomflow-fleet/src/node/status.rs
@@ -74,7 +74,7 @@
             rules: maintenance.rules().cloned().unwrap_or_else(|| self.config.rules.clone()),
             paused: maintenance.paused().map(str::to_owned),
             open: maintenance.open().len() as u32,
-            out: maintenance.holders().len() as u32,
+            out: maintenance.tickets_with_place().len() as u32,
             drains_without_ticket: maintenance.drains_without_ticket(),
             time: maintenance.time(),
             storage_error: self.storage_error.clone(),
--- a/crates/loomflow-fleet/tests/maintenance.rs
+++ b/crates/loomflow-fleet/tests/maintenance.rs
@@ -84,16 +84,16 @@
             let response = apply(&mut maintenance, &entry);
             prop_assert!(maintenance.time() >= time, "time never decreases");
             // Each server holds at most one place; of each zone at most one is out, of the voters at most one.
-            let holders: Vec<&str> = maintenance.holders().keys().map(String::as_str).collect();
-            prop_assert!(holders.len() <= 2, "{holders:?}");
+            let servers_out: Vec<&str> = maintenance.tickets_with_place().keys().map(String::as_str).collect();
+            prop_assert!(servers_out.len() <= 2, "{servers_out:?}");
             let held = maintenance.open().values().filter(|ticket| ticket.stage.has_place()).count();
-            prop_assert_eq!(held, holders.len());
+            prop_assert_eq!(held, servers_out.len());
             for zone in ["z0", "z1"] {
-                let here = maintenance.holders().values().filter(|id| maintenance.open()[*id].request.zone == zone).count();
+                let here = maintenance.tickets_with_place().values().filter(|id| maintenance.open()[*id].request.zone == zone).count();
                 prop_assert!(here <= 1, "{zone}");
             }
-            let voters = holders.iter().filter(|name| ["n0", "n1", "n2"].contains(name)).count();
-            prop_assert!(voters <= 1, "{holders:?}");
+            let voters = servers_out.iter().filter(|name| ["n0", "n1", "n2"].contains(name)).count();
+            prop_assert!(voters <= 1, "{servers_out:?}");
             // A repeated entry gets the same response and changes nothing.
             if !matches!(entry.issuer, Issuer::Leader) {
                 let before = maintenance.save();
@@ -102,7 +102,7 @@
             }
             // A state that was saved and loaded is the same, and stays so.
             let mut back = MaintenanceState::load(&maintenance.save()).unwrap();
-            prop_assert_eq!(back.holders(), maintenance.holders());
+            prop_assert_eq!(back.tickets_with_place(), maintenance.tickets_with_place());
             prop_assert_eq!(back.next_deadline(), maintenance.next_deadline());
             let later = Entry { id: 1 << 100, at: at + 50_000, issuer: Issuer::Leader, command: FleetCommand::Clock };
             apply(&mut back, &later);
--- a/crates/loomflow-fleet/tests/ticket_model.rs
+++ b/crates/loomflow-fleet/tests/ticket_model.rs
@@ -305,7 +305,7 @@
             Property::always(PLACE_RESERVED, |_, state: &State| {
                 state.servers.iter().enumerate().all(|(server, (process, _))| match process {
                     Process::Draining(ticket) | Process::Out(ticket) => {
-                        state.maintenance.holders().get(&name(server)) == Some(ticket)
+                        state.maintenance.tickets_with_place().get(&name(server)) == Some(ticket)
                     }
                     _ => true,
                 })
--- a/crates/loomflow-fleet/tests/wire_format.rs
+++ b/crates/loomflow-fleet/tests/wire_format.rs
@@ -112,7 +112,7 @@
     }
 }
 
-fn holder() -> ServerInstance {
+fn owner() -> ServerInstance {
     ServerInstance { name: "n1".into(), incarnation: 9 }
 }
 
@@ -135,8 +135,8 @@
     let write = |update| Write { duty: duty(), token: 4, update };
     vec![
         Declare(LeaseSettings::default(), vec![declared]),
-        KeepAlive(vec![holder()]),
-        End(holder()),
+        KeepAlive(vec![owner()]),
+        End(owner()),
         Assign(vec![(duty(), "n1".into())]),
         Recall(duty()),
         Release { duty: duty(), token: 4, successor: Some("n2".into()) },
@@ -153,7 +153,7 @@
 fn duty_answers() -> Vec<DutyResponse> {
     let row = DutyStatus {
         duty: "d".into(),
-        owner: Some(holder()),
+        owner: Some(owner()),
         token: 4,
         since: 5,
         is_recalled: true,
