--- a/crates/loomflow-fleet/src/membership.rs
+++ b/crates/loomflow-fleet/src/membership.rs
@@ -222,7 +222,7 @@
     /// Reads the state of all members, ends suspicions that nothing else ends, and forgets members that have been down for
     /// long.
     fn refresh(&mut self, now: WholeMillis) {
-        let declared_down = self.suspicions.unended(self.foca.iter_membership_state(), now);
+        let declared_down = self.suspicions.update(self.foca.iter_membership_state(), now);
         let _ = self.foca.apply_many(declared_down.into_iter(), true, &mut self.runtime);
         for member in self.foca.iter_membership_state() {
             update_member(&mut self.known, member.id(), member.state(), now);
--- a/crates/loomflow-fleet/src/membership/suspicion.rs
+++ b/crates/loomflow-fleet/src/membership/suspicion.rs
@@ -37,8 +37,9 @@
 }
 
 impl Suspicions {
-    /// Takes over the state of all members; returns the suspects to declare down.
-    pub(super) fn unended<'a>(
+    /// Updates the suspicions by the state of all members; returns the suspects whose suspicion has lasted too long, to be
+    /// declared down.
+    pub(super) fn update<'a>(
         &mut self,
         members: impl Iterator<Item = &'a Member<MemberIdentity>>,
         now: WholeMillis,
