--- a/crates/loomflow-fleet-commands/src/job_process.rs
+++ b/crates/loomflow-fleet-commands/src/job_process.rs
@@ -42,13 +42,13 @@
 }
 
 /// A duty that the server owns, and until when by the clock of this machine.
-struct Ownership {
+struct ConfirmedOwnership {
     duty: OwnershipConfirmation,
     valid_until: WholeMillis,
 }
 
 /// What was answered to one question about ownership; none where it is not there.
-type OwnershipAnswer = Result<Option<Ownership>, CommandError>;
+type OwnershipAnswer = Result<Option<ConfirmedOwnership>, CommandError>;
 
 /// Runs the program, once the server owns the duty.
 pub fn run(socket: &Path, options: &RunOptions) -> Result<ExitCode, CommandError> {
@@ -83,7 +83,7 @@
     match call(socket, &OperatorRequest::CheckOwnership(duty.to_owned()))? {
         OperatorResponse::Owned(duty) => {
             let valid_until = queried_at + duty.remaining_millis;
-            Ok(Some(Ownership { duty, valid_until }))
+            Ok(Some(ConfirmedOwnership { duty, valid_until }))
         }
         OperatorResponse::NotOwned => Ok(None),
         other => Err(CommandError::unexpected(&other)),
--- a/crates/loomflow-fleet-simulation/src/simulation.rs
+++ b/crates/loomflow-fleet-simulation/src/simulation.rs
@@ -14,7 +14,7 @@
 use std::fmt;
 
 use loomflow_fleet::command::FleetResponse;
-use loomflow_fleet::member::{LoadReport, Phase, RequestId};
+use loomflow_fleet::member::{FleetRequestId, LoadReport, Phase};
 use loomflow_fleet::node::{Effect, Node};
 use loomflow_fleet::time::WholeMillis;
 use loomflow_fleet::wire::LENGTH_BYTES;
@@ -45,7 +45,7 @@
 /// A request of an operator, and its response.
 pub struct OperatorCall {
     /// The request.
-    pub id: RequestId,
+    pub id: FleetRequestId,
     /// The machines that it is about.
     pub machines: Vec<MachineId>,
     /// None while there is no response.
--- a/crates/loomflow-fleet/src/command.rs
+++ b/crates/loomflow-fleet/src/command.rs
@@ -10,7 +10,7 @@
 use crate::maintenance::scheduling::Explanation;
 use crate::maintenance::state::TicketEvent;
 use crate::maintenance::ticket::{GrantNumber, Rejection, Ticket, TicketId, TicketRequest, Transition};
-use crate::member::{Incarnation, RequestId, ServerName};
+use crate::member::{FleetRequestId, Incarnation, ServerName};
 use crate::status::FleetStatus;
 use crate::time::FleetMillis;
 
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     /// Identifies the request: a retry has no further effect.
-    pub id: RequestId,
+    pub id: FleetRequestId,
     /// The fleet's time, as the leader counts it.
     pub at: FleetMillis,
     /// Who issued the command.
--- a/crates/loomflow-fleet/src/duty/client_session.rs
+++ b/crates/loomflow-fleet/src/duty/client_session.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use super::{DutyName, LeaseSettings, OwnedDuty, Ownership, SessionId, Token};
-use crate::member::RequestId;
+use crate::member::FleetRequestId;
 use crate::time::WholeMillis;
 
 /// A session is renewed so many times within its length.
@@ -35,7 +35,7 @@
     /// What this session released: a duty with a token up to this one is not taken up again.
     released: BTreeMap<DutyName, Token>,
     /// The renewal that has no answer yet, and when it was sent first.
-    pending_renewal: Option<(RequestId, WholeMillis)>,
+    pending_renewal: Option<(FleetRequestId, WholeMillis)>,
     next_renewal_at: WholeMillis,
     changes: Vec<OwnershipChange>,
 }
@@ -81,14 +81,14 @@
     }
 
     /// A renewal is sent. Returns the one before, if it was not answered.
-    pub fn renewal_sent(&mut self, id: RequestId, now: WholeMillis) -> Option<RequestId> {
+    pub fn renewal_sent(&mut self, id: FleetRequestId, now: WholeMillis) -> Option<FleetRequestId> {
         let period = self.lease_settings.lease_millis / RENEWALS_PER_LEASE;
         self.next_renewal_at = now + period.max(MIN_RENEWAL_GAP_MILLIS);
         self.pending_renewal.replace((id, now)).map(|(before, _)| before)
     }
 
     /// Whether this request is the renewal that has no answer yet.
-    pub fn is_pending_renewal(&self, id: RequestId) -> bool {
+    pub fn is_pending_renewal(&self, id: FleetRequestId) -> bool {
         self.pending_renewal.is_some_and(|(pending, _)| pending == id)
     }
 
--- a/crates/loomflow-fleet/src/fleet_state.rs
+++ b/crates/loomflow-fleet/src/fleet_state.rs
@@ -8,7 +8,7 @@
 use crate::maintenance::campaign::{CampaignCommand, Campaigns};
 use crate::maintenance::state::MaintenanceState;
 use crate::maintenance::ticket::Rejection;
-use crate::member::{RequestId, ServerName};
+use crate::member::{FleetRequestId, ServerName};
 
 /// All that the fleet has agreed on.
 #[derive(Clone, Debug, Default)]
@@ -64,9 +64,9 @@
 }
 
 impl StateMachine for FleetState {
-    type Output = (RequestId, FleetResponse);
+    type Output = (FleetRequestId, FleetResponse);
 
-    fn apply(&mut self, entry: &[u8]) -> Option<(RequestId, FleetResponse)> {
+    fn apply(&mut self, entry: &[u8]) -> Option<(FleetRequestId, FleetResponse)> {
         let entry: Entry = postcard::from_bytes(entry).ok()?;
         self.duties.advance_time(entry.at);
         let response = match &entry.command {
--- a/crates/loomflow-fleet/src/maintenance/campaign.rs
+++ b/crates/loomflow-fleet/src/maintenance/campaign.rs
@@ -13,7 +13,7 @@
 use super::state::MaintenanceState;
 use super::ticket::{Rejection, TicketId, TicketRequest, TicketStage};
 use crate::duty::{Token, truncate_reason};
-use crate::member::{MAX_NAME_BYTES, MemberView, RequestId, ServerName};
+use crate::member::{FleetRequestId, MAX_NAME_BYTES, MemberView, ServerName};
 
 /// Campaigns that are retained, finished ones included.
 pub const MAX_CAMPAIGNS: usize = 16;
@@ -212,7 +212,7 @@
     pub fn apply(
         &mut self,
         maintenance: &mut MaintenanceState,
-        request_id: RequestId,
+        request_id: FleetRequestId,
         requested_by: &str,
         command: &CampaignCommand,
     ) -> Result<Vec<TicketId>, Rejection> {
@@ -330,7 +330,7 @@
     fn create_batch(
         &mut self,
         maintenance: &mut MaintenanceState,
-        request_id: RequestId,
+        request_id: FleetRequestId,
         name: &str,
         share_before: f32,
     ) -> Result<Vec<TicketId>, Rejection> {
--- a/crates/loomflow-fleet/src/maintenance/state.rs
+++ b/crates/loomflow-fleet/src/maintenance/state.rs
@@ -14,7 +14,7 @@
 use super::ticket::{GrantNumber, Ticket, TicketId, TicketStage};
 use crate::command::{Entry, FleetResponse};
 use crate::consensus::{RECOVERY_ID_GAP, SnapshotError, StateMachine};
-use crate::member::{RequestId, ServerName, Zone};
+use crate::member::{FleetRequestId, ServerName, Zone};
 use crate::time::FleetMillis;
 
 /// Maximum number of open tickets; further ones are rejected.
@@ -57,7 +57,7 @@
     drains_without_ticket: u64,
     last_granted: (ServerName, Zone),
     events: VecDeque<TicketEvent>,
-    responses: VecDeque<(RequestId, FleetResponse)>,
+    responses: VecDeque<(FleetRequestId, FleetResponse)>,
 }
 
 /// Tickets, rules and what has happened.
@@ -151,9 +151,9 @@
 }
 
 impl StateMachine for MaintenanceState {
-    type Output = (RequestId, FleetResponse);
+    type Output = (FleetRequestId, FleetResponse);
 
-    fn apply(&mut self, entry: &[u8]) -> Option<(RequestId, FleetResponse)> {
+    fn apply(&mut self, entry: &[u8]) -> Option<(FleetRequestId, FleetResponse)> {
         let entry: Entry = postcard::from_bytes(entry).ok()?;
         Some((entry.id, self.apply_entry(&entry)))
     }
--- a/crates/loomflow-fleet/src/maintenance/state/apply.rs
+++ b/crates/loomflow-fleet/src/maintenance/state/apply.rs
@@ -11,7 +11,7 @@
 use crate::maintenance::ticket::{
     Actor, GrantNumber, Rejection, Ticket, TicketId, TicketRequest, TicketStage, Transition, next_stage,
 };
-use crate::member::{Incarnation, RequestId, ServerName};
+use crate::member::{FleetRequestId, Incarnation, ServerName};
 use crate::time::FleetMillis;
 
 impl MaintenanceState {
@@ -80,7 +80,7 @@
     /// Too many are open, or a request is not valid.
     pub fn create_tickets(
         &mut self,
-        request_id: RequestId,
+        request_id: FleetRequestId,
         requested_by: &str,
         requests: &[TicketRequest],
     ) -> Result<Vec<TicketId>, Rejection> {
--- a/crates/loomflow-fleet/src/maintenance/ticket.rs
+++ b/crates/loomflow-fleet/src/maintenance/ticket.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::duty::MAX_REASON_BYTES;
-use crate::member::{Incarnation, MAX_NAME_BYTES, RequestId, ServerName, Zone};
+use crate::member::{FleetRequestId, Incarnation, MAX_NAME_BYTES, ServerName, Zone};
 use crate::time::FleetMillis;
 
 /// Numbers a ticket, from 1 on.
@@ -422,7 +422,7 @@
     pub id: TicketId,
     /// The request that created it.
     #[serde(rename = "key")]
-    pub request_id: RequestId,
+    pub request_id: FleetRequestId,
     /// What was requested.
     #[serde(rename = "wanted")]
     pub request: TicketRequest,
--- a/crates/loomflow-fleet/src/member.rs
+++ b/crates/loomflow-fleet/src/member.rs
@@ -21,7 +21,7 @@
 pub type Incarnation = u64;
 
 /// Identifies one request for good: a retry carries the same.
-pub type RequestId = u128;
+pub type FleetRequestId = u128;
 
 /// What the members know each other by. To the membership a name is an address: of two members with the same name the later
 /// start wins, and of one start the one that was renewed more often.
--- a/crates/loomflow-fleet/src/node/duties.rs
+++ b/crates/loomflow-fleet/src/node/duties.rs
@@ -15,7 +15,7 @@
 };
 use crate::fleet_state::CAMPAIGN;
 use crate::maintenance::campaign::{self, CampaignCommand, CampaignStep, CampaignView};
-use crate::member::{Phase, RequestId, ServerName};
+use crate::member::{FleetRequestId, Phase, ServerName};
 use crate::status::{FleetStatus, SummaryReport};
 use crate::time::WholeMillis;
 use crate::wire::Body;
@@ -49,18 +49,18 @@
 struct PeriodicQuery {
     next_at: WholeMillis,
     /// The question that has no answer yet, and the token that it was sent with.
-    pending: Option<(RequestId, Token)>,
+    pending: Option<(FleetRequestId, Token)>,
 }
 
 impl PeriodicQuery {
     /// The question is sent; the next one is due at `next_at`.
-    fn start(&mut self, id: RequestId, token: Token, next_at: WholeMillis) {
+    fn start(&mut self, id: FleetRequestId, token: Token, next_at: WholeMillis) {
         self.next_at = next_at;
         self.pending = Some((id, token));
     }
 
     /// The token of the question, where this is the answer to it.
-    fn answered(&mut self, id: RequestId) -> Option<Token> {
+    fn answered(&mut self, id: FleetRequestId) -> Option<Token> {
         self.pending.take_if(|(pending, _)| *pending == id).map(|(_, token)| token)
     }
 }
@@ -79,7 +79,7 @@
     #[default]
     Open,
     /// The end was sent, and has no response.
-    Pending(RequestId),
+    Pending(FleetRequestId),
     Ended,
 }
 
@@ -155,14 +155,20 @@
     }
 
     /// Writes something about a duty into the fleet's state. The response comes as an effect.
-    pub fn write(&mut self, duty: &str, token: Token, update: OwnerUpdate, now: WholeMillis) -> RequestId {
+    pub fn write(
+        &mut self,
+        duty: &str,
+        token: Token,
+        update: OwnerUpdate,
+        now: WholeMillis,
+    ) -> FleetRequestId {
         let command = DutyCommand::Write { duty: duty.to_owned(), token, update };
         let id = self.send_duty_command(command, now);
         self.process_outputs(now);
         id
     }
 
-    fn send_duty_command(&mut self, command: DutyCommand, now: WholeMillis) -> RequestId {
+    fn send_duty_command(&mut self, command: DutyCommand, now: WholeMillis) -> FleetRequestId {
         let id = self.rng.random();
         let request = FleetRequest::Execute { issuer: self.issuer(), command: FleetCommand::Duty(command) };
         self.submit_as(id, request, now);
--- a/crates/loomflow-fleet/src/node/duty_leadership.rs
+++ b/crates/loomflow-fleet/src/node/duty_leadership.rs
@@ -12,7 +12,7 @@
 use crate::duty::{
     DutyCommand, DutyName, DutyRejection, DutyResponse, Ownership, ServerInstance, Token, assign,
 };
-use crate::member::{RequestId, ServerName};
+use crate::member::{FleetRequestId, ServerName};
 use crate::membership::MAX_MEMBERS;
 use crate::time::WholeMillis;
 use crate::wire::Body;
@@ -21,11 +21,11 @@
 const RENEWAL_BATCH_TIMEOUT_MILLIS: WholeMillis = 2_000;
 
 /// Renewals, each with its request.
-type Batch = Vec<(RequestId, ServerInstance)>;
+type Batch = Vec<(FleetRequestId, ServerInstance)>;
 
 /// A batch that is to be committed.
 struct PendingBatch {
-    id: RequestId,
+    id: FleetRequestId,
     renewals: Batch,
     expires_at: WholeMillis,
 }
@@ -49,7 +49,12 @@
 
 impl Node {
     /// Takes a server's renewal; it is added to the log with those of others.
-    pub(super) fn queue_renewal(&mut self, id: RequestId, instances: Vec<ServerInstance>, now: WholeMillis) {
+    pub(super) fn queue_renewal(
+        &mut self,
+        id: FleetRequestId,
+        instances: Vec<ServerInstance>,
+        now: WholeMillis,
+    ) {
         let waiting = &mut self.leadership.sessions.waiting;
         let is_known = waiting.iter().any(|(other, _)| *other == id);
         let has_capacity = waiting.len() < MAX_MEMBERS;
@@ -82,7 +87,7 @@
     }
 
     /// An entry is applied; true where it was the pending batch, whose servers are then notified of what they own.
-    pub(super) fn renewals_applied(&mut self, id: RequestId, now: WholeMillis) -> bool {
+    pub(super) fn renewals_applied(&mut self, id: FleetRequestId, now: WholeMillis) -> bool {
         let pending = self.leadership.sessions.pending.take_if(|pending| pending.id == id);
         let Some(PendingBatch { renewals, .. }) = pending else { return false };
         for (id, instance) in renewals {
--- a/crates/loomflow-fleet/src/node/leadership.rs
+++ b/crates/loomflow-fleet/src/node/leadership.rs
@@ -11,7 +11,7 @@
 use crate::maintenance::observation;
 use crate::maintenance::scheduling::{Decision, SchedulerView};
 use crate::maintenance::state::MaintenanceState;
-use crate::member::{MemberState, RequestId, ServerName};
+use crate::member::{FleetRequestId, MemberState, ServerName};
 use crate::time::{FleetMillis, WholeMillis};
 
 /// How often the leader decides, ms.
@@ -28,14 +28,14 @@
     began: Option<(WholeMillis, FleetMillis)>,
     next_round_at: WholeMillis,
     /// Proposals that are not committed yet, and until when they are waited for.
-    pending: BTreeSet<RequestId>,
+    pending: BTreeSet<FleetRequestId>,
     pending_until: WholeMillis,
     pub sessions: SessionBatches,
 }
 
 impl Leadership {
     /// A proposal is applied: what follows from it need not wait for the next round.
-    pub fn proposal_applied(&mut self, id: RequestId) {
+    pub fn proposal_applied(&mut self, id: FleetRequestId) {
         if self.pending.remove(&id) && self.pending.is_empty() {
             self.next_round_at = 0;
         }
--- a/crates/loomflow-fleet/src/node/mod.rs
+++ b/crates/loomflow-fleet/src/node/mod.rs
@@ -36,8 +36,8 @@
 use crate::maintenance::state::MaintenanceState;
 use crate::maintenance::ticket::TicketId;
 use crate::member::{
-    LoadReport, MemberIdentity, MemberState, MemberView, Phase, REPORT_PERIOD_MILLIS, RequestId, ServerName,
-    Zone, is_report_recent,
+    FleetRequestId, LoadReport, MemberIdentity, MemberState, MemberView, Phase, REPORT_PERIOD_MILLIS,
+    ServerName, Zone, is_report_recent,
 };
 use crate::membership::Membership;
 use crate::time::WholeMillis;
@@ -88,7 +88,7 @@
     /// Shut the server down as on SIGTERM: its begin is committed.
     Drain(TicketId),
     /// The response to a request that was submitted here.
-    Responded(RequestId, FleetResponse),
+    Responded(FleetRequestId, FleetResponse),
     /// The server acquired a duty, is to release it, or no longer owns it.
     Duty(OwnershipChange),
     /// A line for the log.
@@ -296,7 +296,7 @@
     }
 
     /// Sends a request of this machine to the leader; its response comes as an effect.
-    pub fn submit(&mut self, request: FleetRequest, now: WholeMillis) -> RequestId {
+    pub fn submit(&mut self, request: FleetRequest, now: WholeMillis) -> FleetRequestId {
         let id = self.rng.random();
         self.submit_as(id, request, now);
         self.process_outputs(now);
--- a/crates/loomflow-fleet/src/node/own_ticket.rs
+++ b/crates/loomflow-fleet/src/node/own_ticket.rs
@@ -8,7 +8,7 @@
 use crate::command::{FleetCommand, FleetRequest, FleetResponse};
 use crate::consensus::storage::{ReplicaMetadata, Storage, StorageError, WriteBatch};
 use crate::maintenance::ticket::{GrantNumber, Rejection, Ticket, TicketId, TicketStage, Transition};
-use crate::member::{Incarnation, Phase, RequestId};
+use crate::member::{FleetRequestId, Incarnation, Phase};
 use crate::time::WholeMillis;
 
 /// Maximum age of a response or notification that is relied on, from its request, ms. No timeout frees the place of a server
@@ -40,11 +40,11 @@
 #[derive(Default)]
 pub(super) struct OwnTicket {
     /// The begin that has no response yet: its request, and the grant that it takes up.
-    pending_begin: Option<(RequestId, GrantNumber)>,
+    pending_begin: Option<(FleetRequestId, GrantNumber)>,
     /// The ticket by which the server drains.
     draining_by: Option<(TicketId, GrantNumber)>,
     /// The report that it has drained, while that has no response.
-    pending_departure: Option<RequestId>,
+    pending_departure: Option<FleetRequestId>,
     /// That report is answered, or has timed out.
     pub is_departure_reported: bool,
     /// Every request that the server took is answered.
@@ -172,7 +172,7 @@
         grant: GrantNumber,
         transition: Transition,
         now: WholeMillis,
-    ) -> RequestId {
+    ) -> FleetRequestId {
         let incarnation = self.identity().incarnation;
         let command = FleetCommand::Transition { ticket, transition, grant, incarnation };
         let request = FleetRequest::Execute { issuer: self.issuer(), command };
--- a/crates/loomflow-fleet/src/node/requests.rs
+++ b/crates/loomflow-fleet/src/node/requests.rs
@@ -8,7 +8,7 @@
 use crate::consensus::ProposeError;
 use crate::duty::DutyCommand;
 use crate::maintenance::ticket::Rejection;
-use crate::member::{RequestId, ServerName};
+use crate::member::{FleetRequestId, ServerName};
 use crate::time::WholeMillis;
 use crate::wire::Body;
 
@@ -32,7 +32,7 @@
 /// A response to a request of our own.
 pub(super) struct ReceivedResponse<'a> {
     /// The request.
-    pub id: RequestId,
+    pub id: FleetRequestId,
     /// Its response.
     pub response: &'a FleetResponse,
     /// When the request was sent first.
@@ -48,8 +48,8 @@
 /// Requests that have no response yet.
 #[derive(Default)]
 pub(super) struct PendingRequests {
-    own: BTreeMap<RequestId, PendingRequest>,
-    forwarded: BTreeMap<RequestId, ReturnAddress>,
+    own: BTreeMap<FleetRequestId, PendingRequest>,
+    forwarded: BTreeMap<FleetRequestId, ReturnAddress>,
 }
 
 impl PendingRequests {
@@ -61,7 +61,7 @@
 }
 
 impl Node {
-    pub(super) fn submit_as(&mut self, id: RequestId, request: FleetRequest, now: WholeMillis) {
+    pub(super) fn submit_as(&mut self, id: FleetRequestId, request: FleetRequest, now: WholeMillis) {
         if self.requests.own.len() >= MAX_OWN {
             let rejection = Rejection::TooMany(MAX_OWN as u32);
             self.effects.push(Effect::Responded(id, FleetResponse::Rejected(rejection)));
@@ -74,13 +74,13 @@
     }
 
     /// The response to a request of our own is no longer wanted.
-    pub(super) fn cancel_request(&mut self, id: RequestId) {
+    pub(super) fn cancel_request(&mut self, id: FleetRequestId) {
         self.requests.own.remove(&id);
     }
 
     /// Sends requests again that have no response, and fails those that timed out.
     pub(super) fn retry_requests(&mut self, now: WholeMillis) {
-        let due: Vec<(RequestId, bool)> = self
+        let due: Vec<(FleetRequestId, bool)> = self
             .requests
             .own
             .iter()
@@ -97,7 +97,7 @@
         self.requests.forwarded.retain(|_, address| address.expires_at > now);
     }
 
-    fn send_request(&mut self, id: RequestId, now: WholeMillis) {
+    fn send_request(&mut self, id: FleetRequestId, now: WholeMillis) {
         let leader = self.leader().cloned();
         let Some(pending) = self.requests.own.get_mut(&id) else { return };
         pending.retry_at = now + RETRY_AFTER_MILLIS;
@@ -117,7 +117,7 @@
     pub(super) fn handle_request(
         &mut self,
         from: ServerName,
-        id: RequestId,
+        id: FleetRequestId,
         hops: u8,
         request: FleetRequest,
         now: WholeMillis,
@@ -136,7 +136,7 @@
     }
 
     /// The leader's part: commands are proposed, everything else is answered at once.
-    fn execute_request(&mut self, id: RequestId, request: FleetRequest, now: WholeMillis) {
+    fn execute_request(&mut self, id: FleetRequestId, request: FleetRequest, now: WholeMillis) {
         match request {
             FleetRequest::Execute {
                 command: FleetCommand::Duty(DutyCommand::KeepAlive(instances)), ..
@@ -162,7 +162,7 @@
     }
 
     /// Sends a response to whoever sent the request.
-    pub(super) fn deliver_response(&mut self, id: RequestId, response: FleetResponse, now: WholeMillis) {
+    pub(super) fn deliver_response(&mut self, id: FleetRequestId, response: FleetResponse, now: WholeMillis) {
         match self.requests.forwarded.remove(&id) {
             Some(address) if address.member != self.config.name => {
                 self.send(&address.member, Body::Response { id, response });
@@ -172,7 +172,7 @@
     }
 
     /// Handles a response: to a request of our own, or to pass on.
-    pub(super) fn handle_response(&mut self, id: RequestId, response: FleetResponse, now: WholeMillis) {
+    pub(super) fn handle_response(&mut self, id: FleetRequestId, response: FleetResponse, now: WholeMillis) {
         if let Some(pending) = self.requests.own.remove(&id) {
             let sent_at = pending.expires_at - REQUEST_TIMEOUT_MILLIS;
             let received = ReceivedResponse { id, response: &response, sent_at };
--- a/crates/loomflow-fleet/src/wire.rs
+++ b/crates/loomflow-fleet/src/wire.rs
@@ -10,7 +10,7 @@
 use crate::command::{FleetRequest, FleetResponse};
 use crate::duty::{self, Token, summary::Summary};
 use crate::maintenance::ticket::Ticket;
-use crate::member::{LoadReport, MemberIdentity, Replica, RequestId, ServerName};
+use crate::member::{FleetRequestId, LoadReport, MemberIdentity, Replica, ServerName};
 use crate::time::WholeMillis;
 
 /// Maximum size of a message, bytes: a snapshot of as many tickets as there may be.
@@ -55,7 +55,7 @@
     /// A request on its way to the leader.
     Request {
         /// Identifies the request; a retry carries the same.
-        id: RequestId,
+        id: FleetRequestId,
         /// How often it has been forwarded.
         hops: u8,
         /// The request.
@@ -64,7 +64,7 @@
     /// A response on its way back.
     Response {
         /// The request that it answers.
-        id: RequestId,
+        id: FleetRequestId,
         /// The response.
         response: FleetResponse,
     },
--- a/crates/loomflow-server/src/fleet/jobs.rs
+++ b/crates/loomflow-server/src/fleet/jobs.rs
@@ -12,7 +12,7 @@
 use loomflow_fleet::duty::client_session::OwnershipChange;
 use loomflow_fleet::duty::job::{Exit, JobAction, JobRuns};
 use loomflow_fleet::duty::{DutyName, DutyResponse, OwnedDuty, OwnerUpdate, Token};
-use loomflow_fleet::member::RequestId;
+use loomflow_fleet::member::FleetRequestId;
 use loomflow_fleet::node::Node;
 use loomflow_fleet::time::WholeMillis;
 use loomflow_fleet_commands::exit_code;
@@ -56,7 +56,7 @@
     owned: BTreeMap<DutyName, OwnedJob>,
     /// Processes of former tokens that have not ended yet.
     former_children: Vec<Child>,
-    pending_writes: BTreeMap<RequestId, PendingWrite>,
+    pending_writes: BTreeMap<FleetRequestId, PendingWrite>,
     /// Duties whose work is done outside of this server, with when that was last seen.
     external_work: BTreeMap<DutyName, WholeMillis>,
     socket: PathBuf,
@@ -129,7 +129,7 @@
     /// Handles the response to a write; true where it was one.
     pub fn write_answered(
         &mut self,
-        id: RequestId,
+        id: FleetRequestId,
         response: &FleetResponse,
         node: &mut Node,
         now: WholeMillis,
--- a/crates/loomflow-server/src/fleet/operator_socket.rs
+++ b/crates/loomflow-server/src/fleet/operator_socket.rs
@@ -5,7 +5,7 @@
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 
-use loomflow_fleet::member::RequestId;
+use loomflow_fleet::member::FleetRequestId;
 use loomflow_fleet::operator::{LINE_END, MAX_LINE_BYTES, OperatorRequest, OperatorResponse, encode_line};
 use mio::net::{UnixListener, UnixStream};
 use mio::{Interest, Registry, Token};
@@ -33,7 +33,7 @@
     line: Vec<u8>,
     /// What is still to be written; the connection ends after it.
     response: Option<Vec<u8>>,
-    awaited_request: Option<RequestId>,
+    awaited_request: Option<FleetRequestId>,
 }
 
 /// The socket and its connections.
@@ -108,14 +108,14 @@
     }
 
     /// The connection's response comes with that request's.
-    pub fn await_response(&mut self, token: Token, id: RequestId) {
+    pub fn await_response(&mut self, token: Token, id: FleetRequestId) {
         if let Some(connection) = self.connections.get_mut(&token) {
             connection.awaited_request = Some(id);
         }
     }
 
     /// Responds to the connection that awaits this request, if it is still there.
-    pub fn deliver(&mut self, id: RequestId, response: &OperatorResponse) {
+    pub fn deliver(&mut self, id: FleetRequestId, response: &OperatorResponse) {
         let mut connections = self.connections.iter();
         let awaiting = connections.find(|(_, connection)| connection.awaited_request == Some(id));
         if let Some(token) = awaiting.map(|(token, _)| *token) {
