--- a/crates/loomflow-fleet/src/maintenance/scheduling.rs
+++ b/crates/loomflow-fleet/src/maintenance/scheduling.rs
@@ -155,9 +155,9 @@
         let open = self.maintenance.open().values();
         let mut waiting: Vec<&Ticket> =
             open.filter(|ticket| ticket.stage == TicketStage::Requested).collect();
-        let (last_server, last_zone) = self.maintenance.last_granted();
+        let last_granted = self.maintenance.last_granted();
         let is_voter = |name: &str| self.maintenance.voter_names().iter().any(|voter| voter == name);
-        let was_voter_last = is_voter(last_server);
+        let was_voter_last = is_voter(&last_granted.name);
         let mut busy_zones: BTreeMap<&str, bool> = BTreeMap::new();
         for ticket in &waiting {
             let zone = ticket.request.zone.as_str();
@@ -170,7 +170,7 @@
                 server == self.leader && age < NO_OVERTAKING_AFTER_MILLIS,
                 Reverse(ticket.request.urgency as u64 + age / AGEING_MILLIS),
                 was_voter_last && is_voter(server),
-                zone == last_zone,
+                zone == last_granted.zone,
                 busy_zones.get(zone).copied().unwrap_or(false),
                 ticket.id,
             )
--- a/crates/loomflow-fleet/src/maintenance/state.rs
+++ b/crates/loomflow-fleet/src/maintenance/state.rs
@@ -43,6 +43,15 @@
     pub grant: GrantNumber,
 }
 
+/// A server that was let go.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct GrantedServer {
+    /// The server.
+    pub name: ServerName,
+    /// Its zone.
+    pub zone: Zone,
+}
+
 /// The contents of a snapshot; the indexes follow from it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct PersistentState {
@@ -55,7 +64,7 @@
     voters: Vec<ServerName>,
     paused: Option<String>,
     drains_without_ticket: u64,
-    last_granted: (ServerName, Zone),
+    last_granted: GrantedServer,
     events: VecDeque<TicketEvent>,
     responses: VecDeque<(FleetRequestId, FleetResponse)>,
 }
@@ -113,9 +122,9 @@
         self.state.drains_without_ticket
     }
 
-    /// The server that was granted last, and its zone.
-    pub fn last_granted(&self) -> (&str, &str) {
-        (&self.state.last_granted.0, &self.state.last_granted.1)
+    /// The server that was granted last; its name is empty before any was.
+    pub fn last_granted(&self) -> &GrantedServer {
+        &self.state.last_granted
     }
 
     /// Servers that have a place, with the ticket by which.
--- a/crates/loomflow-fleet/src/maintenance/state/apply.rs
+++ b/crates/loomflow-fleet/src/maintenance/state/apply.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use super::{
-    MAX_CLOSED_TICKETS, MAX_EVENTS, MAX_LAPSES, MAX_OPEN_TICKETS, MAX_REMEMBERED_RESPONSES, MaintenanceState,
-    TicketEvent,
+    GrantedServer, MAX_CLOSED_TICKETS, MAX_EVENTS, MAX_LAPSES, MAX_OPEN_TICKETS, MAX_REMEMBERED_RESPONSES,
+    MaintenanceState, TicketEvent,
 };
 use crate::command::{Entry, FleetCommand, FleetResponse, Issuer};
 use crate::maintenance::Census;
@@ -137,7 +137,7 @@
         }
         self.check_place(&server, &zone, census)?;
         self.state.last_grant += 1;
-        self.state.last_granted = (server, zone);
+        self.state.last_granted = GrantedServer { name: server, zone };
         let grant = self.state.last_grant;
         let begin_within = self.state.rules.clone().unwrap_or_default().begin_within_millis;
         let deadline = self.state.time + begin_within;
--- a/crates/loomflow-fleet/src/member.rs
+++ b/crates/loomflow-fleet/src/member.rs
@@ -153,6 +153,15 @@
     }
 }
 
+/// A load report with the time at which it was received.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ReceivedReport {
+    /// When, by the clock of the receiver.
+    pub at: WholeMillis,
+    /// The report.
+    pub report: LoadReport,
+}
+
 /// What the leader knows of a member, itself included.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberView {
--- a/crates/loomflow-fleet/src/membership.rs
+++ b/crates/loomflow-fleet/src/membership.rs
@@ -17,7 +17,7 @@
 use rand::rngs::SmallRng;
 
 use self::suspicion::Suspicions;
-use crate::member::{LoadReport, MemberIdentity, Replica, ServerName};
+use crate::member::{LoadReport, MemberIdentity, ReceivedReport, Replica, ServerName};
 use crate::time::{WholeMillis, whole_millis};
 
 /// Maximum number of members, this one included; a packet that names more is taken without them.
@@ -34,8 +34,8 @@
     pub identity: MemberIdentity,
     /// Its state by the membership protocol.
     pub swim_state: SwimState,
-    /// Its last load report and when it came; none yet from this start of it.
-    pub load_report: Option<(WholeMillis, LoadReport)>,
+    /// Its last load report; none yet from this start of it.
+    pub load_report: Option<ReceivedReport>,
     /// Its replica, if it is a voter.
     pub replica: Option<Replica>,
     /// Since when it is in its state.
@@ -137,7 +137,7 @@
             && known.identity.incarnation == from.incarnation
             && report.is_valid()
         {
-            known.load_report = Some((now, report));
+            known.load_report = Some(ReceivedReport { at: now, report });
             known.replica = replica;
         }
     }
--- a/crates/loomflow-fleet/src/membership/failure_detection.rs
+++ b/crates/loomflow-fleet/src/membership/failure_detection.rs
@@ -10,7 +10,7 @@
 use foca::{Config, PeriodicParams, State as SwimState};
 
 use super::KnownMember;
-use crate::member::{LoadReport, MemberState, Phase, is_report_recent};
+use crate::member::{LoadReport, MemberState, Phase, ReceivedReport, is_report_recent};
 use crate::time::WholeMillis;
 
 /// How often a member probes another one, ms.
@@ -74,7 +74,7 @@
 impl KnownMember {
     /// Its state by its own report and the membership; tickets are not considered.
     pub fn state(&self) -> MemberState {
-        let phase = self.load_report.map(|(_, report)| report.phase);
+        let phase = self.load_report.map(|received| received.report.phase);
         match (self.swim_state, phase) {
             (SwimState::Down, Some(Phase::Draining)) => MemberState::Left,
             (SwimState::Down, _) => MemberState::Down,
@@ -97,7 +97,7 @@
 
     /// Its load report, if that is recent and the member is not down.
     pub fn recent_report(&self, now: WholeMillis) -> Option<LoadReport> {
-        let (received_at, report) = self.load_report?;
-        (!self.is_down() && is_report_recent(received_at, now)).then_some(report)
+        let ReceivedReport { at, report } = self.load_report?;
+        (!self.is_down() && is_report_recent(at, now)).then_some(report)
     }
 }
--- a/crates/loomflow-fleet/src/node/leadership_transfer.rs
+++ b/crates/loomflow-fleet/src/node/leadership_transfer.rs
@@ -24,7 +24,7 @@
 
 /// Whether a member is alive and about to stay: a leader that shuts down soon would hand over once more.
 fn may_lead(known: &KnownMember, maintenance: &MaintenanceState) -> bool {
-    let is_draining = known.load_report.is_some_and(|(_, report)| report.phase == Phase::Draining);
+    let is_draining = known.load_report.is_some_and(|received| received.report.phase == Phase::Draining);
     let is_alive = known.swim_state == foca::State::Alive;
     is_alive && !is_draining && !maintenance.has_place(&known.identity.name)
 }
--- a/crates/loomflow-fleet/src/node/leadership_transfer/tests.rs
+++ b/crates/loomflow-fleet/src/node/leadership_transfer/tests.rs
@@ -3,7 +3,7 @@
 use crate::consensus::StateMachine;
 use crate::fixtures::ticket_request;
 use crate::maintenance::Census;
-use crate::member::{LoadReport, MemberIdentity, Zone};
+use crate::member::{LoadReport, MemberIdentity, ReceivedReport, Zone};
 use foca::State::{Alive, Down, Suspect};
 
 /// A state in which the server "a" has a place.
@@ -26,7 +26,7 @@
     KnownMember {
         identity: MemberIdentity::new(name.into(), Zone::new(), ([127, 0, 0, 1], 1).into(), 1),
         swim_state,
-        load_report: Some((0, LoadReport { phase, ..LoadReport::default() })),
+        load_report: Some(ReceivedReport { at: 0, report: LoadReport { phase, ..LoadReport::default() } }),
         replica: None,
         since: 0,
     }
--- a/crates/loomflow-fleet/src/node/mod.rs
+++ b/crates/loomflow-fleet/src/node/mod.rs
@@ -37,7 +37,7 @@
 use crate::maintenance::ticket::TicketId;
 use crate::member::{
     FleetRequestId, LoadReport, MemberIdentity, MemberState, MemberView, Phase, REPORT_PERIOD_MILLIS,
-    ServerName, Zone, is_report_recent,
+    ReceivedReport, ServerName, Zone, is_report_recent,
 };
 use crate::membership::Membership;
 use crate::time::WholeMillis;
@@ -121,8 +121,8 @@
     /// Why the data directory cannot be used, in words.
     storage_error: Option<String>,
     rng: SmallRng,
-    /// The server's load, and when it was reported.
-    load: Option<(WholeMillis, LoadReport)>,
+    /// The server's own load.
+    load: Option<ReceivedReport>,
     phase: Phase,
     next_report_at: WholeMillis,
     /// The newest notification of a voter, and when it came.
@@ -224,7 +224,7 @@
 
     /// Sets the server's load, every second or so. Without it this member reports nothing of itself.
     pub fn set_load(&mut self, now: WholeMillis, load_report: LoadReport) {
-        self.load = Some((now, load_report));
+        self.load = Some(ReceivedReport { at: now, report: load_report });
         if self.phase != Phase::Draining {
             self.phase = load_report.phase;
         }
@@ -232,8 +232,8 @@
 
     /// The server's last load report, if that is recent.
     fn own_load_report(&self, now: WholeMillis) -> Option<LoadReport> {
-        let (reported_at, load_report) = self.load?;
-        is_report_recent(reported_at, now).then_some(LoadReport { phase: self.phase, ..load_report })
+        let ReceivedReport { at, report } = self.load?;
+        is_report_recent(at, now).then_some(LoadReport { phase: self.phase, ..report })
     }
 
     /// Takes a message's bytes, without the length.
--- a/crates/loomflow-fleet/src/node/status.rs
+++ b/crates/loomflow-fleet/src/node/status.rs
@@ -102,8 +102,8 @@
             incarnation: view.incarnation,
             state: if is_out { MemberState::Out } else { view.state },
             is_voter: voters.contains(&name),
-            load_report: last_report.map(|(_, report)| report),
-            report_age_millis: last_report.map(|(at, _)| now.saturating_sub(at)),
+            load_report: last_report.map(|received| received.report),
+            report_age_millis: last_report.map(|received| now.saturating_sub(received.at)),
             ticket,
             name,
         }
