--- a/crates/loomflow-fleet-commands/src/client.rs
+++ b/crates/loomflow-fleet-commands/src/client.rs
@@ -15,7 +15,7 @@
 
 use crate::error::CommandError;
 
-/// A response is waited for so long: longer than the server itself waits for the leader.
+/// A response is waited for this long: longer than the server itself waits for the leader.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Speaks with the server on this machine, and prints what it answers.
--- a/crates/loomflow-fleet-commands/src/job_process.rs
+++ b/crates/loomflow-fleet-commands/src/job_process.rs
@@ -25,7 +25,7 @@
 const PROCESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How often ownership is asked for where it is not there yet.
 const OWNERSHIP_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Ownership is asked for so many times within a lease while the process runs.
+/// Ownership is asked for this many times within a lease while the process runs.
 const OWNERSHIP_POLLS_PER_LEASE: u64 = 10;
 
 /// The options of `duty run`.
--- a/crates/loomflow-fleet-simulation/src/machine.rs
+++ b/crates/loomflow-fleet-simulation/src/machine.rs
@@ -65,8 +65,9 @@
     /// The member that its process runs; none where it is dead.
     pub node: Option<Node>,
     pub(crate) disk: SimulatedDisk,
-    /// Its clock is ahead by so much, and runs so much faster.
+    /// How far its clock is ahead, ms.
     clock_offset: WholeMillis,
+    /// How fast its clock runs; 1 is exact.
     clock_rate: f64,
     /// Its process stands still until then.
     pub(crate) stopped_until: WholeMillis,
@@ -78,7 +79,7 @@
     /// How long maintenance takes here; none where it is never back.
     pub(crate) maintenance_millis: Option<WholeMillis>,
     pub(crate) next_load_at: WholeMillis,
-    /// The share that its module requests, where a fault sets it.
+    /// The share that its controller requests, where a fault sets it.
     pub(crate) forced_share: Option<f32>,
     /// What it has sent.
     pub sent: Traffic,
--- a/crates/loomflow-fleet-simulation/src/parallel.rs
+++ b/crates/loomflow-fleet-simulation/src/parallel.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// Runs something for each number, on so many threads; the results are in the order of the numbers.
+/// Runs something for each number, on this many threads; the results are in the order of the numbers.
 pub fn run_parallel<T: Send>(threads: usize, numbers: Range<u64>, run: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let next = AtomicU64::new(numbers.start);
     let results = Mutex::new(Vec::new());
--- a/crates/loomflow-fleet-simulation/src/scenario.rs
+++ b/crates/loomflow-fleet-simulation/src/scenario.rs
@@ -17,7 +17,7 @@
     Kill(MachineId),
     /// A dead one starts again.
     Start(MachineId),
-    /// The process stands still for so long, ms; what is sent to it waits.
+    /// The process stands still for this long, ms; what is sent to it waits.
     Stop(MachineId, WholeMillis),
     /// Its disk is lost. Counts from its next start.
     LoseDisk(MachineId),
@@ -41,11 +41,11 @@
     Abandon(TicketId),
     /// The fleet's load, in concurrent runs for each machine there is.
     SetLoad(f64),
-    /// A machine that is taken out stays out so long, ms; none where it never comes back.
+    /// A machine that is taken out stays out this long, ms; none where it never comes back.
     SetMaintenance(MachineId, Option<WholeMillis>),
     /// SIGTERM, without a ticket.
     Terminate(MachineId),
-    /// Its module requests this share of its usual traffic from now on, whatever its load.
+    /// Its controller requests this share of its usual traffic from now on, whatever its load.
     SetShare(MachineId, f32),
 }
 
--- a/crates/loomflow-fleet/src/consensus/ready.rs
+++ b/crates/loomflow-fleet/src/consensus/ready.rs
@@ -7,7 +7,7 @@
 use super::{Consensus, ConsensusError, StateMachine, decode, encode};
 use crate::member::ServerName;
 
-/// A snapshot is written after so many entries: what a restart reads again at most.
+/// A snapshot is written after this many entries: what a restart reads again at most.
 const SNAPSHOT_EVERY_ENTRIES: u64 = 512;
 
 impl<M: StateMachine> Consensus<M> {
--- a/crates/loomflow-fleet/src/duty/assign.rs
+++ b/crates/loomflow-fleet/src/duty/assign.rs
@@ -1,7 +1,7 @@
 //! Who should own what. [`super::load`] ranks the servers and bounds their load; `recall` has the reasons for
 //! which an owner is to release a duty.
 //!
-//! A server's weight is the share that it requests, by its decision module: one in overload acquires nothing new.
+//! A server's weight is the share that it requests, by its controller: one in overload acquires nothing new.
 
 use std::collections::BTreeMap;
 
--- a/crates/loomflow-fleet/src/duty/assign/tests.rs
+++ b/crates/loomflow-fleet/src/duty/assign/tests.rs
@@ -7,7 +7,7 @@
     (0..count).map(|n| Candidate { name: format!("n{n}"), weight: 1.0, can_acquire: true }).collect()
 }
 
-/// So many duties, all free, and so many servers with a session.
+/// The given numbers of duties, all free, and of servers with a session.
 fn duties_and_sessions(duties: usize, servers: usize) -> Duties {
     let mut state = Duties::default();
     let declared = (0..duties).map(|n| DutySpec::plain(&format!("d{n}"))).collect();
--- a/crates/loomflow-fleet/src/duty/client_session.rs
+++ b/crates/loomflow-fleet/src/duty/client_session.rs
@@ -8,7 +8,7 @@
 use crate::member::FleetRequestId;
 use crate::time::WholeMillis;
 
-/// A session is renewed so many times within its length.
+/// A session is renewed this many times within its length.
 const RENEWALS_PER_LEASE: u64 = 4;
 /// Shortest time between two renewals, ms.
 const MIN_RENEWAL_GAP_MILLIS: WholeMillis = 20;
--- a/crates/loomflow-fleet/src/duty/mod.rs
+++ b/crates/loomflow-fleet/src/duty/mod.rs
@@ -72,7 +72,7 @@
     /// The time until a session without a renewal expires, ms.
     #[serde(rename = "lease")]
     pub lease_millis: WholeMillis,
-    /// A duty that was lost or failed so often in a row, with nothing done between, is parked.
+    /// A duty that was lost or failed this many times in a row, with nothing done between, is parked.
     #[serde(rename = "attempts")]
     pub max_attempts: u32,
 }
@@ -236,7 +236,7 @@
         #[serde(rename = "counts")]
         current: Token,
     },
-    /// An earlier start of this server may still own something; for so long, ms.
+    /// An earlier start of this server may still own something, for this long, ms.
     #[error("an earlier start of this server may own something for {0} ms more")]
     #[serde(rename = "FormerSelf")]
     EarlierIncarnation(WholeMillis),
--- a/crates/loomflow-fleet/src/duty/schedule.rs
+++ b/crates/loomflow-fleet/src/duty/schedule.rs
@@ -27,7 +27,7 @@
 /// The times at which a duty is due.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Recurrence {
-    /// Each time that the Unix time is a multiple of so many seconds.
+    /// Each time that the Unix time is a multiple of this many seconds.
     Every(u64),
     /// Five fields, in UTC.
     Cron(String),
--- a/crates/loomflow-fleet/src/maintenance/campaign.rs
+++ b/crates/loomflow-fleet/src/maintenance/campaign.rs
@@ -4,7 +4,7 @@
 //!
 //! A batch is requested when all tickets of the one before are done. A campaign halts when one of its tickets did not end in
 //! order, or when the servers that came back request clearly less of their usual traffic than before: what was rolled out is
-//! worse, and the rest of the fleet is spared it. An operator resumes it or drops it.
+//! worse, and the rest of the fleet is not changed. An operator resumes it or drops it.
 
 use std::collections::BTreeMap;
 
--- a/crates/loomflow-fleet/src/maintenance/rules.rs
+++ b/crates/loomflow-fleet/src/maintenance/rules.rs
@@ -7,7 +7,7 @@
 /// A number of servers, or a share of those in the fleet or zone.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Limit {
-    /// So many.
+    /// This many.
     Count(u32),
     /// From 0 to 1; rounded down, but never to none.
     Share(f64),
@@ -32,7 +32,7 @@
     /// Servers out at once in one zone; no limit of its own where absent.
     #[serde(rename = "zone_out")]
     pub max_out_per_zone: Option<Limit>,
-    /// A grant that is not taken up for so long lapses, ms.
+    /// A grant that is not taken up for this long lapses, ms.
     #[serde(rename = "begin_within")]
     pub begin_within_millis: FleetMillis,
     /// How long a server carries its load before its place is available, ms.
--- a/crates/loomflow-fleet/src/maintenance/scheduling.rs
+++ b/crates/loomflow-fleet/src/maintenance/scheduling.rs
@@ -18,9 +18,9 @@
 use crate::time::FleetMillis;
 pub use checks::{Check, Finding};
 
-/// A ticket rises by one urgency for each so long that it waits, ms.
+/// A ticket rises by one urgency each time that it has waited this long, ms.
 pub const AGEING_MILLIS: FleetMillis = 30 * 60 * 1000;
-/// One that has waited so long for a place is not overtaken, ms: a place that becomes available is reserved for it.
+/// One that has waited this long for a place is not overtaken, ms: a place that becomes available is reserved for it.
 pub const NO_OVERTAKING_AFTER_MILLIS: FleetMillis = 2 * AGEING_MILLIS;
 /// Tickets that are considered in one round.
 const MAX_TICKETS_CONSIDERED: usize = 256;
--- a/crates/loomflow-fleet/src/maintenance/state.rs
+++ b/crates/loomflow-fleet/src/maintenance/state.rs
@@ -25,7 +25,7 @@
 pub const MAX_EVENTS: usize = 2_000;
 /// Responses that are retained for retries.
 const MAX_REMEMBERED_RESPONSES: usize = 1_024;
-/// A ticket whose grants lapsed so often is closed.
+/// A ticket whose grants lapsed this many times is closed.
 const MAX_LAPSES: u8 = 3;
 
 /// A ticket came to a stage.
--- a/crates/loomflow-fleet/src/maintenance/ticket.rs
+++ b/crates/loomflow-fleet/src/maintenance/ticket.rs
@@ -208,7 +208,7 @@
     #[error("it has gone too far for this: {}", .0.as_str())]
     #[serde(rename = "UnderWay")]
     TooLate(TicketStage),
-    /// It has not come so far yet.
+    /// Its stage is too early for this.
     #[error("it is not so far: {}", .0.as_str())]
     #[serde(rename = "NotYet")]
     TooEarly(TicketStage),
@@ -258,7 +258,7 @@
     #[error("it holds a place by ticket {0}")]
     #[serde(rename = "HoldsPlace")]
     HasPlace(TicketId),
-    /// So many are open, as many as there may be.
+    /// This many are open, as many as there may be.
     #[error("{0} are open, as many as there may be")]
     TooMany(u32),
     /// The command makes no sense, in words.
--- a/crates/loomflow-fleet/src/membership/failure_detection.rs
+++ b/crates/loomflow-fleet/src/membership/failure_detection.rs
@@ -90,7 +90,7 @@
         self.swim_state == SwimState::Down
     }
 
-    /// Whether it has been down for so long that it no longer counts as missing.
+    /// Whether it has been down for [`FORGET_AFTER_MILLIS`] and no longer counts as missing.
     pub(super) fn is_forgotten(&self, now: WholeMillis) -> bool {
         self.is_down() && now >= self.since + FORGET_AFTER_MILLIS
     }
--- a/crates/loomflow-fleet/src/node/duty_leadership.rs
+++ b/crates/loomflow-fleet/src/node/duty_leadership.rs
@@ -17,7 +17,7 @@
 use crate::time::WholeMillis;
 use crate::wire::Body;
 
-/// A batch of renewals that was proposed and not committed for so long is lost, ms.
+/// A batch of renewals that was proposed and not committed for this long is lost, ms.
 const RENEWAL_BATCH_TIMEOUT_MILLIS: WholeMillis = 2_000;
 
 /// Renewals, each with its request.
--- a/crates/loomflow-fleet/src/node/leadership.rs
+++ b/crates/loomflow-fleet/src/node/leadership.rs
@@ -16,7 +16,7 @@
 
 /// How often the leader decides, ms.
 const ROUND_PERIOD_MILLIS: WholeMillis = 250;
-/// A proposal that was not committed for so long is lost, ms.
+/// A proposal that was not committed for this long is lost, ms.
 const PROPOSAL_TIMEOUT_MILLIS: WholeMillis = 5_000;
 /// How often the fleet's time is committed while a deadline is ahead, ms: a new leader counts on from there.
 const CLOCK_PERIOD_MILLIS: WholeMillis = 5_000;
--- a/crates/loomflow-server/src/fleet/jobs.rs
+++ b/crates/loomflow-server/src/fleet/jobs.rs
@@ -21,7 +21,7 @@
 
 use crate::log;
 
-/// Whoever does a duty's work outside of this server asks at least so often; one that is silent for longer has ended, ms.
+/// Whoever does a duty's work outside of this server asks at least this often; one that is silent for longer has ended, ms.
 const EXTERNAL_WORK_TIMEOUT_MILLIS: WholeMillis = 2_000;
 
 /// Why the process of a run cannot be started.
--- a/crates/loomflow-server/src/fleet/links.rs
+++ b/crates/loomflow-server/src/fleet/links.rs
@@ -15,11 +15,11 @@
 
 /// Connections in each direction; beyond it those that were silent for longest are closed first.
 const MAX_CONNECTIONS: usize = 1_024;
-/// A connection that we opened is closed after so long without a message, ms.
+/// A connection that we opened is closed after this long without a message, ms.
 const IDLE_TIMEOUT_MILLIS: WholeMillis = 15_000;
 /// One that others opened, ms: later than they close it themselves.
 const INCOMING_IDLE_TIMEOUT_MILLIS: WholeMillis = 4 * IDLE_TIMEOUT_MILLIS;
-/// One that takes nothing of what is queued for so long is broken, ms.
+/// One that takes nothing of what is queued for this long is broken, ms.
 const STALL_TIMEOUT_MILLIS: WholeMillis = 3_000;
 /// An address that could not be reached is tried again after this, ms.
 const RECONNECT_AFTER_MILLIS: WholeMillis = 300;
--- a/crates/loomflow-server/src/fleet/load.rs
+++ b/crates/loomflow-server/src/fleet/load.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// The module's load, with the mean of its runs, as a report.
+/// The controller's load, with the mean of its runs, as a report.
 pub fn load_report(load: &Load, mean_running: f64, cores: f64, phase: Phase, healthy: bool) -> LoadReport {
     LoadReport {
         phase,
