--- a/crates/loomflow-fleet-commands/src/job_process.rs
+++ b/crates/loomflow-fleet-commands/src/job_process.rs
@@ -25,7 +25,7 @@
 const PROCESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How often ownership is asked for where it is not there yet.
 const OWNERSHIP_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Ownership is asked for so many times within a lease while the process runs.
+/// Ownership is asked for this many times within a lease while the process runs.
 const OWNERSHIP_POLLS_PER_LEASE: u64 = 10;
 
 /// The options of `duty run`.
@@ -42,13 +42,13 @@
 }
 
 /// A duty that the server owns, and until when by the clock of this machine.
-struct Ownership {
+struct ConfirmedOwnership {
     duty: OwnershipConfirmation,
     valid_until: WholeMillis,
 }
 
 /// What was answered to one question about ownership; none where it is not there.
-type OwnershipAnswer = Result<Option<Ownership>, CommandError>;
+type OwnershipAnswer = Result<Option<ConfirmedOwnership>, CommandError>;
 
 /// Runs the program, once the server owns the duty.
 pub fn run(socket: &Path, options: &RunOptions) -> Result<ExitCode, CommandError> {
@@ -83,7 +83,7 @@
     match call(socket, &OperatorRequest::CheckOwnership(duty.to_owned()))? {
         OperatorResponse::Owned(duty) => {
             let valid_until = queried_at + duty.remaining_millis;
-            Ok(Some(Ownership { duty, valid_until }))
+            Ok(Some(ConfirmedOwnership { duty, valid_until }))
         }
         OperatorResponse::NotOwned => Ok(None),
         other => Err(CommandError::unexpected(&other)),
--- a/crates/loomflow-fleet-simulation/src/simulation.rs
+++ b/crates/loomflow-fleet-simulation/src/simulation.rs
@@ -13,8 +13,8 @@
 
 use std::fmt;
 
-use loomflow_fleet::maintenance::Response;
-use loomflow_fleet::member::{LoadReport, Phase, RequestId};
+use loomflow_fleet::command::FleetResponse;
+use loomflow_fleet::member::{FleetRequestId, LoadReport, Phase};
 use loomflow_fleet::node::{Effect, Node};
 use loomflow_fleet::time::WholeMillis;
 use loomflow_fleet::wire::LENGTH_BYTES;
@@ -45,11 +45,11 @@
 /// A request of an operator, and its response.
 pub struct OperatorCall {
     /// The request.
-    pub id: RequestId,
+    pub id: FleetRequestId,
     /// The machines that it is about.
     pub machines: Vec<MachineId>,
     /// None while there is no response.
-    pub response: Option<Response>,
+    pub response: Option<FleetResponse>,
 }
 
 /// A line of the log.
--- a/crates/loomflow-fleet/src/duty/assign/tests.rs
+++ b/crates/loomflow-fleet/src/duty/assign/tests.rs
@@ -7,13 +7,13 @@
     (0..count).map(|n| Candidate { name: format!("n{n}"), weight: 1.0, can_acquire: true }).collect()
 }
 
-/// So many duties, all free, and so many servers with a session.
+/// The given numbers of duties, all free, and of servers with a session.
 fn duties_and_sessions(duties: usize, servers: usize) -> Duties {
     let mut state = Duties::default();
     let declared = (0..duties).map(|n| DutySpec::plain(&format!("d{n}"))).collect();
     state.apply(&DutyCommand::Declare(LeaseSettings::default(), declared));
-    let holder = |n| ServerInstance { name: format!("n{n}"), incarnation: 1 };
-    state.apply(&DutyCommand::KeepAlive((0..servers).map(holder).collect()));
+    let instance = |n| ServerInstance { name: format!("n{n}"), incarnation: 1 };
+    state.apply(&DutyCommand::KeepAlive((0..servers).map(instance).collect()));
     state
 }
 
--- a/crates/loomflow-fleet/src/duty/mod.rs
+++ b/crates/loomflow-fleet/src/duty/mod.rs
@@ -72,7 +72,7 @@
     /// The time until a session without a renewal expires, ms.
     #[serde(rename = "lease")]
     pub lease_millis: WholeMillis,
-    /// A duty that was lost or failed so often in a row, with nothing done between, is parked.
+    /// A duty that was lost or failed this many times in a row, with nothing done between, is parked.
     #[serde(rename = "attempts")]
     pub max_attempts: u32,
 }
@@ -85,7 +85,7 @@
 
 impl LeaseSettings {
     /// How long the owner relies on its session, from before the renewal was sent, ms: the lease less the bound on drift.
-    pub fn holder_duration(&self) -> WholeMillis {
+    pub fn owner_duration(&self) -> WholeMillis {
         scaled(self.lease_millis, 1.0 - MAX_CLOCK_DRIFT)
     }
 
@@ -169,7 +169,7 @@
 
 /// The response to a [`DutyCommand`], or to a request for all duties.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Response {
+pub enum DutyResponse {
     /// Done.
     Done,
     /// To [`DutyCommand::KeepAlive`]: what the server owns.
@@ -177,7 +177,7 @@
     Ownership(Ownership),
     /// Not done, and nothing has changed.
     #[serde(rename = "Refused")]
-    Rejected(Rejection),
+    Rejected(DutyRejection),
     /// All duties.
     List(Box<DutyList>),
 }
@@ -221,7 +221,7 @@
 
 /// Why a command on a duty is not done. It changes nothing then.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-pub enum Rejection {
+pub enum DutyRejection {
     /// No duty has this name.
     #[error("no duty is called {0:?}")]
     Unknown(DutyName),
@@ -236,7 +236,7 @@
         #[serde(rename = "counts")]
         current: Token,
     },
-    /// An earlier start of this server may still own something; for so long, ms.
+    /// An earlier start of this server may still own something, for this long, ms.
     #[error("an earlier start of this server may own something for {0} ms more")]
     #[serde(rename = "FormerSelf")]
     EarlierIncarnation(WholeMillis),
@@ -365,11 +365,11 @@
 ///
 /// # Errors
 /// What is wrong with it.
-pub fn check_name(name: &str) -> Result<(), Rejection> {
+pub fn check_name(name: &str) -> Result<(), DutyRejection> {
     if (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.contains(char::is_control) {
         Ok(())
     } else {
-        Err(Rejection::Invalid(format!(
+        Err(DutyRejection::Invalid(format!(
             "a duty's name has 1 to {MAX_NAME_BYTES} bytes, none of them a control"
         )))
     }
--- a/crates/loomflow-fleet/src/maintenance/campaign.rs
+++ b/crates/loomflow-fleet/src/maintenance/campaign.rs
@@ -4,7 +4,7 @@
 //!
 //! A batch is requested when all tickets of the one before are done. A campaign halts when one of its tickets did not end in
 //! order, or when the servers that came back request clearly less of their usual traffic than before: what was rolled out is
-//! worse, and the rest of the fleet is spared it. An operator resumes it or drops it.
+//! worse, and the rest of the fleet is not changed. An operator resumes it or drops it.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 use super::state::MaintenanceState;
 use super::ticket::{Rejection, TicketId, TicketRequest, TicketStage};
 use crate::duty::{Token, truncate_reason};
-use crate::member::{MAX_NAME_BYTES, MemberView, RequestId, ServerName};
+use crate::member::{FleetRequestId, MAX_NAME_BYTES, MemberView, ServerName};
 
 /// Campaigns that are retained, finished ones included.
 pub const MAX_CAMPAIGNS: usize = 16;
@@ -212,7 +212,7 @@
     pub fn apply(
         &mut self,
         maintenance: &mut MaintenanceState,
-        request_id: RequestId,
+        request_id: FleetRequestId,
         requested_by: &str,
         command: &CampaignCommand,
     ) -> Result<Vec<TicketId>, Rejection> {
@@ -330,7 +330,7 @@
     fn create_batch(
         &mut self,
         maintenance: &mut MaintenanceState,
-        request_id: RequestId,
+        request_id: FleetRequestId,
         name: &str,
         share_before: f32,
     ) -> Result<Vec<TicketId>, Rejection> {
--- a/crates/loomflow-fleet/src/maintenance/scheduling.rs
+++ b/crates/loomflow-fleet/src/maintenance/scheduling.rs
@@ -18,9 +18,9 @@
 use crate::time::FleetMillis;
 pub use checks::{Check, Finding};
 
-/// A ticket rises by one urgency for each so long that it waits, ms.
+/// A ticket rises by one urgency each time that it has waited this long, ms.
 pub const AGEING_MILLIS: FleetMillis = 30 * 60 * 1000;
-/// One that has waited so long for a place is not overtaken, ms: a place that becomes available is reserved for it.
+/// One that has waited this long for a place is not overtaken, ms: a place that becomes available is reserved for it.
 pub const NO_OVERTAKING_AFTER_MILLIS: FleetMillis = 2 * AGEING_MILLIS;
 /// Tickets that are considered in one round.
 const MAX_TICKETS_CONSIDERED: usize = 256;
@@ -155,9 +155,9 @@
         let open = self.maintenance.open().values();
         let mut waiting: Vec<&Ticket> =
             open.filter(|ticket| ticket.stage == TicketStage::Requested).collect();
-        let (last_server, last_zone) = self.maintenance.last_granted();
+        let last_granted = self.maintenance.last_granted();
         let is_voter = |name: &str| self.maintenance.voter_names().iter().any(|voter| voter == name);
-        let was_voter_last = is_voter(last_server);
+        let was_voter_last = is_voter(&last_granted.name);
         let mut busy_zones: BTreeMap<&str, bool> = BTreeMap::new();
         for ticket in &waiting {
             let zone = ticket.request.zone.as_str();
@@ -170,7 +170,7 @@
                 server == self.leader && age < NO_OVERTAKING_AFTER_MILLIS,
                 Reverse(ticket.request.urgency as u64 + age / AGEING_MILLIS),
                 was_voter_last && is_voter(server),
-                zone == last_zone,
+                zone == last_granted.zone,
                 busy_zones.get(zone).copied().unwrap_or(false),
                 ticket.id,
             )
@@ -180,7 +180,7 @@
 
     /// Load and capacity if this server left, beside those that are out.
     fn estimate(&self, server: &str) -> Estimate {
-        let stays = |name: &str| name != server && !self.maintenance.is_departing(name);
+        let stays = |name: &str| name != server && !self.maintenance.has_place(name);
         self.headroom.estimate(self.members, &stays)
     }
 }
--- a/crates/loomflow-fleet/src/maintenance/state.rs
+++ b/crates/loomflow-fleet/src/maintenance/state.rs
@@ -12,9 +12,9 @@
 
 use super::rules::Rules;
 use super::ticket::{GrantNumber, Ticket, TicketId, TicketStage};
-use super::{Entry, Response};
+use crate::command::{Entry, FleetResponse};
 use crate::consensus::{RECOVERY_ID_GAP, SnapshotError, StateMachine};
-use crate::member::{RequestId, ServerName, Zone};
+use crate::member::{FleetRequestId, ServerName, Zone};
 use crate::time::FleetMillis;
 
 /// Maximum number of open tickets; further ones are rejected.
@@ -25,7 +25,7 @@
 pub const MAX_EVENTS: usize = 2_000;
 /// Responses that are retained for retries.
 const MAX_REMEMBERED_RESPONSES: usize = 1_024;
-/// A ticket whose grants lapsed so often is closed.
+/// A ticket whose grants lapsed this many times is closed.
 const MAX_LAPSES: u8 = 3;
 
 /// A ticket came to a stage.
@@ -43,6 +43,15 @@
     pub grant: GrantNumber,
 }
 
+/// A server that was let go.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct GrantedServer {
+    /// The server.
+    pub name: ServerName,
+    /// Its zone.
+    pub zone: Zone,
+}
+
 /// The contents of a snapshot; the indexes follow from it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct PersistentState {
@@ -55,9 +64,9 @@
     voters: Vec<ServerName>,
     paused: Option<String>,
     drains_without_ticket: u64,
-    last_granted: (ServerName, Zone),
+    last_granted: GrantedServer,
     events: VecDeque<TicketEvent>,
-    responses: VecDeque<(RequestId, Response)>,
+    responses: VecDeque<(FleetRequestId, FleetResponse)>,
 }
 
 /// Tickets, rules and what has happened.
@@ -65,7 +74,7 @@
 pub struct MaintenanceState {
     state: PersistentState,
     /// Servers that have a place, with the ticket by which.
-    holders: BTreeMap<ServerName, TicketId>,
+    tickets_with_place: BTreeMap<ServerName, TicketId>,
     /// Tickets with a deadline, the next first.
     deadlines: BTreeSet<(FleetMillis, TicketId)>,
     /// Open tickets of each server.
@@ -113,24 +122,24 @@
         self.state.drains_without_ticket
     }
 
-    /// The server that was granted last, and its zone.
-    pub fn last_granted(&self) -> (&str, &str) {
-        (&self.state.last_granted.0, &self.state.last_granted.1)
+    /// The server that was granted last; its name is empty before any was.
+    pub fn last_granted(&self) -> &GrantedServer {
+        &self.state.last_granted
     }
 
     /// Servers that have a place, with the ticket by which.
-    pub fn holders(&self) -> &BTreeMap<ServerName, TicketId> {
-        &self.holders
+    pub fn tickets_with_place(&self) -> &BTreeMap<ServerName, TicketId> {
+        &self.tickets_with_place
     }
 
-    /// Whether a server has a place: it is out, or is about to shut down.
-    pub fn is_departing(&self, server: &str) -> bool {
-        self.holders.contains_key(server)
+    /// Whether a server has a place: it is about to shut down, out, overdue, or back and not yet done.
+    pub fn has_place(&self, server: &str) -> bool {
+        self.tickets_with_place.contains_key(server)
     }
 
     /// The ticket by which a server has a place.
     pub fn ticket_with_place(&self, server: &str) -> Option<&Ticket> {
-        self.state.open.get(self.holders.get(server)?)
+        self.state.open.get(self.tickets_with_place.get(server)?)
     }
 
     /// A server's open tickets, oldest first.
@@ -151,9 +160,9 @@
 }
 
 impl StateMachine for MaintenanceState {
-    type Output = (RequestId, Response);
+    type Output = (FleetRequestId, FleetResponse);
 
-    fn apply(&mut self, entry: &[u8]) -> Option<(RequestId, Response)> {
+    fn apply(&mut self, entry: &[u8]) -> Option<(FleetRequestId, FleetResponse)> {
         let entry: Entry = postcard::from_bytes(entry).ok()?;
         Some((entry.id, self.apply_entry(&entry)))
     }
--- a/crates/loomflow-fleet/src/maintenance/ticket.rs
+++ b/crates/loomflow-fleet/src/maintenance/ticket.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::duty::MAX_REASON_BYTES;
-use crate::member::{Incarnation, MAX_NAME_BYTES, RequestId, ServerName, Zone};
+use crate::member::{FleetRequestId, Incarnation, MAX_NAME_BYTES, ServerName, Zone};
 use crate::time::FleetMillis;
 
 /// Numbers a ticket, from 1 on.
@@ -208,7 +208,7 @@
     #[error("it has gone too far for this: {}", .0.as_str())]
     #[serde(rename = "UnderWay")]
     TooLate(TicketStage),
-    /// It has not come so far yet.
+    /// Its stage is too early for this.
     #[error("it is not so far: {}", .0.as_str())]
     #[serde(rename = "NotYet")]
     TooEarly(TicketStage),
@@ -258,7 +258,7 @@
     #[error("it holds a place by ticket {0}")]
     #[serde(rename = "HoldsPlace")]
     HasPlace(TicketId),
-    /// So many are open, as many as there may be.
+    /// This many are open, as many as there may be.
     #[error("{0} are open, as many as there may be")]
     TooMany(u32),
     /// The command makes no sense, in words.
@@ -349,10 +349,11 @@
     }
 }
 
-/// Why a transition that is not in the table is rejected.
+/// Why a transition that is not in [`TABLE`] is rejected: it comes too early, too late, or after the ticket is closed. The
+/// table alone says what is legal; this only words the rejection.
 fn rejection(from: TicketStage, transition: Transition) -> Rejection {
     use TicketStage::{Abandoned, Back, Begun, Done, Draining, Granted, Lapsed, Ready, Requested, Withdrawn};
-    // The first stage in which each transition is possible, on the way from requested to done.
+    // A rejection says "too early" in a stage before this one. Not always the first stage that the table allows.
     let earliest = match transition {
         Transition::Grant | Transition::Withdraw | Transition::Expire => Requested,
         Transition::Begin | Transition::Recall | Transition::Lapse => Granted,
@@ -421,7 +422,7 @@
     pub id: TicketId,
     /// The request that created it.
     #[serde(rename = "key")]
-    pub request_id: RequestId,
+    pub request_id: FleetRequestId,
     /// What was requested.
     #[serde(rename = "wanted")]
     pub request: TicketRequest,
--- a/crates/loomflow-fleet/src/membership.rs
+++ b/crates/loomflow-fleet/src/membership.rs
@@ -17,7 +17,7 @@
 use rand::rngs::SmallRng;
 
 use self::suspicion::Suspicions;
-use crate::member::{LoadReport, MemberIdentity, Replica, ServerName};
+use crate::member::{LoadReport, MemberIdentity, ReceivedReport, Replica, ServerName};
 use crate::time::{WholeMillis, whole_millis};
 
 /// Maximum number of members, this one included; a packet that names more is taken without them.
@@ -34,8 +34,8 @@
     pub identity: MemberIdentity,
     /// Its state by the membership protocol.
     pub swim_state: SwimState,
-    /// Its last load report and when it came; none yet from this start of it.
-    pub load_report: Option<(WholeMillis, LoadReport)>,
+    /// Its last load report; none yet from this start of it.
+    pub load_report: Option<ReceivedReport>,
     /// Its replica, if it is a voter.
     pub replica: Option<Replica>,
     /// Since when it is in its state.
@@ -137,7 +137,7 @@
             && known.identity.incarnation == from.incarnation
             && report.is_valid()
         {
-            known.load_report = Some((now, report));
+            known.load_report = Some(ReceivedReport { at: now, report });
             known.replica = replica;
         }
     }
@@ -222,7 +222,7 @@
     /// Reads the state of all members, ends suspicions that nothing else ends, and forgets members that have been down for
     /// long.
     fn refresh(&mut self, now: WholeMillis) {
-        let declared_down = self.suspicions.unended(self.foca.iter_membership_state(), now);
+        let declared_down = self.suspicions.update(self.foca.iter_membership_state(), now);
         let _ = self.foca.apply_many(declared_down.into_iter(), true, &mut self.runtime);
         for member in self.foca.iter_membership_state() {
             update_member(&mut self.known, member.id(), member.state(), now);
--- a/crates/loomflow-fleet/src/node/leadership_transfer/tests.rs
+++ b/crates/loomflow-fleet/src/node/leadership_transfer/tests.rs
@@ -1,23 +1,24 @@
 use super::*;
+use crate::command::{Entry, FleetCommand, Issuer};
 use crate::consensus::StateMachine;
 use crate::fixtures::ticket_request;
-use crate::maintenance::{Census, Entry, Issuer, MaintenanceCommand};
-use crate::member::{LoadReport, MemberIdentity, Zone};
+use crate::maintenance::Census;
+use crate::member::{LoadReport, MemberIdentity, ReceivedReport, Zone};
 use foca::State::{Alive, Down, Suspect};
 
 /// A state in which the server "a" has a place.
 fn maintenance() -> MaintenanceState {
     let census = Census { zones: vec![(Zone::new(), 3)], away: Vec::new() };
     let commands = [
-        MaintenanceCommand::CreateTickets(vec![ticket_request("a")]),
-        MaintenanceCommand::Grant { ticket: 1, incarnation: 1, census },
+        FleetCommand::CreateTickets(vec![ticket_request("a")]),
+        FleetCommand::Grant { ticket: 1, incarnation: 1, census },
     ];
     let mut maintenance = MaintenanceState::default();
     for (id, command) in (1..).zip(commands) {
         let entry = Entry { id, at: 0, issuer: Issuer::Leader, command };
         maintenance.apply(&postcard::to_stdvec(&entry).unwrap());
     }
-    assert!(maintenance.is_departing("a"));
+    assert!(maintenance.has_place("a"));
     maintenance
 }
 
@@ -25,7 +26,7 @@
     KnownMember {
         identity: MemberIdentity::new(name.into(), Zone::new(), ([127, 0, 0, 1], 1).into(), 1),
         swim_state,
-        load_report: Some((0, LoadReport { phase, ..LoadReport::default() })),
+        load_report: Some(ReceivedReport { at: 0, report: LoadReport { phase, ..LoadReport::default() } }),
         replica: None,
         since: 0,
     }
--- a/crates/loomflow-fleet/src/node/mod.rs
+++ b/crates/loomflow-fleet/src/node/mod.rs
@@ -26,6 +26,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
+use crate::command::{FleetRequest, FleetResponse, Issuer};
 use crate::consensus::storage::{Storage, StorageError};
 use crate::consensus::{Consensus, ConsensusError};
 use crate::duty::client_session::OwnershipChange;
@@ -34,10 +35,9 @@
 use crate::maintenance::rules::Rules;
 use crate::maintenance::state::MaintenanceState;
 use crate::maintenance::ticket::TicketId;
-use crate::maintenance::{Issuer, Request, Response};
 use crate::member::{
-    LoadReport, MemberIdentity, MemberState, MemberView, Phase, REPORT_PERIOD_MILLIS, RequestId, ServerName,
-    Zone, is_report_recent,
+    FleetRequestId, LoadReport, MemberIdentity, MemberState, MemberView, Phase, REPORT_PERIOD_MILLIS,
+    ReceivedReport, ServerName, Zone, is_report_recent,
 };
 use crate::membership::Membership;
 use crate::time::WholeMillis;
@@ -88,7 +88,7 @@
     /// Shut the server down as on SIGTERM: its begin is committed.
     Drain(TicketId),
     /// The response to a request that was submitted here.
-    Responded(RequestId, Response),
+    Responded(FleetRequestId, FleetResponse),
     /// The server acquired a duty, is to release it, or no longer owns it.
     Duty(OwnershipChange),
     /// A line for the log.
@@ -121,8 +121,8 @@
     /// Why the data directory cannot be used, in words.
     storage_error: Option<String>,
     rng: SmallRng,
-    /// The server's load, and when it was reported.
-    load: Option<(WholeMillis, LoadReport)>,
+    /// The server's own load.
+    load: Option<ReceivedReport>,
     phase: Phase,
     next_report_at: WholeMillis,
     /// The newest notification of a voter, and when it came.
@@ -224,7 +224,7 @@
 
     /// Sets the server's load, every second or so. Without it this member reports nothing of itself.
     pub fn set_load(&mut self, now: WholeMillis, load_report: LoadReport) {
-        self.load = Some((now, load_report));
+        self.load = Some(ReceivedReport { at: now, report: load_report });
         if self.phase != Phase::Draining {
             self.phase = load_report.phase;
         }
@@ -232,8 +232,8 @@
 
     /// The server's last load report, if that is recent.
     fn own_load_report(&self, now: WholeMillis) -> Option<LoadReport> {
-        let (reported_at, load_report) = self.load?;
-        is_report_recent(reported_at, now).then_some(LoadReport { phase: self.phase, ..load_report })
+        let ReceivedReport { at, report } = self.load?;
+        is_report_recent(at, now).then_some(LoadReport { phase: self.phase, ..report })
     }
 
     /// Takes a message's bytes, without the length.
@@ -296,7 +296,7 @@
     }
 
     /// Sends a request of this machine to the leader; its response comes as an effect.
-    pub fn submit(&mut self, request: Request, now: WholeMillis) -> RequestId {
+    pub fn submit(&mut self, request: FleetRequest, now: WholeMillis) -> FleetRequestId {
         let id = self.rng.random();
         self.submit_as(id, request, now);
         self.process_outputs(now);
--- a/crates/loomflow-fleet/src/node/own_ticket.rs
+++ b/crates/loomflow-fleet/src/node/own_ticket.rs
@@ -5,10 +5,10 @@
 
 use super::requests::ReceivedResponse;
 use super::{Effect, Node};
+use crate::command::{FleetCommand, FleetRequest, FleetResponse};
 use crate::consensus::storage::{ReplicaMetadata, Storage, StorageError, WriteBatch};
 use crate::maintenance::ticket::{GrantNumber, Rejection, Ticket, TicketId, TicketStage, Transition};
-use crate::maintenance::{MaintenanceCommand, Request, Response};
-use crate::member::{Incarnation, Phase, RequestId};
+use crate::member::{FleetRequestId, Incarnation, Phase};
 use crate::time::WholeMillis;
 
 /// Maximum age of a response or notification that is relied on, from its request, ms. No timeout frees the place of a server
@@ -40,11 +40,11 @@
 #[derive(Default)]
 pub(super) struct OwnTicket {
     /// The begin that has no response yet: its request, and the grant that it takes up.
-    pending_begin: Option<(RequestId, GrantNumber)>,
+    pending_begin: Option<(FleetRequestId, GrantNumber)>,
     /// The ticket by which the server drains.
     draining_by: Option<(TicketId, GrantNumber)>,
     /// The report that it has drained, while that has no response.
-    pending_departure: Option<RequestId>,
+    pending_departure: Option<FleetRequestId>,
     /// That report is answered, or has timed out.
     pub is_departure_reported: bool,
     /// Every request that the server took is answered.
@@ -95,16 +95,16 @@
         let pending = self.own_ticket.pending_begin.filter(|(begin, _)| *begin == id);
         let Some((_, grant)) = pending else { return false };
         match response {
-            Response::Done(tickets) if is_notification_recent(sent_at, now) => {
+            FleetResponse::Done(tickets) if is_notification_recent(sent_at, now) => {
                 if let Some(ticket) = tickets.first() {
                     self.drain_by_ticket(*ticket, grant, now);
                 }
             }
             // Late, or nothing is known: what a recent notification shows is requested again.
-            Response::Done(_) | Response::Rejected(Rejection::NoLeader) => {
+            FleetResponse::Done(_) | FleetResponse::Rejected(Rejection::NoLeader) => {
                 self.own_ticket.pending_begin = None;
             }
-            Response::Rejected(rejection) => self.log(format!("a grant was not taken up: {rejection}")),
+            FleetResponse::Rejected(rejection) => self.log(format!("a grant was not taken up: {rejection}")),
             _ => {}
         }
         true
@@ -125,8 +125,8 @@
             return;
         }
         self.phase = Phase::Draining;
-        let command = MaintenanceCommand::DrainedWithoutTicket(self.config.name.clone());
-        let request = Request::Execute { issuer: self.issuer(), command };
+        let command = FleetCommand::DrainedWithoutTicket(self.config.name.clone());
+        let request = FleetRequest::Execute { issuer: self.issuer(), command };
         self.submit(request, now);
         self.hand_everything_over(now);
         self.process_outputs(now);
@@ -172,10 +172,10 @@
         grant: GrantNumber,
         transition: Transition,
         now: WholeMillis,
-    ) -> RequestId {
+    ) -> FleetRequestId {
         let incarnation = self.identity().incarnation;
-        let command = MaintenanceCommand::Transition { ticket, transition, grant, incarnation };
-        let request = Request::Execute { issuer: self.issuer(), command };
+        let command = FleetCommand::Transition { ticket, transition, grant, incarnation };
+        let request = FleetRequest::Execute { issuer: self.issuer(), command };
         let id = self.rng.random();
         self.submit_as(id, request, now);
         id
--- a/crates/loomflow-fleet/src/node/requests.rs
+++ b/crates/loomflow-fleet/src/node/requests.rs
@@ -4,11 +4,11 @@
 use std::collections::BTreeMap;
 
 use super::{Effect, Node};
+use crate::command::{Entry, FleetCommand, FleetRequest, FleetResponse};
 use crate::consensus::ProposeError;
 use crate::duty::DutyCommand;
 use crate::maintenance::ticket::Rejection;
-use crate::maintenance::{Entry, MaintenanceCommand, Request, Response};
-use crate::member::{RequestId, ServerName};
+use crate::member::{FleetRequestId, ServerName};
 use crate::time::WholeMillis;
 use crate::wire::Body;
 
@@ -23,7 +23,7 @@
 
 /// A request of our own.
 struct PendingRequest {
-    request: Request,
+    request: FleetRequest,
     retry_at: WholeMillis,
     expires_at: WholeMillis,
     attempts: usize,
@@ -32,9 +32,9 @@
 /// A response to a request of our own.
 pub(super) struct ReceivedResponse<'a> {
     /// The request.
-    pub id: RequestId,
+    pub id: FleetRequestId,
     /// Its response.
-    pub response: &'a Response,
+    pub response: &'a FleetResponse,
     /// When the request was sent first.
     pub sent_at: WholeMillis,
 }
@@ -48,8 +48,8 @@
 /// Requests that have no response yet.
 #[derive(Default)]
 pub(super) struct PendingRequests {
-    own: BTreeMap<RequestId, PendingRequest>,
-    forwarded: BTreeMap<RequestId, ReturnAddress>,
+    own: BTreeMap<FleetRequestId, PendingRequest>,
+    forwarded: BTreeMap<FleetRequestId, ReturnAddress>,
 }
 
 impl PendingRequests {
@@ -61,10 +61,10 @@
 }
 
 impl Node {
-    pub(super) fn submit_as(&mut self, id: RequestId, request: Request, now: WholeMillis) {
+    pub(super) fn submit_as(&mut self, id: FleetRequestId, request: FleetRequest, now: WholeMillis) {
         if self.requests.own.len() >= MAX_OWN {
             let rejection = Rejection::TooMany(MAX_OWN as u32);
-            self.effects.push(Effect::Responded(id, Response::Rejected(rejection)));
+            self.effects.push(Effect::Responded(id, FleetResponse::Rejected(rejection)));
             return;
         }
         let expires_at = now + REQUEST_TIMEOUT_MILLIS;
@@ -74,13 +74,13 @@
     }
 
     /// The response to a request of our own is no longer wanted.
-    pub(super) fn cancel_request(&mut self, id: RequestId) {
+    pub(super) fn cancel_request(&mut self, id: FleetRequestId) {
         self.requests.own.remove(&id);
     }
 
     /// Sends requests again that have no response, and fails those that timed out.
     pub(super) fn retry_requests(&mut self, now: WholeMillis) {
-        let due: Vec<(RequestId, bool)> = self
+        let due: Vec<(FleetRequestId, bool)> = self
             .requests
             .own
             .iter()
@@ -89,7 +89,7 @@
             .collect();
         for (id, has_expired) in due {
             if has_expired {
-                self.handle_response(id, Response::Rejected(Rejection::NoLeader), now);
+                self.handle_response(id, FleetResponse::Rejected(Rejection::NoLeader), now);
             } else {
                 self.send_request(id, now);
             }
@@ -97,7 +97,7 @@
         self.requests.forwarded.retain(|_, address| address.expires_at > now);
     }
 
-    fn send_request(&mut self, id: RequestId, now: WholeMillis) {
+    fn send_request(&mut self, id: FleetRequestId, now: WholeMillis) {
         let leader = self.leader().cloned();
         let Some(pending) = self.requests.own.get_mut(&id) else { return };
         pending.retry_at = now + RETRY_AFTER_MILLIS;
@@ -117,9 +117,9 @@
     pub(super) fn handle_request(
         &mut self,
         from: ServerName,
-        id: RequestId,
+        id: FleetRequestId,
         hops: u8,
-        request: Request,
+        request: FleetRequest,
         now: WholeMillis,
     ) {
         if self.requests.forwarded.len() < MAX_FORWARDED {
@@ -136,15 +136,15 @@
     }
 
     /// The leader's part: commands are proposed, everything else is answered at once.
-    fn execute_request(&mut self, id: RequestId, request: Request, now: WholeMillis) {
+    fn execute_request(&mut self, id: FleetRequestId, request: FleetRequest, now: WholeMillis) {
         match request {
-            Request::Execute {
-                command: MaintenanceCommand::Duty(DutyCommand::KeepAlive(instances)), ..
+            FleetRequest::Execute {
+                command: FleetCommand::Duty(DutyCommand::KeepAlive(instances)), ..
             } => {
                 self.queue_renewal(id, instances, now);
             }
-            Request::Execute { issuer, mut command } => {
-                if let MaintenanceCommand::Duty(DutyCommand::Release { duty, successor, .. }) = &mut command {
+            FleetRequest::Execute { issuer, mut command } => {
+                if let FleetCommand::Duty(DutyCommand::Release { duty, successor, .. }) = &mut command {
                     *successor = self.choose_successor(duty, now);
                 }
                 let entry = Entry { id, at: self.fleet_time(now), issuer, command };
@@ -162,7 +162,7 @@
     }
 
     /// Sends a response to whoever sent the request.
-    pub(super) fn deliver_response(&mut self, id: RequestId, response: Response, now: WholeMillis) {
+    pub(super) fn deliver_response(&mut self, id: FleetRequestId, response: FleetResponse, now: WholeMillis) {
         match self.requests.forwarded.remove(&id) {
             Some(address) if address.member != self.config.name => {
                 self.send(&address.member, Body::Response { id, response });
@@ -172,7 +172,7 @@
     }
 
     /// Handles a response: to a request of our own, or to pass on.
-    pub(super) fn handle_response(&mut self, id: RequestId, response: Response, now: WholeMillis) {
+    pub(super) fn handle_response(&mut self, id: FleetRequestId, response: FleetResponse, now: WholeMillis) {
         if let Some(pending) = self.requests.own.remove(&id) {
             let sent_at = pending.expires_at - REQUEST_TIMEOUT_MILLIS;
             let received = ReceivedResponse { id, response: &response, sent_at };
--- a/crates/loomflow-fleet/src/wire.rs
+++ b/crates/loomflow-fleet/src/wire.rs
@@ -7,10 +7,10 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::command::{FleetRequest, FleetResponse};
 use crate::duty::{self, Token, summary::Summary};
 use crate::maintenance::ticket::Ticket;
-use crate::maintenance::{Request, Response};
-use crate::member::{LoadReport, MemberIdentity, Replica, RequestId, ServerName};
+use crate::member::{FleetRequestId, LoadReport, MemberIdentity, Replica, ServerName};
 use crate::time::WholeMillis;
 
 /// Maximum size of a message, bytes: a snapshot of as many tickets as there may be.
@@ -55,18 +55,18 @@
     /// A request on its way to the leader.
     Request {
         /// Identifies the request; a retry carries the same.
-        id: RequestId,
+        id: FleetRequestId,
         /// How often it has been forwarded.
         hops: u8,
         /// The request.
-        request: Request,
+        request: FleetRequest,
     },
     /// A response on its way back.
     Response {
         /// The request that it answers.
-        id: RequestId,
+        id: FleetRequestId,
         /// The response.
-        response: Response,
+        response: FleetResponse,
     },
     /// The leader notifies a member of the duties that it owns, as soon as that is committed.
     Duties(duty::Ownership),
--- a/crates/loomflow-server/src/fleet/jobs.rs
+++ b/crates/loomflow-server/src/fleet/jobs.rs
@@ -8,11 +8,11 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{SystemTime, UNIX_EPOCH};
 
+use loomflow_fleet::command::FleetResponse;
 use loomflow_fleet::duty::client_session::OwnershipChange;
 use loomflow_fleet::duty::job::{Exit, JobAction, JobRuns};
-use loomflow_fleet::duty::{self, DutyName, OwnedDuty, OwnerUpdate, Token};
-use loomflow_fleet::maintenance::Response;
-use loomflow_fleet::member::RequestId;
+use loomflow_fleet::duty::{DutyName, DutyResponse, OwnedDuty, OwnerUpdate, Token};
+use loomflow_fleet::member::FleetRequestId;
 use loomflow_fleet::node::Node;
 use loomflow_fleet::time::WholeMillis;
 use loomflow_fleet_commands::exit_code;
@@ -21,7 +21,7 @@
 
 use crate::log;
 
-/// Whoever does a duty's work outside of this server asks at least so often; one that is silent for longer has ended, ms.
+/// Whoever does a duty's work outside of this server asks at least this often; one that is silent for longer has ended, ms.
 const EXTERNAL_WORK_TIMEOUT_MILLIS: WholeMillis = 2_000;
 
 /// Why the process of a run cannot be started.
@@ -56,7 +56,7 @@
     owned: BTreeMap<DutyName, OwnedJob>,
     /// Processes of former tokens that have not ended yet.
     former_children: Vec<Child>,
-    pending_writes: BTreeMap<RequestId, PendingWrite>,
+    pending_writes: BTreeMap<FleetRequestId, PendingWrite>,
     /// Duties whose work is done outside of this server, with when that was last seen.
     external_work: BTreeMap<DutyName, WholeMillis>,
     socket: PathBuf,
@@ -129,8 +129,8 @@
     /// Handles the response to a write; true where it was one.
     pub fn write_answered(
         &mut self,
-        id: RequestId,
-        response: &Response,
+        id: FleetRequestId,
+        response: &FleetResponse,
         node: &mut Node,
         now: WholeMillis,
     ) -> bool {
@@ -140,8 +140,8 @@
         let job = self.owned.get_mut(&duty).filter(|job| is_begin && job.runs.token == token);
         if let Some(job) = job {
             let result = match response {
-                Response::Duty(duty::Response::Done) => Some(Ok(())),
-                Response::Duty(duty::Response::Rejected(rejection)) => Some(Err(rejection.clone())),
+                FleetResponse::Duty(DutyResponse::Done) => Some(Ok(())),
+                FleetResponse::Duty(DutyResponse::Rejected(rejection)) => Some(Err(rejection.clone())),
                 _ => None,
             };
             let owned = currently_owned(node, &duty, now);
