--- a/crates/loomflow-server/src/fleet/load.rs
+++ b/crates/loomflow-server/src/fleet/load.rs
@@ -43,7 +43,7 @@
     LoadReport {
         phase,
         share: load.share as f32,
-        hold_time_ratio: load.hold_time_ratio as f32,
+        hold_time_ratio: load.queue_time_ratio as f32,
         limit: load.limit as f32,
         running: mean_running as f32,
         cores: cores as f32,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -154,7 +154,7 @@
     pub fn load(&self) -> Load {
         Load {
             share: self.share.sent(),
-            hold_time_ratio: self.share.queue_time_ratio(),
+            queue_time_ratio: self.share.queue_time_ratio(),
             limit: self.run_limit(),
             running: self.requests.running(),
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -90,7 +90,7 @@
     /// The share of their usual traffic that callers are asked to send, 0 to 1.
     pub share: f64,
     /// Mean queueing time, or mean read delay where that is longer, over its setpoint, at the last sample.
-    pub hold_time_ratio: f64,
+    pub queue_time_ratio: f64,
     /// The limit on concurrent runs.
     pub limit: f64,
     /// Concurrent runs.
@@ -102,7 +102,7 @@
 pub enum Event {
     /// A request was read; it is queued from now on.
     RequestArrived(Arrival),
-    /// The caller has given up; no response is due.
+    /// No response is due any more: the caller has given up, or the server has given the response itself.
     RequestCancelled(RequestId),
     /// A timer fired, with what was measured then.
     TimerFired(Gauges),
