--- a/crates/loomflow-benchmark/src/order/headroom.rs
+++ b/crates/loomflow-benchmark/src/order/headroom.rs
@@ -2,7 +2,7 @@
 
 use loomflow_fleet::maintenance::rules::{Limit, Rules};
 use loomflow_fleet::maintenance::ticket::{TicketStage, Urgency};
-use loomflow_fleet::time::{WholeMillis, millis_of_seconds};
+use loomflow_fleet::time::{IntegerMillis, millis_of_seconds};
 use loomflow_fleet_simulation::{Fault, Simulation, SimulationConfig, core_count, run_parallel};
 
 use crate::report::Report;
@@ -24,7 +24,7 @@
 /// Starts of the bursts, s: before the first machines are out, while they are, and after.
 const BURST_STARTS: [u64; 6] = [200, 250, 270, 290, 310, 400];
 /// Reports that show a burst have at most this age, ms: what was granted before they came was not granted in it.
-const MAX_REPORT_DELAY_MILLIS: WholeMillis = 5_000;
+const MAX_REPORT_DELAY_MILLIS: IntegerMillis = 5_000;
 
 /// The load of each machine in a second of the day, in concurrent runs.
 fn load_at(second: u64, burst_start: u64) -> f64 {
@@ -150,7 +150,7 @@
 }
 
 /// Whether a machine is out that left after this time.
-fn is_out_since(simulation: &Simulation, since: WholeMillis) -> bool {
+fn is_out_since(simulation: &Simulation, since: IntegerMillis) -> bool {
     let maintenance_millis = millis_of_seconds(MAINTENANCE_SECONDS);
     let mut departures = simulation.invariants.departures.iter();
     departures.any(|departure| departure.at > since && departure.at + maintenance_millis > simulation.now)
--- a/crates/loomflow-benchmark/src/order/simulated.rs
+++ b/crates/loomflow-benchmark/src/order/simulated.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use loomflow_fleet::time::{WholeMillis, seconds};
+use loomflow_fleet::time::{IntegerMillis, seconds};
 use loomflow_fleet_simulation::{Fault, Scenario, Simulation, SimulationConfig, core_count, run_parallel};
 
 use crate::quantile::quantile;
@@ -97,9 +97,9 @@
 }
 
 /// What a member costs in the mean of all, over a span of simulated time.
-fn cost_of_member(machines: usize, span: WholeMillis) -> MemberCost {
+fn cost_of_member(machines: usize, span: IntegerMillis) -> MemberCost {
     /// Members know each other by then.
-    const FORMED_AT: WholeMillis = 25_000;
+    const FORMED_AT: IntegerMillis = 25_000;
     let config = SimulationConfig { machines, voters: 5, zones: 3, ..SimulationConfig::default() };
     let mut simulation = Simulation::new(config, 3);
     simulation.invariants.compares_states = false;
--- a/crates/loomflow-benchmark/src/owner/simulated.rs
+++ b/crates/loomflow-benchmark/src/owner/simulated.rs
@@ -3,7 +3,7 @@
 use loomflow_fleet::duty::LeaseSettings;
 use loomflow_fleet::duty::assign::Candidate;
 use loomflow_fleet::duty::load::imbalance;
-use loomflow_fleet::time::{WholeMillis, seconds};
+use loomflow_fleet::time::{IntegerMillis, seconds};
 use loomflow_fleet_simulation::config::{duty_name, server_name};
 use loomflow_fleet_simulation::{Fault, Scenario, Simulation, SimulationConfig, core_count, run_parallel};
 
@@ -103,8 +103,8 @@
 }
 
 /// A fleet that has formed, and what it costs for so long, ms.
-fn quiet_day(duties: usize, span: WholeMillis) -> (Simulation, QuietDay) {
-    const FORMED_AT: WholeMillis = 60_000;
+fn quiet_day(duties: usize, span: IntegerMillis) -> (Simulation, QuietDay) {
+    const FORMED_AT: IntegerMillis = 60_000;
     let lease_settings = LeaseSettings { lease_millis: 10_000, max_attempts: 5 };
     let config = SimulationConfig {
         machines: MACHINES,
--- a/crates/loomflow-fleet-commands/src/job_process.rs
+++ b/crates/loomflow-fleet-commands/src/job_process.rs
@@ -14,7 +14,7 @@
 use loomflow_fleet::duty::supervisor::{ProcessSupervisor, StopReason, StopSignal};
 use loomflow_fleet::duty::{DutyName, Token};
 use loomflow_fleet::operator::{OperatorRequest, OperatorResponse, OwnershipConfirmation};
-use loomflow_fleet::time::{WholeMillis, whole_millis};
+use loomflow_fleet::time::{IntegerMillis, whole_millis};
 use rustix::process::{Pid, Signal, kill_process_group};
 
 use crate::client::call;
@@ -44,7 +44,7 @@
 /// A duty that the server owns, and until when by the clock of this machine.
 struct ConfirmedOwnership {
     duty: OwnershipConfirmation,
-    valid_until: WholeMillis,
+    valid_until: IntegerMillis,
 }
 
 /// What was answered to one question about ownership; none where it is not there.
@@ -119,7 +119,7 @@
 
 /// Asks for ownership again and again, on a thread of its own: it must not hold up the supervision, as the server may be
 /// stopped in the middle of an answer.
-fn poll_ownership(socket: &Path, duty: &str, lease_millis: WholeMillis) -> Receiver<OwnershipAnswer> {
+fn poll_ownership(socket: &Path, duty: &str, lease_millis: IntegerMillis) -> Receiver<OwnershipAnswer> {
     let (sender, receiver) = channel();
     let interval = Duration::from_millis(lease_millis / OWNERSHIP_POLLS_PER_LEASE);
     let (socket, duty) = (socket.to_owned(), duty.to_owned());
@@ -158,7 +158,12 @@
     }
 }
 
-fn apply_answer(supervisor: &mut ProcessSupervisor, token: Token, answer: OwnershipAnswer, now: WholeMillis) {
+fn apply_answer(
+    supervisor: &mut ProcessSupervisor,
+    token: Token,
+    answer: OwnershipAnswer,
+    now: IntegerMillis,
+) {
     match answer {
         Ok(Some(ownership)) if ownership.duty.token == token => {
             supervisor.extend_ownership(ownership.valid_until);
--- a/crates/loomflow-fleet-commands/src/output.rs
+++ b/crates/loomflow-fleet-commands/src/output.rs
@@ -13,7 +13,7 @@
 use loomflow_fleet::maintenance::ticket::{Ticket, TicketStage};
 use loomflow_fleet::member::LoadReport;
 use loomflow_fleet::status::{FleetStatus, MemberRow, SummaryReport};
-use loomflow_fleet::time::{self, FleetMillis, WholeMillis, whole_seconds};
+use loomflow_fleet::time::{self, FleetMillis, IntegerMillis, whole_seconds};
 
 /// What stands where there is no value.
 const NONE: &str = "-";
@@ -32,12 +32,12 @@
 }
 
 /// A span in whole seconds, such as `1m 20s`.
-fn span(millis: WholeMillis) -> String {
+fn span(millis: IntegerMillis) -> String {
     humantime::format_duration(Duration::from_secs(whole_seconds(millis))).to_string()
 }
 
 /// Seconds with one decimal.
-fn seconds(millis: WholeMillis) -> String {
+fn seconds(millis: IntegerMillis) -> String {
     format!("{:.1}", time::seconds(millis))
 }
 
--- a/crates/loomflow-fleet-simulation/src/config.rs
+++ b/crates/loomflow-fleet-simulation/src/config.rs
@@ -8,7 +8,7 @@
 use loomflow_fleet::member::{ServerName, Zone};
 use loomflow_fleet::node::NodeConfig;
 use loomflow_fleet::node::duties::DutyConfig;
-use loomflow_fleet::time::WholeMillis;
+use loomflow_fleet::time::IntegerMillis;
 
 /// The number of a machine, from 0 on.
 pub type MachineId = usize;
@@ -17,7 +17,7 @@
 /// Machines that share the third byte of their addresses.
 const MACHINES_PER_SUBNET: usize = 250;
 /// How often the fleet is summed up, ms.
-const SUMMARY_PERIOD_MILLIS: WholeMillis = 5_000;
+const SUMMARY_PERIOD_MILLIS: IntegerMillis = 5_000;
 
 /// What a simulated fleet is made of.
 #[derive(Clone, Debug)]
@@ -31,7 +31,7 @@
     /// The operators' rules for maintenance.
     pub rules: Rules,
     /// How long a machine that is taken out stays out, ms.
-    pub maintenance_millis: WholeMillis,
+    pub maintenance_millis: IntegerMillis,
     /// Clocks run faster or slower by at most this fraction.
     pub max_clock_drift: f64,
     /// Duties of the operators; none where the fleet has no duties at all.
--- a/crates/loomflow-fleet-simulation/src/event_queue.rs
+++ b/crates/loomflow-fleet-simulation/src/event_queue.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 
 use loomflow_fleet::duty::{DutyName, Token};
-use loomflow_fleet::time::WholeMillis;
+use loomflow_fleet::time::IntegerMillis;
 
 use crate::config::MachineId;
 
@@ -23,7 +23,7 @@
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledEvent {
-    at: WholeMillis,
+    at: IntegerMillis,
     sequence: u64,
     event: Event,
 }
@@ -37,13 +37,13 @@
 
 impl EventQueue {
     /// Adds an event.
-    pub fn push(&mut self, at: WholeMillis, event: Event) {
+    pub fn push(&mut self, at: IntegerMillis, event: Event) {
         self.last_sequence += 1;
         self.events.push(Reverse(ScheduledEvent { at, sequence: self.last_sequence, event }));
     }
 
     /// Takes the next event, if it happens at `until` or before.
-    pub fn pop_until(&mut self, until: WholeMillis) -> Option<(WholeMillis, Event)> {
+    pub fn pop_until(&mut self, until: IntegerMillis) -> Option<(IntegerMillis, Event)> {
         self.events.peek().filter(|Reverse(next)| next.at <= until)?;
         let Reverse(next) = self.events.pop()?;
         Some((next.at, next.event))
--- a/crates/loomflow-fleet-simulation/src/invariants.rs
+++ b/crates/loomflow-fleet-simulation/src/invariants.rs
@@ -8,7 +8,7 @@
 use loomflow_fleet::duty::fence::Fence;
 use loomflow_fleet::duty::{DutyName, Token};
 use loomflow_fleet::maintenance::ticket::{TicketId, TicketStage};
-use loomflow_fleet::time::WholeMillis;
+use loomflow_fleet::time::IntegerMillis;
 
 use crate::config::{MachineId, SimulationConfig};
 use crate::machine::Machine;
@@ -87,7 +87,7 @@
 #[error("at {at} ms: {violation}\n{timeline}")]
 pub struct InvariantViolation {
     /// When, in simulated time.
-    pub at: WholeMillis,
+    pub at: IntegerMillis,
     /// What was broken.
     pub violation: Violation,
     /// The last lines of the log.
@@ -102,7 +102,7 @@
     /// Its ticket.
     pub ticket: TicketId,
     /// When.
-    pub at: WholeMillis,
+    pub at: IntegerMillis,
 }
 
 /// Checks the invariants.
--- a/crates/loomflow-fleet-simulation/src/machine.rs
+++ b/crates/loomflow-fleet-simulation/src/machine.rs
@@ -5,14 +5,14 @@
 use loomflow_fleet::consensus::storage::{MemoryStorage, PersistedState, Storage, StorageError, WriteBatch};
 use loomflow_fleet::maintenance::ticket::TicketId;
 use loomflow_fleet::node::Node;
-use loomflow_fleet::time::{WholeMillis, scaled};
+use loomflow_fleet::time::{IntegerMillis, scaled};
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
 use crate::config::SimulationConfig;
 
 /// Clocks differ by less than this at the start, ms.
-const MAX_CLOCK_OFFSET_MILLIS: WholeMillis = 1_000_000;
+const MAX_CLOCK_OFFSET_MILLIS: IntegerMillis = 1_000_000;
 
 #[derive(Default)]
 struct DiskState {
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Drain {
     /// Since when.
-    pub since: WholeMillis,
+    pub since: IntegerMillis,
     /// The ticket by which; none where it received SIGTERM from outside.
     pub ticket: Option<TicketId>,
 }
@@ -66,19 +66,19 @@
     pub node: Option<Node>,
     pub(crate) disk: SimulatedDisk,
     /// How far its clock is ahead, ms.
-    clock_offset: WholeMillis,
+    clock_offset: IntegerMillis,
     /// How fast its clock runs; 1 is exact.
     clock_rate: f64,
     /// Its process stands still until then.
-    pub(crate) stopped_until: WholeMillis,
-    pub(crate) wake_at: WholeMillis,
-    pub(crate) started_at: WholeMillis,
+    pub(crate) stopped_until: IntegerMillis,
+    pub(crate) wake_at: IntegerMillis,
+    pub(crate) started_at: IntegerMillis,
     /// Its server shuts down.
     pub drain: Option<Drain>,
     pub(crate) has_drained: bool,
     /// How long maintenance takes here; none where it is never back.
-    pub(crate) maintenance_millis: Option<WholeMillis>,
-    pub(crate) next_load_at: WholeMillis,
+    pub(crate) maintenance_millis: Option<IntegerMillis>,
+    pub(crate) next_load_at: IntegerMillis,
     /// The share that its controller requests, where a fault sets it.
     pub(crate) forced_share: Option<f32>,
     /// What it has sent.
@@ -106,7 +106,7 @@
     }
 
     /// What its clock shows.
-    pub(crate) fn local_time(&self, now: WholeMillis) -> WholeMillis {
+    pub(crate) fn local_time(&self, now: IntegerMillis) -> IntegerMillis {
         scaled(now, self.clock_rate) + self.clock_offset
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// Whether its process stands still.
-    pub(crate) fn is_stopped(&self, now: WholeMillis) -> bool {
+    pub(crate) fn is_stopped(&self, now: IntegerMillis) -> bool {
         self.stopped_until > now
     }
 }
--- a/crates/loomflow-fleet-simulation/src/network.rs
+++ b/crates/loomflow-fleet-simulation/src/network.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use loomflow_fleet::time::WholeMillis;
+use loomflow_fleet::time::IntegerMillis;
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
@@ -17,7 +17,7 @@
     /// The fraction of messages that is sent twice.
     pub duplication: f64,
     /// Maximum delay of a message, ms.
-    pub max_delay_millis: WholeMillis,
+    pub max_delay_millis: IntegerMillis,
 }
 
 impl Network {
@@ -32,7 +32,7 @@
     }
 
     /// The delays of the copies of one message that arrive, ms.
-    pub fn draw_delays(&self, from: MachineId, to: MachineId, rng: &mut SmallRng) -> Vec<WholeMillis> {
+    pub fn draw_delays(&self, from: MachineId, to: MachineId, rng: &mut SmallRng) -> Vec<IntegerMillis> {
         let is_duplicated = self.duplication > 0.0 && rng.random_bool(self.duplication);
         let mut delays = Vec::new();
         for _ in 0..=usize::from(is_duplicated) {
--- a/crates/loomflow-fleet-simulation/src/scenario.rs
+++ b/crates/loomflow-fleet-simulation/src/scenario.rs
@@ -1,7 +1,7 @@
 //! What happens when, as data.
 
 use loomflow_fleet::maintenance::ticket::{TicketId, Urgency};
-use loomflow_fleet::time::WholeMillis;
+use loomflow_fleet::time::IntegerMillis;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
@@ -18,7 +18,7 @@
     /// A dead one starts again.
     Start(MachineId),
     /// The process stands still for this long, ms; what is sent to it waits.
-    Stop(MachineId, WholeMillis),
+    Stop(MachineId, IntegerMillis),
     /// Its disk is lost. Counts from its next start.
     LoseDisk(MachineId),
     /// Its disk takes nothing more, or does again.
@@ -32,7 +32,7 @@
     /// This fraction of all messages is lost, and this one is sent twice, 0 to 1.
     SetLoss(f64, f64),
     /// Maximum delay of a message, ms.
-    SetMaxDelay(WholeMillis),
+    SetMaxDelay(IntegerMillis),
     /// Tickets for these are requested at the first machine that runs.
     RequestWork(Vec<MachineId>, Urgency),
     /// An operator takes a ticket back.
@@ -42,7 +42,7 @@
     /// The fleet's load, in concurrent runs for each machine there is.
     SetLoad(f64),
     /// A machine that is taken out stays out this long, ms; none where it never comes back.
-    SetMaintenance(MachineId, Option<WholeMillis>),
+    SetMaintenance(MachineId, Option<IntegerMillis>),
     /// SIGTERM, without a ticket.
     Terminate(MachineId),
     /// Its controller requests this share of its usual traffic from now on, whatever its load.
@@ -53,12 +53,12 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Scenario {
     /// The moment of each fault, ms.
-    pub steps: Vec<(WholeMillis, Fault)>,
+    pub steps: Vec<(IntegerMillis, Fault)>,
 }
 
 impl Scenario {
     /// Puts faults in their order.
-    pub fn new(steps: impl IntoIterator<Item = (WholeMillis, Fault)>) -> Scenario {
+    pub fn new(steps: impl IntoIterator<Item = (IntegerMillis, Fault)>) -> Scenario {
         let mut steps: Vec<_> = steps.into_iter().collect();
         steps.sort_by_key(|(at, _)| *at);
         Scenario { steps }
@@ -66,7 +66,13 @@
 
     /// Tickets for all, and faults drawn from the seed between `from` and `to`; all is repaired after that. Of the voters at
     /// most a minority is without its disk in the end.
-    pub fn random(seed: u64, machines: usize, voters: usize, from: WholeMillis, to: WholeMillis) -> Scenario {
+    pub fn random(
+        seed: u64,
+        machines: usize,
+        voters: usize,
+        from: IntegerMillis,
+        to: IntegerMillis,
+    ) -> Scenario {
         let mut drawing = Drawing {
             rng: SmallRng::seed_from_u64(seed ^ 0x5EED),
             machines,
@@ -94,12 +100,12 @@
     voters: usize,
     /// Voters whose disk may still be lost.
     disks_to_lose: usize,
-    steps: Vec<(WholeMillis, Fault)>,
+    steps: Vec<(IntegerMillis, Fault)>,
 }
 
 impl Drawing {
     /// Draws one fault, with its repair where it has one of its own.
-    fn draw_fault(&mut self, at: WholeMillis) {
+    fn draw_fault(&mut self, at: IntegerMillis) {
         let machine = self.rng.random_range(0..self.machines);
         match self.rng.random_range(0..RANDOM_FAULT_KINDS) {
             0 | 1 => {
@@ -137,7 +143,7 @@
         }
     }
 
-    fn draw_lost_disk(&mut self, at: WholeMillis) {
+    fn draw_lost_disk(&mut self, at: IntegerMillis) {
         self.disks_to_lose -= 1;
         let restart = at + self.rng.random_range(500..5_000);
         let voter = self.rng.random_range(0..self.voters);
--- a/crates/loomflow-fleet-simulation/src/simulation.rs
+++ b/crates/loomflow-fleet-simulation/src/simulation.rs
@@ -16,7 +16,7 @@
 use loomflow_fleet::command::FleetResponse;
 use loomflow_fleet::member::{FleetRequestId, LoadReport, Phase};
 use loomflow_fleet::node::{Effect, Node};
-use loomflow_fleet::time::WholeMillis;
+use loomflow_fleet::time::IntegerMillis;
 use loomflow_fleet::wire::LENGTH_BYTES;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -33,12 +33,12 @@
 /// The load at the start, in concurrent runs for each machine.
 const INITIAL_LOAD: f64 = 3.0;
 /// Duration of the slow start of a server that joins a running fleet, ms.
-const SLOW_START_MILLIS: WholeMillis = 3_000;
+const SLOW_START_MILLIS: IntegerMillis = 3_000;
 /// How often a machine's load is reported to its member, ms.
-const LOAD_PERIOD_MILLIS: WholeMillis = 500;
+const LOAD_PERIOD_MILLIS: IntegerMillis = 500;
 /// Maximum time between two wake-ups of a machine, ms; and while its server drains.
-const MAX_SLEEP_MILLIS: WholeMillis = 500;
-const MAX_SLEEP_WHILE_DRAINING_MILLIS: WholeMillis = 100;
+const MAX_SLEEP_MILLIS: IntegerMillis = 500;
+const MAX_SLEEP_WHILE_DRAINING_MILLIS: IntegerMillis = 100;
 /// Lines of the log that are shown with a violation.
 const SHOWN_LOG_LINES: usize = 60;
 
@@ -55,7 +55,7 @@
 /// A line of the log.
 pub struct LogEntry {
     /// The simulated time, ms.
-    pub at: WholeMillis,
+    pub at: IntegerMillis,
     /// What happened.
     pub text: String,
 }
@@ -71,7 +71,7 @@
     /// What the fleet is made of.
     pub config: SimulationConfig,
     /// The simulated time, ms.
-    pub now: WholeMillis,
+    pub now: IntegerMillis,
     /// All machines, by their numbers.
     pub machines: Vec<Machine>,
     /// What must hold after every event.
@@ -114,7 +114,7 @@
     }
 
     /// What a machine's own clock shows.
-    pub fn local_time(&self, machine: MachineId) -> WholeMillis {
+    pub fn local_time(&self, machine: MachineId) -> IntegerMillis {
         self.machines[machine].local_time(self.now)
     }
 
@@ -145,7 +145,7 @@
     ///
     /// # Errors
     /// An invariant was broken.
-    pub fn run(&mut self, scenario: &Scenario, until: WholeMillis) -> Result<(), InvariantViolation> {
+    pub fn run(&mut self, scenario: &Scenario, until: IntegerMillis) -> Result<(), InvariantViolation> {
         for (at, fault) in scenario.steps.iter().filter(|(at, _)| *at <= until) {
             self.run_until(*at)?;
             self.inject(fault);
@@ -157,7 +157,7 @@
     ///
     /// # Errors
     /// An invariant was broken.
-    pub fn run_until(&mut self, until: WholeMillis) -> Result<(), InvariantViolation> {
+    pub fn run_until(&mut self, until: IntegerMillis) -> Result<(), InvariantViolation> {
         while let Some((at, event)) = self.queue.pop_until(until) {
             self.now = self.now.max(at);
             if let Some(active) = self.handle_event(event, at) {
@@ -170,7 +170,7 @@
     }
 
     /// Handles one event; returns the machine that has done something.
-    fn handle_event(&mut self, event: Event, at: WholeMillis) -> Option<MachineId> {
+    fn handle_event(&mut self, event: Event, at: IntegerMillis) -> Option<MachineId> {
         match event {
             Event::Message { to, bytes } => self.deliver(to, bytes),
             Event::Start(machine) => {
@@ -211,7 +211,7 @@
 
     /// Does what is due on a machine, unless it is dead or has another wake-up time by now; one that is stopped does it when it
     /// goes on.
-    fn wake(&mut self, id: MachineId, at: WholeMillis) -> Option<MachineId> {
+    fn wake(&mut self, id: MachineId, at: IntegerMillis) -> Option<MachineId> {
         let machine = &self.machines[id];
         if machine.node.is_none() || machine.wake_at != at {
             return None;
@@ -224,7 +224,7 @@
         Some(id)
     }
 
-    fn wake_at(&mut self, id: MachineId, at: WholeMillis) {
+    fn wake_at(&mut self, id: MachineId, at: IntegerMillis) {
         if self.machines[id].wake_at != at {
             self.machines[id].wake_at = at;
             self.queue.push(at, Event::Wake(id));
--- a/crates/loomflow-fleet-simulation/src/simulation/faults.rs
+++ b/crates/loomflow-fleet-simulation/src/simulation/faults.rs
@@ -2,7 +2,7 @@
 
 use loomflow_fleet::command::{FleetCommand, FleetRequest, Issuer};
 use loomflow_fleet::maintenance::ticket::{TicketId, TicketRequest, Transition, Urgency};
-use loomflow_fleet::time::WholeMillis;
+use loomflow_fleet::time::IntegerMillis;
 
 use super::{OperatorCall, Simulation};
 use crate::config::{MachineId, server_name};
@@ -11,7 +11,7 @@
 use crate::scenario::Fault;
 
 /// How long maintenance is requested for, ms.
-const REQUESTED_MILLIS: WholeMillis = 60_000;
+const REQUESTED_MILLIS: IntegerMillis = 60_000;
 
 impl Simulation {
     /// Carries out one fault, now.
@@ -53,7 +53,7 @@
     }
 
     /// The process stalls between its check and its effect: what it owns now is done when it goes on.
-    fn stop(&mut self, id: MachineId, span: WholeMillis) {
+    fn stop(&mut self, id: MachineId, span: IntegerMillis) {
         let local_time = self.local_time(id);
         let node = self.machines[id].node.as_ref();
         let owned = node.map(|node| node.owned_duties(local_time)).unwrap_or_default();
--- a/crates/loomflow-fleet-simulation/src/simulation/shutdown.rs
+++ b/crates/loomflow-fleet-simulation/src/simulation/shutdown.rs
@@ -1,18 +1,18 @@
 //! Servers that shut down: each drains, reports it, exits, and is started again when its maintenance is done.
 
 use loomflow_fleet::node::Effect;
-use loomflow_fleet::time::WholeMillis;
+use loomflow_fleet::time::IntegerMillis;
 
 use super::Simulation;
 use crate::config::{MachineId, machine_of};
 use crate::event_queue::Event;
 
 /// How long a server drains, ms.
-const DRAIN_MILLIS: WholeMillis = 700;
+const DRAIN_MILLIS: IntegerMillis = 700;
 /// How long a server waits for its last report to be answered, ms.
-const SHUTDOWN_TIMEOUT_MILLIS: WholeMillis = 1_500;
+const SHUTDOWN_TIMEOUT_MILLIS: IntegerMillis = 1_500;
 /// How long the last messages take, ms.
-const LAST_MESSAGE_DELAY_MILLIS: WholeMillis = 2;
+const LAST_MESSAGE_DELAY_MILLIS: IntegerMillis = 2;
 
 impl Simulation {
     /// Does what is due on a server that shuts down.
--- a/crates/loomflow-fleet/src/consensus/election.rs
+++ b/crates/loomflow-fleet/src/consensus/election.rs
@@ -6,10 +6,10 @@
 use super::log::Log;
 use super::{Consensus, StateMachine};
 use crate::member::ServerName;
-use crate::time::WholeMillis;
+use crate::time::IntegerMillis;
 
 /// The library's tick, ms.
-pub(super) const TICK_MILLIS: WholeMillis = 100;
+pub(super) const TICK_MILLIS: IntegerMillis = 100;
 /// A leader sends heartbeats every this many ticks.
 pub(super) const HEARTBEAT_TICKS: usize = 2;
 /// A voter without a heartbeat for this many ticks, up to twice as many by chance, starts an election.
--- a/crates/loomflow-fleet/src/consensus/mod.rs
+++ b/crates/loomflow-fleet/src/consensus/mod.rs
@@ -29,16 +29,16 @@
 use raft::{Config, RawNode, SnapshotStatus};
 
 use crate::member::{Incarnation, Replica, ServerName};
-use crate::time::WholeMillis;
+use crate::time::IntegerMillis;
 use election::{ELECTION_TICKS, HEARTBEAT_TICKS, TICK_MILLIS};
 pub use error::{ConsensusError, ProposeError, SnapshotError};
 use log::Log;
 use storage::{PersistedState, ReplicaMetadata, Storage, WriteBatch};
 
 /// A storage that failed is tried again after this, ms.
-const STORAGE_RETRY_MILLIS: WholeMillis = 1_000;
+const STORAGE_RETRY_MILLIS: IntegerMillis = 1_000;
 /// A snapshot that did not arrive is sent again after this, ms.
-const SNAPSHOT_RETRY_MILLIS: WholeMillis = 3_000;
+const SNAPSHOT_RETRY_MILLIS: IntegerMillis = 3_000;
 /// Proposals that may be uncommitted, bytes.
 const MAX_UNCOMMITTED_BYTES: u64 = 16 * 1024 * 1024;
 /// Entries in one message, bytes, and messages on their way to one voter.
@@ -93,8 +93,8 @@
     replicas: BTreeMap<u64, ServerName>,
     /// Replicas that sent messages, whether the configuration knows them or not.
     unconfirmed_replicas: BTreeMap<u64, ServerName>,
-    next_tick_at: WholeMillis,
-    next_snapshot_check_at: WholeMillis,
+    next_tick_at: IntegerMillis,
+    next_snapshot_check_at: IntegerMillis,
     outgoing: Vec<(ServerName, Vec<u8>)>,
     outputs: Vec<M::Output>,
     /// Messages of another group, or that could not be taken.
@@ -110,7 +110,7 @@
         storage: Box<dyn Storage>,
         seed: u64,
         unix_millis: u64,
-        now: WholeMillis,
+        now: IntegerMillis,
     ) -> Self {
         let mut consensus = Consensus {
             name,
@@ -314,7 +314,7 @@
     }
 
     /// Does what is due. After a sleep only one tick is made up for: the others had theirs.
-    pub fn tick(&mut self, now: WholeMillis) {
+    pub fn tick(&mut self, now: IntegerMillis) {
         if now < self.next_tick_at {
             return;
         }
@@ -334,7 +334,7 @@
     }
 
     /// When something is due next.
-    pub fn next_wake(&self) -> WholeMillis {
+    pub fn next_wake(&self) -> IntegerMillis {
         self.next_tick_at
     }
 
--- a/crates/loomflow-fleet/src/duty/client_session.rs
+++ b/crates/loomflow-fleet/src/duty/client_session.rs
@@ -6,12 +6,12 @@
 
 use super::{DutyName, LeaseSettings, OwnedDuty, Ownership, SessionId, Token};
 use crate::member::FleetRequestId;
-use crate::time::WholeMillis;
+use crate::time::IntegerMillis;
 
 /// A session is renewed this many times within its length.
 const RENEWALS_PER_LEASE: u64 = 4;
 /// Shortest time between two renewals, ms.
-const MIN_RENEWAL_GAP_MILLIS: WholeMillis = 20;
+const MIN_RENEWAL_GAP_MILLIS: IntegerMillis = 20;
 
 /// A change in what a server owns.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -30,20 +30,20 @@
     session: SessionId,
     lease_settings: LeaseSettings,
     /// The session is valid until then.
-    valid_until: WholeMillis,
+    valid_until: IntegerMillis,
     duties: BTreeMap<DutyName, OwnedDuty>,
     /// What this session released: a duty with a token up to this one is not taken up again.
     released: BTreeMap<DutyName, Token>,
     /// The renewal that has no answer yet, and when it was sent first.
-    pending_renewal: Option<(FleetRequestId, WholeMillis)>,
-    next_renewal_at: WholeMillis,
+    pending_renewal: Option<(FleetRequestId, IntegerMillis)>,
+    next_renewal_at: IntegerMillis,
     changes: Vec<OwnershipChange>,
 }
 
 impl ClientSession {
     /// The token by which the server owns a duty at this moment. Nobody else owns it, as far as clocks stay within
     /// [`super::MAX_CLOCK_DRIFT`].
-    pub fn owned_token(&self, duty: &str, now: WholeMillis) -> Option<Token> {
+    pub fn owned_token(&self, duty: &str, now: IntegerMillis) -> Option<Token> {
         if now >= self.valid_until {
             return None;
         }
@@ -61,7 +61,7 @@
     }
 
     /// Until when the server owns what it owns, on its own clock.
-    pub fn valid_until(&self) -> WholeMillis {
+    pub fn valid_until(&self) -> IntegerMillis {
         self.valid_until
     }
 
@@ -71,17 +71,17 @@
     }
 
     /// When something is due next.
-    pub fn next_wake(&self) -> WholeMillis {
+    pub fn next_wake(&self) -> IntegerMillis {
         if self.duties.is_empty() { self.next_renewal_at } else { self.next_renewal_at.min(self.valid_until) }
     }
 
     /// Whether the session is to be renewed now.
-    pub fn is_renewal_due(&self, now: WholeMillis) -> bool {
+    pub fn is_renewal_due(&self, now: IntegerMillis) -> bool {
         now >= self.next_renewal_at
     }
 
     /// A renewal is sent. Returns the one before, if it was not answered.
-    pub fn renewal_sent(&mut self, id: FleetRequestId, now: WholeMillis) -> Option<FleetRequestId> {
+    pub fn renewal_sent(&mut self, id: FleetRequestId, now: IntegerMillis) -> Option<FleetRequestId> {
         let period = self.lease_settings.lease_millis / RENEWALS_PER_LEASE;
         self.next_renewal_at = now + period.max(MIN_RENEWAL_GAP_MILLIS);
         self.pending_renewal.replace((id, now)).map(|(before, _)| before)
@@ -93,7 +93,7 @@
     }
 
     /// The answer to a renewal that was first sent at `sent_at`.
-    pub fn renewed(&mut self, ownership: Ownership, sent_at: WholeMillis, now: WholeMillis) {
+    pub fn renewed(&mut self, ownership: Ownership, sent_at: IntegerMillis, now: IntegerMillis) {
         self.pending_renewal = None;
         self.expire(now);
         let valid_until = sent_at + ownership.lease_settings.owner_duration();
@@ -114,7 +114,7 @@
     }
 
     /// Received without a renewal: counts for the current session, and does not extend it.
-    pub fn notified(&mut self, ownership: Ownership, now: WholeMillis) {
+    pub fn notified(&mut self, ownership: Ownership, now: IntegerMillis) {
         self.expire(now);
         if ownership.session == self.session && now < self.valid_until {
             self.accept(ownership.duties);
@@ -143,12 +143,12 @@
     pub fn end(&mut self) {
         self.lose_all();
         self.valid_until = 0;
-        self.next_renewal_at = WholeMillis::MAX;
+        self.next_renewal_at = IntegerMillis::MAX;
         self.pending_renewal = None;
     }
 
     /// Takes away what is owned, where the session has expired.
-    pub fn expire(&mut self, now: WholeMillis) {
+    pub fn expire(&mut self, now: IntegerMillis) {
         if now >= self.valid_until {
             self.lose_all();
         }
--- a/crates/loomflow-fleet/src/duty/job.rs
+++ b/crates/loomflow-fleet/src/duty/job.rs
@@ -4,10 +4,10 @@
 //! A run begins only when its number is committed: so no time is run twice.
 
 use super::{DutyName, DutyRejection, OwnedDuty, OwnerUpdate, RunId, Token};
-use crate::time::WholeMillis;
+use crate::time::IntegerMillis;
 
 /// A run that failed is retried after this, ms.
-const RETRY_AFTER_MILLIS: WholeMillis = 1_000;
+const RETRY_AFTER_MILLIS: IntegerMillis = 1_000;
 
 /// How a run's process ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -55,7 +55,7 @@
     has_unfinished_run: bool,
     /// The operator's request was taken up, and what is owned does not show it yet.
     is_request_taken: bool,
-    retry_at: WholeMillis,
+    retry_at: IntegerMillis,
     state: State,
 }
 
@@ -87,7 +87,7 @@
     pub fn step(
         &mut self,
         owned: Option<&OwnedDuty>,
-        now: WholeMillis,
+        now: IntegerMillis,
         unix_seconds: u64,
     ) -> Option<JobAction> {
         let owned = owned.filter(|owned| owned.token == self.token);
@@ -109,7 +109,7 @@
         }
     }
 
-    fn due_run(&self, owned: &OwnedDuty, now: WholeMillis, unix_seconds: u64) -> Option<RunId> {
+    fn due_run(&self, owned: &OwnedDuty, now: IntegerMillis, unix_seconds: u64) -> Option<RunId> {
         if now < self.retry_at {
             return None;
         }
@@ -127,7 +127,7 @@
         &mut self,
         answer: Option<&Result<(), DutyRejection>>,
         owned: Option<&OwnedDuty>,
-        now: WholeMillis,
+        now: IntegerMillis,
     ) -> Option<JobAction> {
         let State::Beginning(run) = self.state else { return None };
         self.state = State::Idle;
@@ -156,7 +156,7 @@
     }
 
     /// The process of the run has ended.
-    pub fn process_ended(&mut self, exit: Exit, now: WholeMillis) -> Option<JobAction> {
+    pub fn process_ended(&mut self, exit: Exit, now: IntegerMillis) -> Option<JobAction> {
         let State::Running { run, .. } = self.state else { return None };
         self.state = State::Idle;
         match exit {
--- a/crates/loomflow-fleet/src/duty/mod.rs
+++ b/crates/loomflow-fleet/src/duty/mod.rs
@@ -36,7 +36,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::member::{Incarnation, MAX_NAME_BYTES, ServerName};
-use crate::time::{FleetMillis, WholeMillis, scaled, scaled_up};
+use crate::time::{FleetMillis, IntegerMillis, scaled, scaled_up};
 
 /// The name of a duty: 1 to 64 bytes.
 pub type DutyName = String;
@@ -71,7 +71,7 @@
 pub struct LeaseSettings {
     /// The time until a session without a renewal expires, ms.
     #[serde(rename = "lease")]
-    pub lease_millis: WholeMillis,
+    pub lease_millis: IntegerMillis,
     /// A duty that was lost or failed this many times in a row, with nothing done between, is parked.
     #[serde(rename = "attempts")]
     pub max_attempts: u32,
@@ -85,12 +85,12 @@
 
 impl LeaseSettings {
     /// How long the owner relies on its session, from before the renewal was sent, ms: the lease less the bound on drift.
-    pub fn owner_duration(&self) -> WholeMillis {
+    pub fn owner_duration(&self) -> IntegerMillis {
         scaled(self.lease_millis, 1.0 - MAX_CLOCK_DRIFT)
     }
 
     /// How long the others wait, from when the session was committed, ms: the lease plus that bound.
-    pub fn waiting_duration(&self) -> WholeMillis {
+    pub fn waiting_duration(&self) -> IntegerMillis {
         scaled_up(self.lease_millis, 1.0 + MAX_CLOCK_DRIFT)
     }
 }
@@ -239,7 +239,7 @@
     /// An earlier start of this server may still own something, for this long, ms.
     #[error("an earlier start of this server may own something for {0} ms more")]
     #[serde(rename = "FormerSelf")]
-    EarlierIncarnation(WholeMillis),
+    EarlierIncarnation(IntegerMillis),
     /// This run has begun already, or is over.
     #[error("{duty}: run {run} has begun already")]
     Begun {
--- a/crates/loomflow-fleet/src/duty/supervisor.rs
+++ b/crates/loomflow-fleet/src/duty/supervisor.rs
@@ -2,7 +2,7 @@
 //! What still runs after that, such as a process that left its group, is rejected by the fences of its receivers.
 
 use super::LeaseSettings;
-use crate::time::{WholeMillis, scaled};
+use crate::time::{IntegerMillis, scaled};
 
 /// A process is sent SIGTERM when this fraction of the lease remains: the lease is renewed four times in its length, so that
 /// this does not happen while the fleet responds.
@@ -36,11 +36,11 @@
 #[derive(Clone, Debug)]
 pub struct ProcessSupervisor {
     lease_settings: LeaseSettings,
-    started_at: WholeMillis,
-    max_duration: WholeMillis,
+    started_at: IntegerMillis,
+    max_duration: IntegerMillis,
     /// Until when its owner owns the duty.
-    owned_until: WholeMillis,
-    stop_requested: Option<(WholeMillis, StopReason)>,
+    owned_until: IntegerMillis,
+    stop_requested: Option<(IntegerMillis, StopReason)>,
     is_killed: bool,
 }
 
@@ -48,9 +48,9 @@
     /// A process that starts now.
     pub fn new(
         lease_settings: LeaseSettings,
-        owned_until: WholeMillis,
-        max_duration: WholeMillis,
-        now: WholeMillis,
+        owned_until: IntegerMillis,
+        max_duration: IntegerMillis,
+        now: IntegerMillis,
     ) -> ProcessSupervisor {
         ProcessSupervisor {
             lease_settings,
@@ -63,17 +63,17 @@
     }
 
     /// The duty is still owned, until then.
-    pub fn extend_ownership(&mut self, until: WholeMillis) {
+    pub fn extend_ownership(&mut self, until: IntegerMillis) {
         self.owned_until = self.owned_until.max(until);
     }
 
     /// The owner wants the process to end.
-    pub fn request_stop(&mut self, now: WholeMillis) {
+    pub fn request_stop(&mut self, now: IntegerMillis) {
         self.stop_requested.get_or_insert((now, StopReason::HandOver));
     }
 
     /// The duty is no longer owned, whatever time was left.
-    pub fn ownership_lost(&mut self, now: WholeMillis) {
+    pub fn ownership_lost(&mut self, now: IntegerMillis) {
         self.owned_until = self.owned_until.min(now);
         self.stop_requested.get_or_insert((now, StopReason::LeaseExpiring));
     }
@@ -84,7 +84,7 @@
     }
 
     /// What is to be sent to the process now: each signal once.
-    pub fn step(&mut self, now: WholeMillis) -> Option<StopSignal> {
+    pub fn step(&mut self, now: IntegerMillis) -> Option<StopSignal> {
         let lease_millis = self.lease_settings.lease_millis as f64;
         let remaining = self.owned_until.saturating_sub(now) as f64;
         let was_requested = self.stop_requested.is_some();
--- a/crates/loomflow-fleet/src/maintenance/headroom.rs
+++ b/crates/loomflow-fleet/src/maintenance/headroom.rs
@@ -13,14 +13,14 @@
 
 pub use crate::member::MemberView;
 use crate::member::{ServerName, Zone};
-use crate::time::WholeMillis;
+use crate::time::IntegerMillis;
 
 /// How full those who stay may be, as a fraction of their capacity.
 pub const MAX_FILL: f64 = 0.85;
 /// The highest load within this window counts as the load now, ms.
-pub const BURST_WINDOW_MILLIS: WholeMillis = 5 * 60 * 1000;
+pub const BURST_WINDOW_MILLIS: IntegerMillis = 5 * 60 * 1000;
 /// Loads are averaged over buckets of this length, ms.
-const BUCKET_MILLIS: WholeMillis = 10_000;
+const BUCKET_MILLIS: IntegerMillis = 10_000;
 /// A zone that carries this fraction of its highest recent load is busy.
 const BUSY_FRACTION: f64 = 0.9;
 
@@ -33,7 +33,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Bucket {
-    start: WholeMillis,
+    start: IntegerMillis,
     sample_count: f64,
     /// Sums over the samples, in concurrent runs.
     load_by_zone: BTreeMap<Zone, f64>,
@@ -83,7 +83,7 @@
 
 impl Headroom {
     /// Takes in the members' load. To be called every second or so, on every voter: a new leader knows it too.
-    pub fn observe(&mut self, now: WholeMillis, members: &BTreeMap<ServerName, MemberView>) {
+    pub fn observe(&mut self, now: IntegerMillis, members: &BTreeMap<ServerName, MemberView>) {
         if self.buckets.back().is_none_or(|bucket| now >= bucket.start + BUCKET_MILLIS) {
             self.buckets.push_back(Bucket { start: now, ..Bucket::default() });
         }
--- a/crates/loomflow-fleet/src/member.rs
+++ b/crates/loomflow-fleet/src/member.rs
@@ -6,7 +6,7 @@
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 
-use crate::time::WholeMillis;
+use crate::time::IntegerMillis;
 
 /// The name of a server, as in its configuration. At most [`MAX_NAME_BYTES`] bytes.
 pub type ServerName = String;
@@ -157,7 +157,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReceivedReport {
     /// When, by the clock of the receiver.
-    pub at: WholeMillis,
+    pub at: IntegerMillis,
     /// The report.
     pub report: LoadReport,
 }
@@ -188,12 +188,12 @@
 }
 
 /// How often load reports are sent, ms.
-pub const REPORT_PERIOD_MILLIS: WholeMillis = 1_000;
+pub const REPORT_PERIOD_MILLIS: IntegerMillis = 1_000;
 /// An older report is not relied on, ms: three were missed.
-pub const REPORT_MAX_AGE_MILLIS: WholeMillis = 3_500;
+pub const REPORT_MAX_AGE_MILLIS: IntegerMillis = 3_500;
 
 /// Whether a load report that came at `received_at` is still relied on.
-pub fn is_report_recent(received_at: WholeMillis, now: WholeMillis) -> bool {
+pub fn is_report_recent(received_at: IntegerMillis, now: IntegerMillis) -> bool {
     now.saturating_sub(received_at) <= REPORT_MAX_AGE_MILLIS
 }
 
--- a/crates/loomflow-fleet/src/membership.rs
+++ b/crates/loomflow-fleet/src/membership.rs
@@ -18,12 +18,12 @@
 
 use self::suspicion::Suspicions;
 use crate::member::{LoadReport, MemberIdentity, ReceivedReport, Replica, ServerName};
-use crate::time::{WholeMillis, whole_millis};
+use crate::time::{IntegerMillis, whole_millis};
 
 /// Maximum number of members, this one included; a packet that names more is taken without them.
 pub const MAX_MEMBERS: usize = 2_048;
 /// How often voters that are named in the settings and not here are contacted, ms.
-const REJOIN_PERIOD_MILLIS: WholeMillis = 2_000;
+const REJOIN_PERIOD_MILLIS: IntegerMillis = 2_000;
 /// Maximum number of timers: several for each member.
 const MAX_TIMERS: usize = 4 * MAX_MEMBERS;
 
@@ -39,7 +39,7 @@
     /// Its replica, if it is a voter.
     pub replica: Option<Replica>,
     /// Since when it is in its state.
-    pub since: WholeMillis,
+    pub since: IntegerMillis,
 }
 
 /// The members of the fleet as this one sees them.
@@ -53,9 +53,9 @@
     suspicions: Suspicions,
     /// Whom to contact when they are not here: voters by their settings.
     seeds: Vec<MemberIdentity>,
-    next_rejoin_at: WholeMillis,
-    next_refresh_at: WholeMillis,
-    refresh_period: WholeMillis,
+    next_rejoin_at: IntegerMillis,
+    next_refresh_at: IntegerMillis,
+    refresh_period: IntegerMillis,
     /// Packets that could not be read.
     pub malformed: u64,
     outgoing: Vec<(MemberIdentity, Vec<u8>)>,
@@ -63,7 +63,7 @@
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DueTimer {
-    at: WholeMillis,
+    at: IntegerMillis,
     sequence: u64,
     timer: Timer<MemberIdentity>,
 }
@@ -74,7 +74,7 @@
         identity: MemberIdentity,
         seeds: Vec<MemberIdentity>,
         random_seed: u64,
-        now: WholeMillis,
+        now: IntegerMillis,
     ) -> Membership {
         let is_voter = seeds.iter().any(|voter| voter.name == identity.name);
         let seeds = seeds.into_iter().filter(|other| other.name != identity.name).collect();
@@ -116,7 +116,7 @@
     }
 
     /// Takes a packet. One that cannot be read is counted and changes nothing.
-    pub fn handle_packet(&mut self, bytes: &[u8], now: WholeMillis) {
+    pub fn handle_packet(&mut self, bytes: &[u8], now: IntegerMillis) {
         use foca::Error::{DataTooBig, Decode, MalformedPacket};
         let result = self.foca.handle_data(bytes, &mut self.runtime);
         if matches!(result, Err(MalformedPacket | Decode(_) | DataTooBig)) {
@@ -131,7 +131,7 @@
         from: &MemberIdentity,
         report: LoadReport,
         replica: Option<Replica>,
-        now: WholeMillis,
+        now: IntegerMillis,
     ) {
         if let Some(known) = self.known.get_mut(&from.name)
             && known.identity.incarnation == from.incarnation
@@ -143,7 +143,7 @@
     }
 
     /// Does what is due.
-    pub fn tick(&mut self, now: WholeMillis) {
+    pub fn tick(&mut self, now: IntegerMillis) {
         while self.timers.peek().is_some_and(|Reverse(due)| due.at <= now) {
             let Some(Reverse(due)) = self.timers.pop() else { break };
             // A machine that slept finds probes whose round is over: the library begins the next one.
@@ -167,13 +167,13 @@
     }
 
     /// When something is due next.
-    pub fn next_wake(&self) -> WholeMillis {
+    pub fn next_wake(&self) -> IntegerMillis {
         let next_timer = self.timers.peek().map(|Reverse(due)| due.at);
         next_timer.map_or(self.next_rejoin_at, |at| at.min(self.next_rejoin_at))
     }
 
     /// Announces to the others that this member shuts down. It is of no further use then.
-    pub fn leave(&mut self, now: WholeMillis) {
+    pub fn leave(&mut self, now: IntegerMillis) {
         let _ = self.foca.leave_cluster(&mut self.runtime);
         self.process_events(now);
     }
@@ -184,7 +184,7 @@
     }
 
     /// Takes over what the library wants done, and what it has learnt.
-    fn process_events(&mut self, now: WholeMillis) {
+    fn process_events(&mut self, now: IntegerMillis) {
         self.drain_runtime(now);
         // Suspicion is not notified, so the state of all members is read periodically.
         if now >= self.next_refresh_at {
@@ -194,7 +194,7 @@
         }
     }
 
-    fn drain_runtime(&mut self, now: WholeMillis) {
+    fn drain_runtime(&mut self, now: IntegerMillis) {
         while let Some((after, timer)) = self.runtime.to_schedule() {
             if self.timers.len() < MAX_TIMERS {
                 self.timer_sequence += 1;
@@ -221,7 +221,7 @@
 
     /// Reads the state of all members, ends suspicions that nothing else ends, and forgets members that have been down for
     /// long.
-    fn refresh(&mut self, now: WholeMillis) {
+    fn refresh(&mut self, now: IntegerMillis) {
         let declared_down = self.suspicions.update(self.foca.iter_membership_state(), now);
         let _ = self.foca.apply_many(declared_down.into_iter(), true, &mut self.runtime);
         for member in self.foca.iter_membership_state() {
@@ -236,7 +236,7 @@
     known: &mut BTreeMap<ServerName, KnownMember>,
     identity: &MemberIdentity,
     swim_state: SwimState,
-    now: WholeMillis,
+    now: IntegerMillis,
 ) {
     let new_member = || KnownMember {
         identity: identity.clone(),
--- a/crates/loomflow-fleet/src/membership/failure_detection.rs
+++ b/crates/loomflow-fleet/src/membership/failure_detection.rs
@@ -11,7 +11,7 @@
 
 use super::KnownMember;
 use crate::member::{LoadReport, MemberState, Phase, ReceivedReport, is_report_recent};
-use crate::time::WholeMillis;
+use crate::time::IntegerMillis;
 
 /// How often a member probes another one, ms.
 const PROBE_PERIOD_MILLIS: u64 = 1_000;
@@ -24,7 +24,7 @@
 /// How often a member passes on one update.
 const MAX_TRANSMISSIONS: u8 = 12;
 /// A member that left or died is remembered for this long, ms: until then it counts as missing.
-pub const FORGET_AFTER_MILLIS: WholeMillis = 60 * 60 * 1000;
+pub const FORGET_AFTER_MILLIS: IntegerMillis = 60 * 60 * 1000;
 /// How often updates are sent beside those in probes, ms, and to how many members.
 const GOSSIP_PERIOD_MILLIS: u64 = 200;
 const GOSSIP_MEMBERS: usize = 3;
@@ -38,8 +38,8 @@
 const MAX_PACKET_BYTES: usize = 1_400;
 /// How late a voter may learn of a suspicion, ms, while packets arrive. The other members decide nothing by it, and reading
 /// the state of all members is the main cost of membership in a large fleet.
-const REFRESH_PERIOD_OF_VOTERS_MILLIS: WholeMillis = 500;
-const REFRESH_PERIOD_OF_OTHERS_MILLIS: WholeMillis = 5_000;
+const REFRESH_PERIOD_OF_VOTERS_MILLIS: IntegerMillis = 500;
+const REFRESH_PERIOD_OF_OTHERS_MILLIS: IntegerMillis = 5_000;
 
 /// The settings of the membership library.
 pub(super) fn swim_config() -> Config {
@@ -67,7 +67,7 @@
 }
 
 /// How often the states of all members are read from the library, ms: it does not notify of suspicions.
-pub(super) fn refresh_period(is_voter: bool) -> WholeMillis {
+pub(super) fn refresh_period(is_voter: bool) -> IntegerMillis {
     if is_voter { REFRESH_PERIOD_OF_VOTERS_MILLIS } else { REFRESH_PERIOD_OF_OTHERS_MILLIS }
 }
 
@@ -91,12 +91,12 @@
     }
 
     /// Whether it has been down for [`FORGET_AFTER_MILLIS`] and no longer counts as missing.
-    pub(super) fn is_forgotten(&self, now: WholeMillis) -> bool {
+    pub(super) fn is_forgotten(&self, now: IntegerMillis) -> bool {
         self.is_down() && now >= self.since + FORGET_AFTER_MILLIS
     }
 
     /// Its load report, if that is recent and the member is not down.
-    pub fn recent_report(&self, now: WholeMillis) -> Option<LoadReport> {
+    pub fn recent_report(&self, now: IntegerMillis) -> Option<LoadReport> {
         let ReceivedReport { at, report } = self.load_report?;
         (!self.is_down() && is_report_recent(at, now)).then_some(report)
     }
--- a/crates/loomflow-fleet/src/membership/suspicion.rs
+++ b/crates/loomflow-fleet/src/membership/suspicion.rs
@@ -12,16 +12,16 @@
 
 use super::failure_detection::SUSPECT_TO_DOWN_MILLIS;
 use crate::member::{MemberIdentity, ServerName};
-use crate::time::WholeMillis;
+use crate::time::IntegerMillis;
 
 /// A suspicion that lasts this long has lost its timer, ms: the timer ends after half of it.
-const SUSPICION_LIMIT_MILLIS: WholeMillis = 2 * SUSPECT_TO_DOWN_MILLIS;
+const SUSPICION_LIMIT_MILLIS: IntegerMillis = 2 * SUSPECT_TO_DOWN_MILLIS;
 
 struct Suspicion {
     identity: MemberIdentity,
     /// By the membership protocol: rises when the member refutes a suspicion.
     swim_incarnation: Incarnation,
-    since: WholeMillis,
+    since: IntegerMillis,
 }
 
 impl Suspicion {
@@ -42,7 +42,7 @@
     pub(super) fn update<'a>(
         &mut self,
         members: impl Iterator<Item = &'a Member<MemberIdentity>>,
-        now: WholeMillis,
+        now: IntegerMillis,
     ) -> Vec<Member<MemberIdentity>> {
         let mut former = std::mem::take(&mut self.by_name);
         let mut declared_down = Vec::new();
--- a/crates/loomflow-fleet/src/membership/tests.rs
+++ b/crates/loomflow-fleet/src/membership/tests.rs
@@ -3,12 +3,12 @@
 use foca::{Header, Message, ProbeNumber};
 
 /// Long enough for two members to know each other, ms.
-const JOINED_AT: WholeMillis = 10_000;
-const STEP_MILLIS: WholeMillis = 10;
+const JOINED_AT: IntegerMillis = 10_000;
+const STEP_MILLIS: IntegerMillis = 10;
 
 /// A packet by the header that the library gives it.
 struct SentPacket {
-    at: WholeMillis,
+    at: IntegerMillis,
     from: usize,
     to: ServerName,
     message: Message<MemberIdentity>,
@@ -17,7 +17,7 @@
 /// Members "a", "b" and so on, which exchange their packets while `is_connected`.
 struct Cluster {
     members: Vec<Membership>,
-    now: WholeMillis,
+    now: IntegerMillis,
     is_connected: bool,
     /// The one whose packets are lost although they are connected.
     unheard: Option<usize>,
@@ -64,7 +64,7 @@
         }
     }
 
-    fn run_for(&mut self, span: WholeMillis) {
+    fn run_for(&mut self, span: IntegerMillis) {
         let until = self.now + span;
         while self.now < until {
             self.step();
@@ -88,7 +88,7 @@
     }
 
     /// The time until the second member has this state, ms.
-    fn millis_until(&mut self, state: MemberState) -> WholeMillis {
+    fn millis_until(&mut self, state: MemberState) -> IntegerMillis {
         let start = self.now;
         while self.state() != Some(state) {
             assert!(self.now < start + 60_000, "still {:?}", self.state());
@@ -174,7 +174,7 @@
         }
         _ => None,
     };
-    let delays: Vec<WholeMillis> = cluster.sent.iter().filter_map(delay).collect();
+    let delays: Vec<IntegerMillis> = cluster.sent.iter().filter_map(delay).collect();
     assert!(!delays.is_empty(), "no probe was repeated");
     assert!(delays.iter().all(|delay| *delay == 500), "{delays:?} ms");
 }
@@ -190,7 +190,7 @@
     cluster.run_for(30_000);
     let is_announcement =
         |packet: &&SentPacket| packet.from == 0 && packet.to == "c" && packet.message == Message::Announce;
-    let announced_at: Vec<WholeMillis> =
+    let announced_at: Vec<IntegerMillis> =
         cluster.sent.iter().filter(is_announcement).map(|packet| packet.at).collect();
     assert_eq!(announced_at.len(), 10, "{announced_at:?}");
     assert!(announced_at.windows(2).all(|pair| pair[1] - pair[0] == 3_000), "{announced_at:?}");
@@ -210,7 +210,7 @@
                 read_at.push(cluster.now);
             }
         }
-        let gaps: Vec<WholeMillis> = read_at.windows(2).map(|pair| pair[1] - pair[0]).collect();
+        let gaps: Vec<IntegerMillis> = read_at.windows(2).map(|pair| pair[1] - pair[0]).collect();
         assert!(gaps.len() > 5, "{gaps:?}");
         assert!(gaps.iter().all(|gap| (period..=period + 200).contains(gap)), "{gaps:?}");
     }
--- a/crates/loomflow-fleet/src/node/duties.rs
+++ b/crates/loomflow-fleet/src/node/duties.rs
@@ -17,11 +17,11 @@
 use crate::maintenance::campaign::{self, CampaignCommand, CampaignStep, CampaignView};
 use crate::member::{FleetRequestId, Phase, ServerName};
 use crate::status::{FleetStatus, SummaryReport};
-use crate::time::WholeMillis;
+use crate::time::IntegerMillis;
 use crate::wire::Body;
 
 /// How often the owner of campaigns checks them, ms.
-const CAMPAIGN_PERIOD_MILLIS: WholeMillis = 1_000;
+const CAMPAIGN_PERIOD_MILLIS: IntegerMillis = 1_000;
 /// The duty that sums the fleet up.
 pub const SUMMARY: &str = "summary";
 
@@ -33,7 +33,7 @@
     /// The operators' own duties.
     pub specs: Vec<DutySpec>,
     /// How often the fleet is summed up, ms.
-    pub summary_period_millis: WholeMillis,
+    pub summary_period_millis: IntegerMillis,
 }
 
 impl DutyConfig {
@@ -47,14 +47,14 @@
 /// A built-in duty that begins with a periodic query to the leader.
 #[derive(Default)]
 struct PeriodicQuery {
-    next_at: WholeMillis,
+    next_at: IntegerMillis,
     /// The question that has no answer yet, and the token that it was sent with.
     pending: Option<(FleetRequestId, Token)>,
 }
 
 impl PeriodicQuery {
     /// The question is sent; the next one is due at `next_at`.
-    fn start(&mut self, id: FleetRequestId, token: Token, next_at: WholeMillis) {
+    fn start(&mut self, id: FleetRequestId, token: Token, next_at: IntegerMillis) {
         self.next_at = next_at;
         self.pending = Some((id, token));
     }
@@ -67,7 +67,7 @@
 
 /// A summary that this member received.
 struct ReceivedSummary {
-    at: WholeMillis,
+    at: IntegerMillis,
     owner: ServerName,
     token: Token,
     summary: Summary,
@@ -97,12 +97,12 @@
 
 impl DutyClient {
     /// When something is due next.
-    pub fn next_wake(&self) -> WholeMillis {
+    pub fn next_wake(&self) -> IntegerMillis {
         if self.is_session_ended() {
-            return WholeMillis::MAX;
+            return IntegerMillis::MAX;
         }
         let due = |duty: &str, query: &PeriodicQuery| {
-            if self.session.duty(duty).is_some() { query.next_at } else { WholeMillis::MAX }
+            if self.session.duty(duty).is_some() { query.next_at } else { IntegerMillis::MAX }
         };
         let summary_at = due(SUMMARY, &self.summary_query);
         let campaign_at = due(CAMPAIGN, &self.campaign_query);
@@ -117,13 +117,13 @@
 
 impl Node {
     /// The token by which this member owns a duty at this moment; none where it does not, or cannot be sure.
-    pub fn owned_token(&self, duty: &str, now: WholeMillis) -> Option<Token> {
+    pub fn owned_token(&self, duty: &str, now: IntegerMillis) -> Option<Token> {
         self.config.duties.as_ref()?;
         self.duties.session.owned_token(duty, now)
     }
 
     /// All duties that it owns at this moment, with their tokens.
-    pub fn owned_duties(&self, now: WholeMillis) -> Vec<(DutyName, Token)> {
+    pub fn owned_duties(&self, now: IntegerMillis) -> Vec<(DutyName, Token)> {
         let duties = self.duties.session.duties();
         let with_token = |owned: &OwnedDuty| Some((owned.duty.clone(), self.owned_token(&owned.duty, now)?));
         duties.filter_map(with_token).collect()
@@ -140,12 +140,12 @@
     }
 
     /// Until when, by its own clock, this member owns what it owns.
-    pub fn owned_until(&self) -> WholeMillis {
+    pub fn owned_until(&self) -> IntegerMillis {
         self.duties.session.valid_until()
     }
 
     /// The server has finished with a duty, or left it where the next owner can continue.
-    pub fn release(&mut self, duty: &str, now: WholeMillis) {
+    pub fn release(&mut self, duty: &str, now: IntegerMillis) {
         if let Some(token) = self.duties.session.release(duty) {
             let command = DutyCommand::Release { duty: duty.to_owned(), token, successor: None };
             self.send_duty_command(command, now);
@@ -160,7 +160,7 @@
         duty: &str,
         token: Token,
         update: OwnerUpdate,
-        now: WholeMillis,
+        now: IntegerMillis,
     ) -> FleetRequestId {
         let command = DutyCommand::Write { duty: duty.to_owned(), token, update };
         let id = self.send_duty_command(command, now);
@@ -168,7 +168,7 @@
         id
     }
 
-    fn send_duty_command(&mut self, command: DutyCommand, now: WholeMillis) -> FleetRequestId {
+    fn send_duty_command(&mut self, command: DutyCommand, now: IntegerMillis) -> FleetRequestId {
         let id = self.rng.random();
         let request = FleetRequest::Execute { issuer: self.issuer(), command: FleetCommand::Duty(command) };
         self.submit_as(id, request, now);
@@ -176,7 +176,7 @@
     }
 
     /// Renews the session, carries out the built-in duties, and gives up what has expired.
-    pub(super) fn run_duties(&mut self, now: WholeMillis) {
+    pub(super) fn run_duties(&mut self, now: IntegerMillis) {
         let Some(config) = &self.config.duties else { return };
         if self.duties.is_session_ended() {
             return;
@@ -209,7 +209,7 @@
         ServerInstance { name: identity.name.clone(), incarnation: identity.incarnation }
     }
 
-    fn renew_session(&mut self, now: WholeMillis) {
+    fn renew_session(&mut self, now: IntegerMillis) {
         let id = self.rng.random();
         if let Some(unanswered) = self.duties.session.renewal_sent(id, now) {
             self.cancel_request(unanswered);
@@ -219,7 +219,7 @@
     }
 
     /// Does what each campaign calls for. Its commands carry the token, so that a former owner changes nothing.
-    fn run_campaigns(&mut self, token: Token, views: &[CampaignView], now: WholeMillis) {
+    fn run_campaigns(&mut self, token: Token, views: &[CampaignView], now: IntegerMillis) {
         for view in views {
             let name = view.name.clone();
             let command = match campaign::next_step(view) {
@@ -238,7 +238,7 @@
     }
 
     /// Passes changes of what is owned on to the driver.
-    fn process_ownership_changes(&mut self, now: WholeMillis) {
+    fn process_ownership_changes(&mut self, now: IntegerMillis) {
         // What is acquired while this server drains is released at once.
         if self.phase == Phase::Draining {
             self.duties.session.recall_all();
@@ -264,14 +264,14 @@
     }
 
     /// The server shuts down: all that it owns is to be released while it drains.
-    pub(super) fn release_all_duties(&mut self, now: WholeMillis) {
+    pub(super) fn release_all_duties(&mut self, now: IntegerMillis) {
         self.duties.session.recall_all();
         self.process_ownership_changes(now);
     }
 
     /// Once the server has drained, its session is closed as soon as it owns nothing any more. What it still owns when the driver
     /// waits no longer expires.
-    pub(super) fn end_session_when_idle(&mut self, now: WholeMillis) {
+    pub(super) fn end_session_when_idle(&mut self, now: IntegerMillis) {
         if !self.own_ticket.has_drained || self.duties.session_end != SessionEnd::Open {
             return;
         }
@@ -288,7 +288,7 @@
     }
 
     /// Handles the response to a request of this member's part in duties; true where it was one.
-    pub(super) fn handle_duty_response(&mut self, received: &ReceivedResponse, now: WholeMillis) -> bool {
+    pub(super) fn handle_duty_response(&mut self, received: &ReceivedResponse, now: IntegerMillis) -> bool {
         let ReceivedResponse { id, response, sent_at } = *received;
         if self.duties.session_end == SessionEnd::Pending(id) {
             self.duties.session_end = SessionEnd::Ended;
@@ -321,14 +321,14 @@
     }
 
     /// Handles the leader's notification of what this member owns.
-    pub(super) fn handle_ownership(&mut self, ownership: Ownership, now: WholeMillis) {
+    pub(super) fn handle_ownership(&mut self, ownership: Ownership, now: IntegerMillis) {
         if self.config.duties.is_some() && !self.duties.is_session_ended() {
             self.duties.session.notified(ownership, now);
             self.process_ownership_changes(now);
         }
     }
 
-    fn send_summary(&mut self, token: Token, summary: Summary, now: WholeMillis) {
+    fn send_summary(&mut self, token: Token, summary: Summary, now: IntegerMillis) {
         let known = self.membership.known().values();
         let alive = known.filter(|known| !known.is_down());
         let names: Vec<ServerName> = alive.map(|known| known.identity.name.clone()).collect();
@@ -344,7 +344,7 @@
         owner: ServerName,
         token: Token,
         summary: Summary,
-        now: WholeMillis,
+        now: IntegerMillis,
     ) {
         // The fence is stored where the summary is: in this member's memory.
         match self.duties.fence.admit(SUMMARY, token, |_| Ok::<(), ()>(())) {
@@ -359,7 +359,7 @@
     }
 
     /// The last summary, as operators are shown it.
-    pub(super) fn summary_report(&self, now: WholeMillis) -> Option<SummaryReport> {
+    pub(super) fn summary_report(&self, now: IntegerMillis) -> Option<SummaryReport> {
         let received = self.duties.last_summary.as_ref()?;
         Some(SummaryReport {
             owner: received.owner.clone(),
--- a/crates/loomflow-fleet/src/node/duty_leadership.rs
+++ b/crates/loomflow-fleet/src/node/duty_leadership.rs
@@ -14,11 +14,11 @@
 };
 use crate::member::{FleetRequestId, ServerName};
 use crate::membership::MAX_MEMBERS;
-use crate::time::WholeMillis;
+use crate::time::IntegerMillis;
 use crate::wire::Body;
 
 /// A batch of renewals that was proposed and not committed for this long is lost, ms.
-const RENEWAL_BATCH_TIMEOUT_MILLIS: WholeMillis = 2_000;
+const RENEWAL_BATCH_TIMEOUT_MILLIS: IntegerMillis = 2_000;
 
 /// Renewals, each with its request.
 type Batch = Vec<(FleetRequestId, ServerInstance)>;
@@ -27,7 +27,7 @@
 struct PendingBatch {
     id: FleetRequestId,
     renewals: Batch,
-    expires_at: WholeMillis,
+    expires_at: IntegerMillis,
 }
 
 /// What an owner was last notified of.
@@ -53,7 +53,7 @@
         &mut self,
         id: FleetRequestId,
         instances: Vec<ServerInstance>,
-        now: WholeMillis,
+        now: IntegerMillis,
     ) {
         let waiting = &mut self.leadership.sessions.waiting;
         let is_known = waiting.iter().any(|(other, _)| *other == id);
@@ -65,7 +65,7 @@
     }
 
     /// Proposes the next batch, unless one is to be committed.
-    pub(super) fn propose_renewals(&mut self, now: WholeMillis) {
+    pub(super) fn propose_renewals(&mut self, now: IntegerMillis) {
         let sessions = &mut self.leadership.sessions;
         if sessions.pending.as_ref().is_some_and(|pending| now >= pending.expires_at) {
             sessions.pending = None;
@@ -87,7 +87,7 @@
     }
 
     /// An entry is applied; true where it was the pending batch, whose servers are then notified of what they own.
-    pub(super) fn renewals_applied(&mut self, id: FleetRequestId, now: WholeMillis) -> bool {
+    pub(super) fn renewals_applied(&mut self, id: FleetRequestId, now: IntegerMillis) -> bool {
         let pending = self.leadership.sessions.pending.take_if(|pending| pending.id == id);
         let Some(PendingBatch { renewals, .. }) = pending else { return false };
         for (id, instance) in renewals {
@@ -111,7 +111,7 @@
     }
 
     /// What is to be committed about duties now.
-    pub(super) fn duty_decisions(&self, now: WholeMillis) -> Vec<FleetCommand> {
+    pub(super) fn duty_decisions(&self, now: IntegerMillis) -> Vec<FleetCommand> {
         let (Some(config), Some(state)) = (&self.config.duties, self.fleet_state()) else {
             return Vec::new();
         };
@@ -133,7 +133,7 @@
     }
 
     /// Who gets a duty that its owner releases, so that it is not without an owner for a moment.
-    pub(super) fn choose_successor(&self, duty: &str, now: WholeMillis) -> Option<ServerName> {
+    pub(super) fn choose_successor(&self, duty: &str, now: IntegerMillis) -> Option<ServerName> {
         let state = self.fleet_state()?;
         let owner = &state.duties.duties().get(duty)?.lease.as_ref()?.owner;
         let has_place = |name: &str| state.maintenance.has_place(name);
@@ -142,7 +142,7 @@
     }
 
     /// Notifies owners of what changed about their duties, as soon as it is committed.
-    pub(super) fn notify_owners(&mut self, now: WholeMillis) {
+    pub(super) fn notify_owners(&mut self, now: IntegerMillis) {
         if self.config.duties.is_none() || !self.is_leader() {
             return;
         }
--- a/crates/loomflow-fleet/src/node/leadership.rs
+++ b/crates/loomflow-fleet/src/node/leadership.rs
@@ -12,24 +12,24 @@
 use crate::maintenance::scheduling::{Decision, SchedulerView};
 use crate::maintenance::state::MaintenanceState;
 use crate::member::{FleetRequestId, MemberState, ServerName};
-use crate::time::{FleetMillis, WholeMillis};
+use crate::time::{FleetMillis, IntegerMillis};
 
 /// How often the leader decides, ms.
-const ROUND_PERIOD_MILLIS: WholeMillis = 250;
+const ROUND_PERIOD_MILLIS: IntegerMillis = 250;
 /// A proposal that was not committed for this long is lost, ms.
-const PROPOSAL_TIMEOUT_MILLIS: WholeMillis = 5_000;
+const PROPOSAL_TIMEOUT_MILLIS: IntegerMillis = 5_000;
 /// How often the fleet's time is committed while a deadline is ahead, ms: a new leader counts on from there.
-const CLOCK_PERIOD_MILLIS: WholeMillis = 5_000;
+const CLOCK_PERIOD_MILLIS: IntegerMillis = 5_000;
 
 /// The state of a member while it leads.
 #[derive(Default)]
 pub(super) struct Leadership {
     /// When this member began to lead, and the fleet's time then.
-    began: Option<(WholeMillis, FleetMillis)>,
-    next_round_at: WholeMillis,
+    began: Option<(IntegerMillis, FleetMillis)>,
+    next_round_at: IntegerMillis,
     /// Proposals that are not committed yet, and until when they are waited for.
     pending: BTreeSet<FleetRequestId>,
-    pending_until: WholeMillis,
+    pending_until: IntegerMillis,
     pub sessions: SessionBatches,
 }
 
@@ -44,13 +44,13 @@
 
 impl Node {
     /// The fleet's time as this member would count it.
-    pub(super) fn fleet_time(&self, now: WholeMillis) -> FleetMillis {
+    pub(super) fn fleet_time(&self, now: IntegerMillis) -> FleetMillis {
         let committed = self.maintenance().map_or(0, MaintenanceState::time);
         let Some((since, time_then)) = self.leadership.began else { return committed };
         committed.max(time_then + now.saturating_sub(since))
     }
 
-    pub(super) fn run_leader_round(&mut self, now: WholeMillis) {
+    pub(super) fn run_leader_round(&mut self, now: IntegerMillis) {
         if !self.is_leader() {
             self.leadership = Leadership::default();
             return;
@@ -77,7 +77,7 @@
     }
 
     /// When the leader decides again: at its next round, or at the next deadline.
-    pub(super) fn next_round(&self) -> WholeMillis {
+    pub(super) fn next_round(&self) -> IntegerMillis {
         let leadership = &self.leadership;
         let Some((since, time_then)) = leadership.began.filter(|_| leadership.pending.is_empty()) else {
             return leadership.next_round_at;
@@ -114,7 +114,7 @@
         }
     }
 
-    fn maintenance_decisions(&mut self, now: WholeMillis) -> Vec<FleetCommand> {
+    fn maintenance_decisions(&mut self, now: IntegerMillis) -> Vec<FleetCommand> {
         let time = self.fleet_time(now);
         let members = self.member_views(now);
         let Some(maintenance) = self.maintenance() else { return Vec::new() };
@@ -144,7 +144,7 @@
         }
     }
 
-    fn propose_as_leader(&mut self, command: FleetCommand, now: WholeMillis) {
+    fn propose_as_leader(&mut self, command: FleetCommand, now: IntegerMillis) {
         let id = self.rng.random();
         let entry = Entry { id, at: self.fleet_time(now), issuer: Issuer::Leader, command };
         self.leadership.pending.insert(id);
--- a/crates/loomflow-fleet/src/node/mod.rs
+++ b/crates/loomflow-fleet/src/node/mod.rs
@@ -40,7 +40,7 @@
     ReceivedReport, ServerName, Zone, is_report_recent,
 };
 use crate::membership::Membership;
-use crate::time::WholeMillis;
+use crate::time::IntegerMillis;
 use crate::wire::{self, Body, FrameError, Message, Notification};
 
 use duties::DutyClient;
@@ -124,9 +124,9 @@
     /// The server's own load.
     load: Option<ReceivedReport>,
     phase: Phase,
-    next_report_at: WholeMillis,
+    next_report_at: IntegerMillis,
     /// The newest notification of a voter, and when it came.
-    last_notification: Option<(WholeMillis, Notification)>,
+    last_notification: Option<(IntegerMillis, Notification)>,
     own_ticket: OwnTicket,
     requests: PendingRequests,
     leadership: Leadership,
@@ -140,7 +140,7 @@
 impl Node {
     /// A member that joins by the voters. `storage` has what must outlast it; a voter whose data directory cannot be used
     /// continues without a vote.
-    pub fn start(config: NodeConfig, storage: Box<dyn Storage>, now: WholeMillis) -> Node {
+    pub fn start(config: NodeConfig, storage: Box<dyn Storage>, now: IntegerMillis) -> Node {
         let mut rng = SmallRng::seed_from_u64(config.seed);
         let is_voter = config.voters.iter().any(|(name, _)| *name == config.name);
         let mut storage_error = None;
@@ -223,7 +223,7 @@
     }
 
     /// Sets the server's load, every second or so. Without it this member reports nothing of itself.
-    pub fn set_load(&mut self, now: WholeMillis, load_report: LoadReport) {
+    pub fn set_load(&mut self, now: IntegerMillis, load_report: LoadReport) {
         self.load = Some(ReceivedReport { at: now, report: load_report });
         if self.phase != Phase::Draining {
             self.phase = load_report.phase;
@@ -231,7 +231,7 @@
     }
 
     /// The server's last load report, if that is recent.
-    fn own_load_report(&self, now: WholeMillis) -> Option<LoadReport> {
+    fn own_load_report(&self, now: IntegerMillis) -> Option<LoadReport> {
         let ReceivedReport { at, report } = self.load?;
         is_report_recent(at, now).then_some(LoadReport { phase: self.phase, ..report })
     }
@@ -240,7 +240,7 @@
     ///
     /// # Errors
     /// It cannot be read: nothing after it on that stream is to be trusted.
-    pub fn handle_message(&mut self, bytes: &[u8], now: WholeMillis) -> Result<(), FrameError> {
+    pub fn handle_message(&mut self, bytes: &[u8], now: IntegerMillis) -> Result<(), FrameError> {
         let message = wire::decode(&self.config.fleet, bytes).inspect_err(|_| self.malformed += 1)?;
         let Message { from, body, .. } = message;
         match body {
@@ -265,7 +265,7 @@
     }
 
     /// Does what is due. To be called at [`Node::next_wake`] and after a sleep.
-    pub fn tick(&mut self, now: WholeMillis) {
+    pub fn tick(&mut self, now: IntegerMillis) {
         self.membership.tick(now);
         if let Some(consensus) = &mut self.consensus {
             consensus.tick(now);
@@ -287,16 +287,16 @@
     }
 
     /// When something is due next.
-    pub fn next_wake(&self) -> WholeMillis {
-        let consensus = self.consensus.as_ref().map_or(WholeMillis::MAX, Consensus::next_wake);
-        let duties = if self.config.duties.is_some() { self.duties.next_wake() } else { WholeMillis::MAX };
-        let round = if self.is_leader() { self.next_round() } else { WholeMillis::MAX };
+    pub fn next_wake(&self) -> IntegerMillis {
+        let consensus = self.consensus.as_ref().map_or(IntegerMillis::MAX, Consensus::next_wake);
+        let duties = if self.config.duties.is_some() { self.duties.next_wake() } else { IntegerMillis::MAX };
+        let round = if self.is_leader() { self.next_round() } else { IntegerMillis::MAX };
         let wakes = [self.membership.next_wake(), consensus, self.requests.next_wake(), duties, round];
-        wakes.into_iter().fold(self.next_report_at, WholeMillis::min)
+        wakes.into_iter().fold(self.next_report_at, IntegerMillis::min)
     }
 
     /// Sends a request of this machine to the leader; its response comes as an effect.
-    pub fn submit(&mut self, request: FleetRequest, now: WholeMillis) -> FleetRequestId {
+    pub fn submit(&mut self, request: FleetRequest, now: IntegerMillis) -> FleetRequestId {
         let id = self.rng.random();
         self.submit_as(id, request, now);
         self.process_outputs(now);
@@ -307,7 +307,7 @@
     ///
     /// # Errors
     /// A fleet exists, or this member cannot be its voter.
-    pub fn bootstrap(&mut self, now: WholeMillis) -> Result<(), BootstrapError> {
+    pub fn bootstrap(&mut self, now: IntegerMillis) -> Result<(), BootstrapError> {
         let has_fleet = |replica: crate::member::Replica| replica.group != 0;
         let other = self.membership.known().values().find(|known| known.replica.is_some_and(has_fleet));
         if let Some(other) = other {
@@ -323,7 +323,7 @@
     ///
     /// # Errors
     /// This voter never belonged to a fleet, or cannot use its data directory.
-    pub fn recover(&mut self, now: WholeMillis) -> Result<(), BootstrapError> {
+    pub fn recover(&mut self, now: IntegerMillis) -> Result<(), BootstrapError> {
         let group = self.rng.random();
         self.voter()?.recover(group)?;
         self.process_outputs(now);
@@ -346,7 +346,7 @@
     }
 
     /// All members as they are known here, this one included.
-    fn member_views(&self, now: WholeMillis) -> BTreeMap<ServerName, MemberView> {
+    fn member_views(&self, now: IntegerMillis) -> BTreeMap<ServerName, MemberView> {
         let others = self.membership.known().iter().map(|(name, known)| {
             let view = MemberView {
                 zone: known.identity.zone.clone(),
@@ -384,7 +384,7 @@
     }
 
     /// Handles all that came of what was just done.
-    fn process_outputs(&mut self, now: WholeMillis) {
+    fn process_outputs(&mut self, now: IntegerMillis) {
         self.log_storage_errors();
         self.send_queued_packets();
         if let Some(consensus) = &mut self.consensus {
--- a/crates/loomflow-fleet/src/node/outgoing.rs
+++ b/crates/loomflow-fleet/src/node/outgoing.rs
@@ -5,7 +5,7 @@
 use super::{Effect, Node, own_ticket};
 use crate::consensus::Consensus;
 use crate::member::{REPORT_MAX_AGE_MILLIS, Replica, ServerName};
-use crate::time::WholeMillis;
+use crate::time::IntegerMillis;
 use crate::wire::{self, Body, Message, Notification};
 
 impl Node {
@@ -19,7 +19,7 @@
         self.consensus.as_ref().map(Consensus::replica)
     }
 
-    pub(super) fn send_load_report(&mut self, now: WholeMillis) {
+    pub(super) fn send_load_report(&mut self, now: IntegerMillis) {
         let Some(load_report) = self.own_load_report(now) else { return };
         let body = Body::LoadReport { sent_at: now, load_report, replica: self.replica() };
         for voter in self.other_voters() {
@@ -28,7 +28,7 @@
     }
 
     /// Notifies a member of what this voter knows about it.
-    pub(super) fn send_notification(&mut self, to: &ServerName, sent_at: WholeMillis) {
+    pub(super) fn send_notification(&mut self, to: &ServerName, sent_at: IntegerMillis) {
         let has_fleet = |consensus: &&Consensus<_>| consensus.replica().group != 0;
         let Some(consensus) = self.consensus.as_ref().filter(has_fleet) else { return };
         let notification = Notification {
@@ -41,7 +41,7 @@
         self.send(to, Body::Notification(notification));
     }
 
-    pub(super) fn handle_notification(&mut self, notification: Notification, now: WholeMillis) {
+    pub(super) fn handle_notification(&mut self, notification: Notification, now: IntegerMillis) {
         // What was requested before a long stop may have changed since.
         if !own_ticket::is_notification_recent(notification.sent_at, now) {
             return;
--- a/crates/loomflow-fleet/src/node/own_ticket.rs
+++ b/crates/loomflow-fleet/src/node/own_ticket.rs
@@ -9,15 +9,15 @@
 use crate::consensus::storage::{ReplicaMetadata, Storage, StorageError, WriteBatch};
 use crate::maintenance::ticket::{GrantNumber, Rejection, Ticket, TicketId, TicketStage, Transition};
 use crate::member::{FleetRequestId, Incarnation, Phase};
-use crate::time::WholeMillis;
+use crate::time::IntegerMillis;
 
 /// Maximum age of a response or notification that is relied on, from its request, ms. No timeout frees the place of a server
 /// that has begun, but an operator may abandon its ticket: this bounds how long after that a server that was suspended may
 /// still begin to drain.
-const MAX_NOTIFICATION_AGE_MILLIS: WholeMillis = 2_000;
+const MAX_NOTIFICATION_AGE_MILLIS: IntegerMillis = 2_000;
 
 /// Whether a response or notification to what was sent at `sent_at` is still relied on.
-pub(super) fn is_notification_recent(sent_at: WholeMillis, now: WholeMillis) -> bool {
+pub(super) fn is_notification_recent(sent_at: IntegerMillis, now: IntegerMillis) -> bool {
     now.saturating_sub(sent_at) <= MAX_NOTIFICATION_AGE_MILLIS
 }
 
@@ -53,7 +53,7 @@
 
 impl Node {
     /// The ticket by which this server has a place, as far as is known here.
-    fn own_ticket(&self, now: WholeMillis) -> Option<Ticket> {
+    fn own_ticket(&self, now: IntegerMillis) -> Option<Ticket> {
         if let Some(consensus) = self.consensus.as_ref().filter(|consensus| consensus.is_leader()) {
             return consensus.machine().maintenance.ticket_with_place(&self.config.name).cloned();
         }
@@ -62,7 +62,7 @@
     }
 
     /// Takes up a grant, or drains on a begin that is committed.
-    pub(super) fn follow_own_ticket(&mut self, now: WholeMillis) {
+    pub(super) fn follow_own_ticket(&mut self, now: IntegerMillis) {
         if self.phase == Phase::Draining {
             return;
         }
@@ -85,7 +85,7 @@
     }
 
     /// Handles the response to a transition of this server's own ticket; true where it was one.
-    pub(super) fn handle_ticket_response(&mut self, received: &ReceivedResponse, now: WholeMillis) -> bool {
+    pub(super) fn handle_ticket_response(&mut self, received: &ReceivedResponse, now: IntegerMillis) -> bool {
         let ReceivedResponse { id, response, sent_at } = *received;
         if self.own_ticket.pending_departure == Some(id) {
             self.own_ticket.pending_departure = None;
@@ -110,7 +110,7 @@
         true
     }
 
-    fn drain_by_ticket(&mut self, ticket: TicketId, grant: GrantNumber, now: WholeMillis) {
+    fn drain_by_ticket(&mut self, ticket: TicketId, grant: GrantNumber, now: IntegerMillis) {
         self.phase = Phase::Draining;
         self.own_ticket.draining_by = Some((ticket, grant));
         self.effects.push(Effect::Drain(ticket));
@@ -120,7 +120,7 @@
     }
 
     /// The server received SIGTERM from outside, and shuts down. Counted where it has no ticket for it.
-    pub fn begin_drain(&mut self, now: WholeMillis) {
+    pub fn begin_drain(&mut self, now: IntegerMillis) {
         if self.phase == Phase::Draining {
             return;
         }
@@ -133,14 +133,14 @@
     }
 
     /// Duties and leadership go to others, who learn at once that this server drains.
-    fn hand_everything_over(&mut self, now: WholeMillis) {
+    fn hand_everything_over(&mut self, now: IntegerMillis) {
         self.release_all_duties(now);
         self.transfer_leadership();
         self.send_load_report(now);
     }
 
     /// Every request that the server took is answered. Reports that it is out; see [`Node::is_finished`].
-    pub fn drained(&mut self, now: WholeMillis) {
+    pub fn drained(&mut self, now: IntegerMillis) {
         self.phase = Phase::Draining;
         self.own_ticket.has_drained = true;
         self.send_load_report(now);
@@ -161,7 +161,7 @@
     }
 
     /// Leaves the membership; the last thing before the process exits.
-    pub fn leave(&mut self, now: WholeMillis) {
+    pub fn leave(&mut self, now: IntegerMillis) {
         self.membership.leave(now);
         self.process_outputs(now);
     }
@@ -171,7 +171,7 @@
         ticket: TicketId,
         grant: GrantNumber,
         transition: Transition,
-        now: WholeMillis,
+        now: IntegerMillis,
     ) -> FleetRequestId {
         let incarnation = self.identity().incarnation;
         let command = FleetCommand::Transition { ticket, transition, grant, incarnation };
--- a/crates/loomflow-fleet/src/node/requests.rs
+++ b/crates/loomflow-fleet/src/node/requests.rs
@@ -9,13 +9,13 @@
 use crate::duty::DutyCommand;
 use crate::maintenance::ticket::Rejection;
 use crate::member::{FleetRequestId, ServerName};
-use crate::time::WholeMillis;
+use crate::time::IntegerMillis;
 use crate::wire::Body;
 
 /// A request without a response is sent again after this, to another voter, ms.
-const RETRY_AFTER_MILLIS: WholeMillis = 700;
+const RETRY_AFTER_MILLIS: IntegerMillis = 700;
 /// A request without a response fails after this, ms.
-pub const REQUEST_TIMEOUT_MILLIS: WholeMillis = 10_000;
+pub const REQUEST_TIMEOUT_MILLIS: IntegerMillis = 10_000;
 /// Requests of others that are remembered until their response comes.
 const MAX_FORWARDED: usize = 4_096;
 /// Requests of our own at once.
@@ -24,8 +24,8 @@
 /// A request of our own.
 struct PendingRequest {
     request: FleetRequest,
-    retry_at: WholeMillis,
-    expires_at: WholeMillis,
+    retry_at: IntegerMillis,
+    expires_at: IntegerMillis,
     attempts: usize,
 }
 
@@ -36,13 +36,13 @@
     /// Its response.
     pub response: &'a FleetResponse,
     /// When the request was sent first.
-    pub sent_at: WholeMillis,
+    pub sent_at: IntegerMillis,
 }
 
 /// Where a response is to go.
 struct ReturnAddress {
     member: ServerName,
-    expires_at: WholeMillis,
+    expires_at: IntegerMillis,
 }
 
 /// Requests that have no response yet.
@@ -54,14 +54,14 @@
 
 impl PendingRequests {
     /// When something is due next.
-    pub fn next_wake(&self) -> WholeMillis {
+    pub fn next_wake(&self) -> IntegerMillis {
         let wakes = self.own.values().map(|pending| pending.retry_at.min(pending.expires_at));
-        wakes.min().unwrap_or(WholeMillis::MAX)
+        wakes.min().unwrap_or(IntegerMillis::MAX)
     }
 }
 
 impl Node {
-    pub(super) fn submit_as(&mut self, id: FleetRequestId, request: FleetRequest, now: WholeMillis) {
+    pub(super) fn submit_as(&mut self, id: FleetRequestId, request: FleetRequest, now: IntegerMillis) {
         if self.requests.own.len() >= MAX_OWN {
             let rejection = Rejection::TooMany(MAX_OWN as u32);
             self.effects.push(Effect::Responded(id, FleetResponse::Rejected(rejection)));
@@ -79,7 +79,7 @@
     }
 
     /// Sends requests again that have no response, and fails those that timed out.
-    pub(super) fn retry_requests(&mut self, now: WholeMillis) {
+    pub(super) fn retry_requests(&mut self, now: IntegerMillis) {
         let due: Vec<(FleetRequestId, bool)> = self
             .requests
             .own
@@ -97,7 +97,7 @@
         self.requests.forwarded.retain(|_, address| address.expires_at > now);
     }
 
-    fn send_request(&mut self, id: FleetRequestId, now: WholeMillis) {
+    fn send_request(&mut self, id: FleetRequestId, now: IntegerMillis) {
         let leader = self.leader().cloned();
         let Some(pending) = self.requests.own.get_mut(&id) else { return };
         pending.retry_at = now + RETRY_AFTER_MILLIS;
@@ -120,7 +120,7 @@
         id: FleetRequestId,
         hops: u8,
         request: FleetRequest,
-        now: WholeMillis,
+        now: IntegerMillis,
     ) {
         if self.requests.forwarded.len() < MAX_FORWARDED {
             let expires_at = now + REQUEST_TIMEOUT_MILLIS;
@@ -136,7 +136,7 @@
     }
 
     /// The leader's part: commands are proposed, everything else is answered at once.
-    fn execute_request(&mut self, id: FleetRequestId, request: FleetRequest, now: WholeMillis) {
+    fn execute_request(&mut self, id: FleetRequestId, request: FleetRequest, now: IntegerMillis) {
         match request {
             FleetRequest::Execute {
                 command: FleetCommand::Duty(DutyCommand::KeepAlive(instances)), ..
@@ -162,7 +162,12 @@
     }
 
     /// Sends a response to whoever sent the request.
-    pub(super) fn deliver_response(&mut self, id: FleetRequestId, response: FleetResponse, now: WholeMillis) {
+    pub(super) fn deliver_response(
+        &mut self,
+        id: FleetRequestId,
+        response: FleetResponse,
+        now: IntegerMillis,
+    ) {
         match self.requests.forwarded.remove(&id) {
             Some(address) if address.member != self.config.name => {
                 self.send(&address.member, Body::Response { id, response });
@@ -172,7 +177,12 @@
     }
 
     /// Handles a response: to a request of our own, or to pass on.
-    pub(super) fn handle_response(&mut self, id: FleetRequestId, response: FleetResponse, now: WholeMillis) {
+    pub(super) fn handle_response(
+        &mut self,
+        id: FleetRequestId,
+        response: FleetResponse,
+        now: IntegerMillis,
+    ) {
         if let Some(pending) = self.requests.own.remove(&id) {
             let sent_at = pending.expires_at - REQUEST_TIMEOUT_MILLIS;
             let received = ReceivedResponse { id, response: &response, sent_at };
--- a/crates/loomflow-fleet/src/node/status.rs
+++ b/crates/loomflow-fleet/src/node/status.rs
@@ -9,7 +9,7 @@
 use crate::maintenance::ticket::TicketStage;
 use crate::member::{MemberState, MemberView, ServerName};
 use crate::status::{FleetStatus, MemberRow};
-use crate::time::WholeMillis;
+use crate::time::IntegerMillis;
 
 /// Maximum number of open tickets in one response.
 const MAX_OPEN_IN_RESPONSE: usize = 12_000;
@@ -18,7 +18,7 @@
 
 impl Node {
     /// The response to a query, as far as this member knows. None where it knows nothing of it.
-    pub fn answer_query(&self, request: &FleetRequest, now: WholeMillis) -> Option<FleetResponse> {
+    pub fn answer_query(&self, request: &FleetRequest, now: IntegerMillis) -> Option<FleetResponse> {
         match request {
             FleetRequest::Execute { .. } => None,
             FleetRequest::Status => Some(FleetResponse::Status(Box::new(self.status(now)))),
@@ -45,7 +45,7 @@
         }
     }
 
-    fn explain(&self, server: &str, now: WholeMillis) -> Option<Explanation> {
+    fn explain(&self, server: &str, now: IntegerMillis) -> Option<Explanation> {
         let view = SchedulerView {
             maintenance: self.maintenance()?,
             members: &self.member_views(now),
@@ -57,7 +57,7 @@
     }
 
     /// The fleet as this member sees it; from the leader only where this one leads.
-    pub fn status(&self, now: WholeMillis) -> FleetStatus {
+    pub fn status(&self, now: IntegerMillis) -> FleetStatus {
         let empty = MaintenanceState::default();
         let maintenance = self.maintenance().unwrap_or(&empty);
         let voters = self.consensus.as_ref().map(Consensus::voters).unwrap_or_default();
@@ -89,7 +89,7 @@
         view: MemberView,
         maintenance: &MaintenanceState,
         voters: &[ServerName],
-        now: WholeMillis,
+        now: IntegerMillis,
     ) -> MemberRow {
         let known = self.membership.get(&name);
         let last_report = known.map_or(self.load, |known| known.load_report);
--- a/crates/loomflow-fleet/src/node/tests.rs
+++ b/crates/loomflow-fleet/src/node/tests.rs
@@ -35,7 +35,7 @@
 }
 
 /// Whether the member drains by a notification that it receives at this time.
-fn drains(sent_at: WholeMillis, now: WholeMillis) -> bool {
+fn drains(sent_at: IntegerMillis, now: IntegerMillis) -> bool {
     let mut node = member();
     let ticket = Some(begun_ticket(&node));
     let notification = Notification { sent_at, leader: Some(VOTER.into()), term: 1, index: 1, ticket };
@@ -52,7 +52,7 @@
 }
 
 /// Requests that the member sends now, and responses that it gives.
-fn requests_and_responses(node: &mut Node, now: WholeMillis) -> (usize, Vec<FleetResponse>) {
+fn requests_and_responses(node: &mut Node, now: IntegerMillis) -> (usize, Vec<FleetResponse>) {
     node.tick(now);
     let (mut requests, mut responses) = (0, Vec::new());
     for effect in node.take_effects() {
--- a/crates/loomflow-fleet/src/operator.rs
+++ b/crates/loomflow-fleet/src/operator.rs
@@ -5,7 +5,7 @@
 use crate::command::{FleetRequest, FleetResponse};
 use crate::duty::{DutyName, LeaseSettings, Token};
 use crate::status::FleetStatus;
-use crate::time::WholeMillis;
+use crate::time::IntegerMillis;
 
 /// Maximum length of a line, bytes: a campaign over as many servers as there may be.
 pub const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
@@ -42,7 +42,7 @@
     pub token: Token,
     /// The lease is valid for at least this time from when the request was sent, ms.
     #[serde(rename = "left")]
-    pub remaining_millis: WholeMillis,
+    pub remaining_millis: IntegerMillis,
     /// The owner is to release it.
     #[serde(rename = "recalled")]
     pub is_recalled: bool,
--- a/crates/loomflow-fleet/src/status.rs
+++ b/crates/loomflow-fleet/src/status.rs
@@ -7,7 +7,7 @@
 use crate::maintenance::rules::Rules;
 use crate::maintenance::ticket::{TicketId, TicketStage};
 use crate::member::{Incarnation, LoadReport, MemberState, ServerName, Zone};
-use crate::time::{FleetMillis, WholeMillis};
+use crate::time::{FleetMillis, IntegerMillis};
 
 /// The fleet as one member sees it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -60,7 +60,7 @@
     pub token: Token,
     /// Time since it was received, ms.
     #[serde(rename = "age")]
-    pub age_millis: WholeMillis,
+    pub age_millis: IntegerMillis,
     /// The figures.
     pub summary: Summary,
 }
@@ -87,7 +87,7 @@
     pub load_report: Option<LoadReport>,
     /// Age of that report, ms.
     #[serde(rename = "age")]
-    pub report_age_millis: Option<WholeMillis>,
+    pub report_age_millis: Option<IntegerMillis>,
     /// The ticket by which it has a place, and its stage.
     pub ticket: Option<(TicketId, TicketStage)>,
 }
--- a/crates/loomflow-fleet/src/wire.rs
+++ b/crates/loomflow-fleet/src/wire.rs
@@ -11,7 +11,7 @@
 use crate::duty::{self, Token, summary::Summary};
 use crate::maintenance::ticket::Ticket;
 use crate::member::{FleetRequestId, LoadReport, MemberIdentity, Replica, ServerName};
-use crate::time::WholeMillis;
+use crate::time::IntegerMillis;
 
 /// Maximum size of a message, bytes: a snapshot of as many tickets as there may be.
 pub const MAX_MESSAGE_BYTES: usize = 8 * 1024 * 1024;
@@ -44,7 +44,7 @@
     /// A member's load, to the voters.
     LoadReport {
         /// When it was sent, by the member's own clock.
-        sent_at: WholeMillis,
+        sent_at: IntegerMillis,
         /// The load.
         load_report: LoadReport,
         /// The sender's replica if it is a voter.
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Notification {
     /// When the load report that this answers was sent, by its sender's clock: a late notification is recognized by it.
-    pub sent_at: WholeMillis,
+    pub sent_at: IntegerMillis,
     /// The leader as far as the voter knows.
     pub leader: Option<ServerName>,
     /// The voter's term.
--- a/crates/loomflow-server/src/fleet/driver.rs
+++ b/crates/loomflow-server/src/fleet/driver.rs
@@ -8,7 +8,7 @@
 use loomflow_boot_clock::boot_millis;
 use loomflow_fleet::node::{BootstrapError, Effect, Node};
 use loomflow_fleet::operator::{OperatorRequest, OperatorResponse, OwnershipConfirmation};
-use loomflow_fleet::time::{WholeMillis, whole_millis};
+use loomflow_fleet::time::{IntegerMillis, whole_millis};
 use mio::event::Event;
 use mio::{Events, Poll, Token};
 
@@ -30,7 +30,7 @@
 /// The end of the thread: the owner waits for it until the deadline.
 pub(super) struct Shutdown {
     done: SyncSender<()>,
-    deadline: WholeMillis,
+    deadline: IntegerMillis,
 }
 
 /// The thread's state. `Fleet::start` sets its parts up one by one, as each of them can fail.
@@ -77,12 +77,12 @@
     }
 
     /// Whom to tell, once everything is reported or the deadline has passed.
-    fn finished(&self, now: WholeMillis) -> Option<SyncSender<()>> {
+    fn finished(&self, now: IntegerMillis) -> Option<SyncSender<()>> {
         let shutdown = self.shutdown.as_ref()?;
         (self.node.is_finished() || now >= shutdown.deadline).then(|| shutdown.done.clone())
     }
 
-    fn shut_down(&mut self, done: &SyncSender<()>, now: WholeMillis) {
+    fn shut_down(&mut self, done: &SyncSender<()>, now: IntegerMillis) {
         self.jobs.terminate_all();
         self.node.leave(now);
         self.carry_out_effects(now);
@@ -90,7 +90,7 @@
         let _ = done.try_send(());
     }
 
-    fn wait(&mut self, events: &mut Events, now: WholeMillis) -> io::Result<()> {
+    fn wait(&mut self, events: &mut Events, now: IntegerMillis) -> io::Result<()> {
         let until_wake = Duration::from_millis(self.node.next_wake().saturating_sub(now).max(1));
         let max_sleep = if self.jobs.is_terminating() { SLEEP_WHILE_TERMINATING } else { MAX_SLEEP };
         match self.poll.poll(events, Some(until_wake.min(max_sleep))) {
@@ -99,7 +99,7 @@
         }
     }
 
-    fn handle_event(&mut self, event: &Event, now: WholeMillis) {
+    fn handle_event(&mut self, event: &Event, now: IntegerMillis) {
         match event.token() {
             WAKE => {}
             LISTENER => self.links.accept(self.poll.registry(), now),
@@ -114,7 +114,7 @@
     }
 
     /// Bytes of another member, or room to write to it.
-    fn handle_link(&mut self, token: Token, is_readable: bool, now: WholeMillis) {
+    fn handle_link(&mut self, token: Token, is_readable: bool, now: IntegerMillis) {
         let node = &mut self.node;
         let mut handle_message = |bytes: &[u8]| node.handle_message(bytes, now);
         let ended = self.links.ready(token, is_readable, now, self.poll.registry(), &mut handle_message);
@@ -123,7 +123,7 @@
         }
     }
 
-    fn take_owner_messages(&mut self, now: WholeMillis) {
+    fn take_owner_messages(&mut self, now: IntegerMillis) {
         let messages = {
             let mut inbox = self.inbox.lock().unwrap_or_else(PoisonError::into_inner);
             std::mem::take(&mut *inbox)
@@ -146,7 +146,7 @@
         &mut self,
         connection: Token,
         request: Result<OperatorRequest, RequestError>,
-        now: WholeMillis,
+        now: IntegerMillis,
     ) {
         let done = |result: Result<(), BootstrapError>| match result {
             Ok(()) => OperatorResponse::Done,
@@ -173,7 +173,7 @@
     }
 
     /// For the process on this machine that does a duty's work.
-    fn check_ownership(&mut self, duty: &str, now: WholeMillis) -> OperatorResponse {
+    fn check_ownership(&mut self, duty: &str, now: IntegerMillis) -> OperatorResponse {
         let Some(token) = self.node.owned_token(duty, now) else { return OperatorResponse::NotOwned };
         self.jobs.external_work_seen(duty, now);
         let owned = self.node.session_duty(duty);
@@ -186,7 +186,7 @@
         })
     }
 
-    fn carry_out_effects(&mut self, now: WholeMillis) {
+    fn carry_out_effects(&mut self, now: IntegerMillis) {
         for effect in self.node.take_effects() {
             match effect {
                 Effect::Send { address, bytes, .. } => {
--- a/crates/loomflow-server/src/fleet/jobs.rs
+++ b/crates/loomflow-server/src/fleet/jobs.rs
@@ -14,7 +14,7 @@
 use loomflow_fleet::duty::{DutyName, DutyResponse, OwnedDuty, OwnerUpdate, Token};
 use loomflow_fleet::member::FleetRequestId;
 use loomflow_fleet::node::Node;
-use loomflow_fleet::time::WholeMillis;
+use loomflow_fleet::time::IntegerMillis;
 use loomflow_fleet_commands::exit_code;
 use loomflow_settings::duties::{Duties as Options, Job};
 use rustix::process::{Pid, Signal, kill_process};
@@ -22,7 +22,7 @@
 use crate::log;
 
 /// Whoever does a duty's work outside of this server asks at least this often; one that is silent for longer has ended, ms.
-const EXTERNAL_WORK_TIMEOUT_MILLIS: WholeMillis = 2_000;
+const EXTERNAL_WORK_TIMEOUT_MILLIS: IntegerMillis = 2_000;
 
 /// Why the process of a run cannot be started.
 #[derive(Debug, thiserror::Error)]
@@ -58,7 +58,7 @@
     former_children: Vec<Child>,
     pending_writes: BTreeMap<FleetRequestId, PendingWrite>,
     /// Duties whose work is done outside of this server, with when that was last seen.
-    external_work: BTreeMap<DutyName, WholeMillis>,
+    external_work: BTreeMap<DutyName, IntegerMillis>,
     socket: PathBuf,
 }
 
@@ -85,7 +85,7 @@
     }
 
     /// A duty was acquired, is to be released, or is lost.
-    pub fn ownership_changed(&mut self, change: OwnershipChange, node: &mut Node, now: WholeMillis) {
+    pub fn ownership_changed(&mut self, change: OwnershipChange, node: &mut Node, now: IntegerMillis) {
         match change {
             OwnershipChange::Acquired(owned) if self.configured.contains_key(&owned.duty) => {
                 self.acquire(owned);
@@ -114,12 +114,12 @@
     }
 
     /// Somebody asks whether this server owns a duty, to do its work.
-    pub fn external_work_seen(&mut self, duty: &str, now: WholeMillis) {
+    pub fn external_work_seen(&mut self, duty: &str, now: IntegerMillis) {
         self.external_work.insert(duty.to_owned(), now);
     }
 
     /// Whoever did a duty's work outside of this server has ended.
-    pub fn external_work_ended(&mut self, duty: &str, node: &mut Node, now: WholeMillis) {
+    pub fn external_work_ended(&mut self, duty: &str, node: &mut Node, now: IntegerMillis) {
         self.external_work.remove(duty);
         if node.session_duty(duty).is_some_and(|owned| owned.is_recalled) {
             node.release(duty, now);
@@ -132,7 +132,7 @@
         id: FleetRequestId,
         response: &FleetResponse,
         node: &mut Node,
-        now: WholeMillis,
+        now: IntegerMillis,
     ) -> bool {
         let Some(PendingWrite { duty, token, is_begin }) = self.pending_writes.remove(&id) else {
             return false;
@@ -152,7 +152,7 @@
     }
 
     /// Begins what is due, and handles processes that have ended.
-    pub fn tick(&mut self, node: &mut Node, now: WholeMillis) {
+    pub fn tick(&mut self, node: &mut Node, now: IntegerMillis) {
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let duties: Vec<DutyName> = self.owned.keys().cloned().collect();
         for duty in duties {
@@ -160,7 +160,7 @@
             self.advance(&duty, node, now, unix_time.as_secs());
         }
         self.former_children.retain_mut(|child| matches!(child.try_wait(), Ok(None)));
-        let is_silent = |at: WholeMillis| now > at + EXTERNAL_WORK_TIMEOUT_MILLIS;
+        let is_silent = |at: IntegerMillis| now > at + EXTERNAL_WORK_TIMEOUT_MILLIS;
         let silent = self.external_work.iter().filter(|(_, at)| is_silent(**at));
         let silent: Vec<DutyName> = silent.map(|(duty, _)| duty.clone()).collect();
         for duty in silent {
@@ -169,7 +169,7 @@
     }
 
     /// Handles the end of a duty's process.
-    fn reap(&mut self, duty: &DutyName, node: &mut Node, now: WholeMillis) {
+    fn reap(&mut self, duty: &DutyName, node: &mut Node, now: IntegerMillis) {
         let Some(job) = self.owned.get_mut(duty) else { return };
         let Some(Ok(Some(status))) = job.child.as_mut().map(Child::try_wait) else { return };
         job.child = None;
@@ -178,7 +178,7 @@
     }
 
     /// Does what a duty calls for now.
-    fn advance(&mut self, duty: &DutyName, node: &mut Node, now: WholeMillis, unix_seconds: u64) {
+    fn advance(&mut self, duty: &DutyName, node: &mut Node, now: IntegerMillis, unix_seconds: u64) {
         let owned = currently_owned(node, duty, now);
         let Some(job) = self.owned.get_mut(duty) else { return };
         let action = job.runs.step(owned.as_ref(), now, unix_seconds);
@@ -188,7 +188,7 @@
         self.carry_out(duty, action, node, now);
     }
 
-    fn carry_out(&mut self, duty: &DutyName, action: Option<JobAction>, node: &mut Node, now: WholeMillis) {
+    fn carry_out(&mut self, duty: &DutyName, action: Option<JobAction>, node: &mut Node, now: IntegerMillis) {
         let Some(job) = self.owned.get_mut(duty) else { return };
         match action {
             None => {}
@@ -249,7 +249,7 @@
 }
 
 /// A duty, where this server owns it at this moment.
-fn currently_owned(node: &Node, duty: &str, now: WholeMillis) -> Option<OwnedDuty> {
+fn currently_owned(node: &Node, duty: &str, now: IntegerMillis) -> Option<OwnedDuty> {
     node.owned_token(duty, now).and_then(|_| node.session_duty(duty)).cloned()
 }
 
--- a/crates/loomflow-server/src/fleet/links.rs
+++ b/crates/loomflow-server/src/fleet/links.rs
@@ -6,7 +6,7 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::SocketAddr;
 
-use loomflow_fleet::time::WholeMillis;
+use loomflow_fleet::time::IntegerMillis;
 use loomflow_fleet::wire::{FrameError, FrameReader};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Registry, Token};
@@ -16,13 +16,13 @@
 /// Connections in each direction; beyond it those that were silent for longest are closed first.
 const MAX_CONNECTIONS: usize = 1_024;
 /// A connection that we opened is closed after this long without a message, ms.
-const IDLE_TIMEOUT_MILLIS: WholeMillis = 15_000;
+const IDLE_TIMEOUT_MILLIS: IntegerMillis = 15_000;
 /// One that others opened, ms: later than they close it themselves.
-const INCOMING_IDLE_TIMEOUT_MILLIS: WholeMillis = 4 * IDLE_TIMEOUT_MILLIS;
+const INCOMING_IDLE_TIMEOUT_MILLIS: IntegerMillis = 4 * IDLE_TIMEOUT_MILLIS;
 /// One that takes nothing of what is queued for this long is broken, ms.
-const STALL_TIMEOUT_MILLIS: WholeMillis = 3_000;
+const STALL_TIMEOUT_MILLIS: IntegerMillis = 3_000;
 /// An address that could not be reached is tried again after this, ms.
-const RECONNECT_AFTER_MILLIS: WholeMillis = 300;
+const RECONNECT_AFTER_MILLIS: IntegerMillis = 300;
 /// Messages that may be queued for one connection, and bytes beyond the first message.
 const MAX_QUEUED_MESSAGES: usize = 512;
 const MAX_QUEUED_BYTES: usize = 1024 * 1024;
@@ -33,7 +33,7 @@
 struct IncomingLink {
     stream: TcpStream,
     frames: FrameReader,
-    last_read_at: WholeMillis,
+    last_read_at: IntegerMillis,
 }
 
 struct OutgoingLink {
@@ -44,7 +44,7 @@
     /// How much of the first that waits is written.
     written: usize,
     /// When something was last written, or nothing waited.
-    last_progress_at: WholeMillis,
+    last_progress_at: IntegerMillis,
 }
 
 /// All connections of members.
@@ -55,7 +55,7 @@
     outgoing: BTreeMap<Token, OutgoingLink>,
     token_by_address: BTreeMap<SocketAddr, Token>,
     /// Addresses that could not be reached, until when they are left alone.
-    unreachable_until: BTreeMap<SocketAddr, WholeMillis>,
+    unreachable_until: BTreeMap<SocketAddr, IntegerMillis>,
 }
 
 impl Links {
@@ -80,7 +80,7 @@
     }
 
     /// Accepts what is there.
-    pub fn accept(&mut self, registry: &Registry, now: WholeMillis) {
+    pub fn accept(&mut self, registry: &Registry, now: IntegerMillis) {
         while let Ok((mut stream, _)) = self.listener.accept() {
             if self.incoming.len() >= MAX_CONNECTIONS
                 && let Some(oldest) =
@@ -104,7 +104,7 @@
         &mut self,
         token: Token,
         is_readable: bool,
-        now: WholeMillis,
+        now: IntegerMillis,
         registry: &Registry,
         handle_message: &mut dyn FnMut(&[u8]) -> Result<(), FrameError>,
     ) -> Option<String> {
@@ -136,7 +136,7 @@
     }
 
     /// Queues a message and writes what the system takes, or drops the message.
-    pub fn send(&mut self, to: SocketAddr, bytes: Vec<u8>, now: WholeMillis, registry: &Registry) {
+    pub fn send(&mut self, to: SocketAddr, bytes: Vec<u8>, now: IntegerMillis, registry: &Registry) {
         let token = match self.token_by_address.get(&to) {
             Some(token) => *token,
             None if self.unreachable_until.get(&to).is_some_and(|until| now < *until) => return,
@@ -159,7 +159,7 @@
         self.write(token, now);
     }
 
-    fn open(&mut self, to: SocketAddr, now: WholeMillis, registry: &Registry) -> Option<Token> {
+    fn open(&mut self, to: SocketAddr, now: IntegerMillis, registry: &Registry) -> Option<Token> {
         if self.outgoing.len() >= MAX_CONNECTIONS
             && let Some(oldest) =
                 self.outgoing.iter().min_by_key(|(_, link)| link.last_progress_at).map(|(t, _)| *t)
@@ -189,7 +189,7 @@
         }
     }
 
-    fn write(&mut self, token: Token, now: WholeMillis) {
+    fn write(&mut self, token: Token, now: IntegerMillis) {
         let Some(link) = self.outgoing.get_mut(&token) else { return };
         if let Ok(()) = write(link, now) {
             self.unreachable_until.remove(&link.address);
@@ -201,7 +201,7 @@
     }
 
     /// Closes what is silent or takes nothing.
-    pub fn sweep(&mut self, now: WholeMillis) {
+    pub fn sweep(&mut self, now: IntegerMillis) {
         self.incoming.retain(|_, link| now < link.last_read_at + INCOMING_IDLE_TIMEOUT_MILLIS);
         let is_over = |link: &OutgoingLink| {
             let timeout = if link.queue.is_empty() { IDLE_TIMEOUT_MILLIS } else { STALL_TIMEOUT_MILLIS };
@@ -233,7 +233,7 @@
 /// Reads what is there, up to a bound, so that one link does not hold up the others.
 fn read(
     link: &mut IncomingLink,
-    now: WholeMillis,
+    now: IntegerMillis,
     handle_message: &mut dyn FnMut(&[u8]) -> Result<(), FrameError>,
 ) -> Result<ReadResult, FrameError> {
     let mut bytes = [0; READ_BUFFER_BYTES];
@@ -258,7 +258,7 @@
 }
 
 /// Writes what the system takes. Errors: the link is broken, or its peer closed it.
-fn write(link: &mut OutgoingLink, now: WholeMillis) -> io::Result<()> {
+fn write(link: &mut OutgoingLink, now: IntegerMillis) -> io::Result<()> {
     if let Some(e) = link.stream.take_error()? {
         return Err(e);
     }
--- a/crates/loomflow-settings/tests/file_errors.rs
+++ b/crates/loomflow-settings/tests/file_errors.rs
@@ -163,73 +163,89 @@
     std::fs::write(fixture(), all_lines()).expect("the fixture is written");
 }
 
-/// The order in which keys are checked, each with a value that is an error.
+/// The keys in the order in which they are checked.
+const CHECKS: [(Expected, &str); 65] = [
+    (Expected::Text, "/seed"),
+    (Expected::Text, "/name"),
+    (Expected::Text, "/listen"),
+    (Expected::Text, "/engine"),
+    (Expected::Text, "/control"),
+    (Expected::Text, "/ledger"),
+    (Expected::OtherThanText, "/stop_ms"),
+    (Expected::OtherThanText, "/limits/sockets"),
+    (Expected::OtherThanText, "/limits/memory_mb"),
+    (Expected::OtherThanText, "/limits/cores"),
+    (Expected::OtherThanText, "/settings"),
+    (Expected::OtherThanText, "/settings/Domain"),
+    (Expected::OtherThanText, "/settings/Rules"),
+    (Expected::OtherThanText, "/settings/Limits"),
+    (Expected::OtherThanText, "/settings/Prices"),
+    (Expected::OtherThanText, "/settings/Domain/CallsByClass"),
+    (Expected::OtherThanText, "/settings/Domain/DegradedWorth"),
+    (Expected::OtherThanText, "/settings/Classes"),
+    (Expected::OtherThanText, "/settings/Classes/1"),
+    (Expected::OtherThanText, "/settings/Classes/0/Effect"),
+    (Expected::OtherThanText, "/settings/Classes/0/OnTime"),
+    (Expected::OtherThanText, "/settings/Classes/0/AimStretch"),
+    (Expected::OtherThanText, "/settings/Classes/0/HardLimit"),
+    (Expected::OtherThanText, "/settings/Classes/0/Points"),
+    (Expected::OtherThanText, "/settings/Classes/0/LateShare"),
+    (Expected::OtherThanText, "/settings/Classes/0/Window"),
+    (Expected::OtherThanText, "/settings/Classes/1/Effect"),
+    (Expected::OtherThanText, "/settings/Orgs"),
+    (Expected::OtherThanText, "/settings/Orgs/0"),
+    (Expected::OtherThanText, "/settings/Orgs/1/QuotaPerS"),
+    (Expected::OtherThanText, "/settings/OverShareWorth"),
+    (Expected::Text, "/settings/ValueBy"),
+    (Expected::OtherThanText, "/settings/Servers"),
+    (Expected::OtherThanText, "/settings/Domain/ClientsTotal"),
+    (Expected::OtherThanText, "/settings/Stage"),
+    (Expected::OtherThanText, "/settings/Domain/Cpus"),
+    (Expected::OtherThanText, "/settings/Domain/HeapKb"),
+    (Expected::OtherThanText, "/settings/Domain/RunMemFactor"),
+    (Expected::OtherThanText, "/settings/Domain/KeyKb"),
+    (Expected::Text, "/settings/Domain/Downstream"),
+    (Expected::OtherThanText, "/settings/Domain/CallShare"),
+    (Expected::OtherThanText, "/settings/Domain/CallsOver"),
+    (Expected::OtherThanText, "/settings/Domain/StaysFor"),
+    (Expected::OtherThanText, "/settings/Domain/Fresh"),
+    (Expected::Text, "/settings/Domain/Halt"),
+    (Expected::Text, "/settings/Domain/Say"),
+    (Expected::OtherThanText, "/settings/Domain/Heeded"),
+    (Expected::OtherThanText, "/settings/Domain/Idle"),
+    (Expected::OtherThanText, "/settings/Prices/Handshake"),
+    (Expected::OtherThanText, "/settings/Domain/PassesDeadline"),
+    (Expected::OtherThanText, "/settings/Domain/TellsGone"),
+    (Expected::OtherThanText, "/settings/Domain/Cold"),
+    (Expected::OtherThanText, "/settings/Rules/ColdShare"),
+    (Expected::OtherThanText, "/settings/Rules/Cold"),
+    (Expected::OtherThanText, "/settings/Rules/AnswerSlack"),
+    (Expected::OtherThanText, "/settings/Rules/DrainGrace"),
+    (Expected::OtherThanText, "/settings/Rules/FallMultiple"),
+    (Expected::OtherThanText, "/settings/Rules/TipAfter"),
+    (Expected::OtherThanText, "/settings/Limits/RetryAfter"),
+    (Expected::OtherThanText, "/settings/Limits/MaxRetryAfter"),
+    (Expected::OtherThanText, "/settings/Period"),
+    (Expected::Text, "/settings/Classes/0/Name"),
+    (Expected::Text, "/settings/Orgs/1/Name"),
+    (Expected::Text, "/settings/Domain/Gauges"),
+    (Expected::OtherThanText, "/settings/Domain/DeepChecks"),
+];
+
+/// The type that a key is checked for.
+#[derive(Clone, Copy)]
+enum Expected {
+    Text,
+    OtherThanText,
+}
+
+/// The keys in the order of [`CHECKS`], each with a value that is an error there.
 fn checks() -> Vec<(&'static str, Value)> {
-    let texts = |keys: &[&'static str]| keys.iter().map(|key| (*key, json!(false))).collect::<Vec<_>>();
-    let numbers = |keys: &[&'static str]| keys.iter().map(|key| (*key, json!("x"))).collect::<Vec<_>>();
-    let mut checks = texts(&["/seed", "/name", "/listen", "/engine", "/control", "/ledger"]);
-    checks.extend(numbers(&["/stop_ms", "/limits/sockets", "/limits/memory_mb", "/limits/cores"]));
-    checks.extend(numbers(&[
-        "/settings",
-        "/settings/Domain",
-        "/settings/Rules",
-        "/settings/Limits",
-        "/settings/Prices",
-        "/settings/Domain/CallsByClass",
-        "/settings/Domain/DegradedWorth",
-        "/settings/Classes",
-        "/settings/Classes/1",
-        "/settings/Classes/0/Effect",
-        "/settings/Classes/0/OnTime",
-        "/settings/Classes/0/AimStretch",
-        "/settings/Classes/0/HardLimit",
-        "/settings/Classes/0/Points",
-        "/settings/Classes/0/LateShare",
-        "/settings/Classes/0/Window",
-        "/settings/Classes/1/Effect",
-        "/settings/Orgs",
-        "/settings/Orgs/0",
-        "/settings/Orgs/1/QuotaPerS",
-        "/settings/OverShareWorth",
-    ]));
-    checks.extend(texts(&["/settings/ValueBy"]));
-    checks.extend(numbers(&[
-        "/settings/Servers",
-        "/settings/Domain/ClientsTotal",
-        "/settings/Stage",
-        "/settings/Domain/Cpus",
-        "/settings/Domain/HeapKb",
-        "/settings/Domain/RunMemFactor",
-        "/settings/Domain/KeyKb",
-    ]));
-    checks.extend(texts(&["/settings/Domain/Downstream"]));
-    checks.extend(numbers(&[
-        "/settings/Domain/CallShare",
-        "/settings/Domain/CallsOver",
-        "/settings/Domain/StaysFor",
-        "/settings/Domain/Fresh",
-    ]));
-    checks.extend(texts(&["/settings/Domain/Halt", "/settings/Domain/Say"]));
-    checks.extend(numbers(&[
-        "/settings/Domain/Heeded",
-        "/settings/Domain/Idle",
-        "/settings/Prices/Handshake",
-        "/settings/Domain/PassesDeadline",
-        "/settings/Domain/TellsGone",
-        "/settings/Domain/Cold",
-        "/settings/Rules/ColdShare",
-        "/settings/Rules/Cold",
-        "/settings/Rules/AnswerSlack",
-        "/settings/Rules/DrainGrace",
-        "/settings/Rules/FallMultiple",
-        "/settings/Rules/TipAfter",
-        "/settings/Limits/RetryAfter",
-        "/settings/Limits/MaxRetryAfter",
-        "/settings/Period",
-    ]));
-    checks.extend(texts(&["/settings/Classes/0/Name", "/settings/Orgs/1/Name", "/settings/Domain/Gauges"]));
-    checks.extend(numbers(&["/settings/Domain/DeepChecks"]));
-    checks
+    let invalid_value = |expected| match expected {
+        Expected::Text => json!(false),
+        Expected::OtherThanText => json!("x"),
+    };
+    CHECKS.iter().map(|(expected, key)| (*key, invalid_value(*expected))).collect()
 }
 
 #[test]
