--- a/crates/loomflow-adapter/src/wire/actions.rs
+++ b/crates/loomflow-adapter/src/wire/actions.rs
@@ -21,94 +21,44 @@
     pub actions: Vec<ActionMessage>,
 }
 
-/// An action of the instance that `server` numbers.
+/// An action of an instance. Only the keys that belong to the action are written.
 #[derive(Debug, Serialize)]
-#[serde(untagged)]
-pub enum ActionMessage {
-    /// An action that takes no more than the request.
-    Request {
-        #[serde(rename = "Ref")]
-        id: RequestId,
-        #[serde(rename = "ServerId")]
-        server: u64,
-        #[serde(rename = "msg")]
-        name: ActionName,
-    },
-    /// See [`Action::Reject`].
-    Reject {
-        #[serde(rename = "Final")]
-        is_final: bool,
-        #[serde(rename = "Pause")]
-        retry_after: Millis,
-        #[serde(rename = "Ref")]
-        id: RequestId,
-        #[serde(rename = "ServerId")]
-        server: u64,
-        #[serde(rename = "msg")]
-        name: ActionName,
-    },
+pub struct ActionMessage {
     /// See [`Action::Call`].
-    Call {
-        #[serde(rename = "AbandonAt")]
-        deadline: Millis,
-        #[serde(rename = "Ref")]
-        id: RequestId,
-        #[serde(rename = "ServerId")]
-        server: u64,
-        #[serde(rename = "msg")]
-        name: ActionName,
-    },
-    /// See [`Action::RetainKey`].
-    RetainKey {
-        #[serde(rename = "Ref")]
-        id: RequestId,
-        #[serde(rename = "ServerId")]
-        server: u64,
-        #[serde(rename = "Ttl")]
-        ttl: Millis,
-        #[serde(rename = "msg")]
-        name: ActionName,
-    },
+    #[serde(rename = "AbandonAt", skip_serializing_if = "Option::is_none")]
+    deadline: Option<Millis>,
+    /// See [`Action::SetTimer`].
+    #[serde(rename = "AlarmTime", skip_serializing_if = "Option::is_none")]
+    at: Option<Millis>,
+    /// The timer that is set.
+    #[serde(rename = "Cookie", skip_serializing_if = "Option::is_none")]
+    cookie: Option<&'static str>,
+    /// See [`Action::Reject`].
+    #[serde(rename = "Final", skip_serializing_if = "Option::is_none")]
+    is_final: Option<bool>,
+    /// See [`Action::Reject`].
+    #[serde(rename = "Pause", skip_serializing_if = "Option::is_none")]
+    retry_after: Option<Millis>,
+    /// The request that the action is about.
+    #[serde(rename = "Ref", skip_serializing_if = "Option::is_none")]
+    id: Option<RequestId>,
+    /// The number of the instance.
+    #[serde(rename = "ServerId")]
+    server: u64,
+    /// See [`Action::SetHealth`].
+    #[serde(rename = "Stored", skip_serializing_if = "Option::is_none")]
+    is_cached: Option<bool>,
+    /// How long a key is retained, or a connection may be idle.
+    #[serde(rename = "Ttl", skip_serializing_if = "Option::is_none")]
+    duration: Option<Millis>,
     /// See [`Action::SetHealth`].
-    SetHealth {
-        #[serde(rename = "ServerId")]
-        server: u64,
-        #[serde(rename = "Stored")]
-        is_cached: bool,
-        #[serde(rename = "Want")]
-        is_healthy: bool,
-        #[serde(rename = "msg")]
-        name: ActionName,
-    },
+    #[serde(rename = "Want", skip_serializing_if = "Option::is_none")]
+    is_healthy: Option<bool>,
     /// See [`Action::SetSignal`].
-    SetSignal {
-        #[serde(rename = "ServerId")]
-        server: u64,
-        #[serde(rename = "X")]
-        signal: f64,
-        #[serde(rename = "msg")]
-        name: ActionName,
-    },
-    /// See [`Action::SetIdleTimeout`].
-    SetIdleTimeout {
-        #[serde(rename = "ServerId")]
-        server: u64,
-        #[serde(rename = "Ttl")]
-        timeout: Millis,
-        #[serde(rename = "msg")]
-        name: ActionName,
-    },
-    /// See [`Action::SetTimer`].
-    SetTimer {
-        #[serde(rename = "AlarmTime")]
-        at: Millis,
-        #[serde(rename = "Cookie")]
-        cookie: &'static str,
-        #[serde(rename = "ServerId")]
-        server: u64,
-        #[serde(rename = "msg")]
-        name: ActionName,
-    },
+    #[serde(rename = "X", skip_serializing_if = "Option::is_none")]
+    signal: Option<f64>,
+    #[serde(rename = "msg")]
+    name: ActionName,
 }
 
 /// The name of an action on the wire.
@@ -145,37 +95,60 @@
 impl ActionMessage {
     /// The message for an action of the instance `server`.
     pub fn new(server: u64, action: Action) -> ActionMessage {
-        let about = |name, id| ActionMessage::Request { id, server, name };
+        let message = |name| ActionMessage::without_values(server, name);
+        let about = |name, id| ActionMessage { id: Some(id), ..message(name) };
         match action {
             Action::Run(id) => about(ActionName::Run, id),
             Action::ReuseResult(id) => about(ActionName::ReuseResult, id),
-            Action::Reject { id, retry_after, is_final } => {
-                ActionMessage::Reject { is_final, retry_after, id, server, name: ActionName::Reject }
-            }
+            Action::Reject { id, retry_after, is_final } => ActionMessage {
+                retry_after: Some(retry_after),
+                is_final: Some(is_final),
+                ..about(ActionName::Reject, id)
+            },
             Action::Fail(id) => about(ActionName::Fail, id),
             Action::Preempt(id) => about(ActionName::Preempt, id),
             Action::Call { id, deadline } => {
-                ActionMessage::Call { deadline, id, server, name: ActionName::Call }
+                ActionMessage { deadline: Some(deadline), ..about(ActionName::Call, id) }
             }
             Action::SkipCall(id) => about(ActionName::SkipCall, id),
             Action::RetainKey { id, ttl } => {
-                ActionMessage::RetainKey { id, server, ttl, name: ActionName::RetainKey }
+                ActionMessage { duration: Some(ttl), ..about(ActionName::RetainKey, id) }
             }
             Action::ReleaseKey(id) => about(ActionName::ReleaseKey, id),
-            Action::SetHealth { is_healthy, is_cached } => {
-                ActionMessage::SetHealth { server, is_cached, is_healthy, name: ActionName::SetHealth }
-            }
+            Action::SetHealth { is_healthy, is_cached } => ActionMessage {
+                is_healthy: Some(is_healthy),
+                is_cached: Some(is_cached),
+                ..message(ActionName::SetHealth)
+            },
             Action::SetSignal(signal) => {
-                ActionMessage::SetSignal { server, signal, name: ActionName::SetSignal }
+                ActionMessage { signal: Some(signal), ..message(ActionName::SetSignal) }
             }
             Action::SetIdleTimeout(timeout) => {
-                ActionMessage::SetIdleTimeout { server, timeout, name: ActionName::SetIdleTimeout }
+                ActionMessage { duration: Some(timeout), ..message(ActionName::SetIdleTimeout) }
             }
             Action::SetTimer(at) => {
-                ActionMessage::SetTimer { at, cookie: TIMER_COOKIE, server, name: ActionName::SetTimer }
+                ActionMessage { at: Some(at), cookie: Some(TIMER_COOKIE), ..message(ActionName::SetTimer) }
             }
         }
     }
+
+    /// A message that names no more than the instance and the action.
+    fn without_values(server: u64, name: ActionName) -> ActionMessage {
+        ActionMessage {
+            deadline: None,
+            at: None,
+            cookie: None,
+            is_final: None,
+            retry_after: None,
+            id: None,
+            server,
+            is_cached: None,
+            duration: None,
+            is_healthy: None,
+            signal: None,
+            name,
+        }
+    }
 }
 
 #[cfg(test)]
--- a/crates/loomflow-adapter/tests/message_errors.rs
+++ b/crates/loomflow-adapter/tests/message_errors.rs
@@ -8,17 +8,15 @@
 //! A line has a key, what the adapter says, and the values that it says it of.
 
 mod common;
+#[path = "../../loomflow-settings/tests/error_table/mod.rs"]
+mod error_table;
 
 use std::collections::BTreeMap;
-use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 
+use error_table::{ACCEPTED, assert_recorded, parse_values, write_lines};
 use serde_json::{Value, json};
 
-const ACCEPTED: &str = "accepted";
-/// Stands for a key that is left out.
-const ABSENT: &str = "absent";
-
 fn fixture() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/message_errors/recorded.tsv")
 }
@@ -116,7 +114,7 @@
         "{\"Domain\":{},\"Rules\":{}}",
         "{\"Domain\":[]}",
     ];
-    texts.iter().map(|text| serde_json::from_str(text).expect("a value")).collect()
+    parse_values(&texts)
 }
 
 /// An object with another value of a key.
@@ -139,26 +137,16 @@
     verdict(&[before.to_string(), batch(&[news, message.clone()]).to_string()])
 }
 
-/// What is said of every value of a key, as lines of the fixture.
-fn write_lines(lines: &mut String, key: &str, play: impl Fn(Option<&Value>) -> String) {
-    let mut verdicts: BTreeMap<String, Vec<String>> = BTreeMap::new();
-    verdicts.entry(play(None)).or_default().push(ABSENT.to_owned());
-    for value in values() {
-        verdicts.entry(play(Some(&value))).or_default().push(value.to_string());
-    }
-    for (verdict, values) in verdicts {
-        writeln!(lines, "{key}\t{verdict}\t{}", values.join(" ")).expect("a line");
-    }
-}
-
 fn all_lines() -> String {
-    let mut lines = String::new();
+    let (mut lines, values) = (String::new(), values());
     for key in ["batch", "Ts", "items"] {
-        write_lines(&mut lines, key, |value| verdict(&[with(&batch(&[]), key, value).to_string()]));
+        write_lines(&mut lines, key, &values, |value| verdict(&[with(&batch(&[]), key, value).to_string()]));
     }
     for (name, keys, message) in messages() {
         for key in keys {
-            write_lines(&mut lines, &format!("{name}.{key}"), |value| play(&with(&message, key, value)));
+            write_lines(&mut lines, &format!("{name}.{key}"), &values, |value| {
+                play(&with(&message, key, value))
+            });
         }
     }
     lines
@@ -166,12 +154,7 @@
 
 #[test]
 fn every_key_of_every_message_has_the_recorded_errors() {
-    let recorded = std::fs::read_to_string(fixture()).expect("the fixture");
-    let lines = all_lines();
-    for (line, recorded) in lines.lines().zip(recorded.lines()) {
-        assert_eq!(line, recorded);
-    }
-    assert_eq!(lines.lines().count(), recorded.lines().count());
+    assert_recorded(&all_lines(), &fixture());
 }
 
 #[test]
--- a/crates/loomflow-settings/src/json/object.rs
+++ b/crates/loomflow-settings/src/json/object.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use super::deserializer::{NOT_AN_ARRAY, NOT_AN_OBJECT, ValueDeserializer};
+use super::deserializer::{MISSING, NOT_AN_ARRAY, NOT_AN_OBJECT, ValueDeserializer};
 use crate::error::FieldError;
 
 /// A JSON object and its path within the document.
@@ -66,7 +66,7 @@
     ///
     /// The value is missing or no object.
     pub fn child(&self, key: &str) -> Result<JsonObject<'a>, FieldError> {
-        let value = self.get(key).ok_or_else(|| self.error(key, "missing"))?;
+        let value = self.get(key).ok_or_else(|| self.error(key, MISSING))?;
         JsonObject::new(self.path_of(key), value)
     }
 
--- a/crates/loomflow-settings/tests/file_errors.rs
+++ b/crates/loomflow-settings/tests/file_errors.rs
@@ -7,17 +7,14 @@
 //!
 //! A line has a key, what is said, and the values that it is said of.
 
-use std::collections::BTreeMap;
-use std::fmt::Write as _;
+mod error_table;
+
 use std::path::{Path, PathBuf};
 
+use error_table::{ACCEPTED, assert_recorded, parse_values, write_lines};
 use loomflow_settings::Config;
 use serde_json::{Value, json};
 
-const ACCEPTED: &str = "accepted";
-/// Stands for a key that is left out.
-const ABSENT: &str = "absent";
-
 fn fixture() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/file_errors/recorded.tsv")
 }
@@ -99,7 +96,7 @@
         "{}",
         "{\"x\":1}",
     ];
-    texts.iter().map(|text| serde_json::from_str(text).expect("a value")).collect()
+    parse_values(&texts)
 }
 
 /// The complete file with another value at a pointer; without the key or the member if there is none.
@@ -122,39 +119,24 @@
     Config::parse(&file.to_string()).map_or_else(|error| error.to_string(), |_| ACCEPTED.to_owned())
 }
 
-/// What is said of every value of a key, as lines of the fixture.
-fn write_lines(lines: &mut String, file: &Value, pointer: &str, key: &str) {
-    let mut verdicts: BTreeMap<String, Vec<String>> = BTreeMap::new();
-    verdicts.entry(verdict(&with(file, pointer, None))).or_default().push(ABSENT.to_owned());
-    for value in values() {
-        verdicts.entry(verdict(&with(file, pointer, Some(&value)))).or_default().push(value.to_string());
-    }
-    for (verdict, values) in verdicts {
-        writeln!(lines, "{key}\t{verdict}\t{}", values.join(" ")).expect("a line");
-    }
-}
-
 fn all_lines() -> String {
     let (file, mut keys) = (complete(), Vec::new());
     pointers(&file, "", &mut keys);
-    let mut lines = String::new();
+    let (mut lines, values) = (String::new(), values());
     for pointer in keys {
-        write_lines(&mut lines, &file, &pointer, &pointer);
+        write_lines(&mut lines, &pointer, &values, |value| verdict(&with(&file, &pointer, value)));
     }
     // The longest retry-after is read only where one is passed on.
     let none = with(&file, "/settings/Limits/RetryAfter", Some(&json!(false)));
-    write_lines(&mut lines, &none, "/settings/Limits/MaxRetryAfter", "without RetryAfter: MaxRetryAfter");
+    write_lines(&mut lines, "without RetryAfter: MaxRetryAfter", &values, |value| {
+        verdict(&with(&none, "/settings/Limits/MaxRetryAfter", value))
+    });
     lines
 }
 
 #[test]
 fn every_key_of_a_file_has_the_recorded_errors() {
-    let recorded = std::fs::read_to_string(fixture()).expect("the fixture");
-    let lines = all_lines();
-    for (line, recorded) in lines.lines().zip(recorded.lines()) {
-        assert_eq!(line, recorded);
-    }
-    assert_eq!(lines.lines().count(), recorded.lines().count());
+    assert_recorded(&all_lines(), &fixture());
 }
 
 #[test]
