--- a/src/interface.rs
+++ b/src/interface.rs
@@ -9,180 +9,182 @@
 };
 use crate::time::Millis;
 
-/// Names one request while it is known to the controller or its key is retained.
+/// Identifies a request while the controller tracks it or retains its key.
 pub type RequestId = u32;
 
-/// What a request is judged by, as it was read.
+/// Properties of a request, as read by the host, on which the controller bases its decisions.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestAttributes {
-    /// Index of its class.
+    /// Index of the request's class in [`Settings::classes`].
     pub class: usize,
-    /// Index of its tenant.
+    /// Index of the request's tenant in [`Settings::tenants`].
     pub tenant: usize,
-    /// How long its caller will wait; 0 where that is not known. Counts only where callers state it
-    /// (`Settings::has_caller_deadlines`).
+    /// How long the caller will still wait; 0 if unknown. Used only where callers state it
+    /// ([`Settings::has_caller_deadlines`]).
     pub remaining_wait: Millis,
-    /// Estimated work on one core, where there is an estimate.
+    /// Estimated work on one core, if there is an estimate.
     pub estimated_work: Option<Millis>,
-    /// Memory that it takes while it is queued, in KB.
+    /// Memory that the request occupies while it is queued, in KB.
     pub memory_kb: f64,
-    /// From 0 to 1: its place by weight among all requests. No decision depends on it.
+    /// Position of the request by weight among all requests, 0 to 1. No decision depends on it.
     pub rank: f64,
-    /// A marked retry, or a hedged request.
+    /// Whether the request is marked as a retry or is a hedged request.
     pub is_retry: bool,
-    /// Who sent it.
+    /// Identifies the caller that sent the request.
     pub caller: u64,
-    /// Time since it reached the machine.
+    /// Time since the request reached the machine.
     pub age: Millis,
-    /// How long its caller had waited before it reached the machine, where that is known; else 0. It
-    /// counts against the latency objective and the timeout, and not as this server's delay.
+    /// How long the caller had waited before the request reached the machine; 0 if unknown. Counts against
+    /// the latency objective and the timeout, but not as delay of this server.
     pub upstream_time: Millis,
 }
 
 /// A request that has arrived.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Its name from now on.
+    /// Identifies the request in later events and actions.
     pub id: RequestId,
-    /// What it is judged by.
+    /// Properties that decisions about the request depend on.
     pub attributes: RequestAttributes,
-    /// The retained request that it repeats.
+    /// The request with a retained key that this one duplicates.
     pub original: Option<RequestId>,
 }
 
-/// How an attempt ended: a run of a request, or one attempt of its call.
+/// How an attempt ended: the run of a request, or one attempt of its downstream call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It succeeded.
+    /// The attempt succeeded.
     Ok,
-    /// It failed, perhaps after taking effect.
+    /// The attempt failed; its effect may have taken place.
     Error,
-    /// It was rejected unseen: it never ran.
+    /// The attempt was rejected before it ran.
     Rejected,
-    /// It was abandoned: it may have run.
+    /// The attempt was abandoned; it may have run.
     TimedOut,
-    /// The peer could not be reached: it never ran.
+    /// The peer could not be reached; the attempt never ran.
     Unreachable,
-    /// The connection was lost: it may have run.
+    /// The connection was lost; the attempt may have run.
     ConnectionLost,
-    /// It was stopped, or ended because nobody waits.
+    /// The attempt was stopped, or ended because no caller waits for it.
     Cancelled,
-    /// The request was over before anything was started.
+    /// The request ended before the attempt was started.
     NotStarted,
 }
 
-/// Measured on the server when a timer fires; absent where the site does not measure it.
+/// Measurements of the server, taken when a timer fires; `None` where the site does not measure the value.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Gauges {
-    /// The busy share of the cores in the recent past, 0 to 1.
+    /// Recent utilization of the cores, 0 to 1.
     pub core_utilization: Option<f64>,
-    /// Everything that runs on or waits for a core.
+    /// Number of tasks that run on a core or wait for one: runs, and also reads, new connections and health
+    /// checks.
     pub runnable: Option<f64>,
-    /// The used share of the memory, 0 to 1. No decision depends on it.
+    /// Utilization of the memory, 0 to 1. No decision depends on it.
     pub memory_utilization: Option<f64>,
-    /// Open connections.
+    /// Number of open connections.
     pub connections: Option<f64>,
 }
 
-/// The server's load as the controller sees it, for reports; nothing is decided by it.
+/// The load of the server as the controller measures it. For reports only; no decision depends on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// The share of their usual traffic that callers are asked to send, 0 to 1.
+    /// Share of their usual traffic that callers are asked to send, 0 to 1.
     pub share: f64,
-    /// Mean queueing time, or mean read delay where that is longer, over its setpoint, at the last sample.
+    /// Mean queueing time, or mean read delay if that is longer, divided by its setpoint, at the last
+    /// sample.
     pub queue_time_ratio: f64,
-    /// The limit on concurrent runs.
+    /// Limit on concurrent runs.
     pub limit: f64,
-    /// Concurrent runs.
+    /// Number of runs on the cores; runs that wait for a call are not counted.
     pub running: f64,
 }
 
-/// Something that has happened.
+/// An event that the host reports to the controller.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A request was read; it is queued from now on.
+    /// A request was read; it counts as queued from now on.
     RequestArrived(Arrival),
-    /// No response is due any more: the caller has given up, or the server has given the response itself.
+    /// No response is due any more: the caller gave up, or the host has responded itself.
     RequestCancelled(RequestId),
-    /// A timer fired, with what was measured then.
+    /// A timer fired; carries the measurements at that time.
     TimerFired(Gauges),
-    /// A run waits for its call.
+    /// A run has reached its downstream call and waits for it.
     CallNeeded(RequestId),
-    /// A call has ended.
+    /// A downstream call has ended.
     CallEnded {
-        /// The request that called.
+        /// The request whose run made the call.
         id: RequestId,
-        /// How it ended.
+        /// How the call ended.
         outcome: AttemptOutcome,
-        /// How long it took.
+        /// How long the call took.
         duration: Millis,
     },
-    /// A run has ended, or the wait of a duplicate for the result of its original.
+    /// A run has ended, or a duplicate has stopped waiting for the result of its original.
     RunEnded {
-        /// The request.
+        /// The request that ran or waited.
         id: RequestId,
-        /// How it ended.
+        /// How the run or the wait ended.
         outcome: AttemptOutcome,
-        /// How long it took, with its calls.
+        /// How long the run took, including its calls.
         duration: Millis,
     },
-    /// New settings count from now on; known requests keep their deadlines.
+    /// New settings apply from now on; requests that the controller tracks keep their deadlines.
     SettingsChanged(Box<ReloadableSettings>),
-    /// The process is killed after this time.
+    /// A shutdown was requested.
     ShutdownRequested {
-        /// The time left.
+        /// Time until the process is killed.
         time_left: Millis,
     },
 }
 
-/// Something that the controller has decided.
+/// A decision of the controller that the host carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Run a request.
+    /// Start the run of a request.
     Run(RequestId),
-    /// Respond with the result of the request that this one repeats.
+    /// Respond with the result of the request that this one duplicates.
     ReuseResult(RequestId),
-    /// Final response: load is shed, the request never ran.
+    /// Send the final response that load is shed: the request never ran, or is idempotent.
     Reject {
-        /// The request.
+        /// The rejected request.
         id: RequestId,
-        /// After how long its caller may try again.
+        /// Time after which the caller may try again.
         retry_after: Millis,
-        /// Whether its caller is to try no other server.
+        /// Whether the caller should not try another server.
         is_final: bool,
     },
-    /// Final response: failed.
+    /// Send the final response that the request failed.
     Fail(RequestId),
-    /// Stop a run.
+    /// Stop the run of a request.
     Preempt(RequestId),
-    /// Make the call that a run waits for.
+    /// Make the downstream call that a run waits for.
     Call {
-        /// The request.
+        /// The request whose run makes the call.
         id: RequestId,
-        /// When the call is abandoned.
+        /// Time at which the call is abandoned.
         deadline: Millis,
     },
     /// Continue a run without its call.
     SkipCall(RequestId),
-    /// Retain a request's key.
+    /// Retain the key of a request, so that later duplicates are recognized.
     RetainKey {
-        /// The request.
+        /// The request whose key is retained.
         id: RequestId,
-        /// For how long.
+        /// How long the key is retained.
         ttl: Millis,
     },
-    /// Release a request's key: it never ran.
+    /// Release the key of a request that never ran.
     ReleaseKey(RequestId),
-    /// The result of health checks from now on.
+    /// Set the result of health checks.
     SetHealth {
-        /// Whether the server is healthy.
+        /// Whether health checks report the server as healthy.
         is_healthy: bool,
         /// Whether health checks get that result without any work.
         is_cached: bool,
     },
-    /// The feedback signal that responses carry from now on.
+    /// Set the feedback signal that responses carry.
     SetSignal(f64),
-    /// How long connections may be idle from now on.
+    /// Set how long connections may be idle before they are closed.
     SetIdleTimeout(Millis),
     /// Fire a timer at this time.
     SetTimer(Millis),
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,84 +1,86 @@
-//! The settings of one server: its classes of requests, tenants, capacity and surroundings.
+//! The settings of one server: request classes, tenants, capacity, and the properties of its callers and
+//! dependencies.
 
 use crate::time::Millis;
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may run any number of times (settings: `safe`).
+    /// The request may run any number of times (settings: `safe`).
     Always,
-    /// It has an idempotency key, and runs at most once here within its class's window (settings:
-    /// `keyed`).
+    /// The request has an idempotency key and runs at most once on this server within the window of its
+    /// class (settings: `keyed`).
     ByKey,
-    /// It has an effect, and nothing to recognize a duplicate by (settings: `unsafe`).
+    /// The request has an effect and no key that identifies duplicates (settings: `unsafe`).
     Never,
 }
 
-/// What this server calls while it runs a request.
+/// The kind of dependency that the runs of this server call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Downstream {
-    /// Nothing.
+    /// Runs make no downstream calls.
     #[default]
     None,
-    /// One dependency for the whole fleet.
+    /// One dependency, shared by the whole fleet.
     Shared,
-    /// Servers of a further tier, behind a balancer of their own.
+    /// The servers of the next tier, behind a load balancer of their own.
     Tier,
 }
 
-/// Whether running requests can be stopped, and what that does to their progress.
+/// Whether a run can be stopped, and whether its progress is then kept.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Preemption {
-    /// A running request cannot be stopped.
+    /// Runs cannot be stopped.
     #[default]
     Unsupported,
-    /// What was done is lost. No decision distinguishes it from the next.
+    /// The progress of a stopped run is lost. No decision distinguishes this from `KeepsProgress`.
     DiscardsProgress,
-    /// What was done is kept.
+    /// The progress of a stopped run is kept.
     KeepsProgress,
 }
 
 /// How callers interpret the feedback signal, the number that responses carry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FeedbackSignal {
-    /// Not at all.
+    /// Callers ignore the signal.
     #[default]
     Unused,
-    /// As the rank, 0 to 1, below which they send nothing.
+    /// Callers send only requests of at least this rank, 0 to 1.
     LowestRank,
-    /// As the number of requests in flight for each caller.
+    /// Each caller keeps at most this many requests in flight.
     Credit,
-    /// As the probability, 0 to 1, with which a caller considers this server.
+    /// A caller considers this server with this probability, 0 to 1.
     SendShare,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Whether its requests may run more than once.
+    /// Whether requests of the class may run more than once.
     pub idempotency: Idempotency,
     /// A response within this time of the first attempt earns the full weight.
     pub latency_objective: Millis,
-    /// The objective grows by this multiple of the request's estimated work.
+    /// The latency objective grows by this multiple of the request's estimated work.
     pub objective_per_work: f64,
-    /// The client waits no longer than this, over all its attempts.
+    /// How long the client waits at most, over all its attempts.
     pub timeout: Millis,
-    /// The weight of a response in time.
+    /// Weight of a response within the latency objective.
     pub priority_weight: f64,
-    /// The share of the weight that a late response still earns, 0 to 1. No decision depends on it.
+    /// Share of the weight that a late response still earns, 0 to 1. No decision depends on it.
     pub late_weight: f64,
-    /// With idempotency keys only: how long after an arrival a duplicate may come.
+    /// How long after the arrival of a request a duplicate may arrive. Only for [`Idempotency::ByKey`].
     pub idempotency_window: Millis,
-    /// Its requests may call downstream.
+    /// Whether requests of the class may make downstream calls. No decision depends on it.
     pub makes_calls: bool,
-    /// The share of the weight that a response without its call still earns, 0 to 1.
+    /// Share of the weight that a response without its downstream call still earns, 0 to 1. At 0 the call
+    /// is never skipped.
     pub degraded_weight: f64,
 }
 
-/// A tenant.
+/// A tenant, the unit that a quota applies to.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second within its quota, over the whole fleet; 0 for no quota.
+    /// Quota in requests per second, over the whole fleet; 0 for no quota.
     pub quota_per_s: f64,
 }
 
@@ -86,81 +88,81 @@
 #[derive(Clone, Debug, Default)]
 #[expect(clippy::struct_excessive_bools, reason = "each is an independent fact")]
 pub struct Settings {
-    /// The classes of requests; events name them by their index.
+    /// Classes of requests; events refer to them by index.
     pub classes: Vec<Class>,
-    /// The tenants; events name them by their index.
+    /// Tenants; events refer to them by index.
     pub tenants: Vec<Tenant>,
-    /// Factor on the weight of a request beyond its tenant's quota.
+    /// Factor on the weight of a request over its tenant's quota.
     pub over_quota_weight: f64,
-    /// Weights count for each unit of work rather than for each request.
+    /// Whether weights are per unit of work instead of per request.
     pub is_weight_per_work: bool,
-    /// Servers of this tier, as listed at the start.
+    /// Number of servers in this tier, as listed at the start.
     pub server_count: f64,
-    /// Callers of this tier, as listed at the start.
+    /// Number of callers of this tier, as listed at the start.
     pub caller_count: f64,
     /// 0 for the tier that clients reach, 1 for the next one downstream, and so on.
     pub tier: u32,
-    /// Cores of the server.
+    /// Number of cores of the server.
     pub cores: f64,
     /// Memory of the server, in KB.
     pub memory_kb: f64,
-    /// Memory of a running request, as a multiple of that of a queued one.
+    /// Memory of a running request, as a multiple of its memory while queued.
     pub run_memory_factor: f64,
     /// Memory of one retained key, in KB.
     pub key_kb: f64,
-    /// What requests call.
+    /// The kind of dependency that the runs of this server call.
     pub downstream: Downstream,
     /// Mean number of calls in flight that the shared dependency allows this server.
     pub call_quota: f64,
-    /// Time over which that mean is taken. No decision depends on it.
+    /// Time over which the mean of `call_quota` is taken.
     pub call_quota_window: Millis,
     /// How long an abandoned call may stay in the dependency.
     pub call_linger: Millis,
-    /// How long the result of an idempotent request may answer others; 0 for never.
+    /// How long the result of an idempotent request may be reused for duplicates; 0 for never.
     pub result_cache_ttl: Millis,
-    /// Whether running requests can be stopped, and at what loss.
+    /// Whether a run can be stopped, and whether its progress is then kept.
     pub preemption: Preemption,
     /// How callers interpret the feedback signal, the number that responses carry.
     pub feedback_signal: FeedbackSignal,
-    /// How long callers remember the feedback signal; 0 where that is unknown.
+    /// How long callers remember the feedback signal; 0 if unknown.
     pub signal_ttl: Millis,
-    /// Callers close connections that are idle for this.
+    /// Callers close connections that have been idle for this long.
     pub idle_timeout: Millis,
     /// Weight lost for each new connection per first attempt. No decision depends on it.
     pub handshake_price: f64,
-    /// Requests state how long their caller will wait.
+    /// Whether requests state how long their caller will wait.
     pub has_caller_deadlines: bool,
-    /// A caller that gives up cancels its request; elsewhere only a lost connection shows it.
+    /// Whether a caller that gives up cancels its request; otherwise only a lost connection shows it.
     pub has_cancellations: bool,
-    /// The server was started into a running fleet, with cold caches.
+    /// Whether the server joined a running fleet with cold caches.
     pub is_slow_start: bool,
-    /// The share of its full speed with which a server starts, 0 to 1.
+    /// Share of its full speed at which a server in slow start begins, 0 to 1.
     pub slow_start_share: f64,
-    /// How long it takes to reach its full speed.
+    /// Time until a server in slow start reaches its full speed.
     pub slow_start_duration: Millis,
-    /// A response may come this long after its deadline.
+    /// How long after its deadline a response may still come; a shutdown reserves this time before the kill.
     pub response_slack: Millis,
-    /// What arrives later than this after the shutdown was requested is not run.
+    /// Requests that arrive later than this after a shutdown was requested are not run.
     pub drain_grace: Millis,
-    /// Runnable requests for each core at which a server at full speed still does not fail, in the mean
-    /// of `concurrency_window`.
+    /// Runnable requests per core, as a mean over `concurrency_window`, at which a server at full speed
+    /// does not fail yet.
     pub core_concurrency: f64,
-    /// Time over which that mean is taken. No decision depends on it.
+    /// Time over which the mean of `core_concurrency` is taken. No decision depends on it.
     pub concurrency_window: Millis,
-    /// The longest Retry-After that callers honor; 0 where none is passed on.
+    /// Longest Retry-After that callers honor; 0 if it is not passed on to them.
     pub max_retry_after: Millis,
     /// Minimum time between two batches.
     pub batch_interval: Millis,
 }
 
-/// The settings that may change while serving. Classes and tenants keep their indices; tenants may be
+/// Settings that may change while the server runs. Classes and tenants keep their indices; tenants may be
 /// added.
 #[derive(Clone, Debug)]
 pub struct ReloadableSettings {
-    /// All classes.
+    /// All classes; their number must not change.
     pub classes: Vec<Class>,
-    /// All tenants.
+    /// All tenants, new ones at the end.
     pub tenants: Vec<Tenant>,
-    /// The grace period of a shutdown.
+    /// Requests that arrive later than this after a shutdown was requested are not run.
     pub drain_grace: Millis,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! loomflow: an overload controller that lives inside each server of a fleet.
+//! loomflow: an overload controller that runs inside each server of a fleet.
 //!
-//! [`controller`] makes every decision, [`interface`] has its settings, events and actions. [`estimate`] and
-//! [`retained_keys`] are the state that it builds on, [`time`] the units. None of them does any I/O or knows
-//! a protocol: a front passes events in and carries actions out.
+//! [`controller`] makes every decision; [`interface`] defines its settings, events and actions. [`estimate`]
+//! and [`retained_keys`] are the state that it builds on, [`time`] has the units. The crate does no I/O and
+//! knows no protocol: its host passes events in and carries the actions out.
 
 #![forbid(unsafe_code)]
 
