--- a/src/controller/aimd.rs
+++ b/src/controller/aimd.rs
@@ -1,18 +1,18 @@
-//! Additive increase, multiplicative decrease: the rule by which limits approach the load that a server
+//! Additive increase, multiplicative decrease (AIMD): how limits converge on the load that a server
 //! sustains.
 //!
-//! Inputs: time (ms) and the period between two decreases (ms). A decrease takes place at most once a
-//! period, so that its effect shows before the next one.
+//! Inputs: time (ms) and the minimum period between two decreases (ms). A value decreases at most once per
+//! period, so that the effect of a decrease shows before the next one.
 
 #[cfg(test)]
 mod tests;
 
 use crate::time::Millis;
 
-/// A decrease multiplies the value by this.
+/// Factor of a multiplicative decrease.
 const DECREASE_FACTOR: f64 = 0.8;
 
-/// A value that rises by steps and falls by a factor.
+/// A value that increases by steps and decreases by a factor.
 pub(super) struct AimdValue {
     value: f64,
     period: Millis,
@@ -28,12 +28,11 @@
         self.value
     }
 
-    /// Increases the value by a step.
     pub(super) fn increase(&mut self, step: f64) {
         self.value += step;
     }
 
-    /// Decreases the value, but not below `min`.
+    /// Decreases the value, but not below `min`. Does nothing within a period of the last decrease.
     pub(super) fn decrease(&mut self, now: Millis, min: f64) {
         if now - self.decreased_at >= self.period {
             self.decreased_at = now;
--- a/src/controller/aimd/tests.rs
+++ b/src/controller/aimd/tests.rs
@@ -1,7 +1,7 @@
 use super::AimdValue;
 
 #[test]
-fn a_value_falls_by_a_factor_once_a_period_and_not_below_its_minimum() {
+fn decreases_once_per_period_and_stays_within_bounds() {
     let mut value = AimdValue::new(10.0, 250.0, 0.0);
     value.decrease(249.0, 4.0);
     assert_eq!(value.value(), 10.0, "within the period");
@@ -12,7 +12,7 @@
     assert_eq!(value.value(), 7.0);
     value.increase(1.0);
     value.cap(9.0);
-    assert_eq!(value.value(), 8.0, "under its cap");
+    assert_eq!(value.value(), 8.0, "below the cap");
     value.cap(6.0);
     assert_eq!(value.value(), 6.0);
 }
--- a/src/controller/arrivals.rs
+++ b/src/controller/arrivals.rs
@@ -1,7 +1,7 @@
-//! Arrivals and cancellations: a request is rejected at once, shares the result of another, or is queued.
+//! Arrivals and cancellations: an arriving request is rejected, waits for the result of the request that it
+//! duplicates, or is queued.
 //!
-//! Wires the rules: it passes values on, and fixes the order in which an arrival is judged. Times are in
-//! ms.
+//! Connects the rules and fixes the order in which an arrival is checked. Times are in ms.
 
 use super::Controller;
 use super::deadlines;
@@ -13,7 +13,8 @@
 use crate::time::micros;
 
 impl Controller {
-    /// Judges an arrival: out of time, duplicate, shutdown, memory; else it is queued.
+    /// Queues an arriving request, unless its deadline is too near, it is a duplicate, or a shutdown or a
+    /// lack of memory keeps it from running; checked in this order.
     pub(super) fn request_arrived(&mut self, arrival: &Arrival, out: &mut Vec<Action>) {
         let Arrival { id, ref attributes, original } = *arrival;
         let Some(class) = self.settings.classes.get(attributes.class).cloned() else {
@@ -24,7 +25,7 @@
         self.share.record_read_delay(attributes.age);
         self.idle_timeout.record_arrival(attributes.caller, self.now);
         let request = self.new_request(id, attributes, &class);
-        // Rule 2 (no effect twice): a duplicate of what may have run is never run itself.
+        // Rule 2 (no effect twice): a duplicate of a request that may have run is never run.
         let is_duplicate = original.is_some() && KeyRetention::new(&self.settings).shares_result(&class);
         if request.deadline - self.now <= self.deadlines.margin() {
             let response =
@@ -75,12 +76,12 @@
         out.push(Action::ReuseResult(id));
     }
 
-    /// Rule 3 (safe shutdown): what arrived past the grace period is not run. Rule 2 (no effect twice):
-    /// nor is a keyed request for whose key there is no memory.
+    /// Rule 3 (safe shutdown): a request that arrived after the grace period is not run. Rule 2 (no effect
+    /// twice): a keyed request is not run if there is no memory to retain its key.
     fn cannot_run(&self, request: &Request, class: &Class) -> bool {
         let is_keyed = class.idempotency == Idempotency::ByKey;
-        let lacks_key = is_keyed && self.memory.lacks_key(self.retained_keys.len());
-        lacks_key || self.shutdown.is_too_late(request.arrived_at)
+        let lacks_key_memory = is_keyed && self.memory.would_exceed_with_key(self.retained_keys.len());
+        lacks_key_memory || self.shutdown.is_after_intake(request.arrived_at)
     }
 
     fn retain_key(&mut self, arrival: &Arrival, request: &Request, class: &Class, out: &mut Vec<Action>) {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Queues a request, and schedules its check for when its objective comes out of reach.
+    /// Queues a request and schedules its check for the time when it can no longer meet its objective.
     pub(super) fn enqueue(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let priority_weight = self.settings.classes[request.class].priority_weight;
@@ -107,7 +108,7 @@
 
     pub(super) fn request_cancelled(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(id) else { return };
-        request.is_answered = true;
+        request.is_resolved = true;
         if self.settings.has_cancellations && !request.is_retry {
             let objective = self.settings.classes[request.class].latency_objective;
             let age = self.now - request.arrived_at;
--- a/src/controller/call_permits/tests.rs
+++ b/src/controller/call_permits/tests.rs
@@ -14,30 +14,31 @@
 }
 
 #[test]
-fn a_tier_is_bounded_by_what_may_return_and_a_quota_by_its_used_part() {
+fn permits_depend_on_the_kind_of_downstream() {
     assert_eq!(permits(Downstream::None, 10.0).permits(14.0), 0.0);
     assert_eq!(permits(Downstream::Tier, 10.0).permits(14.0), 14.0);
-    // 0.85 of 10 are 8 permits, and one more is borrowed.
+    // 0.85 * 10, rounded down, are 8 full permits; one more is borrowed.
     assert_eq!(permits(Downstream::Shared, 10.0).permits(14.0), 9.0);
 }
 
 #[test]
-fn a_borrowed_permit_uses_up_credit_and_is_bounded_by_it() {
+fn borrowed_permit_uses_credit_and_bounds_the_deadline() {
     let mut permits = permits(Downstream::Shared, 1.4);
-    // Half of the 0.4 beyond one permit, over 5 s; less the linger and two batches.
+    // The credit is half of the 0.4 beyond one full permit, over 5 s: 1000 ms. The linger of 200 ms and two
+    // batches of 5 ms are subtracted.
     assert_eq!(permits.bounded_deadline(9999.0, 0.0), 9999.0);
     permits.start_call();
     assert!((permits.bounded_deadline(9999.0, 0.0) - 790.0).abs() < 1e-6);
     permits.start_call();
     permits.advance(1200.0);
-    assert_eq!(permits.permits(0.0), 1.0, "the credit does not cover a call");
+    assert_eq!(permits.permits(0.0), 1.0, "the credit does not cover another call");
     permits.end_call(1200.0);
     permits.advance(6200.0);
     assert_eq!(permits.permits(0.0), 2.0);
 }
 
 #[test]
-fn an_abandoned_call_occupies_its_permit_while_it_lingers() {
+fn abandoned_call_holds_its_permit_while_it_lingers() {
     let mut permits = permits(Downstream::Shared, 2.5);
     permits.start_call();
     permits.end_call(0.0);
@@ -50,10 +51,10 @@
 }
 
 #[test]
-fn slow_calls_reduce_the_used_part_of_the_quota() {
+fn slow_calls_reduce_the_usable_permits() {
     let mut permits = permits(Downstream::Shared, 10.0);
     let mut now = 0.0;
-    let mut available_after = |calls, duration| {
+    let mut permits_after = |calls, duration| {
         for _ in 0..calls {
             now += 250.0;
             permits.advance(now);
@@ -63,7 +64,7 @@
         }
         permits.permits(0.0)
     };
-    assert_eq!(available_after(25, 20.0), 9.0);
-    assert_eq!(available_after(60, 200.0), 4.0, "0.4 of 8");
-    assert_eq!(available_after(60, 20.0), 9.0);
+    assert_eq!(permits_after(25, 20.0), 9.0);
+    assert_eq!(permits_after(60, 200.0), 4.0, "0.4 of 8 full permits, rounded up");
+    assert_eq!(permits_after(60, 20.0), 9.0);
 }
--- a/src/controller/call_queue.rs
+++ b/src/controller/call_queue.rs
@@ -1,7 +1,7 @@
-//! Order of calls: runs that wait for a permit get one in the order of the queue; those that back off
-//! from a failed attempt come back to that order when their time has come.
+//! Order of downstream calls: runs get permits in the order of their queue keys; a run whose call failed
+//! rejoins that order after its backoff.
 //!
-//! Inputs: queue keys, time of the retry (ms). All of them are off the cores, but count in the
+//! Inputs: queue keys, times of retries (ms). All of these runs are off the cores, but count toward the
 //! concurrency limit.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,7 +10,7 @@
 use crate::interface::RequestId;
 use crate::time::Millis;
 
-/// The runs that wait for their call.
+/// The runs that wait for a permit or for a retry of their call.
 #[derive(Default)]
 pub(super) struct CallQueue {
     ready: BTreeSet<QueueKey>,
@@ -22,7 +22,7 @@
         self.ready.insert(key);
     }
 
-    /// Queues a call again at a later time.
+    /// Queues a run for another attempt of its call at the time `at`.
     pub(super) fn retry(&mut self, key: QueueKey, at: Millis) {
         self.retry_at.insert(key, at);
     }
@@ -32,18 +32,18 @@
         self.retry_at.remove(&key);
     }
 
-    /// Moves the retries that are due to those that wait for a permit.
+    /// Lets runs whose retry is due wait for a permit.
     pub(super) fn advance(&mut self, now: Millis) {
         let ready = &mut self.ready;
         self.retry_at.retain(|key, at| *at > now || !ready.insert(*key));
     }
 
-    /// Takes out the run that gets the next permit.
+    /// Removes and returns the run that gets the next permit.
     pub(super) fn pop_first(&mut self) -> Option<RequestId> {
         self.ready.pop_first().map(|key| key.id)
     }
 
-    /// The run that gets a permit last.
+    /// The run that is last in line for a permit.
     pub(super) fn last(&self) -> Option<RequestId> {
         self.ready.last().map(|key| key.id)
     }
--- a/src/controller/call_queue/tests.rs
+++ b/src/controller/call_queue/tests.rs
@@ -2,7 +2,7 @@
 use crate::controller::queue::QueueKey;
 
 #[test]
-fn permits_go_in_the_order_of_the_queue_and_retries_wait_for_their_time() {
+fn permits_follow_queue_order_and_retries_wait_until_due() {
     let mut queue = CallQueue::default();
     let key = |id| QueueKey::new(1.0, f64::from(id), id);
     queue.insert(key(3));
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -1,10 +1,10 @@
-//! Downstream calls of runs, from the need for one to its end.
+//! Downstream calls of runs, from the wait for a permit to the end of the call.
 //!
-//! Wires the rules: it passes values on, and fixes the order in which calls are issued and failures are
-//! handled. Times are in ms.
+//! Connects the rules and fixes the order in which calls are issued and failures are handled. Times are in
+//! ms.
 
 use super::Controller;
-use super::call_retry::{CallTimes, may_be_omitted, may_linger, may_run_again};
+use super::call_retry::{CallTimes, may_linger, may_run_again, may_skip_call};
 use super::load_shedding::RejectionScope;
 use super::request::RequestStage;
 use crate::interface::{Action, AttemptOutcome, Idempotency, RequestId};
@@ -17,7 +17,8 @@
         self.stall_detector.record_progress(self.now);
     }
 
-    /// Issues calls while there are permits; runs that cannot get one in time go on without their call.
+    /// Issues calls while permits are free. From the end of the line, runs that will not get a permit in time
+    /// continue without their call.
     pub(super) fn issue_calls(&mut self, out: &mut Vec<Action>) {
         let speed = self.slow_start.speed(self.now);
         let permits = self.call_permits.permits(self.limit.survivable(speed));
@@ -41,7 +42,7 @@
     }
 
     fn call_times(&self) -> CallTimes {
-        CallTimes { usual: self.call_permits.call_time(), batch_interval: self.settings.batch_interval }
+        CallTimes { mean: self.call_permits.call_time(), batch_interval: self.settings.batch_interval }
     }
 
     fn call_deadline(&self, id: RequestId) -> Millis {
@@ -68,7 +69,7 @@
             return;
         };
         request.stage = RequestStage::AwaitingCall;
-        let (is_answered, class) = (request.is_answered, request.class);
+        let (is_resolved, class) = (request.is_resolved, request.class);
         self.call_permits.end_call(self.now);
         if outcome == AttemptOutcome::Ok {
             self.call_permits.record_success(duration);
@@ -78,12 +79,12 @@
         if may_linger(outcome) {
             self.call_permits.record_abandoned(duration, self.now);
         }
-        if !is_answered {
+        if !is_resolved {
             self.call_failed(id, may_run_again(outcome, self.is_idempotent(class)), out);
         }
     }
 
-    /// Retries a call that failed, else goes on without it, else gives the final response.
+    /// Handles a failed call: retries it, or else skips it, or else sends the final response.
     fn call_failed(&mut self, id: RequestId, may_run_again: bool, out: &mut Vec<Action>) {
         let is_retried = may_run_again && self.schedule_call_retry(id);
         if !is_retried && !self.skip_call(id, out) {
@@ -101,10 +102,11 @@
         retry_at.is_some()
     }
 
-    /// Lets a run go on without its call, where that is of use.
+    /// Continues a run without its call if its class allows that and the call is not in flight; returns
+    /// whether it does.
     fn skip_call(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
-        if !may_be_omitted(&self.settings.classes[request.class])
+        if !may_skip_call(&self.settings.classes[request.class])
             || request.stage != RequestStage::AwaitingCall
         {
             return false;
--- a/src/controller/concurrency_limit/tests.rs
+++ b/src/controller/concurrency_limit/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn the_limit_rises_by_one_a_run_and_falls_by_a_factor_a_period() {
+fn limit_rises_by_one_per_run_and_falls_once_per_period() {
     let mut limit = limit();
     for _ in 0..6 {
         limit.run_finished(0.0, false, true, &IDLE);
@@ -19,14 +19,14 @@
     limit.run_finished(0.0, false, false, &IDLE);
     limit.run_finished(0.0, false, true, &BUSY);
     limit.run_finished(0.0, false, true, &Gauges { runnable: Some(4.0), ..IDLE });
-    assert_eq!(limit.effective(false), 10.0, "no queue, no idle cores");
+    assert_eq!(limit.effective(false), 10.0, "no rise without a queue or without idle cores");
     limit.run_finished(250.0, true, true, &BUSY);
     limit.run_finished(499.0, true, true, &BUSY);
     assert_eq!(limit.effective(false), 8.0);
     for period in 2..20 {
         limit.run_finished(f64::from(period) * 250.0, true, true, &BUSY);
     }
-    assert_eq!(limit.effective(false), 4.0, "the cores");
+    assert_eq!(limit.effective(false), 4.0, "not below the number of cores");
 }
 
 #[test]
@@ -37,17 +37,17 @@
     }
     assert_eq!(limit.effective(true), 4.0 / 3.0);
     assert_eq!(limit.effective(false), 4.0);
-    assert_eq!(limit.wait_for(400.0), 300.0);
+    assert_eq!(limit.queue_wait(400.0), 300.0);
 }
 
 #[test]
-fn the_survivable_concurrency_bounds_runs_and_returning_calls() {
+fn survivable_concurrency_bounds_runs_and_calls() {
     let mut limit = limit();
     assert_eq!(limit.survivable(1.0), 14.0);
     assert!((limit.survivable(0.0) - 2.8).abs() < 1e-9);
-    assert!(limit.survives_one_more(6.0, 7.0, 1.0));
-    assert!(!limit.survives_one_more(7.0, 7.0, 1.0));
-    assert!(limit.survives_one_more(0.0, 19.0, 1.0), "the first run may use all of it");
+    assert!(limit.allows_one_more(6.0, 7.0, 1.0));
+    assert!(!limit.allows_one_more(7.0, 7.0, 1.0));
+    assert!(limit.allows_one_more(0.0, 19.0, 1.0), "the first run may use the reserve");
     for _ in 0..40 {
         limit.run_finished(0.0, false, true, &IDLE);
     }
--- a/src/controller/deadlines.rs
+++ b/src/controller/deadlines.rs
@@ -1,9 +1,9 @@
-//! Deadlines (rule 1, one response in time): when each request gets its response at the latest, and when
-//! it is checked before that.
+//! Deadlines (rule 1, one response in time): the latest time at which each request gets its response, and
+//! when it is checked before that.
 //!
-//! Inputs: deadline and objective of the request, its expected time, interval between batches (all ms). A
-//! response is due a margin before the deadline, since timers may fire late. A queued request is checked
-//! earlier, when its objective comes out of reach, so that its caller learns of it at once.
+//! Inputs: deadline and objective of the request, its expected time, batch interval (all ms). A response is
+//! due a margin before the deadline, since timers may fire late. A queued request is checked earlier, when
+//! it can no longer meet its objective, so that its caller gets the rejection at once.
 
 use std::collections::BTreeSet;
 
@@ -11,17 +11,17 @@
 use crate::interface::{Class, RequestAttributes, RequestId};
 use crate::time::{Micros, Millis, micros};
 
-/// Batches of delay that the margin of a response covers.
+/// Batches of delay that the margin before a deadline covers, in addition to one tick.
 const MARGIN_BATCHES: f64 = 2.0;
 
-/// A request that is checked at a time; ordered by time.
+/// A scheduled check of a request; ordered by time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Check {
     at: Micros,
     id: RequestId,
 }
 
-/// The checks that are due.
+/// The scheduled checks of all requests.
 pub(super) struct Deadlines {
     checks: BTreeSet<Check>,
     margin: Millis,
@@ -32,12 +32,12 @@
         Deadlines { checks: BTreeSet::new(), margin: TICK_MS + MARGIN_BATCHES * batch_interval }
     }
 
-    /// Responses are given this long before their deadline.
+    /// How long before its deadline a response is due.
     pub(super) fn margin(&self) -> Millis {
         self.margin
     }
 
-    /// When a request with this deadline gets its response at the latest.
+    /// The latest time at which a request with this deadline gets its response.
     pub(super) fn respond_by(&self, deadline: Millis) -> Millis {
         deadline - self.margin
     }
@@ -46,14 +46,14 @@
         self.checks.insert(Check { at: micros(at), id });
     }
 
-    /// Takes out the next request that is due for a check.
+    /// Removes and returns the next request whose check is due.
     pub(super) fn pop_due(&mut self, now: Millis) -> Option<RequestId> {
         let is_due = self.checks.first()?.at <= micros(now);
         if is_due { self.checks.pop_first().map(|check| check.id) } else { None }
     }
 }
 
-/// When the caller of a request stops waiting: as it states, or after the timeout of its class.
+/// When the caller of a request stops waiting: at the time that it states, or at the timeout of the class.
 pub(super) fn caller_deadline(
     request: &RequestAttributes,
     class: &Class,
@@ -67,8 +67,8 @@
     arrived_at + class.timeout - request.upstream_time
 }
 
-/// When a queued request is checked next. Its expected time may have fallen since the last check, so that
-/// its objective is within reach for longer.
+/// When a queued request that can still meet its objective is checked next. Its expected time may have fallen
+/// since the last check was scheduled, which leaves it more time to start.
 pub(super) fn next_queue_check(
     now: Millis,
     objective_at: Millis,
--- a/src/controller/deadlines/tests.rs
+++ b/src/controller/deadlines/tests.rs
@@ -2,7 +2,7 @@
 use crate::interface::{Class, Idempotency, RequestAttributes};
 
 #[test]
-fn checks_are_due_in_their_order_and_a_margin_before_the_deadline() {
+fn checks_are_due_in_order_and_responses_before_the_deadline() {
     let mut deadlines = Deadlines::new(5.0);
     assert_eq!(deadlines.respond_by(1000.0), 940.0);
     deadlines.schedule(30.0, 1);
@@ -14,14 +14,14 @@
 }
 
 #[test]
-fn a_queued_request_is_checked_when_its_objective_comes_out_of_reach() {
+fn queued_request_is_checked_when_it_would_miss_its_objective() {
     assert_eq!(next_queue_check(0.0, 800.0, 300.0, 900.0), 500.0);
-    assert_eq!(next_queue_check(480.0, 800.0, 300.0, 900.0), 530.0, "a tick later at the earliest");
-    assert_eq!(next_queue_check(880.0, 800.0, 300.0, 900.0), 900.0, "the last check at the latest");
+    assert_eq!(next_queue_check(480.0, 800.0, 300.0, 900.0), 530.0, "not before the next tick");
+    assert_eq!(next_queue_check(880.0, 800.0, 300.0, 900.0), 900.0, "not after the response is due");
 }
 
 #[test]
-fn the_deadline_is_that_of_the_caller_or_of_the_class() {
+fn deadline_comes_from_the_caller_or_the_class_timeout() {
     let class = Class {
         idempotency: Idempotency::Never,
         latency_objective: 500.0,
--- a/src/controller/idle_timeout/tests.rs
+++ b/src/controller/idle_timeout/tests.rs
@@ -11,29 +11,30 @@
     Gauges { core_utilization: Some(core_utilization), connections: Some(connections), ..Gauges::default() }
 }
 
-/// Ten arrivals of different callers, all within 100 ms.
-fn arrivals(timeout: &mut IdleTimeout) {
+/// Records the arrivals of ten different callers within 100 ms.
+fn record_ten_arrivals(timeout: &mut IdleTimeout) {
     for caller in 0..10 {
         timeout.record_arrival(caller, 10.0 * caller as f64);
     }
 }
 
 #[test]
-fn connections_are_closed_at_once_where_callers_rarely_return() {
+fn connections_close_at_once_if_callers_rarely_return() {
     let mut many = idle_timeout(100_000.0);
-    arrivals(&mut many);
+    record_ten_arrivals(&mut many);
     assert_eq!(many.sample(250.0, &gauges(0.9, 10.0)), Some(50.0));
     let mut few = idle_timeout(10.0);
-    arrivals(&mut few);
+    record_ten_arrivals(&mut few);
     assert_eq!(few.sample(250.0, &gauges(0.9, 10.0)), None);
 }
 
 #[test]
-fn on_idle_cores_fewer_returning_callers_suffice() {
-    // New callers are expected to return with a probability of 0.3 to 0.6.
+fn idle_cores_need_fewer_returning_callers() {
+    // The expected reuse rate is between the thresholds of the two cases: 0.5 for full and 0.25 for half
+    // utilization.
     let closes = |utilization| {
         let mut timeout = idle_timeout(1000.0);
-        arrivals(&mut timeout);
+        record_ten_arrivals(&mut timeout);
         timeout.sample(250.0, &gauges(utilization, 10.0)).is_some()
     };
     assert!(closes(1.0));
@@ -41,9 +42,9 @@
 }
 
 #[test]
-fn a_high_overhead_keeps_connections_while_the_cores_are_busy() {
+fn high_overhead_on_busy_cores_lengthens_the_timeout() {
     let mut timeout = idle_timeout(100_000.0);
-    arrivals(&mut timeout);
+    record_ten_arrivals(&mut timeout);
     assert_eq!(timeout.sample(250.0, &gauges(0.9, 10.0)), Some(50.0));
     timeout.record_overhead(10.0, 4.0, 4.0);
     assert_eq!(timeout.sample(500.0, &gauges(0.85, 10.0)), Some(50.0 * 1.3 + 50.0));
@@ -51,12 +52,16 @@
 }
 
 #[test]
-fn idle_cores_beside_a_table_that_may_be_full_shorten_the_timeout() {
+fn possibly_full_table_on_idle_cores_shortens_the_timeout() {
     let mut timeout = idle_timeout(100.0);
     for caller in 0..40 {
         timeout.record_arrival(caller % 5, 100.0 * caller as f64);
     }
     assert_eq!(timeout.sample(4000.0, &gauges(0.5, 20.0)), Some(MAX_MS * 0.6));
-    assert_eq!(timeout.sample(4250.0, &gauges(0.5, 17.0)), Some(MAX_MS), "under nine tenths of 20");
-    assert_eq!(timeout.sample(4500.0, &gauges(0.5, 25.0)), None, "a quarter of the callers");
+    assert_eq!(
+        timeout.sample(4250.0, &gauges(0.5, 17.0)),
+        Some(MAX_MS),
+        "fewer than nine tenths of 20 connections"
+    );
+    assert_eq!(timeout.sample(4500.0, &gauges(0.5, 25.0)), None, "a quarter of the callers is connected");
 }
--- a/src/controller/jitter.rs
+++ b/src/controller/jitter.rs
@@ -1,21 +1,21 @@
 //! Jitter: a random factor that spreads the Retry-After of rejections, so that callers that were rejected
 //! together do not return together.
 //!
-//! Inputs: a seed for each instance. Output: a factor without a unit. The numbers come from a linear
-//! congruential generator and repeat for the same seed.
+//! Inputs: a seed per instance. Output: a dimensionless factor. The factors come from a linear congruential
+//! generator and are the same for the same seed.
 
-/// Multiplier and increment of the generator: Knuth, MMIX.
+/// Multiplier and increment of the generator, those of Knuth's MMIX.
 const MULTIPLIER: u64 = 6_364_136_223_846_793_005;
 const INCREMENT: u64 = 1_442_695_040_888_963_407;
-/// Set apart the states of instances with small seeds: 2^64 over the golden ratio.
+/// Separates the states of instances with small seeds: 2^64 divided by the golden ratio.
 const SEED_MASK: u64 = 0x9E37_79B9_7F4A_7C15;
-/// Only the high bits are used; the low bits of such a generator have short periods.
+/// Low bits that are not used, since they have short periods in a linear congruential generator.
 const DISCARDED_BITS: u32 = 40;
 /// The factors lie in `MIN_FACTOR..MIN_FACTOR + FACTOR_RANGE`, with a mean of 1.
 const MIN_FACTOR: f64 = 0.75;
 const FACTOR_RANGE: f64 = 0.5;
 
-/// A source of random factors.
+/// A generator of random factors.
 pub(super) struct Jitter {
     state: u64,
 }
@@ -25,12 +25,11 @@
         Jitter { state: seed ^ SEED_MASK }
     }
 
-    /// The next factor.
     pub(super) fn next_factor(&mut self) -> f64 {
         self.state = self.state.wrapping_mul(MULTIPLIER).wrapping_add(INCREMENT);
         let number = self.state >> DISCARDED_BITS;
-        let numbers = 1u64 << (u64::BITS - DISCARDED_BITS);
-        MIN_FACTOR + FACTOR_RANGE * (number as f64 / numbers as f64)
+        let end = 1u64 << (u64::BITS - DISCARDED_BITS);
+        MIN_FACTOR + FACTOR_RANGE * (number as f64 / end as f64)
     }
 }
 
--- a/src/controller/jitter/tests.rs
+++ b/src/controller/jitter/tests.rs
@@ -1,7 +1,7 @@
 use super::Jitter;
 
 #[test]
-fn factors_are_spread_around_one_and_repeat_for_a_seed() {
+fn factors_have_a_mean_of_one_and_repeat_for_a_seed() {
     let factors = |seed| {
         let mut jitter = Jitter::new(seed);
         (0..1000).map(|_| jitter.next_factor()).collect::<Vec<f64>>()
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn numbers_are_those_of_the_generator() {
+fn state_follows_the_generator() {
     let mut jitter = Jitter { state: 1 };
     jitter.next_factor();
     assert_eq!(jitter.state, 6_364_136_223_846_793_005 + 1_442_695_040_888_963_407);
--- a/src/controller/key_retention.rs
+++ b/src/controller/key_retention.rs
@@ -1,17 +1,16 @@
-//! Retained keys (rule 2, no effect twice): which requests have a key by which a later duplicate finds
-//! their result, and for how long.
+//! Key retention (rule 2, no effect twice): which requests have a key that identifies later duplicates, and
+//! how long it is retained.
 //!
-//! Inputs: idempotency of the class, its window (ms), lifetime of cached results (ms), age and time left
-//! of the request (ms). A duplicate of a request that may have run is not run: it shares the result of
-//! that run.
+//! Inputs: idempotency of the class, its window (ms), TTL of cached results (ms), age and time left of the
+//! request (ms). A duplicate of a request that may have run is not run; it shares the result of that run.
 
 use crate::interface::{Class, Idempotency, Settings};
 use crate::time::Millis;
 
-/// Batches by which a key outlives its window: a duplicate may be read late.
+/// A key outlives its window by this many batches, since a duplicate may be read late.
 const KEY_EXTRA_BATCHES: f64 = 2.0;
 
-/// The rule for the keys of a server.
+/// Decides which keys a server retains.
 #[derive(Clone, Copy)]
 pub(super) struct KeyRetention {
     result_cache_ttl: Millis,
@@ -23,13 +22,13 @@
         KeyRetention { result_cache_ttl: settings.result_cache_ttl, batch_interval: settings.batch_interval }
     }
 
-    /// Whether a duplicate of a retained request shares its result.
+    /// Whether a duplicate of a request with a retained key shares its result.
     pub(super) fn shares_result(&self, class: &Class) -> bool {
         class.idempotency == Idempotency::ByKey || self.result_cache_ttl > 0.0
     }
 
-    /// For how long the key of a request is retained; none for a request without a key. The key outlives
-    /// its request, which must not run beside a later duplicate while it is queued.
+    /// How long the key of a request is retained, or `None` if it is not. The key outlives the request, since
+    /// a request that is still queued must not run beside a later duplicate.
     pub(super) fn ttl(&self, class: &Class, age: Millis, time_left: Millis) -> Option<Millis> {
         let ttl = match class.idempotency {
             Idempotency::ByKey => (class.idempotency_window - age).max(time_left),
--- a/src/controller/key_retention/tests.rs
+++ b/src/controller/key_retention/tests.rs
@@ -19,7 +19,7 @@
 const CACHE: KeyRetention = KeyRetention { result_cache_ttl: 300.0, ..NO_CACHE };
 
 #[test]
-fn a_key_is_retained_for_its_window_and_outlives_its_request() {
+fn key_is_retained_for_its_window_and_outlives_its_request() {
     let keyed = class(Idempotency::ByKey);
     assert_eq!(NO_CACHE.ttl(&keyed, 100.0, 200.0), Some(910.0));
     assert_eq!(NO_CACHE.ttl(&keyed, 100.0, 2000.0), Some(2010.0));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn results_of_idempotent_requests_are_shared_while_they_are_cached() {
+fn idempotent_results_are_shared_only_if_cached() {
     let idempotent = class(Idempotency::Always);
     assert_eq!(CACHE.ttl(&idempotent, 100.0, 2000.0), Some(310.0));
     assert_eq!(NO_CACHE.ttl(&idempotent, 100.0, 2000.0), None);
--- a/src/controller/memory.rs
+++ b/src/controller/memory.rs
@@ -1,23 +1,24 @@
-//! Memory account (rule 4, no overload): what requests and retained keys take, and how much more may be
-//! admitted.
+//! Memory account (rule 4, no overload): how much memory requests and retained keys occupy, and whether more
+//! fits.
 //!
-//! Inputs: memory of a queued request, of a retained key and of the server (KB), factor of a running
-//! request. The account is exact; a reserve for what the next batch reads is left free.
+//! Inputs: memory of a queued request, of a retained key and of the server (KB), memory factor of a running
+//! request. The account is exact; a reserve is left free for the requests that the next batch reads.
 
 use crate::interface::Settings;
 
-/// Reserved requests of the largest size for each core: one being read, one in the next batch.
+/// Reserve per core, in requests of the largest size so far: one being read, one in the next batch.
 const RESERVED_REQUESTS_PER_CORE: f64 = 2.0;
 
-/// The memory of all requests and retained keys.
+/// The memory occupied by all requests and retained keys.
 pub(super) struct MemoryAccount {
     total_kb: f64,
     key_kb: f64,
     run_memory_factor: f64,
     cores: f64,
     queued_kb: f64,
-    /// What the running requests took while they were queued.
+    /// Memory that the running requests occupied while they were queued.
     running_kb: f64,
+    /// Memory of the largest request so far.
     largest_kb: f64,
 }
 
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Takes the size of an arrival into account for the reserve.
+    /// Records the size of an arrival, which determines the reserve.
     pub(super) fn record_size(&mut self, request_kb: f64) {
         self.largest_kb = self.largest_kb.max(request_kb);
     }
@@ -56,18 +57,18 @@
         self.running_kb -= request_kb;
     }
 
-    /// What the run of a queued request takes beyond what it takes already.
+    /// Memory that the run of a queued request needs in addition to what the request occupies already.
     pub(super) fn needed_for_run(&self, request_kb: f64) -> f64 {
         request_kb * (self.run_memory_factor - 1.0)
     }
 
     /// Whether `needed_kb` more would exceed the capacity.
-    pub(super) fn lacks(&self, needed_kb: f64, retained_keys: usize) -> bool {
+    pub(super) fn would_exceed(&self, needed_kb: f64, retained_keys: usize) -> bool {
         needed_kb > self.capacity() - self.used(retained_keys)
     }
 
     /// Whether one more retained key would exceed the capacity.
-    pub(super) fn lacks_key(&self, retained_keys: usize) -> bool {
+    pub(super) fn would_exceed_with_key(&self, retained_keys: usize) -> bool {
         self.used(retained_keys) + self.key_kb > self.capacity()
     }
 
--- a/src/controller/memory/tests.rs
+++ b/src/controller/memory/tests.rs
@@ -12,11 +12,11 @@
 }
 
 #[test]
-fn a_reserve_for_two_of_the_largest_requests_a_core_is_left_free() {
+fn reserve_of_two_largest_requests_per_core_is_left_free() {
     let mut memory = account();
     memory.record_size(50.0);
-    assert!(!memory.lacks(800.0, 0));
-    assert!(memory.lacks(801.0, 0));
+    assert!(!memory.would_exceed(800.0, 0));
+    assert!(memory.would_exceed(801.0, 0));
 }
 
 #[test]
@@ -25,12 +25,12 @@
     memory.add_queued(20.0);
     memory.add_queued(30.0);
     memory.start_run(30.0);
-    // 20 queued, 8 x 30 running, 4 keys of 10.
-    assert!(!memory.lacks(700.0, 4));
-    assert!(memory.lacks(701.0, 4));
+    // In KB: 20 queued, 8 * 30 running and 4 keys of 10, out of 1000.
+    assert!(!memory.would_exceed(700.0, 4));
+    assert!(memory.would_exceed(701.0, 4));
     memory.remove_running(30.0);
     memory.remove_queued(20.0);
-    assert!(!memory.lacks_key(99));
-    assert!(memory.lacks_key(100));
+    assert!(!memory.would_exceed_with_key(99));
+    assert!(memory.would_exceed_with_key(100));
     assert_eq!(memory.needed_for_run(10.0), 70.0);
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,15 +1,16 @@
-//! The controller of one server: every decision of loomflow. It takes in events and returns actions, and
-//! does no I/O.
+//! The controller of one server, which makes every decision of loomflow. It receives events, returns actions
+//! and does no I/O.
 //!
-//! Four rules come before all others; comments name them by number:
+//! Four rules take precedence over all others; comments refer to them by number:
 //! 1. Each request gets one final response in time (`deadlines`).
 //! 2. No effect takes place twice (`key_retention`, `call_retry`).
-//! 3. A shutdown loses nothing (`shutdown`).
-//! 4. Neither the server nor what it calls is overloaded (`concurrency_limit`, `memory`, `call_permits`).
+//! 3. A shutdown loses no request (`shutdown`).
+//! 4. Neither the server nor its dependencies are overloaded (`concurrency_limit`, `memory`,
+//!    `call_permits`).
 //!
-//! Each rule is a type or function of its own module, which knows nothing of the others. This module,
-//! `arrivals`, `runs`, `calls` and `responses` wire them: they pass values on and carry the results out.
-//! Times are in milliseconds.
+//! Each rule is a type or function in a module of its own and does not depend on the other rules. This
+//! module, `arrivals`, `runs`, `calls` and `responses` connect them: they supply the inputs and apply the
+//! results. Times are in milliseconds.
 
 mod aimd;
 mod arrivals;
@@ -58,9 +59,9 @@
 
 /// Interval of the timer that checks deadlines and samples the send share.
 const TICK_MS: Millis = 50.0;
-/// Weight of the newest sample in running means.
+/// Weight of the newest sample in smoothed means.
 const SMOOTHING_WEIGHT: f64 = 0.15;
-/// Fewer samples than this show nothing.
+/// Estimates from fewer samples than this are not used.
 const MIN_SAMPLES: u32 = 6;
 
 /// The controller of one server.
@@ -89,7 +90,7 @@
 }
 
 impl Controller {
-    /// A controller that starts at `now`. Instances with different seeds spread their Retry-After
+    /// Creates a controller that starts at `now`. Instances with different seeds spread their Retry-After
     /// differently.
     pub fn new(mut settings: Settings, seed: u64, now: Millis) -> Controller {
         let shortest_objective = objective::scale_to_tier(&mut settings);
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Takes in one event. Only what cannot wait for the end of the batch is decided here.
+    /// Handles one event of a batch. Only decisions that cannot wait for the end of the batch are made here.
     pub fn event(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.advance(now);
         match event {
@@ -134,23 +135,23 @@
         }
     }
 
-    /// Ends a batch: responds where a deadline is due, then issues calls and starts runs.
+    /// Ends a batch: sends the responses that are due, then issues calls and starts runs.
     pub fn decide(&mut self, now: Millis, out: &mut Vec<Action>) {
         self.advance(now);
         if self.next_tick == Millis::NEG_INFINITY {
-            self.announce_start(out);
+            self.announce_initial_state(out);
         }
         if now >= self.next_tick {
             self.tick(out);
         }
         self.check_stall(out);
-        self.shed_hopeless(out);
+        self.shed_queue_tail(out);
         self.issue_calls(out);
         self.start_runs(out);
         self.reclaim_memory(0.0, None, out);
     }
 
-    /// The load as the controller sees it.
+    /// The load of the server as the controller measures it.
     pub fn load(&self) -> Load {
         Load {
             share: self.share.sent(),
@@ -166,10 +167,10 @@
         self.call_queue.advance(now);
     }
 
-    fn announce_start(&mut self, out: &mut Vec<Action>) {
-        // Cached responses keep health checks cheap; that a process responds shows the rest.
+    fn announce_initial_state(&mut self, out: &mut Vec<Action>) {
+        // A cached result keeps health checks cheap; any response shows that the process is alive.
         out.push(Action::SetHealth { is_healthy: true, is_cached: true });
-        // In slow start the first response carries the speed: without a signal callers take it for 1.
+        // In slow start the first response must carry the signal: until then callers assume a share of 1.
         self.announce_share(out);
     }
 
@@ -184,7 +185,7 @@
     }
 
     fn sample(&mut self, out: &mut Vec<Action>) {
-        // A stall is no overload: the share goes on from where it was once the cores make progress again.
+        // A stall is not overload: the share keeps its value until the cores make progress again.
         if self.stall_detector.is_stalled() {
             self.share.skip_sample(self.now);
         } else {
@@ -221,7 +222,8 @@
         }
     }
 
-    /// Requests that are known keep their deadlines; their weights change at once.
+    /// Applies reloaded settings; ignores them if the number of classes differs. Requests that are tracked
+    /// already keep their deadlines, and queued ones their position.
     fn apply_settings(&mut self, new: ReloadableSettings) {
         if new.classes.len() != self.settings.classes.len() {
             return;
--- a/src/controller/objective.rs
+++ b/src/controller/objective.rs
@@ -1,55 +1,55 @@
-//! Effective objective: by when a response is still of use.
+//! Effective objective: the time within which a response is still useful.
 //!
-//! Inputs: latency objective of the class (ms), tier, when callers cancel (part of the objective), age of
-//! rejected first attempts (ms). A tier downstream has a part of the objective, since its caller has
-//! other things to do in the rest. Where callers cancel before the objective, responses after that are of
-//! no use. A retry has used the time of its first attempt.
+//! Inputs: latency objective of the class (ms), tier, when callers cancel (fraction of the objective), age of
+//! rejected first attempts (ms). A downstream tier has a fraction of the objective, since its caller needs
+//! the rest for other work. Where callers cancel before the objective, responses after that are useless. A
+//! retry has already spent the time of its first attempt.
 
 use super::{MIN_SAMPLES, SMOOTHING_WEIGHT};
 use crate::estimate::SmoothedMean;
 use crate::interface::{Class, RequestAttributes, Settings};
 use crate::time::Millis;
 
-/// Part of a latency objective that each tier leaves to the one downstream.
-const DOWNSTREAM_PART: f64 = 0.33;
-/// Tiers beyond this count as this one.
+/// Fraction of its latency objective that each tier leaves to the next one downstream.
+const DOWNSTREAM_FRACTION: f64 = 0.33;
+/// Tiers further downstream have the objective of this one.
 const MAX_TIER: u32 = 9;
-/// Cancellations before this part of the objective show no lack of time.
-const MIN_CANCELLED_PART: f64 = 0.5;
+/// Cancellations before this fraction of the objective are ignored: their callers did not run out of time.
+const MIN_CANCELLED_FRACTION: f64 = 0.5;
 
 /// Scales the latency objectives to the tier of this server, and returns the shortest.
 pub(super) fn scale_to_tier(settings: &mut Settings) -> Millis {
-    let part = DOWNSTREAM_PART.powi(settings.tier.min(MAX_TIER) as i32);
+    let fraction = DOWNSTREAM_FRACTION.powi(settings.tier.min(MAX_TIER) as i32);
     for class in &mut settings.classes {
-        class.latency_objective *= part;
+        class.latency_objective *= fraction;
     }
     settings.classes.iter().map(|class| class.latency_objective).fold(Millis::INFINITY, Millis::min)
 }
 
-/// What callers have shown about the time that they have.
+/// Estimates of how much time callers allow, from their cancellations and from rejections.
 #[derive(Default)]
 pub(super) struct EffectiveObjective {
-    /// The part of the objective after which callers cancel.
-    cancelled_part: SmoothedMean,
-    /// The age at which first attempts are rejected.
+    /// Mean age at which callers cancel first attempts, as a fraction of the objective.
+    cancelled_fraction: SmoothedMean,
+    /// Mean age at which first attempts are rejected.
     rejected_age: SmoothedMean,
 }
 
 impl EffectiveObjective {
-    /// Takes in the cancellation of a first attempt after `age`.
+    /// Records the cancellation of a first attempt at this age.
     pub(super) fn record_cancellation(&mut self, age: Millis, objective: Millis, batch_interval: Millis) {
-        let part = age / objective.max(batch_interval);
-        if part >= MIN_CANCELLED_PART {
-            self.cancelled_part.add(part.min(1.0), SMOOTHING_WEIGHT);
+        let fraction = age / objective.max(batch_interval);
+        if fraction >= MIN_CANCELLED_FRACTION {
+            self.cancelled_fraction.add(fraction.min(1.0), SMOOTHING_WEIGHT);
         }
     }
 
-    /// Takes in the rejection of a first attempt after `age`.
+    /// Records the rejection of a first attempt at this age.
     pub(super) fn record_rejection(&mut self, age: Millis) {
         self.rejected_age.add(age, SMOOTHING_WEIGHT);
     }
 
-    /// The time from its arrival within which a response earns the full weight.
+    /// How long after its arrival at this server a response to the request earns the full weight.
     pub(super) fn time_for(
         &self,
         request: &RequestAttributes,
@@ -57,11 +57,11 @@
         estimated_work: Millis,
     ) -> Millis {
         let objective = class.latency_objective + class.objective_per_work * estimated_work;
-        objective * self.used_part() - self.time_spent(request)
+        objective * self.usable_fraction() - self.time_spent(request)
     }
 
-    fn used_part(&self) -> f64 {
-        if self.cancelled_part.samples < MIN_SAMPLES { 1.0 } else { self.cancelled_part.value }
+    fn usable_fraction(&self) -> f64 {
+        if self.cancelled_fraction.samples < MIN_SAMPLES { 1.0 } else { self.cancelled_fraction.value }
     }
 
     fn time_spent(&self, request: &RequestAttributes) -> Millis {
--- a/src/controller/objective/tests.rs
+++ b/src/controller/objective/tests.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_tier_downstream_has_a_part_of_the_objective() {
+fn downstream_tier_has_a_fraction_of_the_objective() {
     let shortest = |tier| {
         let mut settings =
             Settings { classes: vec![class(2000.0), class(1000.0)], tier, ..Settings::default() };
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_time_that_was_used_upstream_or_by_a_rejected_attempt_is_spent() {
+fn time_spent_upstream_or_on_a_rejected_attempt_is_subtracted() {
     let mut objective = EffectiveObjective::default();
     assert_eq!(objective.time_for(&request(false), &class(1000.0), 50.0), 1000.0);
     objective.record_rejection(400.0);
--- a/src/controller/queue.rs
+++ b/src/controller/queue.rs
@@ -1,18 +1,18 @@
-//! Order of the queue: highest weight per unit of work first; within a level of weight the nearest
-//! objective, or under overload the farthest.
+//! Order of the queue: highest weight per unit of work first; within a weight level the earliest objective,
+//! or under overload the latest.
 //!
-//! Inputs: weight per work, objective (ms), expected run (ms). Under overload the oldest requests are
-//! nearest to missing their objective; run first they would all be late.
+//! Inputs: weight per unit of work, objective (ms), expected run (ms). Under overload the oldest requests are
+//! the closest to missing their objective; if they ran first, all of them would be late.
 
 use std::collections::BTreeSet;
 
 use crate::interface::{RequestId, Settings};
 use crate::time::{Micros, Millis, micros};
 
-/// Levels of weight for each doubling: weights within a factor of 2^(1/2) count as equal.
+/// Weight levels per doubling: weights within a factor of 2^(1/2) count as equal.
 const LEVELS_PER_DOUBLING: f64 = 2.0;
 
-/// Place of a request in the queue: a smaller key runs first and is shed last.
+/// Position of a request in the queue: the smallest key runs first and is shed last.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueKey {
     /// The level of the weight per work, negated so that the highest level comes first.
@@ -31,22 +31,22 @@
         QueueKey { negated_level: -level, objective_at: micros(objective_at), id }
     }
 
-    /// The key of a request that was never queued.
+    /// A placeholder key for a request that is not queued.
     pub(super) fn unqueued(id: RequestId) -> QueueKey {
         QueueKey { id, ..QueueKey::default() }
     }
 
-    /// The bound of all keys with this weight.
+    /// Exclusive upper bound of the keys of this weight level.
     fn end_of_level(self) -> QueueKey {
         QueueKey { negated_level: self.negated_level + 1, objective_at: Micros::MIN, id: 0 }
     }
 }
 
-/// The queued requests, and the work that they are expected to be.
+/// The queued requests and their expected work.
 #[derive(Default)]
 pub(super) struct RequestQueue {
     keys: BTreeSet<QueueKey>,
-    /// Sum of the expected runs.
+    /// Sum of the expected run times.
     work: Millis,
 }
 
@@ -69,7 +69,7 @@
         self.keys.is_empty()
     }
 
-    /// Work on one core.
+    /// Expected time of all queued runs on one core.
     pub(super) fn work(&self) -> Millis {
         self.work
     }
@@ -92,16 +92,16 @@
         self.keys.range(..first.end_of_level()).next_back().map(|key| key.id)
     }
 
-    /// Whether the cores take longer than the setpoint of the queueing time for what is queued. It is a
-    /// sign of overload of its own: with the newest first, the queueing time of what runs does not show
-    /// it.
+    /// Whether the cores need longer than the setpoint of the queueing time for the queued work. This is a
+    /// separate sign of overload: while the newest requests run first, the queueing times of finished runs
+    /// do not show a backlog.
     pub(super) fn has_backlog(&self, cores: f64, setpoint: Millis) -> bool {
         self.work / cores > setpoint
     }
 }
 
-/// The weight of a request for each unit of work that it is expected to be. Requests beyond the quota of
-/// their tenant count less; where the settings state weights per work, the expected run does not matter.
+/// The weight of a request per unit of expected work. Requests over the quota of their tenant have a lower
+/// weight; where the settings give weights per unit of work, the expected run does not matter.
 pub(super) fn weight_per_work(
     settings: &Settings,
     priority_weight: f64,
--- a/src/controller/request.rs
+++ b/src/controller/request.rs
@@ -1,8 +1,8 @@
-//! The state of each request that has no response yet, or whose run has not ended: its times, its stage and
-//! the steps between stages; and how many of them are on the cores.
+//! State of the requests that have no response yet or whose run has not ended: their times, stages and the
+//! transitions between stages, and the number of requests on the cores.
 //!
-//! Inputs: events of the request with their times (ms). Each stage belongs to one account: the queue, the
-//! runs, or the calls.
+//! Inputs: events of a request with their times (ms). In each stage a request is counted in one place: the
+//! queue, the runs or the calls.
 
 use std::collections::BTreeMap;
 
@@ -10,105 +10,106 @@
 use crate::interface::RequestId;
 use crate::time::Millis;
 
-/// How far a request has come.
+/// The stage of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) enum RequestStage {
     #[default]
     Queued,
-    /// Waits for, or is served from, the result of another request.
+    /// A duplicate that gets the result of its original.
     AwaitingResult,
+    /// On the cores.
     Running,
-    /// Off the cores; its call waits for a permit or a retry.
+    /// Off the cores; the call waits for a permit or a retry.
     AwaitingCall,
-    /// Off the cores; its call is in flight.
+    /// Off the cores; the call is in flight.
     Calling,
 }
 
 impl RequestStage {
-    /// Whether the run has not started: the request takes the memory of a queued one.
+    /// Whether the run has not started, so that the request occupies the memory of a queued one.
     pub(super) fn is_before_run(self) -> bool {
         matches!(self, RequestStage::Queued | RequestStage::AwaitingResult)
     }
 }
 
-/// A request.
+/// A request that the controller tracks.
 #[derive(Default)]
 pub(super) struct Request {
-    /// Index of its class.
+    /// Index of the class in the settings.
     pub(super) class: usize,
-    /// Memory while it is queued.
+    /// Memory that the request occupies while it is queued, in KB.
     pub(super) memory_kb: f64,
-    /// When it reached the machine.
+    /// When the request reached the machine.
     pub(super) arrived_at: Millis,
-    /// Its caller waits no longer.
+    /// When the caller stops waiting, or earlier in a shutdown.
     pub(super) deadline: Millis,
-    /// A response by then earns the full weight.
+    /// A response by this time earns the full weight.
     pub(super) objective_at: Millis,
     pub(super) is_over_quota: bool,
     pub(super) is_retry: bool,
     /// Expected time on the cores, without calls.
     pub(super) expected_run: Millis,
-    /// Its estimated work on one core; 0 without an estimate.
+    /// Estimated work on one core; 0 without an estimate.
     pub(super) estimated_work: Millis,
     pub(super) queue_key: QueueKey,
     pub(super) stage: RequestStage,
-    /// No response is due any more.
-    pub(super) is_answered: bool,
-    /// Time from its arrival to the start of its run.
+    /// Whether the request has its final response or was cancelled, so that no response is due any more.
+    pub(super) is_resolved: bool,
+    /// Time from the arrival to the start of the run.
     pub(super) queue_time: Millis,
-    /// When it last came on the cores.
+    /// When the run last started or resumed on the cores.
     pub(super) on_cores_since: Millis,
-    /// When it last left the cores for its call.
+    /// When the run last left the cores for a call.
     pub(super) off_cores_since: Millis,
-    /// How long it was off the cores before.
+    /// Total time off the cores for calls that have ended.
     pub(super) off_cores_time: Millis,
-    /// Attempts of its present call.
+    /// Number of attempts of the current call.
     pub(super) call_attempts: u32,
-    /// How long the cores had been stalled in all when its run started.
-    pub(super) stall_time_before: Millis,
+    /// Total time for which the cores had been stalled when the run started.
+    pub(super) stall_time_at_start: Millis,
 }
 
 impl Request {
-    /// Its run starts; the cores have been stalled for `stall_time` in all.
+    /// Starts the run; `stall_time` is the total time for which the cores have been stalled.
     fn start_run(&mut self, now: Millis, stall_time: Millis) {
         self.stage = RequestStage::Running;
         self.queue_time = now - self.arrived_at;
         self.on_cores_since = now;
-        self.stall_time_before = stall_time;
+        self.stall_time_at_start = stall_time;
     }
 
-    /// Its run needs a call, and leaves the cores.
+    /// Takes the run off the cores until it has its call.
     fn await_call(&mut self, now: Millis) {
         self.stage = RequestStage::AwaitingCall;
         self.off_cores_since = now;
         self.call_attempts = 0;
     }
 
-    /// Its call is made.
+    /// Starts an attempt of the call.
     pub(super) fn start_call(&mut self) {
         self.stage = RequestStage::Calling;
         self.call_attempts += 1;
     }
 
-    /// Its run is back on the cores, with or without the result of its call.
+    /// Puts the run back on the cores, with or without the result of its call.
     fn resume_run(&mut self, now: Millis) {
         self.stage = RequestStage::Running;
         self.off_cores_time += now - self.off_cores_since;
         self.on_cores_since = now;
     }
 
-    /// Time on the cores of a run that took `duration`; while the cores were stalled nothing is counted.
+    /// Time on the cores of a run that took `duration`, without the time for which the cores were stalled.
     pub(super) fn run_time(&self, duration: Millis, stall_time: Millis) -> Millis {
-        let stall_time = stall_time - self.stall_time_before;
+        let stall_time = stall_time - self.stall_time_at_start;
         (duration - self.off_cores_time - stall_time).max(0.0)
     }
 }
 
-/// The requests by id. Those on the cores are counted by the steps that put them there and take them off.
+/// The tracked requests by id, and the number of those on the cores.
 #[derive(Default)]
 pub(super) struct ActiveRequests {
     by_id: BTreeMap<RequestId, Request>,
-    /// Requests in [`RequestStage::Running`]; a float, since it is compared with limits.
+    /// Number of requests in [`RequestStage::Running`]; a float, since it is compared with limits.
     running: f64,
 }
 
@@ -126,12 +127,12 @@
         self.by_id.get_mut(&id)
     }
 
-    /// All requests, from the lowest id to the highest.
+    /// All requests in ascending order of their ids.
     pub(super) fn iter(&self) -> impl DoubleEndedIterator<Item = (RequestId, &Request)> {
         self.by_id.iter().map(|(id, request)| (*id, request))
     }
 
-    /// Adds a request that has not started.
+    /// Adds a request whose run has not started.
     pub(super) fn insert(&mut self, id: RequestId, request: Request) {
         self.by_id.insert(id, request);
     }
@@ -144,7 +145,7 @@
         Some(request)
     }
 
-    /// The run of a request starts; the cores have been stalled for `stall_time` in all.
+    /// Starts the run of a request; `stall_time` is the total time for which the cores have been stalled.
     pub(super) fn start_run(&mut self, id: RequestId, now: Millis, stall_time: Millis) -> Option<&Request> {
         let request = self.by_id.get_mut(&id)?;
         request.start_run(now, stall_time);
@@ -152,10 +153,11 @@
         Some(request)
     }
 
-    /// A run needs a call, and leaves the cores. `None` if it is not on them, or no response is due.
+    /// Takes a run off the cores until it has its call. Returns `None`, without a change, if the request is
+    /// not on the cores or no response is due.
     pub(super) fn await_call(&mut self, id: RequestId, now: Millis) -> Option<&Request> {
         let request = self.by_id.get_mut(&id)?;
-        if request.stage != RequestStage::Running || request.is_answered {
+        if request.stage != RequestStage::Running || request.is_resolved {
             return None;
         }
         request.await_call(now);
@@ -163,7 +165,7 @@
         Some(request)
     }
 
-    /// A run is back on the cores, with or without the result of its call.
+    /// Puts a run back on the cores, with or without the result of its call.
     pub(super) fn resume_run(&mut self, id: RequestId, now: Millis) {
         let Some(request) = self.by_id.get_mut(&id) else { return };
         request.resume_run(now);
--- a/src/controller/responses.rs
+++ b/src/controller/responses.rs
@@ -1,8 +1,7 @@
-//! Final responses to requests that are not served: at their deadline, when they are hopeless, for
-//! memory, and at a shutdown.
+//! Final responses to requests that are not served: at their deadline, when they cannot meet their objective,
+//! to free memory, and in a shutdown.
 //!
-//! Wires the rules: it passes values on, and fixes which response a request gets in each stage. Times are
-//! in ms.
+//! Connects the rules and fixes which response a request gets in each stage. Times are in ms.
 
 use super::Controller;
 use super::deadlines::next_queue_check;
@@ -13,7 +12,7 @@
 use crate::time::Millis;
 
 impl Controller {
-    /// Rule 1 (one response in time): checks each request when its objective comes out of reach, and a
+    /// Rule 1 (one response in time): checks each request when it can no longer meet its objective, and a
     /// margin before its deadline.
     pub(super) fn check_deadlines(&mut self, out: &mut Vec<Action>) {
         while let Some(id) = self.deadlines.pop_due(self.now) {
@@ -22,12 +21,12 @@
     }
 
     fn check_deadline(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(id).filter(|request| !request.is_answered) else { return };
+        let Some(request) = self.requests.get(id).filter(|request| !request.is_resolved) else { return };
         let is_queued = request.stage == RequestStage::Queued;
         let respond_by = self.deadlines.respond_by(request.deadline);
         if self.now >= respond_by {
             self.shed(id, RejectionScope::ThisServer, out);
-        } else if is_queued && self.is_hopeless(request, 0.0) {
+        } else if is_queued && self.should_shed(request, 0.0) {
             self.shed(id, RejectionScope::AllServers, out);
         } else if is_queued {
             let expected_time = self.run_estimates.expected_time(request);
@@ -38,29 +37,28 @@
         }
     }
 
-    /// Sheds from the end of the queue what would miss its objective at the present limit.
-    pub(super) fn shed_hopeless(&mut self, out: &mut Vec<Action>) {
+    /// Sheds requests from the end of the queue that would miss their objective at the current limit.
+    pub(super) fn shed_queue_tail(&mut self, out: &mut Vec<Action>) {
         while self.queue.len() > 1 {
             let Some(id) = self.queue.last() else { return };
-            let wait = self.limit.wait_for(self.queue.work());
-            let is_hopeless = |request: &Request| self.is_hopeless(request, wait);
-            if !self.requests.get(id).is_some_and(is_hopeless) {
+            let wait = self.limit.queue_wait(self.queue.work());
+            let should_shed = |request: &Request| self.should_shed(request, wait);
+            if !self.requests.get(id).is_some_and(should_shed) {
                 return;
             }
             self.shed(id, RejectionScope::AllServers, out);
         }
     }
 
-    /// Rule 4 (no overload): sheds the requests of the lowest weight until `needed_kb` more fit into the
-    /// memory; else a full queue would keep runs from starting. `keep` is not shed. Returns whether the
-    /// memory suffices.
+    /// Rule 4 (no overload): sheds the requests of the lowest weight, except `keep`, until `needed_kb` more
+    /// fit into the memory; otherwise a full queue would keep runs from starting. Returns whether they fit.
     pub(super) fn reclaim_memory(
         &mut self,
         needed_kb: f64,
         keep: Option<RequestId>,
         out: &mut Vec<Action>,
     ) -> bool {
-        while self.memory.lacks(needed_kb, self.retained_keys.len()) {
+        while self.memory.would_exceed(needed_kb, self.retained_keys.len()) {
             let queued = self.queue.last().filter(|last| Some(*last) != keep);
             let is_for_run = needed_kb != 0.0;
             let shed = if is_for_run { queued } else { queued.or_else(|| self.newest_awaiting_result()) };
@@ -70,16 +68,16 @@
         true
     }
 
-    /// The newest request that waits for another's result: it takes memory, and no run ends its wait.
+    /// The newest duplicate that waits for the result of its original: it occupies memory without a run.
     fn newest_awaiting_result(&self) -> Option<RequestId> {
         let mut newest_first = self.requests.iter().rev();
         newest_first.find(|(_, request)| request.stage == RequestStage::AwaitingResult).map(|(id, _)| id)
     }
 
-    /// Gives the final response to a request that is not going to be served, at once, and ends its work.
+    /// Sends the final response to a request that will not be served, and ends its queueing, run or call.
     pub(super) fn shed(&mut self, id: RequestId, scope: RejectionScope, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(id) else { return };
-        request.is_answered = true;
+        request.is_resolved = true;
         match request.stage {
             RequestStage::Queued => self.shed_queued(id, scope, out),
             RequestStage::AwaitingResult => {
@@ -107,7 +105,8 @@
 
     fn shed_running(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
-        // An idempotent request that failed would be retried elsewhere, too late.
+        // A failed idempotent request would be retried at another server, too late; a rejection prevents
+        // that.
         let is_rejected = self.is_idempotent(request.class);
         let response =
             if is_rejected { self.rejection(id, RejectionScope::AllServers) } else { Action::Fail(id) };
@@ -115,23 +114,23 @@
         self.preempt(id, out);
     }
 
-    /// Stops a run that nobody waits for, where the server can.
+    /// Stops a run that no caller waits for, if runs can be stopped.
     pub(super) fn preempt(&mut self, id: RequestId, out: &mut Vec<Action>) {
         if self.settings.preemption != Preemption::Unsupported {
             out.push(Action::Preempt(id));
         }
     }
 
-    /// Releases the key of a request that never ran.
+    /// Releases the key of a request that never ran, if one is retained.
     pub(super) fn release_key(&mut self, id: RequestId, out: &mut Vec<Action>) {
         if self.retained_keys.remove(id) {
             out.push(Action::ReleaseKey(id));
         }
     }
 
-    /// A rejection with its Retry-After.
+    /// Builds a rejection with its Retry-After.
     pub(super) fn rejection(&mut self, id: RequestId, scope: RejectionScope) -> Action {
-        let queue_wait = self.limit.wait_for(self.queue.work());
+        let queue_wait = self.limit.queue_wait(self.queue.work());
         let is_stalled = self.stall_detector.is_stalled();
         let availability = Availability {
             wait: queue_wait.max(self.share.read_delay()),
@@ -142,15 +141,15 @@
         Action::Reject { id, retry_after, is_final: scope.is_final() }
     }
 
-    /// Rule 3 (safe shutdown): brings every deadline forward to the end of a shutdown, and the health
-    /// checks to other servers.
+    /// Rule 3 (safe shutdown): moves later deadlines forward, so that every response is sent before the kill,
+    /// and fails health checks, so that other servers are used.
     pub(super) fn begin_shutdown(&mut self, time_left: Millis, out: &mut Vec<Action>) {
         let times = ShutdownTimes {
             drain_grace: self.settings.drain_grace,
             response_slack: self.settings.response_slack,
         };
         self.shutdown = Shutdown::requested(self.now, time_left, self.deadlines.margin(), times);
-        // The time left may be over before the next tick.
+        // The time left may end before the next tick.
         self.next_tick = self.now;
         out.push(Action::SetHealth { is_healthy: false, is_cached: true });
         let respond_by = self.shutdown.respond_by();
--- a/src/controller/run_estimates/tests.rs
+++ b/src/controller/run_estimates/tests.rs
@@ -2,7 +2,7 @@
 use crate::controller::request::Request;
 
 #[test]
-fn expected_and_usual_times_follow_the_runs_of_the_class() {
+fn estimates_follow_the_runs_of_the_class() {
     let mut estimates = RunEstimates::new(2);
     let request = Request { class: 1, off_cores_time: 30.0, ..Request::default() };
     for run in 0..6 {
@@ -14,7 +14,7 @@
     assert_eq!(estimates.expected_run(0, None), 0.0, "another class");
     let queued = Request { class: 1, expected_run: 80.0, ..Request::default() };
     assert_eq!(estimates.expected_time(&queued), 110.0);
-    // Runs of three times their expected time lengthen the usual run by the square of the overrun.
+    // A run of three times its expected time lengthens the usual run by the mean square of the overrun.
     estimates.record(&request, 300.0);
     assert!(estimates.usual_run(&request).is_some_and(|usual| usual > 200.0));
 }
--- a/src/controller/runs.rs
+++ b/src/controller/runs.rs
@@ -1,6 +1,6 @@
-//! Start and end of runs, and what the ends show about the server.
+//! Start and end of runs, and the estimates that are updated when a run ends.
 //!
-//! Wires the rules: it passes values on, and fixes the order in which a start is judged. Times are in ms.
+//! Connects the rules and fixes the order of the checks before a start. Times are in ms.
 
 use super::Controller;
 use super::load_shedding::{Forecast, RejectionScope};
@@ -22,10 +22,11 @@
         }
     }
 
-    /// Starts the next run, or sheds it if it is hopeless; returns whether another run may start.
+    /// Starts the run of a request if there is memory for it, or sheds the request if it would miss its
+    /// objective; returns whether another run may start.
     fn start_or_shed(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
-        if self.is_hopeless(request, 0.0) {
+        if self.should_shed(request, 0.0) {
             self.shed(id, RejectionScope::AllServers, out);
             return true;
         }
@@ -35,7 +36,7 @@
         if has_memory {
             self.start_run(id, out);
         } else if misses_objective {
-            // It was spared as the only one in the queue while cores were idle.
+            // It was kept as the only request in the queue while cores were idle.
             self.shed(id, RejectionScope::AllServers, out);
         }
         has_memory
@@ -59,7 +60,7 @@
         let off_cores = self.call_permits.in_flight() + waiting;
         let speed = self.slow_start.speed(self.now);
         self.requests.running() + waiting < self.run_limit()
-            && self.limit.survives_one_more(self.requests.running(), off_cores, speed)
+            && self.limit.allows_one_more(self.requests.running(), off_cores, speed)
     }
 
     pub(super) fn forecast(&self, request: &Request, wait: Millis) -> Forecast {
@@ -67,11 +68,11 @@
         Forecast { wait, expected_time, objective_at: request.objective_at }
     }
 
-    /// Whether a queued request is to be rejected that would start after `wait`.
-    pub(super) fn is_hopeless(&self, request: &Request, wait: Millis) -> bool {
+    /// Whether to shed a queued request that would start after `wait`.
+    pub(super) fn should_shed(&self, request: &Request, wait: Millis) -> bool {
         let has_idle_cores = self.gauges.runnable.is_some_and(|runnable| runnable < self.settings.cores);
         let starts_on_idle_cores = has_idle_cores && self.queue.len() <= 1 && self.may_start();
-        self.forecast(request, wait).is_hopeless(self.now, starts_on_idle_cores)
+        self.forecast(request, wait).should_reject(self.now, starts_on_idle_cores)
     }
 
     pub(super) fn run_ended(&mut self, id: RequestId, outcome: AttemptOutcome, duration: Millis) {
@@ -80,8 +81,8 @@
         }
         let Some(request) = self.remove(id) else { return };
         if request.stage == RequestStage::Calling {
-            // It was answered before, and its call is abandoned with it.
-            self.call_permits.occupy_until_lingered(self.now);
+            // The request was resolved earlier; its call is abandoned with the run.
+            self.call_permits.hold_permit_while_lingering(self.now);
         }
         let has_run = matches!(outcome, AttemptOutcome::Ok | AttemptOutcome::Error);
         if has_run && request.stage != RequestStage::AwaitingResult {
@@ -100,7 +101,7 @@
         self.limit.run_finished(self.now, is_late, has_queue, &self.gauges);
     }
 
-    /// Removes a request from everything that counts it.
+    /// Removes a request from all accounts: tracked requests, queue or calls, and memory.
     pub(super) fn remove(&mut self, id: RequestId) -> Option<Request> {
         let request = self.requests.remove(id)?;
         match request.stage {
@@ -119,17 +120,17 @@
 
     /// Sheds the queue while the cores are stalled.
     pub(super) fn check_stall(&mut self, out: &mut Vec<Action>) {
-        if self.is_stalled_now() {
+        if self.detect_stall() {
             self.shed_queue(out);
         }
     }
 
-    /// Judges whether the cores are stalled. Without runs there is nothing to judge by, and late reading
-    /// explains why no end was reported.
-    fn is_stalled_now(&mut self) -> bool {
+    /// Updates the stall detector and returns whether the cores are stalled. Without runs on the cores there
+    /// is nothing to measure, and late reading explains why no completion was reported.
+    fn detect_stall(&mut self) -> bool {
         let has_progress = self.stall_detector.has_progress_within(self.share.max_read_delay(), self.now);
-        let is_judged = self.requests.running() != 0.0 && !has_progress && !self.share.is_reading_late();
-        is_judged && self.stall_detector.update(self.overdue_ends())
+        let may_be_stalled = self.requests.running() != 0.0 && !has_progress && !self.share.is_reading_late();
+        may_be_stalled && self.stall_detector.update(self.overdue_completions())
     }
 
     fn shed_queue(&mut self, out: &mut Vec<Action>) {
@@ -138,17 +139,18 @@
         }
     }
 
-    /// How many runs ought to have ended since the last one did. Everything runnable shares the cores
-    /// alike, reads and new connections too.
-    fn overdue_ends(&self) -> f64 {
+    /// How many runs should have completed since the last progress. All runnable tasks share the cores
+    /// equally, reads and new connections included.
+    fn overdue_completions(&self) -> f64 {
         let runnable = self.gauges.runnable.unwrap_or(0.0).max(self.requests.running());
         let runs = self.requests.iter().filter(|(_, request)| request.stage == RequestStage::Running);
-        let ends: f64 = runs.map(|(_, request)| self.overdue_ends_of(request)).sum();
-        ends * (self.settings.cores / runnable).min(1.0)
+        let completions: f64 = runs.map(|(_, request)| self.overdue_completions_of(request)).sum();
+        completions * (self.settings.cores / runnable).min(1.0)
     }
 
-    fn overdue_ends_of(&self, request: &Request) -> f64 {
+    fn overdue_completions_of(&self, request: &Request) -> f64 {
         let usual_run = self.run_estimates.usual_run(request);
-        usual_run.map_or(0.0, |run| self.stall_detector.overdue_ends(run, request.on_cores_since, self.now))
+        usual_run
+            .map_or(0.0, |run| self.stall_detector.overdue_completions(run, request.on_cores_since, self.now))
     }
 }
--- a/src/controller/send_share.rs
+++ b/src/controller/send_share.rs
@@ -1,66 +1,70 @@
-//! Send share: a PID controller on the queueing time sets the share of their usual traffic that callers
-//! are asked for.
+//! Send share: a PID controller on the queueing time sets the share of their usual traffic that callers are
+//! asked to send.
 //!
-//! Inputs: queueing time of finished runs, read delay of arrivals (ms), setpoint (ms, a part of the
-//! shortest latency objective). Output: a share from `MIN_SHARE` to 1. Below its setpoint a server asks
-//! for all of its traffic. A share under `OVERLOAD_SHARE` counts as overload.
+//! Inputs: queueing time of finished runs, read delay of arrivals (ms), setpoint (ms, a fraction of the
+//! shortest latency objective). Output: a share from `MIN_SHARE` to 1. While the queueing time is below the
+//! setpoint, the share rises to 1. A share below `OVERLOAD_SHARE` counts as overload.
 
 use crate::estimate::IntervalMean;
 use crate::interface::{FeedbackSignal, Settings};
 use crate::time::{MILLIS_PER_SECOND, Millis};
 
-/// Sample period, as a part of the time for which callers remember the signal.
-const SAMPLE_PERIOD_PART: f64 = 0.25;
-/// That time, where the settings state none.
+/// Sample period as a fraction of the time for which callers remember the signal.
+const SAMPLE_PERIOD_FRACTION: f64 = 0.25;
+/// Time for which callers remember the signal, if the settings do not state it.
 const DEFAULT_SIGNAL_TTL_MS: Millis = 1000.0;
-/// Setpoint of the queueing time, as a part of the shortest latency objective.
-const SETPOINT_PART: f64 = 0.15;
-/// Gains of the PID controller, on the error as a part of the setpoint.
+/// Setpoint of the queueing time as a fraction of the shortest latency objective.
+const SETPOINT_FRACTION: f64 = 0.15;
+/// Gains of the PID controller; the error is relative to the setpoint.
 const KP: f64 = 0.1;
 const KI_PER_S: f64 = 0.12;
 const KD_S: f64 = 0.05;
-/// Callers learn of a recovery from responses only, so some traffic is always asked for.
+/// Smallest share that callers are asked for before the intake stops. Some traffic is needed, because callers
+/// notice a recovery only from responses.
 const MIN_SHARE: f64 = 0.05;
 /// Largest change of the share between two samples.
 const MAX_SHARE_STEP: f64 = 0.2;
-/// Smallest change of the share that is sent.
+/// Smallest change of the share that is sent to callers; a recovery to 1 is always sent.
 const MIN_SENT_SHARE_CHANGE: f64 = 0.01;
-/// A lower share is a sign of overload.
+/// A share below this counts as overload.
 const OVERLOAD_SHARE: f64 = 0.9;
-/// Reading is late if a request was unread for longer than this multiple of the setpoint.
+/// Reading is late if the newest request was unread for longer than this multiple of the setpoint.
 const LATE_READ_FACTOR: f64 = 1.5;
 
-/// Time between two samples of the send share; the concurrency limit and the call quota decrease once in
-/// it at most.
+/// Time between two samples of the send share. The concurrency limit and the usable call permits decrease at
+/// most once per period.
 pub(super) fn sample_period(settings: &Settings) -> Millis {
     let signal_ttl = if settings.signal_ttl > 0.0 { settings.signal_ttl } else { DEFAULT_SIGNAL_TTL_MS };
-    signal_ttl * SAMPLE_PERIOD_PART
+    signal_ttl * SAMPLE_PERIOD_FRACTION
 }
 
-/// The share of their usual traffic that callers are asked for.
+/// Controls the share of their usual traffic that callers are asked to send.
 pub(super) struct SendShare {
     setpoint: Millis,
     period: Millis,
     sampled_at: Millis,
-    /// Of the runs that finished since the last sample.
+    /// Queueing times of the runs that finished since the last sample.
     queue_times: IntervalMean,
-    /// Of the requests that were read since the last sample.
+    /// Read delays of the requests that were read since the last sample.
     read_delays: IntervalMean,
-    /// Of the newest arrival; kept until the next one.
+    /// Read delay of the newest arrival.
     read_delay: Millis,
     /// Integral of the error, in seconds.
     integral_s: f64,
+    /// Error at the last sample, relative to the setpoint.
     error: f64,
+    /// Output of the PID controller.
     value: f64,
+    /// Share that callers were last asked for.
     sent: f64,
-    /// The last sample crossed [`OVERLOAD_SHARE`].
+    /// Whether the last sample crossed [`OVERLOAD_SHARE`].
     has_crossed: bool,
 }
 
 impl SendShare {
     pub(super) fn new(shortest_objective: Millis, period: Millis, now: Millis) -> SendShare {
         SendShare {
-            setpoint: shortest_objective * SETPOINT_PART,
+            setpoint: shortest_objective * SETPOINT_FRACTION,
             period,
             sampled_at: now,
             queue_times: IntervalMean::default(),
@@ -75,14 +79,14 @@
     }
 
     pub(super) fn set_shortest_objective(&mut self, shortest_objective: Millis) {
-        self.setpoint = shortest_objective * SETPOINT_PART;
+        self.setpoint = shortest_objective * SETPOINT_FRACTION;
     }
 
     pub(super) fn setpoint(&self) -> Millis {
         self.setpoint
     }
 
-    /// Queueing time over its setpoint, at the last sample.
+    /// Queueing time divided by its setpoint, at the last sample.
     pub(super) fn queue_time_ratio(&self) -> f64 {
         (1.0 - self.error).max(0.0)
     }
@@ -96,14 +100,14 @@
         self.value < OVERLOAD_SHARE
     }
 
-    /// Takes in how long an arrival was unread.
+    /// Records how long an arrival was unread.
     pub(super) fn record_read_delay(&mut self, read_delay: Millis) {
         self.read_delays.add(read_delay);
         self.read_delay = read_delay;
     }
 
-    /// Takes in how long a finished run was queued. A failed run counts as queued for its objective:
-    /// failures empty the queue as quickly as success does.
+    /// Records how long a finished run was queued. A failed run counts as queued for its whole objective,
+    /// since failures empty the queue as fast as successes do.
     pub(super) fn record_run(&mut self, has_succeeded: bool, queue_time: Millis, objective: Millis) {
         self.queue_times.add(if has_succeeded { queue_time } else { objective });
     }
@@ -112,7 +116,7 @@
         self.read_delay
     }
 
-    /// A longer read delay is late.
+    /// The longest read delay that does not count as late.
     pub(super) fn max_read_delay(&self) -> Millis {
         self.setpoint * LATE_READ_FACTOR
     }
@@ -125,13 +129,13 @@
         now - self.sampled_at >= self.period
     }
 
-    /// Lets a sample period pass without a sample.
+    /// Starts the next sample period without taking a sample.
     pub(super) fn skip_sample(&mut self, now: Millis) {
         self.sampled_at = now;
     }
 
-    /// Updates the share. Without a finished run, `oldest_queue_time` is the queueing time; a longer read
-    /// delay takes its place, since a server that is too slow to read has an empty queue.
+    /// Updates the share. Without a finished run, the queueing time is `oldest_queue_time`. A longer read
+    /// delay replaces the queueing time, since a server that is too slow to read has an empty queue.
     pub(super) fn sample(&mut self, now: Millis, oldest_queue_time: Millis) {
         let dt_s = (now - self.sampled_at) / MILLIS_PER_SECOND;
         let queue_time = self.queue_times.take().unwrap_or(oldest_queue_time);
@@ -145,8 +149,8 @@
     }
 
     fn pid_output(&mut self, error: f64, dt_s: f64) -> f64 {
-        // The order of the queue changes at the bound of overload, and the queueing time with it: no
-        // derivative then.
+        // Crossing the overload threshold reorders the queue, which makes the queueing time jump: the
+        // derivative is left out.
         let slope_per_s = if self.has_crossed { 0.0 } else { (error - self.error) / dt_s };
         let without_integral = 1.0 + KP * error + KD_S * slope_per_s;
         self.integrate(error * dt_s, without_integral);
@@ -154,7 +158,7 @@
         (without_integral + KI_PER_S * self.integral_s).clamp(min, max).clamp(MIN_SHARE, 1.0)
     }
 
-    /// Anti-windup: the integral never moves past the point where it alone would reach a clamp of the
+    /// Anti-windup: the integral does not move beyond the point where the output reaches a bound of the
     /// share.
     fn integrate(&mut self, increment_s: f64, without_integral: f64) {
         let low = (MIN_SHARE - without_integral) / KI_PER_S;
@@ -163,14 +167,14 @@
         self.integral_s = integral_s.clamp(low.min(self.integral_s), high.max(self.integral_s));
     }
 
-    /// The share to ask for: no more than the speed of a server in slow start, the least while the cores
-    /// are stalled, nothing once the intake has stopped.
+    /// The share to ask callers for: at most the speed of a server in slow start, the minimum while the cores
+    /// are stalled, and 0 once the intake has stopped.
     pub(super) fn requested(&self, speed: f64, is_stalled: bool, has_stopped_intake: bool) -> f64 {
         let share = if is_stalled { 0.0 } else { self.value.min(speed) };
         if has_stopped_intake { 0.0 } else { share.max(MIN_SHARE) }
     }
 
-    /// Records `share` as sent if it differs enough from the last one that was sent; returns whether it
+    /// Records `share` as sent if it differs enough from the last share that was sent; returns whether it
     /// does.
     pub(super) fn update_sent(&mut self, share: f64) -> bool {
         let is_recovery = share == 1.0 && self.sent != 1.0;
@@ -182,7 +186,7 @@
     }
 }
 
-/// The number that responses carry for a share, in the form that callers read; none where they read none.
+/// The feedback signal for a share, in the form that callers interpret; `None` if they ignore it.
 pub(super) fn feedback_signal(share: f64, settings: &Settings) -> Option<f64> {
     let credit = settings.cores * settings.core_concurrency / settings.caller_count.max(1.0);
     match settings.feedback_signal {
--- a/src/controller/shutdown.rs
+++ b/src/controller/shutdown.rs
@@ -1,19 +1,19 @@
-//! Graceful shutdown (rule 3, safe shutdown): everything that was read gets its response before the
+//! Graceful shutdown (rule 3, safe shutdown): every request that was read gets its response before the
 //! process is killed.
 //!
-//! Inputs: time left until the kill, grace period, margin and slack of responses (all ms). Until the
-//! grace period ends, new requests are run and the share stays: callers learn of the shutdown late, and
-//! the other servers would miss this server's part. After it, what arrives is rejected at once, while its
-//! caller has time for another server.
+//! Inputs: time left until the kill, grace period, margin and slack of responses (all ms). During the grace
+//! period new requests are run and the share is unchanged: callers notice the shutdown late, and the other
+//! servers would lack this server's capacity. Later arrivals are rejected at once, while their callers have
+//! time to try another server.
 
 use crate::time::Millis;
 
-/// The times of a shutdown; both infinite before one is requested.
+/// The times that apply in a shutdown; both are infinite before one is requested.
 #[derive(Clone, Copy)]
 pub(super) struct Shutdown {
-    /// What arrives later is not run.
+    /// End of the grace period: requests that arrive later are not run.
     intake_ends_at: Millis,
-    /// Every response is due by then.
+    /// Latest deadline of any request.
     respond_by: Millis,
 }
 
@@ -22,7 +22,7 @@
         Shutdown { intake_ends_at: Millis::INFINITY, respond_by: Millis::INFINITY }
     }
 
-    /// A shutdown that is requested now, of a process that is killed after `time_left`.
+    /// A shutdown requested at `now`, of a process that is killed after `time_left`.
     pub(super) fn requested(
         now: Millis,
         time_left: Millis,
@@ -39,18 +39,18 @@
         self.respond_by
     }
 
-    /// Whether the grace period is over, so that no new request is run.
+    /// Whether the grace period has ended, so that new requests are not run.
     pub(super) fn has_stopped_intake(&self, now: Millis) -> bool {
         now >= self.intake_ends_at
     }
 
     /// Whether a request reached the machine after the grace period.
-    pub(super) fn is_too_late(&self, arrived_at: Millis) -> bool {
+    pub(super) fn is_after_intake(&self, arrived_at: Millis) -> bool {
         arrived_at > self.intake_ends_at
     }
 }
 
-/// The settings of a shutdown.
+/// The settings that determine the times of a shutdown.
 #[derive(Clone, Copy)]
 pub(super) struct ShutdownTimes {
     pub(super) drain_grace: Millis,
--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -1,14 +1,14 @@
-//! Slow start: a server with cold caches claims only the speed that it has.
+//! Slow start: a server with cold caches takes traffic in proportion to its speed.
 //!
-//! Inputs: time since the start (ms), the duration of the slow start (ms) and the speed at its beginning
-//! (part of the full speed, 0 to 1). The speed rises linearly to 1. It bounds the share that callers are
-//! asked for and the survivable concurrency; without it a new server takes a full part of the traffic at
-//! a fraction of its speed.
+//! Inputs: time since the start (ms), duration of the slow start (ms) and initial speed (fraction of the full
+//! speed, 0 to 1). The speed rises linearly to 1. It bounds the share that callers are asked for and the
+//! survivable concurrency; without that bound a new server would get its full share of the traffic at a
+//! fraction of its speed.
 
 use crate::interface::Settings;
 use crate::time::Millis;
 
-/// The speed of a server after its start.
+/// The speed of a server since its start.
 pub(super) struct SlowStart {
     is_enabled: bool,
     started_at: Millis,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The part of its full speed that the server has at least, 0 to 1.
+    /// The speed that is assumed of the server, as a fraction of its full speed, 0 to 1.
     pub(super) fn speed(&self, now: Millis) -> f64 {
         let progress = if self.duration > 0.0 { (now - self.started_at) / self.duration } else { 1.0 };
         if self.is_enabled && progress < 1.0 {
--- a/src/controller/slow_start/tests.rs
+++ b/src/controller/slow_start/tests.rs
@@ -2,7 +2,7 @@
 use crate::interface::Settings;
 
 #[test]
-fn the_speed_rises_linearly_to_one() {
+fn speed_rises_linearly_to_one() {
     let settings = Settings {
         is_slow_start: true,
         slow_start_share: 0.2,
--- a/src/controller/tenant_quota.rs
+++ b/src/controller/tenant_quota.rs
@@ -1,18 +1,18 @@
-//! Tenant quotas: a request beyond the quota of its tenant counts with a reduced weight in the queue.
+//! Tenant quotas: a request over the quota of its tenant has a reduced weight in the queue.
 //!
-//! Inputs: the tenant's quota (requests a second, over the fleet), the number of servers, the time (ms).
-//! Each server grants an even part of the quota with a token bucket. Only the tier that clients reach
-//! does so.
+//! Inputs: the tenant's quota (requests per second, over the fleet), the number of servers, the time (ms).
+//! Each server grants an equal fraction of the quota with a token bucket. Quotas apply only in the tier that
+//! clients reach.
 
 use crate::interface::Settings;
 use crate::time::{MILLIS_PER_SECOND, Millis};
 
-/// Seconds of quota that a tenant may send at once.
+/// Size of the token bucket, in seconds of the quota.
 const QUOTA_BURST_S: f64 = 10.0;
-/// The smallest bucket: random arrivals at 0.9 of a small quota rarely empty it.
+/// Minimum size of the token bucket, in requests: random arrivals at 0.9 of a small quota rarely empty it.
 const MIN_QUOTA_BURST_REQUESTS: f64 = 6.0;
 
-/// The requests that a tenant may send at once; one token a request.
+/// A token bucket of one tenant; each request takes one token.
 #[derive(Clone, Copy)]
 struct TokenBucket {
     tokens: f64,
@@ -20,7 +20,7 @@
 }
 
 impl TokenBucket {
-    /// A bucket that is full at any rate.
+    /// A bucket that is full at any rate: the first refill caps it at the burst.
     fn full(now: Millis) -> TokenBucket {
         TokenBucket { tokens: f64::MAX, refilled_at: now }
     }
@@ -39,7 +39,7 @@
     }
 }
 
-/// The token buckets of all tenants, by their index.
+/// The token buckets of all tenants, by tenant index.
 pub(super) struct TenantQuotas {
     buckets: Vec<TokenBucket>,
 }
@@ -49,12 +49,12 @@
         TenantQuotas { buckets: vec![TokenBucket::full(now); tenants] }
     }
 
-    /// Adds full buckets for tenants that are new.
+    /// Adds full buckets for new tenants.
     pub(super) fn resize(&mut self, tenants: usize, now: Millis) {
         self.buckets.resize(tenants, TokenBucket::full(now));
     }
 
-    /// Whether a request of `tenant` exceeds this server's part of its quota; if not, it uses up a token.
+    /// Whether a request of `tenant` exceeds this server's fraction of the quota; if not, it takes a token.
     pub(super) fn is_exceeded(&mut self, tenant: usize, settings: &Settings, now: Millis) -> bool {
         let Some(tenant_settings) = settings.tenants.get(tenant) else { return false };
         let Some(bucket) = self.buckets.get_mut(tenant) else { return false };
--- a/src/controller/tenant_quota/tests.rs
+++ b/src/controller/tenant_quota/tests.rs
@@ -2,7 +2,7 @@
 use crate::interface::{Settings, Tenant};
 
 #[test]
-fn a_bucket_holds_ten_seconds_of_its_quota_and_is_refilled_at_that_rate() {
+fn bucket_holds_ten_seconds_of_quota_and_refills_at_its_rate() {
     let mut bucket = TokenBucket::full(0.0);
     let taken = (0..30).filter(|_| bucket.try_take(2.0, 0.0)).count();
     assert_eq!(taken, 20);
@@ -11,13 +11,13 @@
 }
 
 #[test]
-fn a_small_quota_allows_a_burst_of_six_requests() {
+fn small_quota_allows_a_burst_of_six_requests() {
     let mut bucket = TokenBucket::full(0.0);
     assert_eq!((0..30).filter(|_| bucket.try_take(0.01, 0.0)).count(), 6);
 }
 
 #[test]
-fn each_server_of_the_first_tier_grants_an_even_part_of_the_quota() {
+fn each_first_tier_server_grants_an_equal_part_of_the_quota() {
     let granted = |server_count, tier, quota_per_s| {
         let tenants = vec![Tenant { quota_per_s }];
         let settings = Settings { tenants, server_count, tier, ..Settings::default() };
@@ -26,6 +26,6 @@
     };
     assert_eq!(granted(1.0, 0, 20.0), 200);
     assert_eq!(granted(4.0, 0, 20.0), 50);
-    assert_eq!(granted(4.0, 1, 20.0), 500, "a tier downstream has no quotas");
+    assert_eq!(granted(4.0, 1, 20.0), 500, "quotas apply only in the first tier");
     assert_eq!(granted(4.0, 0, 0.0), 500, "a tenant without a quota");
 }
