--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -1,10 +1,10 @@
-//! A fleet that starts cold: twenty and thirty servers start within the same second under the load of many callers, and none
-//! runs more requests than it survives.
+//! Slow start of a fleet: twenty or thirty servers start within one second under the load of many callers,
+//! and none exceeds the concurrency that it survives.
 //!
-//! Each server is a controller of its own on a modelled machine at the lowest speed that the settings allow; they share nothing.
-//! The bound and its proof are in `docs/design/cold-start.md`: with N = cores x (1 + (`core_concurrency` - 1) x speed), the mean
-//! of the requests on the cores over `concurrency_window` stays within N, whatever callers do, and so within the allowance
-//! N + 2 x root of N + 2.
+//! Each server is a separate controller on a modelled machine that runs at the lowest speed that the settings
+//! allow; servers share no state. The bound and its proof are in `docs/design/cold-start.md`: with N = cores
+//! x (1 + (`core_concurrency` - 1) x speed), the mean number of requests on the cores over
+//! `concurrency_window` stays within N whatever callers do, and so within the allowance N + 2 x sqrt(N) + 2.
 
 mod common;
 use std::collections::{BTreeMap, VecDeque};
@@ -13,115 +13,123 @@
 use loomflow::controller::Controller;
 use loomflow::interface::*;
 
-/// Step of the model and least time between two batches, ms.
-const STEP: f64 = 5.0;
+/// Time step of the model and interval between two batches, ms.
+const STEP_MS: f64 = 5.0;
 const CORES: f64 = 6.0;
 /// Mean work of a request, ms on one core of a warm server.
-const MEAN_WORK: f64 = 150.0;
-/// Servers that a caller tries for one request.
-const TRIES: usize = 3;
-/// How long a call below takes, ms: all that are made within one of these come back together.
-const CALLS_RETURN_EVERY: f64 = 400.0;
-
-/// The share of its full speed that a cold server has at the least, so long after its start.
-fn speed_share(set: &Settings, age: f64) -> f64 {
-    if !set.is_slow_start {
+const MEAN_WORK_MS: f64 = 150.0;
+/// Maximum number of servers that a caller tries for one request.
+const MAX_ATTEMPTS: usize = 3;
+/// Downstream calls end at multiples of this time, ms: all calls started within one interval end together.
+const CALL_END_INTERVAL_MS: f64 = 400.0;
+
+/// The minimum speed of a server `age` ms after its start, as a part of its full speed.
+fn slow_start_speed(settings: &Settings, age: f64) -> f64 {
+    if !settings.is_slow_start {
         return 1.0;
     }
-    set.slow_start_share + (1.0 - set.slow_start_share) * (age / set.slow_start_duration).clamp(0.0, 1.0)
+    settings.slow_start_share
+        + (1.0 - settings.slow_start_share) * (age / settings.slow_start_duration).clamp(0.0, 1.0)
 }
 
-/// N: the requests on the cores that a server survives in the mean.
-fn survived(set: &Settings, age: f64) -> f64 {
-    set.cores * (1.0 + (set.core_concurrency - 1.0) * speed_share(set, age))
+/// N: the mean number of requests on the cores that a server survives.
+fn survivable_concurrency(settings: &Settings, age: f64) -> f64 {
+    settings.cores * (1.0 + (settings.core_concurrency - 1.0) * slow_start_speed(settings, age))
 }
 
-/// What the operators put down to chance beyond N.
+/// N plus the excess that the operators attribute to chance.
 fn allowance(n: f64) -> f64 {
     n + 2.0 * n.sqrt() + 2.0
 }
 
-/// Random numbers that are the same every time.
+/// A linear congruential generator with a fixed seed.
 struct Random(u64);
 
 impl Random {
-    fn next(&mut self) -> f64 {
+    /// From 0 to below 1.
+    fn unit(&mut self) -> f64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) as f64 / (1u64 << 31) as f64
     }
 
     fn below(&mut self, end: usize) -> usize {
-        ((self.next() * end as f64) as usize).min(end - 1)
+        ((self.unit() * end as f64) as usize).min(end - 1)
     }
 
     /// From an exponential distribution with mean 1.
     fn exponential(&mut self) -> f64 {
-        -(1.0 - self.next()).ln()
+        -(1.0 - self.unit()).ln()
     }
 }
 
 #[derive(Clone, Copy, PartialEq)]
 enum AttemptStage {
-    Held,
+    Queued,
     OnCores,
-    /// Waits to be told about its call.
-    BeforeCall,
-    /// Its call ends then.
+    /// Waits for the controller to start or skip its call.
+    AwaitingCall,
+    /// In a downstream call that ends at this time.
     Calling(f64),
 }
 
-/// One try of a request at one server.
+/// One attempt of a request, at one server.
 struct Attempt {
     caller: usize,
-    /// Servers tried for the request, this one included.
-    tries: usize,
-    /// Work that is left, ms, and how much is left when it comes to its call.
-    left: f64,
+    /// Servers tried for the request, including this one.
+    servers_tried: usize,
+    /// Remaining work, ms on one core of a warm server.
+    work_left: f64,
+    /// The remaining work at which the request needs its call; none once it has reached that point.
     call_at: Option<f64>,
     stage: AttemptStage,
-    begun: f64,
+    /// When the run started; before that, when the attempt arrived.
+    started_at: f64,
 }
 
-/// One server: the module, and the machine that it decides for.
+/// A controller and the modelled machine that it controls.
 struct Server {
     controller: Controller,
-    set: Settings,
-    born: f64,
+    settings: Settings,
+    started_at: f64,
     timers: Vec<f64>,
     next_id: RequestId,
     attempts: BTreeMap<RequestId, Attempt>,
     events: Vec<Event>,
-    /// The share that each answer carries.
-    told: Option<f64>,
-    /// Requests on the cores after each batch of the last span, and their sum.
-    on_cores: VecDeque<f64>,
-    on_cores_sum: f64,
-    /// The largest mean over the span as a part of N and of the allowance.
-    worst_of_n: f64,
-    worst_of_allowance: f64,
+    /// The send share that responses carry; none before the first signal.
+    signal: Option<f64>,
+    /// Requests on the cores after each batch of the last `concurrency_window`.
+    concurrency_samples: VecDeque<f64>,
+    concurrency_sum: f64,
+    /// The largest mean concurrency, as a part of N and of the allowance.
+    max_part_of_n: f64,
+    max_part_of_allowance: f64,
     served: usize,
-    answers_without_share: usize,
+    responses_without_share: usize,
 }
 
-/// What a caller remembers of one server.
+/// The last feedback that a caller received from one server.
 #[derive(Clone, Copy, Default)]
-struct Heard {
+struct Feedback {
+    /// The send share, and when it was received.
     share: Option<(f64, f64)>,
-    away_until: f64,
+    retry_at: f64,
 }
 
 struct Caller {
-    heeds: bool,
-    heard: BTreeMap<usize, Heard>,
+    /// Whether it follows send shares and Retry-After.
+    honours_feedback: bool,
+    /// By server.
+    feedback: BTreeMap<usize, Feedback>,
 }
 
-/// An answer on its way to a caller; `again`: the caller may try the next server.
-struct Answer {
+/// A response to a caller.
+struct Response {
     server: usize,
     caller: usize,
-    tries: usize,
-    pause: f64,
-    again: bool,
+    servers_tried: usize,
+    retry_after: f64,
+    /// Whether the caller may try another server.
+    may_retry: bool,
 }
 
 struct Fleet {
@@ -129,52 +137,53 @@
     random: Random,
     servers: Vec<Server>,
     callers: Vec<Caller>,
-    /// Requests of all callers in a step, in the mean.
-    rate: f64,
+    /// Mean number of new requests in a step, from all callers.
+    requests_per_step: f64,
 }
 
-/// What a day is like.
+/// A fleet and its load.
 #[derive(Clone, Copy, Debug)]
-struct Day {
-    cold: usize,
-    warm: usize,
+struct Scenario {
+    cold_servers: usize,
+    warm_servers: usize,
     callers: usize,
-    /// Part of the callers that heed what they are told.
-    heed: f64,
-    /// Work that is asked for over what all servers do when warm.
+    /// Part of the callers that follow send shares and Retry-After.
+    honouring_part: f64,
+    /// Requested work, as a multiple of the capacity of all servers when warm.
     load: f64,
-    calls: bool,
+    makes_calls: bool,
     seed: u64,
 }
 
-fn settings_of(day: &Day, cold: bool) -> Settings {
-    let mut set = settings();
-    (set.cores, set.is_slow_start, set.slow_start_share, set.slow_start_duration) =
-        (CORES, cold, 0.2, 15_000.0);
-    set.memory_kb = 100_000.0;
-    (set.server_count, set.caller_count) = ((day.cold + day.warm) as f64, day.callers as f64);
-    set.downstream = if day.calls { Downstream::Tier } else { Downstream::None };
-    set.classes.iter_mut().for_each(|class| class.makes_calls = day.calls);
-    set
+fn server_settings(scenario: &Scenario, is_cold: bool) -> Settings {
+    let mut settings = settings();
+    (settings.cores, settings.is_slow_start, settings.slow_start_share, settings.slow_start_duration) =
+        (CORES, is_cold, 0.2, 15_000.0);
+    settings.memory_kb = 100_000.0;
+    (settings.server_count, settings.caller_count) =
+        ((scenario.cold_servers + scenario.warm_servers) as f64, scenario.callers as f64);
+    settings.downstream = if scenario.makes_calls { Downstream::Tier } else { Downstream::None };
+    settings.classes.iter_mut().for_each(|class| class.makes_calls = scenario.makes_calls);
+    settings
 }
 
 impl Server {
-    fn new(set: Settings, seed: u64, born: f64) -> Server {
+    fn new(settings: Settings, seed: u64, started_at: f64) -> Server {
         Server {
-            controller: Controller::new(set.clone(), seed, born),
-            set,
-            born,
+            controller: Controller::new(settings.clone(), seed, started_at),
+            settings,
+            started_at,
             timers: vec![],
             next_id: 1,
             attempts: BTreeMap::new(),
             events: vec![],
-            told: None,
-            on_cores: VecDeque::new(),
-            on_cores_sum: 0.0,
-            worst_of_n: 0.0,
-            worst_of_allowance: 0.0,
+            signal: None,
+            concurrency_samples: VecDeque::new(),
+            concurrency_sum: 0.0,
+            max_part_of_n: 0.0,
+            max_part_of_allowance: 0.0,
             served: 0,
-            answers_without_share: 0,
+            responses_without_share: 0,
         }
     }
 
@@ -182,46 +191,45 @@
         self.attempts.values().filter(|attempt| attempt.stage == stage).count() as f64
     }
 
-    fn arrive(&mut self, now: f64, caller: usize, tries: usize, work: f64) {
+    fn arrive(&mut self, now: f64, caller: usize, servers_tried: usize, work: f64) {
         let id = self.next_id;
         self.next_id += 1;
-        let call_at = self.set.classes[SAFE].makes_calls.then_some(work / 2.0);
-        let attempt = Attempt { caller, tries, left: work, call_at, stage: AttemptStage::Held, begun: now };
+        let call_at = self.settings.classes[SAFE].makes_calls.then_some(work / 2.0);
+        let attempt = Attempt {
+            caller,
+            servers_tried,
+            work_left: work,
+            call_at,
+            stage: AttemptStage::Queued,
+            started_at: now,
+        };
         self.attempts.insert(id, attempt);
         let mut arrival = arrival(id, SAFE);
         (arrival.attributes.estimated_work, arrival.attributes.caller) = (Some(work), caller as u64);
         self.events.push(Event::RequestArrived(arrival));
     }
 
-    /// The machine goes on for one step: all that is on the cores shares them.
-    fn work(&mut self, now: f64) {
+    /// Advances the machine by one step; requests on the cores share them evenly.
+    fn advance_cores(&mut self, now: f64) {
         let on_cores = self.count(AttemptStage::OnCores);
-        let part = (self.set.cores / on_cores.max(1.0)).min(1.0);
-        let done = STEP * part * speed_share(&self.set, now - self.born);
+        let part = (self.settings.cores / on_cores.max(1.0)).min(1.0);
+        let work_done = STEP_MS * part * slow_start_speed(&self.settings, now - self.started_at);
         for (id, attempt) in &mut self.attempts {
             match attempt.stage {
                 AttemptStage::OnCores => {
-                    attempt.left -= done;
-                    if attempt.call_at.is_some_and(|at| attempt.left <= at) {
-                        (attempt.call_at, attempt.stage) = (None, AttemptStage::BeforeCall);
+                    attempt.work_left -= work_done;
+                    if attempt.call_at.is_some_and(|at| attempt.work_left <= at) {
+                        (attempt.call_at, attempt.stage) = (None, AttemptStage::AwaitingCall);
                         self.events.push(Event::CallNeeded(*id));
-                    } else if attempt.left <= 0.0 {
-                        let took = now - attempt.begun;
-                        self.events.push(Event::RunEnded {
-                            id: *id,
-                            outcome: AttemptOutcome::Ok,
-                            duration: took,
-                        });
+                    } else if attempt.work_left <= 0.0 {
+                        let duration = now - attempt.started_at;
+                        self.events.push(Event::RunEnded { id: *id, outcome: AttemptOutcome::Ok, duration });
                     }
                 }
                 AttemptStage::Calling(until) if until <= now => {
                     attempt.stage = AttemptStage::OnCores;
-                    let took = CALLS_RETURN_EVERY;
-                    self.events.push(Event::CallEnded {
-                        id: *id,
-                        outcome: AttemptOutcome::Ok,
-                        duration: took,
-                    });
+                    let duration = CALL_END_INTERVAL_MS;
+                    self.events.push(Event::CallEnded { id: *id, outcome: AttemptOutcome::Ok, duration });
                 }
                 _ => {}
             }
@@ -229,64 +237,68 @@
         let due = self.timers.iter().filter(|at| **at <= now).count();
         self.timers.retain(|at| *at > now);
         if due > 0 {
-            let core_use = Some(part.recip().recip().min(on_cores / self.set.cores).min(1.0));
-            let gauges = Gauges { core_utilization: core_use, runnable: Some(on_cores), ..IDLE };
+            let core_utilization = Some(part.recip().recip().min(on_cores / self.settings.cores).min(1.0));
+            let gauges = Gauges { core_utilization, runnable: Some(on_cores), ..IDLE };
             self.events.push(Event::TimerFired(gauges));
         }
     }
 
-    /// One batch; the answers that it gave.
-    fn decide(&mut self, number: usize, now: f64) -> Vec<Answer> {
-        let (mut actions, mut answers) = (vec![], vec![]);
+    /// Runs one batch and returns its responses.
+    fn run_batch(&mut self, number: usize, now: f64) -> Vec<Response> {
+        let (mut actions, mut responses) = (vec![], vec![]);
         for event in std::mem::take(&mut self.events) {
             if let Event::RunEnded { id, .. } = &event
-                && let Some(over) = self.attempts.remove(id)
+                && let Some(ended) = self.attempts.remove(id)
             {
                 self.served += 1;
-                answers.push((over, 0.0, false));
+                responses.push((ended, 0.0, false));
             }
             self.controller.event(now, event, &mut actions);
         }
         self.controller.decide(now, &mut actions);
         for action in actions {
-            self.act(action, now, &mut answers);
+            self.apply(action, now, &mut responses);
         }
         self.sample(now);
-        if self.told.is_none() {
-            self.answers_without_share += answers.len();
+        if self.signal.is_none() {
+            self.responses_without_share += responses.len();
         }
-        let answer = |(attempt, pause, again): (Attempt, f64, bool)| Answer {
+        let response = |(attempt, retry_after, may_retry): (Attempt, f64, bool)| Response {
             server: number,
             caller: attempt.caller,
-            tries: attempt.tries,
-            pause,
-            again,
+            servers_tried: attempt.servers_tried,
+            retry_after,
+            may_retry,
         };
-        answers.into_iter().map(answer).collect()
+        responses.into_iter().map(response).collect()
     }
 
-    fn act(&mut self, action: Action, now: f64, answers: &mut Vec<(Attempt, f64, bool)>) {
+    fn apply(&mut self, action: Action, now: f64, responses: &mut Vec<(Attempt, f64, bool)>) {
         match action {
             Action::Run(id) => {
-                let attempt = self.attempts.get_mut(&id).expect("it is held");
-                (attempt.stage, attempt.begun) = (AttemptStage::OnCores, now);
+                let attempt =
+                    self.attempts.get_mut(&id).expect("the request that the controller runs is unknown");
+                (attempt.stage, attempt.started_at) = (AttemptStage::OnCores, now);
             }
-            Action::Reject { id, retry_after: pause, is_final: last } => {
-                // One that runs is answered and runs on: nothing here can be stopped.
-                let held = self.attempts.get(&id).is_some_and(|attempt| attempt.stage == AttemptStage::Held);
-                if let Some(over) = held.then(|| self.attempts.remove(&id)).flatten() {
-                    answers.push((over, pause, !last));
+            Action::Reject { id, retry_after, is_final } => {
+                // A running request gets its response and keeps running: the settings support no preemption.
+                let is_queued =
+                    self.attempts.get(&id).is_some_and(|attempt| attempt.stage == AttemptStage::Queued);
+                if let Some(ended) = is_queued.then(|| self.attempts.remove(&id)).flatten() {
+                    responses.push((ended, retry_after, !is_final));
                 }
             }
             Action::Call { id, .. } => {
-                let attempt = self.attempts.get_mut(&id).expect("it runs");
-                attempt.stage =
-                    AttemptStage::Calling(((now / CALLS_RETURN_EVERY).floor() + 1.0) * CALLS_RETURN_EVERY);
+                let attempt = self.attempts.get_mut(&id).expect("the request that starts a call is unknown");
+                attempt.stage = AttemptStage::Calling(
+                    ((now / CALL_END_INTERVAL_MS).floor() + 1.0) * CALL_END_INTERVAL_MS,
+                );
             }
             Action::SkipCall(id) => {
-                self.attempts.get_mut(&id).expect("it runs").stage = AttemptStage::OnCores;
+                self.attempts.get_mut(&id).expect("the request that skips its call is unknown").stage =
+                    AttemptStage::OnCores;
             }
-            Action::SetSignal(share) => self.told = Some(share),
+            Action::SetSignal(share) => self.signal = Some(share),
             Action::SetTimer(at) => self.timers.push(at),
             _ => {}
         }
@@ -294,124 +306,134 @@
 
     fn sample(&mut self, now: f64) {
         let on_cores = self.count(AttemptStage::OnCores);
-        self.on_cores.push_back(on_cores);
-        self.on_cores_sum += on_cores;
-        if self.on_cores.len() as f64 > self.set.concurrency_window / STEP {
-            self.on_cores_sum -= self.on_cores.pop_front().expect("it holds some");
+        self.concurrency_samples.push_back(on_cores);
+        self.concurrency_sum += on_cores;
+        if self.concurrency_samples.len() as f64 > self.settings.concurrency_window / STEP_MS {
+            self.concurrency_sum -= self.concurrency_samples.pop_front().expect("a sample was just added");
         }
-        let mean = self.on_cores_sum / (self.set.concurrency_window / STEP);
-        let n = survived(&self.set, now - self.born);
-        self.worst_of_n = self.worst_of_n.max(mean / n);
-        self.worst_of_allowance = self.worst_of_allowance.max(mean / allowance(n));
+        let mean = self.concurrency_sum / (self.settings.concurrency_window / STEP_MS);
+        let n = survivable_concurrency(&self.settings, now - self.started_at);
+        self.max_part_of_n = self.max_part_of_n.max(mean / n);
+        self.max_part_of_allowance = self.max_part_of_allowance.max(mean / allowance(n));
     }
 }
 
 impl Fleet {
-    fn new(day: &Day) -> Fleet {
-        let mut random = Random(day.seed);
+    fn new(scenario: &Scenario) -> Fleet {
+        let mut random = Random(scenario.seed);
         let now = 1_000_000.0;
-        let servers = (0..day.cold + day.warm).map(|number| {
-            let cold = number < day.cold;
-            // All of them within the same second.
-            let born = if cold { now + (random.next() * 1000.0 / STEP).floor() * STEP } else { now };
-            Server::new(settings_of(day, cold), number as u64, born)
+        let servers = (0..scenario.cold_servers + scenario.warm_servers).map(|number| {
+            let is_cold = number < scenario.cold_servers;
+            // Cold servers start within the same second, warm ones at once.
+            let started_at =
+                if is_cold { now + (random.unit() * 1000.0 / STEP_MS).floor() * STEP_MS } else { now };
+            Server::new(server_settings(scenario, is_cold), number as u64, started_at)
         });
         let servers: Vec<Server> = servers.collect();
         let caller = |number| Caller {
-            heeds: (number as f64) < day.heed * day.callers as f64,
-            heard: BTreeMap::new(),
+            honours_feedback: (number as f64) < scenario.honouring_part * scenario.callers as f64,
+            feedback: BTreeMap::new(),
         };
-        let capacity = servers.len() as f64 * CORES / MEAN_WORK;
-        let callers = (0..day.callers).map(caller).collect();
-        Fleet { now, random, servers, callers, rate: day.load * capacity * STEP }
+        let capacity = servers.len() as f64 * CORES / MEAN_WORK_MS;
+        let callers = (0..scenario.callers).map(caller).collect();
+        Fleet { now, random, servers, callers, requests_per_step: scenario.load * capacity * STEP_MS }
     }
 
-    /// The first server that a caller does not pass by, in an order of its own each time.
-    fn choose(&mut self, caller: usize) -> Option<usize> {
+    /// Chooses a server at random; callers that honour feedback skip servers by their send share and
+    /// Retry-After.
+    fn choose_server(&mut self, caller: usize) -> Option<usize> {
         let mut order: Vec<usize> = (0..self.servers.len()).collect();
         for at in (1..order.len()).rev() {
             order.swap(at, self.random.below(at + 1));
         }
         for server in order {
-            if self.servers[server].born > self.now {
+            if self.servers[server].started_at > self.now {
                 continue;
             }
-            let heard = self.callers[caller].heard.get(&server).copied().unwrap_or_default();
-            if !self.callers[caller].heeds {
+            let feedback = self.callers[caller].feedback.get(&server).copied().unwrap_or_default();
+            if !self.callers[caller].honours_feedback {
                 return Some(server);
             }
-            let remembered =
-                heard.share.filter(|(_, at)| self.now - at <= self.servers[server].set.signal_ttl);
-            let share = remembered.map_or(1.0, |(share, _)| share);
-            if heard.away_until <= self.now && self.random.next() < share {
+            let current =
+                feedback.share.filter(|(_, at)| self.now - at <= self.servers[server].settings.signal_ttl);
+            let share = current.map_or(1.0, |(share, _)| share);
+            if feedback.retry_at <= self.now && self.random.unit() < share {
                 return Some(server);
             }
         }
         None
     }
 
-    fn send(&mut self, caller: usize, tries: usize) {
-        if let Some(server) = self.choose(caller) {
-            let work = MEAN_WORK * self.random.exponential().clamp(0.1, 4.0);
-            self.servers[server].arrive(self.now, caller, tries, work);
+    fn send_request(&mut self, caller: usize, servers_tried: usize) {
+        if let Some(server) = self.choose_server(caller) {
+            let work = MEAN_WORK_MS * self.random.exponential().clamp(0.1, 4.0);
+            self.servers[server].arrive(self.now, caller, servers_tried, work);
         }
     }
 
-    fn hear(&mut self, answer: Answer) {
-        let heard = self.callers[answer.caller].heard.entry(answer.server).or_default();
-        if let Some(share) = self.servers[answer.server].told {
-            heard.share = Some((share, self.now));
+    fn receive(&mut self, response: Response) {
+        let feedback = self.callers[response.caller].feedback.entry(response.server).or_default();
+        if let Some(share) = self.servers[response.server].signal {
+            feedback.share = Some((share, self.now));
         }
-        heard.away_until = heard.away_until.max(self.now + answer.pause);
-        if answer.again && answer.tries < TRIES {
-            self.send(answer.caller, answer.tries + 1);
+        feedback.retry_at = feedback.retry_at.max(self.now + response.retry_after);
+        if response.may_retry && response.servers_tried < MAX_ATTEMPTS {
+            self.send_request(response.caller, response.servers_tried + 1);
         }
     }
 
     fn step(&mut self) {
-        self.now += STEP;
-        let mut asked = self.rate;
-        while asked > self.random.next() {
-            asked -= 1.0;
+        self.now += STEP_MS;
+        let mut remaining = self.requests_per_step;
+        while remaining > self.random.unit() {
+            remaining -= 1.0;
             let caller = self.random.below(self.callers.len());
-            self.send(caller, 1);
+            self.send_request(caller, 1);
         }
         let now = self.now;
-        let mut answers = vec![];
+        let mut responses = vec![];
         for (number, server) in self.servers.iter_mut().enumerate() {
-            if server.born <= now {
-                server.work(now);
-                answers.extend(server.decide(number, now));
+            if server.started_at <= now {
+                server.advance_cores(now);
+                responses.extend(server.run_batch(number, now));
             }
         }
-        for answer in answers {
-            self.hear(answer);
+        for response in responses {
+            self.receive(response);
         }
     }
 
-    fn play(day: &Day, span: f64) -> Fleet {
-        let mut fleet = Fleet::new(day);
-        let until = fleet.now + span;
+    fn run(scenario: &Scenario, duration: f64) -> Fleet {
+        let mut fleet = Fleet::new(scenario);
+        let until = fleet.now + duration;
         while fleet.now < until {
             fleet.step();
         }
         fleet
     }
 
-    fn worst(&self, of: impl Fn(&Server) -> f64) -> f64 {
-        self.servers.iter().map(of).fold(0.0, f64::max)
+    fn max(&self, value: impl Fn(&Server) -> f64) -> f64 {
+        self.servers.iter().map(value).fold(0.0, f64::max)
     }
 }
 
-/// Every kind of day: twenty and thirty starts, callers that heed and that don't, with calls and without, alone and among
-/// as many warm servers.
-fn days() -> impl Iterator<Item = Day> {
-    [20, 30].into_iter().flat_map(|cold| {
+/// Twenty and thirty cold servers, with callers that honour feedback, ignore it or are mixed, at loads below
+/// and above capacity; alone with downstream calls, or without calls beside as many warm servers.
+fn scenarios() -> impl Iterator<Item = Scenario> {
+    [20, 30].into_iter().flat_map(|cold_servers| {
         [(1.0, 0.9), (1.0, 1.5), (0.0, 0.9), (0.0, 1.5), (0.5, 1.2)].into_iter().flat_map(
-            move |(heed, load)| {
-                [(true, 0), (false, cold)].into_iter().map(move |(calls, warm)| {
-                    let seed = 51_070_003 + cold as u64;
-                    Day { cold, warm, callers: 150, heed, load, calls, seed }
+            move |(honouring_part, load)| {
+                [(true, 0), (false, cold_servers)].into_iter().map(move |(makes_calls, warm_servers)| {
+                    let seed = 51_070_003 + cold_servers as u64;
+                    Scenario {
+                        cold_servers,
+                        warm_servers,
+                        callers: 150,
+                        honouring_part,
+                        load,
+                        makes_calls,
+                        seed,
+                    }
                 })
             },
         )
@@ -419,47 +441,51 @@
 }
 
 #[test]
-fn no_slow_start_exceeds_its_budget_whether_callers_honour_the_share_or_not() {
-    for day in days() {
-        let fleet = Fleet::play(&day, 8_000.0);
+fn slow_start_concurrency_stays_within_its_bound() {
+    for scenario in scenarios() {
+        let fleet = Fleet::run(&scenario, 8_000.0);
         let served: usize = fleet.servers.iter().map(|server| server.served).sum();
         let (of_n, of_allowance) =
-            (fleet.worst(|server| server.worst_of_n), fleet.worst(|server| server.worst_of_allowance));
-        println!("{day:?}: {of_n:.3} of N, {of_allowance:.3} of the allowance, {served} served");
-        assert!(of_allowance <= 1.0, "{day:?}: {of_allowance:.3} of the allowance");
-        assert!(of_n <= 1.0, "{day:?}: {of_n:.3} of N");
-        assert!(served > 0, "{day:?}: nothing is served");
+            (fleet.max(|server| server.max_part_of_n), fleet.max(|server| server.max_part_of_allowance));
+        println!("{scenario:?}: {of_n:.3} of N, {of_allowance:.3} of the allowance, {served} served");
+        assert!(
+            of_allowance <= 1.0,
+            "{scenario:?}: {of_allowance:.3} of the allowance, at most 1 is allowed"
+        );
+        assert!(of_n <= 1.0, "{scenario:?}: {of_n:.3} of N, at most 1 is allowed");
+        assert!(served > 0, "{scenario:?}: no request was served");
     }
 }
 
-/// The first answer of all already tells it: callers that have heard nothing act as if it were warm.
+/// Callers without feedback treat a server as warm, so its first response must carry the reduced share.
 #[test]
 fn the_first_batch_in_slow_start_signals_the_reduced_speed() {
-    let mut set = settings();
-    (set.is_slow_start, set.slow_start_share) = (true, 0.2);
-    let driver = Driver::new(set);
+    let mut settings = settings();
+    (settings.is_slow_start, settings.slow_start_share) = (true, 0.2);
+    let driver = Driver::new(settings);
     assert_eq!(driver.signals(), [0.2]);
 }
 
-/// What waits for its call is not on the cores, and comes back unasked: all that was begun is survived together.
+/// Requests in calls are off the cores but return to them without a decision of the controller, so the bound
+/// applies to all runs that have started.
 #[test]
-fn calls_that_return_together_stay_within_the_concurrency_of_slow_start() {
-    let mut set = settings();
-    (set.cores, set.is_slow_start, set.slow_start_share) = (CORES, true, 0.2);
-    let n = survived(&set, 0.0);
-    let mut driver = Driver::new(set);
+fn returning_calls_stay_within_slow_start_concurrency() {
+    let mut settings = settings();
+    (settings.cores, settings.is_slow_start, settings.slow_start_share) = (CORES, true, 0.2);
+    let n = survivable_concurrency(&settings, 0.0);
+    let mut driver = Driver::new(settings);
     driver.gauges.runnable = Some(0.0);
     driver.batch((1..=60).map(|id| Event::RequestArrived(arrival(id, SAFE))).collect());
-    // Each run comes to its call as soon as it is begun; then all calls end, over and over, and no run does.
-    let mut seen = 0;
-    while seen < driver.log.len() {
-        let id = if let Action::Run(id) = driver.log[seen].1 { Some(id) } else { None };
-        seen += 1;
+    // Each run needs its call as soon as it starts, and none ends.
+    let mut next = 0;
+    while next < driver.log.len() {
+        let id = if let Action::Run(id) = driver.log[next].1 { Some(id) } else { None };
+        next += 1;
         if let Some(id) = id {
-            driver.one(Event::CallNeeded(id));
+            driver.event(Event::CallNeeded(id));
         }
     }
-    let begun = driver.started() as f64;
-    assert!(begun >= CORES, "its cores are used: {begun}");
-    assert!(begun <= n, "{begun} may be on the cores at once, {n} survive");
+    let started = driver.started_count() as f64;
+    assert!(started >= CORES, "{started} runs started, fewer than the {CORES} cores");
+    assert!(started <= n, "{started} runs may be on the cores at once, {n} are survivable");
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,17 +1,18 @@
-//! Shared parts of the controller's tests: settings to vary, and a driver that plays batches of events and fires the timers
-//! that the controller sets.
+//! Shared code of the controller's tests: default settings, and a driver that runs batches of events and
+//! fires the timers that the controller sets.
 #![allow(dead_code)]
 
 use loomflow::controller::Controller;
 use loomflow::interface::*;
 
+/// Indexes of the classes in [`settings`]: always idempotent, idempotent by key, never idempotent.
 pub const SAFE: usize = 0;
 pub const KEYED: usize = 1;
 pub const UNSAFE: usize = 2;
 
-pub fn class(effect: Idempotency) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
-        idempotency: effect,
+        idempotency,
         latency_objective: 2000.0,
         objective_per_work: 0.0,
         timeout: 8000.0,
@@ -27,7 +28,8 @@
     Tenant { quota_per_s }
 }
 
-/// Four cores, one class of each idempotency, a downstream tier, no deadlines from callers.
+/// Settings with four cores, one class of each idempotency and a downstream tier, without deadlines from
+/// callers.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![class(Idempotency::Always), class(Idempotency::ByKey), class(Idempotency::Never)],
@@ -84,17 +86,19 @@
     }
 }
 
-/// The arrivals of requests of a class.
+/// Arrival events of requests of one class.
 pub fn arrivals(ids: std::ops::RangeInclusive<RequestId>, class: usize) -> Vec<Event> {
     ids.map(|id| Event::RequestArrived(arrival(id, class))).collect()
 }
 
+/// Gauges of a server with idle cores.
 pub const IDLE: Gauges = Gauges {
     core_utilization: Some(0.3),
     runnable: Some(1.0),
     memory_utilization: Some(0.1),
     connections: Some(4.0),
 };
+/// Gauges of a server with busy cores and nine runnable requests.
 pub const FULL: Gauges = Gauges {
     core_utilization: Some(1.0),
     runnable: Some(9.0),
@@ -102,14 +106,15 @@
     connections: Some(4.0),
 };
 
+/// Runs a controller on a simulated clock, ms.
 pub struct Driver {
     pub controller: Controller,
     pub now: f64,
     pub gauges: Gauges,
     timers: Vec<f64>,
-    /// Runs ended by `finish_next`.
+    /// Number of runs ended by `finish_next`.
     finished: usize,
-    /// All actions, with their times.
+    /// All actions so far, with their times.
     pub log: Vec<(f64, Action)>,
 }
 
@@ -122,7 +127,7 @@
         driver
     }
 
-    /// Plays one batch now; returns its actions.
+    /// Runs one batch at the present time; returns its actions.
     pub fn batch(&mut self, events: Vec<Event>) -> Vec<Action> {
         let mut actions = vec![];
         for event in events {
@@ -138,29 +143,31 @@
         actions
     }
 
-    pub fn one(&mut self, event: Event) -> Vec<Action> {
+    pub fn event(&mut self, event: Event) -> Vec<Action> {
         self.batch(vec![event])
     }
 
     pub fn arrive(&mut self, id: RequestId, class: usize) -> Vec<Action> {
-        self.one(Event::RequestArrived(arrival(id, class)))
+        self.event(Event::RequestArrived(arrival(id, class)))
     }
 
-    pub fn finish(&mut self, id: RequestId, took: f64) -> Vec<Action> {
-        self.one(Event::RunEnded { id, outcome: AttemptOutcome::Ok, duration: took })
+    pub fn finish(&mut self, id: RequestId, duration: f64) -> Vec<Action> {
+        self.event(Event::RunEnded { id, outcome: AttemptOutcome::Ok, duration })
     }
 
-    /// Ends the run that was started first of those that have not ended.
-    pub fn finish_next(&mut self, took: f64) -> Vec<Action> {
-        let mut started =
-            self.log.iter().filter_map(|(_, a)| if let Action::Run(id) = a { Some(*id) } else { None });
-        let next = started.nth(self.finished).expect("something runs");
+    /// Ends the oldest run. All earlier runs must have been ended by this method.
+    pub fn finish_next(&mut self, duration: f64) -> Vec<Action> {
+        let mut started = self
+            .log
+            .iter()
+            .filter_map(|(_, action)| if let Action::Run(id) = action { Some(*id) } else { None });
+        let next = started.nth(self.finished).expect("no run is in progress");
         self.finished += 1;
-        self.finish(next, took)
+        self.finish(next, duration)
     }
 
-    /// Lets time pass and fires the timers; returns the actions.
-    pub fn pass(&mut self, ms: f64) -> Vec<Action> {
+    /// Advances the clock and fires due timers; returns the actions.
+    pub fn advance(&mut self, ms: f64) -> Vec<Action> {
         let end = self.now + ms;
         let mut all = vec![];
         loop {
@@ -169,7 +176,7 @@
                 Some(&at) if at <= end => {
                     self.timers.remove(0);
                     self.now = self.now.max(at);
-                    all.extend(self.one(Event::TimerFired(self.gauges)));
+                    all.extend(self.event(Event::TimerFired(self.gauges)));
                 }
                 _ => break,
             }
@@ -178,45 +185,52 @@
         all
     }
 
-    /// Runs requests one after the other, one every 50 ms, each of which was unread for `age` ms.
+    /// Runs requests one after the other, each for 50 ms and with a read delay of `age` ms.
     pub fn run_each(&mut self, ids: std::ops::RangeInclusive<RequestId>, age: f64) {
         for id in ids {
             let mut arrival = arrival(id, SAFE);
             arrival.attributes.age = age;
-            self.one(Event::RequestArrived(arrival));
-            self.pass(50.0);
+            self.event(Event::RequestArrived(arrival));
+            self.advance(50.0);
             self.finish(id, 50.0);
         }
     }
 
-    /// All values of the signal to callers, in order.
+    /// All feedback signals sent to callers, in order.
     pub fn signals(&self) -> Vec<f64> {
-        let tell = |(_, a): &(f64, Action)| if let Action::SetSignal(x) = a { Some(*x) } else { None };
-        self.log.iter().filter_map(tell).collect()
+        let value = |(_, action): &(f64, Action)| {
+            if let Action::SetSignal(value) = action { Some(*value) } else { None }
+        };
+        self.log.iter().filter_map(value).collect()
     }
 
-    /// The last value of the signal to callers; 1 before the first.
+    /// The last feedback signal sent to callers; 1 before the first.
     pub fn signal(&self) -> f64 {
         self.signals().last().copied().unwrap_or(1.0)
     }
 
-    pub fn started(&self) -> usize {
-        self.log.iter().filter(|(_, a)| matches!(a, Action::Run(_))).count()
+    /// Number of runs started so far.
+    pub fn started_count(&self) -> usize {
+        self.log.iter().filter(|(_, action)| matches!(action, Action::Run(_))).count()
     }
 }
 
-pub fn runs(actions: &[Action]) -> Vec<RequestId> {
-    actions.iter().filter_map(|a| if let Action::Run(id) = a { Some(*id) } else { None }).collect()
+/// The requests whose runs these actions start.
+pub fn started_runs(actions: &[Action]) -> Vec<RequestId> {
+    actions.iter().filter_map(|action| if let Action::Run(id) = action { Some(*id) } else { None }).collect()
 }
 
-pub fn answered(actions: &[Action], id: RequestId) -> bool {
-    actions.iter().any(|a| match a {
-        Action::Fail(x) => *x == id,
-        Action::Reject { id: x, .. } => *x == id,
+/// Whether these actions give the request its final response: a failure or a rejection.
+pub fn has_response(actions: &[Action], id: RequestId) -> bool {
+    actions.iter().any(|action| match action {
+        Action::Fail(response_id) => *response_id == id,
+        Action::Reject { id: response_id, .. } => *response_id == id,
         _ => false,
     })
 }
 
-pub fn refused(actions: &[Action], id: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { id: x, .. } if *x == id))
+pub fn is_rejected(actions: &[Action], id: RequestId) -> bool {
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Reject { id: response_id, .. } if *response_id == id))
 }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,146 +1,160 @@
-//! The controller in the smallest cases in which generated days (`tests/generated`) broke a rule, with settings beyond those of
-//! any site: one test for each.
+//! Regression tests of the controller: one for each rule violation found by generated cases
+//! (`tests/generated`), reduced to the smallest case. Some settings are outside the ranges of all sites.
 
 mod common;
 use common::*;
 use loomflow::interface::*;
 
-fn calls(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Call { .. })).count()
+fn call_count(actions: &[Action]) -> usize {
+    actions.iter().filter(|action| matches!(action, Action::Call { .. })).count()
 }
 
-/// An entry ran out while its request was still held; a later try, unconnected, ran beside it.
+/// A key expired while its request was still queued, and a later attempt was run beside it as a new request.
 #[test]
 fn a_retained_key_outlives_its_request() {
-    let mut s = settings();
-    s.classes[KEYED].idempotency_window = 100.0;
-    let mut d = Driver::new(s);
-    let actions = d.arrive(1, KEYED);
-    let remembered = actions.iter().find_map(|a| match a {
-        Action::RetainKey { id: 1, ttl: span } => Some(*span),
+    let mut settings = settings();
+    settings.classes[KEYED].idempotency_window = 100.0;
+    let mut driver = Driver::new(settings);
+    let actions = driver.arrive(1, KEYED);
+    let ttl = actions.iter().find_map(|action| match action {
+        Action::RetainKey { id: 1, ttl } => Some(*ttl),
         _ => None,
     });
-    assert!(remembered.is_some_and(|span| span >= 8000.0), "{remembered:?}");
+    assert!(
+        ttl.is_some_and(|ttl| ttl >= 8000.0),
+        "the key is retained for {ttl:?} ms, at least 8000 ms are needed"
+    );
 }
 
-/// Repeats that waited for another's result were in no account that gives way, and filled the memory.
+/// Load shedding did not count duplicates that wait for the result of their original, so they filled the
+/// memory.
 #[test]
-fn waiting_repeats_are_shed_before_memory_is_exhausted() {
-    let mut s = settings();
-    s.memory_kb = 1000.0;
-    let mut d = Driver::new(s);
-    d.arrive(1, KEYED);
-    let mut gone = 0;
+fn waiting_duplicates_are_shed_before_memory_is_exhausted() {
+    let mut settings = settings();
+    settings.memory_kb = 1000.0;
+    let mut driver = Driver::new(settings);
+    driver.arrive(1, KEYED);
+    let mut failed = 0;
     for batch in 0..20u32 {
-        let repeat = |n: u32| {
+        let duplicate = |n: u32| {
             Event::RequestArrived(Arrival { original: Some(1), ..arrival(100 + batch * 10 + n, KEYED) })
         };
-        let actions = d.batch((0..10).map(repeat).collect());
-        gone += actions.iter().filter(|a| matches!(a, Action::Fail(_))).count();
+        let actions = driver.batch((0..10).map(duplicate).collect());
+        failed += actions.iter().filter(|action| matches!(action, Action::Fail(_))).count();
     }
-    // One runs at eight times its 10 KB and has an entry of 10 KB.
-    let used = 90.0 + (200 - gone) as f64 * 10.0;
-    assert!(used <= 1000.0, "{used} KB");
-    assert!(gone < 150, "{gone} gave way");
+    // The original runs at eight times its 10 KB and has a retained key of 10 KB.
+    let used = 90.0 + (200 - failed) as f64 * 10.0;
+    assert!(used <= 1000.0, "{used} KB in use, 1000 KB are available");
+    assert!(failed < 150, "{failed} duplicates failed, at most 149 may");
 }
 
-/// With one core that survives one and a half runs, two were begun: the last run was begun under the bound, not within it.
+/// On one core with a survivable concurrency of 1.5, two runs started: the bound was compared without the new
+/// run.
 #[test]
 fn the_concurrency_limit_includes_the_run_started_last() {
-    let mut s = settings();
-    (s.cores, s.core_concurrency) = (1.0, 1.5);
-    let mut d = Driver::new(s);
-    d.gauges.runnable = Some(0.0);
-    d.pass(60.0);
-    d.batch(arrivals(1..=4, SAFE));
-    // A run that ends on an idle core with work held raises the limit.
-    assert_eq!(runs(&d.finish_next(60.0)).len(), 1);
+    let mut settings = settings();
+    (settings.cores, settings.core_concurrency) = (1.0, 1.5);
+    let mut driver = Driver::new(settings);
+    driver.gauges.runnable = Some(0.0);
+    driver.advance(60.0);
+    driver.batch(arrivals(1..=4, SAFE));
+    // A run that ends on an idle core while requests are queued raises the limit.
+    assert_eq!(started_runs(&driver.finish_next(60.0)).len(), 1);
 }
 
-/// Runs waiting for a permit were bounded by the running limit alone, calls in hand by their permits alone; a
-/// dependency that came back returned both to the cores at once.
+/// Runs that wait for a permit were bounded by the concurrency limit alone, and calls in flight by their
+/// permits alone; a dependency that recovered returned both to the cores at once.
 #[test]
 fn runs_and_returning_calls_stay_within_the_survivable_concurrency() {
-    let mut s = settings();
-    (s.cores, s.core_concurrency, s.downstream, s.call_quota) = (2.0, 8.0, Downstream::Shared, 12.0);
-    let mut d = Driver::new(s);
-    let (mut begun, mut next): (Vec<RequestId>, RequestId) = (vec![], 1);
-    // Quick runs on idle cores with work held raise the limit to its ceiling.
+    let mut settings = settings();
+    (settings.cores, settings.core_concurrency, settings.downstream, settings.call_quota) =
+        (2.0, 8.0, Downstream::Shared, 12.0);
+    let mut driver = Driver::new(settings);
+    let (mut started, mut next): (Vec<RequestId>, RequestId) = (vec![], 1);
+    // Short runs on idle cores with a queue raise the limit to its maximum.
     for _ in 0..30 {
-        begun.extend(runs(&d.batch(arrivals(next..=next + 3, UNSAFE))));
+        started.extend(started_runs(&driver.batch(arrivals(next..=next + 3, UNSAFE))));
         next += 4;
-        d.pass(60.0);
-        let id = begun.remove(0);
-        begun.extend(runs(&d.finish(id, 60.0)));
+        driver.advance(60.0);
+        let id = started.remove(0);
+        started.extend(started_runs(&driver.finish(id, 60.0)));
     }
-    // From now on everything goes to a dependency that does not answer.
+    // From now on every run calls a dependency that does not reply.
     let mut waiting = 0;
-    while let Some(id) = begun.pop() {
-        begun.extend(runs(&d.one(Event::CallNeeded(id))));
+    while let Some(id) = started.pop() {
+        started.extend(started_runs(&driver.event(Event::CallNeeded(id))));
         waiting += 1;
     }
-    assert!(waiting <= 16, "{waiting} may come back to cores that survive 16");
-    assert!(waiting >= 8, "{waiting} make use of it");
+    assert!(waiting <= 16, "{waiting} runs may return from calls, 16 are survivable");
+    assert!(waiting >= 8, "{waiting} runs wait for calls, at least 8 are expected");
 }
 
-/// A loan is never shorter than a call may linger; where the share has no room for that, there is none.
+/// A permit is borrowed only if the credit covers the linger of an abandoned call; a quota whose credit never
+/// does allows no call.
 #[test]
 fn no_call_is_made_that_would_exceed_the_call_quota() {
-    let mut s = settings();
-    (s.downstream, s.call_quota, s.call_quota_window, s.call_linger) =
+    let mut settings = settings();
+    (settings.downstream, settings.call_quota, settings.call_quota_window, settings.call_linger) =
         (Downstream::Shared, 0.02, 1000.0, 200.0);
-    let mut d = Driver::new(s);
-    d.arrive(1, SAFE);
-    let mut actions = d.one(Event::CallNeeded(1));
-    actions.extend(d.pass(1500.0));
-    assert_eq!(calls(&actions), 0, "200 ms of a span of 1,000 are ten times the share");
+    let mut driver = Driver::new(settings);
+    driver.arrive(1, SAFE);
+    let mut actions = driver.event(Event::CallNeeded(1));
+    actions.extend(driver.advance(1500.0));
+    assert_eq!(
+        call_count(&actions),
+        0,
+        "a call that lingers for 200 ms of a window of 1,000 ms uses ten times the quota"
+    );
 }
 
-/// With room on the cores, but none under the limit, the only one held was to be tried, and stood to its end.
+/// With idle cores but a full concurrency limit, the only queued request was treated as able to start and
+/// stayed until its deadline.
 #[test]
-fn a_hopeless_request_is_rejected_although_cores_are_idle() {
-    let mut d = Driver::new(settings());
+fn a_request_that_would_be_late_is_rejected_although_cores_are_idle() {
+    let mut driver = Driver::new(settings());
     for id in 1..=6 {
-        d.arrive(id, SAFE);
-        d.pass(300.0);
-        d.finish(id, 300.0);
+        driver.arrive(id, SAFE);
+        driver.advance(300.0);
+        driver.finish(id, 300.0);
     }
-    d.batch(arrivals(11..=14, UNSAFE));
-    d.arrive(20, SAFE);
-    // All four wait for a disk: the cores are idle and the limit is full. 300 of its 2,000 ms are needed.
-    assert!(refused(&d.pass(1760.0), 20));
+    driver.batch(arrivals(11..=14, UNSAFE));
+    driver.arrive(20, SAFE);
+    // Four runs wait for a disk, so the cores are idle and the limit is full. The run needs 300 ms of its
+    // objective of 2,000 ms.
+    assert!(is_rejected(&driver.advance(1760.0), 20));
 }
 
-/// What calls take was learnt to be less while it was held; its last look was then the one before its due time.
+/// The expected call time fell while the request was queued, and the request was not checked again before its
+/// deadline.
 #[test]
-fn a_request_is_rejected_once_it_becomes_hopeless() {
-    let mut d = Driver::new(settings());
+fn a_request_is_rejected_once_it_would_be_late() {
+    let mut driver = Driver::new(settings());
     for id in 1..=30 {
-        d.arrive(id, SAFE);
-        d.one(Event::CallNeeded(id));
-        d.pass(500.0);
-        d.one(Event::CallEnded { id, outcome: AttemptOutcome::Ok, duration: 500.0 });
-        d.finish(id, 510.0);
+        driver.arrive(id, SAFE);
+        driver.event(Event::CallNeeded(id));
+        driver.advance(500.0);
+        driver.event(Event::CallEnded { id, outcome: AttemptOutcome::Ok, duration: 500.0 });
+        driver.finish(id, 510.0);
     }
-    d.gauges = FULL;
-    d.pass(60.0);
-    d.batch(arrivals(100..=103, SAFE));
-    d.batch((100..=103).map(Event::CallNeeded).collect());
-    d.batch(arrivals(201..=204, UNSAFE));
-    assert!(runs(&d.arrive(300, SAFE)).is_empty());
-    d.pass(20.0);
-    let back = |id| Event::CallEnded { id, outcome: AttemptOutcome::Ok, duration: 20.0 };
-    d.batch((100..=103).map(back).collect());
-    (100..=103).for_each(|id| drop(d.finish(id, 30.0)));
-    assert!(refused(&d.pass(2060.0), 300));
+    driver.gauges = FULL;
+    driver.advance(60.0);
+    driver.batch(arrivals(100..=103, SAFE));
+    driver.batch((100..=103).map(Event::CallNeeded).collect());
+    driver.batch(arrivals(201..=204, UNSAFE));
+    assert!(started_runs(&driver.arrive(300, SAFE)).is_empty());
+    driver.advance(20.0);
+    let call_ended = |id| Event::CallEnded { id, outcome: AttemptOutcome::Ok, duration: 20.0 };
+    driver.batch((100..=103).map(call_ended).collect());
+    (100..=103).for_each(|id| drop(driver.finish(id, 30.0)));
+    assert!(is_rejected(&driver.advance(2060.0), 300));
 }
 
-/// The stop came before the next heartbeat.
+/// The process was killed before the next tick.
 #[test]
-fn a_shutdown_shorter_than_a_tick_answers_everything_immediately() {
-    let mut d = Driver::new(settings());
-    d.batch(arrivals(1..=9, SAFE));
-    d.pass(55.0);
-    let actions = d.one(Event::ShutdownRequested { time_left: 30.0 });
-    assert!((1..=9).all(|id| answered(&actions, id)), "{actions:?}");
+fn a_shutdown_shorter_than_a_tick_responds_to_all_requests_at_once() {
+    let mut driver = Driver::new(settings());
+    driver.batch(arrivals(1..=9, SAFE));
+    driver.advance(55.0);
+    let actions = driver.event(Event::ShutdownRequested { time_left: 30.0 });
+    assert!((1..=9).all(|id| has_response(&actions, id)), "{actions:?}");
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -1,5 +1,5 @@
-//! The controller's mechanisms against the sentences of the design, one test for each: the send share, the concurrency limit
-//! and the permits for calls.
+//! Tests of the controller's mechanisms, one for each statement of the design: the send share, the
+//! concurrency limit and the call permits.
 
 mod common;
 use common::*;
@@ -7,387 +7,441 @@
 
 #[test]
 fn the_share_is_one_below_the_setpoint() {
-    let mut d = Driver::new(settings());
-    d.run_each(1..=100, 20.0);
-    assert_eq!(d.signal(), 1.0);
-    assert!(!d.log.iter().any(|(_, a)| matches!(a, Action::SetSignal(_))));
+    let mut driver = Driver::new(settings());
+    driver.run_each(1..=100, 20.0);
+    assert_eq!(driver.signal(), 1.0);
+    assert!(!driver.log.iter().any(|(_, action)| matches!(action, Action::SetSignal(_))));
 }
 
 #[test]
 fn the_share_falls_in_bounded_steps_to_its_floor_and_recovers() {
-    let mut d = Driver::new(settings());
-    d.run_each(1..=200, 1500.0);
-    let shares = d.signals();
-    assert!(shares[0] < 1.0, "it fell at once: {shares:?}");
+    let mut driver = Driver::new(settings());
+    driver.run_each(1..=200, 1500.0);
+    let shares = driver.signals();
+    assert!(shares[0] < 1.0, "the first share sent is below 1: {shares:?}");
     let mut last = 1.0;
-    for x in &shares {
-        assert!((0.05..=1.0).contains(x));
-        assert!((x - last).abs() <= 0.2 + 1e-9, "step from {last} to {x}");
-        last = *x;
+    for share in &shares {
+        assert!((0.05..=1.0).contains(share));
+        assert!(
+            (share - last).abs() <= 0.2 + 1e-9,
+            "the share changed from {last} to {share}, by more than 0.2"
+        );
+        last = *share;
     }
-    assert!((last - 0.05).abs() < 1e-6, "ended at {last}");
-    // The integral was frozen at the clamp: minutes of overload are not paid back for minutes.
-    d.run_each(1000..=1599, 1500.0);
-    d.run_each(2000..=2399, 10.0);
-    assert_eq!(d.signal(), 1.0);
+    assert!((last - 0.05).abs() < 1e-6, "the last share is {last}, the minimum is 0.05");
+    // The integral stops at the clamp of the share, so a long overload does not delay the recovery.
+    driver.run_each(1000..=1599, 1500.0);
+    driver.run_each(2000..=2399, 10.0);
+    assert_eq!(driver.signal(), 1.0);
 }
 
 #[test]
-fn without_finished_runs_the_oldest_queued_request_is_the_delay() {
-    let mut d = Driver::new(settings());
-    d.gauges = FULL;
+fn without_finished_runs_the_oldest_queue_time_lowers_the_share() {
+    let mut driver = Driver::new(settings());
+    driver.gauges = FULL;
     for id in 1..=8 {
-        d.arrive(id, SAFE);
+        driver.arrive(id, SAFE);
     }
-    assert_eq!(d.started(), 4);
-    d.pass(1500.0);
-    assert!(d.signal() < 1.0, "four have been held for 1.5 s and none finished");
+    assert_eq!(driver.started_count(), 4);
+    driver.advance(1500.0);
+    assert!(
+        driver.signal() < 1.0,
+        "share {}: four requests have been queued for 1.5 s and no run has finished",
+        driver.signal()
+    );
 }
 
 #[test]
-fn unread_wait_counts_as_delay_with_an_empty_queue() {
-    let mut d = Driver::new(settings());
-    // A slow server: what is read has waited long, and next to nothing finishes.
+fn read_delay_lowers_the_share_with_an_empty_queue() {
+    let mut driver = Driver::new(settings());
+    // A slow server: requests are read late and no run finishes.
     for id in 1..=4 {
-        let mut a = arrival(id, UNSAFE);
-        a.attributes.age = 1500.0;
-        d.one(Event::RequestArrived(a));
-        d.pass(400.0);
+        let mut request = arrival(id, UNSAFE);
+        request.attributes.age = 1500.0;
+        driver.event(Event::RequestArrived(request));
+        driver.advance(400.0);
     }
-    assert!(d.signal() < 0.8, "signal {}", d.signal());
+    assert!(driver.signal() < 0.8, "signal {}", driver.signal());
 }
 
 #[test]
 fn a_stalled_server_lowers_its_share() {
-    let mut d = Driver::new(settings());
+    let mut driver = Driver::new(settings());
     for id in 1..=12 {
-        d.arrive(id, UNSAFE);
-        d.pass(100.0);
+        driver.arrive(id, UNSAFE);
+        driver.advance(100.0);
     }
-    d.pass(800.0);
-    assert!(d.signal() < 0.5, "silence is not health: {}", d.signal());
+    driver.advance(800.0);
+    assert!(driver.signal() < 0.5, "share {} although no run ends", driver.signal());
 }
 
 #[test]
-fn the_run_limit_starts_at_the_number_of_cores() {
-    let mut d = Driver::new(settings());
+fn the_concurrency_limit_starts_at_the_number_of_cores() {
+    let mut driver = Driver::new(settings());
     let batch = (1..=10).map(|id| Event::RequestArrived(arrival(id, SAFE))).collect();
-    assert_eq!(runs(&d.batch(batch)).len(), 4);
+    assert_eq!(started_runs(&driver.batch(batch)).len(), 4);
 }
 
 #[test]
-fn the_run_limit_rises_by_one_per_run_only_while_cores_idle_and_requests_are_queued() {
-    let mut d = Driver::new(settings());
-    d.batch((1..=10).map(|id| Event::RequestArrived(arrival(id, SAFE))).collect());
-    d.gauges = FULL;
-    d.pass(60.0);
-    assert_eq!(runs(&d.finish(1, 60.0)).len(), 1, "one in for one out on full cores");
-    d.gauges = IDLE;
-    d.pass(60.0);
-    assert_eq!(runs(&d.finish(2, 120.0)).len(), 2, "one more on idle cores");
+fn the_concurrency_limit_rises_only_on_idle_cores_with_a_queue() {
+    let mut driver = Driver::new(settings());
+    driver.batch((1..=10).map(|id| Event::RequestArrived(arrival(id, SAFE))).collect());
+    driver.gauges = FULL;
+    driver.advance(60.0);
+    assert_eq!(
+        started_runs(&driver.finish(1, 60.0)).len(),
+        1,
+        "on full cores one run starts for each that ends"
+    );
+    driver.gauges = IDLE;
+    driver.advance(60.0);
+    assert_eq!(started_runs(&driver.finish(2, 120.0)).len(), 2, "on idle cores one more run starts");
 }
 
 #[test]
-fn the_run_limit_is_cut_at_most_once_per_period_and_not_below_the_cores() {
-    let mut d = Driver::new(settings());
-    d.batch((1..=60).map(|id| Event::RequestArrived(arrival(id, UNSAFE))).collect());
-    d.pass(60.0);
+fn the_concurrency_limit_falls_once_per_period_down_to_the_cores() {
+    let mut driver = Driver::new(settings());
+    driver.batch((1..=60).map(|id| Event::RequestArrived(arrival(id, UNSAFE))).collect());
+    driver.advance(60.0);
     for _ in 0..6 {
-        d.finish_next(60.0);
+        driver.finish_next(60.0);
     }
-    let running = d.started() - 6;
-    assert_eq!(running, 10, "six rises over four cores");
-    d.gauges = FULL;
-    d.pass(300.0);
-    // Past the aim on full cores: 10 becomes 8; a second one within the period cuts nothing.
-    assert_eq!(runs(&d.finish_next(2100.0)).len(), 0);
-    assert_eq!(runs(&d.finish_next(2100.0)).len(), 0);
-    assert_eq!(runs(&d.finish_next(2100.0)).len(), 1, "seven are left under a limit of eight");
+    let running = driver.started_count() - 6;
+    assert_eq!(running, 10, "running: four cores and six increases");
+    driver.gauges = FULL;
+    driver.advance(300.0);
+    // Runs that end late on full cores lower the limit from 10 to 8, once within a period.
+    assert_eq!(started_runs(&driver.finish_next(2100.0)).len(), 0);
+    assert_eq!(started_runs(&driver.finish_next(2100.0)).len(), 0);
+    assert_eq!(
+        started_runs(&driver.finish_next(2100.0)).len(),
+        1,
+        "seven runs are left under a limit of eight"
+    );
     for id in 10..=18 {
-        d.pass(300.0);
-        d.batch((0..3).map(|n| Event::RequestArrived(arrival(id * 100 + n, UNSAFE))).collect());
-        d.finish_next(2100.0);
+        driver.advance(300.0);
+        driver.batch((0..3).map(|n| Event::RequestArrived(arrival(id * 100 + n, UNSAFE))).collect());
+        driver.finish_next(2100.0);
     }
-    let running = d.started() - 18;
-    assert_eq!(running, 4, "the cores are the floor");
+    let running = driver.started_count() - 18;
+    assert_eq!(running, 4, "running: the limit never falls below the four cores");
 }
 
 #[test]
 fn upstream_time_counts_against_objective_and_timeout_but_not_as_delay() {
-    let mut d = Driver::new(settings());
+    let mut driver = Driver::new(settings());
     let spent = |id, class, spent| {
-        let mut a = arrival(id, class);
-        a.attributes.upstream_time = spent;
-        Event::RequestArrived(a)
+        let mut request = arrival(id, class);
+        request.attributes.upstream_time = spent;
+        Event::RequestArrived(request)
     };
-    // Four run, one with 6,500 ms left of its 8,000; what is held has 100 ms left of its aim of 2,000.
+    // Four run, one of them with 6,500 ms left of its timeout of 8,000; the queued one has 100 ms left of its
+    // objective of 2,000.
     let mut first: Vec<Event> = (1..=3).map(|id| Event::RequestArrived(arrival(id, UNSAFE))).collect();
     first.push(spent(4, UNSAFE, 1_500.0));
-    assert_eq!(runs(&d.batch(first)).len(), 4);
-    assert!(!answered(&d.one(spent(5, UNSAFE, 1_900.0)), 5));
-    assert!(answered(&d.pass(150.0), 5));
-    assert!(!answered(&d.pass(6_200.0), 4) && answered(&d.pass(140.0), 4));
-    // Nothing is left of its time, and nothing of its aim.
-    assert!(refused(&d.one(spent(6, SAFE, 7_990.0)), 6));
-    d.one(spent(7, SAFE, 2_000.0));
-    assert!(refused(&d.pass(60.0), 7));
-    d.batch((8..60).map(|id| spent(id, SAFE, 1_990.0)).collect());
-    (1..=3).for_each(|id| drop(d.finish(id, 60.0)));
-    d.pass(300.0);
-    assert_eq!(d.signal(), 1.0);
+    assert_eq!(started_runs(&driver.batch(first)).len(), 4);
+    assert!(!has_response(&driver.event(spent(5, UNSAFE, 1_900.0)), 5));
+    assert!(has_response(&driver.advance(150.0), 5));
+    assert!(!has_response(&driver.advance(6_200.0), 4) && has_response(&driver.advance(140.0), 4));
+    // Request 6 has 10 ms left of its timeout, request 7 nothing of its objective.
+    assert!(is_rejected(&driver.event(spent(6, SAFE, 7_990.0)), 6));
+    driver.event(spent(7, SAFE, 2_000.0));
+    assert!(is_rejected(&driver.advance(60.0), 7));
+    driver.batch((8..60).map(|id| spent(id, SAFE, 1_990.0)).collect());
+    (1..=3).for_each(|id| drop(driver.finish(id, 60.0)));
+    driver.advance(300.0);
+    assert_eq!(driver.signal(), 1.0);
 }
 
 #[test]
-fn time_at_calls_is_not_run_latency() {
-    let mut d = Driver::new(settings());
-    d.batch((1..=30).map(|id| Event::RequestArrived(arrival(id, UNSAFE))).collect());
-    d.pass(60.0);
+fn call_time_does_not_count_as_run_time() {
+    let mut driver = Driver::new(settings());
+    driver.batch((1..=30).map(|id| Event::RequestArrived(arrival(id, UNSAFE))).collect());
+    driver.advance(60.0);
     for id in 1..=4 {
-        d.finish(id, 60.0);
+        driver.finish(id, 60.0);
     }
-    d.gauges = FULL;
-    d.pass(300.0);
-    d.one(Event::CallNeeded(5));
-    d.pass(1900.0);
-    d.one(Event::CallEnded { id: 5, outcome: AttemptOutcome::Ok, duration: 1900.0 });
-    d.batch((31..=40).map(|id| Event::RequestArrived(arrival(id, UNSAFE))).collect());
-    let before = d.started();
-    d.finish(5, 2200.0);
-    d.finish(6, 300.0);
-    assert_eq!(d.started() - before, 1, "the request back from its call was counted again, no cut");
+    driver.gauges = FULL;
+    driver.advance(300.0);
+    driver.event(Event::CallNeeded(5));
+    driver.advance(1900.0);
+    driver.event(Event::CallEnded { id: 5, outcome: AttemptOutcome::Ok, duration: 1900.0 });
+    driver.batch((31..=40).map(|id| Event::RequestArrived(arrival(id, UNSAFE))).collect());
+    let before = driver.started_count();
+    driver.finish(5, 2200.0);
+    driver.finish(6, 300.0);
+    assert_eq!(
+        driver.started_count() - before,
+        1,
+        "runs started: the request that returned from its call counts, and the limit did not fall"
+    );
 }
 
 #[test]
-fn a_request_in_a_call_frees_its_run_slot_and_one_waiting_for_a_call_does_not() {
-    let mut s = settings();
-    // A permit for one call, none lent: it could linger past what the share leaves beyond it.
-    (s.cores, s.core_concurrency, s.downstream, s.call_quota, s.call_linger) =
-        (1.0, 8.0, Downstream::Shared, 1.2, 5000.0);
-    let mut d = Driver::new(s);
-    d.gauges = FULL;
-    d.pass(60.0);
-    d.batch((1..=5).map(|id| Event::RequestArrived(arrival(id, SAFE))).collect());
-    assert_eq!(d.started(), 1);
-    let actions = d.one(Event::CallNeeded(1));
-    assert!(actions.iter().any(|a| matches!(a, Action::Call { id: 1, .. })));
-    assert_eq!(runs(&actions).len(), 1, "its core is free");
-    let second = runs(&actions)[0];
-    let actions = d.one(Event::CallNeeded(second));
-    assert!(!actions.iter().any(|a| matches!(a, Action::Call { .. })), "one call in hand at a time");
-    assert!(runs(&actions).is_empty(), "it waits for a free call and stays counted");
+fn only_a_request_in_a_call_frees_its_run_slot() {
+    let mut settings = settings();
+    // One full permit and none to borrow: an abandoned call would linger for longer than the credit allows.
+    (
+        settings.cores,
+        settings.core_concurrency,
+        settings.downstream,
+        settings.call_quota,
+        settings.call_linger,
+    ) = (1.0, 8.0, Downstream::Shared, 1.2, 5000.0);
+    let mut driver = Driver::new(settings);
+    driver.gauges = FULL;
+    driver.advance(60.0);
+    driver.batch((1..=5).map(|id| Event::RequestArrived(arrival(id, SAFE))).collect());
+    assert_eq!(driver.started_count(), 1);
+    let actions = driver.event(Event::CallNeeded(1));
+    assert!(actions.iter().any(|action| matches!(action, Action::Call { id: 1, .. })));
+    assert_eq!(started_runs(&actions).len(), 1, "runs started: the core of the request in a call is free");
+    let second = started_runs(&actions)[0];
+    let actions = driver.event(Event::CallNeeded(second));
+    assert!(
+        !actions.iter().any(|action| matches!(action, Action::Call { .. })),
+        "a second call started with one permit"
+    );
+    assert!(started_runs(&actions).is_empty(), "a request that waits for a permit keeps its run slot");
 }
 
-/// One call a core idled both tiers; without any bound, all that came back at once would crowd the cores.
+/// With one call for each core both tiers were idle; without a bound, calls that return at once would
+/// overload the cores.
 #[test]
-fn calls_to_a_tier_are_bounded_by_the_concurrency_of_their_return() {
-    let in_hand = |cold: bool| {
-        let mut s = settings();
-        (s.cores, s.is_slow_start, s.slow_start_share) = (2.0, cold, 0.1);
-        let mut d = Driver::new(s);
-        d.gauges.runnable = Some(0.0);
-        d.pass(60.0);
-        d.batch((1..=30).map(|id| Event::RequestArrived(arrival(id, SAFE))).collect());
+fn calls_to_a_tier_are_bounded_by_the_survivable_concurrency() {
+    let calls_in_flight = |is_slow_start: bool| {
+        let mut settings = settings();
+        (settings.cores, settings.is_slow_start, settings.slow_start_share) = (2.0, is_slow_start, 0.1);
+        let mut driver = Driver::new(settings);
+        driver.gauges.runnable = Some(0.0);
+        driver.advance(60.0);
+        driver.batch((1..=30).map(|id| Event::RequestArrived(arrival(id, SAFE))).collect());
         let mut calls = 0;
         for id in 1..=30 {
-            let actions = d.one(Event::CallNeeded(id));
-            calls += actions.iter().filter(|a| matches!(a, Action::Call { .. })).count();
+            let actions = driver.event(Event::CallNeeded(id));
+            calls += actions.iter().filter(|action| matches!(action, Action::Call { .. })).count();
         }
         calls
     };
-    assert!((5..=7).contains(&in_hand(false)), "{}", in_hand(false));
-    assert!((1..=2).contains(&in_hand(true)), "{}", in_hand(true));
+    assert!((5..=7).contains(&calls_in_flight(false)), "{}", calls_in_flight(false));
+    assert!((1..=2).contains(&calls_in_flight(true)), "{}", calls_in_flight(true));
 }
 
 #[test]
 fn a_call_quota_below_one_is_a_permit_for_part_of_the_time() {
-    let mut s = settings();
-    s.downstream = Downstream::Shared;
-    s.call_quota = 0.4;
-    s.classes[SAFE].timeout = 60_000.0;
-    s.classes[SAFE].latency_objective = 50_000.0;
-    let mut d = Driver::new(s);
-    let mut in_hand = 0.0;
+    let mut settings = settings();
+    settings.downstream = Downstream::Shared;
+    settings.call_quota = 0.4;
+    settings.classes[SAFE].timeout = 60_000.0;
+    settings.classes[SAFE].latency_objective = 50_000.0;
+    let mut driver = Driver::new(settings);
+    let mut calls_in_flight = 0.0;
     let (mut seen, mut calling) = (0, None::<(RequestId, f64)>);
     for next in 1..=600 {
-        for id in runs(&d.arrive(next, SAFE)) {
-            d.one(Event::CallNeeded(id));
+        for id in started_runs(&driver.arrive(next, SAFE)) {
+            driver.event(Event::CallNeeded(id));
         }
-        d.pass(50.0);
-        for (at, action) in &d.log[seen..] {
+        driver.advance(50.0);
+        for (at, action) in &driver.log[seen..] {
             if let Action::Call { id, .. } = action {
-                assert!(calling.is_none(), "a second call at a share under one");
+                assert!(
+                    calling.is_none(),
+                    "call {id} started while another is in flight, with a quota below 1"
+                );
                 calling = Some((*id, *at));
             }
         }
-        seen = d.log.len();
-        if let Some((id, at)) = calling.filter(|(_, at)| d.now - at >= 200.0) {
+        seen = driver.log.len();
+        if let Some((id, at)) = calling.filter(|(_, at)| driver.now - at >= 200.0) {
             calling = None;
-            in_hand += d.now - at;
-            d.one(Event::CallEnded { id, outcome: AttemptOutcome::Ok, duration: d.now - at });
-            for started in runs(&d.finish(id, d.now - at)) {
-                d.one(Event::CallNeeded(started));
+            calls_in_flight += driver.now - at;
+            driver.event(Event::CallEnded { id, outcome: AttemptOutcome::Ok, duration: driver.now - at });
+            for started in started_runs(&driver.finish(id, driver.now - at)) {
+                driver.event(Event::CallNeeded(started));
             }
         }
     }
-    let mean = in_hand / (600.0 * 50.0);
-    assert!(mean <= 0.4, "mean in hand {mean}");
-    assert!(mean > 0.1, "it is used: {mean}");
+    let mean = calls_in_flight / (600.0 * 50.0);
+    assert!(mean <= 0.4, "mean calls in flight {mean}, the quota is 0.4");
+    assert!(mean > 0.1, "mean calls in flight {mean}, the quota of 0.4 is not used");
 }
 
 #[test]
-fn a_server_in_slow_start_asks_for_its_reduced_speed_only() {
-    let mut s = settings();
-    s.is_slow_start = true;
-    let mut d = Driver::new(s);
-    d.run_each(1..=10, 20.0);
-    assert!(d.signal() < 0.5, "signal {}", d.signal());
-    d.pass(16_000.0);
-    assert_eq!(d.signal(), 1.0);
+fn a_server_in_slow_start_sends_a_reduced_share() {
+    let mut settings = settings();
+    settings.is_slow_start = true;
+    let mut driver = Driver::new(settings);
+    driver.run_each(1..=10, 20.0);
+    assert!(driver.signal() < 0.5, "signal {}", driver.signal());
+    driver.advance(16_000.0);
+    assert_eq!(driver.signal(), 1.0);
 }
 
 #[test]
 fn the_share_is_expressed_in_the_feedback_signal_of_the_site() {
-    for (signal, low) in [(FeedbackSignal::LowestRank, true), (FeedbackSignal::Credit, false)] {
-        let mut s = settings();
-        s.feedback_signal = signal;
-        let mut d = Driver::new(s);
-        d.run_each(1..=200, 1500.0);
-        let value = d.signal();
-        assert!(if low { value > 0.9 } else { value > 0.0 && value < 1.0 }, "{signal:?} {value}");
+    for (signal, is_inverse) in [(FeedbackSignal::LowestRank, true), (FeedbackSignal::Credit, false)] {
+        let mut settings = settings();
+        settings.feedback_signal = signal;
+        let mut driver = Driver::new(settings);
+        driver.run_each(1..=200, 1500.0);
+        let value = driver.signal();
+        assert!(if is_inverse { value > 0.9 } else { value > 0.0 && value < 1.0 }, "{signal:?} {value}");
     }
-    let mut s = settings();
-    s.feedback_signal = FeedbackSignal::Unused;
-    let mut d = Driver::new(s);
-    d.run_each(1..=100, 1500.0);
-    assert!(!d.log.iter().any(|(_, a)| matches!(a, Action::SetSignal(_))));
+    let mut settings = settings();
+    settings.feedback_signal = FeedbackSignal::Unused;
+    let mut driver = Driver::new(settings);
+    driver.run_each(1..=100, 1500.0);
+    assert!(!driver.log.iter().any(|(_, action)| matches!(action, Action::SetSignal(_))));
 }
 
 #[test]
 fn reloaded_settings_apply_to_new_requests_only() {
-    let mut set = settings();
-    let mut d = Driver::new(set.clone());
-    d.gauges = FULL;
-    // Four run; the fifth waits, and has its whole time from its arrival.
+    let mut settings = settings();
+    let mut driver = Driver::new(settings.clone());
+    driver.gauges = FULL;
+    // Four run; the fifth is queued, with the timeout that applied when it arrived.
     for id in 1..=5 {
-        d.arrive(id, SAFE);
+        driver.arrive(id, SAFE);
     }
-    let whole = set.classes[SAFE].timeout;
-    set.classes.iter_mut().for_each(|class| class.timeout = 20.0);
-    set.tenants.push(tenant(1.0));
-    let terms =
-        ReloadableSettings { classes: set.classes.clone(), tenants: set.tenants.clone(), drain_grace: 1.0 };
-    d.one(Event::SettingsChanged(Box::new(terms)));
-    d.arrive(6, SAFE);
-    d.pass(100.0);
-    let over = |d: &Driver, id| {
-        d.log.iter().any(|(_, a)| matches!(a, Action::Reject { id: of, .. } | Action::Fail(of) if *of == id))
+    let timeout = settings.classes[SAFE].timeout;
+    settings.classes.iter_mut().for_each(|class| class.timeout = 20.0);
+    settings.tenants.push(tenant(1.0));
+    let reload = ReloadableSettings {
+        classes: settings.classes.clone(),
+        tenants: settings.tenants.clone(),
+        drain_grace: 1.0,
     };
-    assert!(over(&d, 6) && !over(&d, 5), "the newer has run out of time, the older has {whole} ms");
-    // Terms that do not fit are not taken up, and nothing falls over.
-    let none = ReloadableSettings { classes: Vec::new(), tenants: Vec::new(), drain_grace: 0.0 };
-    d.one(Event::SettingsChanged(Box::new(none)));
-    d.arrive(7, SAFE);
+    driver.event(Event::SettingsChanged(Box::new(reload)));
+    driver.arrive(6, SAFE);
+    driver.advance(100.0);
+    let is_ended = |driver: &Driver, id| {
+        driver.log.iter().any(|(_, action)| has_response(std::slice::from_ref(action), id))
+    };
+    assert!(
+        is_ended(&driver, 6) && !is_ended(&driver, 5),
+        "request 6 has the new timeout of 20 ms, request 5 the old one of {timeout} ms"
+    );
+    // Settings without the classes in use are ignored and cause no panic.
+    let reload = ReloadableSettings { classes: Vec::new(), tenants: Vec::new(), drain_grace: 0.0 };
+    driver.event(Event::SettingsChanged(Box::new(reload)));
+    driver.arrive(7, SAFE);
 }
 
 #[test]
 fn a_stalled_server_rejects_its_queue_and_recovers() {
-    let mut d = Driver::new(settings());
-    d.gauges = Gauges { core_utilization: Some(1.0), runnable: Some(4.0), ..IDLE };
-    d.run_each(1..=20, 20.0);
-    // Four run, as many as there are cores, three wait; then nothing ends, while requests are still read.
+    let mut driver = Driver::new(settings());
+    driver.gauges = Gauges { core_utilization: Some(1.0), runnable: Some(4.0), ..IDLE };
+    driver.run_each(1..=20, 20.0);
+    // Four run on the four cores and three are queued; then no run ends, while requests are still read.
     for id in 101..=107 {
-        d.arrive(id, SAFE);
+        driver.arrive(id, SAFE);
     }
-    let early = d.pass(400.0);
-    assert!(!early.iter().any(|a| matches!(a, Action::Reject { .. })), "a gap that short is nothing unusual");
-    let late = d.pass(400.0);
+    let before = driver.advance(400.0);
+    assert!(
+        !before.iter().any(|action| matches!(action, Action::Reject { .. })),
+        "400 ms without an ended run count as a stall"
+    );
+    let after = driver.advance(400.0);
     for id in 105..=107 {
-        assert!(refused(&late, id), "{id} has half its aim left for another server");
+        assert!(is_rejected(&after, id), "request {id} is not rejected while half of its objective is left");
     }
-    let newcomer = d.arrive(108, SAFE);
+    let next = driver.arrive(108, SAFE);
     let longest = settings().max_retry_after;
-    let away =
-        |a: &Action| matches!(a, Action::Reject { id: 108, retry_after, .. } if *retry_after == longest);
-    assert!(newcomer.iter().any(away), "{newcomer:?}");
-    d.pass(5000.0);
-    assert_eq!(d.signal(), 0.05);
-    // What ran through it says nothing of how long runs take: the next ones are not taken for hopeless.
+    let has_max_retry_after = |action: &Action| {
+        let Action::Reject { id: 108, retry_after, .. } = action else { return false };
+        *retry_after == longest
+    };
+    assert!(next.iter().any(has_max_retry_after), "{next:?}");
+    driver.advance(5000.0);
+    assert_eq!(driver.signal(), 0.05);
+    // Runs that span the stall do not raise the expected run time: later requests still start at once.
     for id in 101..=104 {
-        d.finish(id, 5800.0);
+        driver.finish(id, 5800.0);
     }
     for id in 201..=204 {
-        assert_eq!(runs(&d.arrive(id, SAFE)), [id]);
+        assert_eq!(started_runs(&driver.arrive(id, SAFE)), [id]);
     }
-    d.pass(300.0);
-    assert_eq!(d.signal(), 1.0, "a stall leaves nothing behind in the loop");
+    driver.advance(300.0);
+    assert_eq!(driver.signal(), 1.0, "the share after a stall");
 }
 
-/// The part of a tenant's requests that one server of a fleet takes to be beyond the tenant's quota, where they come
-/// evenly at random at `load` times the quota. Seen by what runs first: the request, or one of half its worth.
-fn part_beyond_quota(servers: f64, quota_per_s: f64, load: f64) -> f64 {
+/// The part of a tenant's requests that one server of a fleet treats as over the tenant's quota, for Poisson
+/// arrivals at `load` times the quota. A request over quota runs after one of half its weight that arrives
+/// with it.
+fn over_quota_part(servers: f64, quota_per_s: f64, load: f64) -> f64 {
     const REQUESTS: u32 = 30_000;
-    let mut set = settings();
-    (set.cores, set.server_count) = (1.0, servers);
-    set.classes[UNSAFE].priority_weight = 0.5;
-    set.tenants = vec![Tenant { quota_per_s }, Tenant { quota_per_s: 1e9 }];
-    let mut d = Driver::new(set);
-    d.gauges = FULL;
+    let mut settings = settings();
+    (settings.cores, settings.server_count) = (1.0, servers);
+    settings.classes[UNSAFE].priority_weight = 0.5;
+    settings.tenants = vec![Tenant { quota_per_s }, Tenant { quota_per_s: 1e9 }];
+    let mut driver = Driver::new(settings);
+    driver.gauges = FULL;
     let mut random = 12345u64;
-    let mut beyond = 0;
+    let mut over_quota = 0;
     for step in 0..REQUESTS {
         random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         let uniform = ((random >> 11) as f64 + 1.0) / (1u64 << 53) as f64;
-        d.now += -uniform.ln() * 1000.0 * servers / (quota_per_s * load);
+        driver.now += -uniform.ln() * 1000.0 * servers / (quota_per_s * load);
         let [running, watched, other] = [3 * step + 1, 3 * step + 2, 3 * step + 3];
         for (id, class, tenant) in [(running, SAFE, 1), (watched, SAFE, 0), (other, UNSAFE, 1)] {
-            let mut a = arrival(id, class);
-            a.attributes.tenant = tenant;
-            d.one(Event::RequestArrived(a));
+            let mut request = arrival(id, class);
+            request.attributes.tenant = tenant;
+            driver.event(Event::RequestArrived(request));
         }
-        let next = runs(&d.finish(running, 1.0));
-        beyond += u32::from(next == [other]);
+        let next = started_runs(&driver.finish(running, 1.0));
+        over_quota += u32::from(next == [other]);
         for id in [next[0], watched + other - next[0]] {
-            d.finish(id, 1.0);
+            driver.finish(id, 1.0);
         }
     }
-    f64::from(beyond) / f64::from(REQUESTS)
+    f64::from(over_quota) / f64::from(REQUESTS)
 }
 
 #[test]
-fn a_tenant_within_its_quota_is_rarely_judged_over_it_at_any_fleet_size() {
+fn a_tenant_within_its_quota_rarely_counts_as_over_it_at_any_fleet_size() {
     for (servers, quota) in [(20.0, 4.0), (100.0, 4.0), (590.0, 4.0), (20.0, 40.0)] {
-        let within = part_beyond_quota(servers, quota, 0.9);
-        assert!(within <= 0.05, "{servers} servers: {within} at 0.9 of the quota");
-        let twice = part_beyond_quota(servers, quota, 2.0);
-        assert!((0.45..0.55).contains(&twice), "{servers} servers: {twice} at twice the quota");
+        let within = over_quota_part(servers, quota, 0.9);
+        assert!(
+            within <= 0.05,
+            "{servers} servers: part {within} counts as over quota at 0.9 times the quota"
+        );
+        let twice = over_quota_part(servers, quota, 2.0);
+        assert!(
+            (0.45..0.55).contains(&twice),
+            "{servers} servers: part {twice} counts as over quota at twice the quota"
+        );
     }
 }
 
 #[test]
-fn the_share_keeps_its_value_through_a_stall() {
-    let mut d = Driver::new(settings());
-    d.gauges = Gauges { core_utilization: Some(1.0), runnable: Some(4.0), ..IDLE };
-    d.run_each(1..=200, 400.0);
-    let before = d.signal();
+fn the_share_returns_to_its_value_after_a_stall() {
+    let mut driver = Driver::new(settings());
+    driver.gauges = Gauges { core_utilization: Some(1.0), runnable: Some(4.0), ..IDLE };
+    driver.run_each(1..=200, 400.0);
+    let before = driver.signal();
     assert!((0.5..0.8).contains(&before), "signal {before}");
     for id in 1001..=1008 {
-        let mut a = arrival(id, SAFE);
-        a.attributes.age = 400.0;
-        d.one(Event::RequestArrived(a));
+        let mut request = arrival(id, SAFE);
+        request.attributes.age = 400.0;
+        driver.event(Event::RequestArrived(request));
     }
-    d.pass(5000.0);
-    assert_eq!(d.signal(), 0.05, "a stall");
-    d.finish(1001, 5000.0);
-    d.pass(300.0);
-    assert!((d.signal() - before).abs() < 0.1, "signal {before} before, {} after", d.signal());
+    driver.advance(5000.0);
+    assert_eq!(driver.signal(), 0.05, "the share during a stall");
+    driver.finish(1001, 5000.0);
+    driver.advance(300.0);
+    assert!(
+        (driver.signal() - before).abs() < 0.1,
+        "share {before} before the stall, {} after it",
+        driver.signal()
+    );
 }
 
 #[test]
 fn reloaded_settings_with_other_classes_are_not_applied() {
-    let mut d = Driver::new(settings());
+    let mut driver = Driver::new(settings());
     let mut classes = settings().classes;
     classes.remove(SAFE);
     let reload = ReloadableSettings { classes, tenants: Vec::new(), drain_grace: 0.0 };
-    d.one(Event::SettingsChanged(Box::new(reload)));
-    assert_eq!(runs(&d.arrive(1, UNSAFE)), [1]);
+    driver.event(Event::SettingsChanged(Box::new(reload)));
+    assert_eq!(started_runs(&driver.arrive(1, UNSAFE)), [1]);
 }
