--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,4 +1,4 @@
-//! The four rules under random valid sequences of events, checked by what knows only the rules.
+//! Property tests of the four rules: random valid event sequences, and a checker that knows only the rules.
 
 mod common;
 use std::collections::{BTreeMap, BTreeSet};
@@ -26,21 +26,21 @@
     deadline: f64,
     memory_kb: f64,
     stage: RequestStage,
-    is_answered: bool,
+    has_response: bool,
     has_run: bool,
-    /// The outcome of its last call leaves open whether that call ran.
+    /// Whether the last call may have run although it did not succeed.
     call_may_have_run: bool,
     original: Option<RequestId>,
     abandoned_at: f64,
 }
 
-/// Observes events and actions, and collects violations of the rules.
+/// Observes events and actions, and collects rule violations.
 struct Checker {
     settings: Settings,
     now: f64,
     started_at: f64,
     open: BTreeMap<RequestId, OpenRequest>,
-    /// Keyed requests that ran: when they arrived.
+    /// Arrival times of the keyed requests that ran.
     runs: BTreeMap<RequestId, f64>,
     retained_keys: BTreeMap<RequestId, f64>,
     lingering: Vec<f64>,
@@ -72,49 +72,49 @@
         }
     }
 
-    fn record_violation(&mut self, text: String) {
-        self.violations.push(format!("at {:.0}: {text}", self.now - self.started_at));
+    fn record_violation(&mut self, violation: String) {
+        self.violations.push(format!("at {:.0}: {violation}", self.now - self.started_at));
     }
 
     fn ids(&self, stage: RequestStage) -> Vec<RequestId> {
         self.open.iter().filter(|(_, request)| request.stage == stage).map(|(id, _)| *id).collect()
     }
 
-    fn observe_arrival(&mut self, a: &Arrival) {
-        let class = &self.settings.classes[a.attributes.class];
-        let arrived_at = self.now - a.attributes.age;
+    fn observe_arrival(&mut self, arrival: &Arrival) {
+        let class = &self.settings.classes[arrival.attributes.class];
+        let arrived_at = self.now - arrival.attributes.age;
         let deadline = if self.settings.has_caller_deadlines {
-            self.now + a.attributes.remaining_wait
+            self.now + arrival.attributes.remaining_wait
         } else {
             arrived_at + class.timeout
         };
         let request = OpenRequest {
-            class: a.attributes.class,
+            class: arrival.attributes.class,
             arrived_at,
             deadline: deadline.max(self.now),
-            memory_kb: a.attributes.memory_kb,
+            memory_kb: arrival.attributes.memory_kb,
             stage: RequestStage::Queued,
-            is_answered: false,
+            has_response: false,
             has_run: false,
             call_may_have_run: false,
-            original: a.original,
+            original: arrival.original,
             abandoned_at: f64::MAX,
         };
-        self.open.insert(a.id, request);
+        self.open.insert(arrival.id, request);
     }
 
-    /// A final response, by an action or by the end of a run.
+    /// Records a final response, from an action or the end of a run.
     fn respond(&mut self, id: RequestId, is_rejection: bool) {
         let Some(request) = self.open.get_mut(&id) else { return };
-        let (was_answered, idempotency) =
-            (request.is_answered, self.settings.classes[request.class].idempotency);
+        let (had_response, idempotency) =
+            (request.has_response, self.settings.classes[request.class].idempotency);
         let has_run = request.has_run || request.original.is_some_and(|r| self.runs.contains_key(&r));
-        request.is_answered = true;
+        request.has_response = true;
         if matches!(request.stage, RequestStage::Queued | RequestStage::AwaitingResult) {
             self.open.remove(&id);
         }
-        if was_answered {
-            self.record_violation(format!("{id} answered twice"));
+        if had_response {
+            self.record_violation(format!("{id} has two final responses"));
         }
         if is_rejection && has_run && idempotency != Idempotency::Always {
             self.record_violation(format!("{id} rejected though it ran"));
@@ -128,11 +128,11 @@
         let original = request.original;
         (request.stage, request.has_run) = (RequestStage::Running, true);
         if class.idempotency != Idempotency::Always && is_repeated {
-            self.record_violation(format!("{id} run twice"));
+            self.record_violation(format!("{id} ran twice"));
         }
         if class.idempotency == Idempotency::ByKey {
             if !self.retained_keys.contains_key(&id) {
-                self.record_violation(format!("{id} run without a retained key"));
+                self.record_violation(format!("{id} runs without a retained key"));
             }
             let ran_at = original.and_then(|original| self.runs.get(&original));
             if ran_at.is_some_and(|at| arrived_at <= at + class.idempotency_window) {
@@ -141,7 +141,7 @@
             self.runs.insert(id, arrived_at);
         }
         if self.shutdown.is_some_and(|(at, _)| arrived_at > at + self.settings.drain_grace) {
-            self.record_violation(format!("{id} run though it arrived after the grace period"));
+            self.record_violation(format!("{id} runs though it arrived after the grace period"));
         }
     }
 
@@ -186,7 +186,7 @@
         }
     }
 
-    /// After the actions of a batch: memory, concurrency, calls in flight.
+    /// Checks memory, concurrency and calls in flight after the actions of a batch.
     fn check_batch(&mut self) {
         let now = self.now;
         self.retained_keys.retain(|_, until| *until > now);
@@ -198,10 +198,13 @@
                 request.memory_kb * self.settings.run_memory_factor
             }
         };
-        let used = self.open.values().map(memory_kb).sum::<f64>()
+        let used_kb = self.open.values().map(memory_kb).sum::<f64>()
             + self.retained_keys.len() as f64 * self.settings.key_kb;
-        if used > self.settings.memory_kb {
-            self.record_violation(format!("{used:.0} kB in use"));
+        if used_kb > self.settings.memory_kb {
+            self.record_violation(format!(
+                "{used_kb:.0} kB in use, {:.0} are available",
+                self.settings.memory_kb
+            ));
         }
         self.concurrency.push((now, self.ids(RequestStage::Running).len() as f64));
         self.calls_in_flight
@@ -213,8 +216,8 @@
         };
         let speed = self.settings.slow_start_share + (1.0 - self.settings.slow_start_share) * slow_start_part;
         let survivable = self.settings.cores * (1.0 + (self.settings.core_concurrency - 1.0) * speed);
-        if let Some(mean) =
-            mean_over(&self.concurrency, now, self.settings.concurrency_window).filter(|m| *m > survivable)
+        if let Some(mean) = mean_over(&self.concurrency, now, self.settings.concurrency_window)
+            .filter(|mean| *mean > survivable)
         {
             self.record_violation(format!("{mean:.2} on the cores, {survivable:.2} are survivable"));
         }
@@ -222,46 +225,49 @@
             && let Some(mean) = mean_over(&self.calls_in_flight, now, self.settings.call_quota_window)
             && mean > self.settings.call_quota
         {
-            self.record_violation(format!("{mean:.3} calls in flight"));
+            self.record_violation(format!(
+                "{mean:.3} calls in flight, the quota is {}",
+                self.settings.call_quota
+            ));
         }
     }
 
-    /// As time passes: each request must have its response by its deadline.
+    /// Checks that requests have a response by their deadlines, and all of them by the kill.
     fn check_deadlines(&mut self) {
         let is_late = |request: &OpenRequest| {
-            !request.is_answered && self.now > request.deadline + self.settings.response_slack
+            !request.has_response && self.now > request.deadline + self.settings.response_slack
         };
         let late: Vec<RequestId> =
             self.open.iter().filter(|(_, request)| is_late(request)).map(|(id, _)| *id).collect();
         for id in late {
-            self.record_violation(format!("{id} not answered by its deadline"));
-            self.open.get_mut(&id).unwrap().is_answered = true;
+            self.record_violation(format!("{id} has no response by its deadline"));
+            self.open.get_mut(&id).unwrap().has_response = true;
         }
         if let Some((_, killed_at)) = self.shutdown
             && self.now >= killed_at
             && !self.is_killed
         {
             self.is_killed = true;
-            if let Some(id) = self.open.iter().find(|(_, request)| !request.is_answered).map(|(id, _)| *id) {
-                self.record_violation(format!("{id} not answered before the kill"));
+            if let Some(id) = self.open.iter().find(|(_, request)| !request.has_response).map(|(id, _)| *id) {
+                self.record_violation(format!("{id} has no response before the kill"));
             }
         }
     }
 }
 
-/// Mean of a step function over the last `span`, once so much time was seen.
-fn mean_over(steps: &[(f64, f64)], now: f64, span: f64) -> Option<f64> {
-    let from = now - span;
+/// Mean of a step function over the last `window` ms; none while the steps cover less.
+fn mean_over(steps: &[(f64, f64)], now: f64, window: f64) -> Option<f64> {
+    let from = now - window;
     steps.first().filter(|(at, _)| *at <= from)?;
     let mut sum = 0.0;
     for (at, step) in steps.iter().enumerate() {
         let end = steps.get(at + 1).map_or(now, |next| next.0);
         sum += (end - step.0.max(from)).max(0.0) * step.1;
     }
-    Some(sum / span)
+    Some(sum / window)
 }
 
-/// A change of the controller's actions before they take effect: none, or a fault to detect.
+/// A change to the controller's actions before they take effect: none, or a fault to be detected.
 type Fault = fn(&mut Vec<Action>, &Checker);
 
 struct Simulation {
@@ -271,10 +277,9 @@
     fault: Fault,
 }
 
-/// One step: what happens, to which request, and how long after the step before.
+/// One step: the kind of event, a random choice of its request or values, and the time since the last step.
 type EventStep = (u8, u16, u16);
 
-/// How calls end.
 const CALL_OUTCOMES: [AttemptOutcome; 5] = [
     AttemptOutcome::Ok,
     AttemptOutcome::Error,
@@ -297,8 +302,8 @@
         let mut actions = vec![];
         let now = self.checker.now;
         for event in events {
-            if let Event::RequestArrived(a) = &event {
-                self.checker.observe_arrival(a);
+            if let Event::RequestArrived(arrival) = &event {
+                self.checker.observe_arrival(arrival);
             }
             self.controller.event(now, event, &mut actions);
         }
@@ -310,13 +315,12 @@
         self.checker.check_batch();
     }
 
-    /// Ends the calls that are abandoned by then.
-    fn abandon_calls(&mut self, by: f64) {
+    /// Ends the calls whose deadlines are not after `until`.
+    fn abandon_calls(&mut self, until: f64) {
         loop {
-            let calling =
-                self.checker.open.iter().filter(|(_, request)| {
-                    request.stage == RequestStage::Calling && request.abandoned_at <= by
-                });
+            let calling = self.checker.open.iter().filter(|(_, request)| {
+                request.stage == RequestStage::Calling && request.abandoned_at <= until
+            });
             let Some((at, id)) =
                 calling.map(|(id, request)| (request.abandoned_at, *id)).min_by(|a, b| a.0.total_cmp(&b.0))
             else {
@@ -328,10 +332,10 @@
         }
     }
 
-    fn end_call(&mut self, id: RequestId, outcome: AttemptOutcome, by: u16) -> Event {
+    fn end_call(&mut self, id: RequestId, outcome: AttemptOutcome, choice: u16) -> Event {
         let lingers = self.checker.now + self.checker.settings.call_linger;
         let request = self.checker.open.get_mut(&id).unwrap();
-        if request.is_answered {
+        if request.has_response {
             self.checker.open.remove(&id);
             self.checker.lingering.push(lingers);
             return Event::RunEnded { id, outcome: AttemptOutcome::Cancelled, duration: 10.0 };
@@ -342,10 +346,10 @@
         if outcome == AttemptOutcome::TimedOut {
             self.checker.lingering.push(lingers);
         }
-        Event::CallEnded { id, outcome, duration: f64::from(by % 700) }
+        Event::CallEnded { id, outcome, duration: f64::from(choice % 700) }
     }
 
-    fn pass(&mut self, ms: f64) {
+    fn advance(&mut self, ms: f64) {
         let end = self.checker.now + ms;
         loop {
             let next = self.checker.timers.iter().copied().fold(end, f64::min);
@@ -370,130 +374,131 @@
         self.checker.check_deadlines();
     }
 
-    fn pick(&self, stage: RequestStage, by: u16) -> Option<RequestId> {
+    fn pick(&self, stage: RequestStage, choice: u16) -> Option<RequestId> {
         let ids = self.checker.ids(stage);
-        if ids.is_empty() { None } else { Some(ids[by as usize % ids.len()]) }
+        if ids.is_empty() { None } else { Some(ids[choice as usize % ids.len()]) }
     }
 
-    fn arrival(&mut self, by: u16) -> Event {
+    fn arrival(&mut self, choice: u16) -> Event {
         let id = self.next_id;
         self.next_id += 1;
-        let mut a = arrival(id, by as usize % 3);
-        a.attributes.memory_kb = f64::from(5 + by % 40);
-        a.attributes.age = f64::from(by % 7) * 30.0;
-        a.attributes.remaining_wait = f64::from(100 + by % 6000);
-        a.attributes.estimated_work = if by.is_multiple_of(2) { Some(f64::from(1 + by % 500)) } else { None };
-        Event::RequestArrived(a)
+        let mut arrival = arrival(id, choice as usize % 3);
+        arrival.attributes.memory_kb = f64::from(5 + choice % 40);
+        arrival.attributes.age = f64::from(choice % 7) * 30.0;
+        arrival.attributes.remaining_wait = f64::from(100 + choice % 6000);
+        arrival.attributes.estimated_work =
+            if choice.is_multiple_of(2) { Some(f64::from(1 + choice % 500)) } else { None };
+        Event::RequestArrived(arrival)
     }
 
-    /// A duplicate of a keyed request whose key is retained, as the server finds its original.
-    fn duplicate(&mut self, by: u16) -> Option<Event> {
+    /// A duplicate of a keyed request, if a server would find its original by a retained key.
+    fn duplicate(&mut self, choice: u16) -> Option<Event> {
         let known: Vec<RequestId> = self.checker.retained_keys.keys().copied().collect();
-        let original = *known.get(by as usize % known.len().max(1))?;
+        let original = *known.get(choice as usize % known.len().max(1))?;
         let is_queued = self
             .checker
             .open
             .get(&original)
-            .is_some_and(|request| request.stage == RequestStage::Queued && !request.is_answered);
+            .is_some_and(|request| request.stage == RequestStage::Queued && !request.has_response);
         if !is_queued && !self.checker.runs.contains_key(&original) {
             return None;
         }
-        let Event::RequestArrived(mut a) = self.arrival(by) else { return None };
-        (a.attributes.class, a.original, a.attributes.age) = (KEYED, Some(original), 0.0);
-        Some(Event::RequestArrived(a))
+        let Event::RequestArrived(mut arrival) = self.arrival(choice) else { return None };
+        (arrival.attributes.class, arrival.original, arrival.attributes.age) = (KEYED, Some(original), 0.0);
+        Some(Event::RequestArrived(arrival))
     }
 
-    fn step(&mut self, (what, by, wait): EventStep) {
-        self.pass(f64::from(wait % 400));
+    fn step(&mut self, (kind, choice, wait): EventStep) {
+        self.advance(f64::from(wait % 400));
         if self.checker.is_killed {
             return;
         }
-        let event = match what % 16 {
-            0..=3 => Some(self.arrival(by)),
+        let event = match kind % 16 {
+            0..=3 => Some(self.arrival(choice)),
             4 => {
-                self.arrive_together(by);
+                self.arrive_together(choice);
                 None
             }
-            5 => self.duplicate(by),
-            6..=8 => self.pick(RequestStage::Running, by).map(|id| self.end_run(id, by)),
-            9..=10 => self.need_call(by),
+            5 => self.duplicate(choice),
+            6..=8 => self.pick(RequestStage::Running, choice).map(|id| self.end_run(id, choice)),
+            9..=10 => self.need_call(choice),
             11..=13 => {
-                let outcome = CALL_OUTCOMES[by as usize % CALL_OUTCOMES.len()];
-                self.pick(RequestStage::Calling, by).map(|id| self.end_call(id, outcome, by))
+                let outcome = CALL_OUTCOMES[choice as usize % CALL_OUTCOMES.len()];
+                self.pick(RequestStage::Calling, choice).map(|id| self.end_call(id, outcome, choice))
             }
-            14 => self.cancel(by),
-            _ if by.is_multiple_of(20) => self.request_shutdown(by),
+            14 => self.cancel(choice),
+            _ if choice.is_multiple_of(20) => self.request_shutdown(choice),
             _ => None,
         };
-        self.end_answered_calls();
+        self.end_calls_with_response();
         if let Some(event) = event {
             self.batch(vec![event]);
         }
     }
 
     /// Up to eleven requests in one batch.
-    fn arrive_together(&mut self, by: u16) {
-        let batch = (0..by % 12).map(|n| self.arrival(by.wrapping_add(n * 37))).collect();
+    fn arrive_together(&mut self, choice: u16) {
+        let batch = (0..choice % 12).map(|n| self.arrival(choice.wrapping_add(n * 37))).collect();
         self.batch(batch);
     }
 
-    fn end_run(&mut self, id: RequestId, by: u16) -> Event {
-        let outcome = if by.is_multiple_of(9) { AttemptOutcome::Error } else { AttemptOutcome::Ok };
-        if !self.checker.open[&id].is_answered {
+    fn end_run(&mut self, id: RequestId, choice: u16) -> Event {
+        let outcome = if choice.is_multiple_of(9) { AttemptOutcome::Error } else { AttemptOutcome::Ok };
+        if !self.checker.open[&id].has_response {
             self.checker.respond(id, false);
         }
         self.checker.open.remove(&id);
-        Event::RunEnded { id, outcome, duration: f64::from(by % 3000) }
+        Event::RunEnded { id, outcome, duration: f64::from(choice % 3000) }
     }
 
-    fn need_call(&mut self, by: u16) -> Option<Event> {
-        let id = self.pick(RequestStage::Running, by).filter(|id| !self.checker.open[id].is_answered)?;
+    fn need_call(&mut self, choice: u16) -> Option<Event> {
+        let id = self.pick(RequestStage::Running, choice).filter(|id| !self.checker.open[id].has_response)?;
         let request = self.checker.open.get_mut(&id).unwrap();
         (request.stage, request.call_may_have_run) = (RequestStage::AwaitingCall, false);
         Some(Event::CallNeeded(id))
     }
 
-    fn cancel(&mut self, by: u16) -> Option<Event> {
+    fn cancel(&mut self, choice: u16) -> Option<Event> {
         let ids: Vec<RequestId> = self.checker.open.keys().copied().collect();
-        let id = ids.get(by as usize % ids.len().max(1)).copied()?;
-        let request = self.checker.open.get_mut(&id).filter(|request| !request.is_answered)?;
-        request.is_answered = true;
+        let id = ids.get(choice as usize % ids.len().max(1)).copied()?;
+        let request = self.checker.open.get_mut(&id).filter(|request| !request.has_response)?;
+        request.has_response = true;
         if matches!(request.stage, RequestStage::Queued | RequestStage::AwaitingResult) {
             self.checker.open.remove(&id);
         }
         Some(Event::RequestCancelled(id))
     }
 
-    fn request_shutdown(&mut self, by: u16) -> Option<Event> {
+    fn request_shutdown(&mut self, choice: u16) -> Option<Event> {
         if self.checker.shutdown.is_some() {
             return None;
         }
-        let time_left = f64::from(1000 + by % 4000);
+        let time_left = f64::from(1000 + choice % 4000);
         self.checker.shutdown = Some((self.checker.now, self.checker.now + time_left));
         Some(Event::ShutdownRequested { time_left })
     }
 
-    /// A request that is answered already ends by itself where it waits for a call.
-    fn end_answered_calls(&mut self) {
+    /// Ends requests that wait for a call but already have a response.
+    fn end_calls_with_response(&mut self) {
         for id in self.checker.ids(RequestStage::AwaitingCall) {
-            if self.checker.open[&id].is_answered {
+            if self.checker.open[&id].has_response {
                 self.checker.open.remove(&id);
                 self.batch(vec![Event::RunEnded { id, outcome: AttemptOutcome::Cancelled, duration: 10.0 }]);
             }
         }
     }
 
-    fn play(settings: Settings, steps: &[EventStep], fault: Fault) -> Vec<String> {
+    fn run(settings: Settings, steps: &[EventStep], fault: Fault) -> Vec<String> {
         let mut simulation = Simulation::new(settings, fault);
         for step in steps {
             simulation.step(*step);
         }
-        simulation.pass(9000.0);
+        simulation.advance(9000.0);
         simulation.checker.violations
     }
 }
 
-/// Settings that test every rule: small memory, with and without slow start and caller deadlines, each kind of dependency.
+/// Settings for every rule: small memory, with and without slow start, caller deadlines and a call quota.
 fn settings_of_kind(kind: u8) -> Settings {
     let mut s = settings();
     s.memory_kb = 4000.0;
@@ -519,25 +524,25 @@
 
 #[test]
 fn random_histories_violate_no_rule() {
-    let played = runner(400).run(&steps(), |(kind, steps)| {
-        let violations = Simulation::play(settings_of_kind(kind), &steps, |_, _| {});
+    let result = runner(400).run(&steps(), |(kind, steps)| {
+        let violations = Simulation::run(settings_of_kind(kind), &steps, |_, _| {});
         prop_assert!(violations.is_empty(), "{violations:?}");
         Ok(())
     });
-    if let Err(e) = played {
-        panic!("{e}");
+    if let Err(error) = result {
+        panic!("{error}");
     }
 }
 
-/// Faults of a broken controller, which change its actions.
+/// Faults of broken controllers, applied to their actions.
 mod faults {
     use super::*;
 
-    pub fn forgets_failures(actions: &mut Vec<Action>, _: &Checker) {
+    pub fn drops_failures(actions: &mut Vec<Action>, _: &Checker) {
         actions.retain(|action| !matches!(action, Action::Fail(_)));
     }
 
-    pub fn answers_twice(actions: &mut Vec<Action>, _: &Checker) {
+    pub fn responds_twice(actions: &mut Vec<Action>, _: &Checker) {
         let is_failure = |action: &&Action| matches!(action, Action::Fail(_));
         let failures: Vec<Action> = actions.iter().filter(is_failure).cloned().collect();
         actions.extend(failures);
@@ -551,7 +556,7 @@
         }
     }
 
-    pub fn rejects_what_ran(actions: &mut Vec<Action>, _: &Checker) {
+    pub fn rejects_requests_that_ran(actions: &mut Vec<Action>, _: &Checker) {
         for action in actions {
             if let Action::Fail(id) = *action {
                 *action = Action::Reject { id, retry_after: 0.0, is_final: false };
@@ -559,7 +564,7 @@
         }
     }
 
-    pub fn runs_all(actions: &mut Vec<Action>, checker: &Checker) {
+    pub fn runs_all_queued(actions: &mut Vec<Action>, checker: &Checker) {
         actions.extend(checker.ids(RequestStage::Queued).into_iter().map(Action::Run));
     }
 
@@ -569,23 +574,23 @@
     }
 }
 
-/// The checker shows something only if it detects controllers that are broken on purpose.
+/// Guards against a checker that accepts everything: it must detect each controller with a deliberate fault.
 #[test]
 fn the_checker_detects_broken_controllers() {
     let faults: [(&str, Fault, &str); 6] = [
-        ("forgets failures", faults::forgets_failures, "not answered"),
-        ("answers twice", faults::answers_twice, "answered twice"),
+        ("drops failures", faults::drops_failures, "has no response"),
+        ("responds twice", faults::responds_twice, "has two final responses"),
         ("runs duplicates", faults::runs_duplicates, "within the window"),
-        ("rejects what ran", faults::rejects_what_ran, "rejected though it ran"),
-        ("runs all", faults::runs_all, "on the cores"),
+        ("rejects requests that ran", faults::rejects_requests_that_ran, "rejected though it ran"),
+        ("runs all queued requests", faults::runs_all_queued, "on the cores"),
         ("repeats every call", faults::repeats_every_call, "repeats a call"),
     ];
     for (name, fault, expected) in faults {
         let detected = std::cell::RefCell::new(BTreeSet::new());
         let _ = runner(150).run(&steps(), |(kind, steps)| {
-            let violations = Simulation::play(settings_of_kind(kind), &steps, fault);
-            for text in violations.iter().filter(|t| t.contains(expected)) {
-                detected.borrow_mut().insert(text.clone());
+            let violations = Simulation::run(settings_of_kind(kind), &steps, fault);
+            for violation in violations.iter().filter(|t| t.contains(expected)) {
+                detected.borrow_mut().insert(violation.clone());
             }
             Ok(())
         });
