--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,5 +1,5 @@
-//! The pages against the sources: they name only files, packages and identifiers that exist, each log line has its row, and
-//! tests are in test files.
+//! Checks of the pages against the sources: pages name only files, packages and identifiers that exist, each
+//! log message has a row in the on-call page, and unit tests are in test files.
 
 mod repository;
 
@@ -8,20 +8,20 @@
 
 use repository::{read, root, rust_files};
 
-/// Folders of pages; every page in them is checked, but for [`HISTORY`].
-const PAGE_FOLDERS: [&str; 5] = ["", "docs", "docs/design", "docs/operators", "deploy/sites"];
-/// Pages that record what was, in the words of their time.
-const HISTORY: [&str; 3] = ["CHANGELOG.md", "docs/results.md", "docs/ROADMAP.md"];
-/// Where a shortened path may begin.
-const ROOTS: [&str; 2] = ["", "crates/loomflow-server/src"];
-/// Folders of the repository that a path may begin with.
-const FOLDERS: [&str; 6] = ["src/", "crates/", "docs/", "tests/", "scripts/", "deploy/"];
-/// Files that operators write themselves.
-const OPERATORS_FILES: [&str; 2] = ["options.yaml", "credentials.yaml"];
-/// Endings of the files that pages name.
-const FILE_ENDINGS: [&str; 6] = [".rs", ".md", ".toml", ".yaml", ".lock", ".txt"];
-/// Names that no source defines: the page that may name them, the reason, the names.
-const FOREIGN: [(&str, &str, &str); 8] = [
+/// Directories whose pages are checked, except for [`HISTORY_PAGES`].
+const PAGE_DIRECTORIES: [&str; 5] = ["", "docs", "docs/design", "docs/operators", "deploy/sites"];
+/// Pages about past versions, which keep the names of those versions.
+const HISTORY_PAGES: [&str; 3] = ["CHANGELOG.md", "docs/results.md", "docs/ROADMAP.md"];
+/// Directories that a quoted path may be relative to, besides that of its page.
+const PATH_BASES: [&str; 2] = ["", "crates/loomflow-server/src"];
+/// Prefixes by which a quoted text counts as a path.
+const PATH_PREFIXES: [&str; 6] = ["src/", "crates/", "docs/", "tests/", "scripts/", "deploy/"];
+/// Files that operators write, which the repository does not contain.
+const OPERATOR_FILES: [&str; 2] = ["options.yaml", "credentials.yaml"];
+/// Suffixes by which a quoted text counts as a file.
+const FILE_SUFFIXES: [&str; 6] = [".rs", ".md", ".toml", ".yaml", ".lock", ".txt"];
+/// Names that pages may use although no source defines them: the page, the reason, the names.
+const EXTERNAL_NAMES: [(&str, &str, &str); 8] = [
     ("DEVELOPERS.md", "names of the projects that serve as models", "load_shed Overloaded PeakEwma quinn"),
     (
         "docs/design/wire.md",
@@ -40,10 +40,10 @@
     ("docs/platform.md", "a call of the operating system", "epoll_wait"),
     ("docs/operators/duties.md", "duties of an operator's example", "filing harm"),
 ];
-/// Texts that show the form of a name and are none: the page, the text.
-const FORMS: [(&str, &str); 1] = [("docs/decisions.md", "crate::module::Type::function")];
+/// Examples of the form of a path that name no item: the page, the text.
+const EXAMPLE_PATHS: [(&str, &str); 1] = [("docs/decisions.md", "crate::module::Type::function")];
 
-/// The texts between single backticks of a page, code blocks aside.
+/// The texts between single backticks of a page, without indented code blocks.
 fn quoted(page: &str) -> Vec<String> {
     let lines = page.lines().filter(|line| !line.starts_with("    "));
     lines.flat_map(|line| line.split('`').skip(1).step_by(2).map(str::to_owned).collect::<Vec<_>>()).collect()
@@ -53,14 +53,13 @@
     !text.is_empty() && text.chars().all(|c| c.is_ascii_alphanumeric() || c == '_')
 }
 
-/// The words of a text.
-fn words(text: &str) -> impl Iterator<Item = &str> {
+/// The maximal sequences of letters, digits and underscores of a text.
+fn identifiers_in(text: &str) -> impl Iterator<Item = &str> {
     text.split(|c: char| !(c.is_ascii_alphanumeric() || c == '_')).filter(|word| !word.is_empty())
 }
 
-/// The identifiers of each source file: those that it defines or uses, in tests and in strings too, and the modules and
-/// the package that it belongs to. What only a comment names does not count, and neither does this file, which lists
-/// foreign names.
+/// The identifiers of each source file, including tests and strings but not comments, with the names of its
+/// modules and its package. This file is left out since it lists external names.
 fn identifiers_by_file() -> Vec<BTreeSet<String>> {
     let files = ["src", "crates", "tests"].into_iter().flat_map(rust_files);
     let files = files.filter(|file| !file.ends_with("tests/documentation.rs"));
@@ -69,9 +68,13 @@
         let code = text.lines().filter(|line| !line.trim_start().starts_with("//"));
         let path = file.with_extension("");
         let modules: Vec<&str> = path.iter().filter_map(|part| part.to_str()).collect();
-        // In code a package's name has underscores.
+        // Code names packages with underscores.
         let crates = modules.iter().map(|module| module.replace('-', "_"));
-        code.flat_map(words).chain(modules.iter().copied()).map(str::to_owned).chain(crates).collect()
+        code.flat_map(identifiers_in)
+            .chain(modules.iter().copied())
+            .map(str::to_owned)
+            .chain(crates)
+            .collect()
     };
     files.map(identifiers_of_file).collect()
 }
@@ -80,19 +83,21 @@
     identifiers_by_file().into_iter().flatten().collect()
 }
 
-/// The pages that are checked.
+/// The paths of the pages that are checked.
 fn pages() -> Vec<String> {
     let mut pages = Vec::new();
-    for folder in PAGE_FOLDERS {
-        for entry in std::fs::read_dir(root().join(folder)).expect("a folder of pages") {
-            let path = entry.expect("an entry").path();
+    for directory in PAGE_DIRECTORIES {
+        for entry in
+            std::fs::read_dir(root().join(directory)).unwrap_or_else(|error| panic!("{directory}: {error}"))
+        {
+            let path = entry.expect("cannot read a directory entry").path();
             if path.extension().is_some_and(|extension| extension == "md") {
-                let page = path.strip_prefix(root()).expect("a page of this repository");
-                pages.push(page.to_str().expect("a path").to_owned());
+                let page = path.strip_prefix(root()).expect("the page is outside the repository");
+                pages.push(page.to_str().expect("the path of the page is not UTF-8").to_owned());
             }
         }
     }
-    pages.retain(|page| !HISTORY.contains(&page.as_str()));
+    pages.retain(|page| !HISTORY_PAGES.contains(&page.as_str()));
     pages.sort();
     pages
 }
@@ -101,25 +106,29 @@
     text.starts_with("loomflow-") && text.chars().all(|c| c.is_ascii_lowercase() || c == '-')
 }
 
-/// What is wrong with the files, folders and packages that a quoted text names.
+/// The error if a quoted text names a file, directory or package that does not exist.
 fn missing_file(page: &str, text: &str) -> Option<String> {
     if is_package_name(text) && !root().join("crates").join(text).is_dir() {
-        return Some(format!("there is no package {text}"));
+        return Some(format!("package {text} does not exist"));
     }
-    let is_file = FILE_ENDINGS.iter().any(|ending| text.ends_with(ending))
+    let is_file = FILE_SUFFIXES.iter().any(|suffix| text.ends_with(suffix))
         && !text.contains(' ')
-        && !OPERATORS_FILES.contains(&text);
-    // A command begins with a file, as in `scripts/benchmark NAME`; a test is named as `file::function`.
+        && !OPERATOR_FILES.contains(&text);
+    // The path is the first part of a command such as `scripts/benchmark NAME` and of a test such as
+    // `file::function`.
     let path = if is_file { text } else { text.split([' ', ':']).next().unwrap_or_default() };
-    let is_path = is_file || (FOLDERS.iter().any(|folder| path.starts_with(folder)) && !path.contains('*'));
-    let folder = Path::new(page).parent().expect("a folder").to_str().expect("a path");
-    let mut places = ROOTS.iter().copied().chain([folder]);
-    let exists = places.any(|place| root().join(place).join(path).exists());
-    (is_path && !exists).then(|| format!("there is no file {path}"))
+    let is_path =
+        is_file || (PATH_PREFIXES.iter().any(|prefix| path.starts_with(prefix)) && !path.contains('*'));
+    let directory =
+        Path::new(page).parent().expect("the page has no directory").to_str().expect("the path is not UTF-8");
+    let mut bases = PATH_BASES.iter().copied().chain([directory]);
+    let exists = bases.any(|base| root().join(base).join(path).exists());
+    (is_path && !exists).then(|| format!("file {path} does not exist"))
 }
 
-/// The identifiers of a quoted text: a name, or a path of names such as `Type::function()`, `package::module::CONSTANT`,
-/// `Type.field` and `settings.Classes[]`. None where the text is something else, as a command, a file or a number.
+/// The identifiers of a quoted text: a name, or a path of names such as `Type::function()`,
+/// `package::module::CONSTANT`, `Type.field` and `settings.Classes[]`. Empty for other texts, such as a
+/// command, a file or a number.
 fn identifiers_of(text: &str) -> Vec<&str> {
     let separators = ["::", "."];
     let plain = text.trim_end_matches("()").trim_end_matches("[]").trim_end_matches("[...]");
@@ -130,76 +139,79 @@
     let parts: Vec<&str> = parts.into_iter().map(|part| part.trim_end_matches("[]")).collect();
     let is_package = |part: &&&str| is_package_name(part);
     let names: Vec<&str> = parts.iter().filter(|part| !is_package(part)).copied().collect();
-    let is_file = FILE_ENDINGS.iter().any(|ending| text.ends_with(ending));
+    let is_file = FILE_SUFFIXES.iter().any(|suffix| text.ends_with(suffix));
     let is_name = |name: &&str| is_word(name) && !name.starts_with(|c: char| c.is_ascii_digit());
     if !is_file && names.iter().all(is_name) { names } else { Vec::new() }
 }
 
 #[test]
 fn files_and_packages_that_pages_name_exist() {
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     for page in pages() {
         for text in quoted(&read(&page)) {
-            faults.extend(missing_file(&page, &text).map(|fault| format!("{page}: {fault}")));
+            errors.extend(missing_file(&page, &text).map(|error| format!("{page}: {error}")));
         }
     }
-    assert!(faults.is_empty(), "{}", faults.join("\n"));
+    assert!(errors.is_empty(), "{}", errors.join("\n"));
 }
 
-/// The names of other projects that a page may name.
-fn foreign_names(page: &str) -> impl Iterator<Item = &'static str> {
-    FOREIGN.into_iter().filter(move |(of, _, _)| *of == page).flat_map(|(_, _, names)| names.split(' '))
+/// The external names that a page may use.
+fn external_names(page: &str) -> impl Iterator<Item = &'static str> {
+    EXTERNAL_NAMES
+        .into_iter()
+        .filter(move |(listed, _, _)| *listed == page)
+        .flat_map(|(_, _, names)| names.split(' '))
 }
 
-/// An entry of the list is stale once a source defines the name, or its page does not name it.
+/// Detects stale entries of [`EXTERNAL_NAMES`]: a source defines the name, or the page no longer uses it.
 #[test]
-fn foreign_names_are_foreign_and_in_use() {
+fn external_names_are_undefined_and_used() {
     let known = identifiers();
-    for (page, reason, names) in FOREIGN {
+    for (page, reason, names) in EXTERNAL_NAMES {
         let quoted = quoted(&read(page));
         let used: BTreeSet<&str> = quoted.iter().flat_map(|text| identifiers_of(text)).collect();
         for name in names.split(' ') {
-            assert!(!known.contains(name), "{name}: a source defines it, so it is not one of {reason}");
-            assert!(used.contains(name), "{page} does not name {name}, one of {reason}");
+            assert!(!known.contains(name), "{name} is listed under \"{reason}\", but a source defines it");
+            assert!(used.contains(name), "{name} is listed under \"{reason}\", but {page} does not use it");
         }
     }
 }
 
-/// Types, variants, functions, constants, fields and keys.
+/// Checks types, variants, functions, constants, fields and keys.
 #[test]
 fn identifiers_that_pages_name_exist() {
     let known = identifiers();
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     for page in pages() {
-        let foreign: BTreeSet<&str> = foreign_names(&page).collect();
+        let external: BTreeSet<&str> = external_names(&page).collect();
         for text in quoted(&read(&page)) {
-            let is_missing = |name: &&str| !known.contains(*name) && !foreign.contains(*name);
+            let is_missing = |name: &&str| !known.contains(*name) && !external.contains(*name);
             for name in identifiers_of(&text).into_iter().filter(is_missing) {
-                faults.push(format!("{page}: `{text}`: {name} names nothing in the sources"));
+                errors.push(format!("{page}: `{text}`: no source defines {name}"));
             }
         }
     }
-    assert!(faults.is_empty(), "{}", faults.join("\n"));
+    assert!(errors.is_empty(), "{}", errors.join("\n"));
 }
 
-/// In `Type::function` and `module::CONSTANT` both stand in one source file.
+/// Both parts of `Type::function` and `module::CONSTANT` must occur in one source file.
 #[test]
-fn paths_that_pages_name_belong_together() {
+fn parts_of_a_path_are_in_one_source_file() {
     let files = identifiers_by_file();
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     for page in pages() {
-        let is_form = |text: &str| FORMS.contains(&(page.as_str(), text));
-        let is_name = |text: &&String| !identifiers_of(text).is_empty() && !is_form(text);
+        let is_example = |text: &str| EXAMPLE_PATHS.contains(&(page.as_str(), text));
+        let is_name = |text: &&String| !identifiers_of(text).is_empty() && !is_example(text);
         for text in quoted(&read(&page)).iter().filter(is_name) {
             let parts: Vec<&str> = text.trim_end_matches("()").split("::").collect();
-            let is_together =
+            let are_in_one_file =
                 |pair: &[&str]| files.iter().any(|file| pair.iter().all(|name| file.contains(*name)));
-            for pair in parts.windows(2).filter(|pair| !is_together(pair)) {
-                faults.push(format!("{page}: `{text}`: no source has {} with {}", pair[0], pair[1]));
+            for pair in parts.windows(2).filter(|pair| !are_in_one_file(pair)) {
+                errors.push(format!("{page}: `{text}`: no source file has both {} and {}", pair[0], pair[1]));
             }
         }
     }
-    assert!(faults.is_empty(), "{}", faults.join("\n"));
+    assert!(errors.is_empty(), "{}", errors.join("\n"));
 }
 
 /// The arguments of a macro call: the text up to the parenthesis that closes it.
@@ -217,7 +229,7 @@
             return &call[..at];
         }
     }
-    panic!("a macro call without an end: {call}");
+    panic!("macro call without a closing parenthesis: {call}");
 }
 
 /// The message of each `log!` in a source text: its last string literal.
@@ -233,33 +245,33 @@
 }
 
 #[test]
-fn each_log_line_of_the_server_has_its_row() {
+fn each_log_message_of_the_server_has_a_row() {
     let page = read("docs/on-call.md");
     let rows: Vec<&str> = page.lines().filter(|line| line.starts_with("| `")).collect();
     let mut count = 0;
     let files = rust_files("crates/loomflow-server/src");
     for file in files.iter().filter(|file| !file.ends_with("log.rs")) {
         let source = read(file);
-        // A message that is a placeholder comes from a state machine, whose page has it.
+        // The message `{text}` comes from a state machine; the page of the machine lists it.
         for message in log_messages(&source).into_iter().filter(|message| message != "{text}") {
             count += 1;
             let row = format!("| `{message}` |");
             assert!(
                 rows.iter().any(|line| line.starts_with(&row)),
-                "{}: no row for {message:?}",
+                "{}: docs/on-call.md has no row for {message:?}",
                 file.display()
             );
         }
     }
-    assert!(count > 20, "{count} log lines were found");
+    assert!(count > 20, "{count} log messages found, more than 20 are expected");
 }
 
-/// Inline test modules are for test files.
+/// Unit tests must be in separate test files, not in inline modules.
 #[test]
 fn tests_are_in_test_files() {
     for file in ["src", "crates"].into_iter().flat_map(rust_files) {
         let text = read(&file);
         let inline = text.lines().find(|line| line.contains("mod tests {"));
-        assert!(inline.is_none(), "{}: {}", file.display(), inline.unwrap_or_default());
+        assert!(inline.is_none(), "{}: inline test module: {}", file.display(), inline.unwrap_or_default());
     }
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,5 +1,5 @@
-//! The files of the controller against the deploy file and the limits of reviews: the list of them is complete, and their
-//! length and width are limited.
+//! Checks of the controller's source files: `deploy/balancer.toml` lists all of them, and none exceeds the
+//! limits on length and line width that reviews set.
 
 mod repository;
 
@@ -8,16 +8,16 @@
 
 use repository::{policy_files, read, rust_files};
 
-/// Lines that are not blank, for each file.
+/// Maximum number of non-blank lines of a file.
 const MAX_LINES: usize = 300;
-/// Characters of a line.
+/// Maximum number of characters of a line.
 const MAX_WIDTH: usize = 110;
-/// The folder of the decisions.
+/// Directory of the controller's decisions.
 const CONTROLLER: &str = "src/controller";
-/// Test files: this name, in a folder for each module.
+/// Name of the test file in the directory of each module.
 const TEST_FILE: &str = "tests.rs";
 
-/// Every file below the folder of the decisions that is no test file.
+/// All Rust files of the controller except test files.
 fn source_files() -> BTreeSet<PathBuf> {
     rust_files(CONTROLLER).into_iter().filter(|file| !file.ends_with(TEST_FILE)).collect()
 }
@@ -26,7 +26,7 @@
 fn policy_lists_every_file_of_the_controller() {
     let listed = policy_files();
     let files: BTreeSet<PathBuf> = listed.iter().cloned().collect();
-    assert_eq!(files.len(), listed.len(), "a file is listed twice");
+    assert_eq!(files.len(), listed.len(), "deploy/balancer.toml lists a file twice: {listed:?}");
     assert_eq!(files, source_files());
 }
 
@@ -36,10 +36,10 @@
         let text = read(&file);
         let file = file.display();
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-        assert!(lines <= MAX_LINES, "{file} has {lines} lines that are not blank, {MAX_LINES} are allowed");
-        for (at, line) in text.lines().enumerate() {
-            let is_wide = line.chars().count() > MAX_WIDTH;
-            assert!(!is_wide, "{file}:{} is wider than {MAX_WIDTH} characters", at + 1);
+        assert!(lines <= MAX_LINES, "{file} has {lines} non-blank lines, {MAX_LINES} are allowed");
+        for (index, line) in text.lines().enumerate() {
+            let width = line.chars().count();
+            assert!(width <= MAX_WIDTH, "{file}:{}: {width} characters, {MAX_WIDTH} are allowed", index + 1);
         }
     }
 }
