--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -24,7 +24,7 @@
         let index = COLUMNS
             .iter()
             .position(|name| *name == column)
-            .unwrap_or_else(|| panic!("docs/decisions.md has no column {column}"));
+            .unwrap_or_else(|| panic!("COLUMNS does not contain {column}"));
         &self.cells[index]
     }
 
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -156,5 +156,5 @@
     driver.batch(arrivals(1..=9, SAFE));
     driver.advance(55.0);
     let actions = driver.event(Event::ShutdownRequested { time_left: 30.0 });
-    assert!((1..=9).all(|id| has_response(&actions, id)), "{actions:?}");
+    assert!((1..=9).all(|id| has_response(&actions, id)), "some requests have no response: {actions:?}");
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -61,7 +61,7 @@
         driver.event(Event::RequestArrived(request));
         driver.advance(400.0);
     }
-    assert!(driver.signal() < 0.8, "signal {}", driver.signal());
+    assert!(driver.signal() < 0.8, "share {}, less than 0.8 is expected", driver.signal());
 }
 
 #[test]
@@ -223,8 +223,16 @@
         }
         calls
     };
-    assert!((5..=7).contains(&calls_in_flight(false)), "{}", calls_in_flight(false));
-    assert!((1..=2).contains(&calls_in_flight(true)), "{}", calls_in_flight(true));
+    assert!(
+        (5..=7).contains(&calls_in_flight(false)),
+        "{} calls in flight at full speed, 5 to 7 are expected",
+        calls_in_flight(false)
+    );
+    assert!(
+        (1..=2).contains(&calls_in_flight(true)),
+        "{} calls in flight in slow start, 1 or 2 are expected",
+        calls_in_flight(true)
+    );
 }
 
 #[test]
@@ -272,7 +280,7 @@
     settings.is_slow_start = true;
     let mut driver = Driver::new(settings);
     driver.run_each(1..=10, 20.0);
-    assert!(driver.signal() < 0.5, "signal {}", driver.signal());
+    assert!(driver.signal() < 0.5, "share {} in slow start, less than 0.5 is expected", driver.signal());
     driver.advance(16_000.0);
     assert_eq!(driver.signal(), 1.0);
 }
@@ -351,7 +359,10 @@
         let Action::Reject { id: 108, retry_after, .. } = action else { return false };
         *retry_after == longest
     };
-    assert!(next.iter().any(has_max_retry_after), "{next:?}");
+    assert!(
+        next.iter().any(has_max_retry_after),
+        "no rejection with a Retry-After of {longest} ms: {next:?}"
+    );
     driver.advance(5000.0);
     assert_eq!(driver.signal(), 0.05);
     // Runs that span the stall do not raise the expected run time: later requests still start at once.
@@ -419,7 +430,7 @@
     driver.gauges = Gauges { core_utilization: Some(1.0), runnable: Some(4.0), ..IDLE };
     driver.run_each(1..=200, 400.0);
     let before = driver.signal();
-    assert!((0.5..0.8).contains(&before), "signal {before}");
+    assert!((0.5..0.8).contains(&before), "share {before} before the stall, 0.5 to 0.8 is expected");
     for id in 1001..=1008 {
         let mut request = arrival(id, SAFE);
         request.attributes.age = 400.0;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -232,8 +232,12 @@
         }
         driver.started_count() - 30
     };
-    assert!(started(true) <= 5, "{}", started(true));
-    assert!(started(false) > 10 && started(false) < 20, "{}", started(false));
+    assert!(started(true) <= 5, "{} runs in slow start, at most 5 are expected", started(true));
+    assert!(
+        started(false) > 10 && started(false) < 20,
+        "{} runs at full speed, 11 to 19 are expected",
+        started(false)
+    );
 }
 
 #[test]
@@ -324,7 +328,7 @@
     let actions = driver.event(Event::RequestArrived(request));
     assert!(
         matches!(actions.first(), Some(Action::Reject { retry_after, .. }) if *retry_after == 1000.0),
-        "{actions:?}"
+        "no rejection with a Retry-After of 1000 ms: {actions:?}"
     );
 }
 
@@ -414,7 +418,7 @@
         driver.advance(100.0);
         driver.event(Event::RunEnded { id, outcome: AttemptOutcome::Error, duration: 1.0 });
     }
-    assert!(driver.signal() < 0.5, "signal {}", driver.signal());
+    assert!(driver.signal() < 0.5, "share {}, less than 0.5 is expected", driver.signal());
 }
 
 /// With a slow dependency, requests waited for permits until shortly before their objective and filled the
@@ -433,7 +437,7 @@
     driver.finish(1, 500.0);
     let started = started_runs(&driver.batch(arrivals(2..=4, SAFE)));
     let all: Vec<Action> = started.iter().flat_map(|id| driver.event(Event::CallNeeded(*id))).collect();
-    assert!(all.iter().any(|action| matches!(action, Action::SkipCall(_))), "{all:?}");
+    assert!(all.iter().any(|action| matches!(action, Action::SkipCall(_))), "no call is skipped: {all:?}");
 }
 
 /// An overloaded server of a lower tier queued calls up to its own objective, long after their callers had
@@ -544,8 +548,16 @@
         let calls = driver.batch((201..=216).map(Event::CallNeeded).collect());
         calls.iter().filter(|action| matches!(action, Action::Call { .. })).count()
     };
-    assert!(calls_in_flight(20.0) >= 10, "{}", calls_in_flight(20.0));
-    assert!((3..=6).contains(&calls_in_flight(200.0)), "{}", calls_in_flight(200.0));
+    assert!(
+        calls_in_flight(20.0) >= 10,
+        "{} calls in flight, at least 10 are expected",
+        calls_in_flight(20.0)
+    );
+    assert!(
+        (3..=6).contains(&calls_in_flight(200.0)),
+        "{} calls in flight, 3 to 6 are expected",
+        calls_in_flight(200.0)
+    );
 }
 
 #[test]
