--- a/crates/loomflow-backoff/src/exponential/tests.rs
+++ b/crates/loomflow-backoff/src/exponential/tests.rs
@@ -10,19 +10,19 @@
 }
 
 #[test]
-fn the_delay_of_an_attempt_is_known_by_its_number() {
+fn delay_after_doubles_up_to_the_maximum() {
     let delays =
         [0, 1, 2, 3, u32::MAX].map(|attempts| ExponentialBackoff::delay_after(100.0, 500.0, attempts));
     assert_eq!(delays, [100.0, 200.0, 400.0, 500.0, 500.0]);
 }
 
 #[test]
-fn the_first_delay_may_be_left_out() {
+fn immediate_first_begins_without_a_delay() {
     assert_eq!(delays(ExponentialBackoff::immediate_first(100.0, 300.0)), [0.0, 100.0, 200.0, 300.0, 300.0]);
 }
 
 #[test]
-fn a_reset_begins_anew() {
+fn reset_restores_the_first_delay() {
     for initial in [ExponentialBackoff::new(1.0, 8.0), ExponentialBackoff::immediate_first(1.0, 8.0)] {
         let mut backoff = initial;
         backoff.advance();
--- a/crates/loomflow-backoff/src/lib.rs
+++ b/crates/loomflow-backoff/src/lib.rs
@@ -1,5 +1,5 @@
-//! How long to wait before the next attempt. Nothing is drawn at random here: a caller that adds jitter draws from the delay
-//! it gets.
+//! Exponential backoff for retries and reconnects. Delays are deterministic; a caller that needs jitter adds it to the
+//! delay that it gets.
 
 #![forbid(unsafe_code)]
 
@@ -9,6 +9,7 @@
 pub use exponential::ExponentialBackoff;
 pub use reconnect::ReconnectBackoff;
 
-/// A duration, or a point in time since the start of the process, in milliseconds. A fraction, since
-/// callers multiply it by their jitter. It is the type of `loomflow::time::Millis`, on which this package does not depend.
+/// A duration, or a time on the caller's monotonic clock, in milliseconds. Fractional, because callers multiply
+/// delays by their jitter. Same type as `loomflow::time::Millis`, defined again so that this package does not depend
+/// on `loomflow`.
 pub type Millis = f64;
--- a/crates/loomflow-backoff/src/reconnect.rs
+++ b/crates/loomflow-backoff/src/reconnect.rs
@@ -1,47 +1,49 @@
-//! The backoff between connections: it grows until one of them is stable.
+//! Backoff for reconnects, which is reset only by a stable connection.
 
 use crate::{ExponentialBackoff, Millis};
 
-/// The backoff before a lost connection is opened again. Only a connection that was up for long enough resets it, so that
-/// a peer that accepts connections and drops them is not connected to in a hot loop.
+/// Backoff before a lost connection is opened again. It is reset only after a connection that lasted for
+/// `stable_after`, so that a peer that accepts connections and closes them at once does not cause a hot loop of
+/// reconnects.
 #[derive(Clone, Debug)]
 pub struct ReconnectBackoff {
     backoff: ExponentialBackoff,
-    /// A connection that was up for so long was stable.
+    /// How long a connection must last to count as stable.
     stable_after: Millis,
+    /// When the current connection was established, if there is one.
     connected_at: Option<Millis>,
 }
 
 impl ReconnectBackoff {
-    /// No connection yet.
+    /// Creates a backoff for a peer that has not been connected to.
     pub fn new(backoff: ExponentialBackoff, stable_after: Millis) -> ReconnectBackoff {
         ReconnectBackoff { backoff, stable_after, connected_at: None }
     }
 
-    /// A connection is up.
+    /// Records that a connection was established.
     pub fn connected(&mut self, now: Millis) {
         self.connected_at = Some(now);
     }
 
-    /// A connection was lost, or could not be opened.
+    /// Records that the connection was lost, or could not be opened. Resets the delay if the connection was stable.
     pub fn disconnected(&mut self, now: Millis) {
         if self.connected_at.take().is_some_and(|connected_at| now - connected_at >= self.stable_after) {
             self.backoff.reset();
         }
     }
 
-    /// The peer is another one: nothing is known of it.
+    /// Restores the first delay and forgets the connection, because the peer has changed.
     pub fn reset(&mut self) {
         self.connected_at = None;
         self.backoff.reset();
     }
 
-    /// The delay before the connection after this one.
+    /// Returns the delay before the next connection attempt without advancing.
     pub fn delay(&self) -> Millis {
         self.backoff.delay()
     }
 
-    /// Returns the delay before the next connection, and doubles the one after it.
+    /// Returns the delay before the next connection attempt, and doubles the delay for the attempt after it.
     pub fn advance(&mut self) -> Millis {
         self.backoff.advance()
     }
--- a/crates/loomflow-backoff/src/reconnect/tests.rs
+++ b/crates/loomflow-backoff/src/reconnect/tests.rs
@@ -6,7 +6,7 @@
     ReconnectBackoff::new(ExponentialBackoff::new(10.0, 80.0), STABLE_AFTER)
 }
 
-/// The delay after a connection that was up for so long.
+/// Returns the delay after a connection that lasted for `connected_for`.
 fn delay_after(backoff: &mut ReconnectBackoff, connected_for: Millis) -> Millis {
     backoff.connected(5.0);
     backoff.disconnected(5.0 + connected_for);
@@ -19,13 +19,13 @@
     assert_eq!(delay_after(&mut backoff, 0.0), 10.0);
     assert_eq!(delay_after(&mut backoff, STABLE_AFTER - 1.0), 20.0);
     assert_eq!(delay_after(&mut backoff, STABLE_AFTER), 10.0);
-    // A connection counts once: what could not be opened since was not stable.
+    // A stable connection resets the delay once: the failed attempt after it does not.
     backoff.disconnected(10.0 * STABLE_AFTER);
     assert_eq!(backoff.advance(), 20.0);
 }
 
 #[test]
-fn a_reset_forgets_the_connection_and_the_delay() {
+fn reset_forgets_the_connection_and_the_delay() {
     let mut backoff = reconnect_backoff();
     backoff.advance();
     backoff.connected(0.0);
