--- a/crates/loomflow-protocol/src/attempt_id.rs
+++ b/crates/loomflow-protocol/src/attempt_id.rs
@@ -1,14 +1,14 @@
-//! Identifiers of request attempts.
+//! Identifier of a request attempt, as gateways, the engine and the ledger exchange it.
 
-/// Length of an id on the wire, hexadecimal digits.
+/// Length of an id on the wire, in hexadecimal digits.
 const DIGITS: usize = 16;
 
-/// The id that a gateway gives to one attempt of a request.
+/// Identifies one attempt of a request; assigned by the gateway that sends it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId(pub u64);
 
 impl AttemptId {
-    /// Parses 16 lower-case hexadecimal digits.
+    /// Parses exactly 16 lower-case hexadecimal digits, the only form that is allowed on the wire.
     pub fn parse(text: &[u8]) -> Option<AttemptId> {
         let is_lower_hex = |byte: &u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(byte);
         if text.len() != DIGITS || !text.iter().all(is_lower_hex) {
--- a/crates/loomflow-protocol/src/buffer.rs
+++ b/crates/loomflow-protocol/src/buffer.rs
@@ -1,10 +1,10 @@
-//! Receive buffer of a connection. It grows on demand up to a bound, is compacted in place and frees its memory when it
-//! is empty.
+//! Receive buffer of a connection. It grows on demand up to a fixed limit, is compacted in place, and frees its memory
+//! when it is empty.
 
-/// Space that is provided for one read, bytes.
+/// Space provided for one read, in bytes.
 const READ_BYTES: usize = 4096;
 
-/// Bytes that were received and not consumed yet.
+/// Received bytes that have not been consumed.
 #[derive(Debug)]
 pub struct Buffer {
     bytes: Vec<u8>,
@@ -14,17 +14,17 @@
 }
 
 impl Buffer {
-    /// Creates a buffer for a message of `max_message_bytes` and one further read.
+    /// Creates an empty buffer. It can hold one message of `max_message_bytes` and one further read.
     pub fn new(max_message_bytes: usize) -> Buffer {
         Buffer { bytes: Vec::new(), start: 0, end: 0, max_bytes: max_message_bytes + READ_BYTES }
     }
 
-    /// The bytes that were received and not consumed.
+    /// Returns the received bytes that have not been consumed.
     pub fn unread(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
-    /// Space for the next read; empty when the bound is reached.
+    /// Returns the space for the next read; it is empty when the buffer is full.
     pub fn space(&mut self) -> &mut [u8] {
         if self.start > 0 {
             self.bytes.copy_within(self.start..self.end, 0);
@@ -38,22 +38,22 @@
         &mut self.bytes[self.end..]
     }
 
-    /// Marks `count` bytes of [`space`](Self::space) as received.
-    pub fn filled(&mut self, count: usize) {
+    /// Adds the first `count` bytes of [`space`](Self::space), which were just written, to the unread bytes.
+    pub fn commit(&mut self, count: usize) {
         self.end = (self.end + count).min(self.bytes.len());
     }
 
-    /// Drops `count` bytes from the start of the unread ones.
+    /// Removes `count` bytes from the start of the unread bytes.
     pub fn consume(&mut self, count: usize) {
         self.start = (self.start + count).min(self.end);
         if self.start == self.end {
             (self.start, self.end) = (0, 0);
-            // An idle connection holds no memory.
+            // Frees the memory, so that an idle connection needs none.
             self.bytes = Vec::new();
         }
     }
 
-    /// Appends bytes that were received elsewhere; returns false if they do not fit.
+    /// Appends `bytes`. Returns false if they do not fit; those that fit have been appended then.
     pub fn feed(&mut self, bytes: &[u8]) -> bool {
         let mut remaining = bytes;
         while !remaining.is_empty() {
@@ -63,7 +63,7 @@
             }
             let count = space.len().min(remaining.len());
             space[..count].copy_from_slice(&remaining[..count]);
-            self.filled(count);
+            self.commit(count);
             remaining = &remaining[count..];
         }
         true
--- a/crates/loomflow-protocol/src/control.rs
+++ b/crates/loomflow-protocol/src/control.rs
@@ -1,4 +1,4 @@
-//! Readiness reports to the control plane: HTTP/1.1 requests and their responses.
+//! Protocol of the control plane connection: readiness reports as HTTP/1.1 requests, and their responses.
 
 use crate::buffer::Buffer;
 use crate::decoder::{Decoder, Malformed};
@@ -8,23 +8,23 @@
 const MAX_BODY_BYTES: usize = 4096;
 const MAX_HEADERS: usize = 32;
 
-/// Status code of a response; its body is ignored.
+/// Status code of a response. The body is skipped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpStatus(pub u16);
 
-/// Decoder of the control plane's responses.
+/// Decodes the responses of the control plane.
 #[derive(Debug)]
-pub struct HttpResponses {
+pub struct HttpResponseDecoder {
     buffer: Buffer,
 }
 
-impl Default for HttpResponses {
-    fn default() -> HttpResponses {
-        HttpResponses { buffer: Buffer::new(MAX_HEAD_BYTES + MAX_BODY_BYTES) }
+impl Default for HttpResponseDecoder {
+    fn default() -> HttpResponseDecoder {
+        HttpResponseDecoder { buffer: Buffer::new(MAX_HEAD_BYTES + MAX_BODY_BYTES) }
     }
 }
 
-impl Decoder for HttpResponses {
+impl Decoder for HttpResponseDecoder {
     type Message = HttpStatus;
 
     fn buffer(&mut self) -> &mut Buffer {
@@ -38,8 +38,10 @@
         let head_len = match response.parse(unread) {
             Ok(httparse::Status::Complete(head_len)) => head_len,
             Ok(httparse::Status::Partial) if unread.len() < MAX_HEAD_BYTES => return Ok(None),
-            Ok(httparse::Status::Partial) => return Err(Malformed("an answer's head is too long")),
-            Err(_) => return Err(Malformed("an answer is not HTTP")),
+            Ok(httparse::Status::Partial) => {
+                return Err(Malformed("the head of an HTTP response exceeds 4096 bytes"));
+            }
+            Err(_) => return Err(Malformed("a response is not valid HTTP/1.x, or has more than 32 headers")),
         };
         let status = response.code.unwrap_or(0);
         let body_len = if has_no_body(status) { 0 } else { content_length(response.headers)? };
@@ -51,22 +53,22 @@
     }
 }
 
-/// Whether responses with this status never have a body, whatever length they state.
+/// Whether a response with this status has no body, even if it has a `Content-Length` (RFC 9112, 6.3).
 fn has_no_body(status: u16) -> bool {
     status < 200 || status == 204 || status == 304
 }
 
-/// The length of the body; without a header it is empty.
+/// Returns the length of the body, in bytes; 0 without a `Content-Length`.
 fn content_length(headers: &[httparse::Header]) -> Result<usize, Malformed> {
     let header = headers.iter().find(|header| header.name.eq_ignore_ascii_case("content-length"));
     let Some(header) = header else { return Ok(0) };
     integer(header.value.trim_ascii())
         .and_then(|length| usize::try_from(length).ok())
         .filter(|length| *length <= MAX_BODY_BYTES)
-        .ok_or(Malformed("an answer's length cannot be read or is too long"))
+        .ok_or(Malformed("the Content-Length of a response is not a number or exceeds 4096"))
 }
 
-/// Writes a report of whether the server `name` is ready.
+/// Writes the request that reports to the control plane whether the server `name` is ready.
 pub fn write_report(out: &mut Vec<u8>, name: &str, is_ready: bool) {
     let condition = if is_ready { "Ready" } else { "NotReady" };
     let body = format!("{{\"condition\":\"{condition}\"}}");
--- a/crates/loomflow-protocol/src/decoder.rs
+++ b/crates/loomflow-protocol/src/decoder.rs
@@ -1,23 +1,23 @@
-//! The interface of the protocol decoders.
+//! The trait that all protocol decoders implement.
 
 use crate::buffer::Buffer;
 
-/// A violation of the protocol; the connection cannot go on.
+/// The peer violated the protocol, and the connection must be closed. Contains a description for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Malformed(pub &'static str);
 
-/// A state machine that is fed bytes and yields typed messages.
+/// An incremental decoder: received bytes are written to its buffer, and complete messages are taken from it.
 pub trait Decoder {
-    /// Type of the messages.
+    /// The type of the decoded messages.
     type Message;
 
-    /// The buffer that received bytes are written to.
+    /// Returns the buffer that received bytes are written to.
     fn buffer(&mut self) -> &mut Buffer;
 
-    /// The next complete message, or `None` until more bytes are received.
+    /// Decodes and consumes the next message. Returns `None` if it is incomplete and more bytes are needed.
     ///
     /// # Errors
     ///
-    /// The bytes violate the protocol.
+    /// The buffered bytes violate the protocol.
     fn next(&mut self) -> Result<Option<Self::Message>, Malformed>;
 }
--- a/crates/loomflow-protocol/src/engine.rs
+++ b/crates/loomflow-protocol/src/engine.rs
@@ -1,4 +1,5 @@
-//! Protocol of the engine connection: lines of fields, some followed by a body of stated length.
+//! Protocol of the engine connection: the engine sends notices, the server sends commands. Both are lines of fields
+//! separated by spaces, some followed by a body whose length is the last field.
 
 use crate::Millis;
 use crate::attempt_id::AttemptId;
@@ -12,78 +13,79 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// With a result.
+    /// It completed and returned a result.
     Succeeded,
-    /// With an error.
+    /// It completed with an error.
     Failed,
-    /// Preempted, or ended at a call because its request is finished.
+    /// It was stopped before completion: preempted, or ended at a downstream call because its request was finished.
     Stopped,
-    /// Nothing was started, because the request is finished.
+    /// It was never started, because its request was finished.
     NotStarted,
 }
 
 /// A message from the engine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
-    /// First message on a connection.
+    /// The first notice on a connection.
     Hello {
-        /// Whether the engine is in slow start.
+        /// Whether the engine is in slow start, during which it has less capacity.
         is_starting: bool,
-        /// How long ago it started.
+        /// Time since the engine was started.
         age: Millis,
     },
-    /// A run has ended.
+    /// Reports the end of a run.
     Done {
-        /// Sequence number.
+        /// Sequence number of the notice.
         number: u64,
-        /// The request of the run.
+        /// The attempt that was run.
         id: AttemptId,
         /// How the run ended.
         end: RunEnd,
-        /// How long it ran.
+        /// Duration of the run.
         duration: Millis,
-        /// The result, if it succeeded.
+        /// The result; meaningful only if the run succeeded.
         result: Vec<u8>,
     },
-    /// A run waits for the reply to a downstream call.
+    /// A run requests a downstream call and waits for the reply.
     Need {
-        /// Sequence number.
+        /// Sequence number of the notice.
         number: u64,
-        /// The request of the run.
+        /// The attempt whose run requests the call.
         id: AttemptId,
         /// Body of the call.
         body: Vec<u8>,
     },
-    /// Response to [`Command::Stat`].
+    /// Reply to [`Command::Stat`].
     Stats {
-        /// Tag of the command.
+        /// Tag of the command that is replied to.
         tag: String,
-        /// Gauge values, in the order of the settings.
+        /// Gauge values, in the order in which the settings list the gauges.
         values: Vec<f64>,
     },
-    /// Response to [`Command::Test`].
+    /// Reply to [`Command::Test`].
     HealthChecked {
-        /// Tag of the command.
+        /// Tag of the command that is replied to.
         tag: String,
         /// Whether the check passed.
         has_passed: bool,
     },
-    /// A command was not carried out.
+    /// The engine did not carry out a command.
     CommandRejected {
         /// Name of the command.
         command: String,
-        /// The request it was about, if any.
+        /// The attempt that the command named, if any.
         id: Option<AttemptId>,
     },
-    /// A message without consequences.
+    /// Free text that the server ignores; only its sequence number is used.
     Note {
-        /// Sequence number.
+        /// Sequence number of the notice.
         number: u64,
     },
 }
 
 impl Notice {
-    /// Sequence number of a notice that the engine repeats on the next connection; `None` for the others.
+    /// Returns the sequence number of a notice that the engine repeats on the next connection, `None` for other
+    /// notices.
     pub fn number(&self) -> Option<u64> {
         match self {
             Notice::Done { number, .. } | Notice::Need { number, .. } | Notice::Note { number } => {
@@ -94,19 +96,19 @@
     }
 }
 
-/// Decoder of the engine's messages.
+/// Decodes the notices of the engine.
 #[derive(Debug)]
-pub struct Notices {
+pub struct NoticeDecoder {
     buffer: Buffer,
 }
 
-impl Default for Notices {
-    fn default() -> Notices {
-        Notices { buffer: Buffer::new(MAX_LINE_BYTES + MAX_BODY_BYTES) }
+impl Default for NoticeDecoder {
+    fn default() -> NoticeDecoder {
+        NoticeDecoder { buffer: Buffer::new(MAX_LINE_BYTES + MAX_BODY_BYTES) }
     }
 }
 
-impl Decoder for Notices {
+impl Decoder for NoticeDecoder {
     type Message = Notice;
 
     fn buffer(&mut self) -> &mut Buffer {
@@ -121,14 +123,14 @@
     }
 }
 
-/// The fields of a notice, with typed access by position.
+/// The fields of a notice. Each method parses the field at a position, and fails if it is missing or invalid.
 struct Fields<'a>(&'a [&'a [u8]]);
 
 impl Fields<'_> {
-    const UNREADABLE: Malformed = Malformed("a notice cannot be read");
+    const INVALID_FIELD: Malformed = Malformed("a notice has a missing or invalid field");
 
     fn at<T>(&self, position: usize, parse: impl Fn(&[u8]) -> Option<T>) -> Result<T, Malformed> {
-        self.0.get(position).and_then(|field| parse(field)).ok_or(Fields::UNREADABLE)
+        self.0.get(position).and_then(|field| parse(field)).ok_or(Fields::INVALID_FIELD)
     }
 
     fn integer(&self, position: usize) -> Result<u64, Malformed> {
@@ -147,7 +149,7 @@
         self.at(position, |field| String::from_utf8(field.to_vec()).ok())
     }
 
-    /// A field with two possible values; returns whether it is the first one.
+    /// Parses a field with two possible values; returns true if it is `if_true`.
     fn flag(&self, position: usize, if_true: &[u8], if_false: &[u8]) -> Result<bool, Malformed> {
         self.at(position, |field| match field {
             _ if field == if_true => Some(true),
@@ -189,7 +191,7 @@
             let values = fields.0[2..].iter().map(|field| decimal(field)).collect::<Option<Vec<_>>>();
             LineHead::Complete(Notice::Stats {
                 tag: fields.text(1)?,
-                values: values.ok_or(Fields::UNREADABLE)?,
+                values: values.ok_or(Fields::INVALID_FIELD)?,
             })
         }
         (b"TESTED", 3) => LineHead::Complete(Notice::HealthChecked {
@@ -200,63 +202,63 @@
             LineHead::Complete(Notice::CommandRejected { command: fields.text(1)?, id: fields.id(2).ok() })
         }
         (b"NOTE", 2..) => LineHead::Complete(Notice::Note { number: fields.integer(1)? }),
-        _ => return Err(Malformed("a notice is not known")),
+        _ => return Err(Malformed("a notice has an unknown name or a wrong number of fields")),
     })
 }
 
-/// A command to the engine.
+/// A command to the engine. In every variant, `id` is the attempt whose run the command concerns.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Command<'a> {
-    /// Opens the conversation.
+    /// Attaches to the engine; the first command on a connection.
     Attach {
-        /// Sequence number of the last notice that was received; later ones are repeated.
+        /// Sequence number of the last notice that was received; the engine repeats the later ones.
         last: u64,
     },
     /// Starts a run.
     Run {
-        /// The request to run.
+        /// Id of the attempt.
         id: AttemptId,
-        /// Name of its class.
+        /// Name of the request class.
         class: &'a str,
         /// Body of the request.
         body: &'a [u8],
     },
-    /// Passes the reply of a downstream call to a run.
+    /// Passes the reply to a downstream call on to the run that waits for it.
     Feed {
-        /// The request of the run.
+        /// Id of the attempt.
         id: AttemptId,
         /// Body of the reply.
         reply: &'a [u8],
     },
     /// Preempts a run.
     Halt {
-        /// The request of the run.
+        /// Id of the attempt.
         id: AttemptId,
     },
     /// Continues a preempted run.
     Resume {
-        /// The request of the run.
+        /// Id of the attempt.
         id: AttemptId,
     },
-    /// Continues a run without its downstream call.
+    /// Continues a run whose downstream call is not made.
     Skip {
-        /// The request of the run.
+        /// Id of the attempt.
         id: AttemptId,
     },
-    /// Requests the gauges.
+    /// Queries the gauges; the reply is [`Notice::Stats`].
     Stat {
-        /// Tag of the response.
+        /// Tag that the reply repeats.
         tag: u64,
     },
-    /// Requests a health check that does real work.
+    /// Requests a deep health check, which does real work; the reply is [`Notice::HealthChecked`].
     Test {
-        /// Tag of the response.
+        /// Tag that the reply repeats.
         tag: u64,
     },
 }
 
 impl Command<'_> {
-    /// Writes the command.
+    /// Appends the encoded command to `out`.
     pub fn write(self, out: &mut Vec<u8>) {
         let (line, body) = match self {
             Command::Attach { last } => (format!("ATTACH {last}"), None),
--- a/crates/loomflow-protocol/src/ledger.rs
+++ b/crates/loomflow-protocol/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Protocol of the downstream connection: calls, and their replies in any order.
+//! Protocol of the ledger connections: downstream calls, and replies to them in any order.
 
 use crate::attempt_id::AttemptId;
 use crate::buffer::Buffer;
@@ -8,43 +8,43 @@
 const MAX_LINE_BYTES: usize = 256;
 const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// How a call ended.
+/// How a downstream call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplyStatus {
-    /// It succeeded, with this body.
+    /// The call succeeded; contains the body of the reply.
     Posted(Vec<u8>),
-    /// Rejected; it never ran.
+    /// The ledger rejected the call; it was not executed.
     QueueFull,
-    /// Failed; it may have had its effect.
+    /// The call failed; it may have had its effect.
     Error,
-    /// Timed out; it may have had its effect.
+    /// The call timed out; it may have had its effect.
     Expired,
-    /// No run waits for it; it never ran.
+    /// The call was not executed, because no run waits for it any more.
     NotStarted,
 }
 
-/// The reply to a call.
+/// The reply to a downstream call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// The request whose run made the call.
+    /// The attempt whose run made the call.
     pub id: AttemptId,
     /// How the call ended.
     pub status: ReplyStatus,
 }
 
-/// Decoder of replies.
+/// Decodes the replies of the ledger.
 #[derive(Debug)]
-pub struct Replies {
+pub struct ReplyDecoder {
     buffer: Buffer,
 }
 
-impl Default for Replies {
-    fn default() -> Replies {
-        Replies { buffer: Buffer::new(MAX_LINE_BYTES + MAX_BODY_BYTES) }
+impl Default for ReplyDecoder {
+    fn default() -> ReplyDecoder {
+        ReplyDecoder { buffer: Buffer::new(MAX_LINE_BYTES + MAX_BODY_BYTES) }
     }
 }
 
-impl Decoder for Replies {
+impl Decoder for ReplyDecoder {
     type Message = Reply;
 
     fn buffer(&mut self) -> &mut Buffer {
@@ -60,30 +60,30 @@
 }
 
 fn parse_reply(fields: &[&[u8]]) -> Result<LineHead<Reply>, Malformed> {
-    let unreadable = Malformed("a reply cannot be read");
-    let id = AttemptId::parse(fields[0]).ok_or(unreadable.clone())?;
+    let invalid = Malformed("a reply has an unknown status, or a missing or invalid field");
+    let id = AttemptId::parse(fields[0]).ok_or(invalid.clone())?;
     let without_body = |status| Ok(LineHead::Complete(Reply { id, status }));
     match fields[1..] {
         [b"posted", length] => {
             let build = move |body| Reply { id, status: ReplyStatus::Posted(body) };
-            Ok(LineHead::WithBody(integer(length).ok_or(unreadable)?, Box::new(build)))
+            Ok(LineHead::WithBody(integer(length).ok_or(invalid)?, Box::new(build)))
         }
         [b"queue_full"] => without_body(ReplyStatus::QueueFull),
         [b"error"] => without_body(ReplyStatus::Error),
         [b"expired"] => without_body(ReplyStatus::Expired),
         [b"moot"] => without_body(ReplyStatus::NotStarted),
-        _ => Err(unreadable),
+        _ => Err(invalid),
     }
 }
 
-/// Writes a call that may take up to `timeout_ms`.
+/// Appends a call that the ledger should finish within `timeout_ms`.
 pub fn write_post(out: &mut Vec<u8>, id: AttemptId, timeout_ms: u64, body: &[u8]) {
     out.extend_from_slice(format!("post {id} {timeout_ms} {}\r\n", body.len()).as_bytes());
     out.extend_from_slice(body);
     out.extend_from_slice(b"\r\n");
 }
 
-/// Writes the cancellation of a call, which is not replied to.
+/// Appends the cancellation of a call. The ledger does not reply to it.
 pub fn write_abandon(out: &mut Vec<u8>, id: AttemptId) {
     out.extend_from_slice(format!("abandon {id}\r\n").as_bytes());
 }
--- a/crates/loomflow-protocol/src/lib.rs
+++ b/crates/loomflow-protocol/src/lib.rs
@@ -1,5 +1,5 @@
-//! The wire protocols of a server, as state machines that are fed bytes and yield typed messages. They own no socket and
-//! read no clock.
+//! Wire protocols of a server, without I/O: incremental decoders turn received bytes into typed messages, and functions
+//! encode outgoing messages. Nothing here opens a socket or reads a clock.
 
 #![forbid(unsafe_code)]
 
@@ -16,6 +16,6 @@
 pub use buffer::Buffer;
 pub use decoder::{Decoder, Malformed};
 
-/// A duration, or a point in time since the Unix epoch, in milliseconds. A fraction, since peers state times as decimals. It
-/// is the type of `loomflow::time::Millis`, on which this package does not depend.
+/// A duration, or a time since the Unix epoch, in milliseconds. Fractional, because peers send decimal numbers. Same
+/// type as `loomflow::time::Millis`, defined again so that this package does not depend on `loomflow`.
 pub type Millis = f64;
--- a/crates/loomflow-protocol/src/text.rs
+++ b/crates/loomflow-protocol/src/text.rs
@@ -1,25 +1,25 @@
-//! Parsing of lines and numbers, shared by the line-based protocols.
+//! Parsing of lines and numbers, shared by the text protocols.
 
 use crate::decoder::Malformed;
 
 const LINE_END: &[u8] = b"\r\n";
-/// Maximum length of a 64-bit number, bytes.
+/// Digits of the largest 64-bit number.
 const MAX_INTEGER_BYTES: usize = 20;
 const MAX_DECIMAL_BYTES: usize = 32;
 
 /// Builds a message from its body.
-type WithBody<T> = Box<dyn FnOnce(Vec<u8>) -> T>;
+type BuildMessage<T> = Box<dyn FnOnce(Vec<u8>) -> T>;
 
-/// How much of a message its line is.
+/// The result of parsing the first line of a message.
 pub(crate) enum LineHead<T> {
     /// The line is the complete message.
     Complete(T),
-    /// A body of this length follows, from which the message is built.
-    WithBody(u64, WithBody<T>),
+    /// A body of this length, in bytes, follows; the function builds the message from it.
+    WithBody(u64, BuildMessage<T>),
 }
 
-/// Parses a line of fields separated by spaces, and the body that follows it if `parse` finds a length in it. Returns the message and the
-/// number of bytes that it takes, or `None` while it is incomplete.
+/// Parses a message: a line of fields separated by spaces and, if `parse` returns a length, the body that follows it.
+/// Returns the message and its total length in bytes, or `None` while it is incomplete.
 pub(crate) fn line_and_body<T>(
     bytes: &[u8],
     max_line_bytes: usize,
@@ -34,7 +34,7 @@
         LineHead::WithBody(length, build) => {
             let length = usize::try_from(length).unwrap_or(usize::MAX);
             if length > max_body_bytes {
-                return Err(Malformed("a body is too long"));
+                return Err(Malformed("a body exceeds the maximum length"));
             }
             let Some(rest) = bytes.get(body_start..).filter(|rest| rest.len() >= length + LINE_END.len())
             else {
@@ -42,24 +42,26 @@
             };
             let (body, rest) = rest.split_at(length);
             if !rest.starts_with(LINE_END) {
-                return Err(Malformed("a body does not end where its length says"));
+                return Err(Malformed("a body of the stated length is not followed by CR LF"));
             }
             Ok(Some((build(body.to_vec()), body_start + length + LINE_END.len())))
         }
     }
 }
 
-/// The line at the start of `bytes` without its CR LF, or `None` while it is incomplete.
+/// Returns the line at the start of `bytes` without its CR LF, or `None` while it is incomplete.
 pub(crate) fn line(bytes: &[u8], max_bytes: usize) -> Result<Option<&[u8]>, Malformed> {
     let searched = &bytes[..bytes.len().min(max_bytes + LINE_END.len())];
     match searched.windows(LINE_END.len()).position(|pair| pair == LINE_END) {
         Some(end) => Ok(Some(&bytes[..end])),
-        None if bytes.len() >= max_bytes + LINE_END.len() => Err(Malformed("a line is too long")),
+        None if bytes.len() >= max_bytes + LINE_END.len() => {
+            Err(Malformed("a line exceeds the maximum length"))
+        }
         None => Ok(None),
     }
 }
 
-/// An unsigned integer that consists of digits only.
+/// Parses an unsigned 64-bit integer that consists of digits only; a sign or a space is invalid.
 pub(crate) fn integer(text: &[u8]) -> Option<u64> {
     if text.is_empty() || text.len() > MAX_INTEGER_BYTES || !text.iter().all(u8::is_ascii_digit) {
         return None;
@@ -67,10 +69,10 @@
     std::str::from_utf8(text).ok()?.parse().ok()
 }
 
-/// A finite decimal number that is not negative.
+/// Parses a finite decimal number, zero or greater. `inf` and `nan`, which `f64` would parse, are invalid.
 pub(crate) fn decimal(text: &[u8]) -> Option<f64> {
-    let is_part_of_number = |byte: &u8| byte.is_ascii_digit() || b".eE+-".contains(byte);
-    if text.is_empty() || text.len() > MAX_DECIMAL_BYTES || !text.iter().all(is_part_of_number) {
+    let is_number_byte = |byte: &u8| byte.is_ascii_digit() || b".eE+-".contains(byte);
+    if text.is_empty() || text.len() > MAX_DECIMAL_BYTES || !text.iter().all(is_number_byte) {
         return None;
     }
     let value: f64 = std::str::from_utf8(text).ok()?.parse().ok()?;
--- a/crates/loomflow-protocol/tests/wire_bytes.rs
+++ b/crates/loomflow-protocol/tests/wire_bytes.rs
@@ -1,9 +1,10 @@
-//! The bytes that a server writes, as they were first released: a name in the code may change freely, these may not.
+//! The exact bytes of every message that a server writes. Peers depend on them: names in the code may change, these
+//! bytes may not.
 
 use loomflow_protocol::AttemptId;
 use loomflow_protocol::control::write_report;
 use loomflow_protocol::engine::Command;
-use loomflow_protocol::gateway::{ResponseFields, ResponseStatus, write_goodbye, write_response};
+use loomflow_protocol::gateway::{ResponseFields, ResponseStatus, write_bye, write_response};
 use loomflow_protocol::ledger::{write_abandon, write_post};
 
 const ID: AttemptId = AttemptId(0x9b1f_03aa_5c7e_2d41);
@@ -15,38 +16,40 @@
 }
 
 #[test]
-fn answers_to_gateways() {
+fn responses_to_gateways() {
     let plain = ResponseFields::default();
-    let all = [
+    let cases = [
         (ResponseStatus::Ok, "*4\r\n$1\r\n7\r\n$2\r\nOK\r\n$0\r\n\r\n$2\r\nhi\r\n"),
         (ResponseStatus::Busy, "*4\r\n$1\r\n7\r\n$4\r\nBUSY\r\n$0\r\n\r\n$2\r\nhi\r\n"),
         (ResponseStatus::Failed, "*4\r\n$1\r\n7\r\n$6\r\nFAILED\r\n$0\r\n\r\n$2\r\nhi\r\n"),
         (ResponseStatus::Up, "*4\r\n$1\r\n7\r\n$2\r\nUP\r\n$0\r\n\r\n$2\r\nhi\r\n"),
         (ResponseStatus::Down, "*4\r\n$1\r\n7\r\n$4\r\nDOWN\r\n$0\r\n\r\n$2\r\nhi\r\n"),
     ];
-    for (word, bytes) in all {
-        assert_eq!(written(|out| write_response(out, 7, word, plain, b"hi")), bytes);
+    for (status, bytes) in cases {
+        assert_eq!(written(|out| write_response(out, 7, status, plain, b"hi")), bytes);
     }
-    assert_eq!(written(write_goodbye), "*2\r\n$1\r\n0\r\n$3\r\nBYE\r\n");
+    assert_eq!(written(write_bye), "*2\r\n$1\r\n0\r\n$3\r\nBYE\r\n");
 }
 
 #[test]
-fn the_fields_of_an_answer() {
-    let fields = |advice| written(|out| write_response(out, 1, ResponseStatus::Busy, advice, b""));
-    let with =
-        |listed: &str| format!("*4\r\n$1\r\n1\r\n$4\r\nBUSY\r\n${}\r\n{listed}\r\n$0\r\n\r\n", listed.len());
-    let advice = |signal, stay_away, last| ResponseFields { signal, retry_after: stay_away, is_final: last };
-    assert_eq!(fields(advice(Some(0.0), 0.0, false)), with("signal=0.0000"));
-    assert_eq!(fields(advice(Some(0.123_45), 0.0, false)), with("signal=0.1235"));
-    assert_eq!(fields(advice(None, 1500.0, false)), with("holdoff=1500.000"));
-    assert_eq!(fields(advice(None, 0.0, true)), with("nomore=1"));
-    assert_eq!(fields(advice(Some(1.0), 0.5, true)), with("signal=1.0000,holdoff=0.500,nomore=1"));
+fn fields_of_a_response() {
+    let response = |signal, retry_after, is_final| {
+        let fields = ResponseFields { signal, retry_after, is_final };
+        written(|out| write_response(out, 1, ResponseStatus::Busy, fields, b""))
+    };
+    let expected =
+        |fields: &str| format!("*4\r\n$1\r\n1\r\n$4\r\nBUSY\r\n${}\r\n{fields}\r\n$0\r\n\r\n", fields.len());
+    assert_eq!(response(Some(0.0), 0.0, false), expected("signal=0.0000"));
+    assert_eq!(response(Some(0.123_45), 0.0, false), expected("signal=0.1235"));
+    assert_eq!(response(None, 1500.0, false), expected("holdoff=1500.000"));
+    assert_eq!(response(None, 0.0, true), expected("nomore=1"));
+    assert_eq!(response(Some(1.0), 0.5, true), expected("signal=1.0000,holdoff=0.500,nomore=1"));
 }
 
 #[test]
 fn commands_to_the_engine() {
     let id = ID;
-    let all = [
+    let cases = [
         (Command::Attach { last: 12 }, "ATTACH 12\r\n"),
         (Command::Run { id, class: "read", body: b"abc" }, "RUN 9b1f03aa5c7e2d41 read 3\r\nabc\r\n"),
         (Command::Feed { id, reply: b"xy" }, "FEED 9b1f03aa5c7e2d41 2\r\nxy\r\n"),
@@ -56,7 +59,7 @@
         (Command::Stat { tag: 3 }, "STAT 3\r\n"),
         (Command::Test { tag: 4 }, "TEST 4\r\n"),
     ];
-    for (command, bytes) in all {
+    for (command, bytes) in cases {
         assert_eq!(written(|out| command.write(out)), bytes);
     }
 }
--- a/crates/loomflow-server/src/connection/driver.rs
+++ b/crates/loomflow-server/src/connection/driver.rs
@@ -102,7 +102,7 @@
 fn has_unread_input<D: Decoder>(mut stream: &std::net::TcpStream, decoder: &mut D) -> bool {
     let buffer = decoder.buffer();
     if let Ok(count) = stream.read(buffer.space()) {
-        buffer.filled(count);
+        buffer.commit(count);
     }
     !buffer.unread().is_empty()
 }
@@ -175,7 +175,7 @@
     match stream.read(buffer.space()) {
         Ok(0) => Ok(Filled::InputClosed(CloseReason::PeerClosed)),
         Ok(count) => {
-            buffer.filled(count);
+            buffer.commit(count);
             Ok(Filled::Buffer)
         }
         Err(error) if error.kind() == ErrorKind::WouldBlock => Ok(Filled::Nothing),
--- a/crates/loomflow-server/src/connection/driver/tests.rs
+++ b/crates/loomflow-server/src/connection/driver/tests.rs
@@ -2,7 +2,7 @@
 use std::net::{TcpListener, TcpStream as StdStream};
 use std::time::Instant;
 
-use loomflow_protocol::gateway::Requests;
+use loomflow_protocol::gateway::RequestDecoder;
 
 use super::*;
 use crate::connection::configure_runtime;
@@ -19,7 +19,7 @@
     // All is there once the stream ends.
     peer.shutdown(std::net::Shutdown::Write).expect("it ends");
     let handle = ConnectionHandle::new(None);
-    let mut decoder = Requests::default();
+    let mut decoder = RequestDecoder::default();
     let mut delivered = 0;
     let outcome = read_messages(&stream, &handle, &mut decoder, &mut |_| delivered += 1);
     assert!(matches!(outcome, Ok(ReadOutcome::MoreToRead)));
--- a/crates/loomflow-server/src/connection/tests.rs
+++ b/crates/loomflow-server/src/connection/tests.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
 
-use loomflow_protocol::gateway::{Request, Requests};
+use loomflow_protocol::gateway::{Request, RequestDecoder};
 
 use super::*;
 use crate::close_reason::CloseReason;
@@ -36,7 +36,7 @@
         // The driver waits as a coroutine.
         may::go!(move || {
             let deliver = |request| sender.send(request).expect("the test listens");
-            let (stream, reason) = drive(stream, &driver, Requests::default(), deliver, |_| {});
+            let (stream, reason) = drive(stream, &driver, RequestDecoder::default(), deliver, |_| {});
             linger(stream, reason);
             reasons.send(reason).expect("the test listens");
         });
--- a/crates/loomflow-server/src/control_plane.rs
+++ b/crates/loomflow-server/src/control_plane.rs
@@ -1,4 +1,5 @@
-//! Reports to the control plane, often enough that one lost report does not unlist the server.
+//! Reports the readiness of the server to the control plane, often enough that one lost report does not unlist the
+//! server.
 
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
@@ -7,7 +8,7 @@
 use std::sync::mpsc::RecvTimeoutError;
 use std::time::{Duration, Instant};
 
-use loomflow_protocol::control::{HttpResponses, HttpStatus, write_report};
+use loomflow_protocol::control::{HttpResponseDecoder, HttpStatus, write_report};
 use loomflow_protocol::{Decoder, Malformed};
 use may::net::TcpStream;
 use may::sync::mpsc::{Receiver, Sender, channel};
@@ -16,37 +17,39 @@
 use crate::connection;
 use crate::log;
 
-/// Between two reports. A server is unlisted 3 s after its last one.
+/// Time between the starts of two reports. The control plane unlists a server 3 s after its last report.
 const REPORT_INTERVAL: Duration = Duration::from_millis(800);
-/// After a report that failed, and between any two.
+/// Time between the starts of a failed report and the next, and the minimum pause between any two.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a report may take from its first byte to the last of its response. Together with the time that opening a
-/// connection may take it ends well before the next report is due, and a change of address waits no longer.
+/// Maximum time from the first byte of a report to the last byte of its response. Short enough that a lost report is
+/// followed by another before the server is unlisted. Together with the timeout for opening a connection, it also
+/// limits how long a change of address waits.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why a report failed.
+/// Why a report failed; the text is logged.
 #[derive(Debug, thiserror::Error)]
 enum ReportError {
     #[error("{0}")]
     Connect(CloseReason),
     #[error("{0}")]
     Malformed(&'static str),
-    #[error("a report was answered {0}")]
+    #[error("the control plane responded with status {0}")]
     Status(u16),
-    #[error("an answer is too long")]
+    #[error("the response exceeds the receive buffer")]
     ResponseTooLong,
-    #[error("the answer is not over in time")]
+    #[error("no complete response within {} ms", REPORT_TIMEOUT.as_millis())]
     Timeout,
-    #[error("the connection was closed before the answer")]
+    #[error("the connection was closed before the response was complete")]
     Closed,
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// Where reports go from now on; none stops them.
+/// Changes the address that reports are sent to; `None` pauses them.
 pub type AddressSender = Sender<Option<SocketAddr>>;
 
-/// Starts to report, for as long as the process lives. A new address is used at once.
+/// Starts a coroutine that reports for `name` until the sender is dropped. The first report, and the first after a
+/// change of address, is sent without delay.
 pub fn start(address: Option<SocketAddr>, name: String, ready: Arc<AtomicBool>) -> AddressSender {
     let (addresses, address_updates) = channel();
     let reporter = Reporter { address, name, ready, connection: None, has_failed: false };
@@ -54,13 +57,14 @@
     addresses
 }
 
-/// How long to wait after a report that took this long, before the next.
-fn wait_after_report(has_failed: bool, took: Duration) -> Duration {
+/// Returns how long to wait before the next report, after one that took `elapsed`.
+fn wait_after_report(has_failed: bool, elapsed: Duration) -> Duration {
     let interval = if has_failed { RETRY_INTERVAL } else { REPORT_INTERVAL };
-    interval.saturating_sub(took).max(RETRY_INTERVAL)
+    interval.saturating_sub(elapsed).max(RETRY_INTERVAL)
 }
 
-/// What a response says about the report; none where it is provisional and the final one follows (RFC 9110, 15.2).
+/// Returns the result of a report according to its response; none for an interim response, which a final one follows
+/// (RFC 9110, 15.2).
 fn report_result(HttpStatus(status): HttpStatus) -> Option<Result<(), ReportError>> {
     match status {
         100..=199 => None,
@@ -69,18 +73,19 @@
     }
 }
 
-/// An open connection to the control plane, and what was read of its responses.
+/// An open connection to the control plane, with the decoder of its responses.
 struct ControlPlaneConnection {
     stream: TcpStream,
-    statuses: HttpResponses,
+    statuses: HttpResponseDecoder,
 }
 
+/// The state of the coroutine that sends the reports.
 struct Reporter {
     address: Option<SocketAddr>,
     name: String,
     ready: Arc<AtomicBool>,
     connection: Option<ControlPlaneConnection>,
-    /// The last report failed.
+    /// Whether the last report failed; a failure after it is not logged.
     has_failed: bool,
 }
 
@@ -106,7 +111,7 @@
         }
     }
 
-    /// Reports once. Of several failures in a row the first is logged.
+    /// Sends one report. Of several failures in a row only the first is logged.
     fn report_to(&mut self, address: SocketAddr) {
         let result = self.send_report(address);
         if let Err(error) = &result {
@@ -123,7 +128,8 @@
             open
         } else {
             let stream = connection::connect(address).map_err(ReportError::Connect)?;
-            self.connection.insert(ControlPlaneConnection { stream, statuses: HttpResponses::default() })
+            self.connection
+                .insert(ControlPlaneConnection { stream, statuses: HttpResponseDecoder::default() })
         };
         let deadline = Instant::now() + REPORT_TIMEOUT;
         let mut request = Vec::new();
@@ -161,10 +167,10 @@
         match self.stream.read(space) {
             Ok(0) => Err(ReportError::Closed),
             Ok(count) => {
-                self.statuses.buffer().filled(count);
+                self.statuses.buffer().commit(count);
                 Ok(())
             }
-            // The deadline is checked before the next read.
+            // Not an error yet: the deadline is checked before the next read.
             Err(error) if connection::is_timeout(&error) => Ok(()),
             Err(error) => Err(error.into()),
         }
--- a/crates/loomflow-server/src/engine.rs
+++ b/crates/loomflow-server/src/engine.rs
@@ -1,4 +1,5 @@
-//! The link to the engine: opened again whenever it is lost, with notices read once and commands sent in order.
+//! The connection ("link") to the engine. A lost link is opened again with backoff; each notice is handled once,
+//! although the engine replays its notices on a new link, and commands are sent in order.
 
 mod pending_command;
 mod resend;
@@ -9,7 +10,7 @@
 use loomflow::interface::Settings;
 use loomflow::time::Millis;
 use loomflow_backoff::{ExponentialBackoff, ReconnectBackoff};
-use loomflow_protocol::engine::{Command, Notice, Notices};
+use loomflow_protocol::engine::{Command, Notice, NoticeDecoder};
 
 use crate::close_reason::CloseReason;
 use crate::connection::{self, ConnectionHandle};
@@ -19,17 +20,19 @@
 pub use pending_command::{Delivery, PendingCommand, SentCommand};
 pub use resend::{RequestState, Resend};
 
-/// Delay before a link is opened again; the first attempt has none.
+/// Smallest and largest delay between attempts to open a link; the first attempt has no delay.
 const MIN_BACKOFF_MS: Millis = 10.0;
 const MAX_BACKOFF_MS: Millis = 500.0;
-/// A link that was attached for this time is stable: after it the next one is opened without a backoff.
+/// A link that was attached for this long was stable: its loss is followed by an attempt without delay.
 const STABLE_AFTER_MS: Millis = 1000.0;
-/// How long the engine may take to answer the query that ends its replay. After that the replay counts as ended.
+/// How long the engine may take to reply to the query that marks the end of its replay. The replay counts as ended
+/// then.
 const REPLAY_TIMEOUT_MS: Millis = 300.0;
-/// Gauges older than this are not used.
+/// Maximum age of the gauges; older ones are not used.
 const GAUGES_MAX_AGE_MS: Millis = 500.0;
 
-/// The settings of an engine that started `age` ago, with the rest of its slow start. The speed rises linearly.
+/// Returns the settings for an engine that was started `age` ago: its slow start is shortened to what remains of it.
+/// The speed of the engine rises linearly during a slow start.
 pub fn with_remaining_slow_start(settings: &Settings, is_starting: bool, age: Millis) -> Settings {
     let mut remaining = settings.clone();
     remaining.is_slow_start = is_starting && age < settings.slow_start_duration;
@@ -40,29 +43,29 @@
     remaining
 }
 
-/// A link that was lost, and how many of its bytes the system had taken by then.
+/// A link that was lost or replaced, and how much of its output the operating system had accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LostLink {
-    /// The link.
+    /// Id of the lost link.
     pub link: LinkId,
-    /// Bytes that were handed to the system.
+    /// Bytes that were handed to the operating system; later ones have not been sent.
     pub bytes_written: u64,
 }
 
-/// How the replay of notices on a new link ended.
+/// How the engine's replay of notices on a new link ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplayEnd {
-    /// The engine answered the query behind its last notice.
+    /// The engine replied to the query that was sent when it attached, so all replayed notices have been read.
     Confirmed,
-    /// It did not answer in time, and may still send notices.
+    /// The engine did not reply within [`REPLAY_TIMEOUT_MS`], and may still replay notices.
     TimedOut,
 }
 
-/// How far the current link has come.
+/// State of the current link.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum LinkState {
     Connecting,
-    /// Notices that the engine retained come first, until the query with this tag is answered.
+    /// The engine replays the notices that it retained, until it replies to the query with the tag `fence`.
     Replaying {
         fence: u64,
         deadline: Millis,
@@ -70,27 +73,29 @@
     Ready,
 }
 
-/// The link to the engine.
+/// The link to the engine: opens it, filters its notices and sends commands on it.
 pub struct EngineLink {
     address: SocketAddr,
     mailbox: Arc<Mailbox>,
     link: LinkId,
     handle: Arc<ConnectionHandle>,
     state: LinkState,
-    /// Before the next link is opened; grows while links are not stable.
+    /// Delay before the next link is opened. It grows while links are not stable.
     backoff: ReconnectBackoff,
-    /// The loss has been logged, and no link has been attached since.
+    /// A loss has been logged and no link has been attached since: further losses are not logged.
     is_loss_logged: bool,
-    /// Number of the last notice that was read.
+    /// Sequence number of the last notice that was handled.
     last_notice: u64,
+    /// Tag of the last query or health check that was sent.
     last_tag: u64,
-    last_answered_tag: u64,
+    /// Tag of the last query that the engine replied to.
+    last_acked_tag: u64,
     gauges: Vec<Option<f64>>,
     gauges_received_at: Millis,
 }
 
 impl EngineLink {
-    /// Opens the first link.
+    /// Starts to open the first link.
     pub fn start(address: SocketAddr, mailbox: Arc<Mailbox>) -> EngineLink {
         let mut engine = EngineLink {
             address,
@@ -105,7 +110,7 @@
             is_loss_logged: false,
             last_notice: 0,
             last_tag: 0,
-            last_answered_tag: 0,
+            last_acked_tag: 0,
             gauges: Vec::new(),
             gauges_received_at: f64::NEG_INFINITY,
         };
@@ -128,7 +133,7 @@
                 Ok(stream) => {
                     let deliver = |notice| mailbox.send(OwnerEvent::EngineNotice(link, notice));
                     let (stream, reason) =
-                        connection::drive(stream, &handle, Notices::default(), deliver, |_| {});
+                        connection::drive(stream, &handle, NoticeDecoder::default(), deliver, |_| {});
                     mailbox.send(OwnerEvent::EngineDisconnected(link, reason));
                     return connection::linger(stream, reason);
                 }
@@ -137,12 +142,12 @@
         });
     }
 
-    /// A link was closed: opens another. Returns the lost link unless it had been replaced already.
+    /// Handles the close of `link`: opens another one. Returns the lost link, or none if it had been replaced already.
     pub fn disconnected(&mut self, link: LinkId, reason: CloseReason, now: Millis) -> Option<LostLink> {
         if link != self.link {
             return None;
         }
-        // An address that refuses connections does so at every attempt.
+        // Not logged, because an address that refuses connections does so at every attempt.
         let is_refused = reason == CloseReason::ConnectionRefused;
         if !is_refused && !std::mem::replace(&mut self.is_loss_logged, true) {
             log!(part = "engine", ending = %reason, "the link was closed");
@@ -153,8 +158,9 @@
         Some(LostLink { link, bytes_written })
     }
 
-    /// The engine has another address: opens a link there at once. What the former one has not written is dropped, and
-    /// it is closed once the peer has read the rest. Returns the former link, none where the address is the same.
+    /// Changes the address of the engine and opens a link there without delay. Unwritten bytes of the former link are
+    /// dropped, and it is closed once the peer has read the others. Returns the former link, or none if the address is
+    /// the same.
     pub fn set_address(&mut self, address: SocketAddr) -> Option<LostLink> {
         if address == self.address {
             return None;
@@ -166,7 +172,8 @@
         Some(lost)
     }
 
-    /// Whether a notice is to be handled: it came on the current link and was not read before.
+    /// Returns whether to handle a notice: it was received on the current link and is not a repetition. Records its
+    /// number.
     pub fn accept_notice(&mut self, link: LinkId, notice: &Notice) -> bool {
         if link != self.link {
             return false;
@@ -181,7 +188,7 @@
         }
     }
 
-    /// The engine is up; the notices that it retained follow.
+    /// Handles the engine's `HELLO`: sends the query that marks the end of the replay that follows.
     pub fn attached(&mut self, now: Millis) {
         self.backoff.connected(now);
         self.is_loss_logged = false;
@@ -189,11 +196,12 @@
         self.state = LinkState::Replaying { fence, deadline: now + REPLAY_TIMEOUT_MS };
     }
 
-    /// Gauges were received: the answer to a fence. Returns the end of the replay where they close it.
+    /// Handles the gauges, which are the reply to the query with this tag. Returns [`ReplayEnd::Confirmed`] if they
+    /// end the replay.
     pub fn gauges_received(&mut self, tag: &str, values: Vec<f64>, now: Millis) -> Option<ReplayEnd> {
         self.gauges = values.into_iter().map(Some).collect();
         self.gauges_received_at = now;
-        self.last_answered_tag = tag.parse().unwrap_or(self.last_answered_tag);
+        self.last_acked_tag = tag.parse().unwrap_or(self.last_acked_tag);
         match self.state {
             LinkState::Replaying { fence, .. } if tag == fence.to_string() => {
                 Some(self.finish_replay(ReplayEnd::Confirmed))
@@ -202,7 +210,7 @@
         }
     }
 
-    /// Closes a replay that has taken too long. Returns its end where it did.
+    /// Ends a replay that has exceeded [`REPLAY_TIMEOUT_MS`]; returns [`ReplayEnd::TimedOut`] then.
     pub fn check_replay_timeout(&mut self, now: Millis) -> Option<ReplayEnd> {
         match self.state {
             LinkState::Replaying { deadline, .. } if now >= deadline => {
@@ -217,13 +225,13 @@
         end
     }
 
-    /// The link that is open or being opened.
+    /// Returns the link that is open or being opened.
     #[cfg(test)]
     pub fn current_link(&self) -> (LinkId, Arc<ConnectionHandle>) {
         (self.link, self.handle.clone())
     }
 
-    /// Whether the engine is attached.
+    /// Whether the engine is attached, even if its replay has not ended.
     pub fn is_up(&self) -> bool {
         matches!(self.state, LinkState::Ready | LinkState::Replaying { .. })
     }
@@ -233,33 +241,32 @@
         self.last_tag
     }
 
-    /// Requests the gauges. The query is a fence as well: its answer has the gauges, and shows that everything sent before
-    /// has been read.
+    /// Queries the gauges if the link is ready. The query is the same as that of [`send_fence`](Self::send_fence).
     pub fn poll_gauges(&mut self) {
         if self.state == LinkState::Ready {
             self.send_fence();
         }
     }
 
-    /// Sends a query whose answer shows that everything sent before has been read. Returns its number, for
-    /// [`EngineLink::has_passed`].
+    /// Sends a query for the gauges that serves as a fence: the engine reads commands in order, so a reply shows that
+    /// it has read everything sent before. Returns the tag, for [`EngineLink::has_passed`].
     pub fn send_fence(&mut self) -> u64 {
         let tag = self.next_tag();
         self.handle.enqueue(|out| Command::Stat { tag }.write(out));
         tag
     }
 
-    /// Whether a fence, or a later one, has been answered.
+    /// Whether the engine has replied to this fence or a later one.
     pub fn has_passed(&self, fence: u64) -> bool {
-        self.last_answered_tag >= fence
+        self.last_acked_tag >= fence
     }
 
-    /// The newest gauges; empty once they are too old.
+    /// Returns the latest gauges, or none once they are older than [`GAUGES_MAX_AGE_MS`].
     pub fn gauges(&self, now: Millis) -> &[Option<f64>] {
         if now - self.gauges_received_at <= GAUGES_MAX_AGE_MS { &self.gauges } else { &[] }
     }
 
-    /// Requests the work of a deep health check. Returns its tag, none while there is no engine.
+    /// Requests the work of a deep health check. Returns its tag, or none while no engine is attached.
     pub fn send_health_check(&mut self) -> Option<u64> {
         if !self.is_up() {
             return None;
@@ -269,7 +276,7 @@
         Some(tag)
     }
 
-    /// Sends a command, unless the link is not ready.
+    /// Sends a command if the link is ready; returns [`Delivery::NotSent`] otherwise.
     pub fn send(&self, command: Command) -> Delivery {
         if self.state != LinkState::Ready {
             return Delivery::NotSent;
--- a/crates/loomflow-server/src/engine/pending_command.rs
+++ b/crates/loomflow-server/src/engine/pending_command.rs
@@ -1,4 +1,4 @@
-//! Commands that the engine has not confirmed, and what is known of each after its link was lost.
+//! Commands that no notice of the engine has confirmed, and whether each may have arrived when its link is lost.
 
 use loomflow::time::Millis;
 use loomflow_protocol::AttemptId;
@@ -7,34 +7,35 @@
 use super::LostLink;
 use crate::mailbox::LinkId;
 
-/// A command that was sent this long before its link was lost is taken to have arrived. Only commands of the last 50 ms
-/// can be lost; the rest covers how late they may have been written and the loss be noticed.
+/// A command that was sent earlier than this before the loss of its link is assumed to have arrived. Only commands of
+/// the last 50 ms can be lost; the other 200 ms allow for late writes and late detection of the loss.
 const UNCERTAIN_WINDOW_MS: Millis = 250.0;
 
-/// A command that no notice has confirmed.
+/// A command that no notice has confirmed, for a request in the request table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PendingCommand {
-    /// What was sent to the engine.
+    /// The command, with the data that is needed to send it again.
     pub command: SentCommand,
-    /// What is known of its way to the engine.
+    /// Whether it has arrived at the engine, as far as is known.
     pub delivery: Delivery,
-    /// When it was sent.
+    /// When the command was last sent or was to be sent.
     pub sent_at: Millis,
 }
 
-/// The commands that are sent again after a lost link, with what it takes to do so.
+/// The kinds of commands that are sent again after the loss of a link. [`SentCommand::to_command`] adds the other
+/// fields.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SentCommand {
-    /// To run the request.
+    /// Starts the run.
     Run,
-    /// The reply to the call of a run.
+    /// Passes this reply to the run's downstream call.
     Reply(Vec<u8>),
-    /// To go on without the call.
+    /// Continues the run without its downstream call.
     SkipCall,
 }
 
 impl SentCommand {
-    /// The command as it is sent again.
+    /// Builds the command for a resend. `id`, `class` and `body` are those of the request.
     pub fn to_command<'a>(&'a self, id: AttemptId, class: &'a str, body: &'a [u8]) -> Command<'a> {
         match self {
             SentCommand::Run => Command::Run { id, class, body },
@@ -44,26 +45,26 @@
     }
 }
 
-/// What is known of a command's way to the engine.
+/// Whether a command has arrived at the engine, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// It cannot have arrived.
+    /// It was not written to a link, or not completely, and cannot have arrived.
     NotSent,
-    /// Queued on a link that is up.
+    /// Queued on a link that has not been lost.
     InFlight {
-        /// The link.
+        /// Id of the link.
         link: LinkId,
-        /// The position of its last byte among all bytes of the link.
+        /// Position of the end of the command among all bytes that were queued on the link.
         end: u64,
     },
-    /// Its link was lost right after it was sent: it may have arrived or not.
+    /// Its link was lost within [`UNCERTAIN_WINDOW_MS`] after it was sent: it may have arrived or not.
     Uncertain,
-    /// Its link was lost long after it was sent, by our clock: it is taken to have arrived.
+    /// Its link was lost later than that, by the clock of this server: it is assumed to have arrived.
     Delivered,
 }
 
 impl PendingCommand {
-    /// What is known once a link was lost.
+    /// Returns the delivery state after the loss of a link.
     pub fn delivery_after(&self, lost: LostLink, now: Millis) -> Delivery {
         match self.delivery {
             Delivery::InFlight { link, end } if link == lost.link => {
--- a/crates/loomflow-server/src/engine/pending_command/tests.rs
+++ b/crates/loomflow-server/src/engine/pending_command/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_command_is_uncertain_only_if_it_was_written_right_before_the_loss() {
+fn command_is_uncertain_only_if_written_shortly_before_the_loss() {
     let delivery = Delivery::InFlight { link: 3, end: 100 };
     let mut pending = PendingCommand { command: SentCommand::Run, delivery, sent_at: 1_000.0 };
     let lost = |link, bytes_written| LostLink { link, bytes_written };
--- a/crates/loomflow-server/src/engine/resend.rs
+++ b/crates/loomflow-server/src/engine/resend.rs
@@ -1,52 +1,55 @@
-//! Which unconfirmed commands are sent again once a new link is ready.
+//! Decides which unconfirmed commands are sent again once a new link is ready.
 
 use loomflow::interface::{AttemptOutcome, Idempotency};
 
 use super::pending_command::{Delivery, PendingCommand, SentCommand};
 
-/// What becomes of an unconfirmed command once a new link is ready.
+/// What to do with an unconfirmed command once a new link is ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resend {
-    /// Nothing: it is on the new link already, or must not be sent again.
+    /// Keep it as it is: it was queued on the new link already, or must not be sent again.
     Nothing,
-    /// It is taken to have arrived.
+    /// Treat it as confirmed, because it is assumed to have arrived.
     Confirm,
-    /// Its request has been answered, and the end of its run is not waited for.
+    /// End the run without a report from the engine, because the response to the request has been sent.
     EndRun,
-    /// It is sent again.
+    /// Send it again.
     Send,
-    /// It is sent again right behind a fence, which shows whether the run has reached another call meanwhile.
+    /// Send a fence, and the command after it. If the run requests another call before the engine has replied to the
+    /// fence, the run may have taken this copy for the reply to that call.
     SendBehindFence,
 }
 
-/// The state of the request that a command belongs to.
+/// State of the request that a command belongs to.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestState {
-    /// It has had its response.
-    pub is_answered: bool,
-    /// Whether it may run more than once.
+    /// The response to the request has been sent.
+    pub has_response: bool,
+    /// Whether the request may run more than once.
     pub idempotency: Idempotency,
-    /// The last reply to its call has been sent a second time.
+    /// The reply to its latest downstream call has been sent a second time.
     pub has_resent_reply: bool,
-    /// The engine has reported that all notices from before the new link were repeated.
+    /// The engine has confirmed that it repeated all notices from before the new link.
     pub is_replay_complete: bool,
 }
 
 impl PendingCommand {
-    /// What becomes of the command once a new link is ready.
+    /// Returns what to do with the command once a new link is ready.
     ///
-    /// A run is requested again, whatever its effect and however long ago it was sent: the engine does not start one twice.
-    /// A reply is sent again only where its request is idempotent, and only after a complete replay: a notice that followed
-    /// from the first copy would have been read by then.
+    /// A `RUN` is sent again whatever the idempotency of the request and however old the command: the engine does not
+    /// start the same run twice. A reply that may have arrived is sent again only if the request is idempotent, and
+    /// only after a confirmed replay: any notice that the first copy caused has been read by then.
     pub fn resend(&self, request: RequestState) -> Resend {
         match (self.delivery, &self.command) {
             (Delivery::InFlight { .. }, _) => Resend::Nothing,
-            // After a pause of the machine the loss may be found later than it was.
-            (Delivery::Delivered, SentCommand::Run) if !request.is_answered => Resend::Send,
+            // After a suspension of the machine the loss may be detected late, so the command may not have arrived
+            // after all.
+            (Delivery::Delivered, SentCommand::Run) if !request.has_response => Resend::Send,
             (Delivery::Delivered, _) => Resend::Confirm,
-            _ if request.is_answered => Resend::EndRun,
+            _ if request.has_response => Resend::EndRun,
             (Delivery::NotSent | Delivery::Uncertain, SentCommand::Run) => Resend::Send,
-            // The first copy may have arrived even if the second was not sent: a third needs a fence, too.
+            // If the reply has been sent twice, the first copy may have arrived although the second did not: a third
+            // copy needs a fence as well.
             (Delivery::NotSent, _) if !request.has_resent_reply => Resend::Send,
             (Delivery::NotSent | Delivery::Uncertain, _) if request.may_repeat_reply() => {
                 Resend::SendBehindFence
@@ -55,7 +58,8 @@
         }
     }
 
-    /// The outcome of an answered run whose command never arrived, or is not known to have: the engine will not report it.
+    /// Returns the outcome of a run whose request has its response and whose command may not have arrived, so that the
+    /// engine may never report its end. None if the engine will report it.
     pub fn lost_run_outcome(&self) -> Option<AttemptOutcome> {
         match (self.delivery, &self.command) {
             (Delivery::NotSent, SentCommand::Run) => Some(AttemptOutcome::NotStarted),
--- a/crates/loomflow-server/src/engine/tests.rs
+++ b/crates/loomflow-server/src/engine/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn the_slow_start_is_counted_from_the_start_of_the_engine() {
+fn slow_start_is_timed_from_the_start_of_the_engine() {
     let slow_start = |starting, age| {
         let settings = with_remaining_slow_start(&settings(), starting, age);
         (settings.is_slow_start, settings.slow_start_share, settings.slow_start_duration)
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn unstable_links_are_opened_with_a_growing_backoff() {
+fn unstable_links_increase_the_backoff() {
     connection::configure_runtime();
     let mut engine = EngineLink::start(([127, 0, 0, 1], 9).into(), Arc::new(Mailbox::default()));
     let mut backoffs = Vec::new();
@@ -37,7 +37,7 @@
     engine.attached(0.0);
     engine.disconnected(engine.link, CloseReason::Reset, STABLE_AFTER_MS);
     assert_eq!(engine.backoff.delay(), MIN_BACKOFF_MS);
-    // The loss of a former link changes nothing.
+    // The loss of a link that was replaced has no effect.
     let link = engine.link;
     assert_eq!(engine.disconnected(link - 1, CloseReason::Reset, STABLE_AFTER_MS), None);
     assert_eq!(engine.link, link);
@@ -57,25 +57,25 @@
 }
 
 #[test]
-fn a_replay_ends_with_its_fence_or_after_its_timeout_and_only_then_commands_are_sent() {
+fn commands_are_sent_once_the_replay_is_confirmed_or_timed_out() {
     let mut engine = engine_link();
     let id = loomflow_protocol::AttemptId(7);
-    let is_sent = |engine: &EngineLink| engine.send(Command::Halt { id }) != Delivery::NotSent;
-    assert!(!is_sent(&engine) && engine.check_replay_timeout(1e9).is_none(), "not attached");
+    let can_send = |engine: &EngineLink| engine.send(Command::Halt { id }) != Delivery::NotSent;
+    assert!(!can_send(&engine) && engine.check_replay_timeout(1e9).is_none(), "not attached");
     engine.attached(0.0);
-    assert!(!is_sent(&engine) && engine.check_replay_timeout(REPLAY_TIMEOUT_MS - 1.0).is_none());
+    assert!(!can_send(&engine) && engine.check_replay_timeout(REPLAY_TIMEOUT_MS - 1.0).is_none());
     assert_eq!(engine.check_replay_timeout(REPLAY_TIMEOUT_MS), Some(ReplayEnd::TimedOut));
-    assert!(is_sent(&engine));
+    assert!(can_send(&engine));
     engine.attached(0.0);
     let fence = engine.last_tag;
     assert_eq!(engine.gauges_received(&(fence - 1).to_string(), Vec::new(), 1.0), None);
-    assert!(!is_sent(&engine));
+    assert!(!can_send(&engine));
     assert_eq!(engine.gauges_received(&fence.to_string(), Vec::new(), 2.0), Some(ReplayEnd::Confirmed));
-    assert!(is_sent(&engine));
+    assert!(can_send(&engine));
 }
 
 #[test]
-fn a_notice_is_handled_once_and_only_on_the_current_link() {
+fn notice_is_handled_once_and_only_on_the_current_link() {
     let mut engine = engine_link();
     let link = engine.link;
     let need = |number| {
@@ -85,7 +85,7 @@
     assert!(!engine.accept_notice(link - 1, &need(1)));
     assert!(engine.accept_notice(link, &need(1)) && engine.accept_notice(link, &need(2)));
     assert!(!engine.accept_notice(link, &need(1)) && !engine.accept_notice(link, &need(2)));
-    // A notice without a number is not repeated by the engine.
+    // The engine does not repeat notices without a number.
     let without_number = Notice::CommandRejected { command: "RUN".into(), id: None };
     assert!(engine.accept_notice(link, &without_number) && engine.accept_notice(link, &without_number));
 }
--- a/crates/loomflow-server/src/front/resp/connections/connection.rs
+++ b/crates/loomflow-server/src/front/resp/connections/connection.rs
@@ -69,7 +69,7 @@
     pub(super) fn send_goodbye(&mut self, now: Millis) {
         if self.goodbye_sent_at.is_none() {
             self.goodbye_sent_at = Some(now);
-            self.handle.enqueue(gateway::write_goodbye);
+            self.handle.enqueue(gateway::write_bye);
         }
     }
 
--- a/crates/loomflow-server/src/front/resp/listener.rs
+++ b/crates/loomflow-server/src/front/resp/listener.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use loomflow::time::Millis;
-use loomflow_protocol::gateway::{MAX_OPEN_REQUESTS, Requests};
+use loomflow_protocol::gateway::{MAX_OPEN_REQUESTS, RequestDecoder};
 use may::io::{WaitIo, WaitIoWaker};
 use may::net::{TcpListener, TcpStream};
 use socket2::{Domain, Socket, Type};
@@ -200,7 +200,8 @@
     may::go!(move || {
         let deliver = |request| mailbox.send_gateway_event(id, GatewayEvent::RequestReceived(request));
         let input_closed = |reason| mailbox.send_gateway_event(id, GatewayEvent::InputClosed(reason));
-        let (stream, reason) = connection::drive(stream, &handle, Requests::default(), deliver, input_closed);
+        let (stream, reason) =
+            connection::drive(stream, &handle, RequestDecoder::default(), deliver, input_closed);
         mailbox.send_gateway_event(id, GatewayEvent::Disconnected(reason));
         connection::linger(stream, reason);
         drop(permit);
--- a/crates/loomflow-server/src/ledger.rs
+++ b/crates/loomflow-server/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The connections to the ledger, and the calls on them.
+//! Makes downstream calls to the ledger on a pool of connections, and determines the outcome of each.
 
 mod connection;
 mod placement;
@@ -11,57 +11,59 @@
 use loomflow::interface::{AttemptOutcome, RequestId};
 use loomflow::time::Millis;
 use loomflow_protocol::AttemptId;
-use loomflow_protocol::ledger::{self, Replies, ReplyStatus};
+use loomflow_protocol::ledger::{self, ReplyDecoder, ReplyStatus};
 
 use crate::close_reason::CloseReason;
 use crate::connection::{ConnectionHandle, connect_after, drive};
 use crate::log;
 use crate::mailbox::{LinkId, Mailbox, OwnerEvent};
 use connection::LedgerConnection;
-use placement::{PlacedCall, Placement};
+use placement::{Placement, PlacementRequest};
 
-/// How long after a call's deadline the ledger may still report that it expired.
+/// Extra time after the deadline of a call in which the ledger may still report that the call expired.
 const EXPIRY_GRACE_MS: Millis = 25.0;
 
 /// A call in flight.
 struct Call {
     attempt_id: AttemptId,
+    /// Id of the connection that carries the call.
     link: LinkId,
-    /// The position of its last byte among all bytes of the connection.
+    /// Position of the end of the call among all bytes that were queued on the connection.
     end: u64,
     started_at: Millis,
     deadline: Millis,
 }
 
-/// A call to be made.
+/// Arguments of [`Ledger::call`].
 pub struct CallRequest<'a> {
-    /// The request that calls.
+    /// The request whose run makes the call.
     pub id: RequestId,
-    /// Its name towards the ledger.
+    /// Id of the request's attempt, which identifies the call to the ledger.
     pub attempt_id: AttemptId,
-    /// The call may have an effect, so it must not be made twice.
+    /// Whether the call may have an effect, so that it must not be made twice.
     pub has_effect: bool,
-    /// The body of the call.
+    /// Body of the call.
     pub body: &'a [u8],
-    /// When it is abandoned.
+    /// When the call times out.
     pub deadline: Millis,
 }
 
 /// A call that has finished.
 #[derive(Debug, PartialEq)]
 pub struct FinishedCall {
-    /// The request that called.
+    /// The request whose run made the call.
     pub id: RequestId,
-    /// How it finished.
+    /// Outcome of the call, for the controller.
     pub outcome: AttemptOutcome,
-    /// How long it took.
+    /// Time since the call was made.
     pub duration: Millis,
-    /// The reply of a call that succeeded.
+    /// Body of the reply if the call succeeded; otherwise empty.
     pub reply: Vec<u8>,
 }
 
-/// The connections to the ledger, and the calls in flight.
+/// The ledger's address, the connections to it, and the calls in flight.
 pub struct Ledger {
+    /// Where new connections go; none if the site has no ledger.
     address: Option<SocketAddr>,
     mailbox: Arc<Mailbox>,
     max_connections: usize,
@@ -71,7 +73,7 @@
 }
 
 impl Ledger {
-    /// No connection is opened before the first call, and at most `max_connections` at the same time.
+    /// Creates a ledger without connections; calls open them, up to `max_connections` at the same time.
     pub fn new(address: Option<SocketAddr>, max_connections: usize, mailbox: Arc<Mailbox>) -> Ledger {
         Ledger {
             address,
@@ -83,9 +85,9 @@
         }
     }
 
-    /// The connection for a call; opens one where [`Placement`] requires it.
+    /// Chooses the connection for a call, and opens a new one if the [`Placement`] is `New`.
     fn connection_for(&mut self, call: &CallRequest, address: SocketAddr, now: Millis) -> Option<LinkId> {
-        let call = PlacedCall { id: call.id, has_effect: call.has_effect };
+        let call = PlacementRequest { id: call.id, has_effect: call.has_effect };
         match Placement::choose(&self.connections, self.max_connections, call, now) {
             Placement::Existing(link) => Some(link),
             Placement::New => Some(self.connect(address, now)),
@@ -104,7 +106,7 @@
                 Err(reason) => reason,
                 Ok(stream) => {
                     let deliver = |reply| mailbox.send(OwnerEvent::LedgerReply(link, reply));
-                    drive(stream, &handle, Replies::default(), deliver, |_| {}).1
+                    drive(stream, &handle, ReplyDecoder::default(), deliver, |_| {}).1
                 }
             };
             let bytes_written = handle.bytes_written();
@@ -113,7 +115,7 @@
         link
     }
 
-    /// Makes a call. Returns false where there is no ledger, or no connection for it.
+    /// Makes a call. Returns false if there is no ledger, or no connection that may carry the call.
     pub fn call(&mut self, call: CallRequest, now: Millis) -> bool {
         let link = self.address.and_then(|address| self.connection_for(&call, address, now));
         let Some((link, connection)) = link.and_then(|link| Some((link, self.connections.get_mut(&link)?)))
@@ -121,14 +123,14 @@
             return false;
         };
         let CallRequest { id, attempt_id, body, deadline, .. } = call;
-        let max_wait = (deadline - now).ceil().max(1.0) as u64;
-        let end = connection.handle.enqueue(|out| ledger::write_post(out, attempt_id, max_wait, body));
+        let timeout_ms = (deadline - now).ceil().max(1.0) as u64;
+        let end = connection.handle.enqueue(|out| ledger::write_post(out, attempt_id, timeout_ms, body));
         connection.call_started(id, now);
         self.calls.insert(id, Call { attempt_id, link, end, started_at: now, deadline });
         true
     }
 
-    /// The ledger has another address: further calls go there, and the former connections finish theirs.
+    /// Changes the address of the ledger. New calls go there; the former connections only finish the calls in flight.
     pub fn set_address(&mut self, address: Option<SocketAddr>, now: Millis) {
         if address == self.address {
             return;
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Nobody waits for a call any more: its connection, which may be broken, carries no further one.
+    /// Cancels the call of a request, if there is one. The connection may be broken, so it carries no further call.
     pub fn cancel(&mut self, id: RequestId, now: Millis) {
         let Some(call) = self.calls.remove(&id) else { return };
         let Some(connection) = self.connections.get_mut(&call.link) else { return };
@@ -148,12 +150,12 @@
             connection.handle.enqueue(|out| ledger::write_abandon(out, call.attempt_id));
             connection.retire_once(now);
         } else if let Some(connection) = self.connections.remove(&call.link) {
-            // The close cancels the call as well.
+            // Closing the connection cancels the call, too.
             connection.handle.abort();
         }
     }
 
-    /// A reply was received; returns the call that it finishes.
+    /// Handles a reply; returns the call that it finishes. A reply on another connection than its call is ignored.
     pub fn reply_received(
         &mut self,
         link: LinkId,
@@ -177,7 +179,7 @@
         Some(FinishedCall { id, outcome, duration: now - call.started_at, reply })
     }
 
-    /// A connection was closed; returns the calls that were on it.
+    /// Handles the close of a connection; returns the calls that were in flight on it.
     pub fn disconnected(
         &mut self,
         link: LinkId,
@@ -192,16 +194,17 @@
         self.finish_where(now, |call| (call.link == link).then(|| reason.outcome(call.end <= bytes_written)))
     }
 
-    /// Closes connections with a call that is overdue, and those that are idle or retired; returns the calls on them.
+    /// Closes connections with an overdue call, and those that [`LedgerConnection::should_close`] selects. Returns
+    /// the calls that were in flight on them.
     pub fn expire(&mut self, now: Millis) -> Vec<FinishedCall> {
         let is_overdue = |call: &Call| now >= call.deadline + EXPIRY_GRACE_MS;
         let mut closing: BTreeSet<LinkId> =
             self.calls.values().filter(|call| is_overdue(call)).map(|call| call.link).collect();
-        let due = self.connections.iter().filter(|(_, connection)| connection.is_due(now));
-        closing.extend(due.map(|(link, _)| *link));
+        let unneeded = self.connections.iter().filter(|(_, connection)| connection.should_close(now));
+        closing.extend(unneeded.map(|(link, _)| *link));
         let mut finished = Vec::new();
         for link in closing {
-            // What has not been written by now never will be: those calls finish here.
+            // Bytes that have not been written by now never will be, so the outcome of each call is final.
             let bytes_written =
                 self.connections.remove(&link).map_or(0, |connection| connection.handle.abort());
             finished.extend(self.finish_where(now, |call| {
@@ -220,7 +223,7 @@
         finished
     }
 
-    /// Finishes the calls for which there is an outcome.
+    /// Finishes the calls for which `outcome` returns one.
     fn finish_where(
         &mut self,
         now: Millis,
@@ -236,13 +239,13 @@
         finished
     }
 
-    /// The connection that carries a request's call.
+    /// Returns the connection that carries the call of a request.
     #[cfg(test)]
     pub fn link_of(&self, id: RequestId) -> Option<LinkId> {
         self.calls.get(&id).map(|call| call.link)
     }
 
-    /// When the next call is overdue.
+    /// Returns when the next call becomes overdue.
     pub fn next_deadline(&self) -> Option<Millis> {
         self.calls.values().map(|call| call.deadline + EXPIRY_GRACE_MS).reduce(f64::min)
     }
--- a/crates/loomflow-server/src/ledger/connection/tests.rs
+++ b/crates/loomflow-server/src/ledger/connection/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn an_idle_connection_is_reused_for_a_while_and_never_by_a_call_with_an_effect() {
+fn idle_connection_is_reused_only_by_calls_without_an_effect() {
     let connection = connection();
     assert!(connection.is_reusable(1, false, MAX_IDLE_MS - 1.0));
     assert!(!connection.is_reusable(1, false, MAX_IDLE_MS));
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_connection_carries_one_call_of_a_request_and_a_bounded_number_in_all() {
+fn connection_carries_one_call_per_request_up_to_the_maximum() {
     let mut connection = connection();
     connection.call_started(1, 0.0);
     assert!(!connection.is_shareable(1) && connection.is_shareable(2));
@@ -24,13 +24,13 @@
 }
 
 #[test]
-fn a_retired_connection_is_closed_once_it_is_drained_or_its_time_is_over() {
+fn retired_connection_is_closed_once_drained_or_out_of_time() {
     let mut connection = connection();
     connection.call_started(1, 0.0);
     connection.retire(0.0);
-    assert!(!connection.is_shareable(2) && !connection.is_due(RETIRED_DRAIN_MS - 1.0));
+    assert!(!connection.is_shareable(2) && !connection.should_close(RETIRED_DRAIN_MS - 1.0));
     connection.retire_once(100.0);
-    assert!(connection.is_due(RETIRED_DRAIN_MS));
+    assert!(connection.should_close(RETIRED_DRAIN_MS));
     connection.calls_in_flight = 0;
-    assert!(connection.is_due(1.0));
+    assert!(connection.should_close(1.0));
 }
--- a/crates/loomflow-server/src/ledger/placement.rs
+++ b/crates/loomflow-server/src/ledger/placement.rs
@@ -1,5 +1,5 @@
-//! Which connection carries a call. A fault on a connection fails every call on it, so each call has one to itself while
-//! there is capacity; otherwise calls share the least loaded.
+//! Chooses the connection for a call to the ledger. A fault on a connection fails every call on it, so a call gets
+//! its own connection until the maximum is reached; then it shares the connection with the fewest calls in flight.
 
 use std::collections::BTreeMap;
 
@@ -9,35 +9,36 @@
 use super::connection::LedgerConnection;
 use crate::mailbox::LinkId;
 
-/// Which connection carries a call.
+/// The connection that is chosen for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Placement {
-    /// This one.
+    /// An open connection, idle or shared.
     Existing(LinkId),
-    /// A new one.
+    /// A new connection.
     New,
-    /// None: the call cannot be made.
+    /// There is no connection that may carry the call; it cannot be made.
     Unavailable,
 }
 
-/// A call that is to be placed.
+/// The properties of a call that its placement depends on.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PlacedCall {
-    /// The request that calls.
+pub(super) struct PlacementRequest {
+    /// The request whose run makes the call.
     pub(super) id: RequestId,
-    /// The call may have an effect, so it must not be made twice.
+    /// Whether the call may have an effect, so that it must not be made twice.
     pub(super) has_effect: bool,
 }
 
 impl Placement {
-    /// The most recently used idle connection, else a new one, else the least loaded.
+    /// Chooses the most recently used idle connection, otherwise a new one, otherwise the one with the fewest calls
+    /// in flight.
     pub(super) fn choose(
         connections: &BTreeMap<LinkId, LedgerConnection>,
         max_connections: usize,
-        call: PlacedCall,
+        call: PlacementRequest,
         now: Millis,
     ) -> Placement {
-        let PlacedCall { id, has_effect } = call;
+        let PlacementRequest { id, has_effect } = call;
         let reusable = connections.iter().filter(|(_, link)| link.is_reusable(id, has_effect, now));
         if let Some((link, _)) = reusable.max_by(|a, b| a.1.last_used_at.total_cmp(&b.1.last_used_at)) {
             return Placement::Existing(*link);
--- a/crates/loomflow-server/src/owner/engine_events.rs
+++ b/crates/loomflow-server/src/owner/engine_events.rs
@@ -116,7 +116,7 @@
         for (id, entry) in self.requests.iter_mut() {
             let Some(pending) = &mut entry.pending_command else { continue };
             let request = RequestState {
-                is_answered: entry.is_answered,
+                has_response: entry.is_answered,
                 idempotency: entry.idempotency,
                 has_resent_reply: entry.resent_reply_fence.is_some(),
                 is_replay_complete: replay_end == ReplayEnd::Confirmed,
