--- a/crates/loomflow-server/src/arguments.rs
+++ b/crates/loomflow-server/src/arguments.rs
@@ -7,49 +7,49 @@
 
 use crate::files::Files;
 
-/// The help text.
+/// The help text of `loomflow`.
 pub const USAGE: &str = "\
 usage: loomflow <command> [--config FILE] [--options FILE]
 
-  try            see it work: ten seconds among stand-ins on loopback, and a table
-                 (--front amqp: by way of a queue; --fleet: five servers, each taken out in turn)
-  serve          run one server until it is told to leave by SIGTERM
-  check-config   read the configuration, say what is wrong with it, serve nothing
-                 (--against FILE: and what of it a server with that one would take up)
-  fleet          the servers of a fleet, and their turns to be out for work: `loomflow fleet help`
+  try            run a demonstration of ten seconds against test servers on loopback, print a table
+                 (--front amqp: through a queue; --fleet: five servers, each maintained once)
+  serve          run one server until SIGTERM, which shuts it down gracefully
+  check-config   validate the configuration and the options, print each fault
+                 (--against FILE: and what a server with that configuration would change on a reload)
+  fleet          show and maintain the servers of a fleet: `loomflow fleet help`
   schema         print the JSON schema of the options file
   version        print the version
-  help           print this
+  help           print this help
 
-  --config FILE   the configuration; without it, the file that PROXY_CONFIG names
-  --options FILE  what is offered beyond the platform, as YAML; without it, the file
-                  that LOOMFLOW_OPTIONS names, or nothing
+  --config FILE   the configuration (default: the file that PROXY_CONFIG names)
+  --options FILE  options beyond those of the platform, as YAML (default: the file that
+                  LOOMFLOW_OPTIONS names, or none)
 ";
 
 /// The subcommand of the command line, with its arguments.
 pub enum Subcommand {
-    /// Try out a single server.
+    /// `try`: demonstrate a single server, whose requests arrive by this front.
     #[cfg(feature = "try")]
     Try(loomflow_load::Front),
-    /// Try out a fleet.
+    /// `try --fleet`: demonstrate a fleet.
     #[cfg(feature = "try")]
     TryFleet,
-    /// Run a server.
+    /// `serve`: run a server.
     Serve(Files),
-    /// Validate the files, and compare the configuration with that of a running server.
+    /// `check-config`: validate the files, and compare the configuration with that of a running server.
     CheckConfig {
         /// The files to validate.
         files: Files,
-        /// The configuration of the running server.
+        /// The configuration of the running server; none if there is nothing to compare with.
         against: Option<PathBuf>,
     },
-    /// Print the schema of the options file.
+    /// `schema`: print the JSON schema of the options file.
     Schema,
-    /// Print the version.
+    /// `version` or `--version`: print the version.
     Version,
-    /// Print the help text.
+    /// `help` or `--help`: print the help text.
     Help,
-    /// A command of `loomflow fleet`, which parses the remaining arguments itself.
+    /// `fleet`: run a command on a fleet. The remaining arguments are parsed by `loomflow-fleet-commands`.
     Fleet(lexopt::Parser),
 }
 
@@ -59,30 +59,30 @@
     /// An unknown option, or one without its value.
     #[error(transparent)]
     Argument(#[from] lexopt::Error),
-    /// Neither `--config` nor the environment names a configuration.
+    /// Neither `--config` nor `PROXY_CONFIG` names a configuration.
     #[error("no configuration: give --config FILE or set PROXY_CONFIG")]
     NoConfig,
-    /// A value of `--front` that is not known.
+    /// The value of `--front` is not a front.
     #[cfg(feature = "try")]
-    #[error("unknown front {0:?}: resp or amqp")]
+    #[error("unknown front {0:?}: expected resp or amqp")]
     UnknownFront(String),
-    /// An option that the command does not have.
-    #[error("{option} is for {command}")]
+    /// The option belongs to another command.
+    #[error("the option {option} is only valid with the command {command}")]
     MisplacedOption {
-        /// The option.
+        /// Name of the option.
         option: &'static str,
-        /// The command that has it.
+        /// The command that has this option.
         command: &'static str,
     },
-    /// No such command.
+    /// There is no command with this name.
     #[error("unknown command {0:?}")]
     UnknownCommand(String),
-    /// The command is missing.
-    #[error("no command")]
+    /// The command line has no command.
+    #[error("no command given")]
     NoCommand,
 }
 
-/// Options and the name of the subcommand, as they were parsed.
+/// The command line before it is checked: the name of the subcommand, and all options.
 struct Arguments {
     command: Option<String>,
     config: Option<PathBuf>,
@@ -92,7 +92,7 @@
     is_fleet: bool,
 }
 
-/// Parses the command line.
+/// Parses the command line. Environment variables replace `--config` and `--options` if these are missing.
 pub fn parse(mut parser: lexopt::Parser) -> Result<Subcommand, UsageError> {
     let path_from_environment = |name| std::env::var_os(name).map(PathBuf::from);
     let mut arguments = Arguments {
@@ -112,11 +112,11 @@
             Long("against") => arguments.against = Some(parser.value()?.into()),
             Long("fleet") => arguments.is_fleet = true,
             Long("front") => arguments.front = Some(parser.value()?.to_string_lossy().into_owned()),
-            Value(word) if arguments.command.is_none() && word == "fleet" => {
+            Value(name) if arguments.command.is_none() && name == "fleet" => {
                 return Ok(Subcommand::Fleet(parser));
             }
-            Value(word) if arguments.command.is_none() => {
-                arguments.command = Some(word.to_string_lossy().into_owned());
+            Value(name) if arguments.command.is_none() => {
+                arguments.command = Some(name.to_string_lossy().into_owned());
             }
             other => return Err(other.unexpected().into()),
         }
--- a/crates/loomflow-server/src/clock.rs
+++ b/crates/loomflow-server/src/clock.rs
@@ -1,4 +1,4 @@
-//! The two clocks: the monotonic one that the controller uses, and the wall clock of the protocol's timestamps.
+//! The monotonic clock, which the controller uses, and the wall clock, which timestamps on the wire refer to.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -6,23 +6,23 @@
 
 use crate::time::duration_millis;
 
-/// One reading of both clocks.
+/// The time on both clocks, read together.
 #[derive(Clone, Copy, Debug)]
-pub struct Now {
-    /// Time since the start, on the monotonic clock.
+pub struct ClockReading {
+    /// Time since [`Clock::start`], on the monotonic clock.
     pub ms: Millis,
-    /// Time since 1970, on the wall clock.
+    /// Time since the Unix epoch, on the wall clock.
     pub unix: Millis,
 }
 
-impl Now {
-    /// The time since a timestamp on the wire; 0 where that is in the future.
+impl ClockReading {
+    /// Returns the time since a timestamp of the wall clock; 0 if it is in the future.
     pub fn age(self, timestamp: Millis) -> Millis {
         (self.unix - timestamp).max(0.0)
     }
 }
 
-/// Both clocks.
+/// Reads both clocks; the monotonic one starts at 0.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -35,14 +35,15 @@
     }
 
     /// Reads both clocks.
-    pub fn now(&self) -> Now {
+    pub fn now(&self) -> ClockReading {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
-        Now { ms: duration_millis(self.start.elapsed()), unix: duration_millis(unix) }
+        ClockReading { ms: duration_millis(self.start.elapsed()), unix: duration_millis(unix) }
     }
 
     /// Advances the monotonic clock.
     #[cfg(test)]
     pub fn advance(&mut self, by: Duration) {
-        self.start = self.start.checked_sub(by).expect("the machine has been up for longer");
+        self.start =
+            self.start.checked_sub(by).expect("the machine was booted longer ago than the clock is advanced");
     }
 }
--- a/crates/loomflow-server/src/files.rs
+++ b/crates/loomflow-server/src/files.rs
@@ -1,4 +1,4 @@
-//! The configuration and options files that a server is started with.
+//! Loads the configuration and options files of a server, and compares two configurations.
 
 use std::path::{Path, PathBuf};
 
@@ -7,24 +7,24 @@
 use loomflow_settings::{Config, ConfigError, Options};
 use thiserror::Error;
 
-/// Paths of the files.
+/// Paths of the files that a server is started with.
 pub struct Files {
-    /// The configuration.
+    /// The configuration, as JSON.
     pub config: PathBuf,
-    /// The options, if any.
+    /// The options, as YAML; without them the defaults are used.
     pub options: Option<PathBuf>,
 }
 
-/// A file cannot be used. The message names file and key, with a line for each fault.
+/// A file cannot be used. The message has one line for each fault, with the path of the file and the key.
 #[derive(Debug, Error)]
 pub enum FileError {
-    /// The configuration is invalid.
+    /// The configuration cannot be read or is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The options are invalid.
+    /// The options cannot be read or are invalid.
     #[error(transparent)]
     Options(#[from] YamlError),
-    /// The options contradict the configuration or each other.
+    /// The options contradict the configuration or one another.
     #[error("{}", prefix_lines(path, &faults.0))]
     Contradictions {
         /// The options file.
@@ -32,7 +32,7 @@
         /// All contradictions.
         faults: OptionFaults,
     },
-    /// A reload of the configuration would be rejected.
+    /// A running server would reject a reload of the configuration.
     #[error("{}", prefix_lines(path, violations))]
     RejectedReload {
         /// The new configuration.
@@ -42,7 +42,7 @@
     },
 }
 
-/// Puts each item on a line that begins with the path.
+/// Formats each item as a line that begins with the path.
 fn prefix_lines(path: &Path, items: &[impl std::fmt::Display]) -> String {
     let lines: Vec<String> = items.iter().map(|item| format!("{}: {item}", path.display())).collect();
     lines.join("\n")
@@ -60,8 +60,9 @@
         Ok((config, options))
     }
 
-    /// What a server that runs with the configuration `current` would change if it reloaded `new`, which was read from
-    /// these files. All classes count as in use, because the state of that server is unknown here.
+    /// Returns what a server that runs with the configuration at `current` would change on a reload of `new`, which
+    /// was loaded from these files. Assumes that all classes are in use, because the state of that server is not
+    /// available here.
     pub fn changes(&self, current: &Path, new: &Config) -> Result<Vec<Change>, FileError> {
         let current = Config::load(current)?;
         guard::check_reload(&ReloadCheck { current: &current, new, is_class_in_use: &|_| true })
--- a/crates/loomflow-server/src/front/amqp/mod.rs
+++ b/crates/loomflow-server/src/front/amqp/mod.rs
@@ -18,7 +18,7 @@
 use super::FrontStartError;
 use super::interface::{Failure, FrontRequest, ReplyHandle, Response, Submission};
 use crate::budget::Budget;
-use crate::clock::{Clock, Now};
+use crate::clock::{Clock, ClockReading};
 use crate::close_reason::CloseReason;
 use crate::connection::{self, ConnectionHandle};
 use crate::idempotency::IdempotencyKey;
@@ -97,7 +97,7 @@
         &mut self,
         link: LinkId,
         event: BrokerEvent,
-        now: Now,
+        now: ClockReading,
         requests: &mut Vec<FrontRequest>,
     ) {
         // Set anew each time, as the machine's clock may be adjusted.
--- a/crates/loomflow-server/src/front/mod.rs
+++ b/crates/loomflow-server/src/front/mod.rs
@@ -14,7 +14,7 @@
 use loomflow_settings::{Config, Options, Site};
 
 use crate::budget::Budget;
-use crate::clock::Now;
+use crate::clock::ClockReading;
 use crate::mailbox::{FrontEvent, Mailbox};
 use amqp::AmqpFront;
 use interface::{FrontRequest, ReplyHandle, Response};
@@ -51,7 +51,7 @@
     }
 
     /// Handles what a driver reported; its requests to the owner are added to `requests`.
-    pub fn handle_event(&mut self, event: FrontEvent, now: Now, requests: &mut Vec<FrontRequest>) {
+    pub fn handle_event(&mut self, event: FrontEvent, now: ClockReading, requests: &mut Vec<FrontRequest>) {
         match (event, &mut self.amqp) {
             (FrontEvent::Gateway(id, event), _) => self.resp.handle_event(id, event, now, requests),
             (FrontEvent::ListenerClosed, _) => self.resp.listener_closed(),
--- a/crates/loomflow-server/src/front/resp/classify.rs
+++ b/crates/loomflow-server/src/front/resp/classify.rs
@@ -5,7 +5,7 @@
 use loomflow_protocol::gateway::Call;
 use loomflow_settings::Site;
 
-use crate::clock::Now;
+use crate::clock::ClockReading;
 use crate::front::interface::{InvalidRequest, ReplyHandle, Submission};
 use crate::idempotency::IdempotencyKey;
 
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 /// The request is invalid.
-pub fn classify(site: &Site, call: &Call, now: Now) -> Result<Classification, InvalidRequest> {
+pub fn classify(site: &Site, call: &Call, now: ClockReading) -> Result<Classification, InvalidRequest> {
     let class = site.classes.iter().position(|name| *name == call.class);
     let class = class.ok_or(InvalidRequest::UnknownClass)?;
     let tenant = match &call.tenant {
@@ -45,7 +45,7 @@
     Ok(Classification { class, tenant })
 }
 
-fn check_figures(call: &Call, timeout: Millis, now: Now) -> Result<(), InvalidRequest> {
+fn check_figures(call: &Call, timeout: Millis, now: ClockReading) -> Result<(), InvalidRequest> {
     let oldest = now.unix - timeout - MAX_TIMESTAMP_AGE_MS;
     if !(oldest..=now.unix + MAX_CLOCK_SKEW_MS).contains(&call.arrived_at) {
         return Err(InvalidRequest::TimestampOutOfRange);
@@ -66,7 +66,7 @@
     reply_handle: ReplyHandle,
     call: Call,
     classification: Classification,
-    now: Now,
+    now: ClockReading,
 ) -> Submission {
     let idempotency = site.settings.classes[classification.class].idempotency;
     Submission {
@@ -78,7 +78,7 @@
     }
 }
 
-fn attributes(call: &Call, classification: Classification, now: Now) -> RequestAttributes {
+fn attributes(call: &Call, classification: Classification, now: ClockReading) -> RequestAttributes {
     let Classification { class, tenant } = classification;
     RequestAttributes {
         class,
--- a/crates/loomflow-server/src/front/resp/classify/tests.rs
+++ b/crates/loomflow-server/src/front/resp/classify/tests.rs
@@ -2,7 +2,7 @@
 use crate::front::fixtures;
 
 const TIMEOUT_MS: Millis = 1_000.0;
-const NOW: Now = Now { ms: 5_000.0, unix: 1_000_000.0 };
+const NOW: ClockReading = ClockReading { ms: 5_000.0, unix: 1_000_000.0 };
 
 fn check(change: impl FnOnce(&mut Call)) -> Result<(), InvalidRequest> {
     let mut call = fixtures::call(NOW.unix);
--- a/crates/loomflow-server/src/front/resp/mod.rs
+++ b/crates/loomflow-server/src/front/resp/mod.rs
@@ -12,7 +12,7 @@
 
 use super::interface::{Failure, FrontRequest, ReplyHandle, Response};
 use crate::budget::Budget;
-use crate::clock::Now;
+use crate::clock::ClockReading;
 use crate::close_reason::CloseReason;
 use crate::log;
 use crate::mailbox::{ConnectionId, GatewayEvent, Mailbox};
@@ -60,7 +60,7 @@
         &mut self,
         id: ConnectionId,
         event: GatewayEvent,
-        now: Now,
+        now: ClockReading,
         requests: &mut Vec<FrontRequest>,
     ) {
         match event {
@@ -79,7 +79,7 @@
         &mut self,
         id: ConnectionId,
         request: Request,
-        now: Now,
+        now: ClockReading,
         requests: &mut Vec<FrontRequest>,
     ) {
         let tag = request.tag();
@@ -103,7 +103,7 @@
         });
     }
 
-    fn to_front_request(&self, reply_handle: ReplyHandle, call: Call, now: Now) -> FrontRequest {
+    fn to_front_request(&self, reply_handle: ReplyHandle, call: Call, now: ClockReading) -> FrontRequest {
         match classify::classify(&self.site, &call, now) {
             Ok(classification) => {
                 let submission = classify::submission(&self.site, reply_handle, call, classification, now);
--- a/crates/loomflow-server/src/log.rs
+++ b/crates/loomflow-server/src/log.rs
@@ -1,4 +1,4 @@
-//! The log on standard error, behind one macro that limits it to a few lines a second.
+//! The log on standard error. All lines are written by the macro `log!`, which limits their rate.
 
 use std::io::Write;
 use std::sync::{Mutex, PoisonError};
@@ -6,21 +6,23 @@
 
 use loomflow_settings::options::LogFormat;
 
-/// Lines a second, and the maximum number of lines in a burst.
-const RATE: f64 = 5.0;
-const BURST: f64 = 20.0;
+/// Sustained rate of the log.
+const LINES_PER_SECOND: f64 = 5.0;
+/// Number of lines that may be written at once after a quiet period.
+const BURST_LINES: f64 = 20.0;
 
-/// A token bucket of lines.
+/// A token bucket; each line takes one token.
 struct RateLimit {
     tokens: f64,
     refilled_at: Option<Instant>,
-    /// Lines that were dropped since the last one that was written.
+    /// Lines that were dropped since the last line that was written.
     dropped: u64,
 }
 
-static RATE_LIMIT: Mutex<RateLimit> = Mutex::new(RateLimit { tokens: BURST, refilled_at: None, dropped: 0 });
+static RATE_LIMIT: Mutex<RateLimit> =
+    Mutex::new(RateLimit { tokens: BURST_LINES, refilled_at: None, dropped: 0 });
 
-/// Starts the log; lines before that go nowhere. Only the first call counts.
+/// Starts the log in this format; lines logged before are discarded. Further calls have no effect.
 pub fn start(format: LogFormat) {
     let lines = tracing_subscriber::fmt().with_target(false);
     let writer = |prefix| move || LogLine { prefix, bytes: Vec::new() };
@@ -33,7 +35,8 @@
     };
 }
 
-/// One line, written by a single `eprintln!`. It panics if standard error is closed, which is no reason to stop serving.
+/// Collects one line and writes it with a single `eprintln!` when dropped. `eprintln!` panics if standard error is
+/// closed; the panic is caught, because a server without a log still serves.
 struct LogLine {
     prefix: &'static str,
     bytes: Vec<u8>,
@@ -61,7 +64,8 @@
     }
 }
 
-/// Whether a line may be written now; then also how many were dropped since the last one.
+/// Takes a token for a line that is logged now. Returns how many lines were dropped since the last one that was
+/// written, or `None` if this line must be dropped, too.
 pub fn admit() -> Option<u64> {
     let mut rate_limit = RATE_LIMIT.lock().unwrap_or_else(PoisonError::into_inner);
     rate_limit.admit(Instant::now())
@@ -71,7 +75,7 @@
     fn admit(&mut self, now: Instant) -> Option<u64> {
         let elapsed = self.refilled_at.map_or(0.0, |at| now.duration_since(at).as_secs_f64());
         self.refilled_at = Some(now);
-        self.tokens = (self.tokens + elapsed * RATE).min(BURST);
+        self.tokens = (self.tokens + elapsed * LINES_PER_SECOND).min(BURST_LINES);
         if self.tokens < 1.0 {
             self.dropped += 1;
             return None;
@@ -81,7 +85,8 @@
     }
 }
 
-/// Writes a line of fields and a message, in the syntax of `tracing`: `log!(why, "a request was not accepted")`.
+/// Logs a line of fields and a message in the syntax of `tracing`, as in `log!(why, "a request was not accepted")`,
+/// unless the rate limit is exceeded.
 #[macro_export]
 macro_rules! log {
     ($($line:tt)*) => {
--- a/crates/loomflow-server/src/mailbox.rs
+++ b/crates/loomflow-server/src/mailbox.rs
@@ -1,4 +1,5 @@
-//! What the drivers report to the owner, and the queue that carries it. Knows nothing of either side.
+//! Events that connection drivers and the signal thread send to the owner (the main thread, which has the state of the
+//! server), and the queue that delivers them.
 
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
@@ -12,14 +13,14 @@
 use crate::close_reason::CloseReason;
 use crate::connection::ConnectionHandle;
 
-/// Names one connection of a gateway for as long as the server lives.
+/// Identifies a gateway connection; unique in the lifetime of the process.
 pub type ConnectionId = u64;
-/// Names one link that this server opened, among those to the same peer.
+/// Identifies a connection that this server opened; unique among those to the same peer.
 pub type LinkId = u64;
 
-/// Something that the owner handles.
+/// An event for the owner.
 pub enum OwnerEvent {
-    /// From a front's driver.
+    /// An event for a front.
     Front(FrontEvent),
     /// The engine sent a notice.
     EngineNotice(LinkId, Notice),
@@ -29,56 +30,56 @@
     LedgerReply(LinkId, Reply),
     /// A connection to the ledger was closed, or could not be opened.
     LedgerDisconnected {
-        /// The connection.
+        /// Id of the connection.
         link: LinkId,
         /// Why it was closed.
         reason: CloseReason,
-        /// Bytes that were handed to the system.
+        /// Bytes that were handed to the operating system; calls that end beyond them were not sent.
         bytes_written: u64,
     },
-    /// The drivers have read what was unread when the owner began to wait for them.
+    /// The drivers have read all input that had arrived when the owner started to wait for this event.
     ReadersCaughtUp,
     /// SIGTERM was received.
     ShutdownRequested,
-    /// SIGHUP was received: the configuration as it is now, or why it cannot be used.
+    /// SIGHUP was received; contains the configuration that was read after it, or the reason why it is invalid.
     ConfigReloaded(Result<Box<Config>, ConfigError>),
 }
 
-/// Something that a front handles.
+/// An event for a front, which receives requests.
 pub enum FrontEvent {
-    /// On a gateway's connection.
+    /// An event on a gateway connection.
     Gateway(ConnectionId, GatewayEvent),
-    /// The listening socket is closed: every connection that was accepted on it has been reported.
+    /// The listening socket was closed; all connections that were accepted on it have been reported before.
     ListenerClosed,
-    /// On a link to a broker.
+    /// An event on a link to a broker.
     Broker(LinkId, BrokerEvent),
 }
 
-/// Something that happened on a link to a broker.
+/// An event on a link to a broker.
 pub enum BrokerEvent {
-    /// It is open.
+    /// The link was opened.
     Connected,
-    /// Complete frames were read.
+    /// Complete AMQP frames were read.
     FramesReceived(RawFrames),
-    /// It was closed, or could not be opened.
+    /// The link was closed, or could not be opened.
     Disconnected(CloseReason),
 }
 
-/// Something that happened on a gateway's connection.
+/// An event on a gateway connection.
 pub enum GatewayEvent {
-    /// It was accepted.
+    /// The connection was accepted.
     Connected(Arc<ConnectionHandle>),
-    /// A request was read.
+    /// A request was received.
     RequestReceived(Request),
-    /// Nothing more will be read; open requests are to be settled.
+    /// No more input will be read. The front must settle the requests that are still open.
     InputClosed(CloseReason),
-    /// It is closed for writing, too.
+    /// The connection is closed for writing, too.
     Disconnected(CloseReason),
-    /// Its descriptor is closed.
+    /// The file descriptor of the connection was closed.
     DescriptorClosed,
 }
 
-/// The queue from the drivers to the owner.
+/// Unbounded queue of events for the owner.
 #[derive(Default)]
 pub struct Mailbox {
     events: Mutex<Vec<OwnerEvent>>,
@@ -92,17 +93,17 @@
         self.not_empty.notify_one();
     }
 
-    /// Adds an event of a gateway's connection.
+    /// Adds an event on a gateway connection.
     pub fn send_gateway_event(&self, id: ConnectionId, event: GatewayEvent) {
         self.send(OwnerEvent::Front(FrontEvent::Gateway(id, event)));
     }
 
-    /// Adds an event of a link to a broker.
+    /// Adds an event on a link to a broker.
     pub fn send_broker_event(&self, link: LinkId, event: BrokerEvent) {
         self.send(OwnerEvent::Front(FrontEvent::Broker(link, event)));
     }
 
-    /// Takes all events; waits for the first for at most `timeout`.
+    /// Takes all queued events. If there are none, waits for the first for at most `timeout`.
     pub fn receive(&self, timeout: Duration) -> Vec<OwnerEvent> {
         let events = self.events.lock().unwrap_or_else(PoisonError::into_inner);
         let waited = self.not_empty.wait_timeout_while(events, timeout, |events| events.is_empty());
--- a/crates/loomflow-server/src/main.rs
+++ b/crates/loomflow-server/src/main.rs
@@ -1,5 +1,5 @@
-//! `loomflow`: a server that controls overload with the controller of the library. Each command of the program is a function
-//! here; [`arguments`] parses the command line.
+//! The program `loomflow`: a server protected by the overload controller of the library `loomflow`. [`arguments`]
+//! parses the command line, and [`run`] executes the subcommand.
 
 mod arguments;
 mod budget;
@@ -34,8 +34,8 @@
 /// Exit code of an invalid command line.
 const EXIT_USAGE: u8 = 2;
 
-/// Prints whether the files are valid and, compared with the configuration of a running server, what a reload would change
-/// and when it would take effect.
+/// `check-config`: validates the files. If `against` is the configuration of a running server, also prints what a
+/// reload would change there, and when each change would take effect.
 fn check_config(files: &Files, against: Option<&Path>) -> Result<(), FileError> {
     let (config, _) = files.load()?;
     if let Some(current) = against {
@@ -51,7 +51,8 @@
     Ok(())
 }
 
-/// Runs a server. Signal handlers are installed first, so that no signal ends the process before it is ready.
+/// `serve`: runs a server. Installs the signal handlers first, so that a signal during the start does not kill the
+/// process.
 fn serve(files: Files) -> Result<(), Box<dyn Error>> {
     let signals = signals::Signals::install()?;
     let (config, options) = files.load()?;
@@ -81,7 +82,7 @@
         .unwrap_or_else(|error| usage_error(&error, loomflow_fleet_commands::USAGE))
 }
 
-/// Prints what is wrong with a command line, and the help text.
+/// Prints the error in a command line and the help text.
 fn usage_error(error: &dyn Error, usage: &str) -> ExitCode {
     eprint!("loomflow: {error}\n{usage}");
     ExitCode::from(EXIT_USAGE)
--- a/crates/loomflow-server/src/owner/mod.rs
+++ b/crates/loomflow-server/src/owner/mod.rs
@@ -36,7 +36,7 @@
 use loomflow_settings::{Config, Options, Site};
 
 use crate::budget::{self, Budget};
-use crate::clock::{Clock, Now};
+use crate::clock::{Clock, ClockReading};
 use crate::control_plane;
 use crate::fleet;
 use crate::front::interface::FrontRequest;
@@ -79,7 +79,7 @@
     site: Site,
     clock: Clock,
     /// The time of the current batch.
-    now: Now,
+    now: ClockReading,
     controller: ControllerHost,
     requests: RequestTable,
     admission_limit: AdmissionLimit,
--- a/crates/loomflow-server/src/signals.rs
+++ b/crates/loomflow-server/src/signals.rs
@@ -1,8 +1,8 @@
-//! Signals: SIGTERM requests a graceful shutdown, SIGHUP a reload of the configuration. Both handlers are installed before
-//! anything else starts, and their signals are handed over once the owner's mailbox exists.
+//! Signal handling: SIGTERM requests a graceful shutdown, SIGHUP a reload of the configuration. Both handlers are
+//! installed at the start of the process; a thread forwards the signals once the owner's mailbox exists.
 //!
-//! A handler sets a flag and writes a byte to a pipe, which one thread reads. It is a pipe and not a pair of Unix sockets
-//! because the platform's bench intercepts sockets and supports only TCP and UDP over IPv4.
+//! A handler sets a flag and writes a byte to a pipe, which the thread reads. A pipe is used instead of a pair of
+//! Unix sockets because the platform's test bench intercepts sockets and supports only TCP and UDP over IPv4.
 
 use std::io::{self, ErrorKind, PipeReader, Read};
 use std::path::PathBuf;
@@ -16,23 +16,25 @@
 use crate::log;
 use crate::mailbox::{Mailbox, OwnerEvent};
 
-/// Parsing a deeply nested configuration needs some of it.
+/// Stack size of the signal thread, in bytes. The thread parses the configuration, which takes stack for each level of
+/// nesting.
 const STACK_BYTES: usize = 512 * 1024;
 
-/// Signals cannot be handled.
+/// A signal handler could not be installed, or the signal thread could not be started.
 #[derive(Debug, thiserror::Error)]
 #[error("signals: {0}")]
 pub struct SignalError(#[from] io::Error);
 
-/// The signals that were received and not handed over yet.
+/// The installed handlers, and the signals that have not been forwarded to the owner.
 pub struct Signals {
+    /// Receives one byte for each signal.
     wake: PipeReader,
     reload_requested: Arc<AtomicBool>,
     shutdown_requested: Arc<AtomicBool>,
 }
 
 impl Signals {
-    /// Installs the handlers.
+    /// Installs the handlers of SIGTERM and SIGHUP.
     pub fn install() -> Result<Signals, SignalError> {
         let (wake, writer) = io::pipe()?;
         let reload_requested = Arc::new(AtomicBool::new(false));
@@ -45,12 +47,13 @@
         Ok(Signals { wake, reload_requested, shutdown_requested })
     }
 
-    /// Whether SIGTERM was received and not handed over yet.
+    /// Whether SIGTERM was received and has not been forwarded to the owner.
     pub fn is_shutdown_requested(&self) -> bool {
         self.shutdown_requested.load(Ordering::SeqCst)
     }
 
-    /// Starts the thread that hands signals over. It reads the configuration, so that the owner never waits for the file.
+    /// Starts the thread that forwards signals to the owner. On SIGHUP it also reads the configuration at `file`, so
+    /// that the owner never blocks on the file system.
     pub fn spawn_watcher(self, file: PathBuf, mailbox: Arc<Mailbox>) -> Result<(), SignalError> {
         let thread = std::thread::Builder::new().name("signals".into()).stack_size(STACK_BYTES);
         thread.spawn(move || self.watch(&file, &mailbox))?;
@@ -60,7 +63,7 @@
     fn watch(mut self, file: &std::path::Path, mailbox: &Mailbox) {
         let mut bytes = [0; 64];
         loop {
-            // Several signals may have written a byte each; one read takes them all, and the flags tell them apart.
+            // One read may take the bytes of several signals; the flags show which ones were received.
             match self.wake.read(&mut bytes) {
                 Ok(0) => return,
                 Err(error) if error.kind() != ErrorKind::Interrupted => {
@@ -69,7 +72,8 @@
                 }
                 _ => {}
             }
-            // The shutdown first: reading the file may take its time, and the time until the kill runs.
+            // The shutdown comes first: reading the file may be slow, and the time until the process is killed is
+            // limited.
             if self.shutdown_requested.swap(false, Ordering::SeqCst) {
                 mailbox.send(OwnerEvent::ShutdownRequested);
             }
--- a/crates/loomflow-server/src/try_command.rs
+++ b/crates/loomflow-server/src/try_command.rs
@@ -1,5 +1,6 @@
-//! `loomflow try`: runs the server between test servers on loopback for ten seconds with a burst in the middle, and prints a
-//! table of the outcomes. With `--fleet`, it runs a fleet whose servers are maintained in turn. Part of the feature `try`.
+//! `loomflow try`: demonstrates a server against test servers on loopback, for ten seconds with a burst in the
+//! middle, and prints a table of the outcomes. With `--fleet`, demonstrates a fleet whose servers are maintained in
+//! turn. Compiled only with the feature `try`.
 
 use std::io;
 use std::process::ExitCode;
@@ -10,20 +11,22 @@
 use loomflow_test_servers::fleet::{self, Fleet};
 use thiserror::Error;
 
-/// Request rates: three quarters of the engine's capacity, and twice that during the burst. Seconds, requests per second.
+/// Request rates, each from a time on: (seconds, requests per second). The engine has a capacity of 400 requests per
+/// second: the load is three quarters of it, and twice as much during the burst.
 const RATES: [(f64, f64); 3] = [(0.0, 300.0), (BURST.0 as f64, 600.0), (BURST.1 as f64, 300.0)];
-/// Start and end of the burst, s.
+/// Start and end of the burst, in seconds.
 const BURST: (usize, usize) = (3, 7);
 
-/// The trial cannot be run.
+/// The demonstration cannot be run.
 #[derive(Debug, Error)]
 pub enum TryError {
-    /// The path of this program is unknown.
-    #[error("this program cannot be found: {0}")]
+    /// The path of this program, which is started again as the server, cannot be determined.
+    #[error("cannot determine the path of this program: {0}")]
     UnknownProgram(io::Error),
 }
 
-/// Runs a single server and prints the table. The exit code is 1 if a rule was violated.
+/// Demonstrates a single server: prints the table and whether each rule was kept. The exit code is 1 if one was
+/// violated.
 pub fn run(front: Front) -> Result<ExitCode, TryError> {
     let program = std::env::current_exe().map_err(TryError::UnknownProgram)?;
     let scenario = Scenario {
@@ -38,29 +41,33 @@
     };
     let capacity = scenario.capacity();
     println!(
-        "A server with {} cores that do {capacity:.0} requests a second is asked for 300, then 600, then 300.",
+        "A server with {} cores, which run {capacity:.0} requests per second, receives 300, then 600, then 300 per second.",
         scenario.cores
     );
-    let played = scenario.run();
-    print(&played, front);
-    // The burst's first second is the server's to notice it.
+    let outcome = scenario.run();
+    print_table(&outcome, front);
+    // The first second of the burst is excluded, because the server needs some time to detect the overload.
     let (from, to) = (BURST.0 + 1, BURST.1);
-    let in_time = f64::from(played.results.between(from, to).in_time);
-    let could = capacity * (to - from) as f64;
+    let in_time = f64::from(outcome.results.between(from, to).in_time);
+    let possible = capacity * (to - from) as f64;
     println!(
-        "Of {could:.0} requests that the engine could do in seconds {from} to {}, {in_time} were answered in time: {:.0}%.",
+        "Of the {possible:.0} requests that the engine can run in seconds {from} to {}, {in_time} had a response in time: \
+         {:.0}%.",
         to - 1,
-        100.0 * in_time / could
+        100.0 * in_time / possible
     );
-    Ok(print_rules(&played.rules))
+    Ok(print_rules(&outcome.rules))
 }
 
-/// Runs a fleet of five servers: each is maintained once under load, and one is killed in the middle.
+/// Demonstrates a fleet of five servers: each is maintained once under load, and one is killed in the middle. The
+/// exit code is 1 if a rule was violated.
 pub fn run_fleet() -> Result<ExitCode, TryError> {
     let program = std::env::current_exe().map_err(TryError::UnknownProgram)?;
-    println!("Five servers of two cores that do 100 requests a second each are asked for 250 in all.");
     println!(
-        "One may be out at once. Each is taken out for two seconds of work; one is killed in the middle.\n"
+        "Five servers with two cores, which run 100 requests per second each, receive 250 per second in all."
+    );
+    println!(
+        "At most one may be out at a time. Each is out for two seconds of maintenance; one is killed in the middle.\n"
     );
     let plan = fleet_plan();
     let mut fleet = Fleet::start_with(plan, &program).bootstrap(plan);
@@ -74,19 +81,19 @@
     };
     let results = rounds::play(&mut fleet, &round);
     let totals = load.end().total();
-    for (at, what) in &results.timeline {
-        println!("{:>7.1} s  {what}", at.as_secs_f64());
+    for (at, event) in &results.timeline {
+        println!("{:>7.1} s  {event}", at.as_secs_f64());
     }
     println!("\n{}", fleet.run_command(0, &["work", "history"]).1);
     println!(
-        "Of {} requests {} were answered in time, {} late, {} refused, {} failed, {} lost.",
+        "Of {} requests, {} had a response in time, {} late; {} were refused, {} failed, {} were lost.",
         totals.sent, totals.in_time, totals.late, totals.rejected, totals.failed, totals.lost
     );
     let rules = [
-        ("each went once and came back", results.complete),
-        ("never more than one out at once", results.max_out <= 1),
-        ("each ended with code 0", results.failed_exits == 0),
-        ("every request has one final answer", totals.lost == 0 && totals.wrong == 0),
+        ("each server was out once and returned", results.complete),
+        ("never more than one server out at a time", results.max_out <= 1),
+        ("each server exited with code 0", results.failed_exits == 0),
+        ("every request has one final response", totals.lost == 0 && totals.wrong == 0),
     ];
     Ok(print_rules(&rules))
 }
@@ -121,10 +128,11 @@
     if rules.iter().all(|(_, holds)| *holds) { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-fn print(played: &ScenarioResults, front: Front) {
+/// Prints the table: a row for each second, and one for all.
+fn print_table(outcome: &ScenarioResults, front: Front) {
     let mut table = Table::new();
     table.load_preset(presets::NOTHING);
-    // The signal to callers, or the credit of the broker.
+    // The signal is the send share for gateways, and the credit for a broker.
     let signal_heading = if front == Front::Resp { "share told" } else { "credit told" };
     table.set_header([
         "second",
@@ -140,7 +148,7 @@
     ]);
     let row = |name: String, tally: &Counts, queue_times: [String; 2]| {
         let counts = [tally.sent, tally.in_time, tally.late, tally.rejected, tally.failed, tally.lost];
-        // Without a signal all traffic is wanted.
+        // Without a signal, gateways may send all their requests: the send share is 1.
         let signal = match (front, tally.mean_signal()) {
             (Front::Resp, share) => format!("{:.2}", share.unwrap_or(1.0)),
             (Front::Amqp, credit) => format!("{:.0}", credit.unwrap_or(0.0)),
@@ -148,14 +156,15 @@
         let counts = counts.map(|count| count.to_string());
         std::iter::once(name).chain(counts).chain(queue_times).chain([signal]).collect::<Vec<_>>()
     };
-    for (second, tally) in played.results.seconds.iter().enumerate().filter(|(_, tally)| tally.sent > 0) {
-        let ms = |part: f64| {
-            let queue_time = played.queue_times.get(second).map_or(0, |times| times.value_at_quantile(part));
+    for (second, tally) in outcome.results.seconds.iter().enumerate().filter(|(_, tally)| tally.sent > 0) {
+        let ms = |quantile: f64| {
+            let queue_time =
+                outcome.queue_times.get(second).map_or(0, |times| times.value_at_quantile(quantile));
             format!("{:.0}", queue_time as f64 / 1000.0)
         };
         table.add_row(row(second.to_string(), tally, [ms(0.5), ms(0.99)]));
     }
-    table.add_row(row("all".into(), &played.results.total(), [String::new(), String::new()]));
+    table.add_row(row("all".into(), &outcome.results.total(), [String::new(), String::new()]));
     for column in table.column_iter_mut().skip(1) {
         column.set_cell_alignment(CellAlignment::Right);
     }
