--- a/crates/loomflow-server/src/close_reason.rs
+++ b/crates/loomflow-server/src/close_reason.rs
@@ -1,31 +1,31 @@
-//! Why a connection was closed, and what that means for the messages that were sent on it.
+//! Reasons for closing a connection, and the outcome of the messages that were sent on it.
 
 use std::fmt;
 use std::io;
 
 use loomflow::interface::AttemptOutcome;
 
-/// Why a connection was closed.
+/// Why a connection was closed or could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// Nobody listens at the address.
+    /// The connect was refused: nothing listens at the address.
     ConnectionRefused,
-    /// It could not be opened for another reason, or not in time.
+    /// The connect timed out or failed for a reason other than a refusal.
     ConnectFailed,
-    /// The peer closed it in order.
+    /// The peer closed the connection without a reset.
     PeerClosed,
-    /// The peer or the system reset it.
+    /// The connection was reset, or reading or writing failed.
     Reset,
-    /// The peer sent something that is no message of the protocol.
+    /// The peer violated the protocol; the text says how.
     ProtocolViolation(&'static str),
-    /// This server closed it because it was idle.
+    /// This server closed the connection because it was idle.
     IdleTimeout,
-    /// This server closed it because nothing on it can be of use any more.
+    /// This server aborted the connection: the peer does not read or has stalled, or the connection is no longer needed.
     Aborted,
 }
 
 impl CloseReason {
-    /// Why a connection could not be opened.
+    /// The reason for a failed connect.
     pub fn from_connect_error(error: &io::Error) -> CloseReason {
         match error.kind() {
             io::ErrorKind::ConnectionRefused => CloseReason::ConnectionRefused,
@@ -33,14 +33,14 @@
         }
     }
 
-    /// Whether open requests of a gateway still get a response: after a protocol violation the peer is there to read
-    /// it, in all other cases it is not.
+    /// Whether the open requests of a gateway still get a response: only after a protocol violation, because then the peer is
+    /// still connected and can read it.
     pub fn is_reported_to_peer(self) -> bool {
         matches!(self, CloseReason::ProtocolViolation(_))
     }
 
-    /// The outcome of a message on the connection; the only place where a reason becomes an outcome. `is_sent`: the
-    /// complete message had been handed to the system, so that it may have arrived.
+    /// The outcome of a message that was sent or queued on the connection; no other code maps reasons to outcomes.
+    /// `is_sent`: the complete message had been written to the socket, so it may have reached the peer.
     pub fn outcome(self, is_sent: bool) -> AttemptOutcome {
         match self {
             CloseReason::ConnectionRefused | CloseReason::ConnectFailed => AttemptOutcome::Unreachable,
@@ -54,7 +54,7 @@
     }
 }
 
-/// The words of the log's field `ending`.
+/// The value of the log key `ending`.
 impl fmt::Display for CloseReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
--- a/crates/loomflow-server/src/close_reason/tests.rs
+++ b/crates/loomflow-server/src/close_reason/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const OPENED: [CloseReason; 5] = [
+const REASONS_AFTER_CONNECT: [CloseReason; 5] = [
     CloseReason::PeerClosed,
     CloseReason::Reset,
     CloseReason::ProtocolViolation("x"),
@@ -9,8 +9,8 @@
 ];
 
 #[test]
-fn a_message_never_ran_if_the_connection_was_not_opened_or_it_was_not_sent_and_may_have_run_otherwise() {
-    for reason in OPENED {
+fn only_a_message_sent_on_an_open_connection_may_have_run() {
+    for reason in REASONS_AFTER_CONNECT {
         assert_eq!(reason.outcome(true), AttemptOutcome::ConnectionLost, "{reason}");
         assert_eq!(reason.outcome(false), AttemptOutcome::Unreachable, "{reason}");
     }
@@ -20,9 +20,9 @@
 }
 
 #[test]
-fn the_log_has_the_words_of_the_first_release() {
-    let words: Vec<String> = OPENED.iter().map(CloseReason::to_string).collect();
-    assert_eq!(words, ["PeerClosed", "Reset", "Malformed(\"x\")", "Idle", "GivenUp"]);
+fn log_values_equal_those_of_the_first_release() {
+    let values: Vec<String> = REASONS_AFTER_CONNECT.iter().map(CloseReason::to_string).collect();
+    assert_eq!(values, ["PeerClosed", "Reset", "Malformed(\"x\")", "Idle", "GivenUp"]);
     assert_eq!(CloseReason::ConnectionRefused.to_string(), "Refused");
     assert_eq!(CloseReason::ConnectFailed.to_string(), "NotOpened");
 }
--- a/crates/loomflow-server/src/connection.rs
+++ b/crates/loomflow-server/src/connection.rs
@@ -1,21 +1,21 @@
-//! Connections: a driver on one side, which alone has the descriptor, and a handle on the other.
+//! TCP connections. A driver coroutine owns the socket; everyone else uses the connection through its handle.
 //!
-//! - `driver`: opens, reads and writes a connection;
-//! - `handle`: the write queue, and when the connection is closed;
-//! - `linger`: the end of a connection;
-//! - `partial_message`, `violations`: what is known of a peer that is slow or floods;
-//! - `runtime`: the coroutines that drivers run on.
+//! - `driver`: opens, reads and writes the socket;
+//! - `handle`: the shared state: write queue, open requests and the reason for closing;
+//! - `lingering_close`: closes the socket without discarding responses that the peer has not read yet;
+//! - `partial_message`, `violations`: detect stalled peers and throttle peers that violate the protocol;
+//! - `runtime`: the coroutine runtime.
 
 mod driver;
 mod handle;
-mod linger;
+mod lingering_close;
 mod partial_message;
 mod runtime;
 mod violations;
 
 pub use driver::{connect, connect_after, drive};
 pub use handle::ConnectionHandle;
-pub use linger::{LINGER_TIMEOUT, linger};
+pub use lingering_close::{LINGERING_CLOSE_TIMEOUT, lingering_close};
 pub use runtime::{
     configure_runtime, is_timeout, return_to_worker, set_read_timeout, sleep, to_whole_millis,
 };
--- a/crates/loomflow-server/src/connection/driver.rs
+++ b/crates/loomflow-server/src/connection/driver.rs
@@ -1,5 +1,5 @@
-//! The driver of a connection: one coroutine with the descriptor, which reads, decodes and writes. It knows nothing about
-//! requests.
+//! The driver of a connection: a coroutine that owns the socket, reads and decodes messages, and writes the handle's queue.
+//! It does not interpret the messages.
 
 use std::io::{ErrorKind, Read};
 use std::net::SocketAddr;
@@ -13,12 +13,12 @@
 use super::runtime::sleep;
 use crate::close_reason::CloseReason;
 
-/// How many messages are read from one connection before the others have their turn.
+/// Messages delivered from one connection before its driver yields to the other coroutines.
 const MAX_MESSAGES_PER_TURN: usize = 16;
-/// How long opening a connection may take.
+/// Timeout of a connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Opens a connection after a backoff, unless it has been closed by then.
+/// Opens a connection after a backoff; fails with the reason if the handle is closed during the backoff.
 pub fn connect_after(
     address: SocketAddr,
     backoff: Duration,
@@ -33,17 +33,17 @@
     connect(address)
 }
 
-/// Opens a connection.
+/// Opens a connection with `TCP_NODELAY` set; fails after [`CONNECT_TIMEOUT`].
 pub fn connect(address: SocketAddr) -> Result<TcpStream, CloseReason> {
     let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)
         .map_err(|error| CloseReason::from_connect_error(&error))?;
-    // Messages are small, and each is waited for.
+    // Messages are small, and the peer waits for each one.
     let _ = stream.set_nodelay(true);
     Ok(stream)
 }
 
-/// Reads and writes until the connection is to be closed, and returns why. `input_closed` is called before that with the
-/// reason why nothing more is read, where that is the peer's doing: requests that are open still have to be settled.
+/// Reads and writes until the connection is due to be closed, and returns the reason. If the peer ends its input or violates
+/// the protocol, `input_closed` is called with that reason first, so that the owner can settle the open requests.
 pub fn drive<D: Decoder>(
     stream: TcpStream,
     handle: &ConnectionHandle,
@@ -86,8 +86,8 @@
             Err(reason) => return reason,
         }
         if let Some(reason) = handle.close_due() {
-            // What arrived before the close counts as received. The owner, which found the connection idle, only knows what
-            // had been read; the driver alone knows whether there is more.
+            // Input that arrived before the close counts as received. The owner decided on the idle close without knowing
+            // about unread input; only the driver can check for it.
             let was_idle = reason == CloseReason::IdleTimeout;
             if was_idle && has_unread_input(stream.inner(), &mut decoder) && handle.cancel_idle_close() {
                 continue;
@@ -98,7 +98,7 @@
     }
 }
 
-/// Whether the peer has sent more than the messages that were read.
+/// Whether the peer has sent bytes that are not delivered yet, in the buffer or in the socket.
 fn has_unread_input<D: Decoder>(mut stream: &std::net::TcpStream, decoder: &mut D) -> bool {
     let buffer = decoder.buffer();
     if let Ok(count) = stream.read(buffer.space()) {
@@ -107,27 +107,27 @@
     !buffer.unread().is_empty()
 }
 
-/// What is known after a turn of reading.
+/// Result of one turn of reading.
 enum ReadOutcome {
-    /// There may be more to read, once others have had their turn or the connection's throttle delay has passed.
+    /// There may be more to read, after a yield or after the connection's throttle delay.
     MoreToRead,
-    /// There is nothing more to read now.
+    /// Nothing more can be read until the driver is woken.
     Drained,
-    /// Nothing more will be read from now on.
+    /// The peer ended its input or violated the protocol: nothing more will be read.
     InputClosed(CloseReason),
 }
 
-/// The outcome of one read.
-enum Filled {
-    /// There may be a further message in the buffer.
-    Buffer,
-    /// Nothing has arrived.
-    Nothing,
-    /// Nothing more will be read.
+/// Result of one read into the decoder's buffer.
+enum FillOutcome {
+    /// The buffer may now hold a complete message. Also returned for an interrupted read, which is repeated.
+    DecodeNext,
+    /// The socket has no input at present.
+    WouldBlock,
+    /// The peer ended its input or violated the protocol.
     InputClosed(CloseReason),
 }
 
-/// Reads and delivers the messages that have arrived.
+/// Reads and delivers the messages that have arrived, at most [`MAX_MESSAGES_PER_TURN`].
 fn read_messages<D: Decoder>(
     stream: &std::net::TcpStream,
     handle: &ConnectionHandle,
@@ -139,7 +139,7 @@
         if delivered >= MAX_MESSAGES_PER_TURN {
             return Ok(ReadOutcome::MoreToRead);
         }
-        let filled = match decoder.next() {
+        let outcome = match decoder.next() {
             Ok(Some(message)) => {
                 handle.message_received();
                 deliver(message);
@@ -147,16 +147,16 @@
                 continue;
             }
             Ok(None) => fill_buffer(stream, decoder)?,
-            Err(malformed) => Filled::InputClosed(CloseReason::ProtocolViolation(malformed.0)),
+            Err(malformed) => FillOutcome::InputClosed(CloseReason::ProtocolViolation(malformed.0)),
         };
-        match filled {
-            Filled::Buffer => {}
-            Filled::Nothing => {
+        match outcome {
+            FillOutcome::DecodeNext => {}
+            FillOutcome::WouldBlock => {
                 handle.set_unread(decoder.buffer().unread().len());
                 let is_throttled = delivered > 0 && !handle.throttle_delay().is_zero();
                 return Ok(if is_throttled { ReadOutcome::MoreToRead } else { ReadOutcome::Drained });
             }
-            Filled::InputClosed(reason) => {
+            FillOutcome::InputClosed(reason) => {
                 handle.input_closed(reason);
                 return Ok(ReadOutcome::InputClosed(reason));
             }
@@ -167,19 +167,24 @@
 }
 
 /// Reads once into the decoder's buffer.
-fn fill_buffer<D: Decoder>(mut stream: &std::net::TcpStream, decoder: &mut D) -> Result<Filled, CloseReason> {
+fn fill_buffer<D: Decoder>(
+    mut stream: &std::net::TcpStream,
+    decoder: &mut D,
+) -> Result<FillOutcome, CloseReason> {
     let buffer = decoder.buffer();
     if buffer.space().is_empty() {
-        return Ok(Filled::InputClosed(CloseReason::ProtocolViolation("a message is too long")));
+        return Ok(FillOutcome::InputClosed(CloseReason::ProtocolViolation(
+            "a message exceeds the receive buffer",
+        )));
     }
     match stream.read(buffer.space()) {
-        Ok(0) => Ok(Filled::InputClosed(CloseReason::PeerClosed)),
+        Ok(0) => Ok(FillOutcome::InputClosed(CloseReason::PeerClosed)),
         Ok(count) => {
             buffer.filled(count);
-            Ok(Filled::Buffer)
+            Ok(FillOutcome::DecodeNext)
         }
-        Err(error) if error.kind() == ErrorKind::WouldBlock => Ok(Filled::Nothing),
-        Err(error) if error.kind() == ErrorKind::Interrupted => Ok(Filled::Buffer),
+        Err(error) if error.kind() == ErrorKind::WouldBlock => Ok(FillOutcome::WouldBlock),
+        Err(error) if error.kind() == ErrorKind::Interrupted => Ok(FillOutcome::DecodeNext),
         Err(_) => Err(CloseReason::Reset),
     }
 }
--- a/crates/loomflow-server/src/connection/handle.rs
+++ b/crates/loomflow-server/src/connection/handle.rs
@@ -1,4 +1,4 @@
-//! The handle of a connection, shared by its driver and the owner: the write queue, and how long the connection is read.
+//! The handle of a connection, shared by its driver and the owner: write queue, open requests and the reason for closing.
 
 use std::io::{ErrorKind, Write};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -10,40 +10,42 @@
 use super::violations::Violations;
 use crate::close_reason::CloseReason;
 
-/// While this many bytes are unwritten, nothing more is read.
+/// Reading pauses while this many bytes wait to be written.
 const MAX_UNWRITTEN_BYTES: usize = 64 * 1024;
 
-/// A connection, to everyone but its driver.
+/// Shared access to a connection whose socket is owned by its driver.
 pub struct ConnectionHandle {
     state: Mutex<HandleState>,
 }
 
-/// What driver and owner share, under the handle's lock.
+/// State of a connection, protected by the handle's lock.
 struct HandleState {
     write_queue: WriteQueue,
-    /// Requests that were read and not answered, and how many there may be where each needs a response.
+    /// Requests that were read and have no response yet; always 0 without a maximum.
     open_requests: usize,
+    /// Reading pauses at this number of open requests; `None` on connections whose messages need no response.
     max_open_requests: Option<usize>,
-    /// Why nothing more is read. The connection is closed once no request is open and everything is written.
+    /// Set once nothing more is read. The connection is closed once no request is open and everything is written.
     close_reason: Option<CloseReason>,
-    /// The driver has been woken for what was queued.
+    /// The driver has been woken for queued bytes and has not flushed since; saves a wake for each further enqueue.
     is_wake_pending: bool,
-    /// Wakes the driver, while it waits for nothing but its peer and this handle. `may` has a list of waits with a timeout
-    /// that only the thread of its connections may change: if another thread ended the wait of a linger, that list would
-    /// break. So the waker is used only under this lock, and is removed before a linger.
+    /// Wakes the driver from its wait for input; set only while [`super::drive`] runs. The reads of a lingering close have
+    /// a timeout, and `may` keeps such waits in a list that only the worker thread may change: waking one from another
+    /// thread would corrupt that list. So the waker is used only under this lock and removed before the lingering close.
     waker: Option<WaitIoWaker>,
     partial_message: Option<PartialMessage>,
     violations: Violations,
 }
 
-/// Bytes that wait to be written.
+/// Bytes to be written to the socket.
 #[derive(Default)]
 struct WriteQueue {
     buffer: Vec<u8>,
-    /// How much of the buffer is written.
+    /// Offset in `buffer` of the first byte that is not written yet.
     position: usize,
-    /// Bytes queued and bytes written since the connection was opened.
+    /// Total since the connection was opened.
     bytes_queued: u64,
+    /// Total since the connection was opened.
     bytes_written: u64,
 }
 
@@ -73,7 +75,7 @@
 }
 
 impl HandleState {
-    /// The first reason stays, except for idleness: that close alone may be cancelled.
+    /// Keeps the first reason, but any other reason replaces an idle timeout, because only an idle close can be cancelled.
     fn close(&mut self, reason: CloseReason) {
         if matches!(self.close_reason, None | Some(CloseReason::IdleTimeout)) {
             self.close_reason = Some(reason);
@@ -88,7 +90,8 @@
 }
 
 impl ConnectionHandle {
-    /// A connection on which reading pauses while `max_open_requests` await a response; none where requests need none.
+    /// Creates a handle. Reading pauses while `max_open_requests` requests have no response; `None` if the messages on this
+    /// connection need no response.
     pub fn new(max_open_requests: Option<usize>) -> ConnectionHandle {
         let state = HandleState {
             write_queue: WriteQueue::default(),
@@ -107,7 +110,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Queues what `write` writes. Returns the position of its end among all bytes of the connection.
+    /// Appends the bytes that `write` produces to the write queue and wakes the driver. Returns the total number of bytes
+    /// queued since the connection was opened, for comparison with [`ConnectionHandle::bytes_written`].
     pub fn enqueue(&self, write: impl FnOnce(&mut Vec<u8>)) -> u64 {
         let mut state = self.lock();
         state.write_queue.push(write);
@@ -117,17 +121,17 @@
         state.write_queue.bytes_queued
     }
 
-    /// As [`ConnectionHandle::enqueue`], for the response to one request.
+    /// Enqueues the response to one request, which is no longer open then.
     pub fn enqueue_response(&self, write: impl FnOnce(&mut Vec<u8>)) {
         {
-            // An abort may have settled all requests before.
+            // An abort may have reset the count already.
             let mut state = self.lock();
             state.open_requests = state.open_requests.saturating_sub(1);
         }
         self.enqueue(write);
     }
 
-    /// One request gets no response: the driver may read another.
+    /// Counts a request as no longer open without sending a response.
     pub fn release_request_slot(&self) {
         self.enqueue_response(|_| {});
     }
@@ -139,7 +143,7 @@
         state.wake();
     }
 
-    /// Cancels the close of a connection that was found idle. Returns false where it is closed for another reason.
+    /// Cancels a close due to idleness. Returns false if the connection is open or is closed for another reason.
     pub fn cancel_idle_close(&self) -> bool {
         let mut state = self.lock();
         let is_idle_close = state.close_reason == Some(CloseReason::IdleTimeout);
@@ -149,7 +153,8 @@
         is_idle_close
     }
 
-    /// Closes the connection immediately, and discards what is unwritten. Returns how many bytes were written.
+    /// Closes the connection without waiting for open requests and discards the write queue. Returns the total number of
+    /// bytes written.
     pub fn abort(&self) -> u64 {
         let mut state = self.lock();
         state.write_queue.discard();
@@ -159,65 +164,65 @@
         state.write_queue.bytes_written
     }
 
-    /// How many of the queued bytes the system has taken.
+    /// Total number of bytes written to the socket since the connection was opened.
     pub fn bytes_written(&self) -> u64 {
         self.lock().write_queue.bytes_written
     }
 
-    /// Whether everything that was queued is written.
+    /// Whether the write queue is empty.
     pub fn is_flushed(&self) -> bool {
         self.unwritten_bytes() == 0
     }
 
-    /// How many bytes wait to be written.
+    /// Number of bytes in the write queue.
     pub fn unwritten_bytes(&self) -> usize {
         self.lock().write_queue.unwritten().len()
     }
 
-    /// Whether it is to be closed. The driver cancels that where it finds that the connection was not idle.
+    /// Whether a close has been requested. The driver cancels an idle close if it finds unread input.
     pub fn is_closing(&self) -> bool {
         self.lock().close_reason.is_some()
     }
 
-    /// The message of which a part has been received.
+    /// The message that has been received in part, if any.
     pub fn partial_message(&self) -> Option<PartialMessage> {
         self.lock().partial_message
     }
 
-    /// A message on it violated the protocol.
+    /// Counts a protocol violation, which delays further reads.
     pub fn record_violation(&self) {
         self.lock().violations.record(Instant::now());
     }
 
-    /// How long the driver waits before it reads more.
+    /// Delay before the driver's next read, due to recent violations.
     pub(super) fn throttle_delay(&self) -> Duration {
         self.lock().violations.throttle_delay(Instant::now())
     }
 
-    /// Sets how the driver is woken, or that it is not.
+    /// Sets or removes the waker of the driver.
     pub(super) fn set_waker(&self, waker: Option<WaitIoWaker>) {
         self.lock().waker = waker;
     }
 
-    /// Records how many bytes were read that are no complete message.
+    /// Records the number of buffered bytes that do not form a complete message.
     pub(super) fn set_unread(&self, bytes: usize) {
         let mut state = self.lock();
         state.partial_message = PartialMessage::updated(state.partial_message, bytes, Instant::now());
     }
 
-    /// A complete message was read, which may need a response.
+    /// Records a complete message: it counts as an open request if messages on this connection need a response.
     pub fn message_received(&self) {
         let mut state = self.lock();
         state.partial_message = None;
         state.open_requests += usize::from(state.max_open_requests.is_some());
     }
 
-    /// Nothing more is read, for this reason.
+    /// Records that the peer ended its input or violated the protocol; replaces any earlier reason.
     pub(super) fn input_closed(&self, reason: CloseReason) {
         self.lock().close_reason = Some(reason);
     }
 
-    /// Writes what the system takes.
+    /// Writes queued bytes until the queue is empty or the socket would block.
     pub(super) fn flush(&self, mut stream: &std::net::TcpStream) -> Result<(), CloseReason> {
         let mut state = self.lock();
         state.is_wake_pending = false;
@@ -233,15 +238,16 @@
         Ok(())
     }
 
-    /// Whether the driver is to read.
+    /// Whether the driver may read: no close is requested, and neither open requests nor unwritten bytes are at their
+    /// maximum.
     pub(super) fn may_read(&self) -> bool {
         let state = self.lock();
         let has_capacity = state.max_open_requests.is_none_or(|max| state.open_requests < max);
-        let is_read = state.write_queue.unwritten().len() < MAX_UNWRITTEN_BYTES;
-        state.close_reason.is_none() && has_capacity && is_read
+        let is_below_write_limit = state.write_queue.unwritten().len() < MAX_UNWRITTEN_BYTES;
+        state.close_reason.is_none() && has_capacity && is_below_write_limit
     }
 
-    /// Why the driver is to close the connection, once all responses are written.
+    /// The reason for closing, once no request is open and everything is written; `None` until then.
     pub(super) fn close_due(&self) -> Option<CloseReason> {
         let state = self.lock();
         let is_settled = state.open_requests == 0 && state.write_queue.unwritten().is_empty();
@@ -249,15 +255,15 @@
     }
 }
 
-/// For tests that stand in for the driver.
+/// Access for tests that replace the driver.
 #[cfg(test)]
 impl ConnectionHandle {
-    /// How many bytes were queued since the connection was opened.
+    /// Total number of bytes queued since the connection was opened.
     pub fn bytes_queued(&self) -> u64 {
         self.lock().write_queue.bytes_queued
     }
 
-    /// What a driver writes where the system takes at most `max` bytes.
+    /// Removes and returns up to `max` unwritten bytes, like a flush to a socket that accepts no more than that.
     pub fn take_written(&self, max: usize) -> Vec<u8> {
         let mut state = self.lock();
         state.is_wake_pending = false;
@@ -267,12 +273,12 @@
         written
     }
 
-    /// Whether somebody could wake its driver.
+    /// Whether the driver's waker is set.
     pub fn has_waker(&self) -> bool {
         self.lock().waker.is_some()
     }
 
-    /// Whether its driver would read, and why it would close the connection.
+    /// The driver's decisions: whether it may read, and the reason for closing if that is due.
     pub fn driver_view(&self) -> (bool, Option<CloseReason>) {
         (self.may_read(), self.close_due())
     }
--- a/crates/loomflow-server/src/connection/handle/tests.rs
+++ b/crates/loomflow-server/src/connection/handle/tests.rs
@@ -9,14 +9,14 @@
     assert!(!handle.may_read());
     handle.enqueue_response(|_| {});
     assert!(handle.may_read());
-    // Where messages need no response any number is read.
+    // Without a maximum, any number of messages is read.
     let unbounded = ConnectionHandle::new(None);
     unbounded.message_received();
     assert!(unbounded.may_read());
 }
 
 #[test]
-fn reading_pauses_while_too_much_is_unwritten_and_ends_with_a_close() {
+fn reading_pauses_at_the_write_limit_and_ends_with_a_close() {
     let handle = ConnectionHandle::new(None);
     handle.enqueue(|out| out.resize(MAX_UNWRITTEN_BYTES - 1, 0));
     assert!(handle.may_read());
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_close_for_another_reason_than_idleness_is_not_cancelled() {
+fn only_an_idle_close_can_be_cancelled() {
     let handle = ConnectionHandle::new(None);
     handle.close(CloseReason::IdleTimeout);
     assert!(handle.cancel_idle_close() && !handle.is_closing());
--- a/crates/loomflow-server/src/connection/linger.rs
+++ b/crates/loomflow-server/src/connection/lingering_close.rs
@@ -1,5 +1,5 @@
-//! The end of a connection: a close over unread bytes would reset it and discard responses that the peer has not read, so
-//! the connection is shut down for writing first and read until the peer closes, too.
+//! Lingering close. Closing a socket that has unread input resets the connection, and the peer loses responses that it has
+//! not read yet. So the socket is first shut down for writing, then read until the peer closes its side.
 
 use std::io::Read;
 use std::net::Shutdown;
@@ -10,22 +10,24 @@
 use super::runtime::{is_timeout, set_read_timeout, sleep};
 use crate::close_reason::CloseReason;
 
-/// How long a closed connection waits for its peer to close, too.
-pub const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
-/// The maximum time that counts for a single wait: the peer could not close while the machine was paused.
+/// How long to wait for the peer to close its side.
+pub const LINGERING_CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Longest single wait, and the most that one wait is charged: while the machine was paused, the peer could not close.
 const MAX_WAIT: Duration = Duration::from_millis(50);
-/// What is read while lingering is discarded, at most this much in each interval, so that a flood costs little.
+/// Bytes read and discarded in each [`READ_INTERVAL`], which limits the cost of a peer that keeps sending.
 const READ_BYTES: usize = 4096;
+/// Pause after each read that returned bytes.
 const READ_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Shuts the connection down for writing and waits until the peer has closed it.
-pub fn linger(mut stream: TcpStream, reason: CloseReason) {
+/// Shuts the connection down for writing and waits until the peer closes it, for at most [`LINGERING_CLOSE_TIMEOUT`].
+/// Returns immediately if the peer has already closed or reset the connection.
+pub fn lingering_close(mut stream: TcpStream, reason: CloseReason) {
     let is_closed_by_peer = matches!(reason, CloseReason::PeerClosed | CloseReason::Reset);
     if is_closed_by_peer || stream.shutdown(Shutdown::Write).is_err() {
         return;
     }
     let mut discarded = [0; READ_BYTES];
-    let mut budget = LingerBudget(LINGER_TIMEOUT);
+    let mut budget = WaitBudget(LINGERING_CLOSE_TIMEOUT);
     while let Some(wait) = budget.next_wait() {
         let started_at = Instant::now();
         if set_read_timeout(&stream, wait).is_err() {
@@ -40,16 +42,16 @@
     }
 }
 
-/// The remaining time in which a closed connection is read.
-struct LingerBudget(Duration);
+/// Remaining time to wait for the peer to close.
+struct WaitBudget(Duration);
 
-impl LingerBudget {
-    /// How long the next wait may take; none once the time is over.
+impl WaitBudget {
+    /// Timeout of the next wait; `None` once the budget is used up.
     fn next_wait(&self) -> Option<Duration> {
         (!self.0.is_zero()).then(|| self.0.min(MAX_WAIT))
     }
 
-    /// Accounts for a wait that took `elapsed` by the clock.
+    /// Charges a wait that took `elapsed`, at most [`MAX_WAIT`].
     fn consume(&mut self, elapsed: Duration) {
         self.0 = self.0.saturating_sub(elapsed.min(MAX_WAIT));
     }
--- a/crates/loomflow-server/src/connection/partial_message.rs
+++ b/crates/loomflow-server/src/connection/partial_message.rs
@@ -1,31 +1,32 @@
-//! A message of which a part has been received.
+//! Progress of a partially received message, for the detection of stalled peers.
 
 use std::time::{Duration, Instant};
 
-/// How long after its last byte the rest of a message is waited for: a slow peer is waited for, a stalled one is not.
+/// Maximum time between two bytes of a message: tolerates a slow peer, but not a stalled one.
 const STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long after its first byte the rest of a message is waited for.
+/// Maximum time from the first byte of a message to its last.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// When a message began to arrive, and how much of it has.
+/// A message whose first bytes have been received.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PartialMessage {
     started_at: Instant,
     last_byte_at: Instant,
-    /// Bytes received.
+    /// Bytes received so far.
     length: usize,
 }
 
 impl PartialMessage {
-    /// What is known once `length` bytes are unread; only more bytes are progress.
+    /// The state after a read that left `length` undecoded bytes in the buffer: `None` without any, `previous` if the length
+    /// has not changed.
     pub(super) fn updated(
-        former: Option<PartialMessage>,
+        previous: Option<PartialMessage>,
         length: usize,
         now: Instant,
     ) -> Option<PartialMessage> {
-        match former {
+        match previous {
             _ if length == 0 => None,
-            Some(same) if same.length == length => Some(same),
+            Some(unchanged) if unchanged.length == length => Some(unchanged),
             Some(PartialMessage { started_at, .. }) => {
                 Some(PartialMessage { started_at, last_byte_at: now, length })
             }
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Whether the rest is no longer waited for.
+    /// Whether one of the two timeouts has expired.
     pub fn is_stalled(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.last_byte_at) >= STALL_TIMEOUT
             || now.saturating_duration_since(self.started_at) >= TIMEOUT
--- a/crates/loomflow-server/src/connection/partial_message/tests.rs
+++ b/crates/loomflow-server/src/connection/partial_message/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
 #[test]
-fn a_partial_message_stalls_without_further_bytes_and_is_slow_for_a_bounded_time() {
+fn a_partial_message_stalls_after_either_timeout() {
     let start = Instant::now();
     let first = PartialMessage::updated(None, 1, start).expect("a partial message");
     assert!(!first.is_stalled(start + STALL_TIMEOUT.saturating_sub(Duration::from_millis(1))));
     assert!(first.is_stalled(start + STALL_TIMEOUT));
-    // The same length is no progress, a further byte is.
+    // An unchanged length is no progress; one more byte is, until the timeout of the whole message.
     assert_eq!(PartialMessage::updated(Some(first), 1, start + STALL_TIMEOUT), Some(first));
     let mut slow = first;
     let mut now = start;
--- a/crates/loomflow-server/src/connection/runtime.rs
+++ b/crates/loomflow-server/src/connection/runtime.rs
@@ -1,18 +1,19 @@
-//! The coroutine runtime, `may`, and how to wait with a timeout on it.
+//! Configuration of the coroutine runtime, `may`, and safe waits with a timeout on it.
 
 use std::io::ErrorKind;
 use std::time::Duration;
 
 use may::net::TcpStream;
 
-/// Stack of a connection's coroutine, in words of 8 bytes.
+/// Stack size of a coroutine, in words of 8 bytes.
 const STACK_WORDS: usize = 4096;
-/// Stacks in the pool for new connections. The library allocates all of them at the start and touches the first pages of
-/// each, so that its default of a thousand takes much memory. Further connections allocate their own.
+/// Number of pooled coroutine stacks. `may` allocates them all at startup and touches the first pages of each, so its
+/// default of 1000 takes much memory. Connections beyond the pool allocate their own stacks.
 const STACK_POOL_SIZE: usize = 128;
 
-/// Configures the runtime, before the first connection: one thread for all of them. `may` has waits with a timeout in
-/// lists that only the thread of their connections may touch, and a coroutine may run on any thread.
+/// Configures the runtime; must be called before the first connection is opened. All connections share one worker thread:
+/// `may` keeps waits with a timeout in lists that only the worker thread of the connection may access, but it may run a
+/// coroutine on any worker thread.
 pub fn configure_runtime() {
     may::config()
         .set_workers(1)
@@ -21,37 +22,37 @@
         .set_worker_pin(false);
 }
 
-/// Lets a coroutine sleep, and returns it to the thread of all connections.
+/// Suspends the current coroutine, then returns it to the worker thread.
 ///
-/// `may` resumes a coroutine whose wait has timed out on its timer thread, and lets it run there until it waits again. If
-/// it begins to wait for a connection there, that wait can be over, and the coroutine with it, on the connections' thread
-/// before `may` has finished registering it: `subscribe` in its `tcp_stream_connect.rs`, `socket_read.rs` and `wait_io.rs`
-/// uses what it refers to after it has given the coroutine away, which is a use after free. So every sleep goes through
-/// here, and whatever else waits with a timeout calls [`return_to_worker`] before it touches a connection.
-pub fn sleep(span: Duration) {
-    may::coroutine::sleep(span);
+/// `may` resumes a coroutine whose wait has timed out on its timer thread, where it runs until its next wait. If that is a
+/// wait for a connection, the worker thread can complete the wait and end the coroutine before the timer thread has
+/// finished registering the wait: `subscribe` in `tcp_stream_connect.rs`, `socket_read.rs` and `wait_io.rs` of `may` uses
+/// references into the coroutine after handing it over, a use after free. Therefore every sleep uses this function, and any
+/// other wait with a timeout must be followed by [`return_to_worker`] before the coroutine uses a connection.
+pub fn sleep(duration: Duration) {
+    may::coroutine::sleep(duration);
     return_to_worker();
 }
 
-/// Returns a coroutine that may have been resumed on `may`'s timer thread to the thread of all connections: to yield puts
-/// it into that thread's queue.
+/// Moves the current coroutine, which may have been resumed on `may`'s timer thread, to the worker thread: yielding puts it
+/// into the worker's queue.
 pub fn return_to_worker() {
     may::coroutine::yield_now();
 }
 
-/// Sets how long further reads wait.
+/// Sets the timeout of subsequent reads, rounded by [`to_whole_millis`].
 pub fn set_read_timeout(stream: &TcpStream, timeout: Duration) -> std::io::Result<()> {
     stream.set_read_timeout(Some(to_whole_millis(timeout)))
 }
 
-/// A timeout as `may` supports it: whole milliseconds, and at least one. It cuts off the rest, takes zero for no timeout,
-/// and waits twice where it wakes before the rest has passed; so a remaining time of less than one would be waited for
-/// without end, and an interval that is not whole would be doubled.
+/// Rounds a timeout down to whole milliseconds, with a minimum of 1 ms. `may` truncates timeouts to milliseconds, takes
+/// zero as no timeout, and waits a second time if it wakes before the truncated fraction has passed: a timeout below 1 ms
+/// would never expire, and one with a fraction would last twice as long.
 pub fn to_whole_millis(timeout: Duration) -> Duration {
     Duration::from_millis(timeout.as_millis().clamp(1, u64::MAX.into()) as u64)
 }
 
-/// Whether a read has only waited: until its timeout, or until something else woke it.
+/// Whether a read failed only because its timeout expired or because it was interrupted.
 pub fn is_timeout(error: &std::io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted)
 }
--- a/crates/loomflow-server/src/connection/violations.rs
+++ b/crates/loomflow-server/src/connection/violations.rs
@@ -1,24 +1,25 @@
-//! Protocol violations of a connection, and how much they throttle it.
+//! Throttles reading from a connection according to its recent protocol violations.
 
 use std::time::{Duration, Instant};
 
-/// Delay before more is read, for each recent violation: a flood throttles its own sender.
+/// Delay before the next read for each recent violation, so that a flood of invalid messages slows down its own sender.
 const THROTTLE_STEP: Duration = Duration::from_millis(5);
-/// The maximum number of violations that count.
+/// Maximum count of recent violations; limits the delay to 100 ms.
 const MAX_VIOLATIONS: u32 = 20;
-/// One violation decays after each interval: a connection that is open for days is throttled for recent violations only.
+/// The count decreases by one per interval, so that a connection that is open for days is throttled for recent violations
+/// only.
 const DECAY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The number of recent violations.
+/// Counter of recent violations.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Violations {
     count: u32,
-    /// Decay is accounted for up to here.
+    /// Time up to which decay has been applied to `count`.
     decayed_at: Instant,
 }
 
 impl Violations {
-    /// None so far.
+    /// Creates a counter without violations.
     pub(super) fn new(now: Instant) -> Violations {
         Violations { count: 0, decayed_at: now }
     }
@@ -33,12 +34,12 @@
         self.count
     }
 
-    /// Records one more.
+    /// Counts a violation, up to [`MAX_VIOLATIONS`].
     pub(super) fn record(&mut self, now: Instant) {
         self.count = (self.current(now) + 1).min(MAX_VIOLATIONS);
     }
 
-    /// How long to wait before more is read.
+    /// Delay before the next read: [`THROTTLE_STEP`] for each recent violation.
     pub(super) fn throttle_delay(&mut self, now: Instant) -> Duration {
         THROTTLE_STEP * self.current(now)
     }
--- a/crates/loomflow-server/src/connection/violations/tests.rs
+++ b/crates/loomflow-server/src/connection/violations/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 
-/// As many as a driver reads at once.
+/// Messages that a driver delivers in one turn (`driver::MAX_MESSAGES_PER_TURN`).
 const MESSAGES_PER_TURN: usize = 16;
 
 #[test]
-fn violations_add_up_to_a_limit_and_decay_one_by_one() {
+fn violations_are_bounded_and_decay_one_per_interval() {
     let start = Instant::now();
     let mut violations = Violations::new(start);
     (0..1_000).for_each(|_| violations.record(start));
     assert_eq!(violations.current(start), MAX_VIOLATIONS);
-    // Asking for them does not make them decay.
+    // Repeated reads of the count within an interval cause no decay.
     let almost = DECAY_INTERVAL.saturating_sub(Duration::from_millis(1));
     assert_eq!((0..5).map(|_| violations.current(start + almost)).last(), Some(MAX_VIOLATIONS));
     assert_eq!(violations.current(start + DECAY_INTERVAL), MAX_VIOLATIONS - 1);
-    // A flood that goes on as fast as it is throttled to does not decay.
+    // Violations at the maximum rate that throttling allows keep the count at its maximum.
     let mut now = start;
     for _ in 0..100 {
         now += THROTTLE_STEP * MAX_VIOLATIONS;
@@ -21,7 +21,7 @@
     }
     assert_eq!(violations.current(now), MAX_VIOLATIONS);
     assert_eq!(violations.current(now + DECAY_INTERVAL * MAX_VIOLATIONS), 0);
-    // A later one does not decay beforehand.
+    // Time without violations does not count towards the decay of a later one.
     violations.record(now + Duration::from_secs(86_400));
     assert_eq!(violations.current(now + Duration::from_secs(86_400)), 1);
     assert_eq!(violations.current(now + Duration::from_secs(10 * 365 * 86_400)), 0);
--- a/crates/loomflow-server/src/engine.rs
+++ b/crates/loomflow-server/src/engine.rs
@@ -130,7 +130,7 @@
                     let (stream, reason) =
                         connection::drive(stream, &handle, Notices::default(), deliver, |_| {});
                     mailbox.send(OwnerEvent::EngineDisconnected(link, reason));
-                    return connection::linger(stream, reason);
+                    return connection::lingering_close(stream, reason);
                 }
             };
             mailbox.send(OwnerEvent::EngineDisconnected(link, reason));
--- a/crates/loomflow-server/src/front/amqp/consumer_settings.rs
+++ b/crates/loomflow-server/src/front/amqp/consumer_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the AMQP consumer, from the options file and the server's settings.
+//! Derives the settings of the AMQP consumer from the options file and the server's settings.
 
 use loomflow::interface::{Class, Idempotency};
 use loomflow_amqp::idempotency::Capacity;
@@ -10,10 +10,10 @@
 use crate::budget::Budget;
 use crate::front::FrontStartError;
 
-/// The settings of the consumer.
+/// Builds the settings of the consumer.
 ///
 /// # Errors
-/// The credentials cannot be read.
+/// The credentials file cannot be read.
 pub fn settings(amqp: &Amqp, site: &Site, budget: &Budget) -> Result<Settings, FrontStartError> {
     let credentials = Credentials::load(&amqp.credentials)?;
     let budget = budget.for_broker(amqp.max_message_bytes);
@@ -45,12 +45,12 @@
     Target { exchange: target.exchange.clone(), routing_key: target.routing_key.clone() }
 }
 
-/// The queues, with the priority weights of the present settings.
+/// Builds the queues, with priority weights from the current settings.
 pub fn queues(amqp: &Amqp, site: &Site) -> Vec<Queue> {
     amqp.queues.iter().map(|options| queue(options, site)).collect()
 }
 
-/// The classes, with the timeouts of the present settings.
+/// Builds the classes, with timeouts from the current settings.
 pub fn classes(site: &Site) -> Vec<loomflow_amqp::Class> {
     site.classes.iter().zip(&site.settings.classes).map(|(name, settings)| class(name, settings)).collect()
 }
@@ -66,7 +66,7 @@
 fn queue(options: &loomflow_settings::amqp::Queue, site: &Site) -> Queue {
     Queue {
         name: options.name.clone(),
-        // Checked to be there; no message has a header with an empty name.
+        // Validation of the options requires `class` or `class_header`; no message has a header with an empty name.
         class: name_from(options.class.as_ref().map(|name| &name.value), options.class_header.as_ref())
             .unwrap_or(NameFrom::Header(String::new())),
         tenant: name_from(options.tenant.as_ref().map(|name| &name.value), options.tenant_header.as_ref()),
@@ -91,7 +91,7 @@
     }
 }
 
-/// The priority weight of the queue's class, or the lowest of all where each message names its own.
+/// The priority weight of the queue's class, or the lowest of all classes if each message names its own class.
 fn priority_weight(options: &loomflow_settings::amqp::Queue, site: &Site) -> f64 {
     let weight = |class: usize| site.settings.classes.get(class).map_or(0.0, |class| class.priority_weight);
     let fixed = options.class.as_ref().map(|name| &name.value);
--- a/crates/loomflow-server/src/front/amqp/mod.rs
+++ b/crates/loomflow-server/src/front/amqp/mod.rs
@@ -1,5 +1,5 @@
-//! The front for queues of AMQP brokers: a driver of `loomflow-amqp`, which decides what is consumed and how each message
-//! is settled.
+//! Front for the queues of AMQP brokers. It performs the I/O for the state machine in `loomflow-amqp`, which decides what is
+//! consumed and how each message is settled.
 
 mod consumer_settings;
 
@@ -26,20 +26,21 @@
 use crate::mailbox::{BrokerEvent, LinkId, Mailbox};
 use crate::time::floor_duration;
 
-/// Time between two log lines of the counts; none is written while they have not changed.
+/// Interval of the log line with the consumer's counts, which is omitted while they are unchanged.
 const REPORT_INTERVAL_MS: Millis = 10_000.0;
-/// How long a link that was replaced may write what is queued on it.
+/// How long a closed link may write the rest of its queue before it is aborted.
 const FINAL_WRITE_TIMEOUT_MS: Millis = 1_000.0;
 
-/// The front for queues of AMQP brokers.
+/// Front that consumes from the queues of one broker at a time.
 pub struct AmqpFront {
     site: Site,
     options: Amqp,
     consumer: Consumer,
     mailbox: Arc<Mailbox>,
+    /// The current link; events of earlier links are ignored.
     link: LinkId,
     handle: Arc<ConnectionHandle>,
-    /// The former link, and when it is aborted.
+    /// The previous link, which may still be writing, and when it is aborted.
     previous_link: Option<(Arc<ConnectionHandle>, Millis)>,
     attempt_ids: fastrand::Rng,
     reported_counts: Counts,
@@ -47,7 +48,7 @@
 }
 
 impl AmqpFront {
-    /// Opens the first link.
+    /// Creates the consumer and opens the first link.
     pub fn start(
         config: &Config,
         options: &Amqp,
@@ -55,7 +56,7 @@
         mailbox: &Arc<Mailbox>,
     ) -> Result<AmqpFront, FrontStartError> {
         let settings = consumer_settings::settings(options, &config.site, budget)?;
-        // Ids must differ from those of an earlier process, also where a file has the same seed.
+        // Attempt ids must differ from those of an earlier process with the same seed in its configuration.
         let seed = config.seed ^ Clock::start().now().unix.to_bits();
         let mut amqp = AmqpFront {
             site: config.site.clone(),
@@ -88,11 +89,11 @@
             let deliver = |frames| mailbox.send_broker_event(link, BrokerEvent::FramesReceived(frames));
             let (stream, reason) = connection::drive(stream, &handle, Frames::default(), deliver, |_| {});
             mailbox.send_broker_event(link, BrokerEvent::Disconnected(reason));
-            connection::linger(stream, reason);
+            connection::lingering_close(stream, reason);
         });
     }
 
-    /// Handles what a link's driver reported; its requests to the owner are added to `requests`.
+    /// Handles an event reported by a link's driver; the resulting requests to the owner are appended to `requests`.
     pub fn handle_event(
         &mut self,
         link: LinkId,
@@ -100,7 +101,7 @@
         now: Now,
         requests: &mut Vec<FrontRequest>,
     ) {
-        // Set anew each time, as the machine's clock may be adjusted.
+        // Updated on every event, because the wall clock may be adjusted.
         self.consumer.set_epoch(now.unix - now.ms);
         let now = now.ms;
         if link != self.link {
@@ -125,7 +126,8 @@
         }
     }
 
-    /// The link is closed by either side: what is queued on it is written, and another is opened after a backoff.
+    /// Handles a link that was lost or violated the protocol: it may still write its queue for [`FINAL_WRITE_TIMEOUT_MS`],
+    /// and another link is opened after a backoff.
     fn link_lost(&mut self, reason: CloseReason, now: Millis) {
         log!(part = "amqp", broker = %self.consumer.broker(), ending = %reason, "the link was closed");
         self.flush_output(now);
@@ -136,12 +138,12 @@
         }
         match self.consumer.disconnected(now) {
             Some(backoff) => self.connect(backoff),
-            // No further link is wanted.
+            // The consumer needs no further link; events of the closed one are ignored.
             None => self.link += 1,
         }
     }
 
-    /// Queues what the consumer sends to the broker, once in a batch.
+    /// Enqueues the consumer's output on the link; called once per batch.
     fn flush_output(&mut self, now: Millis) {
         let output = self.consumer.take_output(now);
         if !output.is_empty() {
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Passes on the consumer's requests to the owner, and its log lines.
+    /// Appends the consumer's requests to `requests`, and writes its log lines.
     fn forward_requests(&mut self, requests: &mut Vec<FrontRequest>) {
         for request in self.consumer.take_requests() {
             match request {
@@ -169,7 +171,7 @@
         let attributes = RequestAttributes {
             class,
             tenant,
-            // Without a time of sending its time begins here: how long it was queued is not known.
+            // Without a sending time, the time in the queue is unknown, and the timeout counts from now on.
             remaining_wait: self.site.settings.classes[class].timeout - message.upstream_time,
             estimated_work: queue.estimated_work,
             memory_kb: queue.memory_kb,
@@ -188,7 +190,8 @@
         }
     }
 
-    /// Passes a response to the consumer. Its frames are sent at the next check of deadlines, which is then due immediately.
+    /// Passes a response to the consumer. Its frames are sent by the next [`AmqpFront::check_timeouts`], which becomes due
+    /// immediately.
     pub fn respond(&mut self, id: u64, response: Response, now: Millis) {
         let response = match response {
             Response::Served(result) => MessageResponse::Served(result),
@@ -203,12 +206,12 @@
         self.consumer.respond(id, response, now);
     }
 
-    /// The run of a message may have started.
+    /// Records that the run of a message may have started.
     pub fn run_started(&mut self, id: u64, now: Millis) {
         self.consumer.run_started(id, now);
     }
 
-    /// Handles the deadlines that have passed.
+    /// Handles deadlines that have passed, and sends the consumer's output.
     pub fn check_timeouts(&mut self, now: Millis, requests: &mut Vec<FrontRequest>) {
         if let Some((handle, _)) = self.previous_link.take_if(|(_, deadline)| now >= *deadline) {
             handle.abort();
@@ -224,7 +227,7 @@
         }
     }
 
-    /// Logs the counts, where they have changed since the last time.
+    /// Logs the consumer's counts if they have changed since the last log line.
     fn log_counts(&mut self) {
         let counts = self.consumer.counts;
         if std::mem::replace(&mut self.reported_counts, counts) == counts {
@@ -249,26 +252,26 @@
             requeued = nacks,
             rejected = rejects,
             remembered = self.consumer.remembered(),
-            "in hand"
+            "consumer counts"
         );
     }
 
-    /// The next deadline.
+    /// The time at which [`AmqpFront::check_timeouts`] is due.
     pub fn next_deadline(&self) -> Millis {
         self.consumer.next_deadline()
     }
 
-    /// The controller exists, so that messages are consumed.
+    /// Starts consuming, once the controller can accept requests.
     pub fn controller_ready(&mut self) {
         self.consumer.start_accepting();
     }
 
-    /// The share of traffic that is wanted from now on.
+    /// Sets the send share, by which the consumer scales its windows.
     pub fn set_signal(&mut self, share: f64) {
         self.consumer.set_share(share);
     }
 
-    /// The settings after a reload.
+    /// Applies reloaded settings.
     pub fn apply_settings(&mut self, site: &Site) {
         self.site = site.clone();
         self.consumer.set_settings(
@@ -278,21 +281,21 @@
         );
     }
 
-    /// A graceful shutdown begins, which has to end by `deadline`.
+    /// Begins a graceful shutdown, which has to complete by `deadline`: nothing more is consumed.
     pub fn begin_drain(&mut self, deadline: Millis, now: Millis, requests: &mut Vec<FrontRequest>) {
         self.consumer.begin_drain(deadline, now);
         self.flush_output(now);
         self.forward_requests(requests);
     }
 
-    /// No message is run any more that was not submitted before.
+    /// Returns the messages whose runs have not been started to their queues.
     pub fn stop_intake(&mut self, now: Millis, requests: &mut Vec<FrontRequest>) {
         self.consumer.stop_intake(now);
         self.flush_output(now);
         self.forward_requests(requests);
     }
 
-    /// Whether every message is settled, or cannot be any more.
+    /// Whether every message is settled, or the time for that is over.
     pub fn is_drained(&self, now: Millis) -> bool {
         self.consumer.is_drained(now)
     }
--- a/crates/loomflow-server/src/front/fixtures.rs
+++ b/crates/loomflow-server/src/front/fixtures.rs
@@ -1,9 +1,9 @@
-//! Values that tests of several modules vary.
+//! Test requests shared by the tests of several modules.
 
 use loomflow_protocol::AttemptId;
 use loomflow_protocol::gateway::Call;
 
-/// A valid request of the class `read`, which arrived at this Unix time in ms.
+/// A valid request of class `read` that arrived at `arrived_at` (Unix time, ms).
 pub fn call(arrived_at: f64) -> Call {
     Call {
         tag: 1,
--- a/crates/loomflow-server/src/front/interface.rs
+++ b/crates/loomflow-server/src/front/interface.rs
@@ -1,5 +1,5 @@
-//! What passes between a front and the owner: requests one way, responses the other. The owner has a reply handle for
-//! each request and returns it with the response; what the handle means is known to the front alone.
+//! Interface between the fronts and the owner. A front submits requests, each with a reply handle; the owner passes the
+//! handle back with the response. Only the front interprets the handle.
 
 use loomflow::interface::RequestAttributes;
 use loomflow::time::Millis;
@@ -8,57 +8,57 @@
 use crate::idempotency::IdempotencyKey;
 use crate::mailbox::ConnectionId;
 
-/// Where a response goes.
+/// Identifies a request to its front, which sends the response there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReplyHandle {
-    /// A connection of a gateway, and the tag of a request on it.
+    /// A request of a gateway: its connection and its tag there.
     Tag(ConnectionId, u64),
-    /// A message of a broker, by the number that the consumer gave it.
+    /// A message from a broker: the delivery id that the consumer assigned.
     Delivery(u64),
 }
 
 /// A front's request to the owner.
 #[derive(Debug)]
 pub enum FrontRequest {
-    /// To handle a request.
+    /// Handle a request.
     Submit(Box<Submission>),
-    /// To respond to a request that cannot be handled.
+    /// Log an invalid request and respond to it with [`Failure::Invalid`].
     Invalid {
-        /// Where the response goes.
+        /// Identifies the request for the response.
         reply_handle: ReplyHandle,
-        /// What is wrong with it.
+        /// Which field is invalid.
         reason: InvalidRequest,
     },
-    /// To cancel a request whose response cannot be delivered any more.
+    /// Cancel a request whose response can no longer be delivered.
     Cancel(ReplyHandle),
-    /// To respond to a health check.
+    /// Respond to a health check.
     HealthCheck {
-        /// Where the response goes.
+        /// Identifies the health check for the response.
         reply_handle: ReplyHandle,
-        /// Whether the check is to find out that the engine does work.
+        /// Whether the caller asks for a test of the engine as well.
         is_deep: bool,
     },
 }
 
-/// Why a request cannot be handled.
+/// Why a request is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InvalidRequest {
-    /// The settings have no such class.
+    /// The settings do not define the request's class.
     UnknownClass,
-    /// It names no tenant, although the settings have tenants.
+    /// The request names no tenant, although the settings define tenants.
     MissingTenant,
-    /// The settings have no such tenant.
+    /// The settings do not define the request's tenant.
     UnknownTenant,
-    /// Its timestamp is too old, or too far in the future.
+    /// The timestamp is too old, or too far in the future.
     TimestampOutOfRange,
-    /// Its estimated work is not positive, or too large.
+    /// The estimated work is not positive, or too large.
     EstimatedWorkOutOfRange,
-    /// It states a wait that is too long.
+    /// The remaining wait is too long.
     RemainingWaitOutOfRange,
 }
 
 impl InvalidRequest {
-    /// The reason for the log, with the protocol's names.
+    /// The reason as logged, with the field names of the protocol.
     pub fn reason(self) -> &'static str {
         match self {
             InvalidRequest::UnknownClass => "the class is not known",
@@ -71,36 +71,36 @@
     }
 }
 
-/// A request as its front has read it.
+/// A valid request as read by its front.
 #[derive(Debug)]
 pub struct Submission {
-    /// Where the response goes.
+    /// Identifies the request for the response.
     pub reply_handle: ReplyHandle,
-    /// Identifies the attempt to engine and ledger; unique among the requests in progress.
+    /// Identifies the attempt to engine and ledger. A request whose id is already in progress is not run.
     pub attempt_id: AttemptId,
-    /// Its idempotency key, where it has one.
+    /// Idempotency key, if duplicates of the request can be recognized.
     pub key: Option<IdempotencyKey>,
-    /// What the controller judges it by.
+    /// Attributes on which the controller bases its decisions about the request.
     pub attributes: RequestAttributes,
-    /// The body, for the engine.
+    /// Body to be passed to the engine.
     pub body: Vec<u8>,
 }
 
-/// The one final response to a request or a health check.
+/// The only response to a request or a health check.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Response<'a> {
     /// The result of the run.
     Served(&'a [u8]),
-    /// Load was shed: the request never ran.
+    /// The request was shed and never ran.
     Rejected {
-        /// How long the caller is to stay away.
+        /// How long the caller should wait before a retry, ms; 0 if it may retry immediately.
         retry_after: Millis,
-        /// No other server is to be tried.
+        /// The caller should not retry on another server either.
         is_final: bool,
     },
     /// The request failed.
     Failed(Failure),
-    /// To a health check: whether the server is healthy.
+    /// Response to a health check: whether the server is healthy.
     Health(bool),
 }
 
@@ -109,14 +109,14 @@
     pub const REJECTED: Response<'static> = Response::Rejected { retry_after: 0.0, is_final: false };
 }
 
-/// What is known of a request that failed.
+/// Whether a failed request may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// It could not be handled.
+    /// The request was invalid and did not run.
     Invalid,
-    /// Nothing was started for it.
+    /// The request was valid but its run was not started.
     NotRun,
-    /// It may have run, and may have had its effect.
+    /// The request may have run and may have had an effect.
     MayHaveRun,
 }
 
--- a/crates/loomflow-server/src/front/interface/tests.rs
+++ b/crates/loomflow-server/src/front/interface/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_reason_of_an_invalid_request_names_the_field_of_the_protocol() {
+fn invalid_request_reasons_name_the_protocol_field() {
     let reasons = [
         (InvalidRequest::UnknownClass, "the class is not known"),
         (InvalidRequest::MissingTenant, "owner is missing"),
--- a/crates/loomflow-server/src/front/mod.rs
+++ b/crates/loomflow-server/src/front/mod.rs
@@ -1,5 +1,5 @@
-//! The fronts, by which requests come in. A front reads requests, encodes responses and closes its connections; it decides
-//! nothing about what is run. The owner uses all of them through `interface`.
+//! Fronts: the protocol servers and consumers through which requests arrive. A front decodes requests, encodes responses and
+//! manages its connections; the owner decides which requests run. The owner uses every front through [`interface`].
 
 mod amqp;
 #[cfg(test)]
@@ -24,11 +24,11 @@
 /// All fronts of the server.
 pub struct Fronts {
     resp: RespFront,
-    /// Where the options configure it.
+    /// Present if the options configure a broker.
     amqp: Option<AmqpFront>,
 }
 
-/// A front cannot be started.
+/// Error when starting a front.
 #[derive(Debug, thiserror::Error)]
 pub enum FrontStartError {
     /// The broker's credentials cannot be read.
@@ -37,7 +37,7 @@
 }
 
 impl Fronts {
-    /// Starts to accept gateways, and to consume from a broker where the options configure one.
+    /// Starts accepting gateways, and opens a link to a broker if the options configure one.
     pub fn start(
         listener: Listener,
         config: &Config,
@@ -50,7 +50,7 @@
         Ok(Fronts { resp, amqp: amqp.transpose()? })
     }
 
-    /// Handles what a driver reported; its requests to the owner are added to `requests`.
+    /// Handles an event reported by a driver; the resulting requests to the owner are appended to `requests`.
     pub fn handle_event(&mut self, event: FrontEvent, now: Now, requests: &mut Vec<FrontRequest>) {
         match (event, &mut self.amqp) {
             (FrontEvent::Gateway(id, event), _) => self.resp.handle_event(id, event, now, requests),
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Handles the deadlines that have passed.
+    /// Handles deadlines that have passed; requests to the owner are appended to `requests`.
     pub fn check_timeouts(&mut self, now: Millis, requests: &mut Vec<FrontRequest>) {
         self.resp.check_timeouts(now, requests);
         if let Some(amqp) = &mut self.amqp {
@@ -68,12 +68,12 @@
         }
     }
 
-    /// The next deadline that does not wait for the owner's periodic check.
+    /// The next deadline that may be earlier than the owner's periodic check; infinite without a broker.
     pub fn next_deadline(&self) -> Millis {
         self.amqp.as_ref().map_or(f64::INFINITY, AmqpFront::next_deadline)
     }
 
-    /// Sends a response.
+    /// Sends the response to a request through the front that submitted it.
     pub fn respond(&mut self, reply_handle: ReplyHandle, response: Response, now: Millis) {
         match (reply_handle, &mut self.amqp) {
             (ReplyHandle::Tag(id, tag), _) => self.resp.respond(id, tag, response, now),
@@ -82,21 +82,22 @@
         }
     }
 
-    /// The run of a request may have started.
+    /// Records that the run of a request may have started.
     pub fn run_started(&mut self, reply_handle: ReplyHandle, now: Millis) {
         if let (ReplyHandle::Delivery(id), Some(amqp)) = (reply_handle, &mut self.amqp) {
             amqp.run_started(id, now);
         }
     }
 
-    /// The controller exists, so that messages are consumed.
+    /// Starts consuming messages, once the controller can accept them.
     pub fn controller_ready(&mut self) {
         if let Some(amqp) = &mut self.amqp {
             amqp.controller_ready();
         }
     }
 
-    /// The feedback signal that callers get from now on; `is_send_share`: it is the share of traffic to send here.
+    /// Sets the feedback signal of all further responses. `is_send_share`: the signal is the share of traffic to send to this
+    /// server, which also scales consumption from a broker.
     pub fn set_signal(&mut self, signal: f64, is_send_share: bool) {
         self.resp.set_signal(signal);
         if let Some(amqp) = self.amqp.as_mut().filter(|_| is_send_share) {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// The settings after a reload.
+    /// Applies reloaded settings.
     pub fn apply_settings(&mut self, site: &Site) {
         self.resp.apply_settings(site);
         if let Some(amqp) = &mut self.amqp {
@@ -112,19 +113,22 @@
         }
     }
 
-    /// How long connections of gateways may be idle.
+    /// Sets how long connections of gateways may be idle.
     pub fn set_idle_timeout(&mut self, timeout: Millis) {
         self.resp.set_idle_timeout(timeout);
     }
 
-    /// A graceful shutdown begins: no further messages are consumed. It has to end by `deadline`.
+    /// Begins a graceful shutdown, which has to complete by `deadline`: no further messages are consumed. Gateways are still
+    /// accepted until [`Fronts::stop_intake`].
     pub fn begin_drain(&mut self, deadline: Millis, now: Millis, requests: &mut Vec<FrontRequest>) {
         if let Some(amqp) = &mut self.amqp {
             amqp.begin_drain(deadline, now, requests);
         }
     }
 
-    /// No new request is run any more: what was submitted before gets its response, or is returned to its queue.
+    /// Ends the intake of requests: no further connection is accepted, each gateway gets a `BYE`, and messages whose run has
+    /// not started are returned to their queue. All connections of gateways have to be closed by `deadline`; the process is
+    /// killed at `kill_deadline`.
     pub fn stop_intake(
         &mut self,
         deadline: Millis,
@@ -138,7 +142,7 @@
         }
     }
 
-    /// Whether all responses were sent and read, or cannot be any more.
+    /// Whether all responses have been sent and read, or the time for that is over.
     pub fn is_drained(&self, now: Millis) -> bool {
         self.resp.is_drained(now) && self.amqp.as_ref().is_none_or(|amqp| amqp.is_drained(now))
     }
--- a/crates/loomflow-server/src/front/resp/classify.rs
+++ b/crates/loomflow-server/src/front/resp/classify.rs
@@ -1,4 +1,5 @@
-//! Turns a gateway's request into a submission: names become indices into the settings, timestamps become ages.
+//! Validates a gateway's request and converts it into a submission: names become indices into the settings, timestamps
+//! become ages.
 
 use loomflow::interface::{Idempotency, RequestAttributes};
 use loomflow::time::Millis;
@@ -9,27 +10,27 @@
 use crate::front::interface::{InvalidRequest, ReplyHandle, Submission};
 use crate::idempotency::IdempotencyKey;
 
-/// How much older than the class's timeout a timestamp may be, after a pause of the machine.
+/// How much a timestamp's age may exceed the class's timeout, because the machine may have been paused.
 const MAX_TIMESTAMP_AGE_MS: Millis = 60_000.0;
-/// How far a timestamp may be ahead of this machine's clock.
+/// How far a timestamp may be ahead of the local clock.
 const MAX_CLOCK_SKEW_MS: Millis = 1_000.0;
-/// The maximum of estimated work and of the wait that a caller states, as a multiple of the class's timeout. A larger figure
-/// in the queue would make all other requests seem too late.
+/// Maximum of a caller's estimated work and remaining wait, as a multiple of the class's timeout. A larger value in the
+/// queue would make all other requests seem too late.
 const MAX_ESTIMATE_FACTOR: f64 = 25.0;
 
-/// Where a request's names are in the settings.
+/// Class and tenant of a request, as indices into the settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Classification {
-    /// Index of its class.
+    /// Index into `Site::classes`.
     pub class: usize,
-    /// Index of its tenant.
+    /// Index into `Site::tenants`; 0 if the settings define no tenants.
     pub tenant: usize,
 }
 
-/// Finds a request's class and tenant, and checks its figures.
+/// Looks up a request's class and tenant, and checks that its numbers are in range.
 ///
 /// # Errors
-/// The request is invalid.
+/// An unknown class, a missing or unknown tenant, or a number out of range.
 pub fn classify(site: &Site, call: &Call, now: Now) -> Result<Classification, InvalidRequest> {
     let class = site.classes.iter().position(|name| *name == call.class);
     let class = class.ok_or(InvalidRequest::UnknownClass)?;
@@ -41,11 +42,11 @@
             tenant.ok_or(InvalidRequest::UnknownTenant)?
         }
     };
-    check_figures(call, site.settings.classes[class].timeout, now)?;
+    check_ranges(call, site.settings.classes[class].timeout, now)?;
     Ok(Classification { class, tenant })
 }
 
-fn check_figures(call: &Call, timeout: Millis, now: Now) -> Result<(), InvalidRequest> {
+fn check_ranges(call: &Call, timeout: Millis, now: Now) -> Result<(), InvalidRequest> {
     let oldest = now.unix - timeout - MAX_TIMESTAMP_AGE_MS;
     if !(oldest..=now.unix + MAX_CLOCK_SKEW_MS).contains(&call.arrived_at) {
         return Err(InvalidRequest::TimestampOutOfRange);
@@ -60,7 +61,7 @@
     Ok(())
 }
 
-/// The submission of a request.
+/// Converts a classified request into a submission.
 pub fn submission(
     site: &Site,
     reply_handle: ReplyHandle,
@@ -94,7 +95,8 @@
     }
 }
 
-/// Keyed classes are identified by their key, reads by their subject; duplicates of other requests cannot be recognized.
+/// Requests of keyed classes are identified by their key, reads by their subject. Duplicates of other requests cannot be
+/// recognized.
 fn idempotency_key(
     call: &Call,
     classification: Classification,
--- a/crates/loomflow-server/src/front/resp/classify/tests.rs
+++ b/crates/loomflow-server/src/front/resp/classify/tests.rs
@@ -4,14 +4,15 @@
 const TIMEOUT_MS: Millis = 1_000.0;
 const NOW: Now = Now { ms: 5_000.0, unix: 1_000_000.0 };
 
-fn check(change: impl FnOnce(&mut Call)) -> Result<(), InvalidRequest> {
+/// Checks an otherwise valid request after `modify`.
+fn check(modify: impl FnOnce(&mut Call)) -> Result<(), InvalidRequest> {
     let mut call = fixtures::call(NOW.unix);
-    change(&mut call);
-    check_figures(&call, TIMEOUT_MS, NOW)
+    modify(&mut call);
+    check_ranges(&call, TIMEOUT_MS, NOW)
 }
 
 #[test]
-fn a_timestamp_is_accepted_within_the_timeout_a_pause_and_the_clock_skew() {
+fn timestamps_beyond_the_maximum_age_or_skew_are_rejected() {
     let oldest = NOW.unix - TIMEOUT_MS - MAX_TIMESTAMP_AGE_MS;
     assert_eq!(check(|call| call.arrived_at = oldest), Ok(()));
     assert_eq!(check(|call| call.arrived_at = oldest - 1.0), Err(InvalidRequest::TimestampOutOfRange));
@@ -21,7 +22,7 @@
 }
 
 #[test]
-fn an_estimate_and_a_wait_are_accepted_up_to_a_multiple_of_the_timeout() {
+fn estimates_beyond_a_multiple_of_the_timeout_are_rejected() {
     let max = TIMEOUT_MS * MAX_ESTIMATE_FACTOR;
     assert_eq!(check(|call| call.estimated_work = Some(max)), Ok(()));
     assert_eq!(
--- a/crates/loomflow-server/src/front/resp/connections.rs
+++ b/crates/loomflow-server/src/front/resp/connections.rs
@@ -1,4 +1,4 @@
-//! The connections of gateways: responses and what each carries, idle connections, and the end of all of them.
+//! The connections of gateways: open requests and their responses, idle and capacity limits, and the graceful shutdown.
 
 mod capacity;
 mod closing;
@@ -17,42 +17,44 @@
 use crate::log;
 use crate::mailbox::ConnectionId;
 pub use capacity::Limits;
-use capacity::{IdleConnection, Reclaim, UnwrittenResponses};
+use capacity::{IdleConnection, ReclaimAction, UnwrittenResponses};
 use connection::{GatewayConnection, InputClosed};
 use shutdown::ConnectionDeadlines;
 use timeouts::Timeouts;
 
-/// The state of a request's tag.
+/// Result of opening the tag of a request that was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TagState {
-    /// It is open from now on.
+    /// The tag was free and is now open.
     Opened,
-    /// It is open, on a connection of which nothing more is read and whose peer may still read a response.
+    /// The tag is open, but the connection's input is closed; the peer can still read a response.
     InputClosed,
-    /// It was open already.
+    /// A request with the same tag is open.
     Duplicate,
-    /// There is no such connection, or its peer reads no response.
+    /// The connection does not exist, or its peer can no longer read a response.
     Unreachable,
 }
 
 /// All connections of gateways.
 pub struct GatewayConnections {
     connections: BTreeMap<ConnectionId, GatewayConnection>,
-    /// Connections that are closed for writing and whose peers are still reading.
-    lingering: BTreeSet<ConnectionId>,
+    /// Connections in their lingering close: shut down for writing, descriptor still open.
+    half_closed: BTreeSet<ConnectionId>,
     limits: Limits,
-    /// The feedback signal of every response, once there is one.
+    /// Feedback signal of every response; `None` until the controller has set one.
     signal: Option<f64>,
+    /// How long a connection may be idle; `None` for no limit.
     idle_timeout: Option<Millis>,
+    /// Set once a graceful shutdown has begun.
     shutdown: Option<ConnectionDeadlines>,
 }
 
 impl GatewayConnections {
-    /// No connections. They may be idle for `idle_timeout` until it is set anew, without end where it is 0.
+    /// Creates an empty set of connections. They may be idle for `idle_timeout`, or without limit if it is 0.
     pub fn new(idle_timeout: Millis, limits: Limits) -> GatewayConnections {
         GatewayConnections {
             connections: BTreeMap::new(),
-            lingering: BTreeSet::new(),
+            half_closed: BTreeSet::new(),
             limits,
             signal: None,
             idle_timeout: (idle_timeout > 0.0).then_some(idle_timeout),
@@ -60,39 +62,39 @@
         }
     }
 
-    /// The feedback signal of every response from now on.
+    /// Sets the feedback signal of all further responses.
     pub fn set_signal(&mut self, signal: f64) {
         self.signal = Some(signal);
     }
 
-    /// How long connections may be idle from now on.
+    /// Sets how long connections may be idle.
     pub fn set_idle_timeout(&mut self, timeout: Millis) {
         self.idle_timeout = Some(timeout);
     }
 
-    /// A connection was accepted.
+    /// Adds an accepted connection; during a shutdown it gets a `BYE` immediately.
     pub fn connected(&mut self, id: ConnectionId, handle: Arc<ConnectionHandle>, now: Millis) {
         let mut connection = GatewayConnection::new(handle, now);
         if self.shutdown.is_some() {
-            connection.send_goodbye(now);
+            connection.send_bye(now);
         }
         self.connections.insert(id, connection);
     }
 
-    /// A connection is closed for writing.
+    /// Records that a connection is closed except for its lingering close.
     pub fn disconnected(&mut self, id: ConnectionId) {
         if self.connections.remove(&id).is_some() {
-            self.lingering.insert(id);
+            self.half_closed.insert(id);
         }
     }
 
-    /// The descriptor of a connection is closed.
+    /// Records that the descriptor of a connection is closed.
     pub fn descriptor_closed(&mut self, id: ConnectionId) {
-        self.lingering.remove(&id);
+        self.half_closed.remove(&id);
     }
 
-    /// A request was read: opens its tag. What was read gets a response: a request that was on its way to the owner as the
-    /// input was closed is open until it is rejected.
+    /// Opens the tag of a request that was read. Every request that was read gets a response if the peer can read it: a
+    /// request that the driver had already reported when the input was closed is open until it is rejected.
     pub fn open_tag(&mut self, id: ConnectionId, tag: u64) -> TagState {
         let Some(connection) = self.connections.get_mut(&id) else { return TagState::Unreachable };
         connection.has_received_message = true;
@@ -110,7 +112,8 @@
         }
     }
 
-    /// Nothing more is read on a connection, which is closed once its requests are settled. Returns the tags of those.
+    /// Closes the input of a connection, which is closed completely once its open requests are settled. Returns the tags of
+    /// those requests.
     pub fn close_input(&mut self, id: ConnectionId, reason: CloseReason, now: Millis) -> Vec<u64> {
         let Some(connection) = self.connections.get_mut(&id) else { return Vec::new() };
         connection.input_closed.get_or_insert(InputClosed { peer_reads: reason.is_reported_to_peer() });
@@ -118,12 +121,12 @@
         connection.open_tags.iter().copied().collect()
     }
 
-    /// Whether nothing more is read on a connection.
+    /// Whether the input of a connection is closed.
     pub fn is_input_closed(&self, id: ConnectionId) -> bool {
         self.connections.get(&id).is_some_and(|connection| connection.input_closed.is_some())
     }
 
-    /// Nobody reads a response to this tag.
+    /// Closes a tag without a response, because the peer cannot read one.
     pub fn discard_tag(&mut self, id: ConnectionId, tag: u64) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         if connection.open_tags.remove(&tag) {
@@ -131,14 +134,14 @@
         }
     }
 
-    /// A message on a connection was invalid.
+    /// Counts an invalid message, which throttles the connection.
     pub fn record_violation(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get(&id) {
             connection.handle.record_violation();
         }
     }
 
-    /// Responds to a tag on its own connection, if it is still open there.
+    /// Sends the response to a request, unless its connection or tag is no longer open.
     pub fn respond(
         &mut self,
         id: ConnectionId,
@@ -157,7 +160,7 @@
         connection.handle.enqueue_response(|out| gateway::write_response(out, tag, status, fields, body));
     }
 
-    /// Handles the deadlines of all connections. Returns those on which a partial message has stalled.
+    /// Checks all timeouts and limits. Returns the connections on which a partial message has stalled.
     pub fn check_timeouts(&mut self, now: Millis) -> Vec<ConnectionId> {
         self.reclaim_capacity(now);
         self.abort_slow_readers();
@@ -172,19 +175,19 @@
     }
 
     fn timeouts(&self, now: Millis) -> Timeouts {
-        let goodbye = Timeouts::goodbye_timeout(self.limits.is_near_capacity(self.connections.len()));
+        let bye = Timeouts::bye_timeout(self.limits.is_near_capacity(self.connections.len()));
         Timeouts {
             idle: self.idle_timeout.unwrap_or(f64::INFINITY),
-            goodbye: self.shutdown.map_or(goodbye, |shutdown| goodbye.min(shutdown.goodbye_timeout)),
+            bye: self.shutdown.map_or(bye, |shutdown| bye.min(shutdown.bye_timeout)),
             waits_for_partial_messages: self
                 .shutdown
                 .is_none_or(|shutdown| now < shutdown.partial_message_deadline),
         }
     }
 
-    /// Closes idle connections near capacity.
+    /// Near the connection limit, closes idle connections in [`IdleConnection::reclaim_order`].
     fn reclaim_capacity(&mut self, now: Millis) {
-        let count = self.limits.reclaim_count(self.connections.len(), self.lingering.len());
+        let count = self.limits.reclaim_count(self.connections.len(), self.half_closed.len());
         if count == 0 {
             return;
         }
@@ -193,15 +196,15 @@
         idle.sort_by(IdleConnection::reclaim_order);
         for idle in idle.into_iter().take(count) {
             let Some(connection) = self.connections.get_mut(&idle.id) else { continue };
-            match idle.reclaim(now) {
-                Reclaim::SendGoodbye => connection.send_goodbye(now),
-                Reclaim::Close => connection.close_idle(now),
-                Reclaim::Wait => {}
+            match idle.reclaim_action(now) {
+                ReclaimAction::SendBye => connection.send_bye(now),
+                ReclaimAction::Close => connection.close_idle(now),
+                ReclaimAction::Wait => {}
             }
         }
     }
 
-    /// Aborts the connections with the most bytes not yet written to the socket where there is no memory for all.
+    /// Aborts the connections with the most unwritten bytes while their total exceeds `max_unwritten_bytes`.
     fn abort_slow_readers(&mut self) {
         let unwritten = self
             .connections
@@ -214,16 +217,19 @@
             .collect();
         for id in self.limits.slow_readers(unwritten) {
             let Some(connection) = self.connections.get(&id) else { continue };
-            log!("a gateway does not read its responses: its connection is aborted");
+            let max_bytes = self.limits.max_unwritten_bytes;
+            log!(
+                "a gateway reads too slowly: connection aborted, all unwritten responses exceed {max_bytes} bytes"
+            );
             connection.handle.abort();
         }
     }
 
-    /// Sends a goodbye on all connections, and on those that are still accepted.
+    /// Begins the graceful shutdown: sends `BYE` on all connections, also on those accepted later.
     pub fn begin_shutdown(&mut self, deadline: Millis, kill_deadline: Millis, now: Millis) {
         self.shutdown = Some(ConnectionDeadlines::new(deadline, kill_deadline, now));
         for connection in self.connections.values_mut() {
-            connection.send_goodbye(now);
+            connection.send_bye(now);
         }
     }
 
@@ -232,15 +238,15 @@
         self.shutdown.is_some_and(|shutdown| shutdown.is_kill_imminent(now))
     }
 
-    /// Whether the process may end: each connection was closed in order, and its last responses were read or had the time
-    /// to be. When the process exits, the kernel resets a connection that has unread input, and discards responses that are
-    /// still on their way.
+    /// Whether the process may exit: all connections are closed, or the deadline has passed and all responses are written, or
+    /// the kill is imminent. An earlier exit could lose responses, because the kernel resets connections that have unread
+    /// input and discards responses in transit.
     pub fn is_drained(&self, now: Millis) -> bool {
         let Some(shutdown) = self.shutdown else { return false };
         let is_flushed = |connection: &GatewayConnection| {
             connection.open_tags.is_empty() && connection.handle.is_flushed()
         };
-        (self.connections.is_empty() && self.lingering.is_empty())
+        (self.connections.is_empty() && self.half_closed.is_empty())
             || (now >= shutdown.deadline && self.connections.values().all(is_flushed))
             || shutdown.is_kill_imminent(now)
     }
--- a/crates/loomflow-server/src/front/resp/connections/capacity.rs
+++ b/crates/loomflow-server/src/front/resp/connections/capacity.rs
@@ -1,4 +1,4 @@
-//! Bounds on the gateways' connections: which idle connections are closed early, and which slow readers are aborted.
+//! Limits on the gateways' connections: selects the idle connections to close early and the slow readers to abort.
 
 use std::cmp::Ordering;
 
@@ -6,43 +6,43 @@
 
 use crate::mailbox::ConnectionId;
 
-/// Near capacity, a connection on which no complete message was ever received is closed after this time.
+/// Timeout of a connection's first complete message while connections are reclaimed.
 pub(super) const FIRST_MESSAGE_TIMEOUT_NEAR_CAPACITY_MS: Millis = 100.0;
 
-/// Bounds on the connections.
+/// Limits on all connections together.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Above this number of connections the longest idle are closed.
+    /// Above this number of connections, idle ones are closed early.
     pub near_capacity: usize,
-    /// At this number of connections no further one is accepted.
+    /// At this number of connections, no further one is accepted.
     pub max_connections: usize,
-    /// Bytes of responses that are not yet written to the sockets, in all.
+    /// Maximum total of response bytes that are not yet written to the sockets.
     pub max_unwritten_bytes: usize,
 }
 
-/// A connection without an open request.
+/// A connection that may be reclaimed: it has no open request and is not being closed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct IdleConnection {
     pub(super) id: ConnectionId,
     pub(super) idle_since: Millis,
-    /// A complete message was received on it.
+    /// Whether a complete message was ever received.
     pub(super) has_received_message: bool,
-    /// A part of a message was received on it.
+    /// Whether a message has been received in part.
     pub(super) has_partial_message: bool,
 }
 
-/// How an idle connection is reclaimed.
+/// How to reclaim an idle connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Reclaim {
-    /// Its peer gets a goodbye, and closes it.
-    SendGoodbye,
-    /// It is closed without a goodbye: its peer never sent a request.
+pub(super) enum ReclaimAction {
+    /// Send `BYE`, upon which the peer closes the connection.
+    SendBye,
+    /// Close without a `BYE`, because the peer never sent a request.
     Close,
-    /// Its peer still has time for a first message.
+    /// Keep for now: the timeout of the first message has not expired.
     Wait,
 }
 
-/// Responses that are not yet written to the socket of a connection.
+/// Size of a connection's responses that are not yet written to its socket.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct UnwrittenResponses {
     pub(super) id: ConnectionId,
@@ -50,20 +50,21 @@
 }
 
 impl Limits {
-    /// Whether idle connections are closed early.
+    /// Whether `open` connections are so many that idle ones are closed early.
     pub(super) fn is_near_capacity(&self, open: usize) -> bool {
         open > self.near_capacity
     }
 
-    /// How many connections are to be reclaimed: those above `near_capacity`, and half of all once none can be accepted,
-    /// because gateways with requests may wait behind many without any.
-    pub(super) fn reclaim_count(&self, open: usize, lingering: usize) -> usize {
-        let is_full = open + lingering >= self.max_connections;
+    /// The number of connections to reclaim: the excess over `near_capacity`, and at least half of the open ones once no
+    /// further connection can be accepted, because gateways with requests may be queued behind many without any.
+    pub(super) fn reclaim_count(&self, open: usize, half_closed: usize) -> usize {
+        let is_full = open + half_closed >= self.max_connections;
         let min = if is_full { open / 2 } else { 0 };
         open.saturating_sub(self.near_capacity).max(min)
     }
 
-    /// The connections to abort, the one with the most unwritten bytes first, until the others are within the bound.
+    /// The connections to abort, those with the most unwritten bytes first, so that the rest stays within
+    /// `max_unwritten_bytes`.
     pub(super) fn slow_readers(&self, mut unwritten: Vec<UnwrittenResponses>) -> Vec<ConnectionId> {
         let mut total: usize = unwritten.iter().map(|responses| responses.bytes).sum();
         unwritten.sort_by_key(|responses| responses.bytes);
@@ -78,21 +79,22 @@
 }
 
 impl IdleConnection {
-    /// The order in which connections are reclaimed: those without a message first, then the longest idle.
+    /// Order of reclaiming: connections that never received any bytes first, then those that never received a complete message,
+    /// then the others; the longest idle first within each group.
     pub(super) fn reclaim_order(&self, other: &IdleConnection) -> Ordering {
         let rank =
             |connection: &IdleConnection| (connection.has_received_message, connection.has_partial_message);
         rank(self).cmp(&rank(other)).then(self.idle_since.total_cmp(&other.idle_since))
     }
 
-    /// How it is reclaimed.
-    pub(super) fn reclaim(&self, now: Millis) -> Reclaim {
+    /// How to reclaim this connection.
+    pub(super) fn reclaim_action(&self, now: Millis) -> ReclaimAction {
         if self.has_received_message {
-            Reclaim::SendGoodbye
+            ReclaimAction::SendBye
         } else if now - self.idle_since >= FIRST_MESSAGE_TIMEOUT_NEAR_CAPACITY_MS {
-            Reclaim::Close
+            ReclaimAction::Close
         } else {
-            Reclaim::Wait
+            ReclaimAction::Wait
         }
     }
 }
--- a/crates/loomflow-server/src/front/resp/connections/capacity/tests.rs
+++ b/crates/loomflow-server/src/front/resp/connections/capacity/tests.rs
@@ -7,16 +7,16 @@
 }
 
 #[test]
-fn connections_above_the_bound_are_reclaimed_and_half_of_all_at_capacity() {
+fn the_excess_is_reclaimed_and_half_of_all_at_the_limit() {
     assert_eq!(LIMITS.reclaim_count(12, 0), 0);
     assert_eq!(LIMITS.reclaim_count(15, 0), 3);
     assert_eq!(LIMITS.reclaim_count(16, 0), 8);
-    assert_eq!(LIMITS.reclaim_count(8, 8), 4, "lingering connections have descriptors, too");
+    assert_eq!(LIMITS.reclaim_count(8, 8), 4, "half-closed connections still have descriptors");
     assert!(!LIMITS.is_near_capacity(12) && LIMITS.is_near_capacity(13));
 }
 
 #[test]
-fn connections_without_a_message_are_reclaimed_first_then_the_longest_idle() {
+fn silent_connections_are_reclaimed_first_then_the_longest_idle() {
     let silent = IdleConnection { has_received_message: false, ..idle(3, 9.0) };
     let partial = IdleConnection { has_partial_message: true, ..silent };
     let mut connections = [idle(1, 5.0), idle(2, 4.0), IdleConnection { id: 4, ..partial }, silent];
@@ -25,15 +25,15 @@
 }
 
 #[test]
-fn a_connection_without_a_message_is_closed_after_its_timeout_and_others_get_a_goodbye() {
-    assert_eq!(idle(1, 0.0).reclaim(0.0), Reclaim::SendGoodbye);
+fn silent_connections_are_closed_and_others_get_a_bye() {
+    assert_eq!(idle(1, 0.0).reclaim_action(0.0), ReclaimAction::SendBye);
     let silent = IdleConnection { has_received_message: false, ..idle(1, 0.0) };
-    assert_eq!(silent.reclaim(FIRST_MESSAGE_TIMEOUT_NEAR_CAPACITY_MS - 1.0), Reclaim::Wait);
-    assert_eq!(silent.reclaim(FIRST_MESSAGE_TIMEOUT_NEAR_CAPACITY_MS), Reclaim::Close);
+    assert_eq!(silent.reclaim_action(FIRST_MESSAGE_TIMEOUT_NEAR_CAPACITY_MS - 1.0), ReclaimAction::Wait);
+    assert_eq!(silent.reclaim_action(FIRST_MESSAGE_TIMEOUT_NEAR_CAPACITY_MS), ReclaimAction::Close);
 }
 
 #[test]
-fn the_slowest_readers_are_aborted_until_the_rest_is_within_the_bound() {
+fn the_slowest_readers_are_aborted_until_the_rest_is_within_the_limit() {
     let unwritten = |bytes: [usize; 3]| {
         bytes.into_iter().zip(1..).map(|(bytes, id)| UnwrittenResponses { id, bytes }).collect::<Vec<_>>()
     };
--- a/crates/loomflow-server/src/front/resp/connections/closing.rs
+++ b/crates/loomflow-server/src/front/resp/connections/closing.rs
@@ -1,29 +1,31 @@
-//! How long the peer of a connection that is being closed has to read the last responses.
+//! Timeouts for the peer of a connection that is being closed to read the last responses.
 
 use loomflow::time::Millis;
 
-/// A connection that is being closed is aborted after its peer has read nothing for this time. A slow reader is waited for, a
-/// peer that does not read is not.
+/// A connection that is being closed is aborted once its peer has read nothing for this time. Tolerates a slow reader, but not
+/// a peer that does not read.
 pub(super) const CLOSE_STALL_TIMEOUT_MS: Millis = 2_000.0;
-/// It is aborted once its peer has not read everything after this time.
+/// A connection that is being closed is aborted if its peer has not read everything within this time.
 pub(super) const CLOSE_TIMEOUT_MS: Millis = 10_000.0;
 
-/// A connection that is being closed.
+/// Progress of a connection that is being closed.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Closing {
+pub(super) struct CloseProgress {
     started_at: Millis,
-    /// How much was written at the last check, and since when no more has been.
+    /// Total bytes written, as of the last check.
     bytes_written: u64,
+    /// When a check last found that more bytes had been written.
     stalled_since: Millis,
 }
 
-impl Closing {
-    /// A close that starts now.
-    pub(super) fn new(bytes_written: u64, now: Millis) -> Closing {
-        Closing { started_at: now, bytes_written, stalled_since: now }
+impl CloseProgress {
+    /// Starts a close.
+    pub(super) fn new(bytes_written: u64, now: Millis) -> CloseProgress {
+        CloseProgress { started_at: now, bytes_written, stalled_since: now }
     }
 
-    /// Whether the peer is no longer waited for. `last_response_at`: when the last response was queued.
+    /// Whether a timeout has expired. Both count from `last_response_at`, when the last response was queued, if that is later
+    /// than the start of the close.
     pub(super) fn is_stalled(&mut self, bytes_written: u64, last_response_at: Millis, now: Millis) -> bool {
         if bytes_written != self.bytes_written {
             self.bytes_written = bytes_written;
--- a/crates/loomflow-server/src/front/resp/connections/interleavings.rs
+++ b/crates/loomflow-server/src/front/resp/connections/interleavings.rs
@@ -1,5 +1,5 @@
-//! Generated interleavings of a few connections: requests, responses, closes from either side, slow readers, idle timeouts and
-//! the shutdown, each read and written as a driver does.
+//! Property test of [`GatewayConnections`] with generated interleavings of requests, responses, closes by either side, slow
+//! readers, idle timeouts and the shutdown. [`peer_model`] replaces the drivers and their gateways.
 
 mod peer_model;
 
@@ -12,62 +12,66 @@
 use super::*;
 use peer_model::{DriverEvent, PeerModel};
 
-/// Places for connections; there is at most one at each at a time.
-const PLACES: u64 = 4;
+/// Maximum number of concurrent connections; a step names its connection by the slot, 1 to `SLOTS`.
+const SLOTS: u64 = 4;
 const IDLE_TIMEOUT_MS: Millis = 400.0;
-/// How long a shutdown may take.
+/// Time from the start of a shutdown to the kill.
 const STOP_TIMEOUT_MS: Millis = 3_000.0;
-/// How long before the kill the shutdown is to be complete.
+/// How long before the kill all connections have to be closed.
 const SHUTDOWN_MARGIN_MS: Millis = 300.0;
-/// How much of a shutdown may pass before all drivers have had a turn.
+/// How much of a shutdown the generated steps may use up before [`GatewayModel::complete_shutdown`] runs all drivers.
 const MAX_SHUTDOWN_DELAY_MS: Millis = 600.0;
-/// Time between two batches while the shutdown is completed.
+/// Interval between batches while the shutdown completes.
 const BATCH_INTERVAL_MS: Millis = 20.0;
 
+/// A step of the generated sequence. The first field is the slot unless stated otherwise.
 #[derive(Clone, Debug)]
 enum GatewayStep {
+    /// A gateway connects, unless the slot is in use or a shutdown has begun.
     Connect(u64),
-    /// A gateway sends a request, with a new tag or with its last one again.
+    /// The gateway sends a request; if true, it reuses its last tag.
     SendRequest(u64, bool),
-    /// A driver reads and writes, and its gateway reads at most this many bytes.
+    /// The driver runs for one turn, in which the gateway reads at most this many bytes.
     Drive(u64, usize),
-    /// The owner handles at most this many of the drivers' events.
+    /// The owner handles at most this many driver events.
     HandleEvents(usize),
-    /// The oldest or the newest open request of a connection gets its response.
+    /// The owner responds to the request with the lowest (true) or highest (false) open tag.
     Respond(u64, bool),
-    /// The gateway sends no valid message, or closes its side.
+    /// The gateway sends a malformed message.
     SendMalformed(u64),
+    /// The gateway closes its side.
     HalfClose(u64),
-    /// Time passes in ms, then the owner handles a batch. Meanwhile the driver at this place may have a turn (0: none has).
+    /// Time passes (first field, ms), then the owner processes a batch. Before it checks timeouts, the driver in the slot
+    /// (second field, 0 for none) runs.
     ProcessBatch(u64, u64),
     BeginShutdown,
 }
 
 fn gateway_step() -> impl Strategy<Value = GatewayStep> {
-    let place = || 1..=PLACES;
+    let slot = || 1..=SLOTS;
     let max_bytes = prop_oneof![Just(usize::MAX), 0..60usize];
     let reuses_tag = proptest::bool::weighted(0.05);
     prop_oneof![
-        2 => place().prop_map(GatewayStep::Connect),
-        5 => (place(), reuses_tag).prop_map(|(place, reuses_tag)| GatewayStep::SendRequest(place, reuses_tag)),
-        6 => (place(), max_bytes).prop_map(|(place, max_bytes)| GatewayStep::Drive(place, max_bytes)),
+        2 => slot().prop_map(GatewayStep::Connect),
+        5 => (slot(), reuses_tag).prop_map(|(slot, reuses_tag)| GatewayStep::SendRequest(slot, reuses_tag)),
+        6 => (slot(), max_bytes).prop_map(|(slot, max_bytes)| GatewayStep::Drive(slot, max_bytes)),
         6 => (1..6usize).prop_map(GatewayStep::HandleEvents),
-        4 => (place(), any::<bool>()).prop_map(|(place, oldest)| GatewayStep::Respond(place, oldest)),
-        1 => place().prop_map(GatewayStep::SendMalformed),
-        1 => place().prop_map(GatewayStep::HalfClose),
-        3 => (1..700u64, 0..=PLACES).prop_map(|(ms, place)| GatewayStep::ProcessBatch(ms, place)),
+        4 => (slot(), any::<bool>()).prop_map(|(slot, lowest)| GatewayStep::Respond(slot, lowest)),
+        1 => slot().prop_map(GatewayStep::SendMalformed),
+        1 => slot().prop_map(GatewayStep::HalfClose),
+        3 => (1..700u64, 0..=SLOTS).prop_map(|(ms, slot)| GatewayStep::ProcessBatch(ms, slot)),
         1 => Just(GatewayStep::BeginShutdown),
     ]
 }
 
-/// The connections, and everything that they are connected to.
+/// The connections under test, their peers and the queue of driver events.
 struct GatewayModel {
     connections: GatewayConnections,
-    /// The connection that is at each place now.
-    places: BTreeMap<u64, ConnectionId>,
-    /// All connections that there were.
+    /// The latest connection in each slot.
+    slots: BTreeMap<u64, ConnectionId>,
+    /// The peers of all connections, also of closed ones.
     peers: BTreeMap<ConnectionId, PeerModel>,
-    /// Events that the owner has not handled.
+    /// Driver events that the owner has not handled yet.
     events: VecDeque<(ConnectionId, DriverEvent)>,
     now: Millis,
     shutdown_at: Option<Millis>,
@@ -79,7 +83,7 @@
             Limits { near_capacity: 3, max_connections: usize::MAX, max_unwritten_bytes: usize::MAX };
         GatewayModel {
             connections: GatewayConnections::new(IDLE_TIMEOUT_MS, limits),
-            places: BTreeMap::new(),
+            slots: BTreeMap::new(),
             peers: BTreeMap::new(),
             events: VecDeque::new(),
             now: 0.0,
@@ -89,61 +93,61 @@
 
     fn apply(&mut self, step: &GatewayStep) -> Result<(), TestCaseError> {
         match *step {
-            GatewayStep::Connect(place) => self.connect(place),
-            GatewayStep::SendRequest(place, reuses_tag) => {
-                if let Some((_, peer)) = self.peer_at(place) {
+            GatewayStep::Connect(slot) => self.connect(slot),
+            GatewayStep::SendRequest(slot, reuses_tag) => {
+                if let Some((_, peer)) = self.peer_at(slot) {
                     peer.send_request(reuses_tag);
                 }
             }
-            GatewayStep::Drive(place, max_bytes) => self.drive(place, max_bytes),
+            GatewayStep::Drive(slot, max_bytes) => self.drive(slot, max_bytes),
             GatewayStep::HandleEvents(count) => self.handle_events(count)?,
-            GatewayStep::Respond(place, oldest) => self.respond(place, oldest),
-            GatewayStep::SendMalformed(place) => {
-                self.end_input(place, CloseReason::ProtocolViolation("malformed"));
+            GatewayStep::Respond(slot, lowest) => self.respond(slot, lowest),
+            GatewayStep::SendMalformed(slot) => {
+                self.end_input(slot, CloseReason::ProtocolViolation("malformed"));
             }
-            GatewayStep::HalfClose(place) => self.end_input(place, CloseReason::PeerClosed),
-            GatewayStep::ProcessBatch(ms, place) => self.process_batch(ms as f64, place)?,
+            GatewayStep::HalfClose(slot) => self.end_input(slot, CloseReason::PeerClosed),
+            GatewayStep::ProcessBatch(ms, slot) => self.process_batch(ms as f64, slot)?,
             GatewayStep::BeginShutdown => self.begin_shutdown(),
         }
         Ok(())
     }
 
-    fn connect(&mut self, place: u64) {
-        if self.shutdown_at.is_some() || self.peer_at(place).is_some() {
+    fn connect(&mut self, slot: u64) {
+        if self.shutdown_at.is_some() || self.peer_at(slot).is_some() {
             return;
         }
         let id = self.peers.len() as ConnectionId + 1;
-        self.places.insert(place, id);
+        self.slots.insert(slot, id);
         let peer = PeerModel::new(self.now);
         self.connections.connected(id, peer.handle.clone(), self.now);
         self.peers.insert(id, peer);
     }
 
-    /// The connection at a place, unless its driver has closed it.
-    fn peer_at(&mut self, place: u64) -> Option<(ConnectionId, &mut PeerModel)> {
-        let id = *self.places.get(&place)?;
+    /// The connection in a slot, unless its driver has closed it.
+    fn peer_at(&mut self, slot: u64) -> Option<(ConnectionId, &mut PeerModel)> {
+        let id = *self.slots.get(&slot)?;
         Some((id, self.peers.get_mut(&id).filter(|peer| peer.disconnected.is_none())?))
     }
 
     fn peer(&mut self, id: ConnectionId) -> &mut PeerModel {
-        self.peers.get_mut(&id).expect("a connection")
+        self.peers.get_mut(&id).expect("peers has every connection id")
     }
 
-    fn end_input(&mut self, place: u64, reason: CloseReason) {
-        if let Some((_, peer)) = self.peer_at(place) {
+    fn end_input(&mut self, slot: u64, reason: CloseReason) {
+        if let Some((_, peer)) = self.peer_at(slot) {
             peer.end_input(reason);
         }
     }
 
-    /// One turn of the driver at a place.
-    fn drive(&mut self, place: u64, max_bytes: usize) {
+    /// Runs the driver in a slot for one turn.
+    fn drive(&mut self, slot: u64, max_bytes: usize) {
         let now = self.now;
-        let Some((id, peer)) = self.peer_at(place) else { return };
+        let Some((id, peer)) = self.peer_at(slot) else { return };
         let events = peer.drive(max_bytes, now);
         self.events.extend(events.into_iter().map(|event| (id, event)));
     }
 
-    /// The owner handles the first events.
+    /// Handles up to `count` driver events, as the owner does.
     fn handle_events(&mut self, count: usize) -> Result<(), TestCaseError> {
         for _ in 0..count {
             let Some((id, event)) = self.events.pop_front() else { return Ok(()) };
@@ -160,24 +164,27 @@
         match self.connections.open_tag(id, tag) {
             TagState::Opened => {
                 let peer = self.peer(id);
-                prop_assert!(peer.open_tags.insert(tag), "{tag} is opened twice");
-                *peer.responses_due.entry(tag).or_default() += 1;
+                prop_assert!(
+                    peer.open_tags.insert(tag),
+                    "tag {tag} of connection {id} was opened while it was open"
+                );
+                *peer.expected_responses.entry(tag).or_default() += 1;
             }
             TagState::InputClosed => {
-                *self.peer(id).responses_due.entry(tag).or_default() += 1;
+                *self.peer(id).expected_responses.entry(tag).or_default() += 1;
                 self.send_response(id, tag, ResponseStatus::Busy, &[]);
             }
             TagState::Duplicate => self.close_input(id, CloseReason::ProtocolViolation("reused")),
             TagState::Unreachable => {
                 let reads_responses =
                     self.peer(id).closed_by_owner.is_none_or(CloseReason::is_reported_to_peer);
-                prop_assert!(!reads_responses, "{tag} of {id} was read and gets no response");
+                prop_assert!(!reads_responses, "tag {tag} of connection {id} was read but gets no response");
             }
         }
         Ok(())
     }
 
-    /// Settles what is open on a connection that is closed, as the front does.
+    /// Closes a connection's input and settles its open requests, as `RespFront::close_connection` does.
     fn close_input(&mut self, id: ConnectionId, reason: CloseReason) {
         self.peer(id).closed_by_owner.get_or_insert(reason);
         for tag in self.connections.close_input(id, reason, self.now) {
@@ -186,7 +193,11 @@
                 self.send_response(id, tag, ResponseStatus::Failed, &[]);
             } else {
                 self.connections.discard_tag(id, tag);
-                *self.peer(id).responses_due.get_mut(&tag).expect("a response is due") -= 1;
+                *self
+                    .peer(id)
+                    .expected_responses
+                    .get_mut(&tag)
+                    .expect("an open tag has an expected response") -= 1;
             }
         }
     }
@@ -194,7 +205,7 @@
     fn disconnected(&mut self, id: ConnectionId, reason: CloseReason) -> Result<(), TestCaseError> {
         let open_tags = &self.peer(id).open_tags;
         let is_idle = reason != CloseReason::IdleTimeout || open_tags.is_empty();
-        prop_assert!(is_idle, "closed as idle with {open_tags:?} open");
+        prop_assert!(is_idle, "connection {id} was closed as idle with open tags {open_tags:?}");
         self.close_input(id, reason);
         self.connections.disconnected(id);
         self.connections.descriptor_closed(id);
@@ -205,23 +216,23 @@
         self.connections.respond(id, tag, status, ResponseFields::default(), body, self.now);
     }
 
-    fn respond(&mut self, place: u64, oldest: bool) {
-        let Some((id, peer)) = self.peer_at(place) else { return };
-        let tag = if oldest { peer.open_tags.pop_first() } else { peer.open_tags.pop_last() };
+    fn respond(&mut self, slot: u64, lowest_tag: bool) {
+        let Some((id, peer)) = self.peer_at(slot) else { return };
+        let tag = if lowest_tag { peer.open_tags.pop_first() } else { peer.open_tags.pop_last() };
         if let Some(tag) = tag {
             self.send_response(id, tag, ResponseStatus::Ok, b"result");
         }
     }
 
-    /// Time passes, and the owner handles a batch as `Owner::process_batch` does: first all events that were reported before,
-    /// then deadlines. What a driver reports between the two is left for the next batch. During a shutdown the machine is not
-    /// delayed for more than a fraction of the time that is left.
-    fn process_batch(&mut self, ms: Millis, place: u64) -> Result<(), TestCaseError> {
+    /// Advances the time and processes a batch like `Owner::process_batch`: first all events reported so far, then deadlines.
+    /// Events that a driver reports between the two remain for the next batch. During a shutdown, time advances by no more
+    /// than [`MAX_SHUTDOWN_DELAY_MS`] in total.
+    fn process_batch(&mut self, ms: Millis, slot: u64) -> Result<(), TestCaseError> {
         let max_delay =
             self.shutdown_at.map_or(f64::INFINITY, |at| (at + MAX_SHUTDOWN_DELAY_MS - self.now).max(0.0));
         self.now += ms.min(max_delay);
         self.handle_events(usize::MAX)?;
-        self.drive(place, usize::MAX);
+        self.drive(slot, usize::MAX);
         self.check_timeouts()
     }
 
@@ -230,9 +241,12 @@
             self.close_input(stalled, CloseReason::ProtocolViolation("stalled"));
         }
         for (id, peer) in self.peers.iter().filter(|(_, peer)| peer.is_cut_off()) {
-            let unread_for = self.now - peer.last_read_at;
-            let may_be_cut_off = peer.disconnected.is_some() || unread_for >= CLOSE_STALL_TIMEOUT_MS;
-            prop_assert!(may_be_cut_off, "{id} is cut off {unread_for} ms after it read");
+            let since_last_read = self.now - peer.last_read_at;
+            let may_be_cut_off = peer.disconnected.is_some() || since_last_read >= CLOSE_STALL_TIMEOUT_MS;
+            prop_assert!(
+                may_be_cut_off,
+                "connection {id} was aborted {since_last_read} ms after its peer read, the minimum is {CLOSE_STALL_TIMEOUT_MS}"
+            );
         }
         Ok(())
     }
@@ -245,36 +259,49 @@
         }
     }
 
-    /// Completes the shutdown: everything is answered and read, and the process ends in time.
+    /// Completes the shutdown: every driver runs and every request gets its response. Fails if the connections are not drained
+    /// before the kill is imminent.
     fn complete_shutdown(&mut self) -> Result<(), TestCaseError> {
         self.begin_shutdown();
-        let kill_deadline = self.shutdown_at.expect("it has begun") + STOP_TIMEOUT_MS;
+        let kill_deadline = self.shutdown_at.expect("the shutdown has begun") + STOP_TIMEOUT_MS;
         while !self.connections.is_drained(self.now) {
-            prop_assert!(self.now <= kill_deadline, "not drained in time");
-            for place in 1..=PLACES {
-                self.drive(place, usize::MAX);
+            prop_assert!(
+                self.now <= kill_deadline,
+                "not drained at {} ms, the kill is at {kill_deadline} ms",
+                self.now
+            );
+            for slot in 1..=SLOTS {
+                self.drive(slot, usize::MAX);
                 self.handle_events(usize::MAX)?;
-                while self.peer_at(place).is_some_and(|(_, peer)| !peer.open_tags.is_empty()) {
-                    self.respond(place, true);
+                while self.peer_at(slot).is_some_and(|(_, peer)| !peer.open_tags.is_empty()) {
+                    self.respond(slot, true);
                 }
-                self.drive(place, usize::MAX);
+                self.drive(slot, usize::MAX);
                 self.handle_events(usize::MAX)?;
             }
             self.now += BATCH_INTERVAL_MS;
             self.check_timeouts()?;
         }
-        prop_assert!(self.now < kill_deadline - KILL_MARGIN_MS, "it took until the kill");
+        prop_assert!(
+            self.now < kill_deadline - KILL_MARGIN_MS,
+            "drained only at {} ms, the kill is at {kill_deadline} ms",
+            self.now
+        );
         Ok(())
     }
 }
 
-fn play(steps: &[GatewayStep]) -> Result<(), TestCaseError> {
+/// Runs the steps and a shutdown, then checks that every connection is closed and every request has got its response.
+fn run_steps(steps: &[GatewayStep]) -> Result<(), TestCaseError> {
     let mut model = GatewayModel::new();
     steps.iter().try_for_each(|step| model.apply(step))?;
     model.complete_shutdown()?;
     for (id, peer) in &model.peers {
         let is_closing = peer.handle.is_closing();
-        prop_assert!(peer.disconnected.is_some() || !is_closing, "{id} is never closed completely");
+        prop_assert!(
+            peer.disconnected.is_some() || !is_closing,
+            "connection {id} is closing but was never disconnected"
+        );
         peer.check_responses(*id)?;
     }
     Ok(())
@@ -284,9 +311,9 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_interleaving_of_connections_loses_or_doubles_an_answer_or_holds_up_the_end(
+    fn every_request_gets_one_response_and_the_shutdown_completes(
         steps in proptest::collection::vec(gateway_step(), 1..120),
     ) {
-        play(&steps)?;
+        run_steps(&steps)?;
     }
 }
--- a/crates/loomflow-server/src/front/resp/connections/interleavings/peer_model.rs
+++ b/crates/loomflow-server/src/front/resp/connections/interleavings/peer_model.rs
@@ -1,4 +1,4 @@
-//! A model of a gateway and of the driver of its connection.
+//! Model of a gateway and of the driver of its connection. It uses the real [`ConnectionHandle`], but no socket.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -10,33 +10,35 @@
 use crate::close_reason::CloseReason;
 use crate::connection::ConnectionHandle;
 
-/// What a driver reports to the owner.
+/// Event that a driver reports to the owner.
 #[derive(Clone, Copy)]
 pub(super) enum DriverEvent {
+    /// A request with this tag was read.
     RequestRead(u64),
     InputClosed(CloseReason),
     Disconnected(CloseReason),
 }
 
-/// A gateway, and the driver of its connection.
+/// A gateway, the driver of its connection, and the expected responses.
 pub(super) struct PeerModel {
     pub(super) handle: Arc<ConnectionHandle>,
-    /// Tags that were sent and not yet read.
+    /// Tags of requests that the gateway has sent and the driver has not read.
     unread_tags: VecDeque<u64>,
     last_tag: u64,
-    /// Read and not yet answered.
+    /// Tags of requests that the owner has opened and not responded to.
     pub(super) open_tags: BTreeSet<u64>,
-    /// How many responses each tag has to get: a gateway may use one again that was answered.
-    pub(super) responses_due: BTreeMap<u64, usize>,
+    /// Expected number of responses to each tag; may exceed 1, because a gateway may reuse a tag after its response.
+    pub(super) expected_responses: BTreeMap<u64, usize>,
+    /// All bytes that the gateway has read.
     received: Vec<u8>,
-    /// When it last read something, or had nothing to read.
+    /// When the gateway last read something or had nothing to read.
     pub(super) last_read_at: Millis,
-    /// How its input ends: it closed its side, or sent something malformed.
+    /// How the gateway ended its input: it closed its side or sent a malformed message.
     input_end: Option<CloseReason>,
     is_input_end_reported: bool,
-    /// Why the owner takes no further request from it.
+    /// Reason with which the owner closed the connection's input.
     pub(super) closed_by_owner: Option<CloseReason>,
-    /// Why its driver has closed it.
+    /// Reason with which the driver closed the connection.
     pub(super) disconnected: Option<CloseReason>,
 }
 
@@ -47,7 +49,7 @@
             unread_tags: VecDeque::new(),
             last_tag: 0,
             open_tags: BTreeSet::new(),
-            responses_due: BTreeMap::new(),
+            expected_responses: BTreeMap::new(),
             received: Vec::new(),
             last_read_at: now,
             input_end: None,
@@ -57,7 +59,7 @@
         }
     }
 
-    /// The gateway sends a request, with a new tag or with its last one again.
+    /// Sends a request with a new tag, or with the last one if `reuses_tag`.
     pub(super) fn send_request(&mut self, reuses_tag: bool) {
         if self.input_end.is_some() {
             return;
@@ -66,12 +68,12 @@
         self.unread_tags.push_back(self.last_tag);
     }
 
-    /// The gateway sends nothing valid after what it has sent.
+    /// Ends the gateway's input after the requests that it has sent.
     pub(super) fn end_input(&mut self, reason: CloseReason) {
         self.input_end.get_or_insert(reason);
     }
 
-    /// One turn of the driver, in which the gateway reads at most `max_bytes`.
+    /// Runs the driver for one turn, in which the gateway reads at most `max_bytes`.
     pub(super) fn drive(&mut self, max_bytes: usize, now: Millis) -> Vec<DriverEvent> {
         let mut events = Vec::new();
         let bytes = self.handle.take_written(max_bytes);
@@ -92,7 +94,7 @@
         events
     }
 
-    /// Reads all that a driver would; the end of the input is reported after all that came before it.
+    /// Reads as many requests as the handle allows; the end of the input is reported after all requests sent before it.
     fn read(&mut self, events: &mut Vec<DriverEvent>) {
         while self.handle.driver_view().0 {
             if let Some(tag) = self.unread_tags.pop_front() {
@@ -109,32 +111,33 @@
         }
     }
 
-    /// Whether some of what was queued for it is discarded.
+    /// Whether queued bytes have been discarded.
     pub(super) fn is_cut_off(&self) -> bool {
         self.handle.is_flushed() && self.handle.bytes_written() < self.handle.bytes_queued()
     }
 
-    /// Checks what it has received: one response for each that a tag has to get, and at most one goodbye.
+    /// Checks the received bytes: the expected number of responses to each tag, or fewer if bytes were discarded, and at most
+    /// one `BYE`.
     pub(super) fn check_responses(&self, id: u64) -> Result<(), TestCaseError> {
         let text = String::from_utf8_lossy(&self.received).into_owned();
         let lines: Vec<&str> = text.split("\r\n").collect();
-        let goodbyes = lines.iter().filter(|line| **line == "BYE").count();
-        prop_assert!(goodbyes <= 1, "{goodbyes} goodbyes on {id}");
+        let byes = lines.iter().filter(|line| **line == "BYE").count();
+        prop_assert!(byes <= 1, "{byes} BYE messages on connection {id}");
         let is_cut_off = self.is_cut_off();
         for tag in 1..=self.last_tag {
             let received = count_responses(&lines, tag);
-            let due = self.responses_due.get(&tag).copied().unwrap_or_default();
-            let min = if is_cut_off { 0 } else { due };
+            let expected = self.expected_responses.get(&tag).copied().unwrap_or_default();
+            let min = if is_cut_off { 0 } else { expected };
             prop_assert!(
-                (min..=due).contains(&received),
-                "{received} responses to {tag} of {id}, {due} due: {text}"
+                (min..=expected).contains(&received),
+                "{received} responses to tag {tag} of connection {id}, expected {min} to {expected}: {text}"
             );
         }
         Ok(())
     }
 }
 
-/// A response is an array of four elements, the first of which is its tag.
+/// Counts the responses to `tag`: RESP arrays of four elements whose first element is the tag.
 fn count_responses(lines: &[&str], tag: u64) -> usize {
     let tag = tag.to_string();
     lines.windows(3).filter(|window| window[0] == "*4" && window[2] == tag).count()
--- a/crates/loomflow-server/src/front/resp/listener.rs
+++ b/crates/loomflow-server/src/front/resp/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts gateways: one coroutine for the listening socket, one for each connection.
+//! Accepts gateway connections: one coroutine accepts from the listening socket, one drives each connection.
 
 mod connection_limit;
 
@@ -21,16 +21,16 @@
 use crate::time::exact_duration;
 use connection_limit::{ConnectionLimit, ConnectionPermit};
 
-/// Time between two attempts to bind or accept, after a failure and while there is no capacity.
+/// Interval between attempts to bind or accept, after a failure or while the connection limit is reached.
 const RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// How long after the kill of this server's former process its address may still be in use.
+/// How long the address may remain in use after the server's previous process was killed.
 const ADDRESS_RELEASE_MARGIN: Duration = Duration::from_secs(1);
-/// Time between two log lines of a failure to accept that persists.
+/// Minimum time between two log lines about failures to accept.
 const FAILURE_LOG_INTERVAL: Duration = Duration::from_secs(60);
-/// Connections that the system queues until they are accepted.
+/// Length of the kernel's queue of connections to be accepted.
 const BACKLOG: i32 = 1024;
 
-/// The address for gateways cannot be used.
+/// Error when binding the listen address for gateways.
 #[derive(Debug, thiserror::Error)]
 #[error("listen: cannot bind {address}: {source}")]
 pub struct ListenError {
@@ -38,14 +38,14 @@
     source: io::Error,
 }
 
-/// The coroutine that accepts connections.
+/// Handle of the coroutine that accepts connections.
 pub struct Acceptor {
     stop: Arc<AtomicBool>,
     waker: WaitIoWaker,
 }
 
 impl Acceptor {
-    /// Starts to accept, up to `max_connections` at the same time.
+    /// Starts accepting; at most `max_connections` are open at the same time.
     pub fn start(listener: Listener, max_connections: usize, mailbox: Arc<Mailbox>) -> Acceptor {
         let listener = adopt::<TcpListener>(listener.0);
         let acceptor = Acceptor { stop: Arc::new(AtomicBool::new(false)), waker: listener.waker() };
@@ -58,19 +58,19 @@
         acceptor
     }
 
-    /// Accepts what the system has accepted, and closes the listening socket.
+    /// Stops the coroutine: it accepts the connections that the kernel has queued, then closes the listening socket.
     pub fn stop(&self) {
         self.stop.store(true, Ordering::Release);
         self.waker.wakeup();
     }
 }
 
-/// A listening socket from which nothing is accepted yet.
+/// A bound listening socket, before [`Acceptor::start`].
 pub struct Listener(Socket);
 
 impl Listener {
-    /// Binds an address. Waits while it is in use: the former process of this server may not have ended, for which it has
-    /// `stop_ms`. Returns none where a shutdown is requested meanwhile.
+    /// Binds an address. While the address is in use, retries until the server's previous process must have ended, which
+    /// takes up to `stop_ms` after its SIGTERM. Returns `None` if a shutdown is requested meanwhile.
     pub fn bind(
         address: SocketAddr,
         stop_ms: Millis,
@@ -97,12 +97,12 @@
     }
 }
 
-/// How long an address in use is waited for: until the former process of this server is killed, and a margin.
+/// How long to retry binding an address in use: until the server's previous process is killed, plus a margin.
 fn release_timeout(stop_ms: Millis) -> Duration {
     ADDRESS_RELEASE_MARGIN + exact_duration(stop_ms)
 }
 
-/// `may`'s own bind would share the port with another process that listens on it.
+/// Binds with `socket2`: `may`'s own bind would share the port with another process that listens on it.
 fn bind(address: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -112,15 +112,16 @@
     Ok(socket)
 }
 
-/// Hands a descriptor over to `may`, which offers no other way for one that it has not opened itself.
-#[allow(unsafe_code, reason = "the only way to hand an open descriptor to `may`")]
+/// Transfers an open descriptor to `may`, which has no safe constructor for sockets that it has not opened itself.
+#[allow(unsafe_code, reason = "`may` has no safe constructor for an open descriptor")]
 fn adopt<T: FromRawFd>(from: impl IntoRawFd) -> T {
-    // SAFETY: the descriptor is open, and its former owner has just released it.
+    // SAFETY: `into_raw_fd` returns an open descriptor and gives up its ownership.
     unsafe { T::from_raw_fd(from.into_raw_fd()) }
 }
 
-/// Accepts connections, while there is capacity, until it is stopped and the system's queue is empty: what was in the queue
-/// at the stop was received. The stop is checked before the queue, so that what arrives between the two is still found.
+/// Accepts connections, while there is capacity, until `stop` is set and the kernel's queue is empty: connections in the queue
+/// at the stop count as received. `stop` is read before the queue is polled, so that a connection that arrives between the
+/// two is still accepted.
 fn accept_until_drained<S>(
     stop: &AtomicBool,
     has_capacity: impl Fn() -> bool,
@@ -130,7 +131,7 @@
 ) {
     let mut failures = FailureLog::default();
     loop {
-        // Also after the stop: connections in the system's queue are accepted as soon as others have been closed.
+        // Applies after the stop as well: queued connections are accepted as soon as others have been closed.
         if !has_capacity() {
             connection::sleep(RETRY_INTERVAL);
             continue;
@@ -151,14 +152,14 @@
     }
 }
 
-/// Limits the log lines of a failure that every attempt repeats.
+/// Rate limit for log lines about a failure that recurs at every attempt.
 #[derive(Default)]
 struct FailureLog {
     last_logged_at: Option<Instant>,
 }
 
 impl FailureLog {
-    /// Whether a failure is to be logged now: the first, and then one in each [`FAILURE_LOG_INTERVAL`].
+    /// Whether to log a failure at `now`: the first, and then at most one per [`FAILURE_LOG_INTERVAL`].
     fn is_due(&mut self, now: Instant) -> bool {
         let is_due = self
             .last_logged_at
@@ -179,7 +180,7 @@
         || {
             listener.wait_io();
         },
-        |(stream, _)| {
+        |(stream, _peer_address)| {
             last_id += 1;
             spawn_connection(last_id, stream, mailbox.clone(), limit.acquire());
         },
@@ -195,14 +196,14 @@
     let _ = stream.set_nodelay(true);
     let stream: TcpStream = adopt(stream);
     let handle = Arc::new(ConnectionHandle::new(Some(MAX_OPEN_REQUESTS)));
-    // Here and not in its coroutine, so that it is reported before the listening socket is reported as closed.
+    // Sent here and not in the coroutine, so that the owner receives it before `FrontEvent::ListenerClosed`.
     mailbox.send_gateway_event(id, GatewayEvent::Connected(handle.clone()));
     may::go!(move || {
         let deliver = |request| mailbox.send_gateway_event(id, GatewayEvent::RequestReceived(request));
         let input_closed = |reason| mailbox.send_gateway_event(id, GatewayEvent::InputClosed(reason));
         let (stream, reason) = connection::drive(stream, &handle, Requests::default(), deliver, input_closed);
         mailbox.send_gateway_event(id, GatewayEvent::Disconnected(reason));
-        connection::linger(stream, reason);
+        connection::lingering_close(stream, reason);
         drop(permit);
         mailbox.send_gateway_event(id, GatewayEvent::DescriptorClosed);
     });
--- a/crates/loomflow-server/src/front/resp/listener/connection_limit/tests.rs
+++ b/crates/loomflow-server/src/front/resp/listener/connection_limit/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn connections_are_accepted_up_to_the_limit_and_after_one_was_closed() {
+fn a_released_permit_restores_capacity() {
     let limit = ConnectionLimit::new(2);
     let first = limit.acquire();
     assert!(limit.has_capacity());
--- a/crates/loomflow-server/src/front/resp/mod.rs
+++ b/crates/loomflow-server/src/front/resp/mod.rs
@@ -1,4 +1,4 @@
-//! The gateways' front over RESP: accepts connections, reads requests, encodes responses.
+//! Front for gateways over RESP: accepts connections, reads requests and encodes responses.
 
 mod classify;
 mod connections;
@@ -20,21 +20,22 @@
 use listener::Acceptor;
 pub use listener::{ListenError, Listener};
 
-/// Minimum time between two checks of all connections.
+/// Minimum interval between checks of the timeouts of all connections.
 const MIN_CHECK_INTERVAL_MS: Millis = 20.0;
 
-/// The gateways' front.
+/// Front for gateways over RESP.
 pub struct RespFront {
     site: Site,
     acceptor: Acceptor,
-    /// The listening socket is open.
+    /// Whether the listening socket is still open.
     is_listening: bool,
     connections: GatewayConnections,
+    /// Earliest time of the next check of timeouts.
     next_check: Millis,
 }
 
 impl RespFront {
-    /// Starts to accept gateways.
+    /// Starts accepting gateways.
     pub fn start(listener: Listener, config: &Config, budget: &Budget, mailbox: &Arc<Mailbox>) -> RespFront {
         let limits = connections::Limits {
             near_capacity: budget.gateways_near_capacity,
@@ -50,12 +51,12 @@
         }
     }
 
-    /// The listening socket is closed.
+    /// Records that the listening socket is closed.
     pub fn listener_closed(&mut self) {
         self.is_listening = false;
     }
 
-    /// Handles what a connection's driver reported; its requests to the owner are added to `requests`.
+    /// Handles an event reported by a connection's driver; the resulting requests to the owner are appended to `requests`.
     pub fn handle_event(
         &mut self,
         id: ConnectionId,
@@ -87,7 +88,8 @@
             TagState::Opened => {}
             TagState::InputClosed => return self.respond(id, tag, Response::REJECTED, now.ms),
             TagState::Duplicate => {
-                let reason = CloseReason::ProtocolViolation("a tag is used again while it is open");
+                let reason =
+                    CloseReason::ProtocolViolation("duplicate tag: a request with the same tag is open");
                 return self.close_connection(id, reason, now.ms, requests);
             }
             TagState::Unreachable => return,
@@ -113,8 +115,8 @@
         }
     }
 
-    /// Settles the open requests of a connection that is closed: they are cancelled, and get a failure where the peer may
-    /// still read it.
+    /// Closes the input of a connection and cancels its open requests, which get the response `FAILED` if the peer can still
+    /// read it.
     fn close_connection(
         &mut self,
         id: ConnectionId,
@@ -123,7 +125,7 @@
         requests: &mut Vec<FrontRequest>,
     ) {
         if let (CloseReason::ProtocolViolation(why), false) = (reason, self.connections.is_input_closed(id)) {
-            log!(why, "a gateway's connection is closed");
+            log!(why, "a gateway's connection is closed: protocol violation");
         }
         for tag in self.connections.close_input(id, reason, now) {
             requests.push(FrontRequest::Cancel(ReplyHandle::Tag(id, tag)));
@@ -142,19 +144,19 @@
         }
     }
 
-    /// Handles the deadlines of all connections.
+    /// Checks the timeouts of all connections, at most once per [`MIN_CHECK_INTERVAL_MS`].
     pub fn check_timeouts(&mut self, now: Millis, requests: &mut Vec<FrontRequest>) {
         if now < self.next_check {
             return;
         }
         self.next_check = now + MIN_CHECK_INTERVAL_MS;
-        let reason = CloseReason::ProtocolViolation("the rest of a message does not come");
+        let reason = CloseReason::ProtocolViolation("a partial message has stalled");
         for stalled in self.connections.check_timeouts(now) {
             self.close_connection(stalled, reason, now, requests);
         }
     }
 
-    /// Sends a response.
+    /// Sends the response to the request with `tag` on a connection.
     pub fn respond(&mut self, id: ConnectionId, tag: u64, response: Response, now: Millis) {
         let none = ResponseFields::default();
         let (status, fields, body) = match response {
@@ -172,28 +174,29 @@
         self.connections.respond(id, tag, status, fields, body, now);
     }
 
-    /// The feedback signal that every response carries from now on.
+    /// Sets the feedback signal of all further responses.
     pub fn set_signal(&mut self, signal: f64) {
         self.connections.set_signal(signal);
     }
 
-    /// The settings after a reload.
+    /// Applies reloaded settings.
     pub fn apply_settings(&mut self, site: &Site) {
         self.site = site.clone();
     }
 
-    /// How long connections may be idle.
+    /// Sets how long connections may be idle.
     pub fn set_idle_timeout(&mut self, timeout: Millis) {
         self.connections.set_idle_timeout(timeout);
     }
 
-    /// No further connection is accepted, and each open one gets a goodbye. All have to be closed by `deadline`.
+    /// Stops accepting connections and sends `BYE` on each open one. All have to be closed by `deadline`; the process is
+    /// killed at `kill_deadline`.
     pub fn stop_intake(&mut self, deadline: Millis, kill_deadline: Millis, now: Millis) {
         self.acceptor.stop();
         self.connections.begin_shutdown(deadline, kill_deadline, now);
     }
 
-    /// Whether the listening socket and all connections are closed.
+    /// Whether the listening socket and all connections are closed, or the time for that is over.
     pub fn is_drained(&self, now: Millis) -> bool {
         (!self.is_listening || self.connections.is_kill_imminent(now)) && self.connections.is_drained(now)
     }
