--- a/crates/loomflow-server/src/front/amqp/mod.rs
+++ b/crates/loomflow-server/src/front/amqp/mod.rs
@@ -16,7 +16,7 @@
 use loomflow_settings::{Config, Site};
 
 use super::FrontStartError;
-use super::interface::{Failure, FrontRequest, ReplyHandle, Response, Submission};
+use super::interface::{Failure, FrontRequest, Response, ResponseHandle, Submission};
 use crate::budget::Budget;
 use crate::clock::{Clock, Now};
 use crate::close_reason::CloseReason;
@@ -158,7 +158,9 @@
                 ConsumerRequest::Submit(message) => {
                     requests.push(FrontRequest::Submit(Box::new(self.submission(message))));
                 }
-                ConsumerRequest::Cancel(id) => requests.push(FrontRequest::Cancel(ReplyHandle::Delivery(id))),
+                ConsumerRequest::Cancel(id) => {
+                    requests.push(FrontRequest::Cancel(ResponseHandle::Delivery(id)));
+                }
                 ConsumerRequest::Log(text) => log!(part = "amqp", "{text}"),
             }
         }
@@ -182,7 +184,7 @@
             upstream_time: message.upstream_time,
         };
         Submission {
-            reply_handle: ReplyHandle::Delivery(message.id),
+            response_handle: ResponseHandle::Delivery(message.id),
             attempt_id,
             key: message.key.map(|text| IdempotencyKey { class, tenant, text }),
             attributes,
--- a/crates/loomflow-server/src/front/interface.rs
+++ b/crates/loomflow-server/src/front/interface.rs
@@ -1,4 +1,4 @@
-//! Interface between the fronts and the owner. A front submits requests, each with a reply handle; the owner passes the
+//! Interface between the fronts and the owner. A front submits requests, each with a response handle; the owner passes the
 //! handle back with the response. Only the front interprets the handle.
 
 use loomflow::interface::RequestAttributes;
@@ -10,7 +10,7 @@
 
 /// Identifies a request to its front, which sends the response there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum ReplyHandle {
+pub enum ResponseHandle {
     /// A request of a gateway: its connection and its tag there.
     Tag(ConnectionId, u64),
     /// A message from a broker: the delivery id that the consumer assigned.
@@ -25,16 +25,16 @@
     /// Log an invalid request and respond to it with [`Failure::Invalid`].
     Invalid {
         /// Identifies the request for the response.
-        reply_handle: ReplyHandle,
+        response_handle: ResponseHandle,
         /// Which field is invalid.
         reason: InvalidRequest,
     },
     /// Cancel a request whose response can no longer be delivered.
-    Cancel(ReplyHandle),
+    Cancel(ResponseHandle),
     /// Respond to a health check.
     HealthCheck {
         /// Identifies the health check for the response.
-        reply_handle: ReplyHandle,
+        response_handle: ResponseHandle,
         /// Whether the caller asks for a test of the engine as well.
         is_deep: bool,
     },
@@ -75,7 +75,7 @@
 #[derive(Debug)]
 pub struct Submission {
     /// Identifies the request for the response.
-    pub reply_handle: ReplyHandle,
+    pub response_handle: ResponseHandle,
     /// Identifies the attempt to engine and ledger. A request whose id is already in progress is not run.
     pub attempt_id: AttemptId,
     /// Idempotency key, if duplicates of the request can be recognized.
--- a/crates/loomflow-server/src/front/mod.rs
+++ b/crates/loomflow-server/src/front/mod.rs
@@ -17,7 +17,7 @@
 use crate::clock::Now;
 use crate::mailbox::{FrontEvent, Mailbox};
 use amqp::AmqpFront;
-use interface::{FrontRequest, ReplyHandle, Response};
+use interface::{FrontRequest, Response, ResponseHandle};
 use resp::RespFront;
 pub use resp::{ListenError, Listener};
 
@@ -74,17 +74,17 @@
     }
 
     /// Sends the response to a request through the front that submitted it.
-    pub fn respond(&mut self, reply_handle: ReplyHandle, response: Response, now: Millis) {
-        match (reply_handle, &mut self.amqp) {
-            (ReplyHandle::Tag(id, tag), _) => self.resp.respond(id, tag, response, now),
-            (ReplyHandle::Delivery(id), Some(amqp)) => amqp.respond(id, response, now),
-            (ReplyHandle::Delivery(_), None) => {}
+    pub fn respond(&mut self, response_handle: ResponseHandle, response: Response, now: Millis) {
+        match (response_handle, &mut self.amqp) {
+            (ResponseHandle::Tag(id, tag), _) => self.resp.respond(id, tag, response, now),
+            (ResponseHandle::Delivery(id), Some(amqp)) => amqp.respond(id, response, now),
+            (ResponseHandle::Delivery(_), None) => {}
         }
     }
 
     /// Records that the run of a request may have started.
-    pub fn run_started(&mut self, reply_handle: ReplyHandle, now: Millis) {
-        if let (ReplyHandle::Delivery(id), Some(amqp)) = (reply_handle, &mut self.amqp) {
+    pub fn run_started(&mut self, response_handle: ResponseHandle, now: Millis) {
+        if let (ResponseHandle::Delivery(id), Some(amqp)) = (response_handle, &mut self.amqp) {
             amqp.run_started(id, now);
         }
     }
--- a/crates/loomflow-server/src/front/resp/classify.rs
+++ b/crates/loomflow-server/src/front/resp/classify.rs
@@ -7,7 +7,7 @@
 use loomflow_settings::Site;
 
 use crate::clock::Now;
-use crate::front::interface::{InvalidRequest, ReplyHandle, Submission};
+use crate::front::interface::{InvalidRequest, ResponseHandle, Submission};
 use crate::idempotency::IdempotencyKey;
 
 /// How much a timestamp's age may exceed the class's timeout, because the machine may have been paused.
@@ -64,14 +64,14 @@
 /// Converts a classified request into a submission.
 pub fn submission(
     site: &Site,
-    reply_handle: ReplyHandle,
+    response_handle: ResponseHandle,
     call: Call,
     classification: Classification,
     now: Now,
 ) -> Submission {
     let idempotency = site.settings.classes[classification.class].idempotency;
     Submission {
-        reply_handle,
+        response_handle,
         attempt_id: call.id,
         key: idempotency_key(&call, classification, idempotency),
         attributes: attributes(&call, classification, now),
--- a/crates/loomflow-server/src/front/resp/mod.rs
+++ b/crates/loomflow-server/src/front/resp/mod.rs
@@ -10,7 +10,7 @@
 use loomflow_protocol::gateway::{Call, Request, ResponseFields, ResponseStatus};
 use loomflow_settings::{Config, Site};
 
-use super::interface::{Failure, FrontRequest, ReplyHandle, Response};
+use super::interface::{Failure, FrontRequest, Response, ResponseHandle};
 use crate::budget::Budget;
 use crate::clock::Now;
 use crate::close_reason::CloseReason;
@@ -94,10 +94,10 @@
             }
             TagState::Unreachable => return,
         }
-        let reply_handle = ReplyHandle::Tag(id, tag);
+        let response_handle = ResponseHandle::Tag(id, tag);
         requests.push(match request {
-            Request::Health { is_deep, .. } => FrontRequest::HealthCheck { reply_handle, is_deep },
-            Request::Call(call) => self.to_front_request(reply_handle, call, now),
+            Request::Health { is_deep, .. } => FrontRequest::HealthCheck { response_handle, is_deep },
+            Request::Call(call) => self.to_front_request(response_handle, call, now),
             Request::Invalid { reason, .. } => {
                 log!(why = reason, "a request was not accepted");
                 return self.respond(id, tag, Response::Failed(Failure::Invalid), now.ms);
@@ -105,13 +105,13 @@
         });
     }
 
-    fn to_front_request(&self, reply_handle: ReplyHandle, call: Call, now: Now) -> FrontRequest {
+    fn to_front_request(&self, response_handle: ResponseHandle, call: Call, now: Now) -> FrontRequest {
         match classify::classify(&self.site, &call, now) {
             Ok(classification) => {
-                let submission = classify::submission(&self.site, reply_handle, call, classification, now);
+                let submission = classify::submission(&self.site, response_handle, call, classification, now);
                 FrontRequest::Submit(Box::new(submission))
             }
-            Err(reason) => FrontRequest::Invalid { reply_handle, reason },
+            Err(reason) => FrontRequest::Invalid { response_handle, reason },
         }
     }
 
@@ -128,7 +128,7 @@
             log!(why, "a gateway's connection is closed: protocol violation");
         }
         for tag in self.connections.close_input(id, reason, now) {
-            requests.push(FrontRequest::Cancel(ReplyHandle::Tag(id, tag)));
+            requests.push(FrontRequest::Cancel(ResponseHandle::Tag(id, tag)));
             if reason.is_reported_to_peer() {
                 self.connections.respond(
                     id,
--- a/crates/loomflow-server/src/owner/actions.rs
+++ b/crates/loomflow-server/src/owner/actions.rs
@@ -57,7 +57,7 @@
         entry.pending_command =
             Some(PendingCommand { command: SentCommand::Run, delivery, sent_at: self.now.ms });
         entry.progress = Progress::Running;
-        self.fronts.run_started(entry.reply_handle, self.now.ms);
+        self.fronts.run_started(entry.response_handle, self.now.ms);
     }
 
     fn preempt(&mut self, id: RequestId) {
--- a/crates/loomflow-server/src/owner/engine_events.rs
+++ b/crates/loomflow-server/src/owner/engine_events.rs
@@ -24,8 +24,8 @@
                 }
             }
             Notice::HealthChecked { tag, has_passed } => {
-                if let Some(reply_handle) = self.health.answered(&tag) {
-                    self.respond_to_health_check(reply_handle, has_passed);
+                if let Some(response_handle) = self.health.answered(&tag) {
+                    self.respond_to_health_check(response_handle, has_passed);
                 }
             }
             Notice::Need { id, body, .. } => self.call_needed(id, body),
--- a/crates/loomflow-server/src/owner/health_checks.rs
+++ b/crates/loomflow-server/src/owner/health_checks.rs
@@ -6,14 +6,14 @@
 
 use loomflow::time::Millis;
 
-use crate::front::interface::ReplyHandle;
+use crate::front::interface::ResponseHandle;
 
 /// How long the engine may take to answer a deep health check. After that the check has failed.
 const HEALTH_CHECK_TIMEOUT_MS: Millis = 1000.0;
 
 /// A deep health check that the engine has not answered.
 struct PendingHealthCheck {
-    reply_handle: ReplyHandle,
+    response_handle: ResponseHandle,
     deadline: Millis,
 }
 
@@ -57,21 +57,21 @@
     }
 
     /// The engine was sent a check with this tag.
-    pub(super) fn sent(&mut self, tag: u64, reply_handle: ReplyHandle, now: Millis) {
+    pub(super) fn sent(&mut self, tag: u64, response_handle: ResponseHandle, now: Millis) {
         let deadline = now + HEALTH_CHECK_TIMEOUT_MS;
-        self.pending.insert(tag, PendingHealthCheck { reply_handle, deadline });
+        self.pending.insert(tag, PendingHealthCheck { response_handle, deadline });
     }
 
     /// The engine has answered a check: where the response goes.
-    pub(super) fn answered(&mut self, tag: &str) -> Option<ReplyHandle> {
+    pub(super) fn answered(&mut self, tag: &str) -> Option<ResponseHandle> {
         let tag: u64 = tag.parse().ok()?;
-        self.pending.remove(&tag).map(|check| check.reply_handle)
+        self.pending.remove(&tag).map(|check| check.response_handle)
     }
 
     /// Removes a check that the engine has not answered in time.
-    pub(super) fn take_expired(&mut self, now: Millis) -> Option<ReplyHandle> {
+    pub(super) fn take_expired(&mut self, now: Millis) -> Option<ResponseHandle> {
         let check = self.pending.first_entry().filter(|check| now >= check.get().deadline)?;
-        Some(check.remove().reply_handle)
+        Some(check.remove().response_handle)
     }
 }
 
--- a/crates/loomflow-server/src/owner/health_checks/tests.rs
+++ b/crates/loomflow-server/src/owner/health_checks/tests.rs
@@ -16,7 +16,7 @@
 #[test]
 fn a_check_that_the_engine_does_not_answer_expires() {
     let mut checks = checks();
-    let handles = [ReplyHandle::Tag(1, 1), ReplyHandle::Tag(1, 2)];
+    let handles = [ResponseHandle::Tag(1, 1), ResponseHandle::Tag(1, 2)];
     checks.sent(5, handles[0], 0.0);
     checks.sent(6, handles[1], 10.0);
     assert_eq!(checks.take_expired(HEALTH_CHECK_TIMEOUT_MS - 1.0), None);
--- a/crates/loomflow-server/src/owner/mod.rs
+++ b/crates/loomflow-server/src/owner/mod.rs
@@ -186,8 +186,8 @@
         if let Some(end) = self.peers.engine.check_replay_timeout(now) {
             self.resend_commands(end);
         }
-        while let Some(reply_handle) = self.health.take_expired(now) {
-            self.respond_to_health_check(reply_handle, false);
+        while let Some(response_handle) = self.health.take_expired(now) {
+            self.respond_to_health_check(response_handle, false);
         }
     }
 
--- a/crates/loomflow-server/src/owner/requests.rs
+++ b/crates/loomflow-server/src/owner/requests.rs
@@ -5,7 +5,7 @@
 use super::Owner;
 use super::admission::{self, AdmissionRejection};
 use crate::engine::PendingCommand;
-use crate::front::interface::{Failure, FrontRequest, InvalidRequest, ReplyHandle, Response, Submission};
+use crate::front::interface::{Failure, FrontRequest, InvalidRequest, Response, ResponseHandle, Submission};
 use crate::idempotency::{Completion, KeyedRequest};
 use crate::log;
 use crate::request_table::{Progress, RequestEntry};
@@ -23,24 +23,26 @@
         for request in requests.drain(..) {
             match request {
                 FrontRequest::Submit(submission) => self.submit(*submission),
-                FrontRequest::Invalid { reply_handle, reason } => self.reject_invalid(reply_handle, reason),
-                FrontRequest::Cancel(reply_handle) => self.cancel(reply_handle),
-                FrontRequest::HealthCheck { reply_handle, is_deep } => {
-                    self.check_health(reply_handle, is_deep);
+                FrontRequest::Invalid { response_handle, reason } => {
+                    self.reject_invalid(response_handle, reason);
+                }
+                FrontRequest::Cancel(response_handle) => self.cancel(response_handle),
+                FrontRequest::HealthCheck { response_handle, is_deep } => {
+                    self.check_health(response_handle, is_deep);
                 }
             }
         }
         self.front_requests = requests;
     }
 
-    fn reject_invalid(&mut self, reply_handle: ReplyHandle, reason: InvalidRequest) {
+    fn reject_invalid(&mut self, response_handle: ResponseHandle, reason: InvalidRequest) {
         let rejection = self.check_capacity().err().unwrap_or(AdmissionRejection::Invalid(reason));
-        self.reject(reply_handle, rejection);
+        self.reject(response_handle, rejection);
     }
 
-    fn reject(&mut self, reply_handle: ReplyHandle, rejection: AdmissionRejection) {
+    fn reject(&mut self, response_handle: ResponseHandle, rejection: AdmissionRejection) {
         log!(why = rejection.reason(), "a request was not accepted");
-        self.fronts.respond(reply_handle, rejection.response(), self.now.ms);
+        self.fronts.respond(response_handle, rejection.response(), self.now.ms);
     }
 
     fn check_capacity(&self) -> Result<(), AdmissionRejection> {
@@ -48,8 +50,8 @@
     }
 
     /// Cancels the request of a response that nobody reads any more.
-    fn cancel(&mut self, reply_handle: ReplyHandle) {
-        let Some(id) = self.requests.find_unanswered(reply_handle) else { return };
+    fn cancel(&mut self, response_handle: ResponseHandle) {
+        let Some(id) = self.requests.find_unanswered(response_handle) else { return };
         self.requests.mark_answered(id, self.now.ms);
         self.controller.queue(Event::RequestCancelled(id));
         self.end_answered(id);
@@ -58,13 +60,13 @@
     fn submit(&mut self, submission: Submission) {
         let Admission { id, original } = match self.admit(&submission) {
             Ok(admission) => admission,
-            Err(rejection) => return self.reject(submission.reply_handle, rejection),
+            Err(rejection) => return self.reject(submission.response_handle, rejection),
         };
-        let Submission { reply_handle, attempt_id, attributes, body, .. } = submission;
+        let Submission { response_handle, attempt_id, attributes, body, .. } = submission;
         self.controller.queue(Event::RequestArrived(Arrival { id, attributes, original }));
         let class = attributes.class;
         let idempotency = self.site.settings.classes[class].idempotency;
-        let entry = RequestEntry::queued(reply_handle, attempt_id, class, idempotency, original, body);
+        let entry = RequestEntry::queued(response_handle, attempt_id, class, idempotency, original, body);
         self.requests.insert(id, entry);
     }
 
@@ -88,20 +90,20 @@
         Ok(Admission { id, original: admission::accept_registration(registration)? })
     }
 
-    fn check_health(&mut self, reply_handle: ReplyHandle, is_deep: bool) {
+    fn check_health(&mut self, response_handle: ResponseHandle, is_deep: bool) {
         if !self.health.needs_engine(is_deep, self.site.deep_checks) {
-            self.respond_to_health_check(reply_handle, true);
+            self.respond_to_health_check(response_handle, true);
         } else if let Some(tag) = self.peers.engine.send_health_check() {
-            self.health.sent(tag, reply_handle, self.now.ms);
+            self.health.sent(tag, response_handle, self.now.ms);
         } else {
-            self.respond_to_health_check(reply_handle, false);
+            self.respond_to_health_check(response_handle, false);
         }
     }
 
     /// Responds to a health check: the server is healthy if the check has passed and the controller agrees.
-    pub(super) fn respond_to_health_check(&mut self, reply_handle: ReplyHandle, has_passed: bool) {
+    pub(super) fn respond_to_health_check(&mut self, response_handle: ResponseHandle, has_passed: bool) {
         let response = Response::Health(has_passed && self.health.is_healthy());
-        self.fronts.respond(reply_handle, response, self.now.ms);
+        self.fronts.respond(response_handle, response, self.now.ms);
     }
 
     /// Sends the final response, and ends what is done for the request.
@@ -114,7 +116,7 @@
     /// Marks a request as answered, and sends its final response. Returns false where it was answered before.
     pub(super) fn send_response(&mut self, id: RequestId, response: Response) -> bool {
         let Some(entry) = self.requests.mark_answered(id, self.now.ms) else { return false };
-        self.fronts.respond(entry.reply_handle, response, self.now.ms);
+        self.fronts.respond(entry.response_handle, response, self.now.ms);
         true
     }
 
--- a/crates/loomflow-server/src/request_table.rs
+++ b/crates/loomflow-server/src/request_table.rs
@@ -7,7 +7,7 @@
 use loomflow_protocol::AttemptId;
 
 use crate::engine::{Delivery, PendingCommand, SentCommand};
-use crate::front::interface::ReplyHandle;
+use crate::front::interface::ResponseHandle;
 
 /// How far a request has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub struct RequestEntry {
     /// Where its response goes.
-    pub reply_handle: ReplyHandle,
+    pub response_handle: ResponseHandle,
     /// Its name towards engine and ledger.
     pub attempt_id: AttemptId,
     /// Index of its class in the settings.
@@ -58,7 +58,7 @@
 impl RequestEntry {
     /// A request as it is received.
     pub fn queued(
-        reply_handle: ReplyHandle,
+        response_handle: ResponseHandle,
         attempt_id: AttemptId,
         class: usize,
         idempotency: Idempotency,
@@ -66,7 +66,7 @@
         body: Vec<u8>,
     ) -> RequestEntry {
         RequestEntry {
-            reply_handle,
+            response_handle,
             attempt_id,
             class,
             idempotency,
@@ -96,13 +96,13 @@
     }
 }
 
-/// All requests, by id, by attempt and by reply handle.
+/// All requests, by id, by attempt and by response handle.
 #[derive(Default)]
 pub struct RequestTable {
     entries: BTreeMap<RequestId, RequestEntry>,
     by_attempt: BTreeMap<AttemptId, RequestId>,
     /// Unanswered requests only.
-    by_reply_handle: BTreeMap<ReplyHandle, RequestId>,
+    by_response_handle: BTreeMap<ResponseHandle, RequestId>,
     last_id: RequestId,
     unanswered_count: usize,
 }
@@ -121,7 +121,7 @@
     /// Adds a request.
     pub fn insert(&mut self, id: RequestId, entry: RequestEntry) {
         self.by_attempt.insert(entry.attempt_id, id);
-        self.by_reply_handle.insert(entry.reply_handle, id);
+        self.by_response_handle.insert(entry.response_handle, id);
         self.unanswered_count += 1;
         self.entries.insert(id, entry);
     }
@@ -137,8 +137,8 @@
     }
 
     /// The request whose response to this handle is still due.
-    pub fn find_unanswered(&self, reply_handle: ReplyHandle) -> Option<RequestId> {
-        self.by_reply_handle.get(&reply_handle).copied()
+    pub fn find_unanswered(&self, response_handle: ResponseHandle) -> Option<RequestId> {
+        self.by_response_handle.get(&response_handle).copied()
     }
 
     /// Marks a request as answered; returns its entry unless it was answered before.
@@ -147,7 +147,7 @@
         entry.is_answered = true;
         entry.answered_at = now;
         self.unanswered_count -= 1;
-        self.by_reply_handle.remove(&entry.reply_handle);
+        self.by_response_handle.remove(&entry.response_handle);
         Some(entry)
     }
 
@@ -156,7 +156,7 @@
         let entry = self.entries.remove(&id)?;
         self.by_attempt.remove(&entry.attempt_id);
         if !entry.is_answered {
-            self.by_reply_handle.remove(&entry.reply_handle);
+            self.by_response_handle.remove(&entry.response_handle);
             self.unanswered_count -= 1;
         }
         Some(entry)
--- a/crates/loomflow-server/src/request_table/tests.rs
+++ b/crates/loomflow-server/src/request_table/tests.rs
@@ -7,7 +7,7 @@
         table.insert(
             id,
             RequestEntry::queued(
-                ReplyHandle::Tag(1, id.into()),
+                ResponseHandle::Tag(1, id.into()),
                 AttemptId(id.into()),
                 0,
                 Idempotency::Always,
