--- a/crates/loomflow-server/src/front/resp/connections/capacity.rs
+++ b/crates/loomflow-server/src/front/resp/connections/capacity.rs
@@ -34,7 +34,7 @@
 /// How to reclaim an idle connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReclaimAction {
-    /// Send `BYE`, upon which the peer closes the connection.
+    /// Send `BYE`, which asks the peer to close the connection.
     SendBye,
     /// Close without a `BYE`, because the peer never sent a request.
     Close,
--- a/crates/loomflow-server/src/front/resp/connections/connection.rs
+++ b/crates/loomflow-server/src/front/resp/connections/connection.rs
@@ -66,7 +66,7 @@
         self.close(reason, now);
     }
 
-    /// Sends `BYE`, upon which the peer closes the connection; does nothing if it was sent before.
+    /// Sends `BYE`, which asks the peer to close the connection; does nothing if it was sent before.
     pub(super) fn send_bye(&mut self, now: Millis) {
         if self.bye_sent_at.is_none() {
             self.bye_sent_at = Some(now);
--- a/crates/loomflow-server/src/front/resp/connections/timeouts.rs
+++ b/crates/loomflow-server/src/front/resp/connections/timeouts.rs
@@ -36,7 +36,7 @@
 pub(super) enum IdleAction {
     /// Nothing: no timeout has expired.
     Wait,
-    /// Send `BYE`, upon which the peer closes the connection.
+    /// Send `BYE`, which asks the peer to close the connection.
     SendBye,
     /// Close the connection from this side.
     Close,
