--- a/crates/loomflow-server/src/owner/health_checks.rs
+++ b/crates/loomflow-server/src/owner/health_checks.rs
@@ -6,14 +6,14 @@
 
 use loomflow::time::Millis;
 
-use crate::front::interface::ReplyHandle;
+use crate::front::interface::ResponseHandle;
 
 /// Timeout of a deep health check. A check whose reply the engine has not sent by then fails.
 const HEALTH_CHECK_TIMEOUT_MS: Millis = 1000.0;
 
 /// A deep health check that was sent to the engine and has no reply yet.
 struct PendingHealthCheck {
-    reply_handle: ReplyHandle,
+    response_handle: ResponseHandle,
     deadline: Millis,
 }
 
@@ -57,21 +57,21 @@
     }
 
     /// Adds a check that was sent to the engine with this tag.
-    pub(super) fn add_pending(&mut self, tag: u64, reply_handle: ReplyHandle, now: Millis) {
+    pub(super) fn add_pending(&mut self, tag: u64, response_handle: ResponseHandle, now: Millis) {
         let deadline = now + HEALTH_CHECK_TIMEOUT_MS;
-        self.pending.insert(tag, PendingHealthCheck { reply_handle, deadline });
+        self.pending.insert(tag, PendingHealthCheck { response_handle, deadline });
     }
 
-    /// Removes the check with the tag of an engine reply and returns its reply handle; `None` if no check has it.
-    pub(super) fn take_pending(&mut self, tag: &str) -> Option<ReplyHandle> {
+    /// Removes the check with the tag of an engine reply and returns its response handle; `None` if no check has it.
+    pub(super) fn take_pending(&mut self, tag: &str) -> Option<ResponseHandle> {
         let tag: u64 = tag.parse().ok()?;
-        self.pending.remove(&tag).map(|check| check.reply_handle)
+        self.pending.remove(&tag).map(|check| check.response_handle)
     }
 
-    /// Removes one check that has timed out, and returns its reply handle.
-    pub(super) fn take_expired(&mut self, now: Millis) -> Option<ReplyHandle> {
+    /// Removes one check that has timed out, and returns its response handle.
+    pub(super) fn take_expired(&mut self, now: Millis) -> Option<ResponseHandle> {
         let check = self.pending.first_entry().filter(|check| now >= check.get().deadline)?;
-        Some(check.remove().reply_handle)
+        Some(check.remove().response_handle)
     }
 }
 
--- a/crates/loomflow-server/src/owner/health_checks/tests.rs
+++ b/crates/loomflow-server/src/owner/health_checks/tests.rs
@@ -16,7 +16,7 @@
 #[test]
 fn check_without_reply_expires_after_its_timeout() {
     let mut checks = checks();
-    let handles = [ReplyHandle::Tag(1, 1), ReplyHandle::Tag(1, 2)];
+    let handles = [ResponseHandle::Tag(1, 1), ResponseHandle::Tag(1, 2)];
     checks.add_pending(5, handles[0], 0.0);
     checks.add_pending(6, handles[1], 10.0);
     assert_eq!(checks.take_expired(HEALTH_CHECK_TIMEOUT_MS - 1.0), None);
--- a/crates/loomflow-server/src/request_table.rs
+++ b/crates/loomflow-server/src/request_table.rs
@@ -7,7 +7,7 @@
 use loomflow_protocol::AttemptId;
 
 use crate::engine::{Delivery, PendingCommand, SentCommand};
-use crate::front::interface::ReplyHandle;
+use crate::front::interface::ResponseHandle;
 
 /// The stage of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub struct RequestEntry {
     /// Identifies to the front the connection or message that gets the response.
-    pub reply_handle: ReplyHandle,
+    pub response_handle: ResponseHandle,
     /// Identifies the request to the engine and the ledger.
     pub attempt_id: AttemptId,
     /// Index of the class in the settings.
@@ -58,7 +58,7 @@
 impl RequestEntry {
     /// The entry of a request that was just submitted.
     pub fn queued(
-        reply_handle: ReplyHandle,
+        response_handle: ResponseHandle,
         attempt_id: AttemptId,
         class: usize,
         idempotency: Idempotency,
@@ -66,7 +66,7 @@
         body: Vec<u8>,
     ) -> RequestEntry {
         RequestEntry {
-            reply_handle,
+            response_handle,
             attempt_id,
             class,
             idempotency,
@@ -96,13 +96,13 @@
     }
 }
 
-/// All requests in progress, indexed by id, attempt id and reply handle.
+/// All requests in progress, indexed by id, attempt id and response handle.
 #[derive(Default)]
 pub struct RequestTable {
     entries: BTreeMap<RequestId, RequestEntry>,
     by_attempt: BTreeMap<AttemptId, RequestId>,
-    /// Only unanswered requests are indexed by reply handle.
-    by_reply_handle: BTreeMap<ReplyHandle, RequestId>,
+    /// Only unanswered requests are indexed by response handle.
+    by_response_handle: BTreeMap<ResponseHandle, RequestId>,
     last_id: RequestId,
     unanswered_count: usize,
 }
@@ -121,7 +121,7 @@
     /// Adds an unanswered request under an id from [`RequestTable::next_id`].
     pub fn insert(&mut self, id: RequestId, entry: RequestEntry) {
         self.by_attempt.insert(entry.attempt_id, id);
-        self.by_reply_handle.insert(entry.reply_handle, id);
+        self.by_response_handle.insert(entry.response_handle, id);
         self.unanswered_count += 1;
         self.entries.insert(id, entry);
     }
@@ -136,9 +136,9 @@
         self.by_attempt.get(&attempt_id).copied()
     }
 
-    /// Returns the unanswered request with this reply handle.
-    pub fn find_unanswered(&self, reply_handle: ReplyHandle) -> Option<RequestId> {
-        self.by_reply_handle.get(&reply_handle).copied()
+    /// Returns the unanswered request with this response handle.
+    pub fn find_unanswered(&self, response_handle: ResponseHandle) -> Option<RequestId> {
+        self.by_response_handle.get(&response_handle).copied()
     }
 
     /// Marks a request as answered. Returns its entry, or `None` if it was answered before or is not in the table.
@@ -147,7 +147,7 @@
         entry.is_answered = true;
         entry.answered_at = now;
         self.unanswered_count -= 1;
-        self.by_reply_handle.remove(&entry.reply_handle);
+        self.by_response_handle.remove(&entry.response_handle);
         Some(entry)
     }
 
@@ -156,7 +156,7 @@
         let entry = self.entries.remove(&id)?;
         self.by_attempt.remove(&entry.attempt_id);
         if !entry.is_answered {
-            self.by_reply_handle.remove(&entry.reply_handle);
+            self.by_response_handle.remove(&entry.response_handle);
             self.unanswered_count -= 1;
         }
         Some(entry)
--- a/crates/loomflow-server/src/request_table/tests.rs
+++ b/crates/loomflow-server/src/request_table/tests.rs
@@ -7,7 +7,7 @@
         table.insert(
             id,
             RequestEntry::queued(
-                ReplyHandle::Tag(1, id.into()),
+                ResponseHandle::Tag(1, id.into()),
                 AttemptId(id.into()),
                 0,
                 Idempotency::Always,
