--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -33,7 +33,7 @@
     (
         "docs/design/fleet.md",
         "libraries that were weighed and not chosen",
-        "memberlist chitchat openraft fjall",
+        "memberlist chitchat openraft fjall heed",
     ),
     ("docs/design/fleet.md", "a program that the build does without", "protoc"),
     ("docs/design/crossings.md", "an option of the operating system", "TCP_NODELAY"),
