--- a/crates/loomflow-fleet-commands/src/arguments.rs
+++ b/crates/loomflow-fleet-commands/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line of `loomflow fleet`, read into a [`CommandLine`].
+//! Parses the command line of `loomflow fleet` into a [`CommandLine`].
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -16,39 +16,39 @@
 use crate::job_process::RunOptions;
 use crate::tickets::TicketOptions;
 
-/// How long `work wait` waits without `--timeout`.
+/// Default of `--timeout`: how long `work wait` waits.
 const DEFAULT_WAIT_TIMEOUT: Duration = Duration::from_secs(30 * 60);
-/// How long a duty's process may run without `--longest`.
+/// Default of `--longest`: how long a duty's process may run.
 const DEFAULT_MAX_DURATION: Duration = Duration::from_secs(3_600);
 
-/// Options that take a value.
+/// Options that take a value. `--json`, `--yes` and `--all` take none.
 const OPTIONS_WITH_VALUE: [&str; 16] = [
     "options", "socket", "server", "zone", "file", "reason", "urgency", "for", "window", "timeout", "duty",
     "token", "wait", "longest", "campaign", "batch",
 ];
 
-/// What the command line asks for.
+/// A parsed command line.
 pub enum CommandLine {
-    /// The help text.
+    /// Print the help text.
     Help,
-    /// Something of a server.
+    /// A command that is sent to the server.
     Server {
         command: FleetSubcommand,
-        /// The operators' socket.
+        /// The path of the operators' socket.
         socket: PathBuf,
-        /// Whether JSON is wanted.
+        /// Whether to print JSON instead of tables.
         is_json: bool,
     },
-    /// A receiver's fence; of no server.
+    /// Run a command behind a fence file; needs no server.
     Fence { file: PathBuf, duty: String, token: Token, command: Vec<OsString> },
 }
 
-/// What is asked of a server.
+/// A command that is sent to the server.
 pub enum FleetSubcommand {
     Status,
     Explain(String),
     CreateTickets(TicketOptions),
-    MoveTickets(Transition, Vec<TicketId>),
+    TransitionTickets(Transition, Vec<TicketId>),
     Pause(String),
     Resume,
     ListTickets,
@@ -62,30 +62,35 @@
     Recover,
 }
 
-/// All options and words, before they are put together.
+/// All arguments as given, before they are combined into a [`CommandLine`].
 struct Arguments {
-    words: Vec<String>,
-    /// What stands behind `--`.
+    /// Arguments that are neither options nor values of options.
+    positional: Vec<String>,
+    /// The program after `--`, with its arguments.
     command: Vec<OsString>,
     options_file: Option<PathBuf>,
     socket: Option<PathBuf>,
     is_json: bool,
+    /// `--yes`, which `recover` requires.
     is_confirmed: bool,
     tickets: TicketOptions,
+    /// `--timeout` of `work wait`.
     wait_timeout: Duration,
     duty: Option<String>,
     token: Option<Token>,
+    /// `--wait` of `duty run`.
     ownership_timeout: Duration,
+    /// `--longest` of `duty run`.
     max_duration: Duration,
 }
 
-/// Reads a command line.
+/// Parses a command line.
 ///
 /// # Errors
-/// It is wrong.
+/// It is invalid, or the options file that names the socket cannot be used.
 pub fn parse(mut parser: lexopt::Parser) -> Result<CommandLine, UsageError> {
     let mut arguments = Arguments::read(&mut parser)?;
-    match arguments.words.first().map(String::as_str) {
+    match arguments.positional.first().map(String::as_str) {
         Some("help") => Ok(CommandLine::Help),
         Some("fence") => arguments.fence(),
         Some("duty") => {
@@ -100,19 +105,19 @@
     }
 }
 
-/// The command behind `--`, and a parser of what stands before it.
+/// Splits the arguments at `--`: returns a parser of those before it, and the command after it.
 fn split_command(parser: &mut lexopt::Parser) -> Result<(lexopt::Parser, Vec<OsString>), UsageError> {
-    let mut words: Vec<OsString> = parser.raw_args()?.collect();
-    let at = words.iter().position(|argument| argument == "--").unwrap_or(words.len());
-    let command = words.split_off(at).into_iter().skip(1).collect();
-    Ok((lexopt::Parser::from_args(words), command))
+    let mut arguments: Vec<OsString> = parser.raw_args()?.collect();
+    let separator = arguments.iter().position(|argument| argument == "--").unwrap_or(arguments.len());
+    let command = arguments.split_off(separator).into_iter().skip(1).collect();
+    Ok((lexopt::Parser::from_args(arguments), command))
 }
 
 impl Arguments {
     fn read(parser: &mut lexopt::Parser) -> Result<Arguments, UsageError> {
         let (mut parser, command) = split_command(parser)?;
         let mut arguments = Arguments {
-            words: Vec::new(),
+            positional: Vec::new(),
             command,
             options_file: std::env::var_os("LOOMFLOW_OPTIONS").map(PathBuf::from),
             socket: None,
@@ -134,14 +139,14 @@
                     let name = name.to_owned();
                     arguments.set(&name, parser.value()?)?;
                 }
-                Value(argument) => arguments.words.push(argument.to_string_lossy().into_owned()),
+                Value(argument) => arguments.positional.push(argument.to_string_lossy().into_owned()),
                 other => return Err(other.unexpected().into()),
             }
         }
         Ok(arguments)
     }
 
-    /// Takes in one option of [`OPTIONS_WITH_VALUE`].
+    /// Sets one option of [`OPTIONS_WITH_VALUE`].
     fn set(&mut self, name: &str, value: OsString) -> Result<(), UsageError> {
         let text = value.to_string_lossy().into_owned();
         let tickets = &mut self.tickets;
@@ -153,29 +158,29 @@
             "file" => tickets.file = Some(value.into()),
             "reason" => tickets.reason = text,
             "urgency" => tickets.urgency = urgency(&text)?,
-            "for" => tickets.duration = Some(span(&text)?),
+            "for" => tickets.duration = Some(duration(&text)?),
             "window" => tickets.window = Some(parse_window(&text)?),
             "campaign" => tickets.campaign = Some(text),
             "batch" => {
-                tickets.batch_size = text.parse().map_err(|_| UsageError::NotANumber(text))?;
+                tickets.batch_size = text.parse().map_err(|_| UsageError::InvalidBatchSize(text))?;
             }
             "duty" => self.duty = Some(text),
-            "token" => self.token = Some(text.parse().map_err(|_| UsageError::NotAToken(text))?),
-            "wait" => self.ownership_timeout = span(&text)?,
-            "longest" => self.max_duration = span(&text)?,
-            _ => self.wait_timeout = span(&text)?,
+            "token" => self.token = Some(text.parse().map_err(|_| UsageError::InvalidToken(text))?),
+            "wait" => self.ownership_timeout = duration(&text)?,
+            "longest" => self.max_duration = duration(&text)?,
+            _ => self.wait_timeout = duration(&text)?,
         }
         Ok(())
     }
 
-    fn words(&self) -> Vec<&str> {
-        self.words.iter().map(String::as_str).collect()
+    fn positional(&self) -> Vec<&str> {
+        self.positional.iter().map(String::as_str).collect()
     }
 
     fn fence(self) -> Result<CommandLine, UsageError> {
-        let file = self.words.get(1).ok_or(UsageError::Missing("fence: which file?"))?.into();
-        let duty = self.duty.ok_or(UsageError::Missing("fence: --duty"))?;
-        let token = self.token.ok_or(UsageError::Missing("fence: --token"))?;
+        let file = self.positional.get(1).ok_or(UsageError::Missing("fence: FILE is missing"))?.into();
+        let duty = self.duty.ok_or(UsageError::Missing("fence: --duty is missing"))?;
+        let token = self.token.ok_or(UsageError::Missing("fence: --token is missing"))?;
         Ok(CommandLine::Fence { file, duty, token, command: self.command })
     }
 
@@ -187,42 +192,46 @@
                 options.fleet.ok_or(UsageError::NoFleet(file))?.socket()
             }
             (None, None) => {
-                return Err(UsageError::Missing("which server? give --options FILE or --socket PATH"));
+                return Err(UsageError::Missing("no server given: use --options FILE or --socket PATH"));
             }
         };
         Ok(CommandLine::Server { command, socket, is_json: self.is_json })
     }
 
     fn fleet_command(&mut self) -> Result<FleetSubcommand, UsageError> {
-        let command = match self.words().as_slice() {
+        let command = match self.positional().as_slice() {
             ["status"] => FleetSubcommand::Status,
             ["explain", server] => FleetSubcommand::Explain((*server).to_owned()),
-            ["work", work @ ..] => return self.work_command(&owned(work)),
+            ["work", work @ ..] => return self.work_command(&to_strings(work)),
             ["found"] => FleetSubcommand::Bootstrap,
             ["recover"] if self.is_confirmed => FleetSubcommand::Recover,
             ["recover"] => return Err(UsageError::NotConfirmed),
-            [] => return Err(UsageError::Missing("fleet: what?")),
-            words => return Err(UsageError::UnknownCommand(words.join(" "))),
+            [] => return Err(UsageError::Missing("fleet: no command given")),
+            arguments => return Err(UsageError::UnknownCommand(arguments.join(" "))),
         };
         Ok(command)
     }
 
-    /// What follows `work`.
-    fn work_command(&mut self, words: &[String]) -> Result<FleetSubcommand, UsageError> {
-        let words: Vec<&str> = words.iter().map(String::as_str).collect();
-        Ok(match words.as_slice() {
-            ["ask"] if self.tickets.ways_to_choose_servers() == 1 => {
+    /// Parses the arguments after `work`.
+    fn work_command(&mut self, arguments: &[String]) -> Result<FleetSubcommand, UsageError> {
+        let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+        Ok(match arguments.as_slice() {
+            ["ask"] if self.tickets.server_selectors() == 1 => {
                 FleetSubcommand::CreateTickets(std::mem::take(&mut self.tickets))
             }
             ["ask"] => {
-                let message = "one of --server, --zone, --all and --file says which servers";
+                let message = "work ask: exactly one of --server, --zone, --all and --file is required";
                 return Err(UsageError::Missing(message));
             }
             ["campaigns"] => FleetSubcommand::ListCampaigns,
             ["resume", name] => FleetSubcommand::Campaign(CampaignCommand::Resume((*name).to_owned())),
             ["drop", name] => FleetSubcommand::Campaign(CampaignCommand::Drop((*name).to_owned())),
-            ["withdraw", ids @ ..] => FleetSubcommand::MoveTickets(Transition::Withdraw, ticket_ids(ids)?),
-            ["write-off", ids @ ..] => FleetSubcommand::MoveTickets(Transition::Abandon, ticket_ids(ids)?),
+            ["withdraw", ids @ ..] => {
+                FleetSubcommand::TransitionTickets(Transition::Withdraw, ticket_ids(ids)?)
+            }
+            ["write-off", ids @ ..] => {
+                FleetSubcommand::TransitionTickets(Transition::Abandon, ticket_ids(ids)?)
+            }
             ["pause", reason @ ..] => FleetSubcommand::Pause(reason.join(" ")),
             ["resume"] => FleetSubcommand::Resume,
             ["list"] => FleetSubcommand::ListTickets,
@@ -230,17 +239,17 @@
             ["watch"] => FleetSubcommand::Watch,
             ["wait"] => match self.tickets.servers.as_slice() {
                 [server] => FleetSubcommand::Wait { server: server.clone(), timeout: self.wait_timeout },
-                _ => return Err(UsageError::Missing("work wait: one --server")),
+                _ => return Err(UsageError::Missing("work wait: exactly one --server is required")),
             },
-            _ => return Err(UsageError::UnknownCommand(self.words.join(" "))),
+            _ => return Err(UsageError::UnknownCommand(self.positional.join(" "))),
         })
     }
 
-    /// What follows `duty`.
+    /// Parses the arguments after `duty`.
     fn duty_command(&mut self) -> Result<DutySubcommand, UsageError> {
-        let words = owned(&self.words()[1..]);
-        let words: Vec<&str> = words.iter().map(String::as_str).collect();
-        Ok(match words.as_slice() {
+        let arguments = to_strings(&self.positional()[1..]);
+        let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+        Ok(match arguments.as_slice() {
             ["list"] => DutySubcommand::List,
             ["history"] => DutySubcommand::History,
             ["show", duty] => DutySubcommand::Show((*duty).to_owned()),
@@ -259,26 +268,27 @@
                 max_duration: self.max_duration,
                 command: std::mem::take(&mut self.command),
             }),
-            ["run", _] => return Err(UsageError::Missing("duty run NAME -- COMMAND: which command?")),
-            words => return Err(UsageError::UnknownDutyCommand(words.join(" "))),
+            ["run", _] => return Err(UsageError::Missing("duty run NAME -- COMMAND: COMMAND is missing")),
+            arguments => return Err(UsageError::UnknownDutyCommand(arguments.join(" "))),
         })
     }
 }
 
-fn owned(words: &[&str]) -> Vec<String> {
-    words.iter().map(|argument| (*argument).to_owned()).collect()
+fn to_strings(arguments: &[&str]) -> Vec<String> {
+    arguments.iter().map(|argument| (*argument).to_owned()).collect()
 }
 
-fn span(text: &str) -> Result<Duration, UsageError> {
+fn duration(text: &str) -> Result<Duration, UsageError> {
     Ok(parse_duration(text)?)
 }
 
-fn ticket_ids(words: &[&str]) -> Result<Vec<TicketId>, UsageError> {
-    if words.is_empty() {
-        return Err(UsageError::Missing("which ticket?"));
+fn ticket_ids(arguments: &[&str]) -> Result<Vec<TicketId>, UsageError> {
+    if arguments.is_empty() {
+        return Err(UsageError::Missing("work: no ticket number given"));
     }
-    let id = |argument: &&str| argument.parse().map_err(|_| UsageError::NotATicket((*argument).to_owned()));
-    words.iter().map(id).collect()
+    let id =
+        |argument: &&str| argument.parse().map_err(|_| UsageError::InvalidTicket((*argument).to_owned()));
+    arguments.iter().map(id).collect()
 }
 
 fn urgency(text: &str) -> Result<Urgency, UsageError> {
--- a/crates/loomflow-fleet-commands/src/client.rs
+++ b/crates/loomflow-fleet-commands/src/client.rs
@@ -1,4 +1,4 @@
-//! The operators' end of the socket: one request a connection, a line of JSON each way.
+//! The client of the operators' socket: one request per connection, one line of JSON in each direction.
 
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::net::UnixStream;
@@ -15,34 +15,34 @@
 
 use crate::error::CommandError;
 
-/// A response is waited for this long: longer than the server itself waits for the leader.
+/// Read timeout for a response: longer than the server itself waits for the leader.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Speaks with the server on this machine, and prints what it answers.
+/// Sends requests to the server on this machine and prints the results.
 pub struct Client {
-    /// The operators' socket.
+    /// The path of the operators' socket.
     pub socket: PathBuf,
-    /// Whether values are printed as JSON, and not as tables.
+    /// Whether to print JSON instead of tables.
     pub is_json: bool,
 }
 
-/// What the fleet tells of its tickets.
+/// The fleet's tickets, open and closed, with their history.
 pub struct TicketLists {
-    /// Open tickets, by their number.
+    /// Open tickets, in order of their ids.
     pub open: Vec<Ticket>,
-    /// Closed tickets, the last first.
+    /// Recently closed tickets, latest first.
     pub closed: Vec<Ticket>,
-    /// The history, the last first.
+    /// Recent events, latest first.
     pub events: Vec<TicketEvent>,
 }
 
 impl Client {
-    /// Sends one request to the server.
+    /// Sends a request to the server and returns its response.
     pub fn call(&self, request: &OperatorRequest) -> Result<OperatorResponse, CommandError> {
         call(&self.socket, request)
     }
 
-    /// Sends one request to the leader.
+    /// Sends a request to the leader through the server. A rejection is returned as an error.
     pub fn request(&self, request: FleetRequest) -> Result<FleetResponse, CommandError> {
         match self.call(&OperatorRequest::Fleet(request))? {
             OperatorResponse::Response(FleetResponse::Rejected(rejection)) => Err(rejection.into()),
@@ -51,13 +51,13 @@
         }
     }
 
-    /// Puts a command into the log, in the name of the account.
+    /// Submits a command to the log, issued by the user named in `USER`.
     pub fn execute(&self, command: FleetCommand) -> Result<FleetResponse, CommandError> {
         let account = std::env::var("USER").unwrap_or_else(|_| "operator".into());
         self.request(FleetRequest::Execute { issuer: Issuer::Operator(account), command })
     }
 
-    /// The fleet as its leader sees it.
+    /// Returns the fleet's status as its leader sees it.
     pub fn status(&self) -> Result<Box<FleetStatus>, CommandError> {
         match self.request(FleetRequest::Status)? {
             FleetResponse::Status(status) => Ok(status),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// All tickets.
+    /// Returns the fleet's tickets and their history.
     pub fn tickets(&self) -> Result<TicketLists, CommandError> {
         match self.request(FleetRequest::Tickets)? {
             FleetResponse::Tickets { open, closed, events } => Ok(TicketLists { open, closed, events }),
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Whether a server listens on the socket.
+    /// Whether a server accepts connections on the socket.
     pub fn is_reachable(&self) -> bool {
         UnixStream::connect(&self.socket).is_ok()
     }
 
-    /// Prints a value, as JSON or as the text that `table` gives.
+    /// Prints a value as JSON, or as the text that `table` returns.
     pub fn print<T: Serialize>(
         &self,
         value: &T,
@@ -96,16 +96,17 @@
 /// Sends one request on an operators' socket and returns the response.
 ///
 /// # Errors
-/// Nobody listens there, or the server does not answer or reports an error.
+/// The socket does not accept a connection, no response arrives within [`RESPONSE_TIMEOUT`], or the server reports an
+/// error.
 pub fn call(socket: &Path, request: &OperatorRequest) -> Result<OperatorResponse, CommandError> {
     let io_error = CommandError::io(socket);
     let mut stream = UnixStream::connect(socket).map_err(&io_error)?;
     stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).map_err(&io_error)?;
     let line = encode_line(request)?;
     stream.write_all(&line).map_err(&io_error)?;
-    let mut answer = String::new();
-    BufReader::new(stream).read_line(&mut answer).map_err(&io_error)?;
-    match serde_json::from_str(&answer).map_err(CommandError::json(socket))? {
+    let mut response = String::new();
+    BufReader::new(stream).read_line(&mut response).map_err(&io_error)?;
+    match serde_json::from_str(&response).map_err(CommandError::json(socket))? {
         OperatorResponse::Error(message) => Err(CommandError::Server(message)),
         response => Ok(response),
     }
--- a/crates/loomflow-fleet-commands/src/duties.rs
+++ b/crates/loomflow-fleet-commands/src/duties.rs
@@ -1,4 +1,4 @@
-//! `loomflow fleet duty …`: duties for operators and their scripts.
+//! `loomflow fleet duty …`: shows and changes duties, and runs a command as the owner of one.
 
 use std::process::ExitCode;
 
@@ -10,18 +10,18 @@
 use crate::job_process::RunOptions;
 use crate::{job_process, output};
 
-/// What is asked about duties.
+/// A command on duties.
 pub enum DutySubcommand {
     List,
     Show(DutyName),
     History,
-    /// Put a command into the log.
+    /// Submit a command to the log.
     Execute(DutyCommand),
-    /// Run a process as the owner.
+    /// Run a process as the owner of a duty.
     Run(RunOptions),
 }
 
-/// Carries out a command on duties.
+/// Executes a command on duties and prints its result.
 pub fn run(command: DutySubcommand, client: &Client) -> Result<ExitCode, CommandError> {
     match command {
         DutySubcommand::List => {
--- a/crates/loomflow-fleet-commands/src/error.rs
+++ b/crates/loomflow-fleet-commands/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a command of an operator. Messages name the key or the value that is wrong.
+//! Errors of operator commands. Messages name the key or the value that is wrong.
 
 use std::fmt::Debug;
 use std::io;
@@ -10,157 +10,161 @@
 use loomflow_fleet::maintenance::ticket::Rejection;
 use loomflow_settings::error::{SpanError, YamlError};
 
-/// An unexpected response is printed up to this length, bytes.
+/// An unexpected response is printed only if its text is shorter than this, bytes.
 const MAX_PRINTED_BYTES: usize = 300;
 
-/// The command line is wrong.
+/// The command line is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum UsageError {
-    /// An unknown option, or one without its value.
+    /// An unknown option, or an option without its value.
     #[error(transparent)]
     Arguments(#[from] lexopt::Error),
-    /// A value is not a number.
-    #[error("{0:?} is no number")]
-    NotANumber(String),
-    /// A value is not a fencing token.
-    #[error("{0:?} is no token")]
-    NotAToken(String),
-    /// A value is not the number of a ticket.
-    #[error("{0:?} is no ticket")]
-    NotATicket(String),
-    /// A value of `--urgency`.
-    #[error("urgency: {0:?} is none of routine, urgent, broken")]
+    /// The value of `--batch` is not a number.
+    #[error("--batch: {0:?} is not a whole number")]
+    InvalidBatchSize(String),
+    /// The value of `--token` is not a fencing token.
+    #[error("--token: {0:?} is not a fencing token: expected a whole number")]
+    InvalidToken(String),
+    /// An argument is not a ticket's number.
+    #[error("{0:?} is not a ticket: expected a whole number")]
+    InvalidTicket(String),
+    /// The value of `--urgency` is unknown.
+    #[error("urgency: {0:?} is not one of routine, urgent, broken")]
     UnknownUrgency(String),
-    /// Something that the command needs is not there.
+    /// A required argument is missing, or arguments exclude each other.
     #[error("{0}")]
     Missing(&'static str),
-    /// A command after `--` where none is used.
-    #[error("-- COMMAND is for duty run and fence")]
+    /// A command follows `--`, but the subcommand takes none.
+    #[error("-- COMMAND is only accepted by duty run and fence")]
     UnusedCommand,
-    /// Recovery was not confirmed.
-    #[error("recover loses what only the lost folders had agreed on: say --yes if that is meant")]
+    /// `recover` without `--yes`.
+    #[error("recover discards what was committed only in the lost data directories: confirm with --yes")]
     NotConfirmed,
-    /// No such command.
-    #[error("fleet: unknown: {0}")]
+    /// The subcommand does not exist, or its arguments do not match.
+    #[error("fleet: unknown command: {0}")]
     UnknownCommand(String),
-    /// No such command of `duty`.
-    #[error("fleet duty: unknown: {0}")]
+    /// The subcommand of `duty` does not exist, or its arguments do not match.
+    #[error("fleet duty: unknown command: {0}")]
     UnknownDutyCommand(String),
-    /// The options file does not name a fleet.
+    /// The options file has no `fleet` section, which locates the operators' socket.
     #[error("{}: fleet: missing", .0.display())]
     NoFleet(PathBuf),
-    /// A value is not a span of time.
+    /// A value is not a duration or a window.
     #[error(transparent)]
-    Span(#[from] SpanError),
-    /// The options file cannot be used.
+    InvalidDuration(#[from] SpanError),
+    /// The options file cannot be read or parsed.
     #[error(transparent)]
     Options(#[from] YamlError),
 }
 
-/// The command failed.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// The server cannot be reached, or a file cannot be used.
+    /// The server cannot be reached, or a file cannot be read or written.
     #[error("{}: {source}", .path.display())]
     Io {
-        /// The socket or file.
+        /// The path of the socket or file.
         path: PathBuf,
-        /// Why.
+        /// The error of the system.
         source: io::Error,
     },
-    /// The server's answer, or a file, is not JSON that is known.
+    /// The server's response, or a fence file, is not JSON of the expected form.
     #[error("{}: {source}", .path.display())]
     Json {
-        /// The socket or file.
+        /// The path of the socket or file.
         path: PathBuf,
-        /// Why.
+        /// The parser's error.
         source: serde_json::Error,
     },
-    /// A value cannot be written as JSON.
+    /// A value cannot be serialized as JSON.
     #[error(transparent)]
     Encode(#[from] serde_json::Error),
-    /// The system refuses.
+    /// A signal handler cannot be installed, or the state of a child process cannot be read.
     #[error(transparent)]
     System(#[from] io::Error),
-    /// The server says what went wrong, in words.
+    /// The server reported an error as text.
     #[error("{0}")]
     Server(String),
-    /// The fleet refuses.
+    /// The fleet rejected the command.
     #[error(transparent)]
     Rejected(#[from] Rejection),
-    /// The fleet refuses a command on a duty.
+    /// The fleet rejected a command on a duty, or the duty's name is invalid.
     #[error(transparent)]
     DutyRejected(#[from] DutyRejection),
-    /// A response to something else.
+    /// The response does not belong to the request.
     #[error("{0}")]
     UnexpectedResponse(String),
-    /// The fleet does not know the server.
-    #[error("{0}: no such server")]
+    /// No member of the fleet has this name.
+    #[error("{0}: no member of the fleet has this name")]
     UnknownServer(String),
-    /// No server is meant.
-    #[error("no server stands there")]
+    /// `--zone` or `--all` selects no member.
+    #[error("no member of the fleet is selected")]
     NoServers,
-    /// No duty has that name.
-    #[error("no duty is called {0:?}")]
+    /// No duty has this name.
+    #[error("duty {0:?} does not exist")]
     UnknownDuty(String),
-    /// The campaign file cannot be used.
+    /// The campaign file cannot be read or parsed.
     #[error(transparent)]
     Campaign(#[from] YamlError),
-    /// A value in the campaign file is not a span of time.
+    /// A value in the campaign file is not a duration or a window.
     #[error(transparent)]
-    Span(#[from] SpanError),
-    /// `fence` was given no command.
-    #[error("fence FILE --duty D --token N -- COMMAND: which command?")]
+    InvalidDuration(#[from] SpanError),
+    /// `fence` without a command after `--`.
+    #[error("fence FILE --duty NAME --token N -- COMMAND: COMMAND is missing")]
     MissingCommand,
     /// A program cannot be started.
     #[error("{program}: {source}")]
     Program {
-        /// The program.
+        /// The program, as given on the command line.
         program: String,
-        /// Why.
+        /// The error of the system.
         source: io::Error,
     },
-    /// A duty's process ran longer than it may.
-    #[error("{duty}: it took longer than it may; {status}")]
+    /// A duty's process was terminated because it ran longer than `--longest`.
+    #[error("{duty}: terminated because it ran longer than --longest; {status}")]
     TimedOut {
-        /// The duty.
+        /// The name of the duty.
         duty: String,
-        /// How the process ended.
+        /// The exit status of the process.
         status: ExitStatus,
     },
-    /// A duty's process failed.
+    /// A duty's process exited with a failure.
     #[error("{duty}: {status}")]
     ProcessFailed {
-        /// The duty.
+        /// The name of the duty.
         duty: String,
-        /// How the process ended.
+        /// The exit status of the process.
         status: ExitStatus,
     },
-    /// The fence of a duty cannot be used.
+    /// The fence file has no room for the duty, or cannot be written.
     #[error("{duty}: {source}")]
     Fence {
-        /// The duty.
+        /// The name of the duty.
         duty: String,
-        /// Why.
+        /// The fence's error.
         source: FenceError<io::Error>,
     },
 }
 
 impl CommandError {
-    /// A response to something else, printed where it is short.
+    /// An error for a response that does not belong to the request. Contains the response if it is short.
     pub fn unexpected(response: &impl Debug) -> CommandError {
         let text = format!("{response:?}");
         let is_short = text.len() < MAX_PRINTED_BYTES;
-        CommandError::UnexpectedResponse(if is_short { text } else { "an answer to something else".into() })
+        CommandError::UnexpectedResponse(if is_short {
+            text
+        } else {
+            "the response does not belong to the request".into()
+        })
     }
 
-    /// For `map_err`: an I/O error of a socket or file.
+    /// Returns a function for `map_err` that adds the path of a socket or file to an I/O error.
     pub fn io(path: &Path) -> impl Fn(io::Error) -> CommandError {
         let path = path.to_owned();
         move |source| CommandError::Io { path: path.clone(), source }
     }
 
-    /// For `map_err`: JSON of a socket or file that cannot be read.
+    /// Returns a function for `map_err` that adds the path of a socket or file to a JSON error.
     pub fn json(path: &Path) -> impl Fn(serde_json::Error) -> CommandError {
         let path = path.to_owned();
         move |source| CommandError::Json { path: path.clone(), source }
--- a/crates/loomflow-fleet-commands/src/exit_code.rs
+++ b/crates/loomflow-fleet-commands/src/exit_code.rs
@@ -1,12 +1,12 @@
-//! Exit codes that scripts, and the server that starts the process of a duty, tell outcomes apart by.
+//! Exit codes by which scripts, and the server that starts `duty run`, distinguish outcomes.
 
 /// `work wait`: the server has drained.
 pub const DRAINED: u8 = 0;
-/// `work wait`: the server may not go: it has no ticket, lost it, or it was not its turn in time.
-pub const MAY_NOT_GO: u8 = 3;
-/// `work wait`: the ticket has come to a stage past the drain.
+/// `work wait`: the server has not drained: it has no open ticket, its ticket was withdrawn or lapsed, or the timeout expired.
+pub const NOT_DRAINED: u8 = 3;
+/// `work wait`: the ticket is in a stage past the drain.
 pub const SUPERSEDED: u8 = 4;
-/// `duty run`: nothing was started, because the server never owned the duty.
+/// `duty run`: no process was started, because the server did not own the duty within `--wait`.
 pub const NEVER_OWNED: u8 = 3;
-/// `duty run`: the process was ended because the duty went to another owner, or was about to. `fence`: the token is stale.
+/// `duty run`: the process was terminated because ownership was lost or about to be. `fence`: the token is stale.
 pub const OWNERSHIP_LOST: u8 = 4;
--- a/crates/loomflow-fleet-commands/src/fence.rs
+++ b/crates/loomflow-fleet-commands/src/fence.rs
@@ -1,5 +1,5 @@
-//! `loomflow fleet fence FILE`: the receiver's half for scripts. Under a lock on a file beside it, refuses a lower token, stores
-//! the higher one, and runs the command.
+//! `loomflow fleet fence FILE`: checks fencing tokens for scripts that receive a duty's effects. Holding the lock on
+//! `FILE.lock`, rejects a token lower than the recorded one, records a higher one, and runs the command.
 
 use std::ffi::OsString;
 use std::fs::{File, OpenOptions};
@@ -13,15 +13,15 @@
 use crate::error::CommandError;
 use crate::exit_code;
 
-/// Runs a command unless a later owner was here.
+/// Runs a command unless the fence has recorded a higher token of the duty.
 pub fn run(file: &Path, duty: &str, token: Token, command: &[OsString]) -> Result<ExitCode, CommandError> {
     check_name(duty)?;
     let Some((program, arguments)) = command.split_first() else {
         return Err(CommandError::MissingCommand);
     };
-    let lock = OpenOptions::new().create(true).append(true).open(beside(file, ".lock"));
+    let lock = OpenOptions::new().create(true).append(true).open(with_suffix(file, ".lock"));
     let lock = lock.map_err(CommandError::io(file))?;
-    // Held until this process ends: the effect is done behind it.
+    // Held until the command has ended, so that effects of different owners do not overlap.
     lock.lock().map_err(CommandError::io(file))?;
     let mut fence = load(file)?;
     match fence.admit(duty, token, |fence| store(file, fence)) {
@@ -40,14 +40,14 @@
     Ok(code.map_or(ExitCode::FAILURE, ExitCode::from))
 }
 
-/// The path with an ending added to its name.
-fn beside(file: &Path, ending: &str) -> PathBuf {
+/// Appends a suffix to the file name of a path.
+fn with_suffix(file: &Path, suffix: &str) -> PathBuf {
     let mut name = file.as_os_str().to_owned();
-    name.push(ending);
+    name.push(suffix);
     name.into()
 }
 
-/// Reads the fence; a new one where the file is not there.
+/// Reads the fence, or returns an empty one if the file does not exist.
 fn load(file: &Path) -> Result<Fence, CommandError> {
     match std::fs::read(file) {
         Ok(bytes) => serde_json::from_slice(&bytes).map_err(CommandError::json(file)),
@@ -56,9 +56,9 @@
     }
 }
 
-/// Writes the fence beside its file and renames it into its place, durable before this returns.
+/// Replaces the fence file atomically: writes `FILE.new` and renames it. The change is durable when this returns.
 fn store(file: &Path, fence: &Fence) -> io::Result<()> {
-    let temporary = beside(file, ".new");
+    let temporary = with_suffix(file, ".new");
     let bytes = serde_json::to_vec(fence).map_err(io::Error::other)?;
     let mut out = File::create(&temporary)?;
     out.write_all(&bytes)?;
--- a/crates/loomflow-fleet-commands/src/job_process.rs
+++ b/crates/loomflow-fleet-commands/src/job_process.rs
@@ -1,5 +1,5 @@
-//! `loomflow fleet duty run`: runs a program as the owner of a duty, in a process group of its own, and ends it before the lease
-//! can expire. When it has to end is decided in `loomflow_fleet::duty::supervisor`; here are the process and the clock.
+//! `loomflow fleet duty run`: runs a program as the owner of a duty, in its own process group, and terminates it before
+//! the lease can expire. `loomflow_fleet::duty::supervisor` decides when; this module handles the process and the clock.
 
 use std::ffi::OsString;
 use std::os::unix::process::CommandExt;
@@ -21,82 +21,85 @@
 use crate::error::CommandError;
 use crate::exit_code;
 
-/// How often the process is looked at.
+/// How often the process and its supervisor are polled.
 const PROCESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How often ownership is asked for where it is not there yet.
+/// How often ownership is queried until the server owns the duty.
 const OWNERSHIP_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Ownership is asked for this many times within a lease while the process runs.
+/// How many times per lease ownership is queried while the process runs.
 const OWNERSHIP_POLLS_PER_LEASE: u64 = 10;
 
 /// The options of `duty run`.
 pub struct RunOptions {
+    /// The duty whose owner runs the command.
     pub duty: DutyName,
-    /// Run only as the owner with this token.
+    /// If set, run only while this is the owner's token.
     pub token: Option<Token>,
-    /// How long ownership is waited for.
+    /// How long to wait for ownership before giving up.
     pub ownership_timeout: Duration,
-    /// How long the process may run.
+    /// The process is terminated after this time.
     pub max_duration: Duration,
-    /// The program with its arguments.
+    /// The program with its arguments; never empty.
     pub command: Vec<OsString>,
 }
 
-/// A duty that the server owns, and until when by the clock of this machine.
+/// A confirmation that the server owns a duty.
 struct ConfirmedOwnership {
-    duty: OwnershipConfirmation,
+    confirmation: OwnershipConfirmation,
+    /// Earliest possible end of the lease, boot clock, ms.
     valid_until: IntegerMillis,
 }
 
-/// What was answered to one question about ownership; none where it is not there.
-type OwnershipAnswer = Result<Option<ConfirmedOwnership>, CommandError>;
+/// The result of an ownership query; `None` if the server does not own the duty.
+type OwnershipResult = Result<Option<ConfirmedOwnership>, CommandError>;
 
-/// Runs the program, once the server owns the duty.
+/// Waits until the server owns the duty, then runs the program under supervision.
 pub fn run(socket: &Path, options: &RunOptions) -> Result<ExitCode, CommandError> {
     let stop_requested = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
         signal_hook::flag::register(signal, stop_requested.clone())?;
     }
     let Some(ownership) = wait_for_ownership(socket, options, &stop_requested)? else {
-        eprintln!("loomflow: {}: this server does not own it", options.duty);
+        eprintln!("loomflow: {}: this server does not own the duty", options.duty);
         return Ok(ExitCode::from(exit_code::NEVER_OWNED));
     };
-    let mut child = start(options, &ownership.duty)?;
-    let answers = poll_ownership(socket, &options.duty, ownership.duty.lease_settings.lease_millis);
+    let mut child = start(options, &ownership.confirmation)?;
+    let lease_settings = ownership.confirmation.lease_settings;
+    let ownership_results = poll_ownership(socket, &options.duty, lease_settings.lease_millis);
     let max_duration = whole_millis(options.max_duration);
-    let mut supervisor = ProcessSupervisor::new(
-        ownership.duty.lease_settings,
-        ownership.valid_until,
-        max_duration,
-        boot_millis(),
-    );
-    let token = ownership.duty.token;
-    let status = supervise(&mut child, &mut supervisor, token, &answers, &stop_requested)?;
-    // What the process left behind in its group goes with it.
+    let mut supervisor =
+        ProcessSupervisor::new(lease_settings, ownership.valid_until, max_duration, boot_millis());
+    let token = ownership.confirmation.token;
+    let status = supervise(&mut child, &mut supervisor, token, &ownership_results, &stop_requested)?;
+    // Kills the processes that the program left behind in its group.
     send_signal(&child, Signal::KILL);
     let _ = call(socket, &OperatorRequest::WorkEnded(options.duty.clone()));
     exit_code_of(&options.duty, token, supervisor.stop_reason(), status)
 }
 
-/// Asks whether the server owns a duty now; the lease counts from before it was asked.
-fn query_ownership(socket: &Path, duty: &str) -> OwnershipAnswer {
+/// Asks the server whether it owns a duty. The remaining lease is counted from before the query, so that the end is never
+/// later than the fleet's.
+fn query_ownership(socket: &Path, duty: &str) -> OwnershipResult {
     let queried_at = boot_millis();
     match call(socket, &OperatorRequest::CheckOwnership(duty.to_owned()))? {
-        OperatorResponse::Owned(duty) => {
-            let valid_until = queried_at + duty.remaining_millis;
-            Ok(Some(ConfirmedOwnership { duty, valid_until }))
+        OperatorResponse::Owned(confirmation) => {
+            let valid_until = queried_at + confirmation.remaining_millis;
+            Ok(Some(ConfirmedOwnership { confirmation, valid_until }))
         }
         OperatorResponse::NotOwned => Ok(None),
         other => Err(CommandError::unexpected(&other)),
     }
 }
 
-/// Waits until the server owns the duty; none where it does not in time.
-fn wait_for_ownership(socket: &Path, options: &RunOptions, stop_requested: &AtomicBool) -> OwnershipAnswer {
+/// Polls until the server owns the duty with the required token. Returns `None` if it does not within the timeout, or if a
+/// stop is requested first.
+fn wait_for_ownership(socket: &Path, options: &RunOptions, stop_requested: &AtomicBool) -> OwnershipResult {
     let deadline = Instant::now() + options.ownership_timeout;
-    let has_token = |token: Token| options.token.is_none_or(|wanted| wanted == token);
+    let has_token = |token: Token| options.token.is_none_or(|required| required == token);
     loop {
-        let answer = query_ownership(socket, &options.duty)?;
-        let usable = answer.filter(|one| !one.duty.is_recalled && has_token(one.duty.token));
+        let ownership = query_ownership(socket, &options.duty)?;
+        let usable = ownership.filter(|ownership| {
+            !ownership.confirmation.is_recalled && has_token(ownership.confirmation.token)
+        });
         if usable.is_some() || Instant::now() >= deadline || stop_requested.load(Ordering::Relaxed) {
             return Ok(usable);
         }
@@ -104,22 +107,22 @@
     }
 }
 
-fn start(options: &RunOptions, duty: &OwnershipConfirmation) -> Result<Child, CommandError> {
+fn start(options: &RunOptions, ownership: &OwnershipConfirmation) -> Result<Child, CommandError> {
     let (program, arguments) =
-        options.command.split_first().expect("a command line without a program is refused");
+        options.command.split_first().expect("the command line parser rejects `duty run` without a program");
     Command::new(program)
         .args(arguments)
         .env("LOOMFLOW_DUTY", &options.duty)
-        .env("LOOMFLOW_TOKEN", duty.token.to_string())
-        .env("LOOMFLOW_CHECKPOINT", String::from_utf8_lossy(&duty.checkpoint).as_ref())
+        .env("LOOMFLOW_TOKEN", ownership.token.to_string())
+        .env("LOOMFLOW_CHECKPOINT", String::from_utf8_lossy(&ownership.checkpoint).as_ref())
         .process_group(0)
         .spawn()
         .map_err(|source| CommandError::Program { program: program.to_string_lossy().into(), source })
 }
 
-/// Asks for ownership again and again, on a thread of its own: it must not hold up the supervision, as the server may be
-/// stopped in the middle of an answer.
-fn poll_ownership(socket: &Path, duty: &str, lease_millis: IntegerMillis) -> Receiver<OwnershipAnswer> {
+/// Queries ownership periodically on a separate thread: the server may be stopped in the middle of a response, which must
+/// not block the supervision.
+fn poll_ownership(socket: &Path, duty: &str, lease_millis: IntegerMillis) -> Receiver<OwnershipResult> {
     let (sender, receiver) = channel();
     let interval = Duration::from_millis(lease_millis / OWNERSHIP_POLLS_PER_LEASE);
     let (socket, duty) = (socket.to_owned(), duty.to_owned());
@@ -131,12 +134,12 @@
     receiver
 }
 
-/// Watches the process until it has ended.
+/// Supervises the process until it has ended and returns its exit status.
 fn supervise(
     child: &mut Child,
     supervisor: &mut ProcessSupervisor,
     token: Token,
-    answers: &Receiver<OwnershipAnswer>,
+    ownership_results: &Receiver<OwnershipResult>,
     stop_requested: &AtomicBool,
 ) -> Result<ExitStatus, CommandError> {
     loop {
@@ -144,8 +147,8 @@
             return Ok(status);
         }
         let now = boot_millis();
-        for answer in answers.try_iter() {
-            apply_answer(supervisor, token, answer, now);
+        for result in ownership_results.try_iter() {
+            apply_ownership_result(supervisor, token, result, now);
         }
         if stop_requested.load(Ordering::Relaxed) {
             supervisor.request_stop(now);
@@ -158,22 +161,22 @@
     }
 }
 
-fn apply_answer(
+fn apply_ownership_result(
     supervisor: &mut ProcessSupervisor,
     token: Token,
-    answer: OwnershipAnswer,
+    result: OwnershipResult,
     now: IntegerMillis,
 ) {
-    match answer {
-        Ok(Some(ownership)) if ownership.duty.token == token => {
+    match result {
+        Ok(Some(ownership)) if ownership.confirmation.token == token => {
             supervisor.extend_ownership(ownership.valid_until);
-            if ownership.duty.is_recalled {
+            if ownership.confirmation.is_recalled {
                 supervisor.request_stop(now);
             }
         }
-        // Another token, or none: the duty is somebody else's by now.
+        // Another token, or none: another server may own the duty by now.
         Ok(_) => supervisor.ownership_lost(now),
-        // Not reached: what is left of the lease counts.
+        // The query failed: the process may run until the confirmed lease runs out.
         Err(_) => {}
     }
 }
@@ -186,10 +189,10 @@
 ) -> Result<ExitCode, CommandError> {
     let duty = duty.to_owned();
     match stop_reason {
-        // It succeeded before it was asked to end, or in time after.
+        // The process succeeded, before or after it was told to stop.
         _ if status.success() => Ok(ExitCode::SUCCESS),
         Some(StopReason::HandOver | StopReason::LeaseExpiring) => {
-            eprintln!("loomflow: {duty}: token {token} was given up; {status}");
+            eprintln!("loomflow: {duty}: the process was stopped and token {token} given up; {status}");
             Ok(ExitCode::from(exit_code::OWNERSHIP_LOST))
         }
         Some(StopReason::TimedOut) => Err(CommandError::TimedOut { duty, status }),
@@ -197,7 +200,7 @@
     }
 }
 
-/// To the whole process group.
+/// Sends a signal to the child's process group.
 fn send_signal(child: &Child, signal: Signal) {
     if let Some(pid) = Pid::from_raw(child.id() as i32) {
         let _ = kill_process_group(pid, signal);
--- a/crates/loomflow-fleet-commands/src/lib.rs
+++ b/crates/loomflow-fleet-commands/src/lib.rs
@@ -1,15 +1,15 @@
-//! `loomflow fleet …`: what an operator asks the server on this machine, and through it the fleet.
+//! `loomflow fleet …`: operator commands, sent to the server on this machine and through it to the fleet's leader.
 //!
-//! - `arguments`: the command line;
-//! - `client`: requests on the operators' socket;
-//! - `tickets`: which servers a request for tickets is about;
-//! - `progress`: waiting for tickets;
-//! - `duties`: `fleet duty …`;
-//! - `job_process`: the process of a duty, ended before its lease can expire;
-//! - `fence`: `fleet fence …`, the receiver's half for scripts;
-//! - `output`: tables for people;
+//! - `arguments`: parses the command line;
+//! - `client`: sends requests over the operators' socket;
+//! - `tickets`: builds the ticket requests of `work ask`;
+//! - `progress`: `work watch` and `work wait`;
+//! - `duties`: `fleet duty …`, except for the process of `duty run`;
+//! - `job_process`: `duty run`: the process of a duty, terminated before its lease can expire;
+//! - `fence`: `fleet fence …`: checks fencing tokens for scripts that receive effects;
+//! - `output`: human-readable output;
 //! - [`exit_code`]: exit codes that scripts and the server rely on;
-//! - `error`: what can go wrong.
+//! - `error`: errors of the command line and of commands.
 
 mod arguments;
 mod client;
@@ -36,48 +36,56 @@
 pub use error::UsageError;
 use tickets::TicketOptions;
 
-/// The help text.
+/// The help text of `loomflow fleet`, printed by `help` and after a usage error.
 pub const USAGE: &str = "\
-usage: loomflow fleet <what> [--options FILE | --socket PATH] [--json]
+usage: loomflow fleet COMMAND [--options FILE | --socket PATH] [--json]
 
-  status                      members by zone, shares, leader, who is out and why
-  explain NAME                why this server waits, rule by rule, with figures
+  status                      leader, limits and members by zone, each with its state, ticket and load
+  explain NAME                why the ticket of this server waits: each check with its figures
   work ask (--server NAME)… | --zone ZONE | --all | --file FILE
            [--reason TEXT] [--urgency routine|urgent|broken] [--for 20m] [--window 30m..4h]
-                              tickets to be taken out for work
+                              requests tickets to take these servers out for maintenance
            [--campaign NAME --batch N]
-                              the same N at a time; halts when a batch comes back worse (needs fleet.duties)
+                              requests them in batches of N, as a campaign: halts when a ticket fails, or when the
+                              share of traffic that a batch's servers request drops (requires fleet.duties)
   work campaigns | resume NAME | drop NAME
-                              how far each is; on where it halted; no further
+                              lists the campaigns; resumes one that halted; deletes one
   work withdraw|write-off TICKET…
-  work pause REASON | resume  no grants until resumed
-  work list | history         open tickets; what happened
-  work watch                  until no ticket is open, with a bar
+                              withdraws tickets whose servers have not begun to drain; abandons those of servers
+                              that will not return
+  work pause REASON | resume  stops granting tickets; grants them again
+  work list | history         open tickets; past events of all tickets
+  work watch                  shows a progress bar until no ticket is open
   work wait --server NAME [--timeout 30m]
-                              until it has drained: 0 then, 3 when it may not go, 4 when superseded
+                              waits until the server has drained: exits with 0 once it has, with 3 if it has no
+                              valid ticket or has not drained in time, with 4 if its ticket is past the drain
   duty list | show NAME | history
-                              who owns which duty, by which token; who did when
+                              duties with their owners and fencing tokens; past events
   duty run NAME [--wait 30s] [--longest 1h] -- COMMAND
-                              as the owner of the duty, with LOOMFLOW_DUTY and LOOMFLOW_TOKEN set; ended before its
-                              lease can be over: 0 done, 1 it failed, 3 never the owner, 4 given up
-  duty start NAME             its owner runs its program once, now
+                              runs a command as the owner of the duty, with LOOMFLOW_DUTY and LOOMFLOW_TOKEN set,
+                              and terminates it before the lease can expire: exits with 0 if the command succeeded,
+                              with 1 if it failed, with 3 if this server did not own the duty, with 4 if the command
+                              was stopped because the duty was lost or given up
+  duty start NAME             makes the owner run the duty's program once, now
   duty release|park|resume NAME [REASON]
-                              to another owner; to none; again
+                              moves the duty to another owner; leaves it without an owner; assigns it again
   fence FILE --duty NAME --token N -- COMMAND
-                              runs it unless a later owner was here: 4 then; else its own code
-  found                       begin a fleet with this voter, once
-  recover --yes               make the fleet anew from this voter's folder, when a majority of folders is lost
+                              runs a command unless FILE records a higher token: exits with 4 then, otherwise with
+                              the command's exit code
+  found                       creates the fleet with this voter; needed once
+  recover --yes               recreates the fleet from this voter's data directory after a majority of the voters
+                              lost theirs
 
-  --options FILE   the server's options file; without it, the file that LOOMFLOW_OPTIONS names
-  --socket PATH    the operators' socket itself
+  --options FILE   the server's options file; default: the file named by LOOMFLOW_OPTIONS
+  --socket PATH    the operators' socket; overrides the options file
 
-exit codes: 0 done, 1 refused or not reached, 2 wrong command line, 3 it may not go or never owned, 4 superseded
+exit codes: 0 done, 1 rejected or unreachable, 2 invalid command line, 3 not drained or never owned, 4 superseded
 ";
 
-/// Runs a command line; what fails is printed.
+/// Runs the command that `parser` holds. A command that fails prints its error and returns [`ExitCode::FAILURE`].
 ///
 /// # Errors
-/// The command line is wrong.
+/// The command line is invalid; nothing has been executed.
 pub fn run(parser: lexopt::Parser) -> Result<ExitCode, UsageError> {
     let result = match arguments::parse(parser)? {
         CommandLine::Help => {
@@ -103,7 +111,9 @@
             other => Err(CommandError::unexpected(&other)),
         },
         FleetSubcommand::CreateTickets(options) => create_tickets(client, options),
-        FleetSubcommand::MoveTickets(transition, tickets) => Ok(move_tickets(client, transition, &tickets)),
+        FleetSubcommand::TransitionTickets(transition, tickets) => {
+            Ok(transition_tickets(client, transition, &tickets))
+        }
         FleetSubcommand::Campaign(command) => submit(client, FleetCommand::Campaign(command)),
         FleetSubcommand::ListCampaigns => match client.request(FleetRequest::Campaigns)? {
             FleetResponse::Campaigns(views) => client.print(&views, || output::campaigns(&views)),
@@ -129,7 +139,7 @@
     }
 }
 
-/// Without a leader, what this server sees is better than nothing.
+/// Prints the leader's status, or this server's own view where the leader cannot be reached.
 fn show_status(client: &Client) -> Result<ExitCode, CommandError> {
     let status: Box<FleetStatus> = match client.request(FleetRequest::Status) {
         Ok(FleetResponse::Status(status)) => status,
@@ -153,11 +163,11 @@
     submit(client, command)
 }
 
-/// Moves each ticket on; one that is refused does not keep the others from it.
-fn move_tickets(client: &Client, transition: Transition, tickets: &[TicketId]) -> ExitCode {
+/// Applies a transition to each ticket. A rejection is printed, and the remaining tickets are still tried.
+fn transition_tickets(client: &Client, transition: Transition, tickets: &[TicketId]) -> ExitCode {
     let mut code = ExitCode::SUCCESS;
     for &ticket in tickets {
-        // The grant and the start of the server are not an operator's to name.
+        // Grant and incarnation are ignored for transitions that an operator makes.
         let command = FleetCommand::Transition { ticket, transition, grant: 0, incarnation: 0 };
         if let Err(error) = submit(client, command) {
             eprintln!("loomflow: ticket {ticket}: {error}");
@@ -167,7 +177,7 @@
     code
 }
 
-/// Puts an operator's command into the log, and prints the tickets that it was about.
+/// Submits an operator's command to the log and prints the tickets that it created or changed.
 fn submit(client: &Client, command: FleetCommand) -> Result<ExitCode, CommandError> {
     match client.execute(command)? {
         FleetResponse::Done(tickets) => client.print(&tickets, || {
--- a/crates/loomflow-fleet-commands/src/output.rs
+++ b/crates/loomflow-fleet-commands/src/output.rs
@@ -1,4 +1,4 @@
-//! What `loomflow fleet` prints: tables for people.
+//! Human-readable output of `loomflow fleet`: tables and short texts.
 
 use std::fmt::Write as _;
 use std::time::Duration;
@@ -15,10 +15,10 @@
 use loomflow_fleet::status::{FleetStatus, MemberRow, SummaryReport};
 use loomflow_fleet::time::{self, FleetMillis, IntegerMillis, whole_seconds};
 
-/// What stands where there is no value.
+/// Printed in place of a missing value.
 const NONE: &str = "-";
 
-/// A table with some columns aligned to the right.
+/// Formats a table; `right_aligned` lists the columns to align to the right.
 fn table(header: &[&str], rows: impl Iterator<Item = Vec<String>>, right_aligned: &[usize]) -> String {
     let mut table = Table::new();
     table.load_preset(presets::NOTHING).set_header(header.iter().copied());
@@ -31,12 +31,12 @@
     table.trim_fmt()
 }
 
-/// A span in whole seconds, such as `1m 20s`.
-fn span(millis: IntegerMillis) -> String {
+/// Formats a duration in whole seconds, such as `1m 20s`.
+fn duration(millis: IntegerMillis) -> String {
     humantime::format_duration(Duration::from_secs(whole_seconds(millis))).to_string()
 }
 
-/// Seconds with one decimal.
+/// Formats milliseconds as seconds with one decimal.
 fn seconds(millis: IntegerMillis) -> String {
     format!("{:.1}", time::seconds(millis))
 }
@@ -48,31 +48,35 @@
     }
 }
 
-/// The fleet as one of its members sees it.
+/// Formats the status of the fleet.
 pub fn status(status: &FleetStatus) -> String {
     let mut text = status_header(status);
     if let Some(reason) = &status.paused {
-        let _ = writeln!(text, "work is paused: {reason}");
+        let _ = writeln!(text, "grants are paused: {reason}");
     }
     if let Some(report) = &status.summary {
         text += &summary(report);
     }
     if status.rejected_messages > 0 {
-        let _ = writeln!(text, "{} orders of old owners were refused here", status.rejected_messages);
+        let _ = writeln!(
+            text,
+            "{} messages of former duty owners were rejected by this server",
+            status.rejected_messages
+        );
     }
     if let Some(error) = &status.storage_error {
-        let _ = writeln!(text, "this server takes no part in the agreement: {error}");
+        let _ = writeln!(text, "this server takes no part in consensus: {error}");
     }
     text + &members(status)
 }
 
 fn status_header(status: &FleetStatus) -> String {
     let leader = status.leader.as_deref().unwrap_or("none");
-    let source = if status.is_from_leader { "" } else { " (as seen here, which does not lead)" };
+    let source = if status.is_from_leader { "" } else { " (seen by this server, which is not the leader)" };
     let per_zone = status.rules.max_out_per_zone;
-    let per_zone = per_zone.map_or(String::new(), |max| format!(", {} in a zone", limit(max)));
+    let per_zone = per_zone.map_or(String::new(), |max| format!(", {} per zone", limit(max)));
     let fleet = format!(
-        "fleet {}: {} members, leader {leader}, term {}, log at {}{source}\n",
+        "fleet {}: {} members, leader {leader}, term {}, log index {}{source}\n",
         status.fleet,
         status.members.len(),
         status.term,
@@ -80,7 +84,7 @@
     );
     fleet
         + &format!(
-            "{} out or about to go, {} may be{per_zone}; {} tickets open; {} left without one\n",
+            "{} servers out or granted, limit {}{per_zone}; {} tickets open; {} drains without a ticket\n",
             status.out,
             limit(status.rules.max_out),
             status.open,
@@ -93,8 +97,8 @@
     let fullest: Vec<String> =
         fullest_zones.iter().map(|(zone, fill)| format!("{zone} {:.0}%", fill * 100.0)).collect();
     format!(
-        "summed up {} s ago by {} (token {}): {serving} of {members} serve, {carried_load:.1} of {capacity:.1} runs at \
-         once, share {share:.2}, fullest {}\n",
+        "summary {} s ago by {} (token {}): {serving} of {members} members serving, {carried_load:.1} of {capacity:.1} \
+         concurrent runs, share {share:.2}, fullest zones {}\n",
         seconds(report.age_millis),
         report.owner,
         report.token,
@@ -111,8 +115,8 @@
 }
 
 fn member_row(member: &MemberRow, leader: Option<&String>) -> Vec<String> {
-    let figure = |of: fn(&LoadReport) -> f32| {
-        member.load_report.as_ref().map_or(NONE.into(), |report| format!("{:.2}", of(report)))
+    let figure = |field: fn(&LoadReport) -> f32| {
+        member.load_report.as_ref().map_or(NONE.into(), |report| format!("{:.2}", field(report)))
     };
     let ticket = member.ticket.map_or(NONE.into(), |(id, stage)| format!("{id} {}", stage.as_str()));
     let role = match (member.is_voter, Some(&member.name) == leader) {
@@ -134,7 +138,7 @@
     ]
 }
 
-/// Open tickets. `now`: the fleet's time, where it is known.
+/// Formats open tickets. `now` is the fleet's time; without it the column "since" shows [`NONE`].
 pub fn tickets(tickets: &[Ticket], now: Option<FleetMillis>) -> String {
     let rows = tickets.iter().map(|ticket| {
         vec![
@@ -142,9 +146,9 @@
             ticket.request.server.clone(),
             ticket.request.zone.clone(),
             ticket.stage.as_str().into(),
-            now.map_or(NONE.into(), |now| span(now.saturating_sub(ticket.since))),
+            now.map_or(NONE.into(), |now| duration(now.saturating_sub(ticket.since))),
             format!("{:?}", ticket.request.urgency).to_lowercase(),
-            span(ticket.request.duration_millis),
+            duration(ticket.request.duration_millis),
             ticket.requested_by.clone(),
             ticket.request.reason.clone(),
         ]
@@ -152,7 +156,7 @@
     table(&["ticket", "server", "zone", "state", "since", "urgency", "for", "by", "reason"], rows, &[0])
 }
 
-/// The history of tickets.
+/// Formats the history of tickets.
 pub fn ticket_events(events: &[TicketEvent]) -> String {
     let rows = events.iter().map(|event| {
         vec![
@@ -166,12 +170,12 @@
     table(&["at s", "ticket", "server", "came to", "grant"], rows, &[0, 1])
 }
 
-/// Why a server waits.
+/// Formats why a server's ticket waits, check by check.
 pub fn explanation(explanation: &Explanation) -> String {
     let server = &explanation.server;
-    let state = explanation.state.map_or("not known to the fleet", |state| state.as_str());
+    let state = explanation.state.map_or("not a member of the fleet", |state| state.as_str());
     let mut text = match explanation.ticket {
-        None => format!("{server}: {state}, no ticket is open\n"),
+        None => format!("{server}: {state}, no open ticket\n"),
         Some((id, stage)) => format!("{server}: {state}, ticket {id} {}\n", stage.as_str()),
     };
     for finding in &explanation.findings {
@@ -181,13 +185,13 @@
     let estimate = &explanation.estimate;
     let _ = writeln!(
         text,
-        "  without it: {:.1} runs at once now, {:.1} the most of the last minutes; those who stay bear {:.1}",
+        "  concurrent runs of the fleet: {:.1} now, recent peak {:.1}; capacity of the servers that stay {:.1}",
         estimate.current_load, estimate.peak_load, estimate.remaining_capacity
     );
     text
 }
 
-/// All duties.
+/// Formats all duties.
 pub fn duties(list: &DutyList) -> String {
     let rows = list.duties.iter().map(|duty| {
         let owner = duty.owner.as_ref().map_or(NONE.into(), |owner| owner.name.clone());
@@ -196,7 +200,7 @@
             owner,
             duty.token.to_string(),
             duty_state(duty),
-            span(list.time.saturating_sub(duty.since)),
+            duration(list.time.saturating_sub(duty.since)),
             if duty.last_run > 0 { duty.last_run.to_string() } else { NONE.into() },
             duty.recent_failures.len().to_string(),
             duty.rejected_writes.to_string(),
@@ -209,14 +213,14 @@
 fn duty_state(duty: &DutyStatus) -> String {
     match (&duty.parked, &duty.owner) {
         (Some(reason), _) => format!("parked: {reason}"),
-        (None, Some(_)) if duty.is_recalled => "to be handed over".into(),
+        (None, Some(_)) if duty.is_recalled => "being released".into(),
         (None, Some(_)) if duty.has_unfinished_run => format!("runs {}", duty.last_run),
         (None, Some(_)) => "owned".into(),
         (None, None) => "free".into(),
     }
 }
 
-/// The history of duties.
+/// Formats the history of duties.
 pub fn duty_events(events: &[DutyEvent]) -> String {
     let rows = events.iter().map(|event| {
         vec![
@@ -231,13 +235,12 @@
     table(&["at s", "duty", "token", "owner", "what", "detail"], rows, &[0, 2])
 }
 
-/// All campaigns.
+/// Formats all campaigns.
 pub fn campaigns(views: &[CampaignView]) -> String {
     let rows = views.iter().map(|view| {
-        let last_batch = view
-            .last_batch
-            .iter()
-            .map(|(server, stage)| format!("{server} {}", stage.map_or("long over", TicketStage::as_str)));
+        let last_batch = view.last_batch.iter().map(|(server, stage)| {
+            format!("{server} {}", stage.map_or("no longer listed", TicketStage::as_str))
+        });
         let status = match &view.status {
             CampaignStatus::Running => "runs".into(),
             CampaignStatus::Halted(reason) => format!("halted: {reason}"),
--- a/crates/loomflow-fleet-commands/src/progress.rs
+++ b/crates/loomflow-fleet-commands/src/progress.rs
@@ -1,4 +1,4 @@
-//! Waiting for tickets: `work watch` and `work wait`.
+//! `work watch` and `work wait`: wait until tickets reach a stage.
 
 use std::collections::BTreeSet;
 use std::process::ExitCode;
@@ -11,14 +11,14 @@
 use crate::error::CommandError;
 use crate::exit_code;
 
-/// How often the fleet is asked.
+/// How often the tickets are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Failed polls in a row after which the command fails.
 const MAX_FAILED_POLLS: usize = 40;
-/// Failed polls in a row after which a server that drains counts as gone: it may be the one that is asked.
+/// Failed polls in a row after which a draining server counts as stopped, if its socket refuses connections.
 const FAILED_POLLS_OF_STOPPED_SERVER: usize = 4;
 
-/// Shows a bar until no ticket is open. A leader that changes meanwhile is waited for.
+/// Shows a progress bar until no ticket is open. Failed polls, for example during a change of leader, are retried.
 pub fn watch(client: &Client) -> Result<ExitCode, CommandError> {
     let bar = ProgressBar::new(0);
     let style = ProgressStyle::with_template("{bar:30} {pos}/{len} done  {msg}");
@@ -54,11 +54,11 @@
     out.collect::<Vec<_>>().join(", ")
 }
 
-/// How a wait ended.
+/// The outcome of `work wait`.
 struct WaitOutcome {
-    /// One of [`exit_code`].
+    /// One of the codes in [`exit_code`].
     exit_code: u8,
-    /// What is printed after the server's name.
+    /// Printed after the server's name.
     message: &'static str,
 }
 
@@ -67,8 +67,8 @@
         WaitOutcome { exit_code: exit_code::DRAINED, message }
     }
 
-    fn may_not_go(message: &'static str) -> WaitOutcome {
-        WaitOutcome { exit_code: exit_code::MAY_NOT_GO, message }
+    fn not_drained(message: &'static str) -> WaitOutcome {
+        WaitOutcome { exit_code: exit_code::NOT_DRAINED, message }
     }
 
     fn superseded(message: &'static str) -> WaitOutcome {
@@ -76,21 +76,23 @@
     }
 }
 
-/// Waits for a server's ticket.
+/// State of `work wait` between polls.
 struct Wait<'a> {
     client: &'a Client,
     server: &'a str,
-    /// The first ticket that was open, whatever is requested later.
+    /// The ticket found first. Tickets that the server gets later are ignored.
     ticket: Option<TicketId>,
+    /// Whether the server was seen to begin its drain.
     has_begun: bool,
+    /// Failed polls in a row.
     failed_polls: usize,
 }
 
-/// For a script before a reboot: waits until the server has drained.
+/// Waits until the server has drained, for a script that then reboots it.
 pub fn wait(client: &Client, server: &str, timeout: Duration) -> Result<ExitCode, CommandError> {
     let deadline = Instant::now() + timeout;
     let mut wait = Wait { client, server, ticket: None, has_begun: false, failed_polls: 0 };
-    let mut outcome = WaitOutcome::may_not_go("it was not its turn in time");
+    let mut outcome = WaitOutcome::not_drained("has not drained within --timeout");
     while Instant::now() < deadline {
         if let Some(reached) = wait.poll()? {
             outcome = reached;
@@ -109,11 +111,11 @@
                 self.failed_polls = 0;
                 Ok(self.outcome(&tickets))
             }
-            // The server that is asked may be the one that goes: its socket ends with it.
+            // The polled server may be the draining one, whose socket closes when it stops.
             Err(_) if self.has_begun && !self.client.is_reachable() => {
                 self.failed_polls += 1;
                 let has_stopped = self.failed_polls >= FAILED_POLLS_OF_STOPPED_SERVER;
-                Ok(has_stopped.then_some(WaitOutcome::drained("drained, and gone")))
+                Ok(has_stopped.then_some(WaitOutcome::drained("drained and stopped")))
             }
             Err(error) => {
                 self.failed_polls += 1;
@@ -122,10 +124,10 @@
         }
     }
 
-    /// The outcome by the stage of the ticket; none where it is waited on.
+    /// Returns the outcome for the ticket's stage, or `None` while it is still waited for.
     fn outcome(&mut self, tickets: &TicketLists) -> Option<WaitOutcome> {
         let Some((stage, has_returned)) = self.find(tickets) else {
-            return Some(WaitOutcome::may_not_go("no ticket of it is open"));
+            return Some(WaitOutcome::not_drained("has no open ticket"));
         };
         match stage {
             TicketStage::Requested | TicketStage::Granted => None,
@@ -134,14 +136,14 @@
                 None
             }
             TicketStage::Out => Some(WaitOutcome::drained("drained")),
-            TicketStage::Overdue if !has_returned => Some(WaitOutcome::drained("drained, and overdue")),
-            TicketStage::Withdrawn => Some(WaitOutcome::may_not_go("its ticket was withdrawn")),
-            TicketStage::Lapsed => Some(WaitOutcome::may_not_go("its ticket lapsed")),
-            _ => Some(WaitOutcome::superseded("its turn is past")),
+            TicketStage::Overdue if !has_returned => Some(WaitOutcome::drained("drained, but overdue")),
+            TicketStage::Withdrawn => Some(WaitOutcome::not_drained("its ticket was withdrawn")),
+            TicketStage::Lapsed => Some(WaitOutcome::not_drained("its ticket lapsed")),
+            _ => Some(WaitOutcome::superseded("its ticket is past the drain")),
         }
     }
 
-    /// The stage of the ticket that is waited for, and whether its server has come back.
+    /// Returns the stage of the ticket that is waited for, and whether its server has restarted since.
     fn find(&mut self, tickets: &TicketLists) -> Option<(TicketStage, bool)> {
         let is_own = |ticket: &&Ticket| {
             ticket.request.server == self.server && self.ticket.is_none_or(|id| id == ticket.id)
--- a/crates/loomflow-fleet-commands/src/tickets.rs
+++ b/crates/loomflow-fleet-commands/src/tickets.rs
@@ -1,4 +1,4 @@
-//! Which servers a request for tickets is about, and what it says of each.
+//! Builds the ticket requests of `work ask` from its options or from a campaign file.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -12,49 +12,54 @@
 
 use crate::error::CommandError;
 
-/// How long a server is to be out without `--for`.
+/// Default of `--for`: how long a server is planned to be out.
 const DEFAULT_DURATION: Duration = Duration::from_secs(20 * 60);
 
 /// The options of `work ask`.
 #[derive(Default)]
 pub struct TicketOptions {
+    /// Values of `--server`.
     pub servers: Vec<String>,
+    /// Selects every member of this zone.
     pub zone: Option<String>,
+    /// `--all`: selects every member.
     pub is_for_all: bool,
-    /// A file with tickets.
+    /// A campaign file that lists the tickets.
     pub file: Option<PathBuf>,
     pub reason: String,
     pub urgency: Urgency,
+    /// How long each server is planned to be out.
     pub duration: Option<Duration>,
-    /// When it may be granted, from now on: from, and before.
+    /// When a ticket may be granted, counted from the request: from, and before.
     pub window: Option<(Duration, Duration)>,
-    /// A campaign of that name, and its tickets at once.
+    /// If set, starts a campaign of this name instead of requesting all tickets at once.
     pub campaign: Option<String>,
+    /// Tickets that the campaign requests at once; 0 counts as 1.
     pub batch_size: u32,
 }
 
 impl TicketOptions {
-    /// How many of the options that choose servers are given; one has to be.
-    pub fn ways_to_choose_servers(&self) -> usize {
-        let ways = [!self.servers.is_empty(), self.zone.is_some(), self.is_for_all, self.file.is_some()];
-        ways.into_iter().filter(|is_present| *is_present).count()
+    /// Number of options given that select servers. `work ask` requires exactly one.
+    pub fn server_selectors(&self) -> usize {
+        let selectors = [!self.servers.is_empty(), self.zone.is_some(), self.is_for_all, self.file.is_some()];
+        selectors.into_iter().filter(|is_present| *is_present).count()
     }
 }
 
-/// A request for each server that is meant, with its zone as the fleet knows it.
+/// Builds one request per selected server, with its zone taken from `members`.
 pub fn requests(options: &TicketOptions, members: &[MemberRow]) -> Result<Vec<TicketRequest>, CommandError> {
     match &options.file {
-        Some(file) => requests_of_file(file, members),
-        None => requests_of_options(options, members),
+        Some(file) => requests_from_file(file, members),
+        None => requests_from_options(options, members),
     }
 }
 
-fn requests_of_file(file: &Path, members: &[MemberRow]) -> Result<Vec<TicketRequest>, CommandError> {
+fn requests_from_file(file: &Path, members: &[MemberRow]) -> Result<Vec<TicketRequest>, CommandError> {
     let campaign = Campaign::load(file)?;
-    campaign.tickets.into_iter().map(|ticket| request_of_ticket(ticket, members)).collect()
+    campaign.tickets.into_iter().map(|ticket| request_from_ticket(ticket, members)).collect()
 }
 
-fn request_of_ticket(ticket: Ticket, members: &[MemberRow]) -> Result<TicketRequest, CommandError> {
+fn request_from_ticket(ticket: Ticket, members: &[MemberRow]) -> Result<TicketRequest, CommandError> {
     let window = ticket.window.as_deref().map(campaign::parse_window).transpose()?;
     let zone = zone_of(&ticket.server, members)?;
     let duration = campaign::parse_duration(&ticket.lasts)?;
@@ -72,13 +77,13 @@
     })
 }
 
-fn requests_of_options(
+fn requests_from_options(
     options: &TicketOptions,
     members: &[MemberRow],
 ) -> Result<Vec<TicketRequest>, CommandError> {
     let servers: BTreeSet<String> = if options.servers.is_empty() {
-        let is_meant = |member: &&MemberRow| options.zone.as_ref().is_none_or(|zone| *zone == member.zone);
-        members.iter().filter(is_meant).map(|member| member.name.clone()).collect()
+        let is_selected = |member: &&MemberRow| options.zone.as_ref().is_none_or(|zone| *zone == member.zone);
+        members.iter().filter(is_selected).map(|member| member.name.clone()).collect()
     } else {
         options.servers.iter().cloned().collect()
     };
--- a/crates/loomflow-server/src/fleet/driver.rs
+++ b/crates/loomflow-server/src/fleet/driver.rs
@@ -1,4 +1,4 @@
-//! The fleet's thread: waits for sockets and timers, feeds the member, and carries out what it wants done.
+//! The fleet's thread: an event loop that passes socket and timer events to the member and applies its effects.
 
 use std::io;
 use std::sync::mpsc::SyncSender;
@@ -19,21 +19,25 @@
 use crate::log;
 use crate::mailbox::{Mailbox, OwnerEvent};
 
-/// Longest sleep: the clock is looked at as often.
+/// Maximum time between two iterations of the event loop.
 pub const MAX_SLEEP: Duration = Duration::from_millis(200);
-/// The same while a job that was told to end has not ended.
+/// [`MAX_SLEEP`] while a job that was told to terminate is still running.
 const SLEEP_WHILE_TERMINATING: Duration = Duration::from_millis(10);
+/// Events taken from one poll.
 const MAX_EVENTS: usize = 256;
 
+/// The owner's [`mio::Waker`].
 pub const WAKE: Token = Token(0);
 
-/// The end of the thread: the owner waits for it until the deadline.
+/// The thread's shutdown, begun when the server has drained.
 pub(super) struct Shutdown {
+    /// Signals the owner, which waits for it.
     done: SyncSender<()>,
+    /// When to stop even if not everything is reported, boot clock, ms.
     deadline: IntegerMillis,
 }
 
-/// The thread's state. `Fleet::start` sets its parts up one by one, as each of them can fail.
+/// The thread's state. Built by [`Fleet::start`](super::Fleet::start), which creates the parts that can fail.
 pub struct Driver {
     pub(super) poll: Poll,
     pub(super) links: Links,
@@ -42,14 +46,14 @@
     pub(super) node: Node,
     pub(super) mailbox: Arc<Mailbox>,
     pub(super) jobs: Jobs,
-    /// How long the owner waits at the end.
+    /// How long the shutdown may take.
     pub(super) shutdown_timeout: Duration,
-    /// None until the server has drained.
+    /// `None` until the server has drained.
     pub(super) shutdown: Option<Shutdown>,
 }
 
 impl Driver {
-    /// Runs until the server has drained, or the poller fails.
+    /// Runs until the server has drained and reported it, or the poller fails.
     pub fn run(mut self) {
         let mut events = Events::with_capacity(MAX_EVENTS);
         loop {
@@ -58,13 +62,17 @@
                 self.node.tick(now);
             }
             self.jobs.tick(&mut self.node, now);
-            self.carry_out_effects(now);
-            if let Some(done) = self.finished(now) {
+            self.apply_effects(now);
+            if let Some(done) = self.finished_shutdown(now) {
                 return self.shut_down(&done, now);
             }
             if let Err(error) = self.wait(&mut events, now) {
                 let why = error.to_string();
-                log!(part = "fleet", why, "the fleet is no longer heard, and the server goes on without it");
+                log!(
+                    part = "fleet",
+                    why,
+                    "polling failed: the fleet's thread stops, the server continues without it"
+                );
                 return;
             }
             let now = boot_millis();
@@ -72,12 +80,12 @@
                 self.handle_event(event, now);
             }
             self.take_owner_messages(now);
-            self.links.sweep(now);
+            self.links.close_timed_out(now);
         }
     }
 
-    /// Whom to tell, once everything is reported or the deadline has passed.
-    fn finished(&self, now: IntegerMillis) -> Option<SyncSender<()>> {
+    /// Returns whom to signal, once everything is reported or the deadline has passed.
+    fn finished_shutdown(&self, now: IntegerMillis) -> Option<SyncSender<()>> {
         let shutdown = self.shutdown.as_ref()?;
         (self.node.is_finished() || now >= shutdown.deadline).then(|| shutdown.done.clone())
     }
@@ -85,7 +93,7 @@
     fn shut_down(&mut self, done: &SyncSender<()>, now: IntegerMillis) {
         self.jobs.terminate_all();
         self.node.leave(now);
-        self.carry_out_effects(now);
+        self.apply_effects(now);
         self.links.flush();
         let _ = done.try_send(());
     }
@@ -113,13 +121,13 @@
         }
     }
 
-    /// Bytes of another member, or room to write to it.
+    /// Handles a readable or writable connection of another member.
     fn handle_link(&mut self, token: Token, is_readable: bool, now: IntegerMillis) {
         let node = &mut self.node;
         let mut handle_message = |bytes: &[u8]| node.handle_message(bytes, now);
         let ended = self.links.ready(token, is_readable, now, self.poll.registry(), &mut handle_message);
         if let Some(why) = ended {
-            log!(part = "fleet", why, "a link was ended");
+            log!(part = "fleet", why, "a link was closed because of an invalid message");
         }
     }
 
@@ -148,7 +156,7 @@
         request: Result<OperatorRequest, RequestError>,
         now: IntegerMillis,
     ) {
-        let done = |result: Result<(), BootstrapError>| match result {
+        let to_response = |result: Result<(), BootstrapError>| match result {
             Ok(()) => OperatorResponse::Done,
             Err(error) => OperatorResponse::Error(error.to_string()),
         };
@@ -161,8 +169,8 @@
                 let id = self.node.submit(request, now);
                 return self.operators.await_response(connection, id);
             }
-            Ok(OperatorRequest::Bootstrap) => done(self.node.bootstrap(now)),
-            Ok(OperatorRequest::Recover) => done(self.node.recover(now)),
+            Ok(OperatorRequest::Bootstrap) => to_response(self.node.bootstrap(now)),
+            Ok(OperatorRequest::Recover) => to_response(self.node.recover(now)),
             Ok(OperatorRequest::CheckOwnership(duty)) => self.check_ownership(&duty, now),
             Ok(OperatorRequest::WorkEnded(duty)) => {
                 self.jobs.external_work_ended(&duty, &mut self.node, now);
@@ -172,10 +180,10 @@
         self.operators.respond(connection, &response);
     }
 
-    /// For the process on this machine that does a duty's work.
+    /// Responds to a process on this machine that does a duty's work, and records that it is running.
     fn check_ownership(&mut self, duty: &str, now: IntegerMillis) -> OperatorResponse {
         let Some(token) = self.node.owned_token(duty, now) else { return OperatorResponse::NotOwned };
-        self.jobs.external_work_seen(duty, now);
+        self.jobs.record_external_work(duty, now);
         let owned = self.node.session_duty(duty);
         OperatorResponse::Owned(OwnershipConfirmation {
             token,
@@ -186,7 +194,7 @@
         })
     }
 
-    fn carry_out_effects(&mut self, now: IntegerMillis) {
+    fn apply_effects(&mut self, now: IntegerMillis) {
         for effect in self.node.take_effects() {
             match effect {
                 Effect::Send { address, bytes, .. } => {
@@ -194,7 +202,7 @@
                 }
                 Effect::Drain(_) => self.mailbox.send(OwnerEvent::ShutdownRequested),
                 Effect::Responded(id, response) => {
-                    if !self.jobs.write_answered(id, &response, &mut self.node, now) {
+                    if !self.jobs.handle_write_response(id, &response, &mut self.node, now) {
                         self.operators.deliver(id, &OperatorResponse::Response(response));
                     }
                 }
--- a/crates/loomflow-server/src/fleet/jobs.rs
+++ b/crates/loomflow-server/src/fleet/jobs.rs
@@ -1,6 +1,6 @@
-//! The operators' jobs on this server: each run is a process of this same program, `loomflow fleet duty run`, which starts the
-//! job, asks for its ownership again and again, and ends it before the lease can expire, whatever becomes of this server. What
-//! is decided is decided in `loomflow_fleet::duty::job`; here are the processes.
+//! The operators' jobs on this server. Each run is a process of this same program, `loomflow fleet duty run`, which starts the
+//! job's program, polls the ownership of the duty and terminates the program before the lease can expire, even if this server
+//! has stopped. `loomflow_fleet::duty::job` decides what to do; this module handles the processes.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -21,16 +21,17 @@
 
 use crate::log;
 
-/// Whoever does a duty's work outside of this server asks at least this often; one that is silent for longer has ended, ms.
+/// An external process that does a duty's work counts as ended if it has not queried ownership for this time, ms. `duty run`
+/// queries it ten times per lease.
 const EXTERNAL_WORK_TIMEOUT_MILLIS: IntegerMillis = 2_000;
 
-/// Why the process of a run cannot be started.
+/// Why the process of a run cannot be started; the fleet stores the message as the reason of the failed run.
 #[derive(Debug, thiserror::Error)]
 enum StartError {
-    #[error("it has no program")]
+    #[error("the job has no program")]
     NoProgram,
     #[error(transparent)]
-    OwnProgram(io::Error),
+    CurrentExe(io::Error),
     #[error("{program}: {source}")]
     Spawn { program: String, source: io::Error },
 }
@@ -38,32 +39,34 @@
 /// A duty that this server owns and has a program for.
 struct OwnedJob {
     runs: JobRuns,
+    /// The process of the current run.
     child: Option<Child>,
 }
 
-/// What the answer to a write is about.
+/// A write to the fleet's state that has no response yet.
 struct PendingWrite {
     duty: DutyName,
     token: Token,
-    /// Whether it says that a run begins.
+    /// Whether it records the beginning of a run, which starts once the write is committed.
     is_begin: bool,
 }
 
 /// The operators' jobs on this server.
 pub struct Jobs {
-    /// Jobs with a program, where programs are switched on.
+    /// Jobs with a program; empty unless `fleet.duties.programs` is set.
     configured: BTreeMap<DutyName, Job>,
     owned: BTreeMap<DutyName, OwnedJob>,
-    /// Processes of former tokens that have not ended yet.
+    /// Processes started under a former token that have not ended yet.
     former_children: Vec<Child>,
     pending_writes: BTreeMap<FleetRequestId, PendingWrite>,
-    /// Duties whose work is done outside of this server, with when that was last seen.
+    /// Duties whose work an external process does, with the time of its last ownership query.
     external_work: BTreeMap<DutyName, IntegerMillis>,
+    /// The operators' socket, which the processes query.
     socket: PathBuf,
 }
 
 impl Jobs {
-    /// The jobs of the options; `socket` is the operators', for the processes.
+    /// Creates the jobs of the options. `socket` is the path of the operators' socket.
     pub fn new(options: Option<&Options>, socket: &Path) -> Jobs {
         let with_program = |options: &Options| {
             let jobs = options.jobs.iter().filter(|job| options.programs && !job.run.is_empty());
@@ -79,12 +82,12 @@
         }
     }
 
-    /// Whether a process was asked to end, so that it is to be looked at soon.
+    /// Whether a running process was told to terminate, so that it should be polled soon.
     pub fn is_terminating(&self) -> bool {
         self.owned.values().any(|job| job.child.is_some() && job.runs.is_terminating())
     }
 
-    /// A duty was acquired, is to be released, or is lost.
+    /// Handles a duty that was acquired, has to be released, or is lost.
     pub fn ownership_changed(&mut self, change: OwnershipChange, node: &mut Node, now: IntegerMillis) {
         match change {
             OwnershipChange::Acquired(owned) if self.configured.contains_key(&owned.duty) => {
@@ -103,22 +106,22 @@
     }
 
     fn acquire(&mut self, owned: OwnedDuty) {
-        // A process of a former token may still be ending: it sees that it is not the owner's any more.
+        // A process of a former token may still be running: it detects by itself that its token is superseded.
         let job = OwnedJob { runs: JobRuns::new(&owned), child: None };
         let former = self.owned.insert(owned.duty, job).and_then(|former| former.child);
         if let Some(child) = former {
-            // By a signal that it handles: it ends the job's group before itself.
+            // SIGTERM, not SIGKILL: the process has to terminate the job's process group before it exits.
             send_signal(&child, Signal::TERM);
             self.former_children.push(child);
         }
     }
 
-    /// Somebody asks whether this server owns a duty, to do its work.
-    pub fn external_work_seen(&mut self, duty: &str, now: IntegerMillis) {
+    /// Records an ownership query of a process that does a duty's work.
+    pub fn record_external_work(&mut self, duty: &str, now: IntegerMillis) {
         self.external_work.insert(duty.to_owned(), now);
     }
 
-    /// Whoever did a duty's work outside of this server has ended.
+    /// Handles the end of an external process that did a duty's work: releases the duty if that was requested.
     pub fn external_work_ended(&mut self, duty: &str, node: &mut Node, now: IntegerMillis) {
         self.external_work.remove(duty);
         if node.session_duty(duty).is_some_and(|owned| owned.is_recalled) {
@@ -126,8 +129,8 @@
         }
     }
 
-    /// Handles the response to a write; true where it was one.
-    pub fn write_answered(
+    /// Handles the response to a write. Returns false if the request `id` is not a write of this module.
+    pub fn handle_write_response(
         &mut self,
         id: FleetRequestId,
         response: &FleetResponse,
@@ -146,12 +149,12 @@
             };
             let owned = currently_owned(node, &duty, now);
             let action = job.runs.begin_answered(result.as_ref(), owned.as_ref(), now);
-            self.carry_out(&duty, action, node, now);
+            self.execute(&duty, action, node, now);
         }
         true
     }
 
-    /// Begins what is due, and handles processes that have ended.
+    /// Starts runs that are due, and handles processes that have ended or no longer query ownership.
     pub fn tick(&mut self, node: &mut Node, now: IntegerMillis) {
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let duties: Vec<DutyName> = self.owned.keys().cloned().collect();
@@ -160,24 +163,24 @@
             self.advance(&duty, node, now, unix_time.as_secs());
         }
         self.former_children.retain_mut(|child| matches!(child.try_wait(), Ok(None)));
-        let is_silent = |at: IntegerMillis| now > at + EXTERNAL_WORK_TIMEOUT_MILLIS;
-        let silent = self.external_work.iter().filter(|(_, at)| is_silent(**at));
-        let silent: Vec<DutyName> = silent.map(|(duty, _)| duty.clone()).collect();
-        for duty in silent {
+        let is_timed_out = |at: IntegerMillis| now > at + EXTERNAL_WORK_TIMEOUT_MILLIS;
+        let timed_out = self.external_work.iter().filter(|(_, at)| is_timed_out(**at));
+        let timed_out: Vec<DutyName> = timed_out.map(|(duty, _)| duty.clone()).collect();
+        for duty in timed_out {
             self.external_work_ended(&duty, node, now);
         }
     }
 
-    /// Handles the end of a duty's process.
+    /// Handles the end of a duty's process, if it has ended.
     fn reap(&mut self, duty: &DutyName, node: &mut Node, now: IntegerMillis) {
         let Some(job) = self.owned.get_mut(duty) else { return };
         let Some(Ok(Some(status))) = job.child.as_mut().map(Child::try_wait) else { return };
         job.child = None;
-        let action = job.runs.process_ended(exit(status), now);
-        self.carry_out(duty, action, node, now);
+        let action = job.runs.process_ended(exit_reason(status), now);
+        self.execute(duty, action, node, now);
     }
 
-    /// Does what a duty calls for now.
+    /// Executes the next action that a duty's runs require.
     fn advance(&mut self, duty: &DutyName, node: &mut Node, now: IntegerMillis, unix_seconds: u64) {
         let owned = currently_owned(node, duty, now);
         let Some(job) = self.owned.get_mut(duty) else { return };
@@ -185,10 +188,10 @@
         if owned.is_none() && !job.runs.is_running() {
             self.owned.remove(duty);
         }
-        self.carry_out(duty, action, node, now);
+        self.execute(duty, action, node, now);
     }
 
-    fn carry_out(&mut self, duty: &DutyName, action: Option<JobAction>, node: &mut Node, now: IntegerMillis) {
+    fn execute(&mut self, duty: &DutyName, action: Option<JobAction>, node: &mut Node, now: IntegerMillis) {
         let Some(job) = self.owned.get_mut(duty) else { return };
         match action {
             None => {}
@@ -200,7 +203,7 @@
             }
             Some(JobAction::Start(run)) => match self.start(duty) {
                 Ok(child) => {
-                    log!(part = "fleet", duty = duty.as_str(), run, "a run begins");
+                    log!(part = "fleet", duty = duty.as_str(), run, "the run's process has started");
                     if let Some(job) = self.owned.get_mut(duty) {
                         job.child = Some(child);
                     }
@@ -209,7 +212,7 @@
                     let exit = Exit::Failed(error.to_string());
                     let job = self.owned.get_mut(duty);
                     let action = job.and_then(|job| job.runs.process_ended(exit, now));
-                    self.carry_out(duty, action, node, now);
+                    self.execute(duty, action, node, now);
                 }
             },
             Some(JobAction::Terminate) => {
@@ -224,10 +227,10 @@
         }
     }
 
-    /// Starts the process of a run.
+    /// Starts the process of a run: `loomflow fleet duty run`.
     fn start(&self, duty: &str) -> Result<Child, StartError> {
         let job = self.configured.get(duty).ok_or(StartError::NoProgram)?;
-        let program = std::env::current_exe().map_err(StartError::OwnProgram)?;
+        let program = std::env::current_exe().map_err(StartError::CurrentExe)?;
         let token = self.owned.get(duty).map_or(0, |job| job.runs.token).to_string();
         let max_duration = format!("{}s", job.max_duration().as_secs());
         Command::new(program)
@@ -240,7 +243,7 @@
             .map_err(|source| StartError::Spawn { program: job.run[0].clone(), source })
     }
 
-    /// The server ends: every process is asked to end, and does so by itself at the latest with the lease.
+    /// Sends SIGTERM to every process, at shutdown. A process that does not end then still ends before its lease expires.
     pub fn terminate_all(&mut self) {
         for child in self.owned.values().filter_map(|job| job.child.as_ref()) {
             send_signal(child, Signal::TERM);
@@ -248,16 +251,16 @@
     }
 }
 
-/// A duty, where this server owns it at this moment.
+/// Returns the duty if this server owns it at `now`.
 fn currently_owned(node: &Node, duty: &str, now: IntegerMillis) -> Option<OwnedDuty> {
     node.owned_token(duty, now).and_then(|_| node.session_duty(duty)).cloned()
 }
 
-fn exit(status: ExitStatus) -> Exit {
-    let is = |code: u8| status.code() == Some(i32::from(code));
+fn exit_reason(status: ExitStatus) -> Exit {
+    let has_code = |code: u8| status.code() == Some(i32::from(code));
     if status.success() {
         Exit::Done
-    } else if is(exit_code::OWNERSHIP_LOST) || is(exit_code::NEVER_OWNED) {
+    } else if has_code(exit_code::OWNERSHIP_LOST) || has_code(exit_code::NEVER_OWNED) {
         Exit::OwnershipLost
     } else {
         Exit::Failed(status.to_string())
--- a/crates/loomflow-server/src/fleet/links.rs
+++ b/crates/loomflow-server/src/fleet/links.rs
@@ -1,6 +1,6 @@
-//! Connections of members: those that others opened are read, those that we opened are written. One for each address, opened
-//! when something is to be sent and closed after a while of silence. What cannot be sent soon is dropped: every protocol of the
-//! fleet makes up for lost messages.
+//! Connections between members. Each is used in one direction: incoming ones are only read, outgoing ones only written. There
+//! is one outgoing connection per address, opened when there is a message to send and closed when it is idle. Messages that
+//! cannot be sent soon are dropped: every protocol of the fleet tolerates lost messages.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
@@ -13,21 +13,23 @@
 
 use super::{FIRST_CONNECTION, LISTENER};
 
-/// Connections in each direction; beyond it those that were silent for longest are closed first.
+/// Maximum number of connections in each direction. Beyond it, the one idle for longest is closed first.
 const MAX_CONNECTIONS: usize = 1_024;
-/// A connection that we opened is closed after this long without a message, ms.
+/// An outgoing connection is closed after this time without a message, ms.
 const IDLE_TIMEOUT_MILLIS: IntegerMillis = 15_000;
-/// One that others opened, ms: later than they close it themselves.
+/// An incoming connection is closed after this time without a message, ms: later than its sender closes it.
 const INCOMING_IDLE_TIMEOUT_MILLIS: IntegerMillis = 4 * IDLE_TIMEOUT_MILLIS;
-/// One that takes nothing of what is queued for this long is broken, ms.
+/// An outgoing connection is closed if nothing of its queue can be written for this time, ms.
 const STALL_TIMEOUT_MILLIS: IntegerMillis = 3_000;
-/// An address that could not be reached is tried again after this, ms.
+/// Messages to an address are dropped for this time after a connection to it failed, ms.
 const RECONNECT_AFTER_MILLIS: IntegerMillis = 300;
-/// Messages that may be queued for one connection, and bytes beyond the first message.
+/// Maximum number of messages queued for one connection.
 const MAX_QUEUED_MESSAGES: usize = 512;
+/// Maximum number of bytes queued for one connection; a single message may exceed it.
 const MAX_QUEUED_BYTES: usize = 1024 * 1024;
-/// Bytes read from one connection before the others are served, and at once.
+/// Bytes read from one connection before the other connections get their turn.
 const MAX_READ_BYTES: usize = 64 * 1024;
+/// Bytes read by one system call.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 struct IncomingLink {
@@ -41,20 +43,20 @@
     address: SocketAddr,
     queue: VecDeque<Vec<u8>>,
     queued_bytes: usize,
-    /// How much of the first that waits is written.
+    /// Bytes of the first queued message that are written.
     written: usize,
-    /// When something was last written, or nothing waited.
+    /// When bytes were last written, or a message was queued while the queue was empty.
     last_progress_at: IntegerMillis,
 }
 
-/// All connections of members.
+/// All connections to and from other members.
 pub struct Links {
     listener: TcpListener,
     next_token: usize,
     incoming: BTreeMap<Token, IncomingLink>,
     outgoing: BTreeMap<Token, OutgoingLink>,
     token_by_address: BTreeMap<SocketAddr, Token>,
-    /// Addresses that could not be reached, until when they are left alone.
+    /// Addresses to which a connection failed, with the time until which messages to them are dropped.
     unreachable_until: BTreeMap<SocketAddr, IntegerMillis>,
 }
 
@@ -75,11 +77,11 @@
 
     fn new_token(&mut self) -> Token {
         self.next_token += 1;
-        // Even ones: odd ones are the operators'.
+        // Even tokens: the operators' connections have odd ones.
         Token(self.next_token * 2)
     }
 
-    /// Accepts what is there.
+    /// Accepts all pending connections.
     pub fn accept(&mut self, registry: &Registry, now: IntegerMillis) {
         while let Ok((mut stream, _)) = self.listener.accept() {
             if self.incoming.len() >= MAX_CONNECTIONS
@@ -98,8 +100,8 @@
         }
     }
 
-    /// Something may be read or written. What is read goes to `handle_message`, message by message. Returns why a link was
-    /// ended, where a message did it.
+    /// Handles a readiness event: writes to an outgoing connection, or passes each message read from an incoming one to
+    /// `handle_message`. Returns the peer and the error if an invalid message closed the connection.
     pub fn ready(
         &mut self,
         token: Token,
@@ -119,7 +121,7 @@
         match read(link, now, handle_message) {
             Ok(ReadResult::Drained) => None,
             Ok(ReadResult::HasMore) => {
-                // Readiness is reported once; registered anew it is reported again, after that of the other links.
+                // Readiness is edge-triggered: reregistering reports it again, after that of the other links.
                 let _ = registry.reregister(&mut link.stream, token, Interest::READABLE);
                 None
             }
@@ -127,15 +129,16 @@
                 self.incoming.remove(&token);
                 None
             }
-            Err(why) => {
+            Err(error) => {
                 let peer = link.stream.peer_addr().map_or_else(|_| "?".into(), |peer| peer.to_string());
                 self.incoming.remove(&token);
-                Some(format!("{peer}: {why:?}"))
+                Some(format!("{peer}: {error:?}"))
             }
         }
     }
 
-    /// Queues a message and writes what the system takes, or drops the message.
+    /// Queues a message and writes as much as possible without blocking. Drops the message if the address is unreachable or
+    /// the queue is full.
     pub fn send(&mut self, to: SocketAddr, bytes: Vec<u8>, now: IntegerMillis, registry: &Registry) {
         let token = match self.token_by_address.get(&to) {
             Some(token) => *token,
@@ -170,7 +173,7 @@
         let _ = stream.set_nodelay(true);
         let token = self.new_token();
         registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE).ok()?;
-        let out = OutgoingLink {
+        let link = OutgoingLink {
             stream,
             address: to,
             queue: VecDeque::new(),
@@ -178,14 +181,14 @@
             written: 0,
             last_progress_at: now,
         };
-        self.outgoing.insert(token, out);
+        self.outgoing.insert(token, link);
         self.token_by_address.insert(to, token);
         Some(token)
     }
 
     fn close(&mut self, token: Token) {
-        if let Some(out) = self.outgoing.remove(&token) {
-            self.token_by_address.remove(&out.address);
+        if let Some(link) = self.outgoing.remove(&token) {
+            self.token_by_address.remove(&link.address);
         }
     }
 
@@ -200,22 +203,22 @@
         }
     }
 
-    /// Closes what is silent or takes nothing.
-    pub fn sweep(&mut self, now: IntegerMillis) {
+    /// Closes connections that are idle or stalled.
+    pub fn close_timed_out(&mut self, now: IntegerMillis) {
         self.incoming.retain(|_, link| now < link.last_read_at + INCOMING_IDLE_TIMEOUT_MILLIS);
-        let is_over = |link: &OutgoingLink| {
+        let is_timed_out = |link: &OutgoingLink| {
             let timeout = if link.queue.is_empty() { IDLE_TIMEOUT_MILLIS } else { STALL_TIMEOUT_MILLIS };
             now >= link.last_progress_at + timeout
         };
         let closed: Vec<Token> =
-            self.outgoing.iter().filter(|(_, link)| is_over(link)).map(|(t, _)| *t).collect();
+            self.outgoing.iter().filter(|(_, link)| is_timed_out(link)).map(|(t, _)| *t).collect();
         for token in closed {
             self.close(token);
         }
         self.unreachable_until.retain(|_, until| now < *until);
     }
 
-    /// Writes what the system takes of all that is queued.
+    /// Writes as much as possible of every queue without blocking.
     pub fn flush(&mut self) {
         for link in self.outgoing.values_mut() {
             let _ = write(link, 0);
@@ -223,22 +226,28 @@
     }
 }
 
-/// What is left of a connection after a bounded read.
+/// The state of an incoming connection after a bounded read.
 enum ReadResult {
+    /// All available bytes are read.
     Drained,
+    /// [`MAX_READ_BYTES`] are read, and more may be available.
     HasMore,
+    /// The peer closed the connection, or reading failed.
     Closed,
 }
 
-/// Reads what is there, up to a bound, so that one link does not hold up the others.
+/// Reads up to [`MAX_READ_BYTES`], so that one link does not starve the others, and passes on each complete message.
+///
+/// # Errors
+/// A message is invalid.
 fn read(
     link: &mut IncomingLink,
     now: IntegerMillis,
     handle_message: &mut dyn FnMut(&[u8]) -> Result<(), FrameError>,
 ) -> Result<ReadResult, FrameError> {
     let mut bytes = [0; READ_BUFFER_BYTES];
-    let mut taken = 0;
-    while taken < MAX_READ_BYTES {
+    let mut read_bytes = 0;
+    while read_bytes < MAX_READ_BYTES {
         match link.stream.read(&mut bytes) {
             Ok(0) => return Ok(ReadResult::Closed),
             Ok(count) => {
@@ -247,7 +256,7 @@
                 while let Some(frame) = link.frames.next_frame()? {
                     handle_message(frame)?;
                 }
-                taken += count;
+                read_bytes += count;
             }
             Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(ReadResult::Drained),
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -257,21 +266,24 @@
     Ok(ReadResult::HasMore)
 }
 
-/// Writes what the system takes. Errors: the link is broken, or its peer closed it.
+/// Writes as much of the queue as possible without blocking.
+///
+/// # Errors
+/// The connection is broken, or the peer closed it.
 fn write(link: &mut OutgoingLink, now: IntegerMillis) -> io::Result<()> {
-    if let Some(e) = link.stream.take_error()? {
-        return Err(e);
+    if let Some(error) = link.stream.take_error()? {
+        return Err(error);
     }
-    // Members say nothing on links that others opened: all that may come is the end.
+    // The peer never sends on this connection, so a read only detects that it was closed.
     match link.stream.read(&mut [0; 64]) {
         Ok(0) => return Err(ErrorKind::ConnectionReset.into()),
-        Err(e)
+        Err(error)
             if !matches!(
-                e.kind(),
+                error.kind(),
                 ErrorKind::WouldBlock | ErrorKind::NotConnected | ErrorKind::Interrupted
             ) =>
         {
-            return Err(e);
+            return Err(error);
         }
         _ => {}
     }
@@ -287,9 +299,11 @@
                     link.written = 0;
                 }
             }
-            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => return Ok(()),
+            Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
+                return Ok(());
+            }
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
-            Err(e) => return Err(e),
+            Err(error) => return Err(error),
         }
     }
     Ok(())
--- a/crates/loomflow-server/src/fleet/mod.rs
+++ b/crates/loomflow-server/src/fleet/mod.rs
@@ -1,16 +1,17 @@
-//! The fleet's driver: one thread with its sockets, its data directory and the member's state machine. Nothing of it is on a
-//! request's path: the owner reports its load and that it shuts down, and waits for nothing but a bounded moment at the end.
+//! The fleet's driver: one thread with the sockets, the data directory and the member's state machine ([`Node`]). It is on no
+//! request's path: the owner reports load and shutdown without blocking, and waits for the thread only once it has drained,
+//! for a bounded time.
 //!
-//! - this file: the owner's handle;
-//! - `driver`: the thread;
-//! - `node_config`: the member's configuration;
-//! - `load`: the load as it is reported;
+//! - this file: [`Fleet`], the owner's handle;
+//! - `driver`: the thread's event loop;
+//! - `node_config`: builds the member's configuration;
+//! - `load`: averages the load and builds its reports;
 //! - `links`: connections to and from other members;
-//! - `storage`: the data directory;
-//! - `operator_socket`: the operators' socket;
-//! - `jobs`: the processes of the operators' duties.
+//! - `storage`: persists the member's state in the data directory;
+//! - `operator_socket`: the server end of the operators' socket;
+//! - `jobs`: starts and stops the processes of the operators' duties.
 //!
-//! The other end of the operators' socket, `loomflow fleet …`, is the package `loomflow-fleet-commands`.
+//! The package `loomflow-fleet-commands` implements the client end of the operators' socket, `loomflow fleet …`.
 
 mod driver;
 mod jobs;
@@ -43,30 +44,32 @@
 pub use load::{Meter, load_report};
 use operator_socket::OperatorSocket;
 
-/// How long the member may take to report that it has drained.
+/// Maximum time for the member to report that it has drained.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Stack size of the thread.
 const STACK_BYTES: usize = 512 * 1024;
 
-/// What the owner has reported and the thread has not taken yet: of each the newest, so that a thread that is held up by its
-/// disk misses nothing and finds no backlog of old loads.
+/// Reports of the owner that the thread has not taken yet. Only the latest report of each kind is stored, so that a thread
+/// blocked by its disk misses none and finds no backlog of outdated loads.
 #[derive(Default)]
 struct OwnerMessages {
     load_report: Option<LoadReport>,
     is_draining: bool,
-    /// The owner has drained; where to answer that this is reported.
+    /// Set when the owner has drained; the sender signals that this is reported.
     drained: Option<SyncSender<()>>,
 }
 
-/// Shared with the thread, which alone keeps it alive: once the thread has ended nobody is waited for.
+/// Shared with the thread, which holds the only strong reference: once the thread has ended, the owner's reports are
+/// discarded and it waits for nothing.
 type Inbox = Mutex<OwnerMessages>;
 
-/// Why the fleet's thread cannot be started.
+/// Why the fleet's driver cannot be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The system refuses a poller, a signal handler or a thread.
-    #[error("{what}: {source}")]
-    System { what: &'static str, source: io::Error },
-    /// The address for other members cannot be used.
+    /// A poller, a waker, a signal handler or a thread cannot be created.
+    #[error("{context}: {source}")]
+    System { context: &'static str, source: io::Error },
+    /// The address for other members cannot be bound.
     #[error("fleet.listen {address}: {source}")]
     Listen { address: SocketAddr, source: io::Error },
     /// The operators' socket cannot be created.
@@ -81,13 +84,13 @@
 }
 
 impl StartError {
-    /// For `map_err`.
-    fn system(what: &'static str) -> impl Fn(io::Error) -> StartError {
-        move |source| StartError::System { what, source }
+    /// Returns a function for `map_err` that names the failed operation.
+    fn system(context: &'static str) -> impl Fn(io::Error) -> StartError {
+        move |source| StartError::System { context, source }
     }
 }
 
-/// The owner's handle.
+/// The owner's handle to the fleet's thread. Only [`Fleet::drained`] waits for the thread.
 pub struct Fleet {
     inbox: Weak<Inbox>,
     waker: Arc<Waker>,
@@ -95,21 +98,21 @@
 }
 
 impl Fleet {
-    /// Starts the thread. A data directory that cannot be used is no reason not to serve.
+    /// Starts the thread. An unusable data directory is not an error: the server serves without it.
     ///
     /// # Errors
-    /// The listener, the operators' socket or the thread cannot be had.
+    /// The poller, the listener, the operators' socket, the signal handler or the thread cannot be created.
     pub fn start(config: &Config, options: &Options, mailbox: Arc<Mailbox>) -> Result<Fleet, StartError> {
-        let poll = Poll::new().map_err(StartError::system("fleet"))?;
-        let waker = Waker::new(poll.registry(), WAKE).map_err(StartError::system("fleet"))?;
+        let poll = Poll::new().map_err(StartError::system("fleet: poller"))?;
+        let waker = Waker::new(poll.registry(), WAKE).map_err(StartError::system("fleet: waker"))?;
         let links = Links::listen(options.listen, poll.registry())
             .map_err(|source| StartError::Listen { address: options.listen, source })?;
         let path = options.socket();
         let operators = OperatorSocket::listen(&path, poll.registry())
             .map_err(|source| StartError::OperatorSocket { path: path.clone(), source })?;
-        // A limit on the size of files is a full disk, and not the end of the process.
+        // With SIGXFSZ handled, a write beyond the file size limit fails like one to a full disk, instead of killing the process.
         signal_hook::flag::register(signal_hook::consts::SIGXFSZ, Arc::default())
-            .map_err(StartError::system("fleet: signals"))?;
+            .map_err(StartError::system("fleet: handler of SIGXFSZ"))?;
         let inbox = Arc::new(Inbox::default());
         let handle_inbox = Arc::downgrade(&inbox);
         let node_config = node_config::node_config(config, options);
@@ -122,11 +125,11 @@
             Driver { poll, links, operators, inbox, node, mailbox, jobs, shutdown_timeout, shutdown }.run();
         };
         let thread = std::thread::Builder::new().name("fleet".into()).stack_size(STACK_BYTES);
-        thread.spawn(run).map_err(StartError::system("fleet"))?;
+        thread.spawn(run).map_err(StartError::system("fleet: thread"))?;
         Ok(Fleet { inbox: handle_inbox, waker: Arc::new(waker), shutdown_timeout })
     }
 
-    /// Reports the server's load; one that was not taken yet is replaced.
+    /// Reports the server's load. Replaces a report that the thread has not taken yet.
     pub fn set_load(&self, load_report: LoadReport) {
         self.post(|messages| messages.load_report = Some(load_report));
     }
@@ -136,7 +139,7 @@
         self.post(|messages| messages.is_draining = true);
     }
 
-    /// Reports that every request is answered. Waits until the fleet knows, for a bounded moment.
+    /// Reports that every request has its response. Waits until the thread has reported it to the fleet, for a bounded time.
     pub fn drained(&self) {
         let (sender, receiver) = sync_channel(1);
         self.post(|messages| messages.drained = Some(sender));
@@ -151,16 +154,18 @@
     }
 }
 
-/// How long the member may take at the end: jobs that have to end have their grace period as well.
+/// Maximum time for the member to finish once the server has drained: includes the grace period of jobs that it started.
 fn shutdown_timeout(options: &Options) -> Duration {
     let programs = options.duties.as_ref().filter(|duties| duties.programs);
     let grace_period = |duties: &Duties| Duration::from_secs(duties.lease_s).mul_f64(GRACE_LEASE_FRACTION);
     SHUTDOWN_TIMEOUT + programs.map_or(Duration::ZERO, grace_period)
 }
 
+/// The listener for other members.
 const LISTENER: Token = Token(1);
+/// The listener of the operators' socket.
 const OPERATORS: Token = Token(2);
-/// Connections have the tokens from here on.
+/// Lower bound of the tokens of connections.
 const FIRST_CONNECTION: usize = 16;
 
 #[cfg(test)]
--- a/crates/loomflow-server/src/fleet/node_config.rs
+++ b/crates/loomflow-server/src/fleet/node_config.rs
@@ -1,4 +1,4 @@
-//! The member's configuration, from the server's configuration and options.
+//! Builds the member's configuration from the server's configuration and options.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -12,7 +12,7 @@
 use loomflow_settings::duties::{self, Duties, Job};
 use loomflow_settings::fleet::{self, Fleet as Options};
 
-/// The configuration of this server's member.
+/// Builds the configuration of this server's member.
 pub fn node_config(config: &Config, options: &Options) -> NodeConfig {
     let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     NodeConfig {
@@ -24,7 +24,7 @@
         via: options.via.clone(),
         rules: rules(options),
         duties: options.duties.as_ref().map(duty_config),
-        // Numbers that are drawn must not come again after a restart.
+        // The member's random numbers must not repeat after a restart.
         seed: config.seed ^ fastrand::u64(..),
         unix_millis: whole_millis(unix_time),
     }
--- a/crates/loomflow-server/src/fleet/operator_socket.rs
+++ b/crates/loomflow-server/src/fleet/operator_socket.rs
@@ -1,4 +1,5 @@
-//! The operators' socket: a Unix socket that only its owner may use. One request a connection: a line in, a line out.
+//! The operators' socket: a Unix socket that only the server's own user may connect to. One request per connection: a line
+//! in, a line out.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
@@ -12,31 +13,33 @@
 
 use super::OPERATORS;
 
-/// Connections at once; further ones are closed.
+/// Maximum number of open connections; further ones are closed at once.
 const MAX_CONNECTIONS: usize = 64;
-/// Only the server's own user may connect.
+/// File mode of the socket: only the server's own user may connect.
 const SOCKET_MODE: u32 = 0o600;
 
-/// Why a line is not a request.
+/// Why a line is not a valid request.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
     /// Longer than [`MAX_LINE_BYTES`].
-    #[error("the line is too long")]
+    #[error("the line is longer than {MAX_LINE_BYTES} bytes")]
     TooLong,
-    /// Not JSON that is known.
-    #[error("not a command: {0}")]
+    /// Not the JSON of an [`OperatorRequest`].
+    #[error("the line is not a valid request: {0}")]
     Unreadable(#[from] serde_json::Error),
 }
 
 struct OperatorConnection {
     stream: UnixStream,
+    /// Bytes read of the request's line.
     line: Vec<u8>,
-    /// What is still to be written; the connection ends after it.
+    /// Bytes of the response that are not written yet; the connection is closed after the last.
     response: Option<Vec<u8>>,
+    /// The fleet request whose response is sent to this connection.
     awaited_request: Option<FleetRequestId>,
 }
 
-/// The socket and its connections.
+/// The listening socket with its connections. Dropping it removes the socket's file.
 pub struct OperatorSocket {
     listener: UnixListener,
     path: PathBuf,
@@ -45,15 +48,15 @@
 }
 
 impl OperatorSocket {
-    /// Creates the socket.
+    /// Creates the socket, replacing the file of one that no process listens on.
     ///
     /// # Errors
-    /// Another server listens there, or it cannot be created.
+    /// Another server listens on this path, or the socket cannot be created.
     pub fn listen(path: &Path, registry: &Registry) -> io::Result<OperatorSocket> {
         if std::os::unix::net::UnixStream::connect(path).is_ok() {
-            return Err(io::Error::new(ErrorKind::AddrInUse, "another server listens there"));
+            return Err(io::Error::new(ErrorKind::AddrInUse, "another server listens on this socket"));
         }
-        // What a process that died left behind.
+        // No process listens, so a file at this path is stale: its server was killed.
         let _ = std::fs::remove_file(path);
         if let Some(directory) = path.parent() {
             std::fs::create_dir_all(directory)?;
@@ -65,19 +68,19 @@
         Ok(OperatorSocket { listener, path: path.to_owned(), next_token, connections: BTreeMap::new() })
     }
 
-    /// Whether a token is of a connection here.
+    /// Whether a token belongs to an operator's connection.
     pub fn is_connection(&self, token: Token) -> bool {
         self.connections.contains_key(&token)
     }
 
-    /// Accepts what is there.
+    /// Accepts all pending connections; closes those beyond [`MAX_CONNECTIONS`].
     pub fn accept(&mut self, registry: &Registry) {
         while let Ok((mut stream, _)) = self.listener.accept() {
             if self.connections.len() >= MAX_CONNECTIONS {
                 continue;
             }
             self.next_token += 1;
-            // Odd tokens: even ones are of members' connections.
+            // Odd tokens: members' connections have even ones.
             let token = Token(self.next_token * 2 + 1);
             if registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE).is_ok() {
                 let (line, response, awaited_request) = (Vec::new(), None, None);
@@ -87,14 +90,15 @@
         }
     }
 
-    /// Reads and writes what can be. Returns the request of a line that is whole, or what is wrong with it.
+    /// Reads and writes as much as possible without blocking. Returns the request once its line is complete, or an error if it
+    /// is invalid.
     pub fn ready(&mut self, token: Token) -> Option<Result<OperatorRequest, RequestError>> {
         let connection = self.connections.get_mut(&token)?;
-        let has_ended = match connection.read() {
-            Ok(has_ended) => has_ended,
+        let is_closed = match connection.read() {
+            Ok(is_closed) => is_closed,
             Err(error) => return Some(Err(error)),
         };
-        if has_ended && connection.line.is_empty() {
+        if is_closed && connection.line.is_empty() {
             self.connections.remove(&token);
             return None;
         }
@@ -107,14 +111,14 @@
         Some(serde_json::from_slice(&line).map_err(RequestError::Unreadable))
     }
 
-    /// The connection's response comes with that request's.
+    /// Makes the connection wait for the response to a fleet request.
     pub fn await_response(&mut self, token: Token, id: FleetRequestId) {
         if let Some(connection) = self.connections.get_mut(&token) {
             connection.awaited_request = Some(id);
         }
     }
 
-    /// Responds to the connection that awaits this request, if it is still there.
+    /// Sends the response to the connection that waits for this fleet request, if it is still open.
     pub fn deliver(&mut self, id: FleetRequestId, response: &OperatorResponse) {
         let mut connections = self.connections.iter();
         let awaiting = connections.find(|(_, connection)| connection.awaited_request == Some(id));
@@ -123,17 +127,17 @@
         }
     }
 
-    /// Responds to a connection.
+    /// Sends a response and then closes the connection.
     pub fn respond(&mut self, token: Token, response: &OperatorResponse) {
         if let Some(connection) = self.connections.get_mut(&token) {
-            // An empty line is no response that a client knows: it reports an error.
+            // A response that cannot be encoded becomes an empty line, which the client reports as an error.
             let line = encode_line(response).unwrap_or_else(|_| vec![LINE_END]);
             connection.response = Some(line);
             self.write(token);
         }
     }
 
-    /// Writes what the system takes; a connection that is finished or broken is closed.
+    /// Writes as much as possible without blocking. Closes the connection if it is finished or broken.
     fn write(&mut self, token: Token) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         if connection.write() {
@@ -143,7 +147,7 @@
 }
 
 impl OperatorConnection {
-    /// Reads what is there. Returns whether the operator has closed the connection.
+    /// Reads all available bytes. Returns whether the client has closed the connection before its response.
     fn read(&mut self) -> Result<bool, RequestError> {
         let mut bytes = [0; 4096];
         loop {
@@ -161,7 +165,7 @@
         }
     }
 
-    /// Writes what the system takes. Returns whether nothing more can be written.
+    /// Writes as much as possible without blocking. Returns whether the response is written or the connection is broken.
     fn write(&mut self) -> bool {
         let Some(response) = &mut self.response else { return false };
         while !response.is_empty() {
--- a/crates/loomflow-server/src/fleet/storage.rs
+++ b/crates/loomflow-server/src/fleet/storage.rs
@@ -1,4 +1,4 @@
-//! The data directory: one file of `redb`, whose commits are on the disk before they return.
+//! The data directory: one `redb` database file, whose commits are durable when they return.
 
 use std::path::{Path, PathBuf};
 
@@ -7,17 +7,19 @@
 };
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
+/// Log entries by index.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
+/// Single values, by the three keys below.
 const VALUES: TableDefinition<&str, &[u8]> = TableDefinition::new("kept");
-/// Keys of [`VALUES`].
 const METADATA: &str = "stamp";
 const HARD_STATE: &str = "hard";
 const SNAPSHOT: &str = "snapshot";
+/// The name of the database file.
 const FILE: &str = "fleet.redb";
-/// What the library may hold of the file in memory, bytes.
+/// Size of the database's page cache, bytes.
 const CACHE_BYTES: usize = 256 * 1024;
 
-/// The file cannot be read or written.
+/// An error of the database, with the path of its file.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {source}", .file.display())]
 struct FileError {
@@ -25,19 +27,21 @@
     source: redb::Error,
 }
 
-/// Opened when it is first used, and again after every error: the library takes no more steps after one.
+/// Storage in a `redb` file. The file is opened on first use and reopened after an error, since `redb` accepts no further
+/// transactions after one.
 pub struct RedbStorage {
     directory: PathBuf,
+    /// `None` before the first use and after an error.
     database: Option<Database>,
 }
 
-/// Opens the file; creates it where there is none.
+/// Opens the file, creating it and its directory if they do not exist.
 fn open(directory: &Path) -> Result<Database, redb::Error> {
     std::fs::create_dir_all(directory)?;
     let mut builder = Database::builder();
     builder.set_cache_size(CACHE_BYTES);
     let database = builder.create(directory.join(FILE))?;
-    // So that there is something to read from the first time on.
+    // Creates both tables: reading a table that does not exist is an error.
     let transaction = database.begin_write()?;
     transaction.open_table(LOG)?;
     transaction.open_table(VALUES)?;
@@ -46,23 +50,23 @@
 }
 
 impl RedbStorage {
-    /// Of a data directory; nothing is opened yet.
+    /// Storage in a data directory; opens nothing yet.
     pub fn new(directory: &Path) -> RedbStorage {
         RedbStorage { directory: directory.to_owned(), database: None }
     }
 
-    /// Does something with the file. On an error it is closed.
+    /// Runs an action on the open database. An error closes it.
     fn with_database<T>(
         &mut self,
         action: impl FnOnce(&Database) -> Result<T, redb::Error>,
     ) -> Result<T, StorageError> {
         let file = self.directory.join(FILE);
-        let named = |source| StorageError::new(FileError { file: file.clone(), source });
+        let file_error = |source| StorageError::new(FileError { file: file.clone(), source });
         let database = match self.database.take() {
             Some(database) => database,
-            None => open(&self.directory).map_err(named)?,
+            None => open(&self.directory).map_err(file_error)?,
         };
-        let result = action(&database).map_err(named)?;
+        let result = action(&database).map_err(file_error)?;
         self.database = Some(database);
         Ok(result)
     }
--- a/crates/loomflow-server/src/fleet/storage/tests.rs
+++ b/crates/loomflow-server/src/fleet/storage/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 use loomflow_fleet::member::Replica;
 
-/// Random steps leave on the disk what the meaning of a step says, over reopening.
+/// Random batches, with the file reopened before each, leave the same state on the disk as [`PersistedState::apply`].
 #[test]
-fn the_folder_holds_what_the_steps_mean() {
-    let folder = std::env::temp_dir().join(format!("loomflow-store-{}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&folder);
+fn reopened_storage_holds_the_applied_batches() {
+    let directory = std::env::temp_dir().join(format!("loomflow-store-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&directory);
     let mut rng = fastrand::Rng::with_seed(7);
     let (mut expected, mut next) = (PersistedState::default(), 1u64);
     for round in 0..60 {
-        let mut storage = RedbStorage::new(&folder);
+        let mut storage = RedbStorage::new(&directory);
         let first = rng.u64(next.saturating_sub(3).max(1)..=next);
         let count = rng.u64(0..5);
         next = if count > 0 { first + count } else { next };
@@ -25,11 +25,11 @@
         expected.apply(&batch);
         assert_eq!(storage.read().unwrap(), expected, "round {round}");
     }
-    let _ = std::fs::remove_dir_all(&folder);
+    let _ = std::fs::remove_dir_all(&directory);
 }
 
 #[test]
-fn a_folder_that_cannot_be_made_is_named() {
+fn the_error_names_a_directory_that_cannot_be_created() {
     let file = std::env::temp_dir().join(format!("loomflow-no-folder-{}", std::process::id()));
     std::fs::write(&file, "").unwrap();
     let error = RedbStorage::new(&file.join("below")).read().unwrap_err().to_string();
--- a/crates/loomflow-server/src/owner/fleet_reporter.rs
+++ b/crates/loomflow-server/src/owner/fleet_reporter.rs
@@ -59,7 +59,7 @@
         let phase = self.phase(state, now);
         let Some(ConfiguredFleet { fleet, meter }) = &mut self.fleet else { return };
         let load = load();
-        let Some(mean) = meter.note(now, load.running) else { return };
+        let Some(mean) = meter.record(now, load.running) else { return };
         let is_healthy = state.is_healthy && state.has_controller;
         fleet.set_load(fleet::load_report(&load, mean, self.cores, phase, is_healthy));
     }
