--- a/crates/loomflow-amqp/src/backoff.rs
+++ b/crates/loomflow-amqp/src/backoff.rs
@@ -1,28 +1,30 @@
-//! When to connect again, and to which broker. Each backoff is drawn at random, so that many servers that lost the same broker
-//! do not come back together.
+//! Reconnect backoff and choice of the next broker. Delays are randomized so that servers that lost the same broker do
+//! not reconnect at the same time.
 
 use loomflow_backoff::{ExponentialBackoff, ReconnectBackoff};
 
 use crate::Millis;
 
-/// Bounds on the upper limit of a backoff: on the first, and on all.
+/// Upper limit of the first backoff, ms. The limit doubles up to [`MAX_LIMIT_MS`].
 const MIN_LIMIT_MS: Millis = 100.0;
+/// Upper limit of every backoff, ms.
 const MAX_LIMIT_MS: Millis = 20_000.0;
-/// A connection that was up for so long was stable.
+/// A connection that was up for at least this long counts as stable and resets the limit, ms.
 const STABLE_AFTER_MS: Millis = 10_000.0;
 
-/// The backoff, and the broker that is tried next.
+/// Reconnect backoff over a list of brokers that are tried in turn.
 #[derive(Debug)]
 pub struct Backoff {
     random: fastrand::Rng,
-    /// The upper limit of the next backoff.
+    /// Upper limit of the next delay.
     limit: ReconnectBackoff,
     broker_count: usize,
+    /// Index of the broker to try next.
     broker: usize,
 }
 
 impl Backoff {
-    /// Begins with a random one of the brokers.
+    /// Starts with a random broker. `broker_count` is raised to at least 1.
     pub fn new(broker_count: usize, seed: u64) -> Backoff {
         let broker_count = broker_count.max(1);
         let mut random = fastrand::Rng::with_seed(seed);
@@ -37,13 +39,14 @@
         self.broker
     }
 
-    /// A connection is up.
+    /// Records that a connection was established.
     pub fn connected(&mut self, now: Millis) {
         self.limit.connected(now);
     }
 
-    /// A connection was lost, or could not be opened. Returns how long to wait before the next broker is tried: drawn from
-    /// zero to the limit ("full jitter"), which doubles with each connection that was not stable.
+    /// Records that a connection was lost or could not be opened, and selects the next broker. Returns the delay before
+    /// it is tried: uniformly distributed between zero and the limit ("full jitter"), which doubles with each unstable
+    /// connection.
     pub fn disconnected(&mut self, now: Millis) -> Millis {
         self.limit.disconnected(now);
         self.broker = (self.broker + 1) % self.broker_count;
--- a/crates/loomflow-amqp/src/connection.rs
+++ b/crates/loomflow-amqp/src/connection.rs
@@ -1,5 +1,5 @@
 //! State machine of one broker connection: handshake, heartbeats, channels and closing (specification 2.2.4, 4.2.7,
-//! 4.9). It writes every frame that is sent and turns received frames into [`ConnectionEvent`]s. It owns no socket and
+//! 4.9). It encodes all outgoing frames and turns received frames into [`ConnectionEvent`]s. It owns no socket and
 //! reads no clock.
 
 use std::collections::BTreeMap;
@@ -17,17 +17,19 @@
 
 /// Smallest frame size that a peer may negotiate, bytes (specification 4.2.3).
 const FRAME_MIN_BYTES: u32 = 4096;
-/// A handshake that takes longer than this is abandoned, ms.
+/// Maximum duration of the handshake, ms.
 const HANDSHAKE_TIMEOUT_MS: Millis = 5_000.0;
 
 /// Reply code and text of an orderly close (specification 1.2).
 const REPLY_SUCCESS: u16 = 200;
 const CLOSE_TEXT: &str = "leaving";
-/// Heartbeat intervals without any frame after which the peer is taken for dead (specification 4.2.7).
-const SILENT_INTERVALS: f64 = 2.0;
-/// Part of the heartbeat interval after which a heartbeat is sent, so that one that is late still comes in time.
-const SEND_INTERVAL_PART: f64 = 0.5;
-/// Client capabilities that are announced to the broker (extensions of the protocol).
+/// Number of heartbeat intervals without a received frame after which the connection is considered dead (specification
+/// 4.2.7).
+const MAX_SILENT_INTERVALS: f64 = 2.0;
+/// Fraction of the heartbeat interval after which a heartbeat is sent. Below 1 so that a delayed heartbeat still
+/// arrives in time.
+const HEARTBEAT_SEND_FRACTION: f64 = 0.5;
+/// Client capabilities that are announced to the broker (extension).
 const CAPABILITIES: [&str; 5] = [
     "publisher_confirms",
     "consumer_cancel_notify",
@@ -36,42 +38,42 @@
     "authentication_failure_close",
 ];
 
-/// Prefix of the message headers that this program sets.
-const OWN_HEADERS: &str = "x-loomflow-";
+/// Prefix of the message headers that loomflow sets.
+const OWN_HEADER_PREFIX: &str = "x-loomflow-";
 
 /// Number of a channel within its connection.
 pub type Channel = u16;
 
-/// What a received frame means for the consumer.
+/// Event that a received frame causes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConnectionEvent {
     /// The handshake is complete; channels may be opened.
     Ready,
     /// A channel is open.
     ChannelOpened(Channel),
-    /// The broker closed a channel, with its reason; deliveries on it can no longer be settled.
+    /// The broker closed a channel for the given reason. Deliveries on it can no longer be settled.
     ChannelClosed(Channel, String),
     /// A `basic` method without content.
     Method(Channel, basic::AMQPMethod),
     /// A complete message: method, header and body.
     Content(Channel, Box<Content>),
-    /// Publishes on a channel are confirmed from now on.
+    /// Publisher confirms are enabled on a channel (extension).
     ConfirmsEnabled(Channel),
-    /// The broker requests that content on a channel start (true) or stop (specification 1.5.2.3).
+    /// The broker allows (true) or stops (false) content on a channel (specification 1.5.2.3).
     Flow(Channel, bool),
-    /// The broker blocks (true) or unblocks publishing on this connection (extension).
+    /// The broker blocks (true) or unblocks (false) publishing on this connection (extension).
     Blocked(bool),
-    /// The broker closed the connection, with its reason.
+    /// The broker closed the connection for the given reason.
     ClosedByBroker(String),
-    /// The connection closed at our request.
+    /// The connection was closed at the request of this side.
     Closed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
-    Greeting,
-    Tuning,
-    Opening,
+    AwaitingStart,
+    AwaitingTune,
+    AwaitingOpenOk,
     Ready,
     Closing,
     Closed,
@@ -83,11 +85,11 @@
     Open(Box<Assembler>),
 }
 
-/// Credentials and connection parameters.
+/// Credentials and parameters of the handshake.
 pub struct Login {
-    /// Virtual host.
+    /// Virtual host to open.
     pub vhost: String,
-    /// User name.
+    /// User name for the PLAIN mechanism.
     pub user: String,
     /// Password of the user.
     pub password: Password,
@@ -112,12 +114,12 @@
 }
 
 impl BrokerConnection {
-    /// Starts the handshake on a newly opened transport. Longer bodies than `max_body_bytes` are discarded.
+    /// Starts the handshake on a newly opened transport. Message bodies larger than `max_body_bytes` are discarded.
     pub fn open(login: Login, max_body_bytes: usize, now: Millis) -> BrokerConnection {
         let mut connection = BrokerConnection {
             login,
             max_body_bytes,
-            state: ConnectionState::Greeting,
+            state: ConnectionState::AwaitingStart,
             channels: BTreeMap::new(),
             frame_max_bytes: FRAME_MIN_BYTES,
             channel_max: 0,
@@ -131,7 +133,7 @@
         connection
     }
 
-    /// Takes the bytes to write to the socket.
+    /// Takes the bytes to be written to the socket.
     pub fn take_output(&mut self, now: Millis) -> Vec<u8> {
         if !self.output.is_empty() {
             self.last_sent_at = now;
@@ -139,17 +141,17 @@
         std::mem::take(&mut self.output)
     }
 
-    /// Highest channel number that was negotiated.
+    /// Negotiated highest channel number; 0 before the handshake.
     pub fn channel_max(&self) -> Channel {
         self.channel_max
     }
 
-    /// Whether the handshake is complete and no close has begun.
+    /// Whether the handshake is complete and the connection is not being closed.
     pub fn is_ready(&self) -> bool {
         self.state == ConnectionState::Ready
     }
 
-    /// Whether the connection has ended.
+    /// Whether the connection is closed.
     pub fn is_closed(&self) -> bool {
         self.state == ConnectionState::Closed
     }
@@ -162,13 +164,13 @@
         self.send_frame(&AMQPFrame::Method(channel, class));
     }
 
-    fn send_control(&mut self, method: connection::AMQPMethod) {
+    fn send_connection_method(&mut self, method: connection::AMQPMethod) {
         self.send_method(0, AMQPClass::Connection(method));
     }
 
     // ---- Sending ----
 
-    /// Requests a channel.
+    /// Sends `channel.open`.
     pub fn open_channel(&mut self, number: Channel) {
         self.channels.insert(number, ChannelState::Opening);
         self.send_method(number, AMQPClass::Channel(channel::AMQPMethod::Open(channel::Open {})));
@@ -179,14 +181,14 @@
         self.send_method(number, AMQPClass::Basic(method));
     }
 
-    /// Requests publisher confirms on a channel (extension).
+    /// Sends `confirm.select` to enable publisher confirms on a channel (extension).
     pub fn enable_confirms(&mut self, number: Channel) {
         let select = confirm::AMQPMethod::Select(confirm::Select { nowait: false });
         self.send_method(number, AMQPClass::Confirm(select));
     }
 
     /// Publishes a message as method, header and body frames within the negotiated frame size. A header frame cannot be
-    /// split: if it would be too long, only the headers that this program sets are sent.
+    /// split: if it would be too large, only the headers that loomflow sets are sent.
     pub fn publish(
         &mut self,
         number: Channel,
@@ -211,7 +213,8 @@
         self.send_frame(&AMQPFrame::Header(number, header));
     }
 
-    /// Closes in order: nothing more is accepted, and the connection is closed once the broker confirms.
+    /// Closes the connection. Received frames are ignored until the broker confirms the close. An incomplete handshake
+    /// is aborted without a close.
     pub fn close(&mut self) {
         if self.state != ConnectionState::Ready {
             self.state = ConnectionState::Closed;
@@ -220,7 +223,7 @@
         self.state = ConnectionState::Closing;
         let reply_text = CLOSE_TEXT.into();
         let close = connection::Close { reply_code: REPLY_SUCCESS, reply_text, class_id: 0, method_id: 0 };
-        self.send_control(connection::AMQPMethod::Close(close));
+        self.send_connection_method(connection::AMQPMethod::Close(close));
     }
 
     // ---- Timers ----
@@ -229,20 +232,20 @@
     ///
     /// # Errors
     ///
-    /// The handshake timed out, or nothing was received for two heartbeat intervals.
+    /// Fails if the handshake timed out, or if nothing was received for two heartbeat intervals.
     pub fn tick(&mut self, now: Millis) -> Result<(), Malformed> {
         let in_handshake = matches!(
             self.state,
-            ConnectionState::Greeting | ConnectionState::Tuning | ConnectionState::Opening
+            ConnectionState::AwaitingStart | ConnectionState::AwaitingTune | ConnectionState::AwaitingOpenOk
         );
         if in_handshake && now - self.started_at >= HANDSHAKE_TIMEOUT_MS {
-            return Err(Malformed("the handshake takes too long"));
+            return Err(Malformed("the handshake timed out"));
         }
         if self.state == ConnectionState::Ready {
-            if now - self.last_received_at >= SILENT_INTERVALS * self.heartbeat_interval {
-                return Err(Malformed("no heartbeat has come"));
+            if now - self.last_received_at >= MAX_SILENT_INTERVALS * self.heartbeat_interval {
+                return Err(Malformed("no frame was received for two heartbeat intervals"));
             }
-            if now - self.last_sent_at >= self.heartbeat_interval * SEND_INTERVAL_PART {
+            if now - self.last_sent_at >= self.heartbeat_interval * HEARTBEAT_SEND_FRACTION {
                 self.last_sent_at = now;
                 self.send_frame(&AMQPFrame::Heartbeat);
             }
@@ -256,7 +259,7 @@
     ///
     /// # Errors
     ///
-    /// The frame is out of order or unknown in this state; the connection cannot go on.
+    /// Fails if the frame is not allowed in the current state. The connection must then be dropped.
     pub fn handle_frame(
         &mut self,
         frame: AMQPFrame,
@@ -265,8 +268,10 @@
         self.last_received_at = now;
         match frame {
             AMQPFrame::Heartbeat => Ok(None),
-            AMQPFrame::Method(0, AMQPClass::Connection(method)) => self.handle_control(method, now),
-            AMQPFrame::Method(0, _) => Err(Malformed("a method that is not for channel 0")),
+            AMQPFrame::Method(0, AMQPClass::Connection(method)) => self.handle_connection_method(method, now),
+            AMQPFrame::Method(0, _) => {
+                Err(Malformed("a method on channel 0 that is not a connection method"))
+            }
             AMQPFrame::Method(number, class) => self.handle_channel_method(number, class),
             AMQPFrame::Header(number, header) => {
                 let content =
@@ -278,12 +283,12 @@
                 Ok(content.map(|content| ConnectionEvent::Content(number, Box::new(content))))
             }
             AMQPFrame::ProtocolHeader(_) | AMQPFrame::InvalidHeartbeat(_) => {
-                Err(Malformed("a frame that no broker sends"))
+                Err(Malformed("a frame that a broker must not send"))
             }
         }
     }
 
-    /// The content assembler of a channel; `None` while closing, when content is ignored.
+    /// The assembler of a channel; `None` while the connection is being closed, when content is ignored.
     fn assembler(&mut self, number: Channel) -> Result<Option<&mut Assembler>, Malformed> {
         if self.state == ConnectionState::Closing {
             return Ok(None);
@@ -294,28 +299,28 @@
         }
     }
 
-    fn handle_control(
+    fn handle_connection_method(
         &mut self,
         method: connection::AMQPMethod,
         now: Millis,
     ) -> Result<Option<ConnectionEvent>, Malformed> {
         use connection::AMQPMethod as M;
         match (self.state, method) {
-            (ConnectionState::Greeting, M::Start(start)) => {
+            (ConnectionState::AwaitingStart, M::Start(start)) => {
                 check_start(&start)?;
-                self.state = ConnectionState::Tuning;
+                self.state = ConnectionState::AwaitingTune;
                 self.send_start_ok();
                 Ok(None)
             }
-            (ConnectionState::Greeting | ConnectionState::Tuning, M::Secure(_)) => {
-                Err(Malformed("the broker asks for more than a password"))
+            (ConnectionState::AwaitingStart | ConnectionState::AwaitingTune, M::Secure(_)) => {
+                Err(Malformed("the broker requires more than a user name and a password"))
             }
-            (ConnectionState::Tuning, M::Tune(tune)) => {
+            (ConnectionState::AwaitingTune, M::Tune(tune)) => {
                 self.tune(&tune)?;
-                self.state = ConnectionState::Opening;
+                self.state = ConnectionState::AwaitingOpenOk;
                 Ok(None)
             }
-            (ConnectionState::Opening, M::OpenOk(_)) => {
+            (ConnectionState::AwaitingOpenOk, M::OpenOk(_)) => {
                 (self.state, self.last_received_at, self.last_sent_at) = (ConnectionState::Ready, now, now);
                 Ok(Some(ConnectionEvent::Ready))
             }
@@ -327,13 +332,13 @@
             (ConnectionState::Ready, M::Blocked(_)) => Ok(Some(ConnectionEvent::Blocked(true))),
             (ConnectionState::Ready, M::Unblocked(_)) => Ok(Some(ConnectionEvent::Blocked(false))),
             (ConnectionState::Closing, _) => Ok(None),
-            _ => Err(Malformed("a method out of order")),
+            _ => Err(Malformed("an unexpected connection method")),
         }
     }
 
-    /// Confirms a close. Both sides may close at once (specification 2.2.4).
+    /// Confirms a close by the broker. Both sides may close at the same time (specification 2.2.4).
     fn closed_by_broker(&mut self, close: &connection::Close) -> ConnectionEvent {
-        self.send_control(connection::AMQPMethod::CloseOk(connection::CloseOk {}));
+        self.send_connection_method(connection::AMQPMethod::CloseOk(connection::CloseOk {}));
         let was_closing = self.state == ConnectionState::Closing;
         self.state = ConnectionState::Closed;
         if was_closing {
@@ -352,7 +357,7 @@
         properties.insert("version".into(), AMQPValue::LongString(env!("CARGO_PKG_VERSION").into()));
         properties.insert("capabilities".into(), AMQPValue::FieldTable(capabilities));
         let response: LongString = format!("\0{}\0{}", self.login.user, self.login.password.0).into();
-        self.send_control(connection::AMQPMethod::StartOk(connection::StartOk {
+        self.send_connection_method(connection::AMQPMethod::StartOk(connection::StartOk {
             client_properties: properties,
             mechanism: "PLAIN".into(),
             response,
@@ -360,12 +365,12 @@
         }));
     }
 
-    /// Negotiates limits: the smaller value counts, and 0 means no limit on either side (specification 1.4.2.5).
+    /// Negotiates limits: the smaller value of both sides applies, and 0 means no limit (specification 1.4.2.5).
     fn tune(&mut self, tune: &connection::Tune) -> Result<(), Malformed> {
         let smaller = |theirs: u32, ours: u32| if theirs == 0 { ours } else { theirs.min(ours) };
         self.frame_max_bytes = smaller(tune.frame_max, FRAME_MAX_BYTES);
         if self.frame_max_bytes < FRAME_MIN_BYTES {
-            return Err(Malformed("the broker's frames are too short"));
+            return Err(Malformed("the broker's maximum frame size is below 4096 bytes"));
         }
         self.channel_max = smaller(tune.channel_max.into(), Channel::MAX.into()) as Channel;
         let heartbeat_s = match (tune.heartbeat, self.login.heartbeat_s) {
@@ -375,13 +380,13 @@
         self.heartbeat_interval =
             if heartbeat_s == 0 { f64::INFINITY } else { f64::from(heartbeat_s) * 1000.0 };
         let (channel_max, frame_max) = (self.channel_max, self.frame_max_bytes);
-        self.send_control(connection::AMQPMethod::TuneOk(connection::TuneOk {
+        self.send_connection_method(connection::AMQPMethod::TuneOk(connection::TuneOk {
             channel_max,
             frame_max,
             heartbeat: heartbeat_s,
         }));
         let virtual_host = ShortString::try_new(self.login.vhost.as_str()).unwrap_or_default();
-        self.send_control(connection::AMQPMethod::Open(connection::Open { virtual_host }));
+        self.send_connection_method(connection::AMQPMethod::Open(connection::Open { virtual_host }));
         Ok(())
     }
 
@@ -407,7 +412,7 @@
             }
             (ChannelState::Opening, _) => Err(Malformed("a method on a channel that is not open")),
             (ChannelState::Open(assembler), _) if assembler.is_open() => {
-                Err(Malformed("a method where the rest of a message is due"))
+                Err(Malformed("a method frame inside an incomplete message"))
             }
             (ChannelState::Open(assembler), AMQPClass::Basic(method)) => {
                 Ok(assembler.method(method)?.map(|method| ConnectionEvent::Method(number, method)))
@@ -420,7 +425,7 @@
                 self.send_method(number, AMQPClass::Channel(flow_ok));
                 Ok(Some(ConnectionEvent::Flow(number, flow.active)))
             }
-            _ => Err(Malformed("a method out of order")),
+            _ => Err(Malformed("an unexpected channel method")),
         }
     }
 
@@ -432,24 +437,24 @@
     }
 }
 
-/// Checks that the broker speaks this version of the protocol and accepts a user name with a password.
+/// Checks that the broker uses AMQP 0-9 and supports the PLAIN mechanism.
 fn check_start(start: &connection::Start) -> Result<(), Malformed> {
     if (start.version_major, start.version_minor) != (0, 9) {
-        return Err(Malformed("the broker speaks another version of the protocol"));
+        return Err(Malformed("the broker uses another version of the protocol"));
     }
     let mechanisms = start.mechanisms.to_string();
     if !mechanisms.split(' ').any(|mechanism| mechanism == "PLAIN") {
-        return Err(Malformed("the broker does not take a user and a password (PLAIN)"));
+        return Err(Malformed("the broker does not support the PLAIN mechanism"));
     }
     Ok(())
 }
 
-/// Drops the message headers that this program did not set.
+/// Drops the message headers that loomflow did not set.
 fn with_own_headers_only(properties: AMQPProperties) -> AMQPProperties {
     let all = properties.headers().clone().unwrap_or_default();
     let own: BTreeMap<_, _> = all
         .into_iter()
-        .filter(|(name, _)| name.as_str().starts_with(OWN_HEADERS))
+        .filter(|(name, _)| name.as_str().starts_with(OWN_HEADER_PREFIX))
         .map(|(name, value)| (name.clone(), value.clone()))
         .collect();
     properties.with_headers(own.into())
--- a/crates/loomflow-amqp/src/connection/tests.rs
+++ b/crates/loomflow-amqp/src/connection/tests.rs
@@ -5,7 +5,7 @@
 use crate::frames::Frames;
 
 const HEARTBEAT_S: u16 = 10;
-const INTERVAL: Millis = 10_000.0;
+const INTERVAL_MS: Millis = 10_000.0;
 const MAX_BODY_BYTES: usize = 1_000;
 
 fn connection() -> BrokerConnection {
@@ -18,12 +18,12 @@
     BrokerConnection::open(login, MAX_BODY_BYTES, 0.0)
 }
 
-fn control(method: connection::AMQPMethod) -> AMQPFrame {
+fn connection_method(method: connection::AMQPMethod) -> AMQPFrame {
     AMQPFrame::Method(0, AMQPClass::Connection(method))
 }
 
 fn start(version_minor: u8, mechanisms: &str) -> AMQPFrame {
-    control(connection::AMQPMethod::Start(connection::Start {
+    connection_method(connection::AMQPMethod::Start(connection::Start {
         version_major: 0,
         version_minor,
         server_properties: FieldTable::default(),
@@ -33,13 +33,13 @@
 }
 
 fn tune(channel_max: u16, frame_max: u32, heartbeat: u16) -> AMQPFrame {
-    control(connection::AMQPMethod::Tune(connection::Tune { channel_max, frame_max, heartbeat }))
+    connection_method(connection::AMQPMethod::Tune(connection::Tune { channel_max, frame_max, heartbeat }))
 }
 
-/// A connection whose handshake is complete at time 0, with these limits of the broker.
+/// A connection that completed its handshake at time 0 with a broker that proposes these limits.
 pub(crate) fn ready(channel_max: u16, frame_max: u32, heartbeat: u16) -> BrokerConnection {
     let mut connection = connection();
-    let open_ok = control(connection::AMQPMethod::OpenOk(connection::OpenOk {}));
+    let open_ok = connection_method(connection::AMQPMethod::OpenOk(connection::OpenOk {}));
     for frame in [start(9, "PLAIN"), tune(channel_max, frame_max, heartbeat)] {
         assert_eq!(connection.handle_frame(frame, 0.0), Ok(None));
     }
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_handshake_that_takes_too_long_is_abandoned() {
+fn a_handshake_times_out() {
     let mut connection = connection();
     assert_eq!(connection.tick(HANDSHAKE_TIMEOUT_MS - 1.0), Ok(()));
     assert!(connection.tick(HANDSHAKE_TIMEOUT_MS).is_err());
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn only_brokers_of_this_version_that_accept_a_password_are_used() {
+fn brokers_of_another_version_or_without_plain_are_rejected() {
     for (frame, is_accepted) in [
         (start(9, "EXTERNAL PLAIN"), true),
         (start(8, "PLAIN"), false),
@@ -68,36 +68,36 @@
 }
 
 #[test]
-fn the_smaller_limit_of_both_sides_applies_and_zero_is_none() {
+fn the_smaller_limit_applies_and_zero_is_unlimited() {
     let limits = |connection: BrokerConnection| {
         (connection.channel_max, connection.frame_max_bytes, connection.heartbeat_interval)
     };
-    assert_eq!(limits(ready(0, 0, 0)), (u16::MAX, FRAME_MAX_BYTES, INTERVAL));
+    assert_eq!(limits(ready(0, 0, 0)), (u16::MAX, FRAME_MAX_BYTES, INTERVAL_MS));
     assert_eq!(limits(ready(7, FRAME_MIN_BYTES, 1)), (7, FRAME_MIN_BYTES, 1_000.0));
-    assert_eq!(limits(ready(7, u32::MAX, 60)), (7, FRAME_MAX_BYTES, INTERVAL));
-    let mut short = connection();
-    assert_eq!(short.handle_frame(start(9, "PLAIN"), 0.0), Ok(None));
-    assert!(short.handle_frame(tune(0, FRAME_MIN_BYTES - 1, 0), 0.0).is_err());
+    assert_eq!(limits(ready(7, u32::MAX, 60)), (7, FRAME_MAX_BYTES, INTERVAL_MS));
+    let mut connection = connection();
+    assert_eq!(connection.handle_frame(start(9, "PLAIN"), 0.0), Ok(None));
+    assert!(connection.handle_frame(tune(0, FRAME_MIN_BYTES - 1, 0), 0.0).is_err());
 }
 
 #[test]
-fn a_heartbeat_is_sent_in_time_and_a_silent_broker_is_abandoned() {
+fn heartbeats_are_sent_in_time_and_a_silent_broker_is_an_error() {
     let mut connection = ready(0, 0, HEARTBEAT_S);
-    let send_at = INTERVAL * SEND_INTERVAL_PART;
+    let send_at = INTERVAL_MS * HEARTBEAT_SEND_FRACTION;
     assert_eq!((connection.tick(send_at - 1.0), connection.take_output(send_at).len()), (Ok(()), 0));
     assert_eq!(
         (connection.tick(send_at), connection.take_output(send_at).len()),
         (Ok(()), FRAME_OVERHEAD_BYTES)
     );
-    // Whatever is received shows that the broker is alive.
+    // Any received frame shows that the broker is alive.
     assert_eq!(connection.handle_frame(AMQPFrame::Heartbeat, 5.0), Ok(None));
-    let silent_at = 5.0 + SILENT_INTERVALS * INTERVAL;
+    let silent_at = 5.0 + MAX_SILENT_INTERVALS * INTERVAL_MS;
     assert_eq!(connection.tick(silent_at - 1.0), Ok(()));
     assert!(connection.tick(silent_at).is_err());
 }
 
 #[test]
-fn a_header_that_fits_no_frame_is_sent_with_our_own_headers_only() {
+fn a_header_frame_that_is_too_large_has_only_own_headers() {
     let published = |text_len: usize| {
         let mut connection = ready(0, FRAME_MIN_BYTES, 0);
         let mut headers = FieldTable::default();
--- a/crates/loomflow-amqp/src/consumer/delivery.rs
+++ b/crates/loomflow-amqp/src/consumer/delivery.rs
@@ -1,51 +1,51 @@
-//! A message that the broker has delivered and that is not settled.
+//! State of a delivered message until it is settled.
 
 use amq_protocol::protocol::basic::AMQPProperties;
 
 use crate::Millis;
 use crate::idempotency::{CopyId, IdempotencyKey};
 use crate::message::{self, Classification};
-use crate::settlement::Settling;
+use crate::settlement::PendingSettlement;
 
-/// A delivery.
+/// A message that the broker delivered and that is not settled.
 pub(super) struct Delivery {
-    /// Index of its queue in the settings.
+    /// Index into [`Settings::queues`](crate::Settings::queues).
     pub(super) queue: usize,
-    /// Index of its consumer in the queue's pool.
+    /// Index of its consumer in the pool of the queue.
     pub(super) consumer: usize,
-    /// The broker's delivery tag.
+    /// Delivery tag on the channel of its consumer.
     pub(super) tag: u64,
     pub(super) properties: AMQPProperties,
     pub(super) body: Vec<u8>,
-    /// The broker delivered it before.
+    /// Whether the broker marked the message as redelivered.
     pub(super) redelivered: bool,
     pub(super) classification: Option<Classification>,
     pub(super) key: Option<IdempotencyKey>,
-    /// When it was sent, if that is known.
+    /// When the message was sent, at most the time of its delivery; `None` if unknown.
     pub(super) sent_at: Option<Millis>,
     pub(super) received_at: Millis,
-    /// When its run may have started.
+    /// When its run may have started; `None` if it has not.
     pub(super) run_started_at: Option<Millis>,
     pub(super) phase: Phase,
 }
 
-/// How far a delivery has come.
+/// Processing state of a delivery.
 pub(super) enum Phase {
-    /// Submitted, and perhaps running.
+    /// The message was submitted and may be running.
     Submitted,
-    /// Waits for its original.
+    /// The message waits for the first delivery of its key to end.
     AwaitingOriginal,
-    /// It has ended.
-    Settling(Settling),
+    /// The outcome of the message is known, and its settlement is in progress.
+    Settling(PendingSettlement),
 }
 
 impl Delivery {
-    /// Whether it was submitted and has no response.
+    /// Whether the message was submitted and has no response yet.
     pub(super) fn is_submitted(&self) -> bool {
         matches!(self.phase, Phase::Submitted)
     }
 
-    /// Which copy it is, where it was republished from here.
+    /// Copy id of a republished message; `None` for an original.
     pub(super) fn copy(&self) -> Option<CopyId> {
         message::publish_id(&self.properties)
     }
--- a/crates/loomflow-amqp/src/consumer/flow_control.rs
+++ b/crates/loomflow-amqp/src/consumer/flow_control.rs
@@ -1,4 +1,4 @@
-//! How much is consumed: windows follow what has happened, consumers follow windows, and what is queued is published.
+//! Flow control: resizes the consumer pools to the windows of their queues and writes queued publishes.
 
 use amq_protocol::protocol::basic::{self, AMQPMethod};
 use amq_protocol::types::FieldTable;
@@ -11,34 +11,35 @@
 use crate::window::{Demand, divide_by_weight};
 
 impl Consumer {
-    /// Submitted messages are decided upon from now on.
+    /// Starts consuming, once the owner handles submitted messages.
     pub fn start_accepting(&mut self) {
         self.is_accepting = true;
     }
 
-    /// The send share that callers get from now on.
+    /// Sets the send share, which scales the windows.
     pub fn set_share(&mut self, share: f64) {
         self.share = share;
     }
 
-    /// The wall clock's ms since 1970 at time 0, by which the timestamps of senders are read.
+    /// Sets the Unix time at time 0, ms, to which the timestamps of senders are compared.
     pub fn set_epoch(&mut self, epoch: Millis) {
         self.clock_epoch = epoch;
     }
 
-    /// The tenants from now on, and the same classes and queues with their present figures.
+    /// Replaces the tenants and the values of the classes and queues. The classes and queues themselves must stay the
+    /// same.
     pub fn set_settings(&mut self, tenants: Vec<String>, classes: Vec<Class>, queues: Vec<Queue>) {
         self.settings.tenants = tenants;
         self.settings.classes = classes;
         self.settings.queues = queues;
     }
 
-    /// The settings of a queue.
+    /// Settings of the queue at an index of [`Settings::queues`](crate::Settings::queues).
     pub fn queue(&self, index: usize) -> &Queue {
         &self.settings.queues[index]
     }
 
-    /// Lets windows, consumers and publishes follow what has happened.
+    /// Writes publishes, resizes the consumer pools, and closes the connection once the drain is complete.
     pub(super) fn flush(&mut self, now: Millis) {
         self.is_dirty = false;
         let Some(connection) = self.connection.as_mut().filter(|connection| connection.is_ready()) else {
@@ -47,7 +48,8 @@
         if self.reopen_at.take_if(|at| now >= *at).is_some() {
             connection.open_channel(PUBLISH_CHANNEL);
         }
-        // Written first: a publish that fits now must not count as backpressure and cancel consumers.
+        // Publishes are written first, so that one that can be written now does not count as backpressure and cancel
+        // consumers.
         self.write_publishes(now);
         self.resize_pools(now);
         self.close_if_drained();
@@ -66,8 +68,8 @@
         }
     }
 
-    /// Whether further messages are consumed. Not while their replies could not be published, nor while their keys could not
-    /// be recorded.
+    /// Whether further messages may be consumed. This is not the case while their replies could not be published or
+    /// their keys not recorded.
     fn may_consume(&self) -> bool {
         self.is_accepting
             && self.drain_deadline.is_none()
@@ -75,7 +77,7 @@
             && !self.records.is_full()
     }
 
-    /// Divides the messages that may be in flight among the queues, and brings each pool towards its part.
+    /// Divides the messages that may be in flight among the queues, and resizes each pool to its part.
     fn resize_pools(&mut self, now: Millis) {
         let max_in_flight = self.settings.max_in_flight;
         let target = |queue: &mut QueueState| {
@@ -91,14 +93,14 @@
         let parts = divide_by_weight(if self.may_consume() { max_in_flight } else { 0 }, &demands);
         for (queue, part) in parts.into_iter().enumerate() {
             for (consumer, command) in self.queues[queue].pool.resize(part, now) {
-                self.carry_out(queue, consumer, command);
+                self.send_command(queue, consumer, command);
             }
         }
     }
 
-    fn carry_out(&mut self, queue: usize, consumer: usize, command: ConsumerCommand) {
+    fn send_command(&mut self, queue: usize, consumer: usize, command: ConsumerCommand) {
         let Some(connection) = &mut self.connection else { return };
-        let channel = Consumer::channel_of(queue, consumer);
+        let channel = Consumer::channel_number(queue, consumer);
         let consumer_tag = format!("loomflow.{queue}.{consumer}").into();
         match command {
             ConsumerCommand::OpenChannel => connection.open_channel(channel),
--- a/crates/loomflow-amqp/src/consumer/inbound.rs
+++ b/crates/loomflow-amqp/src/consumer/inbound.rs
@@ -1,4 +1,4 @@
-//! Messages in: what a consumer delivers is decided upon and submitted; what is lost with its channel is abandoned.
+//! Deliveries: decides how each message is handled and submits it, and abandons the deliveries of a closed channel.
 
 use amq_protocol::protocol::basic::AMQPProperties;
 use loomflow_protocol::Malformed;
@@ -14,23 +14,24 @@
 use crate::settlement::MessageOutcome;
 
 impl Consumer {
-    /// A consumer's channel is closed, and with it everything that could have been settled there.
+    /// Handles the close of the channel of a consumer: its deliveries can no longer be settled and are abandoned.
     pub(super) fn channel_closed(&mut self, channel: Channel, now: Millis) {
-        let Some((queue, consumer)) = self.consumer_of(channel) else { return };
+        let Some((queue, consumer)) = self.consumer_index(channel) else { return };
         self.queues[queue].pool.channel_closed(consumer, now);
         let is_on_channel = |delivery: &Delivery| (delivery.queue, delivery.consumer) == (queue, consumer);
         let mut waiters = Vec::new();
         for id in self.deliveries_where(is_on_channel) {
             waiters.extend(self.abandon(id, now));
         }
-        // Those that waited on other channels are decided upon anew: one of them is the original now.
+        // Waiters on other channels are processed again: the first of them replaces the abandoned delivery.
         for id in waiters {
             self.process(id, now);
         }
     }
 
-    /// A delivery cannot be settled any more; the broker will deliver its message again. A run continues, for the redelivery;
-    /// what has not been started is dropped. Returns the deliveries that waited for it.
+    /// Abandons a delivery that can no longer be settled. The broker will redeliver its message. A run that may have
+    /// started continues, so that the redelivery gets its result; otherwise the message is cancelled. Returns the
+    /// waiters of the cancelled message.
     pub(super) fn abandon(&mut self, id: DeliveryId, now: Millis) -> Vec<DeliveryId> {
         let Some(delivery) = self.deliveries.remove(&id) else { return Vec::new() };
         let copy = delivery.copy();
@@ -42,25 +43,24 @@
                 self.requests.push(ConsumerRequest::Cancel(id));
                 return key.map(|key| self.records.not_started(&key, copy, now)).unwrap_or_default();
             }
-            (Phase::AwaitingOriginal, Some(key)) => self.records.leave(&key, id),
+            (Phase::AwaitingOriginal, Some(key)) => self.records.remove_waiter(&key, id),
             (Phase::Settling(settling), Some(key)) if settling.awaits_reply_confirm() => {
-                self.expect_late_reply(id, key, &delivery.properties);
+                self.track_late_reply(id, key, &delivery.properties);
             }
             (Phase::AwaitingOriginal | Phase::Settling(_), _) => {}
         }
         Vec::new()
     }
 
-    /// The reply of an abandoned delivery may still be confirmed: its caller is answered then.
-    fn expect_late_reply(&mut self, id: DeliveryId, key: IdempotencyKey, properties: &AMQPProperties) {
-        let is_its_reply =
-            |purpose: &&mut PublishPurpose| matches!(purpose, PublishPurpose::Reply(of) if *of == id);
-        if let Some(purpose) = self.pending_publishes.values_mut().find(is_its_reply) {
+    /// Arranges that a confirm of the reply to an abandoned delivery is still recorded for its caller.
+    fn track_late_reply(&mut self, id: DeliveryId, key: IdempotencyKey, properties: &AMQPProperties) {
+        let is_reply = |purpose: &&mut PublishPurpose| matches!(purpose, PublishPurpose::Reply(delivery) if *delivery == id);
+        if let Some(purpose) = self.pending_publishes.values_mut().find(is_reply) {
             *purpose = PublishPurpose::LateReply(key, message::caller_digest(properties));
         }
     }
 
-    /// Handles a message of the broker.
+    /// Handles a complete message from the broker, either a delivery or a returned publish.
     pub(super) fn handle_content(
         &mut self,
         channel: Channel,
@@ -77,7 +77,7 @@
             Envelope::Deliver(deliver) => deliver,
         };
         let (queue, consumer) =
-            self.consumer_of(channel).ok_or(Malformed("a message on a channel without a consumer"))?;
+            self.consumer_index(channel).ok_or(Malformed("a delivery on a channel without a consumer"))?;
         let id = self.count_delivery(queue, consumer, deliver.redelivered)?;
         let delivery = Delivery {
             queue,
@@ -110,7 +110,7 @@
         redelivered: bool,
     ) -> Result<DeliveryId, Malformed> {
         if !self.queues[queue].pool.delivered(consumer) {
-            return Err(Malformed("far more messages than were asked for"));
+            return Err(Malformed("a delivery to a stopped consumer or far beyond its prefetch count"));
         }
         self.last_delivery += 1;
         self.counts.delivered += 1;
@@ -118,13 +118,13 @@
         Ok(self.last_delivery)
     }
 
-    /// When a message was sent; never later than now, whatever the sender's clock says.
+    /// When a message was sent, limited to `now` in case the clock of its sender is ahead.
     fn sent_at(&self, queue: usize, properties: &AMQPProperties, now: Millis) -> Option<Millis> {
         let from = self.settings.queues[queue].sent_from.as_ref()?;
         message::sent_at(from, properties).map(|at| (at - self.clock_epoch).min(now))
     }
 
-    /// Class, tenant and key of a message. The error is the reason why it is invalid.
+    /// Determines class, tenant and idempotency key of a message. The error is the reason to dead-letter it.
     fn classify(
         &self,
         delivery: &Delivery,
@@ -135,12 +135,12 @@
         Ok((classification, key))
     }
 
-    /// Decides about a delivery: submits it, lets it wait for its original, or finishes it.
+    /// Processes a delivery: submits it, lets it wait for the first delivery of its key, or begins its settlement.
     pub(super) fn process(&mut self, id: DeliveryId, now: Millis) {
         let Some(delivery) = self.deliveries.get(&id) else { return };
         let (classification, key) = match self.classify(delivery) {
             Ok(classified) => classified,
-            Err(why) => return self.begin_settlement(id, &MessageOutcome::Invalid(why), now),
+            Err(reason) => return self.begin_settlement(id, &MessageOutcome::Invalid(reason), now),
         };
         let info = MessageInfo {
             has_effect: classification.has_effect,
@@ -159,15 +159,16 @@
             }
             DuplicateDecision::Run => self.submit(id, classification, now),
             DuplicateDecision::AwaitOriginal => delivery.phase = Phase::AwaitingOriginal,
-            DuplicateDecision::Superseded | DuplicateDecision::AnswerFromRecord { is_answered: true, .. } => {
-                self.begin_settlement(id, &MessageOutcome::AlreadyAnswered, now);
+            DuplicateDecision::Superseded
+            | DuplicateDecision::ReplyFromRecord { is_reply_confirmed: true, .. } => {
+                self.begin_settlement(id, &MessageOutcome::AlreadyReplied, now);
             }
-            DuplicateDecision::AnswerFromRecord { result, .. } => {
+            DuplicateDecision::ReplyFromRecord { result, .. } => {
                 self.begin_settlement(id, &MessageOutcome::Finished(result), now);
             }
             DuplicateDecision::MayHaveRun => self.begin_settlement(id, &MessageOutcome::MayHaveRun, now),
             DuplicateDecision::BodyMismatch => {
-                // What becomes of it is nothing to the original of its key.
+                // The record belongs to the other message, so the outcome of this one must not be recorded.
                 delivery.key = None;
                 self.begin_settlement(id, &MessageOutcome::Invalid(FailureReason::KEY_MISMATCH), now);
             }
--- a/crates/loomflow-amqp/src/consumer/mod.rs
+++ b/crates/loomflow-amqp/src/consumer/mod.rs
@@ -1,9 +1,10 @@
-//! The consumer: which messages are consumed, what each is submitted as, how each is settled. It ties the parts together and
-//! owns every message in flight; what it decides itself is only the order of things.
+//! The consumer of one broker's queues. It combines the protocol layers with the decisions of the other modules and
+//! owns all messages in flight.
 //!
-//! - `inbound`: messages in; `outbound`: messages out;
-//! - `flow_control`: windows, consumers and publishes follow what has happened;
-//! - `delivery`: one message.
+//! - `inbound` handles deliveries and submits messages.
+//! - `outbound` handles responses, publishes and settlements.
+//! - `flow_control` adjusts windows and consumers and writes publishes.
+//! - `delivery` defines the state of one delivery.
 
 mod delivery;
 mod flow_control;
@@ -29,66 +30,67 @@
 use crate::window::Window;
 use delivery::{Delivery, Phase};
 
-/// The channel that everything is published on; those of the consumers follow.
+/// Channel for all publishes.
 const PUBLISH_CHANNEL: Channel = 1;
+/// First of the channels of the consumers, which are numbered consecutively.
 const FIRST_CONSUMER_CHANNEL: Channel = 2;
-/// A publishing channel that the broker closed is opened again after this.
+/// Delay before a publishing channel that the broker closed is opened again, ms.
 const REOPEN_BACKOFF_MS: Millis = 1_000.0;
 
-/// A message that is to be run.
+/// A message to run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SubmittedMessage {
-    /// Names the delivery.
+    /// Id of the delivery.
     pub id: DeliveryId,
-    /// Index of its queue in the settings.
+    /// Index into [`Settings::queues`].
     pub queue: usize,
-    /// Its class and tenant.
+    /// Class and tenant of the message.
     pub classification: Classification,
-    /// Its idempotency key, where it has one.
+    /// Idempotency key; `None` if the message has none.
     pub key: Option<String>,
-    /// Its body.
+    /// Body of the message.
     pub body: Vec<u8>,
-    /// The broker delivered it before.
+    /// Whether the broker marked the message as redelivered.
     pub redelivered: bool,
-    /// How long ago it was sent, ms; 0 if that is unknown.
+    /// Time since the message was sent, ms; 0 if unknown.
     pub upstream_time: Millis,
 }
 
-/// A request of the consumer to its front.
+/// A request of the consumer to its owner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConsumerRequest {
-    /// To run a message.
+    /// Run a message.
     Submit(SubmittedMessage),
-    /// To cancel a message: nobody waits for its response any more, and its run has not started.
+    /// Cancel a submitted message whose run has not started. Its response is no longer needed.
     Cancel(DeliveryId),
-    /// To log a line.
+    /// Log a line.
     Log(String),
 }
 
-/// The one response to a submitted message.
+/// Response to a submitted message. Each message gets one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum MessageResponse<'a> {
-    /// The result of the run.
+    /// The message was served with this result.
     Served(&'a [u8]),
-    /// Load was shed, and nothing was started.
+    /// The message was rejected under overload and not started.
     Rejected {
-        /// When the message is to come again.
+        /// Time until a retry is allowed.
         retry_after: Millis,
-        /// It is not to come again anywhere.
+        /// Whether the message must not be retried on any server.
         is_final: bool,
     },
-    /// It failed, and nothing was started for it.
+    /// The message failed before its run was started.
     NotRun,
-    /// It failed, and may have had its effect.
+    /// The message failed and may have taken effect.
     MayHaveRun,
 }
 
-/// What a publish is for.
+/// Purpose of a pending publish, which determines how its result is handled.
 #[derive(Clone)]
 enum PublishPurpose {
     Reply(DeliveryId),
     Republish(DeliveryId, Republish),
-    /// The reply to a delivery that was abandoned meanwhile: once it is confirmed, this caller of the key is answered.
+    /// Reply to a delivery that has been abandoned since. Its confirm is recorded for this key and caller digest.
     LateReply(IdempotencyKey, u64),
 }
 
@@ -103,18 +105,18 @@
     }
 }
 
-/// How many messages ended which way, since the start.
+/// Counters of messages since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Messages that were delivered.
+    /// Delivered messages.
     pub delivered: u64,
-    /// Of those, with the broker's mark.
+    /// Delivered messages that the broker marked as redelivered.
     pub redelivered: u64,
-    /// Replies that were confirmed.
+    /// Confirmed replies.
     pub replied: u64,
-    /// Messages that were published to their queue again, and confirmed.
+    /// Confirmed copies of messages that were requeued.
     pub republished: u64,
-    /// Messages that were published as dead letters, and confirmed.
+    /// Confirmed dead letters.
     pub dead_lettered: u64,
     /// Messages settled by `basic.ack`.
     pub acks: u64,
@@ -131,31 +133,31 @@
     backoff: Backoff,
     queues: Vec<QueueState>,
     publisher: Publisher,
-    /// When the publishing channel is opened again.
+    /// When to open the publishing channel again after the broker closed it.
     reopen_at: Option<Millis>,
     records: IdempotencyRecords,
     deliveries: BTreeMap<DeliveryId, Delivery>,
-    /// Runs that continue although their delivery was abandoned, for its redelivery.
+    /// Runs whose delivery was abandoned. They continue, so that the redelivery gets their result.
     orphaned_runs: BTreeMap<DeliveryId, Option<IdempotencyKey>>,
-    /// When settlements have something to do, in microseconds.
+    /// When scheduled publishes of settlements are due, µs.
     deadlines: BTreeSet<(i64, DeliveryId)>,
     pending_publishes: BTreeMap<PublishId, PublishPurpose>,
     last_delivery: DeliveryId,
     last_publish: PublishId,
-    /// The wall clock's ms since 1970 at time 0.
+    /// Unix time at time 0, ms.
     clock_epoch: Millis,
-    /// Submitted messages are decided upon.
+    /// Whether the owner handles submitted messages.
     is_accepting: bool,
-    /// The send share that callers get.
+    /// Send share that scales the windows.
     share: f64,
-    /// When a graceful shutdown has to be complete, once it has begun.
+    /// When the drain has to be complete; `None` unless the server is shutting down.
     drain_deadline: Option<Millis>,
-    /// Nothing that has not been started will be.
+    /// Whether no further run may start, because the grace period of the drain is over.
     is_intake_stopped: bool,
     requests: Vec<ConsumerRequest>,
-    /// Something has happened that windows, consumers or publishes have not followed.
+    /// Whether [`Consumer::tick`] has to update windows and consumers and write publishes.
     is_dirty: bool,
-    /// How many messages ended which way.
+    /// Counters of messages since the start of the process.
     pub counts: Counts,
 }
 
@@ -164,7 +166,7 @@
 }
 
 impl Consumer {
-    /// A consumer without a connection. `store`: what is known of keys from before this process, or elsewhere.
+    /// Creates a consumer without a connection. `store` provides knowledge about runs of other processes.
     pub fn new(settings: Settings, store: Box<dyn IdempotencyStore + Send>, seed: u64) -> Consumer {
         Consumer {
             connection: None,
@@ -178,7 +180,7 @@
             deadlines: BTreeSet::new(),
             pending_publishes: BTreeMap::new(),
             last_delivery: 0,
-            // Ids of publishes must differ among all servers.
+            // Publish ids must be unique among all servers.
             last_publish: fastrand::Rng::with_seed(seed).u64(..) >> 8,
             clock_epoch: 0.0,
             is_accepting: false,
@@ -194,12 +196,12 @@
 
     // ---- The connection ----
 
-    /// Where to connect to.
+    /// Address of the broker to connect to.
     pub fn broker(&self) -> SocketAddr {
         self.settings.brokers[self.backoff.broker().min(self.settings.brokers.len() - 1)]
     }
 
-    /// A connection was opened.
+    /// Starts the handshake on a newly opened transport. Ignored while the server is shutting down.
     pub fn connected(&mut self, now: Millis) {
         if self.drain_deadline.is_some() {
             return;
@@ -213,8 +215,8 @@
         self.connection = Some(BrokerConnection::open(login, self.settings.max_body_bytes, now));
     }
 
-    /// The connection is lost, or could not be opened. Returns how long to wait before the next is opened, none where no
-    /// further one is needed.
+    /// Handles a connection that was lost or could not be opened. Returns the delay before the next attempt; `None` if
+    /// the server is shutting down.
     pub fn disconnected(&mut self, now: Millis) -> Option<Millis> {
         self.connection = None;
         self.publisher.connection_lost();
@@ -223,7 +225,7 @@
         for queue in &mut self.queues {
             queue.pool = ConsumerPool::new(PREFETCH_COUNTS.len());
         }
-        // Those that waited for one of them go with it.
+        // Waiters need no new decision, because they are abandoned as well.
         for id in self.deliveries.keys().copied().collect::<Vec<_>>() {
             self.abandon(id, now);
         }
@@ -232,20 +234,21 @@
         self.drain_deadline.is_none().then_some(backoff)
     }
 
-    /// What is to be written to the connection.
+    /// Takes the bytes to be written to the connection.
     pub fn take_output(&mut self, now: Millis) -> Vec<u8> {
         self.connection.as_mut().map(|connection| connection.take_output(now)).unwrap_or_default()
     }
 
-    /// The requests to the front since the last call.
+    /// Takes the requests to the owner since the last call.
     pub fn take_requests(&mut self) -> Vec<ConsumerRequest> {
         std::mem::take(&mut self.requests)
     }
 
-    /// Handles a frame.
+    /// Handles a received frame.
     ///
     /// # Errors
-    /// The connection cannot go on, and is to be closed.
+    ///
+    /// Fails on a protocol violation or if the broker closed the connection, which must then be dropped.
     pub fn handle_frame(&mut self, frame: AMQPFrame, now: Millis) -> Result<(), Malformed> {
         let Some(connection) = &mut self.connection else { return Ok(()) };
         if let Some(event) = connection.handle_frame(frame, now)? {
@@ -264,25 +267,27 @@
                 }
             }
             ConnectionEvent::ConfirmsEnabled(PUBLISH_CHANNEL) => self.publisher.channel_opened(),
-            ConnectionEvent::ConfirmsEnabled(_) => return Err(Malformed("a method out of order")),
+            ConnectionEvent::ConfirmsEnabled(_) => {
+                return Err(Malformed("publisher confirms on a channel that did not request them"));
+            }
             ConnectionEvent::ChannelOpened(channel) => {
-                self.with_consumer(channel, ConsumerPool::channel_opened);
+                self.update_consumer(channel, ConsumerPool::channel_opened);
             }
-            ConnectionEvent::ChannelClosed(PUBLISH_CHANNEL, why) => {
-                self.log(&format!("the publishing channel was closed: {why}"));
+            ConnectionEvent::ChannelClosed(PUBLISH_CHANNEL, reason) => {
+                self.log(&format!("the broker closed the publishing channel: {reason}"));
                 self.reopen_at = Some(now + REOPEN_BACKOFF_MS);
                 let results = self.publisher.channel_closed();
                 self.handle_publish_results(results, now);
             }
-            ConnectionEvent::ChannelClosed(channel, why) => {
-                self.log(&format!("a consumer's channel was closed: {why}"));
+            ConnectionEvent::ChannelClosed(channel, reason) => {
+                self.log(&format!("the broker closed the channel of a consumer: {reason}"));
                 self.channel_closed(channel, now);
             }
             ConnectionEvent::Flow(PUBLISH_CHANNEL, is_flowing) => self.publisher.set_flow(is_flowing),
             ConnectionEvent::Flow(..) | ConnectionEvent::Closed => {}
             ConnectionEvent::Blocked(is_blocked) => self.publishes_blocked(is_blocked),
-            ConnectionEvent::ClosedByBroker(why) => {
-                self.log(&format!("the broker closed the connection: {why}"));
+            ConnectionEvent::ClosedByBroker(reason) => {
+                self.log(&format!("the broker closed the connection: {reason}"));
                 return Err(Malformed("the broker closed the connection"));
             }
             ConnectionEvent::Method(channel, method) => self.handle_method(channel, method, now)?,
@@ -301,14 +306,14 @@
             queue.pool = ConsumerPool::new(channels.min(PREFETCH_COUNTS.len()));
         }
         if channels == 0 {
-            self.log("the broker allows too few channels for these queues");
+            self.log("the broker allows too few channels to consume all queues");
         }
         self.log("connected to the broker");
     }
 
     fn publishes_blocked(&mut self, is_blocked: bool) {
         let text =
-            if is_blocked { "the broker takes no publishes" } else { "the broker takes publishes again" };
+            if is_blocked { "the broker blocked publishing" } else { "the broker unblocked publishing" };
         self.log(text);
         self.publisher.set_blocked(is_blocked);
     }
@@ -317,19 +322,19 @@
         self.requests.push(ConsumerRequest::Log(text.to_owned()));
     }
 
-    /// Index of the queue and of the consumer of a channel.
-    fn consumer_of(&self, channel: Channel) -> Option<(usize, usize)> {
-        let at = usize::from(channel.checked_sub(FIRST_CONSUMER_CHANNEL)?);
-        let (queue, consumer) = (at / PREFETCH_COUNTS.len(), at % PREFETCH_COUNTS.len());
+    /// Index of the queue and index of the consumer in its pool, for a channel.
+    fn consumer_index(&self, channel: Channel) -> Option<(usize, usize)> {
+        let offset = usize::from(channel.checked_sub(FIRST_CONSUMER_CHANNEL)?);
+        let (queue, consumer) = (offset / PREFETCH_COUNTS.len(), offset % PREFETCH_COUNTS.len());
         (queue < self.queues.len()).then_some((queue, consumer))
     }
 
-    fn channel_of(queue: usize, consumer: usize) -> Channel {
+    fn channel_number(queue: usize, consumer: usize) -> Channel {
         FIRST_CONSUMER_CHANNEL + (queue * PREFETCH_COUNTS.len() + consumer) as Channel
     }
 
-    fn with_consumer(&mut self, channel: Channel, update: impl FnOnce(&mut ConsumerPool, usize)) {
-        if let Some((queue, consumer)) = self.consumer_of(channel) {
+    fn update_consumer(&mut self, channel: Channel, update: impl FnOnce(&mut ConsumerPool, usize)) {
+        if let Some((queue, consumer)) = self.consumer_index(channel) {
             update(&mut self.queues[queue].pool, consumer);
         }
     }
@@ -338,14 +343,14 @@
         match method {
             AMQPMethod::QosOk(_) => {}
             AMQPMethod::ConsumeOk(_) => {
-                self.with_consumer(channel, ConsumerPool::consumer_started);
+                self.update_consumer(channel, ConsumerPool::consumer_started);
             }
             AMQPMethod::CancelOk(_) => {
-                self.with_consumer(channel, ConsumerPool::consumer_cancelled);
+                self.update_consumer(channel, ConsumerPool::consumer_cancelled);
             }
             AMQPMethod::Cancel(cancel) => {
                 self.log("the broker cancelled a consumer");
-                self.with_consumer(channel, |pool, index| pool.cancelled_by_broker(index, now));
+                self.update_consumer(channel, |pool, index| pool.cancelled_by_broker(index, now));
                 if !cancel.nowait {
                     let consumer_tag = cancel.consumer_tag;
                     self.send(channel, AMQPMethod::CancelOk(basic::CancelOk { consumer_tag }));
@@ -359,7 +364,7 @@
                 let results = self.publisher.confirmed(nack.delivery_tag, nack.multiple, false, now);
                 self.handle_publish_results(results, now);
             }
-            _ => return Err(Malformed("a method out of order")),
+            _ => return Err(Malformed("an unexpected basic method")),
         }
         Ok(())
     }
@@ -372,10 +377,11 @@
 
     // ---- Deadlines and shutdown ----
 
-    /// Handles the deadlines that have passed, and does what follows from frames and responses since the last time.
+    /// Handles deadlines that have passed and the effects of frames and responses since the last call.
     ///
     /// # Errors
-    /// The connection cannot go on, and is to be closed.
+    ///
+    /// Fails if the connection or its publisher confirms timed out. The connection must then be dropped.
     pub fn tick(&mut self, now: Millis) -> Result<(), Malformed> {
         self.records.expire(now);
         while let Some((at, id)) = self.deadlines.first().copied().filter(|(at, _)| *at <= micros(now)) {
@@ -386,14 +392,13 @@
             connection.tick(now)?;
         }
         if self.publisher.has_timed_out(now) {
-            return Err(Malformed("publishes are not confirmed"));
+            return Err(Malformed("publishes were not confirmed in time"));
         }
         self.flush(now);
         Ok(())
     }
 
-    /// When there is something to do without a frame or a response; besides, [`Consumer::tick`] is due a few times a
-    /// second.
+    /// When [`Consumer::tick`] must be called next. It must also be called a few times a second.
     pub fn next_deadline(&self) -> Millis {
         if self.is_dirty {
             return 0.0;
@@ -401,14 +406,14 @@
         self.deadlines.first().map_or(f64::INFINITY, |(at, _)| *at as f64 / 1000.0)
     }
 
-    /// A graceful shutdown begins: nothing more is consumed, and what waits for the end of a delay is requeued. It has to be
-    /// complete by `deadline`.
+    /// Begins a graceful shutdown that must be complete by `deadline`: nothing more is consumed, and messages that wait
+    /// for the end of a delay are requeued at once.
     pub fn begin_drain(&mut self, deadline: Millis, now: Millis) {
         if self.drain_deadline.is_some() {
             return;
         }
         self.drain_deadline = Some(deadline);
-        // A connection that is not up has nothing that would have to be settled.
+        // Without a completed handshake, there is nothing to settle.
         if let Some(connection) = self.connection.as_mut().filter(|connection| !connection.is_ready()) {
             connection.close();
         }
@@ -419,7 +424,7 @@
         self.flush(now);
     }
 
-    /// The grace period is over: what has not been started is returned.
+    /// Ends the grace period of the drain: messages that have not been started are returned to their queues.
     pub fn stop_intake(&mut self, now: Millis) {
         self.is_intake_stopped = true;
         let is_not_started =
@@ -435,7 +440,7 @@
         self.deliveries.iter().filter(|(_, delivery)| condition(delivery)).map(|(id, _)| *id).collect()
     }
 
-    /// Whether everything is settled, or the time for it is over.
+    /// Whether the drain is complete or its deadline has passed.
     pub fn is_drained(&self, now: Millis) -> bool {
         let is_closed = || self.connection.as_ref().is_none_or(BrokerConnection::is_closed);
         self.drain_deadline.is_some_and(|deadline| now >= deadline || is_closed())
@@ -443,17 +448,17 @@
 
     // ---- Reports ----
 
-    /// Messages that are not settled.
+    /// Number of delivered messages that are not settled.
     pub fn unsettled(&self) -> usize {
         self.queues.iter().map(|queue| queue.pool.unsettled()).sum()
     }
 
-    /// Each queue's window at a send share of 1.
+    /// Window of each queue at a send share of 1, messages.
     pub fn windows(&self) -> impl Iterator<Item = f64> + '_ {
         self.queues.iter().map(|queue| queue.window.target(1.0))
     }
 
-    /// How long each queue's recent messages were at the broker, by their sending times.
+    /// Moving average of the time that messages of each queue spend at the broker.
     pub fn broker_times(&self) -> impl Iterator<Item = Millis> + '_ {
         self.queues.iter().map(|queue| queue.window.broker_time())
     }
@@ -463,7 +468,7 @@
         self.share
     }
 
-    /// The number of keys that are remembered.
+    /// Number of retained idempotency keys.
     pub fn remembered(&self) -> usize {
         self.records.len()
     }
--- a/crates/loomflow-amqp/src/consumer/outbound.rs
+++ b/crates/loomflow-amqp/src/consumer/outbound.rs
@@ -1,4 +1,4 @@
-//! Messages out: how a submitted message ended, what is published for it, and the method that settles it.
+//! Responses and settlements: handles the outcome of a message, publishes what it requires and settles the delivery.
 
 use std::sync::Arc;
 
@@ -11,12 +11,13 @@
 use crate::message;
 use crate::publisher::{PublishId, PublishResult};
 use crate::settlement::{
-    MessageOutcome, ReplyStatus, Republish, Settlement, SettlementAction, SettlementContext, Settling,
+    MessageOutcome, PendingSettlement, ReplyStatus, Republish, Settlement, SettlementAction,
+    SettlementContext,
 };
 use crate::window::{Observation, ObservedOutcome};
 
 impl Consumer {
-    /// The run of a message may have started.
+    /// Records that the run of a message may have started.
     pub fn run_started(&mut self, id: DeliveryId, now: Millis) {
         let Some(delivery) = self.deliveries.get_mut(&id).filter(|delivery| delivery.is_submitted()) else {
             return;
@@ -27,7 +28,7 @@
         }
     }
 
-    /// The response to a submitted message.
+    /// Handles the response to a submitted message.
     pub fn respond(&mut self, id: DeliveryId, response: MessageResponse, now: Millis) {
         let outcome = match response {
             MessageResponse::Served(body) => MessageOutcome::Finished(RunResult::Served(Arc::from(body))),
@@ -48,7 +49,7 @@
         self.is_dirty = true;
     }
 
-    /// Records an outcome for a key; returns the deliveries that waited for it.
+    /// Records the outcome of a key; returns the deliveries that waited for it.
     fn record_outcome(
         &mut self,
         key: &IdempotencyKey,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Lets the window of its queue see how a message ended.
+    /// Updates the window of a queue with the outcome and times of a message.
     fn observe(&mut self, id: DeliveryId, outcome: &MessageOutcome, now: Millis) {
         let Some(delivery) = self.deliveries.get(&id) else { return };
         let queue = &mut self.queues[delivery.queue];
@@ -81,7 +82,7 @@
         queue.window.observe(observation, now);
     }
 
-    /// A message has ended: records its outcome, and begins to settle it and all that waited for it.
+    /// Records the outcome of a message, and begins the settlement of the message and of its waiters.
     pub(super) fn begin_settlement_with_waiters(
         &mut self,
         id: DeliveryId,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// A message has ended: begins to settle it.
+    /// Begins the settlement of a message.
     pub(super) fn begin_settlement(&mut self, id: DeliveryId, outcome: &MessageOutcome, now: Millis) {
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
         let classes = &self.settings.classes;
@@ -118,11 +119,11 @@
             has_effect: delivery.classification.is_none_or(|classification| classification.has_effect),
             time_left: deadline.map(|deadline| deadline - now),
         };
-        delivery.phase = Phase::Settling(Settling::new(outcome, context, now));
+        delivery.phase = Phase::Settling(PendingSettlement::new(outcome, context, now));
         self.advance(id, now);
     }
 
-    /// Does what is due for a message that is being settled.
+    /// Executes the actions of a settlement that are due, and schedules its next deadline.
     pub(super) fn advance(&mut self, id: DeliveryId, now: Millis) {
         loop {
             let Some(delivery) = self.deliveries.get_mut(&id) else { return };
@@ -144,14 +145,15 @@
         }
     }
 
-    fn publish_id(&mut self, purpose: PublishPurpose) -> PublishId {
+    /// Allocates a publish id and records the purpose of the publish.
+    fn register_publish(&mut self, purpose: PublishPurpose) -> PublishId {
         self.last_publish += 1;
         self.pending_publishes.insert(self.last_publish, purpose);
         self.last_publish
     }
 
     fn publish_reply(&mut self, id: DeliveryId, status: &ReplyStatus) {
-        let publish_id = self.publish_id(PublishPurpose::Reply(id));
+        let publish_id = self.register_publish(PublishPurpose::Reply(id));
         let Some(delivery) = self.deliveries.get(&id) else { return };
         if let Some(publish) = message::reply(&self.settings, &delivery.properties, status, publish_id) {
             self.publisher.enqueue(publish_id, publish);
@@ -159,7 +161,7 @@
     }
 
     fn republish(&mut self, id: DeliveryId, to: Republish) {
-        let publish_id = self.publish_id(PublishPurpose::Republish(id, to));
+        let publish_id = self.register_publish(PublishPurpose::Republish(id, to));
         let Some(delivery) = self.deliveries.get(&id) else { return };
         let queue = &self.settings.queues[delivery.queue].name;
         if let Some(key) = &delivery.key {
@@ -168,7 +170,7 @@
         let (properties, body) = (&delivery.properties, &delivery.body);
         let publish = message::republished(&self.settings, queue, properties, body, to, publish_id);
         if let Republish::DeadLetter(reason) = to {
-            self.requests.push(ConsumerRequest::Log(format!("a message was given up: {reason}")));
+            self.requests.push(ConsumerRequest::Log(format!("dead-lettering a message: {reason}")));
         }
         self.publisher.enqueue(publish_id, publish);
     }
@@ -191,10 +193,10 @@
             }
         };
         *count += 1;
-        self.send(Consumer::channel_of(delivery.queue, delivery.consumer), method);
+        self.send(Consumer::channel_number(delivery.queue, delivery.consumer), method);
     }
 
-    /// Handles what became of publishes.
+    /// Handles the results of publishes.
     pub(super) fn handle_publish_results(&mut self, results: Vec<(PublishId, PublishResult)>, now: Millis) {
         for (publish_id, result) in results {
             match self.pending_publishes.remove(&publish_id) {
@@ -204,7 +206,7 @@
                     self.handle_republish_result(id, to, publish_id, result, now);
                 }
                 Some(PublishPurpose::LateReply(key, caller_digest)) if result == PublishResult::Confirmed => {
-                    self.records.caller_answered(&key, caller_digest);
+                    self.records.reply_confirmed(&key, caller_digest);
                 }
                 Some(PublishPurpose::LateReply(..)) => {}
             }
@@ -242,12 +244,13 @@
         self.continue_settlement(id, now);
     }
 
-    /// Records that the caller needs no further reply, where that is so, and continues the settlement.
+    /// Records if the caller needs no further reply, and continues the settlement.
     fn continue_settlement(&mut self, id: DeliveryId, now: Millis) {
         let Some(delivery) = self.deliveries.get(&id) else { return };
-        let is_answered = matches!(&delivery.phase, Phase::Settling(settling) if settling.is_reply_settled());
-        if let (Some(key), true) = (&delivery.key, is_answered) {
-            self.records.caller_answered(key, message::caller_digest(&delivery.properties));
+        let is_reply_settled =
+            matches!(&delivery.phase, Phase::Settling(settling) if settling.is_reply_settled());
+        if let (Some(key), true) = (&delivery.key, is_reply_settled) {
+            self.records.reply_confirmed(key, message::caller_digest(&delivery.properties));
         }
         self.advance(id, now);
     }
--- a/crates/loomflow-amqp/src/consumer/tests.rs
+++ b/crates/loomflow-amqp/src/consumer/tests.rs
@@ -10,7 +10,7 @@
 #[path = "../../tests/common/settings.rs"]
 mod fixture;
 
-/// A consumer that is connected, accepts messages and may publish.
+/// A connected consumer that accepts messages and can publish.
 fn consumer() -> Consumer {
     let mut consumer = Consumer::new(fixture::settings(true), Box::new(NoHistory), 7);
     consumer.start_accepting();
@@ -19,7 +19,7 @@
     consumer
 }
 
-/// The frames that a consumer writes.
+/// Takes the frames that a consumer has written.
 fn written(consumer: &mut Consumer) -> Vec<AMQPFrame> {
     let mut frames = Frames::default();
     assert!(frames.buffer().feed(&consumer.take_output(0.0)));
@@ -27,7 +27,7 @@
     raw.iter().flat_map(RawFrames::iter).map(|frame| frame.expect("a frame")).collect()
 }
 
-/// Channels that a consumer opens to consume.
+/// Number of channels that a consumer opens for its queues.
 fn opened_channels(consumer: &mut Consumer) -> usize {
     consumer.flush(0.0);
     let is_open = |frame: &AMQPFrame| {
@@ -37,9 +37,9 @@
 }
 
 #[test]
-fn nothing_is_consumed_that_could_not_be_recorded_answered_or_finished() {
+fn nothing_is_consumed_that_could_not_be_finished() {
     assert!(opened_channels(&mut consumer()) > 0);
-    let hindrances: [fn(&mut Consumer); 5] = [
+    let obstacles: [fn(&mut Consumer); 5] = [
         |consumer| consumer.is_accepting = false,
         |consumer| consumer.drain_deadline = Some(1e9),
         |consumer| consumer.publisher.set_blocked(true),
@@ -51,17 +51,17 @@
             }
         },
     ];
-    for (number, hinder) in hindrances.into_iter().enumerate() {
+    for (number, obstruct) in obstacles.into_iter().enumerate() {
         let mut consumer = consumer();
-        hinder(&mut consumer);
-        assert_eq!(opened_channels(&mut consumer), 0, "{number}");
+        obstruct(&mut consumer);
+        assert_eq!(opened_channels(&mut consumer), 0, "obstacle {number}");
     }
 }
 
 #[test]
 fn a_closed_publishing_channel_is_opened_again_after_a_backoff() {
     let mut consumer = consumer();
-    let closed = ConnectionEvent::ChannelClosed(PUBLISH_CHANNEL, "why".into());
+    let closed = ConnectionEvent::ChannelClosed(PUBLISH_CHANNEL, "reason".into());
     assert_eq!(consumer.handle_event(closed, 0.0), Ok(()));
     consumer.flush(REOPEN_BACKOFF_MS - 1.0);
     assert_eq!(written(&mut consumer), []);
@@ -69,5 +69,5 @@
     let open = AMQPClass::Channel(channel::AMQPMethod::Open(channel::Open {}));
     assert_eq!(written(&mut consumer), [AMQPFrame::Method(PUBLISH_CHANNEL, open)]);
     consumer.flush(2.0 * REOPEN_BACKOFF_MS);
-    assert_eq!(written(&mut consumer), [], "once");
+    assert_eq!(written(&mut consumer), [], "the channel is opened once");
 }
--- a/crates/loomflow-amqp/src/consumer_pool.rs
+++ b/crates/loomflow-amqp/src/consumer_pool.rs
@@ -1,39 +1,42 @@
 //! The consumers of one queue, with fixed prefetch counts, each on a channel of its own.
 //!
-//! `basic.qos` does not reach a consumer that runs (specification 1.8.3.1; brokers apply it to consumers that start
-//! later), so the window of a queue is changed by starting and cancelling consumers. On a channel of its own a prefetch
-//! count holds for brokers that count by channel and for those that count by consumer. A consumer is started again only
-//! once everything it had is settled, so that the messages in flight never exceed the greater of the window and what was
-//! in flight when it shrank.
+//! `basic.qos` does not affect a running consumer (specification 1.8.3.1; brokers apply it to consumers that start
+//! later), so the window of a queue is changed by starting and cancelling consumers. With a channel per consumer, the
+//! prefetch count applies the same way on brokers that count by channel and on those that count by consumer. A consumer
+//! is restarted only after all its messages are settled, so that the messages in flight never exceed the greater of the
+//! window and their number when the window shrank.
 
 use loomflow_backoff::ExponentialBackoff;
 
 use crate::Millis;
 
-/// Two of each, so that a window can grow by little without cancelling consumers that run.
+/// Prefetch counts of the consumers of a pool. Each occurs twice, so that the prefetch can grow in small steps without
+/// cancelling running consumers.
 pub const PREFETCH_COUNTS: [u16; 18] = [1, 1, 2, 2, 4, 4, 8, 8, 16, 16, 32, 32, 64, 64, 128, 128, 256, 256];
-/// All consumers together.
+/// Total prefetch of a complete pool.
 pub const MAX_PREFETCH: usize = {
-    let (mut sum, mut at) = (0, 0);
-    while at < PREFETCH_COUNTS.len() {
-        sum += PREFETCH_COUNTS[at] as usize;
-        at += 1;
+    let (mut sum, mut index) = (0, 0);
+    while index < PREFETCH_COUNTS.len() {
+        sum += PREFETCH_COUNTS[index] as usize;
+        index += 1;
     }
     sum
 };
-/// A consumer whose channel was closed, or that the broker cancelled, is started again after this, twice as long each time
-/// up to the maximum, until a message on it is settled.
+/// First backoff before a consumer is restarted whose channel was closed or that the broker cancelled, ms. It doubles
+/// up to [`MAX_BACKOFF_MS`] until a message of the consumer is settled.
 const MIN_BACKOFF_MS: Millis = 250.0;
+/// Maximum backoff before a consumer is restarted, ms.
 const MAX_BACKOFF_MS: Millis = 30_000.0;
-/// More unsettled messages than so many prefetch counts show a broker that ignores them.
+/// Multiple of the prefetch count that a consumer may have unsettled. More shows that the broker ignores prefetch
+/// counts.
 const MAX_OVERDELIVERY: usize = 2;
 
-/// What is to be sent on a consumer's channel.
+/// Command to send on the channel of a consumer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConsumerCommand {
     /// `channel.open`.
     OpenChannel,
-    /// `basic.qos` with this count, then `basic.consume`.
+    /// `basic.qos` with this prefetch count, then `basic.consume`.
     Consume(u16),
     /// `basic.cancel`.
     Cancel,
@@ -41,10 +44,10 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ConsumerState {
-    /// No channel.
+    /// The consumer has no channel.
     Closed,
     Opening,
-    /// A channel without a consumer.
+    /// The channel is open without a running consumer.
     Idle,
     Starting,
     Consuming,
@@ -56,7 +59,7 @@
     prefetch: u16,
     state: ConsumerState,
     unsettled: usize,
-    /// Before its channel is opened, or it is started, the next time.
+    /// Backoff before the channel is opened or the consumer is started again.
     backoff: ExponentialBackoff,
     backoff_until: Millis,
 }
@@ -80,12 +83,12 @@
         matches!(self.state, ConsumerState::Starting | ConsumerState::Consuming)
     }
 
-    /// Whether messages may come: until the broker has processed a cancel, they still do.
+    /// Whether the broker may deliver messages. It still does until it has processed a cancel.
     fn may_receive(&self) -> bool {
         self.is_consuming() || self.state == ConsumerState::Cancelling
     }
 
-    /// The unsettled messages that it may reach without a further command.
+    /// Maximum number of unsettled messages that the consumer can reach without a further command.
     fn max_unsettled(&self) -> usize {
         if self.may_receive() { usize::from(self.prefetch).max(self.unsettled) } else { self.unsettled }
     }
@@ -98,50 +101,50 @@
 }
 
 impl ConsumerPool {
-    /// A pool with so many channels.
+    /// Creates a pool with the first `channels` of [`PREFETCH_COUNTS`].
     pub fn new(channels: usize) -> ConsumerPool {
         let prefetch_counts = PREFETCH_COUNTS.into_iter().take(channels);
         ConsumerPool { consumers: prefetch_counts.map(PooledConsumer::new).collect() }
     }
 
-    /// The prefetch counts of running consumers, in all.
+    /// Total prefetch of the running consumers.
     pub fn prefetch(&self) -> usize {
         let consuming = self.consumers.iter().filter(|consumer| consumer.is_consuming());
         consuming.map(|consumer| usize::from(consumer.prefetch)).sum()
     }
 
-    /// Messages that are not settled.
+    /// Number of delivered messages that are not settled.
     pub fn unsettled(&self) -> usize {
         self.consumers.iter().map(|consumer| consumer.unsettled).sum()
     }
 
-    /// Whether running consumers have as many unsettled messages as they may.
+    /// Whether at least one consumer runs and every running one has reached its prefetch count.
     pub fn is_full(&self) -> bool {
         let mut consuming = self.consumers.iter().filter(|consumer| consumer.is_consuming());
         consuming.all(|consumer| consumer.unsettled >= usize::from(consumer.prefetch)) && self.prefetch() > 0
     }
 
-    /// Whether no consumer runs, is about to or is being cancelled.
+    /// Whether no consumer is starting, running or being cancelled.
     pub fn is_idle(&self) -> bool {
         let is_idle =
             |state| matches!(state, ConsumerState::Closed | ConsumerState::Opening | ConsumerState::Idle);
         self.consumers.iter().all(|consumer| is_idle(consumer.state))
     }
 
-    /// The commands, each with the index of its consumer, that bring the pool towards a window.
+    /// Adjusts the pool to a window. Returns the commands to send, each with the index of its consumer.
     pub fn resize(&mut self, window: usize, now: Millis) -> Vec<(usize, ConsumerCommand)> {
         let mut commands = self.shrink(window);
         commands.extend(self.grow(window, now));
         commands
     }
 
-    /// Cancels consumers until the prefetch is within the window.
+    /// Cancels consumers until the total prefetch is within the window.
     fn shrink(&mut self, window: usize) -> Vec<(usize, ConsumerCommand)> {
         let mut commands = Vec::new();
         while let Some(excess) = self.prefetch().checked_sub(window).filter(|excess| *excess > 0) {
             let is_running = |index: &usize| self.consumers[*index].state == ConsumerState::Consuming;
             let running = (0..self.consumers.len()).filter(is_running);
-            // The smallest that covers the excess, else the largest.
+            // The smallest consumer that covers the excess, or else the largest.
             let covers = |index: &usize| usize::from(self.consumers[*index].prefetch) >= excess;
             let Some(index) = running.clone().find(covers).or_else(|| running.clone().next_back()) else {
                 break;
@@ -156,8 +159,8 @@
     fn grow(&mut self, window: usize, now: Millis) -> Vec<(usize, ConsumerCommand)> {
         let mut commands = Vec::new();
         for index in (0..self.consumers.len()).rev() {
-            let used: usize = self.consumers.iter().map(PooledConsumer::max_unsettled).sum();
-            let capacity = window.saturating_sub(used);
+            let max_unsettled: usize = self.consumers.iter().map(PooledConsumer::max_unsettled).sum();
+            let capacity = window.saturating_sub(max_unsettled);
             let consumer = &mut self.consumers[index];
             let fits = usize::from(consumer.prefetch) <= capacity;
             if !fits || consumer.unsettled > 0 || now < consumer.backoff_until {
@@ -178,17 +181,17 @@
         commands
     }
 
-    /// Its channel is open.
+    /// Records that the channel of a consumer is open.
     pub fn channel_opened(&mut self, index: usize) {
         self.transition(index, ConsumerState::Opening, ConsumerState::Idle);
     }
 
-    /// The broker has started it.
+    /// Records that the broker has started a consumer.
     pub fn consumer_started(&mut self, index: usize) {
         self.transition(index, ConsumerState::Starting, ConsumerState::Consuming);
     }
 
-    /// The broker has confirmed that it is cancelled.
+    /// Records that the broker has confirmed the cancel of a consumer.
     pub fn consumer_cancelled(&mut self, index: usize) {
         if self.transition(index, ConsumerState::Cancelling, ConsumerState::Idle) {
             self.consumers[index].backoff.reset();
@@ -200,7 +203,7 @@
         consumer.map(|consumer| consumer.state = to).is_some()
     }
 
-    /// The broker has cancelled it: its queue was deleted or migrated.
+    /// Records that the broker cancelled a consumer, because its queue was deleted or migrated.
     pub fn cancelled_by_broker(&mut self, index: usize, now: Millis) {
         if let Some(consumer) = self.consumers.get_mut(index) {
             consumer.state = ConsumerState::Idle;
@@ -208,7 +211,7 @@
         }
     }
 
-    /// Its channel is closed: nothing on it can be settled any more.
+    /// Records that the channel of a consumer was closed. Its messages can no longer be settled.
     pub fn channel_closed(&mut self, index: usize, now: Millis) {
         if let Some(consumer) = self.consumers.get_mut(index) {
             consumer.state = ConsumerState::Closed;
@@ -217,14 +220,14 @@
         }
     }
 
-    /// A message came on it. Returns false where far more come than its prefetch count allows.
+    /// Counts a delivery to a consumer. Returns false if the consumer is not running or far exceeds its prefetch count.
     pub fn delivered(&mut self, index: usize) -> bool {
         let Some(consumer) = self.consumers.get_mut(index) else { return false };
         consumer.unsettled += 1;
         consumer.may_receive() && consumer.unsettled <= MAX_OVERDELIVERY * usize::from(consumer.prefetch)
     }
 
-    /// A message on it was settled.
+    /// Counts a settled message of a consumer.
     pub fn settled(&mut self, index: usize) {
         if let Some(consumer) = self.consumers.get_mut(index) {
             consumer.unsettled = consumer.unsettled.saturating_sub(1);
--- a/crates/loomflow-amqp/src/consumer_pool/tests.rs
+++ b/crates/loomflow-amqp/src/consumer_pool/tests.rs
@@ -5,34 +5,34 @@
 
 #[derive(Clone, Debug)]
 enum PoolStep {
-    Aim(usize),
-    /// The broker carries out this many commands.
-    Answer(usize),
+    Resize(usize),
+    /// The broker executes this many commands.
+    ExecuteCommands(usize),
     Deliver(usize),
     Settle(usize),
-    Close(usize),
-    BrokerCancels(usize),
+    CloseChannel(usize),
+    CancelByBroker(usize),
 }
 
 fn steps() -> impl Strategy<Value = Vec<PoolStep>> {
     let step = prop_oneof![
-        3 => (0usize..60).prop_map(PoolStep::Aim),
-        4 => (1usize..6).prop_map(PoolStep::Answer),
+        3 => (0usize..60).prop_map(PoolStep::Resize),
+        4 => (1usize..6).prop_map(PoolStep::ExecuteCommands),
         6 => (0usize..12).prop_map(PoolStep::Deliver),
         6 => (0usize..12).prop_map(PoolStep::Settle),
-        1 => (0usize..12).prop_map(PoolStep::Close),
-        1 => (0usize..12).prop_map(PoolStep::BrokerCancels),
+        1 => (0usize..12).prop_map(PoolStep::CloseChannel),
+        1 => (0usize..12).prop_map(PoolStep::CancelByBroker),
     ];
     proptest::collection::vec(step, 1..200)
 }
 
-/// The broker carries out commands.
-fn carry_out(pool: &mut ConsumerPool, commands: impl IntoIterator<Item = (usize, ConsumerCommand)>) {
-    for (at, command) in commands {
+/// Reports the commands as executed by the broker.
+fn execute(pool: &mut ConsumerPool, commands: impl IntoIterator<Item = (usize, ConsumerCommand)>) {
+    for (index, command) in commands {
         match command {
-            ConsumerCommand::OpenChannel => pool.channel_opened(at),
-            ConsumerCommand::Consume(_) => pool.consumer_started(at),
-            ConsumerCommand::Cancel => pool.consumer_cancelled(at),
+            ConsumerCommand::OpenChannel => pool.channel_opened(index),
+            ConsumerCommand::Consume(_) => pool.consumer_started(index),
+            ConsumerCommand::Cancel => pool.consumer_cancelled(index),
         }
     }
 }
@@ -44,8 +44,8 @@
 }
 
 proptest! {
-    /// The unsettled deliveries never exceed the window or their number when it shrank, and at rest more than two
-    /// thirds of the window are in use.
+    /// The unsettled deliveries never exceed the greater of the window and their number when it shrank. Without further
+    /// changes, the pool uses at least two thirds of the window.
     #[test]
     fn unsettled_deliveries_stay_within_the_window(steps in steps()) {
         let mut pool = ConsumerPool::new(12);
@@ -54,19 +54,19 @@
         for step in steps {
             now += 100.0;
             match step {
-                PoolStep::Aim(to) => {
-                    bound = to.max(pool.consumers.iter().map(PooledConsumer::max_unsettled).sum());
-                    window = to;
+                PoolStep::Resize(size) => {
+                    bound = size.max(pool.consumers.iter().map(PooledConsumer::max_unsettled).sum());
+                    window = size;
                 }
-                PoolStep::Answer(count) => carry_out(&mut pool, commands.drain(..count.min(commands.len()))),
-                PoolStep::Deliver(at) => prop_assert!(!accepts_delivery(&pool.consumers[at]) || pool.delivered(at)),
-                PoolStep::Settle(at) => pool.settled(at),
-                PoolStep::Close(at) => {
-                    commands.retain(|(consumer, _)| *consumer != at);
-                    pool.channel_closed(at, now);
+                PoolStep::ExecuteCommands(count) => execute(&mut pool, commands.drain(..count.min(commands.len()))),
+                PoolStep::Deliver(index) => prop_assert!(!accepts_delivery(&pool.consumers[index]) || pool.delivered(index)),
+                PoolStep::Settle(index) => pool.settled(index),
+                PoolStep::CloseChannel(index) => {
+                    commands.retain(|(consumer, _)| *consumer != index);
+                    pool.channel_closed(index, now);
                 }
-                PoolStep::BrokerCancels(at) if pool.consumers[at].state == ConsumerState::Consuming => pool.cancelled_by_broker(at, now),
-                PoolStep::BrokerCancels(_) => {}
+                PoolStep::CancelByBroker(index) if pool.consumers[index].state == ConsumerState::Consuming => pool.cancelled_by_broker(index, now),
+                PoolStep::CancelByBroker(_) => {}
             }
             commands.extend(pool.resize(window, now));
             bound = bound.min(window.max(pool.consumers.iter().map(PooledConsumer::max_unsettled).sum()));
@@ -74,34 +74,35 @@
         }
         for _ in 0..60 {
             now += MAX_BACKOFF_MS;
-            for at in 0..12 {
-                while pool.consumers[at].unsettled > 0 {
-                    pool.settled(at);
+            for index in 0..12 {
+                while pool.consumers[index].unsettled > 0 {
+                    pool.settled(index);
                 }
             }
             commands.extend(pool.resize(window, now));
-            carry_out(&mut pool, commands.drain(..));
+            execute(&mut pool, commands.drain(..));
         }
-        prop_assert!(pool.prefetch() <= window && pool.prefetch() * 3 >= window * 2, "{} of {window}", pool.prefetch());
+        prop_assert!(pool.prefetch() <= window && pool.prefetch() * 3 >= window * 2, "prefetch {} of window {window}", pool.prefetch());
     }
 }
 
 #[test]
-fn a_delivery_beyond_the_prefetch_is_detected() {
+fn deliveries_far_beyond_the_prefetch_are_detected() {
     let mut pool = ConsumerPool::new(12);
     assert!(!pool.delivered(0));
     pool.settled(0);
     for _ in 0..3 {
         let commands = pool.resize(1, 0.0);
-        carry_out(&mut pool, commands);
+        execute(&mut pool, commands);
     }
-    let at = pool.consumers.iter().position(|consumer| consumer.state == ConsumerState::Consuming).unwrap();
-    assert!(pool.delivered(at) && pool.is_full() && pool.delivered(at));
-    assert!(!pool.delivered(at));
+    let index =
+        pool.consumers.iter().position(|consumer| consumer.state == ConsumerState::Consuming).unwrap();
+    assert!(pool.delivered(index) && pool.is_full() && pool.delivered(index));
+    assert!(!pool.delivered(index));
 }
 
 #[test]
-fn a_closed_consumer_is_opened_again_after_a_backoff_that_grows_until_a_message_is_settled() {
+fn the_backoff_of_a_closed_consumer_grows_until_a_message_is_settled() {
     let mut pool = ConsumerPool::new(1);
     let mut now = 0.0;
     let mut close = |pool: &mut ConsumerPool, backoff: Millis| {
@@ -121,7 +122,7 @@
     assert!(pool.delivered(0));
     pool.settled(0);
     close(&mut pool, MIN_BACKOFF_MS);
-    // A cancel of our own shows that the channel works, too.
+    // A confirmed cancel resets the backoff as well, because it shows that the channel works.
     assert_eq!(pool.resize(0, 1e9), [(0, ConsumerCommand::Cancel)]);
     pool.consumer_cancelled(0);
     assert_eq!(pool.consumers[0].backoff.delay(), MIN_BACKOFF_MS);
--- a/crates/loomflow-amqp/src/content.rs
+++ b/crates/loomflow-amqp/src/content.rs
@@ -1,5 +1,5 @@
-//! Messages: a method that carries content, a header and as many bodies as it states (specification 4.2.6), assembled on one
-//! channel.
+//! Assembles the messages of one channel from their frames: a method that carries content, a header, and body frames up
+//! to the size that the header states (specification 4.2.6).
 
 use amq_protocol::frame::AMQPContentHeader;
 use amq_protocol::protocol::basic::{AMQPMethod, AMQPProperties, Deliver, Return};
@@ -8,29 +8,29 @@
 /// Class id of `basic`, the only class with content (specification 1.8).
 pub const BASIC_CLASS_ID: u16 = 60;
 
-/// The method that a message came with.
+/// Method that introduces a message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Envelope {
-    /// A message for a consumer.
+    /// Delivery to a consumer.
     Deliver(Deliver),
-    /// A message of our own that could not be routed.
+    /// Return of a message that was published here and could not be routed.
     Return(Return),
 }
 
-/// A complete message.
+/// A message that was received completely.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Content {
-    /// The method.
+    /// Method that introduced the message.
     pub envelope: Envelope,
-    /// The properties of its header.
+    /// Properties from the content header.
     pub properties: AMQPProperties,
-    /// Empty where it is too large.
+    /// Body; empty if [`Content::is_too_large`].
     pub body: Vec<u8>,
-    /// Longer than is supported; its bytes were read and discarded.
+    /// Whether the body exceeds the maximum size. Its bytes were read and discarded.
     pub is_too_large: bool,
 }
 
-/// Assembles the messages of a channel from their frames.
+/// Assembler for the messages of one channel.
 #[derive(Debug)]
 pub struct Assembler {
     max_body_bytes: usize,
@@ -40,29 +40,30 @@
 #[derive(Debug)]
 struct PartialContent {
     content: Content,
-    /// Body octets that are still to come; not known before the header.
+    /// Bytes of the body that are still missing; `None` before the header was received.
     remaining: Option<u64>,
 }
 
 impl Assembler {
-    /// Longer bodies than this are discarded.
+    /// Creates an assembler that discards bodies larger than `max_body_bytes`.
     pub fn new(max_body_bytes: usize) -> Assembler {
         Assembler { max_body_bytes, partial: None }
     }
 
-    /// Whether frames of a message are still to come, so that no method may (specification 4.2.6).
+    /// Whether a message is incomplete. Until it is complete, no method is allowed on the channel (specification
+    /// 4.2.6).
     pub fn is_open(&self) -> bool {
         self.partial.is_some()
     }
 
-    /// Handles a method; returns it unless it begins a message.
+    /// Handles a method frame; returns the method unless it introduces a message.
     ///
     /// # Errors
     ///
-    /// The rest of a message is due.
+    /// Fails if the previous message is incomplete.
     pub fn method(&mut self, method: AMQPMethod) -> Result<Option<AMQPMethod>, Malformed> {
         if self.is_open() {
-            return Err(Malformed("a method where the rest of a message is due"));
+            return Err(Malformed("a method frame inside an incomplete message"));
         }
         let envelope = match method {
             AMQPMethod::Deliver(deliver) => Envelope::Deliver(deliver),
@@ -75,14 +76,15 @@
         Ok(None)
     }
 
-    /// A header came; returns the message where it is complete.
+    /// Handles a content header; returns the message if it has no body.
     ///
     /// # Errors
-    /// No method announced it, or it is a second one, or of another class.
+    ///
+    /// Fails if no method introduced the message, or if the header is a second one or belongs to another class.
     pub fn header(&mut self, header: AMQPContentHeader) -> Result<Option<Content>, Malformed> {
-        let partial = self.partial.as_mut().ok_or(Malformed("content without its method"))?;
+        let partial = self.partial.as_mut().ok_or(Malformed("a content header without its method"))?;
         if partial.remaining.is_some() || header.class_id != BASIC_CLASS_ID {
-            return Err(Malformed("a header where none is due"));
+            return Err(Malformed("an unexpected content header"));
         }
         partial.remaining = Some(header.body_size);
         partial.content.properties = header.properties;
@@ -90,15 +92,17 @@
         Ok(self.take_complete())
     }
 
-    /// A body came; returns the message where it is complete.
+    /// Handles a body frame; returns the message if it completes the body.
     ///
     /// # Errors
-    /// It came before its header, or is longer than stated there.
+    ///
+    /// Fails if the header is missing, or if the body exceeds the size that the header states.
     pub fn body(&mut self, bytes: &[u8]) -> Result<Option<Content>, Malformed> {
-        let partial = self.partial.as_mut().ok_or(Malformed("content without its method"))?;
-        let remaining = partial.remaining.ok_or(Malformed("content without its header"))?;
-        let remaining =
-            remaining.checked_sub(bytes.len() as u64).ok_or(Malformed("more content than was stated"))?;
+        let partial = self.partial.as_mut().ok_or(Malformed("a body frame without its method"))?;
+        let remaining = partial.remaining.ok_or(Malformed("a body frame without its content header"))?;
+        let remaining = remaining
+            .checked_sub(bytes.len() as u64)
+            .ok_or(Malformed("a body longer than its content header states"))?;
         partial.remaining = Some(remaining);
         if !partial.content.is_too_large {
             partial.content.body.extend_from_slice(bytes);
--- a/crates/loomflow-amqp/src/content/tests.rs
+++ b/crates/loomflow-amqp/src/content/tests.rs
@@ -4,53 +4,54 @@
 use proptest::prelude::*;
 
 #[derive(Clone, Debug)]
-enum Piece {
+enum TestFrame {
     Deliver,
     Other,
     Header(u64),
     Body(usize),
 }
 
-fn pieces() -> impl Strategy<Value = Vec<Piece>> {
-    let piece = prop_oneof![
-        Just(Piece::Deliver),
-        Just(Piece::Other),
-        (0u64..40).prop_map(Piece::Header),
-        (1usize..20).prop_map(Piece::Body),
+fn frames() -> impl Strategy<Value = Vec<TestFrame>> {
+    let frame = prop_oneof![
+        Just(TestFrame::Deliver),
+        Just(TestFrame::Other),
+        (0u64..40).prop_map(TestFrame::Header),
+        (1usize..20).prop_map(TestFrame::Body),
     ];
-    proptest::collection::vec(piece, 0..30)
+    proptest::collection::vec(frame, 0..30)
 }
 
 proptest! {
-    /// Against a plain reading of the grammar: what is whole comes out, what is out of order ends it.
+    /// Compares the assembler with a direct implementation of the grammar: complete messages are returned, and a frame
+    /// out of order is an error.
     #[test]
-    fn only_whole_messages_come_out(pieces in pieces()) {
+    fn only_complete_messages_are_returned(frames in frames()) {
         let mut assembler = Assembler::new(25);
-        let (mut open, mut left): (bool, Option<u64>) = (false, None);
-        for piece in pieces {
-            let (got, fits) = match &piece {
-                Piece::Deliver => (assembler.method(AMQPMethod::Deliver(Deliver::default())).map(|_| None), !open),
-                Piece::Other => (assembler.method(AMQPMethod::QosOk(QosOk::default())).map(|_| None), !open),
-                Piece::Header(size) => {
+        let (mut is_open, mut remaining): (bool, Option<u64>) = (false, None);
+        for frame in frames {
+            let (result, is_allowed) = match &frame {
+                TestFrame::Deliver => (assembler.method(AMQPMethod::Deliver(Deliver::default())).map(|_| None), !is_open),
+                TestFrame::Other => (assembler.method(AMQPMethod::QosOk(QosOk::default())).map(|_| None), !is_open),
+                TestFrame::Header(size) => {
                     let header = AMQPContentHeader { class_id: 60, body_size: *size, properties: AMQPProperties::default() };
-                    (assembler.header(header), open && left.is_none())
+                    (assembler.header(header), is_open && remaining.is_none())
                 }
-                Piece::Body(size) => (assembler.body(&vec![0; *size]), open && left.is_some_and(|l| l >= *size as u64)),
+                TestFrame::Body(size) => (assembler.body(&vec![0; *size]), is_open && remaining.is_some_and(|bytes| bytes >= *size as u64)),
             };
-            prop_assert_eq!(got.is_ok(), fits, "{:?}", piece);
-            let Ok(got) = got else { return Ok(()) };
-            match piece {
-                Piece::Deliver => open = true,
-                Piece::Other => {}
-                Piece::Header(size) => left = Some(size),
-                Piece::Body(size) => left = left.map(|l| l - size as u64),
+            prop_assert_eq!(result.is_ok(), is_allowed, "{:?}", frame);
+            let Ok(content) = result else { return Ok(()) };
+            match frame {
+                TestFrame::Deliver => is_open = true,
+                TestFrame::Other => {}
+                TestFrame::Header(size) => remaining = Some(size),
+                TestFrame::Body(size) => remaining = remaining.map(|bytes| bytes - size as u64),
             }
-            prop_assert_eq!(got.is_some(), open && left == Some(0));
-            if let Some(content) = got {
+            prop_assert_eq!(content.is_some(), is_open && remaining == Some(0));
+            if let Some(content) = content {
                 prop_assert!(content.body.len() <= 25 && (!content.is_too_large || content.body.is_empty()));
-                (open, left) = (false, None);
+                (is_open, remaining) = (false, None);
             }
-            prop_assert_eq!(assembler.is_open(), open);
+            prop_assert_eq!(assembler.is_open(), is_open);
         }
     }
 }
--- a/crates/loomflow-amqp/src/failure_reason.rs
+++ b/crates/loomflow-amqp/src/failure_reason.rs
@@ -1,49 +1,49 @@
-//! Why a message failed or was dead-lettered.
+//! Reasons for failing or dead-lettering a message, as written to the `x-loomflow-reason` header.
 
 use std::fmt;
 
-/// Why a message failed or was dead-lettered, as its `x-loomflow-reason` header states it.
+/// Value of the `x-loomflow-reason` header of a failure reply or a dead letter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailureReason(&'static str);
 
 impl FailureReason {
-    /// The message names no class.
+    /// The message does not state a class.
     pub const NO_CLASS: FailureReason = FailureReason("no-class");
-    /// The settings have no class of this name.
+    /// The settings do not define the class that the message states.
     pub const UNKNOWN_CLASS: FailureReason = FailureReason("unknown-class");
-    /// The message names no tenant.
+    /// The message does not state a tenant.
     pub const NO_TENANT: FailureReason = FailureReason("no-tenant");
-    /// The settings have no tenant of this name.
+    /// The settings do not define the tenant that the message states.
     pub const UNKNOWN_TENANT: FailureReason = FailureReason("unknown-tenant");
-    /// Its idempotency key is too long.
+    /// The idempotency key exceeds the maximum length (512 bytes).
     pub const KEY_TOO_LONG: FailureReason = FailureReason("key-too-long");
-    /// Its idempotency key belongs to a message with another body.
+    /// The idempotency key is already in use by a message with a different body.
     pub const KEY_MISMATCH: FailureReason = FailureReason("key-of-another");
-    /// Its body is too large.
+    /// The body exceeds [`Settings::max_body_bytes`](crate::Settings::max_body_bytes).
     pub const TOO_LARGE: FailureReason = FailureReason("too-large");
-    /// Its run failed; in the reply to its caller.
+    /// The run failed. Used in the reply to the caller.
     pub const FAILED: FailureReason = FailureReason("failed");
-    /// Its run failed, perhaps after it took effect; in the dead letter.
+    /// The run failed, possibly after it took effect. Used in the dead letter.
     pub const MAY_HAVE_RUN: FailureReason = FailureReason("may-have-run");
-    /// It was served, and its result is no longer retained.
+    /// The message was served before, and its result is no longer retained.
     pub const RESULT_DISCARDED: FailureReason = FailureReason("result-gone");
-    /// It may have run elsewhere, or there may be a copy that does.
+    /// The message may have run in another process, or a copy of it may still run.
     pub const RUN_UNKNOWN: FailureReason = FailureReason("run-unknown");
-    /// It failed before it was started.
+    /// The message failed before its run was started.
     pub const NOT_RUN: FailureReason = FailureReason("not-run");
-    /// It cannot be delivered again before its deadline.
+    /// A retry would be delivered after the deadline of the message.
     pub const OUT_OF_TIME: FailureReason = FailureReason("out-of-time");
-    /// It was rejected as often as it may be.
+    /// The message was rejected more than [`Settings::max_retries`](crate::Settings::max_retries) times.
     pub const RETRIES_EXHAUSTED: FailureReason = FailureReason("refused-too-often");
-    /// The broker did not accept its reply.
+    /// The broker did not accept the reply to the message.
     pub const REPLY_REJECTED: FailureReason = FailureReason("reply-refused");
 
-    /// A reason with this text.
+    /// Creates a reason with this header value.
     pub const fn new(text: &'static str) -> FailureReason {
         FailureReason(text)
     }
 
-    /// The text of the header.
+    /// The header value.
     pub fn as_str(self) -> &'static str {
         self.0
     }
--- a/crates/loomflow-amqp/src/failure_reason/tests.rs
+++ b/crates/loomflow-amqp/src/failure_reason/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Operators filter dead letters by these texts.
+/// Operators filter dead letters by these values, so they must not change.
 #[test]
-fn each_reason_has_its_text() {
+fn reasons_keep_their_header_values() {
     let reasons = [
         (FailureReason::NO_CLASS, "no-class"),
         (FailureReason::UNKNOWN_CLASS, "unknown-class"),
--- a/crates/loomflow-amqp/src/idempotency.rs
+++ b/crates/loomflow-amqp/src/idempotency.rs
@@ -1,14 +1,15 @@
-//! Idempotency records: which messages are duplicates, and what they are answered with, so that work with an effect never
-//! runs twice.
+//! Idempotency records: detect duplicate messages and decide how they are handled, so that work with an external effect
+//! never runs twice.
 //!
-//! A broker marks a message as redelivered that it gave to a consumer before. That is a hint: it may have been this one, in
-//! this connection or an earlier one, or another process, and the message may never have been run. What this process
-//! knows of the key counts first; where it knows nothing, work with an effect that may have run is not run.
+//! A broker marks a message as redelivered if it delivered it to any consumer before. This is only a hint: the earlier
+//! delivery may have been to this process, on this or an earlier connection, or to another one, and the message may
+//! never have run. The record of the key takes precedence; without a record, a message with an effect that may have run
+//! is not run.
 //!
-//! The cache of the server's own requests (`loomflow-server`, `idempotency`) decides by the time of arrival; here that is no
-//! evidence, since a broker
-//! redelivers at any time, and a key is retained for a fixed time after its message ended here, by a run or without one.
-//! Unfinished keys do not expire, and republishing a message or answering its caller does not extend the time.
+//! The idempotency cache for requests of gateways (`loomflow-server`, `idempotency`) decides by the arrival time. That
+//! is not possible here, because a broker can redeliver at any time. Instead, a key is retained for a fixed time after
+//! its message ended here, with or without a run. Unfinished keys do not expire, and republishing a message or replying
+//! to its caller does not extend the time.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -19,34 +20,34 @@
 use crate::Millis;
 use crate::retired_keys::RetiredKeys;
 
-/// Names a delivery for as long as the process lives.
+/// Identifies a delivery within this process; ids are not reused.
 pub type DeliveryId = u64;
-/// Identifies a copy that was republished from here; the sender's own message has none.
+/// Publish id of a copy of a message that loomflow republished; the original message of the sender has none.
 pub type CopyId = u64;
 
 /// How the run of a key ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunResult {
-    /// It was served with this reply.
+    /// The message was served with this reply.
     Served(Arc<[u8]>),
-    /// It was served; its reply is no longer retained.
+    /// The message was served, and its reply is no longer retained.
     ReplyDiscarded,
-    /// It failed, perhaps after it took effect.
+    /// The run failed, possibly after it took effect.
     Failed,
-    /// It may have run elsewhere.
+    /// The message may have run in another process.
     Unknown,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum KeyState {
-    /// Submitted and not started; further deliveries wait with the first.
+    /// Submitted and not started. Duplicates wait for the first delivery.
     Queued,
     Running,
     Finished(RunResult),
-    /// This server had it (as this copy, if it is one) and never started it.
+    /// The last delivery to this server, of the original or of this copy, ended without a run.
     NotStarted(Option<CopyId>),
-    /// It never started here and was republished: to its queue, or as a dead letter. Until the broker has confirmed that,
-    /// there may be a second message or not.
+    /// The message was not started here and was republished, to its queue or as a dead letter. Until the broker
+    /// confirms it, a second message may or may not exist.
     Republished {
         from: Option<CopyId>,
         to: CopyId,
@@ -54,50 +55,51 @@
     },
 }
 
-/// What is known of a message beside its key.
+/// Properties of a message that [`IdempotencyRecords::decide`] uses beside its key.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MessageInfo {
-    /// It must not run twice.
+    /// Whether the message has an external effect and therefore must not run twice.
     pub has_effect: bool,
-    /// The broker delivered it before.
+    /// Whether the broker marked the message as redelivered.
     pub redelivered: bool,
-    /// Which copy it is, where it was republished from here.
+    /// Copy id of a republished message; `None` for an original.
     pub copy: Option<CopyId>,
-    /// Identifies its caller among those with the same key.
+    /// Distinguishes callers that use the same key.
     pub caller_digest: u64,
-    /// Digest of its body ([`IdempotencyRecords::digest`]).
+    /// Digest of the body ([`IdempotencyRecords::digest`]).
     pub body_digest: u64,
 }
 
-/// What is to be done with a message.
+/// How a message is handled with regard to duplicates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DuplicateDecision {
-    /// It is run.
+    /// Run the message.
     Run,
-    /// It waits for its original, and is answered with that.
+    /// Wait until the first delivery of the key ends, and reply with the same result.
     AwaitOriginal,
-    /// Its original has run: it is answered from the record.
-    AnswerFromRecord {
-        /// How the original ended.
+    /// The key has run: reply from its record.
+    ReplyFromRecord {
+        /// Result of the run.
         result: RunResult,
-        /// The reply to its own caller was confirmed before.
-        is_answered: bool,
+        /// Whether the reply to this caller was already confirmed.
+        is_reply_confirmed: bool,
     },
-    /// A copy was published in its place and confirmed: it only has to be settled.
+    /// A copy of the message was published and confirmed: only settle the message.
     Superseded,
-    /// It may have run elsewhere.
+    /// The message may have run in another process: do not run it.
     MayHaveRun,
-    /// Its key belongs to another message, with another body: it is neither run nor answered with that one's result.
+    /// The key is in use by a message with a different body: neither run the message nor reply with the result of the
+    /// other.
     BodyMismatch,
 }
 
-/// What is known of keys from before this process, or elsewhere. A store that outlasts a restart would implement it.
+/// Knowledge about runs that this process did not perform, such as a store that persists across restarts.
 pub trait IdempotencyStore {
-    /// Whether a run of this key may have started; none where that is not known.
+    /// Whether a run of this key may have started; `None` if unknown.
     fn may_have_started(&self, key: &IdempotencyKey) -> Option<bool>;
 }
 
-/// A store that knows nothing.
+/// An [`IdempotencyStore`] without any knowledge.
 pub struct NoHistory;
 
 impl IdempotencyStore for NoHistory {
@@ -109,13 +111,13 @@
 struct Record {
     state: KeyState,
     body_digest: u64,
-    /// Set while a reply is retained.
+    /// Position of the reply in the eviction order; set while a reply is retained.
     reply_sequence: Option<ResultSequence>,
     expires_at: Millis,
-    /// Deliveries that wait for the original.
+    /// Deliveries that wait for the first delivery to end.
     waiters: Vec<DeliveryId>,
-    /// Callers whose reply was confirmed, the newest last.
-    answered_callers: VecDeque<u64>,
+    /// Digests of the callers whose reply was confirmed, newest last.
+    replied_callers: VecDeque<u64>,
 }
 
 impl Record {
@@ -124,56 +126,56 @@
     }
 }
 
-/// How much is remembered.
+/// Limits on what [`IdempotencyRecords`] retains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
-    /// Keys with their complete records.
+    /// Maximum number of keys with a complete record.
     pub records: usize,
-    /// Bytes of replies.
+    /// Maximum total size of the retained replies, bytes.
     pub reply_bytes: usize,
-    /// Keys of which only a hash is left.
+    /// Maximum number of keys of which only a hash is retained.
     pub retired_keys: usize,
 }
 
-/// Callers of one key that are remembered as answered.
-const MAX_ANSWERED_CALLERS: usize = 4;
+/// Maximum number of callers per key whose confirmed reply is recorded.
+const MAX_REPLIED_CALLERS: usize = 4;
 
-/// The keys of recent messages. At the capacity the oldest that are finished are retired to a hash; where only
-/// unfinished ones are left, no more messages are to be consumed ([`IdempotencyRecords::is_full`]).
+/// Records of the keys of recent messages. Above the capacity, the oldest finished records are reduced to a hash of
+/// their key. If only unfinished ones are left, no more messages may be consumed ([`IdempotencyRecords::is_full`]).
 pub struct IdempotencyRecords {
     store: Box<dyn IdempotencyStore + Send>,
     retention: Millis,
     max_records: usize,
     records: BTreeMap<IdempotencyKey, Record>,
-    /// How many of the records are unfinished.
+    /// Number of unfinished records.
     unfinished: usize,
     retired_keys: RetiredKeys,
-    /// Keys by their expiry. All are retained for as long, so this is in order; a key whose expiry was put off since is
-    /// here with an earlier one.
+    /// Expiry times with their keys, in ascending order because all keys have the same retention. An entry is stale if
+    /// the expiry of its key was postponed afterwards.
     expiries: VecDeque<(Millis, IdempotencyKey)>,
     replies: ResultBudget<IdempotencyKey>,
     body_hasher: BodyHasher,
 }
 
 impl MessageInfo {
-    /// Whether the message was delivered to this server before, so that its caller may have its reply already. The caller
-    /// of a new message asks again.
-    fn was_here(&self) -> bool {
+    /// Whether the message may have been delivered to this server before, so that its caller may already have the
+    /// reply. A new message with the same key is a new request, which gets a reply again.
+    fn may_be_known(&self) -> bool {
         self.redelivered || self.copy.is_some()
     }
 }
 
-/// What the records decide about a message.
+/// Result of looking up the key of a message.
 enum Lookup {
-    /// They decide.
+    /// The record determines the decision.
     Decided(DuplicateDecision),
-    /// They do not rule out a run here.
+    /// The records do not prevent a run.
     Undecided { may_have_run_elsewhere: bool },
 }
 
 impl IdempotencyRecords {
-    /// A key is remembered for `retention` after its message finished or is known not to have been started here; while it is
-    /// queued or running it does not expire.
+    /// Creates records that retain a key for `retention` ms after its message finished or was found not to be started
+    /// here. A key does not expire while its message is queued or running.
     pub fn new(
         retention: Millis,
         capacity: Capacity,
@@ -192,32 +194,33 @@
         }
     }
 
-    /// The digest of a body.
+    /// Digest of a message body.
     pub fn digest(&self, body: &[u8]) -> u64 {
         self.body_hasher.digest(body)
     }
 
-    /// Whether there is no capacity for a further unfinished message.
+    /// Whether the capacity is used up by unfinished messages.
     pub fn is_full(&self) -> bool {
         self.unfinished >= self.max_records
     }
 
-    /// The number of keys that are remembered.
+    /// Number of retained keys, with a record or as a hash.
     pub fn len(&self) -> usize {
         self.records.len() + self.retired_keys.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether no key is retained.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Bytes of retained replies.
+    /// Total size of the retained replies, bytes.
     pub fn reply_bytes(&self) -> usize {
         self.replies.bytes()
     }
 
-    /// Decides about a message; it waits under `id` where it has to await its original.
+    /// Decides how a message is handled. If it has to wait for the first delivery of its key, `id` is added to the
+    /// waiters.
     pub fn decide(
         &mut self,
         id: DeliveryId,
@@ -235,7 +238,8 @@
             Lookup::Undecided { may_have_run_elsewhere } => may_have_run_elsewhere,
         };
         if message.has_effect && may_have_run_elsewhere {
-            // Further duplicates are answered alike, unless a copy from here is still to come.
+            // Further duplicates get the same reply, unless there is a record because a republished copy may still
+            // arrive.
             if !self.records.contains_key(key) {
                 self.start_record(key, message.body_digest);
                 self.finish(key, KeyState::Finished(RunResult::Unknown), now);
@@ -247,8 +251,8 @@
         DuplicateDecision::Run
     }
 
-    /// Looks up the key of a message. Another server may have run any message that is redelivered, except one that was
-    /// last here.
+    /// Looks up the key of a message. A redelivered message may have run in another process, unless its last delivery
+    /// was to this one.
     fn look_up(&mut self, id: DeliveryId, key: &IdempotencyKey, message: &MessageInfo) -> Lookup {
         let Some(record) = self.records.get_mut(key) else { return self.look_up_retired(key, message) };
         let is_same_body = record.body_digest == message.body_digest;
@@ -261,9 +265,9 @@
                 return Lookup::Decided(DuplicateDecision::AwaitOriginal);
             }
             KeyState::Finished(result) if message.has_effect || matches!(result, RunResult::Served(_)) => {
-                let is_answered =
-                    message.was_here() && record.answered_callers.contains(&message.caller_digest);
-                return Lookup::Decided(DuplicateDecision::AnswerFromRecord { result, is_answered });
+                let is_reply_confirmed =
+                    message.may_be_known() && record.replied_callers.contains(&message.caller_digest);
+                return Lookup::Decided(DuplicateDecision::ReplyFromRecord { result, is_reply_confirmed });
             }
             KeyState::Finished(_) => false,
             KeyState::Republished { from, is_confirmed: true, .. }
@@ -277,12 +281,12 @@
         Lookup::Undecided { may_have_run_elsewhere }
     }
 
-    /// Looks up a key that has no record any more.
+    /// Looks up a key without a record among the retired keys and in the store.
     fn look_up_retired(&self, key: &IdempotencyKey, message: &MessageInfo) -> Lookup {
-        if let Some(was_answered) = self.retired_keys.get(key).filter(|_| message.has_effect) {
-            let is_answered = message.was_here() && was_answered;
+        if let Some(was_reply_confirmed) = self.retired_keys.get(key).filter(|_| message.has_effect) {
+            let is_reply_confirmed = message.may_be_known() && was_reply_confirmed;
             let result = RunResult::ReplyDiscarded;
-            return Lookup::Decided(DuplicateDecision::AnswerFromRecord { result, is_answered });
+            return Lookup::Decided(DuplicateDecision::ReplyFromRecord { result, is_reply_confirmed });
         }
         let may_have_run_elsewhere = message.redelivered && self.store.may_have_started(key) != Some(false);
         Lookup::Undecided { may_have_run_elsewhere }
@@ -296,19 +300,19 @@
             reply_sequence: None,
             expires_at: f64::INFINITY,
             waiters: Vec::new(),
-            answered_callers: VecDeque::new(),
+            replied_callers: VecDeque::new(),
         };
         self.records.insert(key.clone(), record);
     }
 
-    /// A message that was never started is being republished.
+    /// Records that a message that was not started is being republished.
     pub fn republishing(&mut self, key: &IdempotencyKey, from: Option<CopyId>, to: CopyId) {
         self.update_republished(key, |state| {
             *state = KeyState::Republished { from, to, is_confirmed: false };
         });
     }
 
-    /// Whether the copy is at the broker, or certainly is not.
+    /// Records whether the broker accepted the copy. Must not be called if that is unknown.
     pub fn republished(&mut self, key: &IdempotencyKey, copy: CopyId, is_confirmed: bool) {
         self.update_republished(key, |state| {
             if let KeyState::Republished { from, to, .. } = *state
@@ -332,14 +336,15 @@
         }
     }
 
-    /// The run of a key may have started.
+    /// Records that the run of a key may have started.
     pub fn run_started(&mut self, key: &IdempotencyKey) {
         if let Some(record) = self.records.get_mut(key) {
             record.state = KeyState::Running;
         }
     }
 
-    /// A message is no longer here and was never started, as this copy. Returns the deliveries that waited for it.
+    /// Records that the message of a key, as this copy, ended here without a run. Returns the deliveries that waited
+    /// for it.
     pub fn not_started(
         &mut self,
         key: &IdempotencyKey,
@@ -349,7 +354,7 @@
         self.finish(key, KeyState::NotStarted(copy), now)
     }
 
-    /// The run of a key has ended. Returns the deliveries that waited for it.
+    /// Records the result of the run of a key. Returns the deliveries that waited for it.
     pub fn run_finished(&mut self, key: &IdempotencyKey, result: RunResult, now: Millis) -> Vec<DeliveryId> {
         if let (RunResult::Served(reply), Some(record)) = (&result, self.records.get_mut(key)) {
             record.reply_sequence = Some(self.replies.retain(key.clone(), reply.len()));
@@ -372,8 +377,8 @@
         waiters
     }
 
-    /// Retires the oldest finished keys: only that they have run is remembered. One that has not is forgotten: if its
-    /// message is redelivered, it counts as one that may have run elsewhere.
+    /// Evicts the oldest finished records above the capacity. A key that has run is retained as a hash. Other keys are
+    /// dropped, and their messages, if redelivered, count as possibly run in another process.
     fn retire_oldest(&mut self, now: Millis) {
         while self.records.len() > self.max_records {
             let Some((expires_at, key)) = self.expiries.pop_front() else { return };
@@ -383,23 +388,23 @@
             self.discard_reply(&key);
             let Some(record) = self.records.remove(&key) else { continue };
             if matches!(record.state, KeyState::Finished(_)) {
-                self.retired_keys.insert(&key, !record.answered_callers.is_empty(), now);
+                self.retired_keys.insert(&key, !record.replied_callers.is_empty(), now);
             }
         }
     }
 
-    /// The reply to this caller was confirmed.
-    pub fn caller_answered(&mut self, key: &IdempotencyKey, caller_digest: u64) {
-        let is_new = |record: &&mut Record| !record.answered_callers.contains(&caller_digest);
+    /// Records that the reply to a caller was confirmed.
+    pub fn reply_confirmed(&mut self, key: &IdempotencyKey, caller_digest: u64) {
+        let is_new = |record: &&mut Record| !record.replied_callers.contains(&caller_digest);
         let Some(record) = self.records.get_mut(key).filter(is_new) else { return };
-        if record.answered_callers.len() >= MAX_ANSWERED_CALLERS {
-            record.answered_callers.pop_front();
+        if record.replied_callers.len() >= MAX_REPLIED_CALLERS {
+            record.replied_callers.pop_front();
         }
-        record.answered_callers.push_back(caller_digest);
+        record.replied_callers.push_back(caller_digest);
     }
 
-    /// A delivery no longer waits.
-    pub fn leave(&mut self, key: &IdempotencyKey, id: DeliveryId) {
+    /// Removes a delivery from the waiters of a key.
+    pub fn remove_waiter(&mut self, key: &IdempotencyKey, id: DeliveryId) {
         if let Some(record) = self.records.get_mut(key) {
             record.waiters.retain(|waiter| *waiter != id);
         }
@@ -413,7 +418,7 @@
         }
     }
 
-    /// Forgets what has expired.
+    /// Drops the keys that have expired.
     pub fn expire(&mut self, now: Millis) {
         self.retired_keys.expire(now);
         while self.expiries.front().is_some_and(|(expires_at, _)| *expires_at <= now) {
--- a/crates/loomflow-amqp/src/idempotency/tests.rs
+++ b/crates/loomflow-amqp/src/idempotency/tests.rs
@@ -25,7 +25,7 @@
     assert_eq!(records.decide(2, Some(&theirs), message_info(true, false, 0), 0.0), DuplicateDecision::Run);
     records.run_started(&ours);
     records.run_finished(&ours, RunResult::Served(b"ours".as_slice().into()), 1.0);
-    // The other tenant's run continues and waits for its own result.
+    // A duplicate of the other tenant waits for the run of that tenant.
     assert_eq!(
         records.decide(3, Some(&theirs), message_info(true, false, 0), 2.0),
         DuplicateDecision::AwaitOriginal
@@ -37,24 +37,24 @@
 fn a_different_body_under_a_known_key_is_rejected() {
     let mut records = records_without_history();
     let a = key("a");
-    let other = |body| MessageInfo { body_digest: body, ..message_info(true, false, 0) };
+    let with_body = |body_digest| MessageInfo { body_digest, ..message_info(true, false, 0) };
     assert_ne!(records.digest(b"one"), records.digest(b"two"));
-    assert_eq!(records.decide(1, Some(&a), other(1), 0.0), DuplicateDecision::Run);
-    assert_eq!(records.decide(2, Some(&a), other(2), 0.0), DuplicateDecision::BodyMismatch);
+    assert_eq!(records.decide(1, Some(&a), with_body(1), 0.0), DuplicateDecision::Run);
+    assert_eq!(records.decide(2, Some(&a), with_body(2), 0.0), DuplicateDecision::BodyMismatch);
     records.run_started(&a);
-    assert_eq!(records.decide(3, Some(&a), other(2), 0.0), DuplicateDecision::BodyMismatch);
-    // It does not join the waiting duplicates.
+    assert_eq!(records.decide(3, Some(&a), with_body(2), 0.0), DuplicateDecision::BodyMismatch);
+    // Messages with a different body are not among the waiting duplicates.
     assert_eq!(records.run_finished(&a, RunResult::Failed, 1.0), [0; 0]);
-    assert_eq!(records.decide(4, Some(&a), other(2), 2.0), DuplicateDecision::BodyMismatch);
-    // A run that never started does not block a different body.
+    assert_eq!(records.decide(4, Some(&a), with_body(2), 2.0), DuplicateDecision::BodyMismatch);
+    // A key whose run was not started can be used with a different body.
     let b = key("b");
-    assert_eq!(records.decide(5, Some(&b), other(1), 3.0), DuplicateDecision::Run);
+    assert_eq!(records.decide(5, Some(&b), with_body(1), 3.0), DuplicateDecision::Run);
     records.not_started(&b, None, 4.0);
-    assert_eq!(records.decide(6, Some(&b), other(2), 5.0), DuplicateDecision::Run);
+    assert_eq!(records.decide(6, Some(&b), with_body(2), 5.0), DuplicateDecision::Run);
 }
 
 #[test]
-fn an_unknown_redelivery_runs_only_without_an_external_effect() {
+fn an_unknown_redelivery_runs_only_without_an_effect() {
     let mut records = records_without_history();
     let a = key("a");
     assert_eq!(records.decide(1, Some(&a), message_info(true, true, 0), 0.0), DuplicateDecision::MayHaveRun);
@@ -62,32 +62,33 @@
     assert_eq!(records.decide(3, None, message_info(true, false, 0), 0.0), DuplicateDecision::Run);
     assert_eq!(records.decide(4, None, message_info(false, true, 0), 0.0), DuplicateDecision::Run);
     assert_eq!(records.decide(5, Some(&key("b")), message_info(false, true, 0), 0.0), DuplicateDecision::Run);
-    // A duplicate gets the same answer, although it is no redelivery.
-    let unknown = DuplicateDecision::AnswerFromRecord { result: RunResult::Unknown, is_answered: false };
+    // A duplicate that is not redelivered gets the same result.
+    let unknown =
+        DuplicateDecision::ReplyFromRecord { result: RunResult::Unknown, is_reply_confirmed: false };
     assert_eq!(records.decide(6, Some(&a), message_info(true, false, 0), 0.0), unknown);
 }
 
 #[test]
-fn a_store_with_history_lets_a_run_that_never_started_start() {
+fn a_redelivery_runs_if_the_store_rules_out_a_run() {
     struct Store;
     impl IdempotencyStore for Store {
         fn may_have_started(&self, key: &IdempotencyKey) -> Option<bool> {
-            Some(key.text == "begun")
+            Some(key.text == "started")
         }
     }
     let mut records = IdempotencyRecords::new(1.0, capacity(10, 10), Box::new(Store));
     assert_eq!(
-        records.decide(1, Some(&key("begun")), message_info(true, true, 0), 0.0),
+        records.decide(1, Some(&key("started")), message_info(true, true, 0), 0.0),
         DuplicateDecision::MayHaveRun
     );
     assert_eq!(
-        records.decide(2, Some(&key("not")), message_info(true, true, 0), 0.0),
+        records.decide(2, Some(&key("not started")), message_info(true, true, 0), 0.0),
         DuplicateDecision::Run
     );
 }
 
 #[test]
-fn repeats_join_what_is_open_and_get_what_has_run() {
+fn duplicates_wait_for_the_run_and_get_its_result() {
     let mut records = records_without_history();
     let a = key("a");
     assert_eq!(records.decide(1, Some(&a), message_info(true, false, 7), 0.0), DuplicateDecision::Run);
@@ -100,31 +101,35 @@
         records.decide(3, Some(&a), message_info(true, false, 8), 0.0),
         DuplicateDecision::AwaitOriginal
     );
-    records.leave(&a, 2);
+    records.remove_waiter(&a, 2);
     assert_eq!(records.run_finished(&a, RunResult::Served(b"r"[..].into()), 1.0), [3]);
-    let again = |told| DuplicateDecision::AnswerFromRecord {
+    let from_record = |is_reply_confirmed| DuplicateDecision::ReplyFromRecord {
         result: RunResult::Served(b"r"[..].into()),
-        is_answered: told,
+        is_reply_confirmed,
     };
-    assert_eq!(records.decide(4, Some(&a), message_info(true, true, 7), 1.0), again(false));
-    records.caller_answered(&a, 7);
-    assert_eq!(records.decide(5, Some(&a), message_info(true, true, 7), 1.0), again(true));
+    assert_eq!(records.decide(4, Some(&a), message_info(true, true, 7), 1.0), from_record(false));
+    records.reply_confirmed(&a, 7);
+    assert_eq!(records.decide(5, Some(&a), message_info(true, true, 7), 1.0), from_record(true));
     assert_eq!(
         records.decide(6, Some(&a), message_info(true, true, 8), 1.0),
-        again(false),
-        "another caller of the same key"
+        from_record(false),
+        "the reply to another caller of the key is not confirmed"
     );
     assert_eq!(
         records.decide(7, Some(&a), message_info(true, false, 7), 1.0),
-        again(false),
-        "who asks anew is told anew"
+        from_record(false),
+        "a new message of the same caller gets a reply again"
     );
     let copied = MessageInfo { copy: Some(1), ..message_info(true, false, 7) };
-    assert_eq!(records.decide(8, Some(&a), copied, 1.0), again(true), "a requeued message is no new request");
+    assert_eq!(
+        records.decide(8, Some(&a), copied, 1.0),
+        from_record(true),
+        "a requeued copy is not a new request"
+    );
 }
 
 #[test]
-fn what_went_back_unbegun_may_run_when_it_comes_again() {
+fn a_message_that_was_not_started_runs_when_redelivered() {
     let mut records = records_without_history();
     let a = key("a");
     records.decide(1, Some(&a), message_info(true, false, 0), 0.0);
@@ -134,82 +139,87 @@
 }
 
 #[test]
-fn of_a_message_and_the_one_that_took_its_place_only_one_may_run() {
-    let as_instance =
-        |instance, redelivered| MessageInfo { copy: instance, ..message_info(true, redelivered, 0) };
-    let moved = |confirmed: bool| {
+fn only_one_of_a_message_and_its_republished_copy_runs() {
+    let as_copy = |copy, redelivered| MessageInfo { copy, ..message_info(true, redelivered, 0) };
+    let republished = |is_confirmed: bool| {
         let mut records = records_without_history();
-        records.decide(1, Some(&key("a")), as_instance(None, false), 0.0);
+        records.decide(1, Some(&key("a")), as_copy(None, false), 0.0);
         records.not_started(&key("a"), None, 0.0);
         records.republishing(&key("a"), None, 77);
-        if confirmed {
+        if is_confirmed {
             records.republished(&key("a"), 77, true);
         }
         records
     };
-    // The first copy is delivered again: its run was handed over, or its fate is unknown.
+    // The original is redelivered: its copy replaces it, or may exist.
     assert_eq!(
-        moved(true).decide(2, Some(&key("a")), as_instance(None, true), 1.0),
+        republished(true).decide(2, Some(&key("a")), as_copy(None, true), 1.0),
         DuplicateDecision::Superseded
     );
     assert_eq!(
-        moved(false).decide(2, Some(&key("a")), as_instance(None, true), 1.0),
+        republished(false).decide(2, Some(&key("a")), as_copy(None, true), 1.0),
         DuplicateDecision::MayHaveRun
     );
-    // The second copy runs, unless another server may have run it.
-    for confirmed in [true, false] {
-        let judge = |again| moved(confirmed).decide(2, Some(&key("a")), as_instance(Some(77), again), 1.0);
-        assert_eq!((judge(false), judge(true)), (DuplicateDecision::Run, DuplicateDecision::MayHaveRun));
+    // The copy runs, unless it may have run in another process.
+    for is_confirmed in [true, false] {
+        let decide = |redelivered| {
+            republished(is_confirmed).decide(2, Some(&key("a")), as_copy(Some(77), redelivered), 1.0)
+        };
+        assert_eq!((decide(false), decide(true)), (DuplicateDecision::Run, DuplicateDecision::MayHaveRun));
     }
-    // A new message of the sender is neither.
-    assert_eq!(moved(true).decide(2, Some(&key("a")), as_instance(None, false), 1.0), DuplicateDecision::Run);
-    // A copy that this server never received may have run elsewhere.
+    // A new message of the sender with the same key is neither and runs.
+    assert_eq!(
+        republished(true).decide(2, Some(&key("a")), as_copy(None, false), 1.0),
+        DuplicateDecision::Run
+    );
+    // A copy that was never delivered to this server may have run in another process.
     let mut records = records_without_history();
-    records.decide(1, Some(&key("a")), as_instance(None, false), 0.0);
+    records.decide(1, Some(&key("a")), as_copy(None, false), 0.0);
     records.not_started(&key("a"), None, 0.0);
     assert_eq!(
-        records.decide(2, Some(&key("a")), as_instance(Some(5), true), 1.0),
+        records.decide(2, Some(&key("a")), as_copy(Some(5), true), 1.0),
         DuplicateDecision::MayHaveRun
     );
-    // A copy that the broker certainly did not accept leaves the first one as it was.
-    let mut records = moved(false);
+    // If the broker did not accept the copy, the original runs when it is redelivered.
+    let mut records = republished(false);
     records.republished(&key("a"), 77, false);
-    assert_eq!(records.decide(2, Some(&key("a")), as_instance(None, true), 1.0), DuplicateDecision::Run);
+    assert_eq!(records.decide(2, Some(&key("a")), as_copy(None, true), 1.0), DuplicateDecision::Run);
 }
 
 #[test]
-fn replies_are_bounded_and_one_that_is_gone_is_still_known_to_have_run() {
+fn retained_replies_are_bounded_and_discarded_ones_still_count_as_run() {
     let mut records = records_without_history();
     for text in ["a", "b", "c"] {
         records.decide(1, Some(&key(text)), message_info(true, false, 0), 0.0);
         records.run_finished(&key(text), RunResult::Served(vec![0; 30].into()), 0.0);
     }
     assert!(records.reply_bytes() <= 64);
-    let gone = DuplicateDecision::AnswerFromRecord { result: RunResult::ReplyDiscarded, is_answered: false };
-    assert_eq!(records.decide(2, Some(&key("a")), message_info(true, true, 0), 1.0), gone);
+    let discarded =
+        DuplicateDecision::ReplyFromRecord { result: RunResult::ReplyDiscarded, is_reply_confirmed: false };
+    assert_eq!(records.decide(2, Some(&key("a")), message_info(true, true, 0), 1.0), discarded);
     records.expire(2_000.0);
     assert!(records.is_empty() && records.reply_bytes() == 0 && records.replies.is_empty());
 }
 
 #[test]
-fn the_last_answered_callers_of_a_key_are_remembered() {
+fn the_last_replied_callers_of_a_key_are_recorded() {
     let mut records = records_without_history();
     let a = key("a");
     records.decide(1, Some(&a), message_info(true, false, 0), 0.0);
     records.run_finished(&a, RunResult::Served(b"r"[..].into()), 0.0);
-    let callers = MAX_ANSWERED_CALLERS as u64 + 1;
+    let callers = MAX_REPLIED_CALLERS as u64 + 1;
     for caller in (1..=callers).chain([callers]) {
-        records.caller_answered(&a, caller);
+        records.reply_confirmed(&a, caller);
     }
-    let mut is_answered = |caller| {
+    let mut is_reply_confirmed = |caller| {
         let decision = records.decide(2, Some(&a), message_info(true, true, caller), 1.0);
-        matches!(decision, DuplicateDecision::AnswerFromRecord { is_answered: true, .. })
+        matches!(decision, DuplicateDecision::ReplyFromRecord { is_reply_confirmed: true, .. })
     };
-    assert!(!is_answered(1) && (2..=callers).all(is_answered));
+    assert!(!is_reply_confirmed(1) && (2..=callers).all(is_reply_confirmed));
 }
 
 #[test]
-fn beyond_the_capacity_it_is_remembered_what_has_run_and_nothing_else() {
+fn above_the_capacity_only_keys_that_have_run_are_retained() {
     let mut records = IdempotencyRecords::new(1_000.0, capacity(2, 64), Box::new(NoHistory));
     let redelivered = message_info(true, true, 0);
     for text in ["ran", "not started", "open"] {
@@ -218,47 +228,54 @@
         match text {
             "ran" => {
                 records.run_finished(&key(text), RunResult::Served(b"r"[..].into()), 0.0);
-                records.caller_answered(&key(text), 0);
+                records.reply_confirmed(&key(text), 0);
             }
             "not started" => drop(records.not_started(&key(text), None, 0.0)),
             _ => {}
         }
     }
     records.decide(1, Some(&key("open too")), message_info(true, false, 0), 0.0);
-    assert!(records.is_full(), "as many are unfinished as may be remembered");
+    assert!(records.is_full(), "2 records are unfinished, which is the capacity");
     records.run_finished(&key("open too"), RunResult::Failed, 0.0);
     assert!(!records.is_full());
-    let discarded =
-        |is_answered| DuplicateDecision::AnswerFromRecord { result: RunResult::ReplyDiscarded, is_answered };
+    let discarded = |is_reply_confirmed| DuplicateDecision::ReplyFromRecord {
+        result: RunResult::ReplyDiscarded,
+        is_reply_confirmed,
+    };
     assert_eq!(records.decide(2, Some(&key("ran")), redelivered, 1.0), discarded(true));
     let new = message_info(true, false, 0);
-    assert_eq!(records.decide(2, Some(&key("ran")), new, 1.0), discarded(false), "a new message asks again");
+    assert_eq!(
+        records.decide(2, Some(&key("ran")), new, 1.0),
+        discarded(false),
+        "a new message gets a reply again"
+    );
     assert_eq!(
         records.decide(2, Some(&key("not started")), redelivered, 1.0),
         DuplicateDecision::MayHaveRun,
-        "it may have run elsewhere meanwhile"
+        "it may have run in another process meanwhile"
     );
     assert_eq!(records.decide(2, Some(&key("open")), redelivered, 1.0), DuplicateDecision::AwaitOriginal);
 }
 
 proptest! {
-    /// A key with an external effect never runs a second time within the retention time once it may have started.
+    /// Within the retention time, a key with an external effect never runs again once it may have started.
     #[test]
-    fn nothing_with_an_effect_runs_twice(records in 1usize..5, moves in proptest::collection::vec((0u8..5, 0usize..3, any::<bool>()), 1..150)) {
+    fn nothing_with_an_effect_runs_twice(records in 1usize..5, steps in proptest::collection::vec((0u8..5, 0usize..3, any::<bool>()), 1..150)) {
         let mut records = IdempotencyRecords::new(1e9, capacity(records, 50), Box::new(NoHistory));
-        let (mut began, mut held) = ([0; 3], [false; 3]);
-        for (at, (kind, which, redelivered)) in moves.into_iter().enumerate() {
+        // Stage of the run of each key: 0 not started, 1 running, 2 finished.
+        let (mut run_stage, mut is_submitted) = ([0; 3], [false; 3]);
+        for (at, (kind, which, redelivered)) in steps.into_iter().enumerate() {
             let key = key(&which.to_string());
             match kind {
                 0 | 1 => {
-                    let verdict = records.decide(at as u64, Some(&key), message_info(true, redelivered, 0), at as f64);
-                    let runs = verdict == DuplicateDecision::Run;
-                    prop_assert!(!runs || began[which] == 0 && !held[which]);
-                    held[which] |= runs;
+                    let decision = records.decide(at as u64, Some(&key), message_info(true, redelivered, 0), at as f64);
+                    let runs = decision == DuplicateDecision::Run;
+                    prop_assert!(!runs || run_stage[which] == 0 && !is_submitted[which]);
+                    is_submitted[which] |= runs;
                 }
-                2 if held[which] && began[which] == 0 => { records.run_started(&key); began[which] = 1; }
-                3 if held[which] && began[which] == 0 => { records.not_started(&key, None, at as f64); held[which] = false; }
-                4 if began[which] == 1 => { records.run_finished(&key, RunResult::Served(vec![1; 20].into()), at as f64); began[which] = 2; }
+                2 if is_submitted[which] && run_stage[which] == 0 => { records.run_started(&key); run_stage[which] = 1; }
+                3 if is_submitted[which] && run_stage[which] == 0 => { records.not_started(&key, None, at as f64); is_submitted[which] = false; }
+                4 if run_stage[which] == 1 => { records.run_finished(&key, RunResult::Served(vec![1; 20].into()), at as f64); run_stage[which] = 2; }
                 _ => {}
             }
             prop_assert!(records.reply_bytes() <= 50 + 20);
--- a/crates/loomflow-amqp/src/lib.rs
+++ b/crates/loomflow-amqp/src/lib.rs
@@ -1,13 +1,14 @@
-//! AMQP 0-9-1, the consumer's and publisher's side, without I/O: state machines that are fed frames and times.
+//! Sans-I/O client side of AMQP 0-9-1: state machines that consume and publish. They take frames and the current time
+//! as input.
 //!
-//! Read from the bottom up: [`frames`] splits and encodes frames, [`content`] assembles messages, [`connection`] handles
-//! channel 0 and opens channels, [`consumer_pool`] has the consumers of one queue, [`publisher`] knows what the broker has
-//! confirmed. Beside them are the decisions, each in a file without protocol: [`window`] how much to consume,
-//! [`idempotency`] what a duplicate is answered with, [`settlement`] how each message ends, [`backoff`] when to connect
-//! again. [`consumer`] ties them together.
+//! Protocol layers, lowest first: [`frames`] splits and encodes frames, [`content`] assembles messages, [`connection`]
+//! handles channel 0 and opens channels, [`consumer_pool`] manages the consumers of one queue, and [`publisher`] tracks
+//! publisher confirms. Decisions are kept in modules without protocol code: [`window`] decides how much to consume,
+//! [`idempotency`] how to treat a duplicate, [`settlement`] how each message is settled, and [`backoff`] when to
+//! reconnect. [`consumer`] combines them.
 //!
-//! Sections named in comments are those of the AMQP 0-9-1 specification; "extension" is what its brokers have agreed
-//! upon beside it (publisher confirms, `basic.nack`, `connection.blocked`, consumer cancel notification).
+//! Section numbers in comments refer to the AMQP 0-9-1 specification. "Extension" marks features that brokers implement
+//! in addition to it: publisher confirms, `basic.nack`, `connection.blocked` and consumer cancel notification.
 
 #![forbid(unsafe_code)]
 
--- a/crates/loomflow-amqp/src/message.rs
+++ b/crates/loomflow-amqp/src/message.rs
@@ -1,5 +1,5 @@
-//! Message properties: classification, idempotency key and sending time of a consumed message, and the messages that
-//! are published for it (replies, requeued copies, dead letters).
+//! Message properties: reads class, tenant, idempotency key and sending time of a consumed message, and builds the
+//! messages that are published for it (replies, requeued copies, dead letters).
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -13,23 +13,25 @@
 use crate::settings::{KeyFrom, NameFrom, Queue, SentFrom, Settings};
 use crate::settlement::{ReplyStatus, Republish};
 
-/// Header of every published message: its [`PublishId`], by which a returned message is recognised.
+/// Header of every published message: its [`PublishId`], which identifies a returned message.
 pub const PUBLISH_ID_HEADER: &str = "x-loomflow-publish";
-/// How often a message was requeued after a rejection.
+/// Header of a requeued message: how often it was requeued after a rejection.
 pub const RETRY_COUNT_HEADER: &str = "x-loomflow-rounds";
-/// Why a message was dead-lettered, or failed.
+/// Header of a dead letter or a failure reply: its [`FailureReason`].
 pub const REASON_HEADER: &str = "x-loomflow-reason";
-/// The queue that a dead letter was consumed from.
+/// Header of a dead letter: the queue that it was consumed from.
 pub const QUEUE_HEADER: &str = "x-loomflow-queue";
-/// The user id of a republished message: a broker accepts the property itself only from that user.
+/// Header of a republished message: its original user id. A broker accepts the property only from that user.
 pub const USER_ID_HEADER: &str = "x-loomflow-user-id";
-/// On a rejection: when the message is delivered again, ms; on a failure past its deadline: how long to back off, ms.
+/// Header of a rejection: time until the message is delivered again, ms. Header of an out-of-time failure: how long the
+/// sender should back off, ms.
 pub const RETRY_AFTER_HEADER: &str = "x-loomflow-holdoff";
-/// On a failure: whether the message may have run.
+/// Header of a failure reply: whether the message may have run.
 pub const MAY_HAVE_RUN_HEADER: &str = "x-loomflow-ran";
-/// Headers that route copies to further queues (extension). They are dropped when a message is republished, because the
-/// copies were routed the first time.
+/// Headers that route copies to further queues (extension). They are dropped when a message is republished, because its
+/// copies were routed when it was first published.
 const CARBON_COPY_HEADERS: [&str; 2] = ["CC", "BCC"];
+/// Delivery mode of a persistent message.
 const PERSISTENT: u8 = 2;
 /// Maximum length of an idempotency key, bytes.
 const MAX_KEY_BYTES: usize = 512;
@@ -38,7 +40,7 @@
     properties.headers().as_ref()?.inner().get(name)
 }
 
-/// A header as text.
+/// The value of a text header; `None` if it is missing or not text.
 fn text_header(properties: &AMQPProperties, name: &str) -> Option<String> {
     match header(properties, name)? {
         AMQPValue::LongString(text) => String::from_utf8(text.as_bytes().to_vec()).ok(),
@@ -47,7 +49,7 @@
     }
 }
 
-/// A header as an unsigned number, whatever integer type its sender chose.
+/// The value of a header of any integer type; `None` if it is missing, negative or not an integer.
 fn number_header(properties: &AMQPProperties, name: &str) -> Option<u64> {
     match header(properties, name)? {
         AMQPValue::ShortShortUInt(n) => Some(u64::from(*n)),
@@ -62,7 +64,7 @@
     }
 }
 
-/// The publish id of a message of ours that the broker returned.
+/// The publish id of a message that was published by loomflow, such as one that the broker returned.
 pub fn publish_id(properties: &AMQPProperties) -> Option<PublishId> {
     number_header(properties, PUBLISH_ID_HEADER)
 }
@@ -83,11 +85,11 @@
     pub has_effect: bool,
 }
 
-/// Classifies a message by the names that its queue's settings or its headers state.
+/// Determines class and tenant of a message from the settings of its queue or from its headers.
 ///
 /// # Errors
 ///
-/// The reason to dead-letter the message.
+/// Returns the reason to dead-letter the message.
 pub fn classify(
     settings: &Settings,
     queue: &Queue,
@@ -110,11 +112,11 @@
     Ok(Classification { class, tenant, has_effect: settings.classes[class].has_effect })
 }
 
-/// The key by which a redelivery or a duplicate of a message is recognised; `None` if the message states none.
+/// The idempotency key of a message; `None` if the message states none.
 ///
 /// # Errors
 ///
-/// The reason to dead-letter the message.
+/// Returns the reason to dead-letter the message.
 pub fn idempotency_key(
     from: &KeyFrom,
     classification: Classification,
@@ -137,8 +139,8 @@
     }
 }
 
-/// When a message was sent, Unix ms; `None` if it does not state it. A timestamp in whole seconds is read as the end of
-/// that second, so that no message counts as older than it is.
+/// When a message was sent, Unix ms; `None` if the message does not state it. A timestamp in whole seconds is read as
+/// the end of that second, so that no message counts as older than it is.
 pub fn sent_at(from: &SentFrom, properties: &AMQPProperties) -> Option<Millis> {
     let header_ms = match from {
         SentFrom::Header(name) => number_header(properties, name),
@@ -148,14 +150,14 @@
     header_ms.map(|ms| ms as Millis).or_else(end_of_second)
 }
 
-/// Identifies the caller among those with the same key: a digest of the reply address and the correlation id.
+/// Distinguishes callers that use the same key: a digest of the reply address and the correlation id.
 pub fn caller_digest(properties: &AMQPProperties) -> u64 {
     let mut hasher = DefaultHasher::new();
     (properties.reply_to(), properties.correlation_id()).hash(&mut hasher);
     hasher.finish()
 }
 
-/// Exchange and routing key of the reply to a message; `None` if nobody expects one.
+/// Exchange and routing key of the reply to a message; `None` if no reply is expected.
 pub fn reply_to(settings: &Settings, properties: &AMQPProperties) -> Option<(String, String)> {
     match (properties.reply_to(), &settings.results) {
         (Some(to), _) if !to.as_str().is_empty() => Some((String::new(), to.to_string())),
@@ -164,7 +166,7 @@
     }
 }
 
-/// The reply to a message; `None` if nobody expects one.
+/// Builds the reply to a message; `None` if no reply is expected.
 pub fn reply(
     settings: &Settings,
     original: &AMQPProperties,
@@ -195,7 +197,7 @@
         }
     };
     let mut properties = AMQPProperties::default().with_headers(headers).with_type(kind.into());
-    // By convention, the message id serves where no correlation id is stated.
+    // By convention, the message id is used if there is no correlation id.
     if let Some(id) = original.correlation_id().as_ref().or(original.message_id().as_ref()) {
         properties = properties.with_correlation_id(id.clone());
     }
@@ -205,7 +207,7 @@
     Some(Publish { exchange, routing_key, properties, body })
 }
 
-/// A copy of a consumed message, addressed to its own queue or to the dead-letter destination.
+/// Builds a copy of a consumed message, addressed to its own queue or to the dead-letter destination.
 pub fn republished(
     settings: &Settings,
     queue: &str,
@@ -240,25 +242,25 @@
     Publish { exchange, routing_key, properties: properties.with_headers(headers), body: body.to_vec() }
 }
 
-/// The properties of a message without its user id, which is sent in a header instead: a broker rejects a user id other than that
+/// Moves the user id of a message from its properties to a header, because a broker rejects a user id other than that
 /// of the connection (extension).
 fn without_user_id(original: &AMQPProperties, headers: &mut FieldTable) -> AMQPProperties {
     let Some(user) = original.user_id() else { return original.clone() };
     headers.insert(USER_ID_HEADER.into(), AMQPValue::LongString(user.as_str().into()));
-    let mut kept = AMQPProperties::default();
-    macro_rules! keep {
-        ($($get:ident $with:ident),*) => { $(if let Some(value) = original.$get() { kept = kept.$with(value.clone()); })* };
+    let mut properties = AMQPProperties::default();
+    macro_rules! copy {
+        ($($get:ident $with:ident),*) => { $(if let Some(value) = original.$get() { properties = properties.$with(value.clone()); })* };
     }
-    keep!(
+    copy!(
         content_type with_content_type, content_encoding with_content_encoding, delivery_mode with_delivery_mode,
         priority with_priority, correlation_id with_correlation_id, reply_to with_reply_to,
         expiration with_expiration, message_id with_message_id, timestamp with_timestamp, kind with_type,
         app_id with_app_id
     );
-    kept
+    properties
 }
 
-/// A short string from a setting; its length was validated when the settings were read.
+/// Converts a setting to a short string. Its length was validated when the settings were read.
 pub fn short_string(text: &str) -> ShortString {
     ShortString::try_new(text).unwrap_or_default()
 }
--- a/crates/loomflow-amqp/src/publisher.rs
+++ b/crates/loomflow-amqp/src/publisher.rs
@@ -1,5 +1,6 @@
-//! What is published: on one channel, with confirms (extension), and mandatory, so that what cannot be routed comes back
-//! (specification 1.8.3.7). Nothing counts as published before the broker has confirmed it.
+//! Publishing on one channel with publisher confirms (extension). Messages are published as mandatory, so the broker
+//! returns those that cannot be routed (specification 1.8.3.7). A message counts as published once the broker has
+//! confirmed it.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -7,70 +8,72 @@
 
 use crate::Millis;
 
-/// A broker that has not confirmed by then never will, on this connection.
+/// Time without a confirm after which the connection is dropped, ms. The broker is then assumed not to confirm any more.
 const CONFIRM_TIMEOUT_MS: Millis = 15_000.0;
 
-/// Names one publish, and travels with it in a header, so that one that is returned is recognized.
+/// Identifies a publish. It is sent in a header, so that a returned message can be matched with its publish.
 pub type PublishId = u64;
 
-/// A message to be published.
+/// A message to publish.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Publish {
-    /// The exchange.
+    /// Name of the exchange; empty for the default exchange.
     pub exchange: String,
-    /// The routing key.
+    /// Routing key within the exchange.
     pub routing_key: String,
-    /// The properties, with their headers.
+    /// Message properties, including headers.
     pub properties: AMQPProperties,
-    /// The body.
+    /// Message body.
     pub body: Vec<u8>,
 }
 
-/// What became of a publish.
+/// Result of a publish.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PublishResult {
-    /// The broker has it.
+    /// The broker confirmed the message.
     Confirmed,
-    /// Nothing is bound where it was sent.
+    /// The broker returned the message because it matches no queue.
     Unroutable,
-    /// The broker could not take it.
+    /// The broker could not accept the message.
     Nacked,
-    /// The channel was closed before the broker confirmed or rejected it.
+    /// The channel was closed before the broker confirmed or rejected the message.
     Unknown,
 }
 
-/// The publishing channel.
+/// Queue and unconfirmed messages of the publishing channel.
 #[derive(Debug, Default)]
 pub struct Publisher {
-    /// The channel is open, with confirms.
+    /// Whether the channel is open with confirms enabled.
     is_ready: bool,
-    /// The broker lets content through on the channel, and on the connection.
+    /// Whether the broker allows content on the channel (`channel.flow`).
     is_flowing: bool,
+    /// Whether the broker blocks publishing on the connection (`connection.blocked`).
     is_blocked: bool,
     max_unconfirmed: usize,
-    /// The number that the broker counts the next publish by.
-    next_number: u64,
+    /// Delivery tag that the broker assigns to the next publish.
+    next_delivery_tag: u64,
     unconfirmed: BTreeMap<u64, PublishId>,
-    /// When the broker last confirmed something, or had nothing to confirm.
+    /// When the broker last sent a confirm, or a message was published while none was unconfirmed.
     last_confirm_at: Millis,
+    /// Returned messages whose confirm has not been received yet.
     returned: BTreeSet<PublishId>,
     queue: VecDeque<(PublishId, Publish)>,
 }
 
 impl Publisher {
-    /// At most `max_unconfirmed` publishes are written that the broker has not confirmed.
+    /// Creates a publisher that keeps at most `max_unconfirmed` messages unconfirmed.
     pub fn new(max_unconfirmed: usize) -> Publisher {
         Publisher { max_unconfirmed, is_flowing: true, ..Publisher::default() }
     }
 
-    /// The channel confirms from now on.
+    /// Records that the channel is open with confirms enabled.
     pub fn channel_opened(&mut self) {
         self.is_ready = true;
         self.is_flowing = true;
-        self.next_number = 1;
+        self.next_delivery_tag = 1;
     }
 
-    /// The channel is closed: everything unconfirmed may have been taken or not.
+    /// Records that the channel was closed. Returns the unconfirmed messages, whose result is unknown.
     pub fn channel_closed(&mut self) -> Vec<(PublishId, PublishResult)> {
         self.is_ready = false;
         self.returned.clear();
@@ -78,22 +81,22 @@
         unconfirmed.into_values().map(|id| (id, PublishResult::Unknown)).collect()
     }
 
-    /// The connection is lost, and with it everyone who waits for a publish.
+    /// Resets the publisher after the connection was lost. Queued and unconfirmed messages are dropped.
     pub fn connection_lost(&mut self) {
         *self = Publisher::new(self.max_unconfirmed);
     }
 
-    /// The broker stops content on the channel, or lets it through.
+    /// Sets whether the broker allows content on the channel.
     pub fn set_flow(&mut self, is_flowing: bool) {
         self.is_flowing = is_flowing;
     }
 
-    /// The broker stops content on the connection, or lets it through.
+    /// Sets whether the broker blocks publishing on the connection.
     pub fn set_blocked(&mut self, is_blocked: bool) {
         self.is_blocked = is_blocked;
     }
 
-    /// Adds a publish.
+    /// Appends a message to the queue.
     pub fn enqueue(&mut self, id: PublishId, publish: Publish) {
         self.queue.push_back((id, publish));
     }
@@ -102,7 +105,7 @@
         self.is_ready && self.is_flowing && !self.is_blocked
     }
 
-    /// The next to be written, counted as unconfirmed.
+    /// Takes the next message to write, which counts as unconfirmed from now on; `None` if none may be written.
     pub fn write_next(&mut self, now: Millis) -> Option<Publish> {
         if !self.may_write() || self.unconfirmed.len() >= self.max_unconfirmed {
             return None;
@@ -111,49 +114,54 @@
         if self.unconfirmed.is_empty() {
             self.last_confirm_at = now;
         }
-        self.unconfirmed.insert(self.next_number, id);
-        self.next_number += 1;
+        self.unconfirmed.insert(self.next_delivery_tag, id);
+        self.next_delivery_tag += 1;
         Some(publish)
     }
 
-    /// Whether confirms have been waited for in vain.
+    /// Whether confirms are overdue.
     pub fn has_timed_out(&self, now: Millis) -> bool {
         let is_waiting = !self.unconfirmed.is_empty() && !self.is_blocked;
         is_waiting && now - self.last_confirm_at >= CONFIRM_TIMEOUT_MS
     }
 
-    /// Whether no more is to be consumed, while what has ended cannot be published.
+    /// Whether publishing is stalled, so that no more messages should be consumed.
     pub fn has_backpressure(&self) -> bool {
         !self.may_write() || !self.queue.is_empty()
     }
 
-    /// Whether everything was published and confirmed.
+    /// Whether no message is queued or unconfirmed.
     pub fn is_empty(&self) -> bool {
         self.unconfirmed.is_empty() && self.queue.is_empty()
     }
 
-    /// A publish was returned; its confirm follows.
+    /// Records that the broker returned a message. Its confirm follows.
     pub fn returned(&mut self, id: PublishId) {
         if self.unconfirmed.values().any(|unconfirmed| *unconfirmed == id) {
             self.returned.insert(id);
         }
     }
 
-    /// The broker's `basic.ack` or `basic.nack` of a publish. Numbers that are not open are ignored.
+    /// Handles `basic.ack` or `basic.nack` of published messages; returns their results. Unknown delivery tags are
+    /// ignored.
     pub fn confirmed(
         &mut self,
-        number: u64,
+        delivery_tag: u64,
         is_multiple: bool,
         is_ack: bool,
         now: Millis,
     ) -> Vec<(PublishId, PublishResult)> {
         self.last_confirm_at = now;
         let ids: Vec<PublishId> = if is_multiple {
-            // 0 is all (specification 1.8.3.13).
-            let later = if number == 0 { BTreeMap::new() } else { self.unconfirmed.split_off(&(number + 1)) };
+            // 0 means all messages (specification 1.8.3.13).
+            let later = if delivery_tag == 0 {
+                BTreeMap::new()
+            } else {
+                self.unconfirmed.split_off(&(delivery_tag + 1))
+            };
             std::mem::replace(&mut self.unconfirmed, later).into_values().collect()
         } else {
-            self.unconfirmed.remove(&number).into_iter().collect()
+            self.unconfirmed.remove(&delivery_tag).into_iter().collect()
         };
         let returned = &mut self.returned;
         let mut result = |id: PublishId| match (is_ack, returned.remove(&id)) {
--- a/crates/loomflow-amqp/src/publisher/tests.rs
+++ b/crates/loomflow-amqp/src/publisher/tests.rs
@@ -11,7 +11,7 @@
 }
 
 proptest! {
-    /// Each publish has at most one result, and none is lost while its connection is open.
+    /// Each publish has at most one result, and none is lost while the connection is open.
     #[test]
     fn every_publish_has_one_result(steps in proptest::collection::vec((0u8..6, 0u64..12, any::<bool>(), any::<bool>()), 1..120)) {
         let mut publisher = Publisher::new(4);
@@ -35,7 +35,7 @@
                 _ => { let finished = publisher.channel_closed(); publisher.channel_opened(); finished }
             };
             for (id, result) in finished {
-                prop_assert!(results.insert(id, result).is_none(), "{} twice", id);
+                prop_assert!(results.insert(id, result).is_none(), "publish {} has two results", id);
             }
         }
         prop_assert_eq!(written, results.len() + publisher.unconfirmed.len());
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn nothing_is_written_while_the_broker_blocks_publishing_or_stops_the_flow() {
+fn nothing_is_written_while_blocked_or_without_flow() {
     let mut publisher = Publisher::new(4);
     publisher.enqueue(1, publish());
     assert!(publisher.write_next(0.0).is_none() && publisher.has_backpressure());
@@ -64,15 +64,15 @@
 }
 
 #[test]
-fn a_multiple_confirm_covers_all_up_to_its_number_and_zero_covers_all() {
-    let confirmed = |number| {
+fn a_multiple_confirm_covers_all_up_to_its_tag_and_zero_covers_all() {
+    let confirmed = |delivery_tag| {
         let mut publisher = Publisher::new(4);
         publisher.channel_opened();
         for id in 1..=3 {
             publisher.enqueue(id, publish());
             publisher.write_next(0.0);
         }
-        publisher.confirmed(number, true, true, 0.0).into_iter().map(|(id, _)| id).collect::<Vec<_>>()
+        publisher.confirmed(delivery_tag, true, true, 0.0).into_iter().map(|(id, _)| id).collect::<Vec<_>>()
     };
     assert_eq!((confirmed(2), confirmed(0)), (vec![1, 2], vec![1, 2, 3]));
 }
--- a/crates/loomflow-amqp/src/retired_keys.rs
+++ b/crates/loomflow-amqp/src/retired_keys.rs
@@ -1,85 +1,86 @@
-//! Keys that finished a while ago, as a hash of 64 bits each: that they have run is remembered long after there is no
-//! capacity for more than that. In generations, so that forgetting the oldest costs nothing.
+//! Idempotency keys whose records were evicted, as 64-bit hashes: they show that a key has run long after its record
+//! exceeded the capacity. The hashes are grouped into generations, so that the oldest are dropped in constant time.
 //!
-//! Two keys with the same hash would be taken for one. With a million keys the chance is about 5e-14 per look-up; it costs a
-//! message its run, and never causes a second run.
+//! Keys with the same hash are not distinguished. With a million keys the probability of a collision is about 5e-14 per
+//! lookup. A collision prevents a message from running; it never causes a second run.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::{BuildHasher, Hash, RandomState};
 
 use crate::Millis;
 
-/// Parts of the retention in which keys are forgotten together.
+/// Number of generations per retention time. The keys of a generation are dropped together.
 const GENERATIONS: f64 = 8.0;
 
 struct Generation {
     started_at: Millis,
-    /// Whether the caller of each key was answered.
-    answered: HashMap<u64, bool>,
+    /// Maps the hash of a key to whether the reply to its caller was confirmed.
+    keys: HashMap<u64, bool>,
 }
 
-/// The hashes, in generations.
+/// Bounded set of key hashes that expire.
 pub struct RetiredKeys {
     hasher: RandomState,
     retention: Millis,
     max_keys: usize,
+    /// Oldest first.
     generations: VecDeque<Generation>,
     count: usize,
 }
 
 impl RetiredKeys {
-    /// At most `max_keys`, for `retention` after each was inserted.
+    /// Creates a set of at most `max_keys` keys, each retained for `retention` ms after it was inserted.
     pub fn new(retention: Millis, max_keys: usize) -> RetiredKeys {
         let (hasher, generations) = (RandomState::new(), VecDeque::new());
         RetiredKeys { hasher, retention, max_keys, generations, count: 0 }
     }
 
-    /// The number of keys.
+    /// Number of retained keys.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether there is none.
+    /// Whether no key is retained.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Inserts a key that has run, with whether its caller was answered.
-    pub fn insert(&mut self, key: &impl Hash, is_answered: bool, now: Millis) {
+    /// Inserts a key that has run, and whether the reply to its caller was confirmed.
+    pub fn insert(&mut self, key: &impl Hash, is_reply_confirmed: bool, now: Millis) {
         let hash = self.hasher.hash_one(key);
         let generation = self.current_generation(now);
-        let is_new = generation.answered.insert(hash, is_answered).is_none();
+        let is_new = generation.keys.insert(hash, is_reply_confirmed).is_none();
         self.count += usize::from(is_new);
-        // Each insertion adds one key at most, so that dropping one generation makes room.
+        // An insertion adds at most one key, so dropping one generation is enough.
         if self.count > self.max_keys {
             self.drop_oldest();
         }
     }
 
     fn current_generation(&mut self, now: Millis) -> &mut Generation {
-        let span = self.retention / GENERATIONS;
-        if self.generations.back().is_none_or(|newest| now - newest.started_at >= span) {
-            self.generations.push_back(Generation { started_at: now, answered: HashMap::new() });
+        let duration = self.retention / GENERATIONS;
+        if self.generations.back().is_none_or(|newest| now - newest.started_at >= duration) {
+            self.generations.push_back(Generation { started_at: now, keys: HashMap::new() });
         }
-        self.generations.back_mut().expect("there is one")
+        self.generations.back_mut().expect("a generation exists or was just added")
     }
 
     fn drop_oldest(&mut self) {
         if let Some(oldest) = self.generations.pop_front() {
-            self.count -= oldest.answered.len();
+            self.count -= oldest.keys.len();
         }
     }
 
-    /// Whether a key has run, and then whether its caller was answered.
+    /// Whether the reply to the caller of a key was confirmed; `None` if the key is not retained.
     pub fn get(&self, key: &impl Hash) -> Option<bool> {
         if self.is_empty() {
             return None;
         }
         let hash = self.hasher.hash_one(key);
-        self.generations.iter().rev().find_map(|generation| generation.answered.get(&hash).copied())
+        self.generations.iter().rev().find_map(|generation| generation.keys.get(&hash).copied())
     }
 
-    /// Forgets the generations that have expired.
+    /// Drops the generations that have expired.
     pub fn expire(&mut self, now: Millis) {
         let max_age = self.retention * (1.0 + 1.0 / GENERATIONS);
         while self.generations.front().is_some_and(|oldest| now - oldest.started_at >= max_age) {
--- a/crates/loomflow-amqp/src/retired_keys/tests.rs
+++ b/crates/loomflow-amqp/src/retired_keys/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn keys_are_kept_for_the_retention_time_and_the_oldest_are_evicted() {
+fn keys_expire_after_the_retention_time_and_are_bounded() {
     let key = |number: usize| number.to_string();
     let mut retired = RetiredKeys::new(800.0, 100);
     for number in 0..100 {
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn beyond_the_bound_the_oldest_generation_is_dropped_and_the_others_stay() {
+fn the_oldest_generation_is_dropped_above_the_bound() {
     let mut retired = RetiredKeys::new(800.0, 100);
     for number in 0..110_u32 {
         let generation = number / 30;
--- a/crates/loomflow-amqp/src/settings.rs
+++ b/crates/loomflow-amqp/src/settings.rs
@@ -1,59 +1,59 @@
-//! The settings of a consumer. Plain data; read and checked where configuration is read.
+//! Settings of a consumer. Plain data: the caller reads and validates them.
 
 use std::net::SocketAddr;
 
 use crate::Millis;
 use crate::idempotency::Capacity;
 
-/// The settings of a consumer.
+/// Settings of a [`Consumer`](crate::Consumer).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Tried in turn, one connection at a time.
+    /// Broker addresses, tried in turn. Only one connection is open at a time.
     pub brokers: Vec<SocketAddr>,
-    /// The virtual host.
+    /// Virtual host that is opened on the broker.
     pub vhost: String,
-    /// The user.
+    /// User name for the PLAIN mechanism.
     pub user: String,
-    /// The user's password.
+    /// Password of the user.
     pub password: Password,
-    /// Time between heartbeats that is proposed, s; 0 is none.
+    /// Proposed heartbeat interval, s; 0 disables heartbeats.
     pub heartbeat_s: u16,
-    /// Longer bodies are not accepted, octets.
+    /// Maximum body size, bytes. Messages with larger bodies are dead-lettered.
     pub max_body_bytes: usize,
-    /// How long what ran is remembered, so that a redelivery is answered from it.
+    /// How long the idempotency record of a finished message is retained, ms.
     pub retention: Millis,
-    /// How much is remembered.
+    /// Limits on the idempotency records.
     pub capacity: Capacity,
-    /// Messages in flight at the same time, over all queues.
+    /// Maximum number of messages in flight, over all queues.
     pub max_in_flight: usize,
-    /// Unconfirmed publishes from which on no more is consumed.
+    /// Maximum number of unconfirmed publishes. While more are queued, nothing is consumed.
     pub max_unconfirmed: usize,
-    /// How often a message is requeued after a rejection.
+    /// How often a rejected message is requeued before it is dead-lettered.
     pub max_retries: u32,
-    /// Where dead letters go, with the reason in a header.
+    /// Destination of dead letters, which state the reason in a header; `None` leaves dead-lettering to the queue.
     pub dead_letter: Option<Target>,
-    /// Where results go of messages that name no `reply-to`.
+    /// Destination of replies to messages without `reply-to`; `None` if they get no reply.
     pub results: Option<Target>,
-    /// The queues.
+    /// Queues that are consumed.
     pub queues: Vec<Queue>,
-    /// The classes; messages name them by name.
+    /// Classes that a message can state by name.
     pub classes: Vec<Class>,
-    /// The tenants; empty where messages name none.
+    /// Names of the tenants; empty if messages state no tenant.
     pub tenants: Vec<String>,
 }
 
 /// A class of messages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name.
+    /// Name by which messages state the class.
     pub name: String,
-    /// Its messages must not run twice.
+    /// Whether its messages have an external effect and therefore must not run twice.
     pub has_effect: bool,
-    /// Senders wait no longer than this.
+    /// How long senders wait for a reply, ms.
     pub timeout: Millis,
 }
 
-/// A password; never printed.
+/// A password. `Debug` output hides it.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Password(pub String);
 
@@ -63,61 +63,62 @@
     }
 }
 
-/// Where something is published.
+/// Destination of a publish.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// The exchange.
+    /// Name of the exchange; empty for the default exchange.
     pub exchange: String,
-    /// The routing key.
+    /// Routing key within the exchange.
     pub routing_key: String,
 }
 
-/// A queue that is consumed.
+/// Settings of one consumed queue.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Queue {
-    /// Its name.
+    /// Name of the queue at the broker.
     pub name: String,
-    /// Where a message's class is read.
+    /// Source of the class of a message.
     pub class: NameFrom,
-    /// Where a message's tenant is read; none where there are no tenants.
+    /// Source of the tenant of a message; `None` if no tenants are configured.
     pub tenant: Option<NameFrom>,
-    /// Where a message's idempotency key is read.
+    /// Source of the idempotency key of a message.
     pub key: KeyFrom,
-    /// Where the sending time of a message is read; none where its time begins with its delivery.
+    /// Source of the sending time of a message; `None` if its waiting time is counted from delivery.
     pub sent_from: Option<SentFrom>,
-    /// Expected work of a message on one core, where there is an estimate.
+    /// Estimated work of a message on one core, ms; `None` without an estimate.
     pub estimated_work: Option<Millis>,
-    /// Memory that a message takes while it is queued.
+    /// Memory that a message takes while it is queued, kB.
     pub memory_kb: f64,
-    /// Its messages' place by weight among all requests, 0 to under 1.
+    /// Rank of its messages by weight among all requests, 0 (inclusive) to 1 (exclusive).
     pub rank: f64,
-    /// The priority weight of a message, for the division among queues: that of its class, or the lowest of several.
+    /// Weight of the queue when messages in flight are divided among queues: the priority weight of its class, or the
+    /// lowest one if its messages have several classes.
     pub priority_weight: f64,
 }
 
-/// Where a name is read: the same for all messages of a queue, or in a header.
+/// Source of a class or tenant name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NameFrom {
-    /// This name.
+    /// The same name for all messages of the queue.
     Fixed(String),
-    /// The text of this header.
+    /// The value of this header.
     Header(String),
 }
 
-/// Where the idempotency key of a message is read.
+/// Source of the idempotency key of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyFrom {
-    /// `message-id`, within `app-id` where that is set.
+    /// The property `message-id`, prefixed with `app-id` if that is set.
     MessageId,
-    /// The text of this header.
+    /// The value of this header.
     Header(String),
 }
 
-/// Where the sending time of a message is read.
+/// Source of the sending time of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SentFrom {
-    /// The property `timestamp`: whole seconds since 1970.
+    /// The property `timestamp`: Unix time in whole seconds.
     Timestamp,
-    /// A header with ms since 1970; where it is missing, the property.
+    /// A header with the Unix time in ms; if it is missing, the property `timestamp`.
     Header(String),
 }
--- a/crates/loomflow-amqp/src/settlement.rs
+++ b/crates/loomflow-amqp/src/settlement.rs
@@ -1,8 +1,9 @@
-//! How a message is settled: what its caller gets, where the message is published, and the one method that settles it with the broker.
+//! Settlement of a message: the reply to its caller, whether it is requeued or dead-lettered, and the method that
+//! settles it with the broker.
 //!
-//! Whatever is published for a message (its reply, the message itself requeued or dead-lettered) is confirmed before the
-//! message is settled, so that nothing is lost wherever the connection breaks. What the broker does not accept is
-//! published again after a growing backoff, while the message stays unsettled and counts in the window.
+//! All that is published for a message (its reply, the requeued copy or the dead letter) is confirmed before the
+//! message is settled, so that nothing is lost if the connection breaks. A publish that the broker does not accept is
+//! repeated after an exponential backoff, while the message stays unsettled and counts in the window.
 
 use loomflow_backoff::ExponentialBackoff;
 
@@ -11,126 +12,130 @@
 use crate::idempotency::RunResult;
 use crate::publisher::PublishResult;
 
-/// Between two attempts to publish.
+/// First backoff between attempts to publish, ms. It doubles up to [`MAX_PUBLISH_BACKOFF_MS`].
 const MIN_PUBLISH_BACKOFF_MS: Millis = 100.0;
+/// Maximum backoff between attempts to publish, ms.
 const MAX_PUBLISH_BACKOFF_MS: Millis = 30_000.0;
-/// A rejected message is requeued after this at the earliest, twice as long for each retry up to the maximum, so that it
-/// never spins in a hot loop, and lasting overload does not use up its retries.
+/// Minimum delay before a rejected message is requeued, ms. It doubles with each retry up to [`MAX_RETRY_AFTER_MS`], so
+/// that a message does not circulate in a hot loop and sustained overload does not use up its retries.
 const MIN_RETRY_AFTER_MS: Millis = 100.0;
+/// Maximum of the minimum delay before a rejected message is requeued, ms.
 const MAX_RETRY_AFTER_MS: Millis = 30_000.0;
-/// A reply that the broker rejects so often is given up, so that a full queue of one caller does not block all others; its message is
-/// dead-lettered then. One that cannot be routed is given up at once: its caller has disconnected.
+/// Maximum number of attempts to publish a reply, so that the full queue of one caller does not block all others. After
+/// that the message is dead-lettered if a destination is configured. A reply that cannot be routed is not repeated,
+/// because its caller has disconnected.
 const MAX_REPLY_ATTEMPTS: u32 = 8;
 
-/// What became of a message's work.
+/// Outcome of a message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MessageOutcome {
-    /// Its run has ended.
+    /// The run has ended.
     Finished(RunResult),
-    /// Everything was published and confirmed on an earlier delivery: it only has to be acknowledged.
-    AlreadyAnswered,
-    /// Load was shed, and nothing was started.
+    /// Everything was published and confirmed for an earlier delivery: the message only has to be acknowledged.
+    AlreadyReplied,
+    /// The message was rejected under overload and not started.
     Rejected {
-        /// When it is to come again.
+        /// Time until a retry is allowed.
         retry_after: Millis,
-        /// It is not to come again anywhere.
+        /// Whether the message must not be retried on any server.
         is_final: bool,
     },
-    /// It failed, and nothing was started for it.
+    /// The message failed before its run was started.
     NotRun,
-    /// It cannot be handled, for this reason: unknown names, too large.
+    /// The message cannot be handled for this reason, for example an unknown class or a body that is too large.
     Invalid(FailureReason),
-    /// It may have run elsewhere.
+    /// The message may have run in another process.
     MayHaveRun,
-    /// It is returned without being started, since this server shuts down.
+    /// The message is returned to its queue without a run because the server is shutting down.
     Returned,
 }
 
-/// What is known of a message that is to be settled.
+/// Properties of a message and of the settings that determine its settlement.
 #[derive(Clone, Copy, Debug)]
 pub struct SettlementContext {
-    /// It names a destination of its reply.
+    /// Whether there is a destination for its reply.
     pub has_reply_to: bool,
-    /// There is a place for dead letters with a reason.
+    /// Whether a destination for dead letters is configured.
     pub has_dead_letter: bool,
-    /// How often it was requeued.
+    /// How often the message was requeued after a rejection.
     pub retry_count: u32,
-    /// How often it may be.
+    /// Maximum of [`SettlementContext::retry_count`].
     pub max_retries: u32,
-    /// It must not run twice. If it were returned by nack, the broker would mark it as redelivered, and no server that
-    /// does not know its key would run it.
+    /// Whether the message has an external effect and therefore must not run twice. If such a message were returned
+    /// with `basic.nack`, the broker would mark it as redelivered, and a server without a record of its key would not
+    /// run it.
     pub has_effect: bool,
-    /// How long its sender will still wait, if its sending time is known.
+    /// How long its sender still waits; `None` if the sending time is unknown.
     pub time_left: Option<Millis>,
 }
 
-/// What a caller gets.
+/// Content of the reply to a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplyStatus {
-    /// The result.
+    /// Result of the run.
     Served(RunResult),
-    /// Load was shed; the message comes again after this.
+    /// The message was rejected under overload and is delivered again after this time.
     Rejected(Millis),
-    /// It failed.
+    /// The message failed.
     Failed {
-        /// Why.
+        /// Reason of the failure.
         reason: FailureReason,
-        /// It may have had its effect.
+        /// Whether the message may have taken effect.
         may_have_run: bool,
-        /// How long to stay away before a retry.
+        /// How long the caller should back off before a retry, if a time is known.
         retry_after: Option<Millis>,
     },
 }
 
-/// How a message itself is published again.
+/// How a message is republished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Republish {
     /// To the end of its queue.
     Requeue {
-        /// The count that it carries.
+        /// Retry count of the copy.
         retry_count: u32,
     },
     /// As a dead letter, for this reason.
     DeadLetter(FailureReason),
 }
 
-/// The one method by which a delivery is settled with the broker.
+/// Method that settles a delivery with the broker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Settlement {
     /// `basic.ack`.
     Ack,
-    /// `basic.nack`, to be delivered again.
+    /// `basic.nack` with `requeue`, so that the broker delivers the message again.
     Requeue,
-    /// `basic.reject`, for the queue's own dead letters.
+    /// `basic.reject` without `requeue`, so that the queue applies its own dead-lettering.
     Reject,
 }
 
-/// What is to be done next for a message.
+/// Next step of a settlement.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SettlementAction {
-    /// Publish its reply.
+    /// Publish the reply to the message.
     Reply(ReplyStatus),
-    /// Publish it again.
+    /// Republish the message.
     Republish(Republish),
-    /// Settle it.
+    /// Settle the delivery. This is the last step.
     Settle(Settlement),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum PublishState {
-    /// To be published then.
-    Due(Millis),
-    /// Published and not confirmed.
+    /// To be published at this time.
+    Scheduled(Millis),
+    /// Published and not yet confirmed.
     Published,
     Done,
 }
 
-/// What is to be published for a message that has ended, and how it is settled.
+/// Messages to publish for an outcome, and the method that settles the delivery.
 struct Plan {
     reply: Option<ReplyStatus>,
     republish: Option<Republish>,
     settlement: Settlement,
-    /// Before the message is published again.
+    /// Delay before the message is republished.
     delay: Millis,
 }
 
@@ -160,7 +165,7 @@
                 Plan::failed(FailureReason::RUN_UNKNOWN, true, FailureReason::RUN_UNKNOWN)
             }
             MessageOutcome::Finished(served) => Plan::acknowledged(Some(ReplyStatus::Served(served.clone()))),
-            MessageOutcome::AlreadyAnswered => Plan::acknowledged(None),
+            MessageOutcome::AlreadyReplied => Plan::acknowledged(None),
             MessageOutcome::Rejected { retry_after, is_final } => {
                 Plan::rejected(*retry_after, *is_final, context)
             }
@@ -174,9 +179,9 @@
         let backoff =
             ExponentialBackoff::delay_after(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS, context.retry_count);
         let delay = retry_after.max(backoff);
-        // `is_final` counts only where the time left is known: other messages are retried.
+        // `is_final` applies only if the time left is known: other messages are retried.
         if context.time_left.is_some_and(|time_left| is_final || delay >= time_left) {
-            // It cannot come again in time: its sender gets a failure at once, and it is never run late.
+            // A retry would come too late, so the sender gets a failure at once, and the message is never run late.
             let reason = FailureReason::OUT_OF_TIME;
             let reply = ReplyStatus::Failed { reason, may_have_run: false, retry_after: Some(retry_after) };
             return Plan { reply: Some(reply), ..Plan::failed(reason, false, reason) };
@@ -192,8 +197,8 @@
         }
     }
 
-    /// No reply: whoever runs the message replies. A message with an effect is republished instead of nacked, because a
-    /// redelivered one would not be run (see [`SettlementContext::has_effect`]).
+    /// No reply, because the server that runs the message replies. A message with an effect is republished instead of
+    /// nacked, because it would not be run after a redelivery (see [`SettlementContext::has_effect`]).
     fn returned(context: &SettlementContext) -> Plan {
         if context.has_effect {
             let republish = Some(Republish::Requeue { retry_count: context.retry_count });
@@ -203,36 +208,37 @@
     }
 }
 
-/// A message that has ended, until it is settled.
+/// Progress of the settlement of one message.
 #[derive(Clone, Debug)]
-pub struct Settling {
+pub struct PendingSettlement {
     reply: Option<ReplyStatus>,
     reply_state: PublishState,
     republish: Option<Republish>,
     republish_state: PublishState,
     settlement: Settlement,
     is_settled: bool,
-    /// Before the next attempt to publish.
+    /// Backoff before the next attempt to publish.
     backoff: ExponentialBackoff,
     reply_attempts: u32,
     context: SettlementContext,
-    /// What its caller gets is the end of its key, and not of this attempt.
+    /// Whether the outcome is final for the key and not only for this delivery.
     is_final_reply: bool,
 }
 
-impl Settling {
-    /// A message that has ended at `now`.
-    pub fn new(outcome: &MessageOutcome, context: SettlementContext, now: Millis) -> Settling {
+impl PendingSettlement {
+    /// Starts the settlement of a message that ended at `now`.
+    pub fn new(outcome: &MessageOutcome, context: SettlementContext, now: Millis) -> PendingSettlement {
         let Plan { reply, republish, settlement, delay } = Plan::new(outcome, &context);
         let reply = reply.filter(|_| context.has_reply_to);
-        // Without a destination of our own the dead letters of the queue are used, which state no reason.
+        // Without a configured destination, the queue applies its own dead-lettering, which states no reason.
         let republish =
             republish.filter(|to| context.has_dead_letter || matches!(to, Republish::Requeue { .. }));
         let settlement = if republish.is_some() { Settlement::Ack } else { settlement };
-        let due = |is_due: bool, at| if is_due { PublishState::Due(at) } else { PublishState::Done };
-        Settling {
-            reply_state: due(reply.is_some(), now),
-            republish_state: due(republish.is_some(), now + delay),
+        let schedule =
+            |is_needed: bool, at| if is_needed { PublishState::Scheduled(at) } else { PublishState::Done };
+        PendingSettlement {
+            reply_state: schedule(reply.is_some(), now),
+            republish_state: schedule(republish.is_some(), now + delay),
             reply,
             republish,
             settlement,
@@ -244,16 +250,16 @@
         }
     }
 
-    /// What is to be done now, one thing at a time, until there is nothing.
+    /// Takes the next action that is due; `None` if there is none at this time.
     pub fn next_action(&mut self, now: Millis) -> Option<SettlementAction> {
-        if let (PublishState::Due(at), Some(reply)) = (self.reply_state, &self.reply)
+        if let (PublishState::Scheduled(at), Some(reply)) = (self.reply_state, &self.reply)
             && now >= at
         {
             self.reply_state = PublishState::Published;
             self.reply_attempts += 1;
             return Some(SettlementAction::Reply(reply.clone()));
         }
-        if let (PublishState::Due(at), Some(republish)) = (self.republish_state, self.republish)
+        if let (PublishState::Scheduled(at), Some(republish)) = (self.republish_state, self.republish)
             && now >= at
         {
             self.republish_state = PublishState::Published;
@@ -270,50 +276,53 @@
         self.reply_state == PublishState::Done && self.republish_state == PublishState::Done
     }
 
-    /// Whether only the confirm of its reply and its settlement are missing.
+    /// Whether only the confirm of a final reply and then the settlement are pending.
     pub fn awaits_reply_confirm(&self) -> bool {
         self.is_final_reply
             && self.reply_state == PublishState::Published
             && self.republish_state == PublishState::Done
     }
 
-    /// When there is something to do without a method of the broker.
+    /// When the next scheduled publish is due; `None` if there is none.
     pub fn next_deadline(&self) -> Option<Millis> {
-        let due_at = |state| if let PublishState::Due(at) = state { Some(at) } else { None };
-        [due_at(self.reply_state), due_at(self.republish_state)].into_iter().flatten().reduce(f64::min)
+        let scheduled_at = |state| if let PublishState::Scheduled(at) = state { Some(at) } else { None };
+        [scheduled_at(self.reply_state), scheduled_at(self.republish_state)]
+            .into_iter()
+            .flatten()
+            .reduce(f64::min)
     }
 
-    /// Whether its final reply is dealt with and everything is published, so that it only has to be settled. A message
-    /// without a destination of a reply has none to deal with.
+    /// Whether the outcome is final and everything is published or abandoned, so that the caller needs no further
+    /// reply. This includes messages without a reply destination.
     pub fn is_reply_settled(&self) -> bool {
         self.is_final_reply && self.is_everything_published()
     }
 
-    /// This server shuts down: what waits for the end of its delay is published now.
+    /// Republishes the message without further delay, because the server is shutting down.
     pub fn skip_backoff(&mut self, now: Millis) {
-        if let PublishState::Due(at) = &mut self.republish_state {
+        if let PublishState::Scheduled(at) = &mut self.republish_state {
             *at = at.min(now);
         }
     }
 
-    /// What became of its reply.
+    /// Handles the result of publishing the reply.
     pub fn reply_published(&mut self, result: PublishResult, now: Millis) {
         if self.reply_state != PublishState::Published {
             return;
         }
         let has_failed = matches!(result, PublishResult::Nacked | PublishResult::Unknown);
         if has_failed && self.reply_attempts < MAX_REPLY_ATTEMPTS {
-            self.reply_state = PublishState::Due(now + self.backoff.advance());
+            self.reply_state = PublishState::Scheduled(now + self.backoff.advance());
             return;
         }
         self.reply_state = PublishState::Done;
         if has_failed && self.context.has_dead_letter && self.republish.is_none() {
             self.republish = Some(Republish::DeadLetter(FailureReason::REPLY_REJECTED));
-            self.republish_state = PublishState::Due(now);
+            self.republish_state = PublishState::Scheduled(now);
         }
     }
 
-    /// What became of the message that was published again.
+    /// Handles the result of republishing the message.
     pub fn republished(&mut self, result: PublishResult, now: Millis) {
         if self.republish_state != PublishState::Published {
             return;
@@ -321,17 +330,17 @@
         self.republish_state = match (result, self.republish) {
             (PublishResult::Confirmed, _) => PublishState::Done,
             (PublishResult::Unroutable, Some(Republish::Requeue { .. })) => {
-                // Its queue has another name, or none: the broker knows where it came from.
+                // The queue cannot be reached by its name, so the broker has to requeue the message itself.
                 self.settlement = Settlement::Requeue;
                 PublishState::Done
             }
             (PublishResult::Unknown, Some(Republish::Requeue { .. })) if self.context.has_effect => {
-                // There may be a copy in its queue by now, and both would be run.
+                // The queue may already contain the copy, and both messages would run.
                 self.republish = Some(Republish::DeadLetter(FailureReason::RUN_UNKNOWN));
-                PublishState::Due(now)
+                PublishState::Scheduled(now)
             }
-            // A place for dead letters that accepts none loses nothing: it is tried for as long as it takes.
-            _ => PublishState::Due(now + self.backoff.advance()),
+            // Retried without a limit, so that no message is lost while the broker does not accept it.
+            _ => PublishState::Scheduled(now + self.backoff.advance()),
         };
     }
 }
