--- a/crates/loomflow-amqp/src/settlement/tests.rs
+++ b/crates/loomflow-amqp/src/settlement/tests.rs
@@ -16,9 +16,9 @@
     MessageOutcome::Rejected { retry_after, is_final: false }
 }
 
-/// All actions of a settlement when the broker confirms everything.
-fn play_all_actions(outcome: MessageOutcome, context: SettlementContext) -> Vec<SettlementAction> {
-    let mut settling = Settling::new(&outcome, context, 0.0);
+/// All actions of a settlement whose publishes are all confirmed.
+fn run_to_settlement(outcome: MessageOutcome, context: SettlementContext) -> Vec<SettlementAction> {
+    let mut settling = PendingSettlement::new(&outcome, context, 0.0);
     let (mut now, mut actions) = (0.0, Vec::new());
     loop {
         while let Some(action) = settling.next_action(now) {
@@ -60,7 +60,7 @@
             MessageOutcome::Finished(served.clone()),
             vec![SettlementAction::Reply(ReplyStatus::Served(served)), ack()],
         ),
-        (MessageOutcome::AlreadyAnswered, vec![ack()]),
+        (MessageOutcome::AlreadyReplied, vec![ack()]),
         (rejected(300.0), vec![SettlementAction::Reply(ReplyStatus::Rejected(300.0)), requeue(1), ack()]),
         (
             MessageOutcome::Finished(RunResult::Failed),
@@ -77,32 +77,32 @@
         (MessageOutcome::Returned, vec![requeue(0), ack()]),
     ];
     for (outcome, actions) in cases {
-        assert_eq!(play_all_actions(outcome.clone(), context()), actions, "{outcome:?}");
+        assert_eq!(run_to_settlement(outcome.clone(), context()), actions, "{outcome:?}");
     }
 }
 
 #[test]
-fn a_message_without_retries_effect_or_destinations_is_settled_without_them() {
+fn settlement_follows_retries_effect_and_destinations() {
     let at_max_retries = SettlementContext { retry_count: 2, ..context() };
     assert_eq!(
-        play_all_actions(rejected(1.0), at_max_retries)[1..],
+        run_to_settlement(rejected(1.0), at_max_retries)[1..],
         [dead_letter(FailureReason::RETRIES_EXHAUSTED), ack()]
     );
     assert_eq!(
-        play_all_actions(MessageOutcome::Returned, SettlementContext { has_effect: false, ..context() }),
+        run_to_settlement(MessageOutcome::Returned, SettlementContext { has_effect: false, ..context() }),
         [SettlementAction::Settle(Settlement::Requeue)]
     );
     let without_reply_or_dead_letter =
         SettlementContext { has_reply_to: false, has_dead_letter: false, ..context() };
     assert_eq!(
-        play_all_actions(MessageOutcome::Finished(RunResult::Failed), without_reply_or_dead_letter),
+        run_to_settlement(MessageOutcome::Finished(RunResult::Failed), without_reply_or_dead_letter),
         [SettlementAction::Settle(Settlement::Reject)]
     );
 }
 
 #[test]
-fn a_rejected_message_is_requeued_after_its_backoff_and_its_caller_is_answered_first() {
-    let mut settling = Settling::new(&rejected(300.0), context(), 0.0);
+fn a_rejected_message_is_requeued_after_its_reply_and_backoff() {
+    let mut settling = PendingSettlement::new(&rejected(300.0), context(), 0.0);
     assert_eq!(settling.next_action(0.0), Some(SettlementAction::Reply(ReplyStatus::Rejected(300.0))));
     settling.reply_published(PublishResult::Confirmed, 1.0);
     assert_eq!((settling.next_action(299.0), settling.next_deadline()), (None, Some(300.0)));
@@ -110,40 +110,40 @@
         settling.next_action(300.0),
         Some(SettlementAction::Republish(Republish::Requeue { retry_count: 1 }))
     );
-    let mut leaving = Settling::new(&rejected(300.0), context(), 0.0);
-    leaving.skip_backoff(10.0);
-    leaving.next_action(10.0);
+    let mut draining = PendingSettlement::new(&rejected(300.0), context(), 0.0);
+    draining.skip_backoff(10.0);
+    draining.next_action(10.0);
     assert_eq!(
-        leaving.next_action(10.0),
+        draining.next_action(10.0),
         Some(SettlementAction::Republish(Republish::Requeue { retry_count: 1 }))
     );
-    // Rejected without a delay, it still backs off.
+    // A rejection without a delay still backs off.
     let backoffs = [0, 1, 30].map(|retry_count| {
         let context = SettlementContext { retry_count, max_retries: 99, ..context() };
-        Settling::new(&rejected(0.0), context, 0.0).republish_state
+        PendingSettlement::new(&rejected(0.0), context, 0.0).republish_state
     });
     assert_eq!(
         backoffs,
-        [MIN_RETRY_AFTER_MS, 2.0 * MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS].map(PublishState::Due)
+        [MIN_RETRY_AFTER_MS, 2.0 * MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS].map(PublishState::Scheduled)
     );
 }
 
 #[test]
-fn a_retry_that_would_come_too_late_is_dead_lettered_at_once() {
+fn a_retry_past_the_deadline_is_dead_lettered_at_once() {
     let is_dead_lettered = |retry_after, is_final, time_left, retry_count| {
         let context = SettlementContext { time_left, retry_count, max_retries: 9, ..context() };
-        play_all_actions(MessageOutcome::Rejected { retry_after, is_final }, context)[1]
+        run_to_settlement(MessageOutcome::Rejected { retry_after, is_final }, context)[1]
             == SettlementAction::Republish(Republish::DeadLetter(FailureReason::OUT_OF_TIME))
     };
-    // The sender has given up by the end of the delay or of the minimum backoff, or the rejection is final.
+    // The deadline is within the delay or the minimum backoff, or the rejection is final.
     assert!(
         is_dead_lettered(300.0, false, Some(300.0), 0) && !is_dead_lettered(300.0, false, Some(301.0), 0)
     );
     assert!(is_dead_lettered(0.0, false, Some(399.0), 2) && !is_dead_lettered(0.0, false, Some(401.0), 2));
     assert!(is_dead_lettered(0.0, true, Some(5_000.0), 0));
-    // Without a sending time there is no deadline, and the message waits at the broker.
+    // Without a sending time there is no deadline, and the message is requeued.
     assert!(!is_dead_lettered(1e9, true, None, 0));
-    let settling = Settling::new(
+    let settling = PendingSettlement::new(
         &MessageOutcome::Rejected { retry_after: 40.0, is_final: true },
         SettlementContext { time_left: Some(9.0), ..context() },
         0.0,
@@ -153,16 +153,16 @@
         may_have_run: false,
         retry_after: Some(40.0),
     };
-    assert_eq!((settling.reply, settling.reply_state), (Some(expected), PublishState::Due(0.0)));
+    assert_eq!((settling.reply, settling.reply_state), (Some(expected), PublishState::Scheduled(0.0)));
 }
 
 #[test]
-fn an_unconfirmed_copy_is_not_republished_where_both_could_run() {
+fn a_copy_with_an_effect_is_not_republished_if_its_result_is_unknown() {
     for (has_effect, expected) in [
         (true, Republish::DeadLetter(FailureReason::RUN_UNKNOWN)),
         (false, Republish::Requeue { retry_count: 1 }),
     ] {
-        let mut settling = Settling::new(
+        let mut settling = PendingSettlement::new(
             &rejected(0.0),
             SettlementContext { has_reply_to: false, has_effect, ..context() },
             0.0,
@@ -177,9 +177,9 @@
 }
 
 #[test]
-fn a_message_is_dead_lettered_after_too_many_nacked_replies() {
+fn a_message_is_dead_lettered_after_the_last_reply_attempt() {
     let mut settling =
-        Settling::new(&MessageOutcome::Finished(RunResult::Served(b"r"[..].into())), context(), 0.0);
+        PendingSettlement::new(&MessageOutcome::Finished(RunResult::Served(b"r"[..].into())), context(), 0.0);
     for _ in 0..MAX_REPLY_ATTEMPTS {
         assert!(matches!(settling.next_action(1e9), Some(SettlementAction::Reply(_))));
         settling.reply_published(PublishResult::Nacked, 0.0);
@@ -193,17 +193,20 @@
 }
 
 #[test]
-fn only_a_final_answer_marks_the_caller_as_answered() {
-    let expected = |outcome: MessageOutcome| {
-        let mut settling = Settling::new(&outcome, context(), 0.0);
+fn only_a_final_outcome_settles_the_reply() {
+    let is_reply_settled = |outcome: MessageOutcome| {
+        let mut settling = PendingSettlement::new(&outcome, context(), 0.0);
         settling.next_action(1e6);
         settling.reply_published(PublishResult::Confirmed, 1e6);
         settling.next_action(1e6);
         settling.republished(PublishResult::Confirmed, 1e6);
         settling.is_reply_settled()
     };
-    assert!(expected(MessageOutcome::Finished(RunResult::Failed)) && expected(MessageOutcome::MayHaveRun));
-    assert!(!expected(rejected(0.0)) && !expected(MessageOutcome::NotRun));
+    assert!(
+        is_reply_settled(MessageOutcome::Finished(RunResult::Failed))
+            && is_reply_settled(MessageOutcome::MayHaveRun)
+    );
+    assert!(!is_reply_settled(rejected(0.0)) && !is_reply_settled(MessageOutcome::NotRun));
 }
 
 fn outcomes() -> impl Strategy<Value = MessageOutcome> {
@@ -211,7 +214,7 @@
         Just(MessageOutcome::Finished(RunResult::Served(b"r"[..].into()))),
         Just(MessageOutcome::Finished(RunResult::Failed)),
         Just(MessageOutcome::Finished(RunResult::ReplyDiscarded)),
-        Just(MessageOutcome::AlreadyAnswered),
+        Just(MessageOutcome::AlreadyReplied),
         (0.0f64..500.0, any::<bool>())
             .prop_map(|(retry_after, is_final)| MessageOutcome::Rejected { retry_after, is_final }),
         Just(MessageOutcome::NotRun),
@@ -230,21 +233,21 @@
 }
 
 proptest! {
-    /// Whatever the results of its publishes, a message is settled exactly once and last. By then its copy is confirmed if
-    /// one was due, and no reply is repeated after it was confirmed.
+    /// For any results of its publishes, a message is settled exactly once, as the last action. A required copy is
+    /// confirmed before that, and no reply is repeated after it was confirmed.
     #[test]
-    fn a_message_is_settled_once_and_last(
+    fn a_message_is_settled_once_as_the_last_action(
         outcome in outcomes(), has_reply_to in any::<bool>(), has_dead_letter in any::<bool>(), retry_count in 0u32..4,
         has_effect in any::<bool>(), time_left in proptest::option::of(0.0f64..900.0),
         results in proptest::collection::vec(publish_results(), 1..12),
     ) {
         let context = SettlementContext { has_reply_to, has_dead_letter, retry_count, max_retries: 2, has_effect, time_left };
-        let mut settling = Settling::new(&outcome, context, 0.0);
+        let mut settling = PendingSettlement::new(&outcome, context, 0.0);
         let (mut now, mut settlement, mut replies, mut is_republished) = (0.0, None, 0, false);
         let mut results = results.into_iter().chain(std::iter::repeat(PublishResult::Confirmed));
         for _ in 0..100 {
             while let Some(action) = settling.next_action(now) {
-                prop_assert!(settlement.is_none(), "{action:?} after the end");
+                prop_assert!(settlement.is_none(), "{action:?} after the settlement");
                 let result = results.next().unwrap();
                 let is_confirmed = result == PublishResult::Confirmed;
                 match action {
@@ -263,10 +266,10 @@
             }
             match settling.next_deadline() { Some(at) => { prop_assert!(at >= now); now = at } None => break }
         }
-        let settlement = settlement.expect("it is settled");
-        let is_answered =
-            matches!(outcome, MessageOutcome::Finished(RunResult::Served(_)) | MessageOutcome::AlreadyAnswered);
-        prop_assert!(is_republished || settlement != Settlement::Ack || is_answered);
+        let settlement = settlement.expect("the message is settled");
+        let needs_no_copy =
+            matches!(outcome, MessageOutcome::Finished(RunResult::Served(_)) | MessageOutcome::AlreadyReplied);
+        prop_assert!(is_republished || settlement != Settlement::Ack || needs_no_copy);
         prop_assert!(!is_republished || settlement == Settlement::Ack);
     }
 }
--- a/crates/loomflow-amqp/src/window.rs
+++ b/crates/loomflow-amqp/src/window.rs
@@ -1,67 +1,69 @@
-//! How many messages of a queue may be in flight.
+//! Window of a queue: how many of its messages may be in flight, i.e. delivered and not acknowledged.
 //!
-//! A gateway gets a send share, and sends that part of its usual traffic. A queue has no caller to signal to, so its share
-//! limits its window instead: how many of its messages may be delivered and not acknowledged. The window of a queue follows
-//! the design of the controller:
+//! A gateway gets a send share and sends that fraction of its usual traffic. A queue has no caller to signal to, so the
+//! send share limits its window instead. The window follows the design of the controller:
 //!
-//! - its size at a send share of 1 is increased by additions while it is the limit, and decreased by a factor at most
-//!   once in the loop's dead time, which is how long a message takes from delivery to answer;
-//! - it is decreased when the controller rejects messages, and when they are queued for longer than they run: by Little's
-//!   law more is then in flight than keeps the work going, and the rest would better wait at the broker;
-//! - the controller's send share scales it, as it scales what gateways send.
+//! - Its size at a send share of 1 is increased additively while it is the limit, and decreased by a factor at most
+//!   once per dead time of the loop, which is the time of a message from delivery to response.
+//! - It is decreased when the controller rejects messages, and when they are queued for longer than they run: by
+//!   Little's law more messages are then in flight than are needed to keep the server busy, and the rest should wait at
+//!   the broker.
+//! - It is scaled by the send share of the controller, as the traffic of gateways is.
 //!
 //! The windows of several queues share one bound by priority weight.
 
 use crate::Millis;
 
-/// Smallest size, messages: without one in flight nothing is observed.
+/// Smallest size, messages. Without a message in flight nothing is observed.
 const MIN_SIZE: f64 = 1.0;
-/// A decrease multiplies the size by this, as it does the controller's concurrency limit.
-const DECREASE: f64 = 0.8;
-/// The number of messages by which the size falls with each message that ends while too much is in flight, where sending
-/// times are known. An absolute step: [`DECREASE`] is the factor that is used where they are not.
+/// Factor of a decrease, the same as that of the controller's concurrency limit.
+const DECREASE_FACTOR: f64 = 0.8;
+/// Decrease per message that ends while too many are in flight, in messages. It applies where sending times are known;
+/// [`DECREASE_FACTOR`] applies where they are not.
 const DECREASE_STEP: f64 = 0.125;
-/// Weight of the newest sample in the smoothed times.
+/// Weight of a new sample in the moving averages.
 const SMOOTHING: f64 = 0.125;
 
-/// How a message ended, to the window.
+/// Outcome of a message, as far as it concerns the window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObservedOutcome {
-    /// It was served.
+    /// The message was served.
     Served,
-    /// It was rejected.
+    /// The message was rejected by the controller.
     Rejected,
-    /// It is no evidence of too much or too little.
+    /// The message ended otherwise, which gives no evidence about the load. It is ignored.
     Other,
 }
 
-/// What is known of a message that has ended.
+/// Measurements of a message that has ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Observation {
-    /// How it ended.
+    /// Outcome of the message.
     pub outcome: ObservedOutcome,
-    /// How long it was at the broker, if its sending time is known.
+    /// Time that the message spent at the broker; `None` if its sending time is unknown.
     pub broker_time: Option<Millis>,
-    /// From its delivery to the start of its run, where that was started.
+    /// Time from delivery to the start of the run; `None` if no run was started.
     pub queue_time: Option<Millis>,
-    /// From its delivery to its answer.
+    /// Time from delivery to the response.
     pub total_time: Millis,
-    /// As much was in flight as may be, so that a larger window could have been used.
+    /// Whether the window was full, so that a larger one would have been used.
     pub is_limited: bool,
 }
 
-/// The window of one queue.
+/// Window of one queue.
 #[derive(Clone, Debug)]
 pub struct Window {
-    /// What may be in flight at a send share of 1.
+    /// Number of messages that may be in flight at a send share of 1.
     size: f64,
-    /// It has been decreased: from then on it grows by one in a dead time and not with each message.
+    /// Whether the size was ever decreased. From then on it grows by one per dead time instead of one per message.
     has_decreased: bool,
-    /// Smoothed times of a message: from delivery to answer, which is the dead time of the loop; from delivery to the start
-    /// of its run; from there to the answer; at the broker.
+    /// Moving average of the time from delivery to response, which is the dead time of the loop.
     total_time: Millis,
+    /// Moving average of the time from delivery to the start of the run.
     queue_time: Millis,
+    /// Moving average of the time from the start of the run to the response.
     run_time: Millis,
+    /// Moving average of the time at the broker.
     broker_time: Millis,
     next_decrease_at: Millis,
 }
@@ -80,29 +82,31 @@
     }
 }
 
-/// Updates a moving average with a sample. A mean of exactly 0 counts as no sample yet: the next one is taken as it is.
+/// Updates a moving average. A mean of exactly 0 means that there is no sample yet; the first one is taken unchanged.
 fn smooth(mean: &mut Millis, sample: Millis) {
     *mean += (sample - *mean) * if *mean == 0.0 { 1.0 } else { SMOOTHING };
 }
 
 impl Window {
-    /// A message was answered.
+    /// Adjusts the size after a message got its response.
     pub fn observe(&mut self, message: Observation, now: Millis) {
         if message.outcome == ObservedOutcome::Other {
             return;
         }
         self.smooth_times(message);
-        let is_too_much = message.outcome == ObservedOutcome::Rejected || self.queue_time > self.run_time;
-        // A message at the broker has no order and gets no answer there: it is consumed, to be decided upon.
+        let is_overloaded = message.outcome == ObservedOutcome::Rejected || self.queue_time > self.run_time;
+        // The broker neither prioritizes nor rejects messages, so a backlog there is consumed and left to the
+        // controller.
         if self.broker_time > self.run_time {
             self.size += 1.0;
-        } else if is_too_much && message.broker_time.is_some() {
-            // A decrease by a factor would stop consuming until as much has ended, and let it wait at the broker meanwhile.
+        } else if is_overloaded && message.broker_time.is_some() {
+            // A decrease by a factor would stop consumption until enough messages have ended, while a backlog builds up
+            // at the broker.
             self.size = (self.size - DECREASE_STEP).max(MIN_SIZE);
             self.has_decreased = true;
-        } else if is_too_much {
+        } else if is_overloaded {
             if now >= self.next_decrease_at {
-                self.size = (self.size * DECREASE).max(MIN_SIZE);
+                self.size = (self.size * DECREASE_FACTOR).max(MIN_SIZE);
                 self.has_decreased = true;
                 self.next_decrease_at = now + self.total_time;
             }
@@ -120,12 +124,12 @@
         self.broker_time += (message.broker_time.unwrap_or(0.0) - self.broker_time) * SMOOTHING;
     }
 
-    /// How long recent messages were at the broker, by their sending times.
+    /// Moving average of the time that messages spend at the broker; unknown sending times count as 0.
     pub fn broker_time(&self) -> Millis {
         self.broker_time
     }
 
-    /// What may be in flight at the send share that callers get.
+    /// Number of messages that may be in flight at a send share.
     pub fn target(&self, share: f64) -> f64 {
         (self.size * share.clamp(0.0, 1.0)).max(MIN_SIZE)
     }
@@ -136,32 +140,33 @@
     }
 }
 
-/// What a queue demands of the messages that may be in flight.
+/// Demand of one queue for messages in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
-    /// Messages that it could have in flight.
+    /// Number of messages that the queue could have in flight.
     pub messages: f64,
-    /// Its weight where there is a shortage.
+    /// Weight of the queue if the total demand cannot be satisfied.
     pub weight: f64,
 }
 
-/// Divides `total` messages among queues: each gets what it demands or, where that is too much, a part by weight (weighted max-min fairness). Parts are integers; each queue gets at least one while there are as many.
+/// Divides `total` messages among queues by weighted max-min fairness: each gets its demand or, if that exceeds its
+/// fair share, a part by weight. Parts are integers; each queue gets at least one as long as `total` suffices.
 pub fn divide_by_weight(total: usize, demands: &[Demand]) -> Vec<usize> {
     let mut parts = vec![0.0; demands.len()];
     let mut remaining = total as f64;
-    let mut open: Vec<usize> = (0..demands.len()).collect();
-    // What a queue does not need of its part is divided among the others.
-    while !open.is_empty() && remaining > 0.0 {
-        let weight: f64 = open.iter().map(|queue| demands[*queue].weight).sum();
+    let mut unsatisfied: Vec<usize> = (0..demands.len()).collect();
+    // The unused part of a satisfied queue is divided among the others.
+    while !unsatisfied.is_empty() && remaining > 0.0 {
+        let weight: f64 = unsatisfied.iter().map(|queue| demands[*queue].weight).sum();
         let part = |queue: usize| {
             if weight > 0.0 {
                 remaining * demands[queue].weight / weight
             } else {
-                remaining / open.len() as f64
+                remaining / unsatisfied.len() as f64
             }
         };
         let (satisfied, others): (Vec<usize>, Vec<usize>) =
-            open.iter().copied().partition(|queue| demands[*queue].messages <= part(*queue));
+            unsatisfied.iter().copied().partition(|queue| demands[*queue].messages <= part(*queue));
         if satisfied.is_empty() {
             for queue in others {
                 parts[queue] = part(queue);
@@ -172,13 +177,13 @@
             parts[queue] = demands[queue].messages;
             remaining -= demands[queue].messages;
         }
-        open = others;
+        unsatisfied = others;
     }
-    give_one_to_each(parts.iter().map(|part| *part as usize).collect(), total)
+    raise_to_at_least_one(parts.iter().map(|part| *part as usize).collect(), total)
 }
 
-/// Gives one of what is left over to each queue that has none.
-fn give_one_to_each(mut parts: Vec<usize>, total: usize) -> Vec<usize> {
+/// Gives one message of the remainder to each queue that has none.
+fn raise_to_at_least_one(mut parts: Vec<usize>, total: usize) -> Vec<usize> {
     let mut spare = total - parts.iter().sum::<usize>().min(total);
     for part in parts.iter_mut().filter(|part| **part == 0) {
         if spare > 0 {
--- a/crates/loomflow-amqp/src/window/tests.rs
+++ b/crates/loomflow-amqp/src/window/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use proptest::prelude::*;
 
-fn served(queue_time: f64, total_time: f64, limited: bool) -> Observation {
+fn served(queue_time: f64, total_time: f64, is_limited: bool) -> Observation {
     Observation {
         outcome: ObservedOutcome::Served,
         broker_time: None,
         queue_time: Some(queue_time),
         total_time,
-        is_limited: limited,
+        is_limited,
     }
 }
 
@@ -21,52 +21,52 @@
     }
 }
 
-/// Simulates `rounds` messages of `work` ms on some cores; returns the window and its size at each message.
+/// Simulates `rounds` messages of `work` ms each on `cores` cores; returns the window and its size at each message.
 fn simulate(cores: usize, work: f64, rounds: usize) -> (Window, Vec<usize>) {
     let mut window = Window::default();
     let (mut now, mut sizes) = (0.0, Vec::new());
-    let mut free = vec![0.0_f64; cores];
+    let mut free_at = vec![0.0_f64; cores];
     let mut in_flight: Vec<(f64, f64, f64)> = Vec::new();
     for _ in 0..rounds {
         let size = window.target(1.0) as usize;
         while in_flight.len() < size {
-            let core = (0..cores).min_by(|a, b| free[*a].total_cmp(&free[*b])).unwrap();
-            let begin = free[core].max(now);
-            free[core] = begin + work;
-            in_flight.push((now, begin, begin + work));
+            let core = (0..cores).min_by(|a, b| free_at[*a].total_cmp(&free_at[*b])).unwrap();
+            let start = free_at[core].max(now);
+            free_at[core] = start + work;
+            in_flight.push((now, start, start + work));
         }
         let at = (0..in_flight.len()).min_by(|a, b| in_flight[*a].2.total_cmp(&in_flight[*b].2)).unwrap();
-        let limited = in_flight.len() >= size;
-        let (came, began, finished_at) = in_flight.swap_remove(at);
+        let is_limited = in_flight.len() >= size;
+        let (delivered_at, started_at, finished_at) = in_flight.swap_remove(at);
         now = finished_at;
-        window.observe(served(began - came, finished_at - came, limited), now);
+        window.observe(served(started_at - delivered_at, finished_at - delivered_at, is_limited), now);
         sizes.push(size);
     }
     (window, sizes)
 }
 
 #[test]
-fn the_window_keeps_all_cores_busy_with_about_as_many_queued() {
+fn the_window_keeps_all_cores_busy_with_a_short_queue() {
     for cores in [1, 4, 16] {
         let (_, sizes) = simulate(cores, 10.0, 4_000);
-        let late = &sizes[2_000..];
-        let mean = late.iter().sum::<usize>() as f64 / late.len() as f64;
-        assert!(*late.iter().min().unwrap() >= cores, "{cores}: {:?}", late.iter().min());
-        assert!(mean <= 3.0 * cores as f64 + 1.0, "{cores}: {mean}");
+        let settled = &sizes[2_000..];
+        let mean = settled.iter().sum::<usize>() as f64 / settled.len() as f64;
+        assert!(*settled.iter().min().unwrap() >= cores, "{cores} cores: minimum {:?}", settled.iter().min());
+        assert!(mean <= 3.0 * cores as f64 + 1.0, "{cores} cores: mean {mean}");
     }
 }
 
 #[test]
-fn rejections_shrink_the_window_once_per_interval() {
+fn rejections_shrink_the_window_once_per_dead_time() {
     let (mut window, _) = simulate(8, 10.0, 1_000);
     let before = window.target(1.0);
     for _ in 0..10 {
         window.observe(rejected(0.0), 1e6);
     }
-    assert_eq!(window.target(1.0), (before * DECREASE).max(1.0));
+    assert_eq!(window.target(1.0), (before * DECREASE_FACTOR).max(1.0));
     window.observe(rejected(0.0), 2e6);
-    assert!(window.target(1.0) < before * DECREASE);
-    // The window never closes completely, so that a recovery is noticed.
+    assert!(window.target(1.0) < before * DECREASE_FACTOR);
+    // At least one message stays in flight, so that a recovery is noticed.
     for at in 0..100 {
         window.observe(rejected(1.0), 3e6 + 1e3 * f64::from(at));
     }
@@ -74,22 +74,22 @@
 }
 
 #[test]
-fn a_backlog_at_the_broker_widens_the_window_and_a_full_server_leaves_new_messages_to_others() {
+fn a_broker_backlog_grows_the_window_and_rejections_without_one_shrink_it() {
     let (mut window, _) = simulate(4, 10.0, 1_000);
-    let observe_many = |window: &mut Window, finished_at, broker_time, count: usize| {
-        let queue_time = (finished_at == ObservedOutcome::Served).then_some(2.0);
-        let seen = Observation {
-            outcome: finished_at,
+    let observe_many = |window: &mut Window, outcome, broker_time, count: usize| {
+        let queue_time = (outcome == ObservedOutcome::Served).then_some(2.0);
+        let observation = Observation {
+            outcome,
             broker_time: Some(broker_time),
             queue_time,
             total_time: 12.0,
             is_limited: false,
         };
         for at in 0..count {
-            window.observe(seen, 1e6 + at as f64);
+            window.observe(observation, 1e6 + at as f64);
         }
     };
-    // One second at twice the load: the window grows by as many messages as finish, rejected or not.
+    // One second at twice the capacity: the window grows by one per message, rejected or not.
     let before = window.target(1.0);
     observe_many(&mut window, ObservedOutcome::Served, 200.0, 20);
     observe_many(&mut window, ObservedOutcome::Rejected, 200.0, 400);
@@ -108,7 +108,7 @@
     assert_eq!(window.target(0.25), window.target(1.0) * 0.25);
 }
 
-/// Divides among queues that demand so many messages at a weight.
+/// Divides `total` among queues with these demands, each a number of messages and a weight.
 fn divide(total: usize, demands: &[(f64, f64)]) -> Vec<usize> {
     let demands: Vec<Demand> =
         demands.iter().map(|(messages, weight)| Demand { messages: *messages, weight: *weight }).collect();
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn weights_divide_a_shortage_and_no_part_exceeds_its_demand() {
+fn a_shortage_is_divided_by_weight_and_no_part_exceeds_its_demand() {
     assert_eq!(divide(12, &[(4.0, 1.0), (4.0, 9.0)]), [4, 4]);
     assert_eq!(divide(12, &[(90.0, 1.0), (90.0, 3.0)]), [3, 9]);
     assert_eq!(divide(12, &[(90.0, 1.0), (2.0, 3.0)]), [10, 2]);
@@ -126,7 +126,7 @@
 
 proptest! {
     #[test]
-    fn parts_never_exceed_the_total_or_the_demand_and_use_all_that_is_demanded(
+    fn parts_use_the_total_without_exceeding_it_or_a_demand(
         total in 0usize..200,
         demands in proptest::collection::vec((1.0f64..80.0, 0.1f64..9.0), 1..6)
     ) {
@@ -135,14 +135,14 @@
         for (part, (demand, _)) in parts.iter().zip(&demands) {
             prop_assert!(*part as f64 <= *demand);
         }
-        let demanded: f64 = demands.iter().map(|w| w.0).sum();
-        let least = (total as f64).min(demanded) - demands.len() as f64;
-        prop_assert!(parts.iter().sum::<usize>() as f64 >= least);
+        let demanded: f64 = demands.iter().map(|(messages, _)| messages).sum();
+        let min_used = (total as f64).min(demanded) - demands.len() as f64;
+        prop_assert!(parts.iter().sum::<usize>() as f64 >= min_used);
     }
 }
 
 #[test]
-fn times_are_smoothed_and_a_first_time_is_taken_as_it_is() {
+fn times_are_moving_averages_that_start_with_the_first_sample() {
     let mut window = Window::default();
     let sample = |broker_time, total_time| Observation {
         broker_time: Some(broker_time),
--- a/crates/loomflow-amqp/tests/common/mod.rs
+++ b/crates/loomflow-amqp/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Shared parts of the tests without sockets: settings to vary, and the decoding of frames that a consumer writes.
+//! Helpers of the tests without sockets: settings, and a decoder for the frames that a consumer writes.
 
 use std::collections::VecDeque;
 
@@ -9,23 +9,23 @@
 mod settings;
 pub use self::settings::settings;
 
-/// Decodes the complete frames of bytes that are sent to a broker.
-#[allow(dead_code, reason = "not every test reads frames")]
+/// Decodes the frames of the bytes that are sent to a broker. The bytes must end with a complete frame.
+#[allow(dead_code, reason = "not every test decodes frames")]
 pub fn decode(bytes: &mut VecDeque<u8>) -> Vec<Frame> {
     use loomflow_protocol::Decoder;
     let mut frames = frames::Frames::default();
-    let mut whole = Vec::new();
-    let flat: Vec<u8> = bytes.iter().copied().collect();
-    let flat = match flat.strip_prefix(b"AMQP\0\0\x09\x01") {
+    let mut decoded = Vec::new();
+    let sent: Vec<u8> = bytes.iter().copied().collect();
+    let sent = match sent.strip_prefix(b"AMQP\0\0\x09\x01") {
         Some(rest) => rest.to_vec(),
-        None => flat,
+        None => sent,
     };
     bytes.clear();
-    for part in flat.chunks(4_096) {
-        assert!(frames.buffer().feed(part));
-        while let Some(raw) = frames.next().expect("frames") {
-            whole.extend(raw.iter().map(|frame| frame.expect("a frame")));
+    for chunk in sent.chunks(4_096) {
+        assert!(frames.buffer().feed(chunk));
+        while let Some(raw) = frames.next().expect("valid frames") {
+            decoded.extend(raw.iter().map(|frame| frame.expect("a valid frame")));
         }
     }
-    whole
+    decoded
 }
--- a/crates/loomflow-amqp/tests/common/settings.rs
+++ b/crates/loomflow-amqp/tests/common/settings.rs
@@ -1,9 +1,9 @@
-//! Settings to vary, shared by the unit tests of the package and those in this folder.
+//! Settings that are shared by the unit tests of the package and the tests in this directory.
 
 use super::{Capacity, Class, KeyFrom, NameFrom, Password, Queue, Settings, Target};
 
-/// Settings of one queue with one class.
-pub fn settings(effect: bool) -> Settings {
+/// Settings with one queue and one class.
+pub fn settings(has_effect: bool) -> Settings {
     Settings {
         brokers: vec![([127, 0, 0, 1], 1).into()],
         vhost: "/".into(),
@@ -12,7 +12,7 @@
         heartbeat_s: 0,
         max_body_bytes: 1_000,
         retention: 1e9,
-        // Small, so that keys of which only a hash is kept occur.
+        // Small, so that keys are reduced to their hashes.
         capacity: Capacity { records: 8, reply_bytes: 10, retired_keys: 10_000 },
         max_in_flight: 20,
         max_unconfirmed: 8,
@@ -30,7 +30,7 @@
             rank: 0.0,
             priority_weight: 1.0,
         }],
-        classes: vec![Class { name: "archive".into(), has_effect: effect, timeout: 20_000.0 }],
+        classes: vec![Class { name: "archive".into(), has_effect, timeout: 20_000.0 }],
         tenants: Vec::new(),
     }
 }
--- a/crates/loomflow-amqp/tests/message_bytes.rs
+++ b/crates/loomflow-amqp/tests/message_bytes.rs
@@ -1,5 +1,5 @@
-//! Headers and properties of what is published, as they were first released: callers and operators read them, and an
-//! earlier build's messages come back with them.
+//! Headers and properties of published messages must stay as first released: callers and operators read them, and
+//! messages that an earlier build published are delivered to later builds.
 
 mod common;
 
@@ -29,16 +29,16 @@
 
 /// A message with every property.
 fn original() -> AMQPProperties {
-    without_user()
+    without_user_id()
         .with_headers(table(&[("mine", text("kept")), ("CC", text("elsewhere")), ("BCC", text("elsewhere"))]))
         .with_user_id("guest".into())
 }
 
-fn replied(status: &ReplyStatus) -> Publish {
+fn reply_with(status: &ReplyStatus) -> Publish {
     reply(&common::settings(true), &original(), status, 9).expect("a reply")
 }
 
-/// The original, republished from its queue.
+/// The original message, republished from the queue `jobs`.
 fn republished_from_jobs(destination: Republish) -> Publish {
     republished(&common::settings(true), "jobs", &original(), b"body", destination, 5)
 }
@@ -46,17 +46,17 @@
 #[test]
 fn replies_have_a_type_and_headers_for_each_status() {
     let failed = |may_have_run, retry_after| {
-        let reason = FailureReason::new("why");
+        let reason = FailureReason::new("reason");
         ReplyStatus::Failed { reason, may_have_run, retry_after }
     };
-    let all = [
+    let cases = [
         (ReplyStatus::Served(RunResult::Served(b"ok"[..].into())), "served", &b"ok"[..], vec![]),
         (ReplyStatus::Rejected(12.5), "refused", b"", vec![("x-loomflow-holdoff", number(13))]),
         (
             failed(true, None),
             "failed",
             b"",
-            vec![("x-loomflow-reason", text("why")), ("x-loomflow-ran", text("perhaps"))],
+            vec![("x-loomflow-reason", text("reason")), ("x-loomflow-ran", text("perhaps"))],
         ),
         (
             failed(false, Some(7.0)),
@@ -64,13 +64,13 @@
             b"",
             vec![
                 ("x-loomflow-holdoff", number(7)),
-                ("x-loomflow-reason", text("why")),
+                ("x-loomflow-reason", text("reason")),
                 ("x-loomflow-ran", text("no")),
             ],
         ),
     ];
-    for (status, kind, body, headers) in all {
-        let publish = replied(&status);
+    for (status, kind, body, headers) in cases {
+        let publish = reply_with(&status);
         assert_eq!((publish.exchange.as_str(), publish.routing_key.as_str()), ("", "replies"));
         assert_eq!(publish.body, body);
         let headers = [vec![("x-loomflow-publish", number(9))], headers].concat();
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_message_put_back_keeps_its_properties_and_counts_its_rounds() {
+fn a_requeued_message_keeps_its_properties_and_counts_its_retries() {
     let publish = republished_from_jobs(Republish::Requeue { retry_count: 2 });
     assert_eq!((publish.exchange.as_str(), publish.routing_key.as_str()), ("", "jobs"));
     let headers = table(&[
@@ -93,13 +93,13 @@
         ("x-loomflow-user-id", text("guest")),
         ("x-loomflow-rounds", number(2)),
     ]);
-    assert_eq!(publish.properties, without_user().with_headers(headers));
+    assert_eq!(publish.properties, without_user_id().with_headers(headers));
     assert_eq!((publish_id(&publish.properties), retry_count(&publish.properties)), (Some(5), 2));
     assert_eq!(publish.body, b"body");
 }
 
 #[test]
-fn a_dead_letter_tells_its_reason_and_queue() {
+fn a_dead_letter_states_its_reason_and_queue() {
     let publish = republished_from_jobs(Republish::DeadLetter(FailureReason::NOT_RUN));
     assert_eq!((publish.exchange.as_str(), publish.routing_key.as_str()), ("", "dead"));
     let headers = table(&[
@@ -109,11 +109,11 @@
         ("x-loomflow-reason", text("not-run")),
         ("x-loomflow-queue", text("jobs")),
     ]);
-    assert_eq!(publish.properties, without_user().with_delivery_mode(2).with_headers(headers));
+    assert_eq!(publish.properties, without_user_id().with_delivery_mode(2).with_headers(headers));
 }
 
-/// The properties of the original but its user.
-fn without_user() -> AMQPProperties {
+/// The properties of the original message except its user id.
+fn without_user_id() -> AMQPProperties {
     AMQPProperties::default()
         .with_content_type("text/plain".into())
         .with_content_encoding("gzip".into())
--- a/crates/loomflow-amqp/tests/model.rs
+++ b/crates/loomflow-amqp/tests/model.rs
@@ -1,6 +1,6 @@
-//! Model-based test of consumers against the state of the test broker, without sockets: generated sequences of
-//! redeliveries, lost frames, closed channels and connections, rejections, restarts and drains. Messages with an external
-//! effect run at most once, every message is finished, and none is settled twice.
+//! Model-based test of consumers against the state machine of the test broker, without sockets. In generated sequences
+//! of redeliveries, lost frames, closed channels and connections, rejections, restarts and drains, messages with an
+//! external effect run at most once, every message is finished, and none is settled twice.
 
 mod common;
 use std::collections::{BTreeMap, VecDeque};
@@ -13,14 +13,15 @@
 use loomflow_test_servers::broker::{Message, Settled, message};
 use proptest::prelude::*;
 
-const GRACE: f64 = 1_000.0;
+/// Duration of a drain, ms.
+const DRAIN_TIMEOUT_MS: f64 = 1_000.0;
 
-/// One server: its consumer, its side of the connection, and the messages submitted to its owner.
+/// One server: its consumer, the frames in transit, and the submitted messages.
 struct Server {
     consumer: Consumer,
-    /// Id of the connection at the broker, while it is open.
+    /// Id of the open connection at the broker.
     connection: Option<u64>,
-    /// When the next connection is opened.
+    /// When the next connection is opened; `None` while one is open or if none is needed.
     reconnect_at: Option<f64>,
     to_broker: VecDeque<u8>,
     to_server: VecDeque<Frame>,
@@ -37,10 +38,10 @@
     connections_opened: u64,
     published: u64,
     runs: BTreeMap<String, usize>,
-    /// Runs that ended with the restart of their server.
-    killed: usize,
-    /// Connections that a consumer abandoned.
-    broken: usize,
+    /// Number of runs that were lost with the restart of their server.
+    lost_runs: usize,
+    /// Number of connections that a consumer dropped because of an error.
+    failed_connections: usize,
 }
 
 impl Simulation {
@@ -57,8 +58,8 @@
             connections_opened: 0,
             published: 0,
             runs: BTreeMap::new(),
-            killed: 0,
-            broken: 0,
+            lost_runs: 0,
+            failed_connections: 0,
         };
         for seed in 0..servers {
             let server = simulation.server(seed as u64);
@@ -82,8 +83,10 @@
         }
     }
 
-    fn publish(&mut self, again: Option<u64>) {
-        let number = again.filter(|_| self.published > 0).map_or(self.published, |n| n % self.published);
+    /// Publishes a new message, or a duplicate of an earlier one.
+    fn publish(&mut self, duplicate_of: Option<u64>) {
+        let number =
+            duplicate_of.filter(|_| self.published > 0).map_or(self.published, |n| n % self.published);
         self.published += u64::from(number == self.published);
         let id = format!("j{number}");
         assert!(self.broker.publish(message("jobs", &id, id.as_bytes()).reply_to("replies", &id)));
@@ -99,7 +102,7 @@
             self.broker.connection_opened(*connections_opened);
         }
         if server.consumer.tick(now).is_err() {
-            self.broken += 1;
+            self.failed_connections += 1;
             return self.disconnect(at);
         }
         server.to_broker.extend(server.consumer.take_output(now));
@@ -108,53 +111,53 @@
                 ConsumerRequest::Submit(message) => server.submitted.push(message),
                 ConsumerRequest::Cancel(id) => {
                     assert!(
-                        server.running.iter().all(|one| one.id != id),
-                        "a run that has begun is not gone"
+                        server.running.iter().all(|message| message.id != id),
+                        "message {id} was cancelled while it runs"
                     );
-                    server.submitted.retain(|one| one.id != id);
+                    server.submitted.retain(|message| message.id != id);
                 }
                 ConsumerRequest::Log(_) => {}
             }
         }
     }
 
-    /// Carries all frames to the broker and up to `count` frames to the server.
+    /// Transfers all frames to the broker and up to `count` frames to the server.
     fn exchange(&mut self, at: usize, count: usize) {
         self.advance(at);
         let Some(connection) = self.servers[at].connection else { return };
         for frame in decode(&mut self.servers[at].to_broker) {
             self.broker.handle_frame(connection, frame);
         }
-        let mut over = Vec::new();
+        let mut closed = Vec::new();
         for (to, frame) in self.broker.take_out() {
             let Some(server) = self.servers.iter_mut().find(|server| server.connection == Some(to)) else {
                 continue;
             };
             match frame {
                 Some(frame) => server.to_server.push_back(frame),
-                None => over.push(to),
+                None => closed.push(to),
             }
         }
         let now = self.now;
         let server = &mut self.servers[at];
-        let mut broken = false;
+        let mut has_failed = false;
         for frame in server.to_server.drain(..count.min(server.to_server.len())) {
-            broken |= server.consumer.handle_frame(frame, now).is_err();
+            has_failed |= server.consumer.handle_frame(frame, now).is_err();
         }
-        if broken || over.contains(&connection) {
+        if has_failed || closed.contains(&connection) {
             return self.disconnect(at);
         }
         self.advance(at);
     }
 
-    /// The connection breaks, and frames in transit are lost.
+    /// Breaks the connection, which loses the frames in transit.
     fn disconnect(&mut self, at: usize) {
         let now = self.now;
         let server = &mut self.servers[at];
         let Some(connection) = server.connection.take() else { return };
         server.to_broker.clear();
         server.to_server.clear();
-        server.reconnect_at = server.consumer.disconnected(now).map(|pause| now + pause);
+        server.reconnect_at = server.consumer.disconnected(now).map(|backoff| now + backoff);
         self.broker.connection_closed(connection);
         self.advance(at);
     }
@@ -163,7 +166,7 @@
         if let Some(connection) = self.servers[at].connection {
             self.broker.connection_closed(connection);
         }
-        self.killed += self.servers[at].running.len();
+        self.lost_runs += self.servers[at].running.len();
         let server = self.server(self.connections_opened + 100);
         self.servers[at] = server;
     }
@@ -177,39 +180,36 @@
         server.running.push(message);
     }
 
-    fn finish_run(&mut self, at: usize, fine: bool) {
+    fn finish_run(&mut self, at: usize, is_ok: bool) {
         let now = self.now;
         let server = &mut self.servers[at];
         let Some(message) = server.running.pop() else { return };
-        let ending = if fine { MessageResponse::Served(&message.body) } else { MessageResponse::MayHaveRun };
-        server.consumer.respond(message.id, ending, now);
+        let response =
+            if is_ok { MessageResponse::Served(&message.body) } else { MessageResponse::MayHaveRun };
+        server.consumer.respond(message.id, response, now);
     }
 
-    fn reject(&mut self, at: usize, pause: f64) {
+    fn reject(&mut self, at: usize, retry_after: f64) {
         let now = self.now;
         let server = &mut self.servers[at];
         let Some(message) = server.submitted.pop() else { return };
-        server.consumer.respond(
-            message.id,
-            MessageResponse::Rejected { retry_after: pause, is_final: false },
-            now,
-        );
+        server.consumer.respond(message.id, MessageResponse::Rejected { retry_after, is_final: false }, now);
     }
 
     fn drain(&mut self, at: usize) {
         let now = self.now;
         let server = &mut self.servers[at];
         if !std::mem::replace(&mut server.is_draining, true) {
-            server.consumer.begin_drain(now + GRACE, now);
+            server.consumer.begin_drain(now + DRAIN_TIMEOUT_MS, now);
             server.consumer.stop_intake(now);
             self.advance(at);
         }
     }
 
-    /// Without further faults, the servers work until no message is left.
+    /// Runs the servers without further faults until no message is left in the queue.
     fn run_to_completion(&mut self) {
         self.broker.faults = Faults::default();
-        // After a lost acknowledgement, the broker redelivers on a new connection.
+        // The broker redelivers messages whose acknowledgement was lost only after a reconnect.
         for at in 0..self.servers.len() {
             self.disconnect(at);
         }
@@ -223,48 +223,55 @@
             // A drained server is replaced by a new one.
             for at in 0..self.servers.len() {
                 let server = &self.servers[at];
-                let idle = server.submitted.is_empty() && server.running.is_empty();
-                if server.is_draining && idle && server.consumer.is_drained(self.now) {
+                let is_idle = server.submitted.is_empty() && server.running.is_empty();
+                if server.is_draining && is_idle && server.consumer.is_drained(self.now) {
                     self.restart(at);
                 }
             }
-            let idle = self.servers.iter().all(|s| s.submitted.is_empty() && s.running.is_empty());
-            if idle && self.broker.ready("jobs") == 0 && self.broker.unacked("jobs") == 0 {
+            let is_idle =
+                self.servers.iter().all(|server| server.submitted.is_empty() && server.running.is_empty());
+            if is_idle && self.broker.ready("jobs") == 0 && self.broker.unacked("jobs") == 0 {
                 return;
             }
         }
-        panic!("{} wait, {} are unacknowledged", self.broker.ready("jobs"), self.broker.unacked("jobs"));
+        panic!(
+            "{} messages are ready, {} are unacknowledged",
+            self.broker.ready("jobs"),
+            self.broker.unacked("jobs")
+        );
     }
 
+    /// Checks that messages with an effect ran at most once, and that each message was served or dead-lettered.
     fn check(&mut self) {
         if self.has_effect {
-            assert!(self.runs.values().all(|times| *times == 1), "{:?}", self.runs);
+            assert!(self.runs.values().all(|count| *count == 1), "{:?}", self.runs);
         }
-        let name = |message: &Message| String::from_utf8(message.body.clone()).unwrap();
-        let dead: Vec<String> = self.broker.take("dead").iter().map(name).collect();
+        let body = |message: &Message| String::from_utf8(message.body.clone()).unwrap();
+        let dead: Vec<String> = self.broker.take("dead").iter().map(body).collect();
         let replies = self.broker.take("replies");
         for number in 0..self.published {
             let id = format!("j{number}");
             let served = replies.iter().any(|reply| reply.correlation() == id && reply.kind() == "served");
-            assert!(served || dead.contains(&id), "{id} has no ending");
+            assert!(served || dead.contains(&id), "{id} was neither served nor dead-lettered");
         }
         // A message can be settled twice only if it was redelivered in between.
-        let rejected = self.broker.settled.iter().filter(|(_, how)| *how == Settled::Rejected).count();
-        assert_eq!(rejected, 0, "all that is given up is dead-lettered with its reason");
+        let rejected =
+            self.broker.settled.iter().filter(|(_, settled)| *settled == Settled::Rejected).count();
+        assert_eq!(rejected, 0, "failed messages are dead-lettered with a reason and acknowledged");
     }
 }
 
 #[derive(Clone, Debug)]
 enum SimulationStep {
     Publish(Option<u64>),
-    Pass(f64),
-    Exchange(usize, usize),
-    Begin(usize),
-    Finish(usize, bool),
-    Refuse(usize, f64),
-    Cut(usize),
+    AdvanceTime(f64),
+    ExchangeFrames(usize, usize),
+    StartRun(usize),
+    FinishRun(usize, bool),
+    Reject(usize, f64),
+    Disconnect(usize),
     Restart(usize),
-    Leave(usize),
+    Drain(usize),
     CloseChannels,
     CancelConsumers,
     Fault(u8),
@@ -272,46 +279,48 @@
 
 fn steps() -> impl Strategy<Value = Vec<SimulationStep>> {
     let at = 0usize..2;
-    let one = prop_oneof![
+    let step = prop_oneof![
         6 => proptest::option::weighted(0.15, 0u64..50).prop_map(SimulationStep::Publish),
-        4 => (1.0f64..400.0).prop_map(SimulationStep::Pass),
-        20 => (at.clone(), 1usize..40).prop_map(|(at, n)| SimulationStep::Exchange(at, n)),
-        8 => at.clone().prop_map(SimulationStep::Begin),
-        8 => (at.clone(), prop::bool::weighted(0.9)).prop_map(|(at, fine)| SimulationStep::Finish(at, fine)),
-        2 => (at.clone(), 0.0f64..300.0).prop_map(|(at, pause)| SimulationStep::Refuse(at, pause)),
-        1 => at.clone().prop_map(SimulationStep::Cut),
+        4 => (1.0f64..400.0).prop_map(SimulationStep::AdvanceTime),
+        20 => (at.clone(), 1usize..40).prop_map(|(at, count)| SimulationStep::ExchangeFrames(at, count)),
+        8 => at.clone().prop_map(SimulationStep::StartRun),
+        8 => (at.clone(), prop::bool::weighted(0.9)).prop_map(|(at, is_ok)| SimulationStep::FinishRun(at, is_ok)),
+        2 => (at.clone(), 0.0f64..300.0).prop_map(|(at, retry_after)| SimulationStep::Reject(at, retry_after)),
+        1 => at.clone().prop_map(SimulationStep::Disconnect),
         1 => at.clone().prop_map(SimulationStep::Restart),
-        1 => at.prop_map(SimulationStep::Leave),
+        1 => at.prop_map(SimulationStep::Drain),
         1 => Just(SimulationStep::CloseChannels),
         1 => Just(SimulationStep::CancelConsumers),
         2 => (0u8..4).prop_map(SimulationStep::Fault),
     ];
-    proptest::collection::vec(one, 1..250)
+    proptest::collection::vec(step, 1..250)
 }
 
-/// Servers share no records and a restart loses them: a key that is published twice runs once only if one server has
-/// received both messages. So a key is published twice only with a single server that never restarts; redeliveries
-/// happen in any case.
+/// Simulates the steps. Servers share no records and lose them in a restart, so a key that is published twice runs only
+/// once if the same server receives both messages. Therefore keys are published twice only with a single server that
+/// never restarts. Redeliveries occur in either case.
 fn play(servers: usize, has_effect: bool, steps: Vec<SimulationStep>) -> Simulation {
     let mut simulation = Simulation::new(servers, has_effect);
-    let alone = servers == 1;
-    for one in steps {
-        match one {
-            SimulationStep::Exchange(at, _) | SimulationStep::Begin(at) | SimulationStep::Finish(at, _)
+    let is_single = servers == 1;
+    for step in steps {
+        match step {
+            SimulationStep::ExchangeFrames(at, _)
+            | SimulationStep::StartRun(at)
+            | SimulationStep::FinishRun(at, _)
                 if at >= servers => {}
-            SimulationStep::Refuse(at, _) | SimulationStep::Cut(at) if at >= servers => {}
-            SimulationStep::Restart(_) | SimulationStep::Leave(_) if alone => {}
-            SimulationStep::Fault(1) if !alone => {}
-            SimulationStep::Publish(Some(_)) if !alone => simulation.publish(None),
-            SimulationStep::Publish(again) => simulation.publish(again),
-            SimulationStep::Pass(span) => simulation.now += span,
-            SimulationStep::Exchange(at, count) => simulation.exchange(at, count),
-            SimulationStep::Begin(at) => simulation.start_run(at),
-            SimulationStep::Finish(at, fine) => simulation.finish_run(at, fine),
-            SimulationStep::Refuse(at, pause) => simulation.reject(at, pause),
-            SimulationStep::Cut(at) => simulation.disconnect(at),
+            SimulationStep::Reject(at, _) | SimulationStep::Disconnect(at) if at >= servers => {}
+            SimulationStep::Restart(_) | SimulationStep::Drain(_) if is_single => {}
+            SimulationStep::Fault(1) if !is_single => {}
+            SimulationStep::Publish(Some(_)) if !is_single => simulation.publish(None),
+            SimulationStep::Publish(duplicate_of) => simulation.publish(duplicate_of),
+            SimulationStep::AdvanceTime(duration) => simulation.now += duration,
+            SimulationStep::ExchangeFrames(at, count) => simulation.exchange(at, count),
+            SimulationStep::StartRun(at) => simulation.start_run(at),
+            SimulationStep::FinishRun(at, is_ok) => simulation.finish_run(at, is_ok),
+            SimulationStep::Reject(at, retry_after) => simulation.reject(at, retry_after),
+            SimulationStep::Disconnect(at) => simulation.disconnect(at),
             SimulationStep::Restart(at) => simulation.restart(at),
-            SimulationStep::Leave(at) => simulation.drain(at),
+            SimulationStep::Drain(at) => simulation.drain(at),
             SimulationStep::CloseChannels => simulation.broker.close_channels("jobs", 541),
             SimulationStep::CancelConsumers => simulation.broker.cancel_consumers("jobs"),
             SimulationStep::Fault(0) => simulation.broker.faults.nack += 1,
@@ -324,32 +333,36 @@
 }
 
 #[test]
-fn a_republished_message_keeps_its_properties_except_those_the_broker_acts_on() {
-    let mut first =
+fn a_republished_message_drops_its_user_id_and_carbon_copies() {
+    let mut original =
         message("jobs", "a", b"x").reply_to("replies", "a").header("CC", "elsewhere").header("mine", "1");
-    first.properties = first.properties.with_user_id("somebody".into()).with_expiration("60000".into());
-    let (settings, of) = (settings(true), &first.properties);
-    for (to, queue) in [
+    original.properties = original.properties.with_user_id("somebody".into()).with_expiration("60000".into());
+    let (settings, properties) = (settings(true), &original.properties);
+    for (destination, queue) in [
         (settlement::Republish::Requeue { retry_count: 3 }, "jobs"),
-        (settlement::Republish::DeadLetter(FailureReason::new("why")), "dead"),
+        (settlement::Republish::DeadLetter(FailureReason::new("reason")), "dead"),
     ] {
-        let anew = loomflow_amqp::message::republished(&settings, "jobs", of, b"x", to, 7);
+        let publish =
+            loomflow_amqp::message::republished(&settings, "jobs", properties, b"x", destination, 7);
         assert_eq!(
-            (anew.exchange.as_str(), anew.routing_key.as_str(), anew.body.as_slice()),
+            (publish.exchange.as_str(), publish.routing_key.as_str(), publish.body.as_slice()),
             ("", queue, &b"x"[..])
         );
-        assert_eq!((anew.properties.user_id(), anew.properties.reply_to()), (&None, of.reply_to()));
         assert_eq!(
-            (anew.properties.message_id(), anew.properties.expiration()),
-            (of.message_id(), of.expiration())
+            (publish.properties.user_id(), publish.properties.reply_to()),
+            (&None, properties.reply_to())
+        );
+        assert_eq!(
+            (publish.properties.message_id(), publish.properties.expiration()),
+            (properties.message_id(), properties.expiration())
         );
-        let said = Message { properties: anew.properties, ..first.clone() };
-        let words =
-            ["mine", "x-loomflow-user-id", "CC", "x-loomflow-publish"].map(|name| said.header_text(name));
-        assert_eq!(words, [Some("1".into()), Some("somebody".into()), None, Some("7".into())]);
-        let dead = matches!(to, settlement::Republish::DeadLetter(_));
-        assert_eq!(said.header_text("x-loomflow-reason"), dead.then(|| "why".into()));
-        assert_eq!(said.header_text("x-loomflow-rounds"), (!dead).then(|| "3".into()));
+        let message = Message { properties: publish.properties, ..original.clone() };
+        let headers =
+            ["mine", "x-loomflow-user-id", "CC", "x-loomflow-publish"].map(|name| message.header_text(name));
+        assert_eq!(headers, [Some("1".into()), Some("somebody".into()), None, Some("7".into())]);
+        let is_dead_letter = matches!(destination, settlement::Republish::DeadLetter(_));
+        assert_eq!(message.header_text("x-loomflow-reason"), is_dead_letter.then(|| "reason".into()));
+        assert_eq!(message.header_text("x-loomflow-rounds"), (!is_dead_letter).then(|| "3".into()));
     }
 }
 
@@ -366,7 +379,7 @@
 }
 
 #[test]
-fn messages_that_have_not_started_by_the_drain_deadline_are_requeued_untouched() {
+fn messages_not_started_in_the_grace_period_are_requeued() {
     let mut simulation = simulation_with_one_submitted();
     simulation.drain(0);
     for _ in 0..20 {
@@ -376,36 +389,37 @@
         simulation.servers[0].submitted.is_empty()
             && simulation.servers[0].consumer.is_drained(simulation.now)
     );
-    let back = simulation.broker.take("jobs");
-    assert_eq!((back.len(), back[0].redelivered, simulation.broker.unacked("jobs")), (1, false, 0));
+    let requeued = simulation.broker.take("jobs");
+    assert_eq!((requeued.len(), requeued[0].redelivered, simulation.broker.unacked("jobs")), (1, false, 0));
 }
 
 #[test]
-fn a_silent_broker_is_awaited_until_the_drain_deadline_and_no_longer() {
+fn a_drain_waits_for_a_silent_broker_until_its_deadline() {
     let mut simulation = simulation_with_one_submitted();
     simulation.start_run(0);
     simulation.drain(0);
     simulation.finish_run(0, true);
-    let by = simulation.now + GRACE;
+    let deadline = simulation.now + DRAIN_TIMEOUT_MS;
     // No frame reaches the broker.
     let consumer = &mut simulation.servers[0].consumer;
-    assert!(consumer.tick(by - 1.0).is_ok() && !consumer.is_drained(by - 1.0) && consumer.is_drained(by));
+    assert!(consumer.tick(deadline - 1.0).is_ok());
+    assert!(!consumer.is_drained(deadline - 1.0) && consumer.is_drained(deadline));
 }
 
 #[test]
-fn draining_waits_for_the_close_of_an_open_connection_but_not_for_a_handshake() {
+fn a_drain_waits_for_the_close_of_an_open_connection_but_not_for_a_handshake() {
     let mut simulation = Simulation::new(2, true);
     simulation.servers[0].consumer.connected(0.0);
     for _ in 0..20 {
         simulation.exchange(1, usize::MAX);
     }
-    let [one, other] = &mut simulation.servers[..] else { unreachable!("there are two") };
-    let (one, other) = (&mut one.consumer, &mut other.consumer);
-    // Long after the handshake, which has its own timeout.
-    one.begin_drain(1e9, 3_000.0);
-    other.begin_drain(1e9, 6_000.0);
-    one.connected(3_000.0);
-    assert!(one.is_drained(3_000.0) && !other.is_drained(6_000.0));
+    let [first, second] = &mut simulation.servers[..] else { unreachable!("the simulation has two servers") };
+    let (in_handshake, connected) = (&mut first.consumer, &mut second.consumer);
+    in_handshake.begin_drain(1e9, 3_000.0);
+    // Later than the handshake timeout (5 s), which must not apply while the connection is being closed.
+    connected.begin_drain(1e9, 6_000.0);
+    in_handshake.connected(3_000.0);
+    assert!(in_handshake.is_drained(3_000.0) && !connected.is_drained(6_000.0));
     simulation.now = 6_000.0;
     for _ in 0..20 {
         simulation.exchange(1, usize::MAX);
@@ -413,7 +427,7 @@
     assert!(
         simulation.servers[1].consumer.is_drained(6_000.0) && simulation.servers[1].reconnect_at.is_none()
     );
-    assert_eq!(simulation.broken, 0, "the close was confirmed");
+    assert_eq!(simulation.failed_connections, 0, "the broker confirmed the close");
 }
 
 proptest! {
--- a/crates/loomflow-amqp/tests/overload.rs
+++ b/crates/loomflow-amqp/tests/overload.rs
@@ -1,5 +1,6 @@
-//! A consumer and the controller against a simulated engine and the state of the test broker under overload, without sockets.
-//! Messages state when they were sent, so the controller orders and rejects them like calls, and no message runs late.
+//! Overload of a consumer and the controller, with a simulated engine and the state machine of the test broker, without
+//! sockets. Messages state when they were sent, so the controller orders and rejects them like calls, and none runs
+//! after its caller's timeout.
 
 mod common;
 use std::collections::{BTreeMap, VecDeque};
@@ -16,7 +17,7 @@
 
 const CORES: usize = 4;
 const WORK_MS: f64 = 10.0;
-/// Throughput of the engine.
+/// Capacity of the engine.
 const MESSAGES_PER_SECOND: f64 = CORES as f64 * 1000.0 / WORK_MS;
 const CALLER_TIMEOUT_MS: f64 = 1_000.0;
 const CONNECTION: u64 = 1;
@@ -28,17 +29,19 @@
     broker: State,
     consumer: Consumer,
     controller: Controller,
-    /// Submitted messages by the ids that the controller has for them.
+    /// Submitted messages by their request ids at the controller.
     submitted: BTreeMap<RequestId, SubmittedMessage>,
-    last: RequestId,
+    last_request: RequestId,
     waiting: VecDeque<RequestId>,
-    /// When each core is free, and what runs there.
+    /// When each core becomes idle, and the request that runs on it.
     cores: Vec<(f64, Option<RequestId>)>,
     timers: Vec<f64>,
+    /// When each message was sent.
     sent: Vec<f64>,
-    /// How each message ended, and when.
-    endings: BTreeMap<usize, (bool, f64)>,
-    run_late: usize,
+    /// Whether each message was served, and when its reply was published.
+    outcomes: BTreeMap<usize, (bool, f64)>,
+    /// Number of runs that started after the timeout of the caller.
+    late_runs: usize,
 }
 
 impl Simulation {
@@ -59,23 +62,23 @@
             broker.declare(queue, None);
         }
         broker.connection_opened(CONNECTION);
-        let mut set = site.settings.clone();
-        for class in &mut set.classes {
+        let mut controller_settings = site.settings.clone();
+        for class in &mut controller_settings.classes {
             class.makes_calls = false;
         }
         Simulation {
             now: 0.0,
             broker,
             consumer,
-            controller: Controller::new(set, 7, 0.0),
+            controller: Controller::new(controller_settings, 7, 0.0),
             submitted: BTreeMap::new(),
-            last: 0,
+            last_request: 0,
             waiting: VecDeque::new(),
             cores: vec![(0.0, None); CORES],
             timers: Vec::new(),
             sent: Vec::new(),
-            endings: BTreeMap::new(),
-            run_late: 0,
+            outcomes: BTreeMap::new(),
+            late_runs: 0,
         }
     }
 
@@ -105,7 +108,7 @@
         self.take_replies();
     }
 
-    /// Answers what has run by now.
+    /// Responds to the messages whose runs have finished by now.
     fn finish_runs(&mut self) -> Vec<Event> {
         let mut events = Vec::new();
         for core in &mut self.cores {
@@ -117,14 +120,14 @@
         events
     }
 
-    /// The arrivals of the messages that the consumer submits.
+    /// Arrival events of the messages that the consumer submits.
     fn submit_messages(&mut self) -> Vec<Event> {
         let mut events = Vec::new();
         for request in self.consumer.take_requests() {
             let ConsumerRequest::Submit(message) = request else { continue };
-            self.last += 1;
+            self.last_request += 1;
             events.push(Event::RequestArrived(Arrival {
-                id: self.last,
+                id: self.last_request,
                 attributes: RequestAttributes {
                     class: 2,
                     tenant: 0,
@@ -139,7 +142,7 @@
                 },
                 original: None,
             }));
-            self.submitted.insert(self.last, message);
+            self.submitted.insert(self.last_request, message);
         }
         events
     }
@@ -157,7 +160,7 @@
         }))
     }
 
-    /// Idle cores take waiting messages. A run that could have started within the step has started then.
+    /// Starts waiting messages on idle cores. A run starts when its core became idle, but at most one step ago.
     fn start_runs(&mut self) {
         for core in self.cores.iter_mut().filter(|core| core.1.is_none()) {
             if let Some(id) = self.waiting.pop_front() {
@@ -169,9 +172,9 @@
     fn take_replies(&mut self) {
         for reply in self.broker.take("replies") {
             let number: usize = reply.correlation().parse().unwrap();
-            assert_ne!(reply.kind(), "refused", "a caller with a timeout of a second is not told to wait");
-            let before = self.endings.insert(number, (reply.kind() == "served", self.now));
-            assert!(before.is_none(), "one final answer");
+            assert_ne!(reply.kind(), "refused", "no retry is possible within the timeout of one second");
+            let previous = self.outcomes.insert(number, (reply.kind() == "served", self.now));
+            assert!(previous.is_none(), "message {number} has a second reply");
         }
     }
 
@@ -182,19 +185,15 @@
                 let message = &self.submitted[&id];
                 self.consumer.run_started(message.id, now);
                 let number: usize = String::from_utf8(message.body.clone()).unwrap().parse().unwrap();
-                self.run_late += usize::from(now - self.sent[number] > CALLER_TIMEOUT_MS);
+                self.late_runs += usize::from(now - self.sent[number] > CALLER_TIMEOUT_MS);
                 self.waiting.push_back(id);
             }
-            Action::Reject { id, retry_after: pause, is_final: last } => {
+            Action::Reject { id, retry_after, is_final } => {
                 let message = self.submitted.remove(&id).expect("a submitted message");
-                self.consumer.respond(
-                    message.id,
-                    MessageResponse::Rejected { retry_after: pause, is_final: last },
-                    now,
-                );
+                self.consumer.respond(message.id, MessageResponse::Rejected { retry_after, is_final }, now);
             }
             Action::Fail(id) => {
-                // A message that runs is answered when its run ends.
+                // A running message gets its response when the run ends.
                 if let Some(message) = self.submitted.get(&id).filter(|_| !self.waiting.contains(&id)) {
                     self.consumer.respond(message.id, MessageResponse::MayHaveRun, now);
                 }
@@ -205,7 +204,7 @@
         }
     }
 
-    /// Passes frames between consumer and broker until neither sends more.
+    /// Transfers frames between consumer and broker until the broker sends no more.
     fn exchange_frames(&mut self) {
         loop {
             self.consumer.tick(self.now).expect("an open connection");
@@ -223,11 +222,11 @@
         }
     }
 
-    /// Messages of a second that were served in time, as a share of the throughput.
+    /// Number of messages that were sent in a second and served within half the timeout, relative to the capacity.
     fn in_time(&self, second: usize) -> f64 {
-        let of = |at: f64| (at / 1_000.0) as usize == second;
-        let ended = self.endings.iter().filter(|(number, _)| of(self.sent[**number]));
-        let in_time = ended
+        let is_in_second = |at: f64| (at / 1_000.0) as usize == second;
+        let sent_then = self.outcomes.iter().filter(|(number, _)| is_in_second(self.sent[**number]));
+        let in_time = sent_then
             .filter(|(number, (served, at))| *served && at - self.sent[**number] <= CALLER_TIMEOUT_MS / 2.0);
         in_time.count() as f64 / MESSAGES_PER_SECOND
     }
@@ -237,30 +236,30 @@
     #![proptest_config(ProptestConfig { cases: 8, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_burst_on_a_queue_is_served_in_time_and_leaves_no_backlog(
-        before in 0.3f64..0.8, times in 1.2f64..4.0, spread in 0.0f64..1.0, seed in any::<u64>(),
+    fn a_burst_is_served_in_time_and_leaves_no_backlog(
+        base_load in 0.3f64..0.8, burst_load in 1.2f64..4.0, jitter in 0.0f64..1.0, seed in any::<u64>(),
     ) {
         let (mut simulation, mut random) = (Simulation::new(), fastrand::Rng::with_seed(seed));
-        let mut due = 0.0;
+        let mut next_send_at = 0.0;
         while simulation.now < 8_000.0 {
-            while due <= simulation.now {
+            while next_send_at <= simulation.now {
                 simulation.publish();
-                let rate = if (2_000.0..6_000.0).contains(&due) { times } else { before } * MESSAGES_PER_SECOND;
-                // From regular to random intervals.
-                due += 1_000.0 / rate * (1.0 + spread * (random.f64() * 2.0 - 1.0));
+                let rate = if (2_000.0..6_000.0).contains(&next_send_at) { burst_load } else { base_load } * MESSAGES_PER_SECOND;
+                // Jitter 0 means regular intervals.
+                next_send_at += 1_000.0 / rate * (1.0 + jitter * (random.f64() * 2.0 - 1.0));
             }
             simulation.step();
         }
         for _ in 0..300 {
             simulation.step();
         }
-        prop_assert_eq!(simulation.endings.len(), simulation.sent.len(), "each message has its end");
-        prop_assert_eq!(simulation.run_late, 0);
+        prop_assert_eq!(simulation.outcomes.len(), simulation.sent.len(), "each message has an outcome");
+        prop_assert_eq!(simulation.late_runs, 0);
         for second in 3..6 {
             prop_assert!(simulation.in_time(second) >= 0.9, "second {}: {:.2}", second, simulation.in_time(second));
         }
-        let gone = simulation.endings.iter().filter(|(number, _)| simulation.sent[**number] < 6_000.0).map(|(_, (_, at))| *at);
-        prop_assert!(gone.fold(0.0, f64::max) <= 7_000.0);
+        let replies_to_burst = simulation.outcomes.iter().filter(|(number, _)| simulation.sent[**number] < 6_000.0).map(|(_, (_, at))| *at);
+        prop_assert!(replies_to_burst.fold(0.0, f64::max) <= 7_000.0);
         prop_assert!(simulation.in_time(7) * MESSAGES_PER_SECOND >= simulation.sent.iter().filter(|at| **at >= 7_000.0 && **at < 8_000.0).count() as f64 - 1.0);
     }
 }
