--- a/crates/loomflow-fleet/src/duty/assign.rs
+++ b/crates/loomflow-fleet/src/duty/assign.rs
@@ -1,7 +1,7 @@
-//! Who should own what. [`super::load`] ranks the servers and bounds their load; `recall` has the reasons for
-//! which an owner is to release a duty.
+//! Assignment of duties to servers. [`super::load`] ranks the servers and bounds their load; `recall` selects the duties
+//! that their owners have to release.
 //!
-//! A server's weight is the share that it requests, by its controller: one in overload acquires nothing new.
+//! A server's weight is the share of traffic that its controller requests. A server in overload acquires no further duties.
 
 use std::collections::BTreeMap;
 
@@ -11,47 +11,48 @@
 use super::{DutyCommand, DutyName};
 use crate::member::{MemberView, ServerName};
 
-/// A server that requests less than this share acquires nothing new.
+/// A server that requests a smaller share acquires no further duties.
 const MIN_SHARE_TO_ACQUIRE: f32 = 0.9;
-/// Minimum weight of a server.
+/// Minimum weight of a server, for one that requests a share of 0.
 const MIN_WEIGHT: f32 = 0.01;
 
-/// A server that may own duties.
+/// A server that is eligible to own duties.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// The server.
+    /// The server's name.
     pub name: ServerName,
-    /// How much it may own beside the others; above 0, up to 1.
+    /// Capacity for duties relative to other servers; above 0, at most 1.
     pub weight: f64,
-    /// Whether it may acquire further duties.
+    /// Whether the server may acquire further duties; false in overload.
     pub can_acquire: bool,
 }
 
-/// Servers that may own duties: with a session, alive with a recent load report, and without a place for maintenance.
+/// The servers that are eligible to own duties: those that have a session, serve with a recent load report that says
+/// healthy, and hold no maintenance slot.
 pub fn candidates(
     duties: &Duties,
     members: &BTreeMap<ServerName, MemberView>,
-    has_place: &dyn Fn(&str) -> bool,
+    holds_slot: &dyn Fn(&str) -> bool,
 ) -> Vec<Candidate> {
     let candidates = duties.sessions().keys().filter_map(|name| {
         let member = members.get(name)?;
         let report = member.load_report.filter(|report| member.is_serving() && report.healthy)?;
         let weight = f64::from(report.share.max(MIN_WEIGHT));
         let can_acquire = report.share >= MIN_SHARE_TO_ACQUIRE;
-        (!has_place(name)).then(|| Candidate { name: name.clone(), weight, can_acquire })
+        (!holds_slot(name)).then(|| Candidate { name: name.clone(), weight, can_acquire })
     });
     candidates.collect()
 }
 
-/// What the leader puts into the log: owners for duties without one; where there are none, recalls of some that are better
-/// elsewhere.
+/// The commands that the leader proposes: assignments of available duties or, if there are none, recalls of duties that
+/// should move.
 pub fn commands(
     duties: &Duties,
     members: &BTreeMap<ServerName, MemberView>,
-    has_place: &dyn Fn(&str) -> bool,
+    holds_slot: &dyn Fn(&str) -> bool,
 ) -> Vec<DutyCommand> {
-    let candidates = candidates(duties, members, has_place);
-    // In a fleet that forms the first owners are chosen when all servers had time to open a session.
+    let candidates = candidates(duties, members, holds_slot);
+    // The first assignment waits for one lease, so that all servers of a new fleet have had time to open a session.
     let lease_millis = duties.lease_settings().lease_millis;
     let must_wait =
         |duty: &Duty| duty.token == 0 && duties.time().saturating_sub(duty.available_since) < lease_millis;
@@ -59,10 +60,10 @@
     if !assignments.is_empty() {
         return vec![DutyCommand::Assign(assignments)];
     }
-    recalls(duties, members, &candidates, has_place).into_iter().map(DutyCommand::Recall).collect()
+    recalls(duties, members, &candidates, holds_slot).into_iter().map(DutyCommand::Recall).collect()
 }
 
-/// Owners for the duties that are available and need not wait.
+/// Selects owners for the available duties for which `must_wait` is false.
 pub fn assign_available(
     duties: &Duties,
     candidates: &[Candidate],
@@ -80,7 +81,7 @@
         .collect()
 }
 
-/// Who gets a duty that its owner releases.
+/// Selects the next owner of a duty that its owner releases; `None` for a parked duty or without another candidate.
 pub fn successor(duties: &Duties, candidates: &[Candidate], name: &str, owner: &str) -> Option<ServerName> {
     let duty = duties.duties().get(name).filter(|duty| duty.parked.is_none())?;
     let others: Vec<Candidate> = candidates.iter().filter(|other| other.name != owner).cloned().collect();
--- a/crates/loomflow-fleet/src/duty/assign/tests.rs
+++ b/crates/loomflow-fleet/src/duty/assign/tests.rs
@@ -7,7 +7,7 @@
     (0..count).map(|n| Candidate { name: format!("n{n}"), weight: 1.0, can_acquire: true }).collect()
 }
 
-/// The given numbers of duties, all free, and of servers with a session.
+/// A state with this many available duties and this many servers with a session.
 fn duties_and_sessions(duties: usize, servers: usize) -> Duties {
     let mut state = Duties::default();
     let declared = (0..duties).map(|n| DutySpec::plain(&format!("d{n}"))).collect();
@@ -23,14 +23,14 @@
 }
 
 #[test]
-fn when_one_dies_only_its_duties_move_and_all_stay_within_the_bound() {
+fn only_duties_of_a_lost_server_move_and_loads_stay_in_bound() {
     let mut duties = duties_and_sessions(1_000, 300);
     let all = candidates(300);
     duties.apply(&DutyCommand::Assign(assign_available(&duties, &all, &|_| false)));
     assert!(imbalance(&duties, &all) <= MAX_IMBALANCE, "{}", imbalance(&duties, &all));
     let before = owners(&duties);
-    let (dead, rest): (Vec<_>, Vec<_>) = all.into_iter().partition(|duty| duty.name == "n7");
-    duties.apply(&DutyCommand::End(ServerInstance { name: dead[0].name.clone(), incarnation: 1 }));
+    let (lost, rest): (Vec<_>, Vec<_>) = all.into_iter().partition(|candidate| candidate.name == "n7");
+    duties.apply(&DutyCommand::End(ServerInstance { name: lost[0].name.clone(), incarnation: 1 }));
     duties.apply(&DutyCommand::Assign(assign_available(&duties, &rest, &|_| false)));
     let after = owners(&duties);
     let moved = before.iter().filter(|(duty, owner)| after[*duty] != **owner).count();
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn an_overloaded_server_acquires_nothing_new_unless_all_are_overloaded() {
+fn overloaded_server_acquires_only_if_all_are_overloaded() {
     let mut duties = duties_and_sessions(40, 4);
     let mut servers = candidates(4);
     (servers[0].can_acquire, servers[0].weight) = (false, 0.3);
@@ -51,11 +51,11 @@
         server.can_acquire = false;
     }
     duties.apply(&DutyCommand::Assign(assign_available(&duties, &servers, &|_| false)));
-    assert_eq!(owners(&duties).len(), 40, "a duty without an owner is worse");
+    assert_eq!(owners(&duties).len(), 40, "with all servers overloaded, every duty must still have an owner");
 }
 
 #[test]
-fn fewer_duties_than_servers_go_to_one_each() {
+fn fewer_duties_than_servers_go_to_distinct_servers() {
     let mut duties = duties_and_sessions(5, 20);
     let all = candidates(20);
     duties.apply(&DutyCommand::Assign(assign_available(&duties, &all, &|_| false)));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn first_owners_wait_for_one_lease_and_only_servers_that_stay_are_candidates() {
+fn first_assignment_waits_one_lease_and_skips_ineligible_servers() {
     let report = |share| crate::member::LoadReport { share, healthy: true, ..Default::default() };
     let view = |share| MemberView {
         zone: String::new(),
@@ -79,8 +79,10 @@
         .into();
     members.insert("without a session".into(), view(1.0));
     let candidates = super::candidates(&duties, &members, &|name| name == "n3");
-    let summary: Vec<_> =
-        candidates.iter().map(|one| (one.name.as_str(), one.weight as f32, one.can_acquire)).collect();
+    let summary: Vec<_> = candidates
+        .iter()
+        .map(|server| (server.name.as_str(), server.weight as f32, server.can_acquire))
+        .collect();
     assert_eq!(summary, [("n0", 0.89, false), ("n1", 0.9, true), ("n2", 0.01, false)]);
     let lease = duties.lease_settings().lease_millis;
     duties.advance_time(lease - 1);
@@ -90,7 +92,7 @@
 }
 
 #[test]
-fn a_server_that_leaves_changes_only_the_owners_of_its_own_part() {
+fn removed_candidate_changes_only_owners_of_its_duties() {
     let duties = duties_and_sessions(1, 20);
     let (all, rest) = (candidates(20), candidates(19));
     let owner = |candidates: &[Candidate], n: usize| {
@@ -100,24 +102,25 @@
     for (n, before) in before.iter().enumerate().filter(|(_, owner)| *owner != "n19") {
         assert_eq!(owner(&rest, n), *before, "duty {n}");
     }
-    let owned_by_most = all.iter().map(|one| before.iter().filter(|owner| **owner == one.name).count()).max();
-    assert!(owned_by_most <= Some(25), "spread evenly: {owned_by_most:?}");
+    let most_owned =
+        all.iter().map(|server| before.iter().filter(|owner| **owner == server.name).count()).max();
+    assert!(most_owned <= Some(25), "a server owns {most_owned:?} of 200 duties, the limit is 25");
 }
 
 #[test]
-fn the_successor_is_another_server_and_a_parked_duty_has_none() {
+fn successor_is_another_server_and_parked_duty_has_none() {
     let mut duties = duties_and_sessions(1, 3);
     let all = candidates(3);
     let next = successor(&duties, &all, "d0", "n1").unwrap();
     assert_ne!(next, "n1");
-    assert_eq!(successor(&duties, &all[1..2], "d0", "n1"), None, "there is no other");
+    assert_eq!(successor(&duties, &all[1..2], "d0", "n1"), None, "the owner is the only candidate");
     duties.apply(&DutyCommand::Park("d0".into(), "incident".into()));
     assert_eq!(successor(&duties, &all, "d0", "n1"), None);
 }
 
 proptest! {
     #[test]
-    fn every_free_duty_has_an_owner_that_takes(
+    fn every_available_duty_gets_an_owner_that_can_acquire(
         count in 1usize..120,
         servers in proptest::collection::vec((0.01f64..1.0, any::<bool>()), 1..12),
     ) {
@@ -130,8 +133,10 @@
         duties.apply(&DutyCommand::Assign(assign_available(&duties, &candidates, &|_| false)));
         let owners = owners(&duties);
         prop_assert_eq!(owners.len(), count);
-        if candidates.iter().any(|duty| duty.can_acquire) {
-            let can_acquire = |name: &ServerName| candidates.iter().any(|duty| duty.name == *name && duty.can_acquire);
+        if candidates.iter().any(|candidate| candidate.can_acquire) {
+            let can_acquire = |name: &ServerName| {
+                candidates.iter().any(|candidate| candidate.name == *name && candidate.can_acquire)
+            };
             prop_assert!(owners.values().all(can_acquire));
         }
         prop_assert!(assign_available(&duties, &candidates, &|_| false).is_empty());
--- a/crates/loomflow-fleet/src/duty/attempts.rs
+++ b/crates/loomflow-fleet/src/duty/attempts.rs
@@ -1,4 +1,4 @@
-//! When a duty is parked: its runs failed, or its owners were lost, so often in a row that the next attempt would only bring
+//! Parks a duty whose runs failed or whose owners were lost too often in a row, because another attempt would probably bring
 //! down another server.
 
 use super::LeaseSettings;
@@ -6,17 +6,18 @@
 use crate::member::ServerName;
 use crate::time::FleetMillis;
 
-/// An owner that was lost after it owned a duty for this many leases was not brought down by it.
-const SETTLED_AFTER_LEASES: u64 = 3;
+/// The duty is not blamed for the loss of an owner that had it for at least this many leases.
+const STABLE_AFTER_LEASES: u64 = 3;
 
 impl Duty {
-    /// Records a failed attempt. True where it was the last that the settings permit: the duty is to be parked.
+    /// Records a failed attempt. Returns true if it was the last that the settings permit, so that the duty has to be parked.
     pub(super) fn record_failure(&mut self, reason: &str, settings: LeaseSettings) -> bool {
         self.recent_failures.push(reason.to_owned());
         self.recent_failures.len() >= settings.max_attempts as usize
     }
 
-    /// Records that the owner's session expired. Returns the reason for which the duty is to be parked, if it is.
+    /// Records that the owner's session expired. Returns the reason to park the duty if that was the last attempt, and
+    /// resets the failures if the owner was stable.
     pub(super) fn record_lost_owner(
         &mut self,
         server: &ServerName,
@@ -24,7 +25,7 @@
         now: FleetMillis,
     ) -> Option<String> {
         let since = self.lease.as_ref().map_or(now, |lease| lease.since);
-        if now.saturating_sub(since) >= SETTLED_AFTER_LEASES * settings.lease_millis {
+        if now.saturating_sub(since) >= STABLE_AFTER_LEASES * settings.lease_millis {
             self.recent_failures.clear();
             return None;
         }
--- a/crates/loomflow-fleet/src/duty/client_session/tests.rs
+++ b/crates/loomflow-fleet/src/duty/client_session/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use crate::fixtures::owned_duty;
 
-fn ownership(session: SessionId, held: &[(&str, Token)]) -> Ownership {
-    let duties = held.iter().map(|(duty, token)| owned_duty(duty, *token)).collect();
+fn ownership(session: SessionId, leases: &[(&str, Token)]) -> Ownership {
+    let duties = leases.iter().map(|(duty, token)| owned_duty(duty, *token)).collect();
     Ownership { session, lease_settings: LeaseSettings { lease_millis: 1_000, max_attempts: 3 }, duties }
 }
 
 #[test]
-fn a_session_counts_from_before_its_renewal_was_sent_less_the_drift() {
+fn session_is_valid_from_the_send_time_for_the_lease_less_drift() {
     let mut session = ClientSession::default();
     session.renewal_sent(1, 100);
     session.renewed(ownership(1, &[("d", 1)]), 100, 900);
@@ -17,40 +17,40 @@
 }
 
 #[test]
-fn a_response_later_than_the_lease_is_ignored() {
+fn response_after_the_lease_is_ignored() {
     let mut session = ClientSession::default();
     session.renewed(ownership(1, &[("d", 1)]), 100, 1_200);
     assert_eq!((session.owned_token("d", 1_200), session.take_changes()), (None, vec![]));
 }
 
 #[test]
-fn a_released_duty_is_not_acquired_again_by_the_same_token() {
+fn released_duty_is_acquired_again_only_with_a_new_token() {
     let mut session = ClientSession::default();
     session.renewed(ownership(1, &[("d", 4)]), 0, 1);
     assert_eq!(session.release("d"), Some(4));
     session.notified(ownership(1, &[("d", 4)]), 2);
     session.renewed(ownership(1, &[("d", 4), ("e", 2)]), 0, 3);
     assert_eq!((session.owned_token("d", 4), session.owned_token("e", 4)), (None, Some(2)));
-    // Assigned again, under another token, it is.
+    // A new assignment has another token.
     session.notified(ownership(1, &[("d", 5)]), 5);
     assert_eq!(session.owned_token("d", 6), Some(5));
 }
 
 #[test]
-fn responses_of_another_session_neither_assign_nor_extend() {
+fn message_of_an_earlier_session_neither_assigns_nor_extends() {
     let mut session = ClientSession::default();
     session.renewed(ownership(2, &[("d", 7)]), 0, 1);
     session.notified(ownership(1, &[("e", 3)]), 2);
     session.renewed(ownership(1, &[("e", 3)]), 1_500, 1_501);
     assert_eq!((session.owned_token("e", 3), session.valid_until()), (None, 990));
-    // A later session invalidates what the former owned, whatever time was left.
+    // A later session ends the leases of the earlier one, whatever time remained.
     session.renewed(ownership(3, &[]), 3, 4);
     assert_eq!(session.owned_token("d", 5), None);
     assert!(session.take_changes().contains(&OwnershipChange::Lost("d".into(), 7)));
 }
 
 #[test]
-fn a_notification_does_not_extend_the_session() {
+fn notification_does_not_extend_the_session() {
     let mut session = ClientSession::default();
     session.renewed(ownership(1, &[]), 0, 1);
     session.notified(ownership(1, &[("d", 1)]), 900);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_recall_is_reported_once_and_not_undone_by_an_older_message() {
+fn recall_is_reported_once_and_not_undone_by_an_older_message() {
     let mut session = ClientSession::default();
     session.renewed(ownership(1, &[("d", 1)]), 0, 1);
     let mut recalled = ownership(1, &[("d", 1)]);
@@ -69,30 +69,30 @@
     let requests = session
         .take_changes()
         .into_iter()
-        .filter(|c| matches!(c, OwnershipChange::ReleaseRequested(..)))
+        .filter(|change| matches!(change, OwnershipChange::ReleaseRequested(..)))
         .count();
-    assert_eq!((requests, session.duty("d").map(|g| g.is_recalled)), (1, Some(true)));
+    assert_eq!((requests, session.duty("d").map(|owned| owned.is_recalled)), (1, Some(true)));
 }
 
 #[test]
-fn a_session_is_renewed_four_times_within_its_lease() {
+fn session_is_renewed_four_times_per_lease() {
     let mut session = ClientSession::default();
     session.renewal_sent(1, 0);
     session.renewed(ownership(1, &[]), 0, 1);
     session.renewal_sent(2, 1_000);
     assert_eq!((session.is_renewal_due(1_249), session.is_renewal_due(1_250)), (false, true));
-    assert_eq!(session.renewal_sent(3, 1_250), Some(2), "the unanswered one");
+    assert_eq!(session.renewal_sent(3, 1_250), Some(2), "renewal 2 is still without a response");
 }
 
 #[test]
-fn two_renewals_are_at_least_twenty_milliseconds_apart() {
-    // A quarter of this lease is shorter.
+fn renewals_are_at_least_20_ms_apart() {
+    // A quarter of this lease would be 10 ms.
     let mut session = ClientSession::default();
     let lease_settings = LeaseSettings { lease_millis: 40, max_attempts: 3 };
     session.renewed(Ownership { lease_settings, ..ownership(1, &[]) }, 0, 1);
     session.renewal_sent(1, 100);
     assert_eq!([119, 120].map(|now| session.is_renewal_due(now)), [false, true]);
-    // The notification of a later session, which a renewal has to confirm.
+    // The notification of a later session makes a renewal due early.
     let mut session = ClientSession::default();
     session.renewal_sent(1, 0);
     session.notified(ownership(1, &[]), 100);
--- a/crates/loomflow-fleet/src/duty/fence.rs
+++ b/crates/loomflow-fleet/src/duty/fence.rs
@@ -1,8 +1,8 @@
-//! The receiver's part: the highest fencing token of each duty so far, and a rejection of every lower one.
+//! Fence of a receiver of effects: it records the highest fencing token of each duty and rejects every lower one.
 //!
-//! A lease cannot stop a process that stalls between its check and its effect. So each effect carries its owner's token,
-//! and its receiver checks the fence first. The fence is stored where the effect is stored, and written before the effect:
-//! [`Fence::admit`] takes the writing as a step that must succeed.
+//! A lease cannot stop a process that stalls between its ownership check and its effect. So each effect carries its owner's
+//! token, and its receiver checks the fence first. The fence is stored where the effect is stored, and before the effect:
+//! [`Fence::admit`] takes the write as a closure that must succeed.
 
 use std::collections::BTreeMap;
 
@@ -10,50 +10,50 @@
 
 use super::{DutyName, MAX_DUTIES, Token};
 
-/// Why an effect is rejected. Nothing of it is to be done.
+/// Why an effect is rejected. The receiver must not apply any part of it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FenceError<E> {
-    /// A later owner was here.
-    #[error("token {token} is of an old owner: {highest} was here")]
+    /// The fence has admitted a later owner.
+    #[error("token {token} is stale: the fence has admitted token {highest}")]
     Stale {
-        /// The token of the effect.
+        /// The token that the effect carries.
         token: Token,
-        /// The highest token so far.
+        /// The highest token that the fence has admitted for the duty.
         highest: Token,
     },
-    /// As many duties as a fence stores.
-    #[error("the fence keeps {MAX_DUTIES} duties, and knows as many")]
+    /// The duty is new, and the fence already stores [`MAX_DUTIES`] others.
+    #[error("the fence is full: it stores tokens of {MAX_DUTIES} duties, which is the limit")]
     Full,
-    /// The token could not be stored; nothing is known to be durable, so nothing may follow.
-    #[error("the token could not be kept: {0}")]
+    /// The token could not be stored. An effect must not be applied before its token is durable.
+    #[error("the token could not be stored: {0}")]
     Storage(E),
 }
 
-/// Highest tokens by duty. Stores at most [`MAX_DUTIES`].
+/// The highest admitted token of each duty, for at most [`MAX_DUTIES`] duties.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Fence {
     highest: BTreeMap<DutyName, Token>,
-    /// Effects rejected since this was created.
+    /// Number of effects rejected in this process; not stored.
     #[serde(skip)]
     rejected: u64,
 }
 
 impl Fence {
-    /// The highest token so far of a duty; 0 before there was one.
+    /// The highest token admitted for a duty; 0 before the first one.
     pub fn highest_token(&self, duty: &str) -> Token {
         self.highest.get(duty).copied().unwrap_or(0)
     }
 
-    /// Effects rejected since this was created.
+    /// Number of effects rejected for a stale token since the fence was created or loaded.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
 
-    /// Checks whether an effect with this token may be done. `store` writes the fence, where the token is higher than any
-    /// before: it has to be durable when it returns.
+    /// Admits an effect with this token, unless the token is stale. `store` is called if the token is higher than any before:
+    /// it writes the fence, which must be durable when it returns.
     ///
     /// # Errors
-    /// The effect must not be done, and the fence is as it was.
+    /// The effect must not be applied. The tokens in the fence are unchanged.
     pub fn admit<E>(
         &mut self,
         duty: &str,
--- a/crates/loomflow-fleet/src/duty/fence/tests.rs
+++ b/crates/loomflow-fleet/src/duty/fence/tests.rs
@@ -1,33 +1,33 @@
 use super::*;
 
-/// A storage that accepts everything.
-#[expect(clippy::unnecessary_wraps, reason = "the signature of a storage")]
+/// A write of the fence that always succeeds.
+#[expect(clippy::unnecessary_wraps, reason = "must match the closure that Fence::admit takes")]
 fn store(_: &Fence) -> Result<(), &'static str> {
     Ok(())
 }
 
 #[test]
-fn a_lower_token_is_refused_and_the_same_one_is_not() {
+fn lower_token_is_rejected_and_equal_token_admitted() {
     let mut fence = Fence::default();
     assert_eq!(fence.admit("d", 5, store), Ok(()));
-    assert_eq!(fence.admit("d", 5, |_| -> Result<(), &str> { panic!("it is kept already") }), Ok(()));
+    assert_eq!(fence.admit("d", 5, |_| -> Result<(), &str> { panic!("token 5 is stored twice") }), Ok(()));
     assert_eq!(fence.admit("d", 4, store), Err(FenceError::Stale { token: 4, highest: 5 }));
-    assert_eq!(fence.admit("other", 4, store), Ok(()), "each duty for itself");
+    assert_eq!(fence.admit("other", 4, store), Ok(()), "the token of another duty must not count");
     assert_eq!((fence.highest_token("d"), fence.rejected()), (5, 1));
 }
 
 #[test]
-fn a_token_that_cannot_be_stored_is_not_admitted_and_changes_nothing() {
+fn failed_store_rejects_the_effect_and_restores_the_fence() {
     let mut fence = Fence::default();
     assert_eq!(fence.admit("d", 5, |_| Err("full")), Err(FenceError::Storage("full")));
     assert_eq!(fence, Fence::default());
     assert_eq!(fence.admit("d", 5, store), Ok(()));
     assert_eq!(fence.admit("d", 7, |_| Err("full")), Err(FenceError::Storage("full")));
-    assert_eq!(fence.admit("d", 6, store), Ok(()), "7 was never here");
+    assert_eq!(fence.admit("d", 6, store), Ok(()), "token 7 was not stored and must not count");
 }
 
 #[test]
-fn it_is_bounded() {
+fn full_fence_rejects_a_new_duty() {
     let mut fence = Fence::default();
     for duty in 0..MAX_DUTIES {
         assert_eq!(fence.admit(&duty.to_string(), 1, store), Ok(()));
--- a/crates/loomflow-fleet/src/duty/job.rs
+++ b/crates/loomflow-fleet/src/duty/job.rs
@@ -1,42 +1,43 @@
-//! The operators' jobs, decided without a process: when an owner begins a run, and what it writes about it. When the process
-//! of a run has to end is decided by [`super::supervisor`].
+//! State machine of the runs of an operators' job, without processes: when the owner begins a run, and what it writes to the
+//! fleet's state. [`super::supervisor`] decides when the process of a run has to end.
 //!
-//! A run begins only when its number is committed: so no time is run twice.
+//! The process of a run starts only after the run's number is committed, so a due time has one run, which begins again only
+//! if its last attempt failed or did not end.
 
 use super::{DutyName, DutyRejection, OwnedDuty, OwnerUpdate, RunId, Token};
 use crate::time::IntegerMillis;
 
-/// A run that failed is retried after this, ms.
+/// Delay before a failed run, or a failed write of its beginning, is retried, ms.
 const RETRY_AFTER_MILLIS: IntegerMillis = 1_000;
 
-/// How a run's process ended.
+/// The outcome of a run's process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// It succeeded.
+    /// The process succeeded.
     Done,
-    /// It failed; with the reason.
+    /// The process failed, for this reason.
     Failed(String),
-    /// Its owner was to release the duty, or lost it: the run is the next owner's.
+    /// The process was stopped because its owner had to release the duty or lost it. The next owner runs it again.
     OwnershipLost,
 }
 
-/// What the owner is to do.
+/// The next action of the owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobAction {
-    /// Write this into the fleet's state.
+    /// Write this update to the fleet's state.
     Write(OwnerUpdate),
     /// Start the process of this run.
     Start(RunId),
-    /// Send the process SIGTERM.
+    /// Send SIGTERM to the process.
     Terminate,
-    /// Release the duty: no process runs any more.
+    /// Release the duty. No process of it is running.
     Release,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum State {
     Idle,
-    /// The beginning of a run is to be committed.
+    /// The write of [`OwnerUpdate::Began`] awaits its result.
     Beginning(RunId),
     Running {
         run: RunId,
@@ -44,46 +45,47 @@
     },
 }
 
-/// The runs of one duty under one token.
+/// The runs of a duty under one token of its owner.
 #[derive(Clone, Debug)]
 pub struct JobRuns {
-    /// The duty.
+    /// Name of the duty.
     pub duty: DutyName,
     /// The owner's fencing token.
     pub token: Token,
     last_run: RunId,
     has_unfinished_run: bool,
-    /// The operator's request was taken up, and what is owned does not show it yet.
-    is_request_taken: bool,
+    /// The run that an operator requested has begun, but the owned duty may still show the request.
+    is_request_begun: bool,
     retry_at: IntegerMillis,
     state: State,
 }
 
 impl JobRuns {
-    /// Continues from the former runs of the duty.
+    /// Continues after the last run of the duty, by whichever owner.
     pub fn new(owned: &OwnedDuty) -> JobRuns {
         JobRuns {
             duty: owned.duty.clone(),
             token: owned.token,
             last_run: owned.last_run,
             has_unfinished_run: owned.has_unfinished_run,
-            is_request_taken: false,
+            is_request_begun: false,
             retry_at: 0,
             state: State::Idle,
         }
     }
 
-    /// Whether a process runs.
+    /// Whether a process is running.
     pub fn is_running(&self) -> bool {
         matches!(self.state, State::Running { .. })
     }
 
-    /// Whether a process runs that has to end.
+    /// Whether a running process was told to end.
     pub fn is_terminating(&self) -> bool {
         matches!(self.state, State::Running { is_terminating: true, .. })
     }
 
-    /// What is to be done now. `owned`: what is owned, none where it no longer is. `unix_seconds`: the wall clock.
+    /// Returns the next action. `owned` is the duty as it is owned at `now`, `None` if it no longer is; `unix_seconds` is the
+    /// wall clock.
     pub fn step(
         &mut self,
         owned: Option<&OwnedDuty>,
@@ -100,7 +102,7 @@
             State::Idle if must_stop => owned.map(|_| JobAction::Release),
             State::Idle => {
                 let owned = owned?;
-                self.is_request_taken &= owned.is_run_requested;
+                self.is_request_begun &= owned.is_run_requested;
                 let run = self.due_run(owned, now, unix_seconds)?;
                 self.state = State::Beginning(run);
                 Some(JobAction::Write(OwnerUpdate::Began(run)))
@@ -116,26 +118,26 @@
         if self.has_unfinished_run {
             return Some(self.last_run);
         }
-        let is_requested = owned.is_run_requested && !self.is_request_taken;
+        let is_requested = owned.is_run_requested && !self.is_request_begun;
         let scheduled =
             owned.schedule.as_ref().and_then(|schedule| schedule.due_run(self.last_run, unix_seconds));
         scheduled.or_else(|| is_requested.then(|| unix_seconds.max(self.last_run + 1)))
     }
 
-    /// The answer to writing that a run begins; none where nothing is known.
-    pub fn begin_answered(
+    /// Handles the result of writing [`OwnerUpdate::Began`]; `None` if the result is unknown.
+    pub fn begin_result(
         &mut self,
-        answer: Option<&Result<(), DutyRejection>>,
+        result: Option<&Result<(), DutyRejection>>,
         owned: Option<&OwnedDuty>,
         now: IntegerMillis,
     ) -> Option<JobAction> {
         let State::Beginning(run) = self.state else { return None };
         self.state = State::Idle;
-        match answer {
+        match result {
             Some(Ok(())) => {
                 self.last_run = run;
                 self.has_unfinished_run = true;
-                self.is_request_taken = true;
+                self.is_request_begun = true;
                 let is_owned = owned.is_some_and(|owned| owned.token == self.token && !owned.is_recalled);
                 if !is_owned {
                     return None;
@@ -155,7 +157,7 @@
         }
     }
 
-    /// The process of the run has ended.
+    /// Handles the end of the process of the current run.
     pub fn process_ended(&mut self, exit: Exit, now: IntegerMillis) -> Option<JobAction> {
         let State::Running { run, .. } = self.state else { return None };
         self.state = State::Idle;
--- a/crates/loomflow-fleet/src/duty/load.rs
+++ b/crates/loomflow-fleet/src/duty/load.rs
@@ -1,6 +1,6 @@
-//! How much a server may own: weighted rendezvous hashing with a bound on load. Each duty ranks all servers by a number
-//! drawn from both names and the server's weight, and is placed on the first of its ranking that has capacity. So a server
-//! that joins or leaves changes the owners of little more than its own part.
+//! Placement of duties by weighted rendezvous hashing with a bound on load. Each duty ranks all servers by a score computed
+//! from both names and the server's weight, and is placed on the first one in that order that has capacity. So when a server
+//! joins or leaves, few duties move beyond those that it gains or loses.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -9,16 +9,16 @@
 use super::state::Duties;
 use crate::member::ServerName;
 
-/// No server owns more than this times its even part, by weight.
+/// Maximum load of a server, as a multiple of its share of the total weight.
 pub const MAX_IMBALANCE: f64 = 1.25;
 
-/// How much each server owns, and may own, by the weights of the duties.
+/// The load of each candidate and its bound, both in weights of duties.
 pub(super) struct Loads<'a> {
     candidates: &'a [Candidate],
-    /// Where all are in overload, all acquire: a duty without an owner is worse.
+    /// Set if all candidates are in overload: an overloaded owner is better than none.
     can_all_acquire: bool,
     owned: BTreeMap<&'a str, f64>,
-    /// What a server of weight 1 may own; none has less capacity than for the heaviest duty.
+    /// Bound of a server of weight 1. The bound of any server is at least the weight of the heaviest duty.
     bound: f64,
     heaviest: f64,
 }
@@ -51,21 +51,21 @@
         self.excess(candidate) + weight <= 0.0
     }
 
-    /// By how much a server owns more than its bound; negative where it has capacity.
+    /// The load of a server above its bound; negative below it.
     fn excess(&self, candidate: &Candidate) -> f64 {
         let bound = (self.bound * candidate.weight).max(self.heaviest);
         self.owned[candidate.name.as_str()] - bound
     }
 
-    /// Whether a server owns more than its bound by a duty of this weight, for which another server has capacity.
+    /// Whether a server exceeds its bound by at least this weight and another server has capacity for that weight.
     pub fn is_over_bound(&self, name: &str, weight: f64) -> bool {
         let candidate = self.candidates.iter().find(|candidate| candidate.name == name);
         candidate.is_some_and(|candidate| self.excess(candidate) >= weight)
             && self.acquirers().any(|other| other.name != name && self.has_capacity(other, weight))
     }
 
-    /// Places a duty on the first of its ranking with capacity; where none has it, on the one with the lowest load by its
-    /// weight.
+    /// Places a duty on the server with the highest score of those with capacity, or, if none has capacity, on the one with
+    /// the lowest load relative to its weight.
     pub fn place(&mut self, duty: &str, weight: u32) -> Option<ServerName> {
         let weight = f64::from(weight);
         let relative_load = |candidate: &Candidate| self.owned[candidate.name.as_str()] / candidate.weight;
@@ -83,8 +83,8 @@
     candidates.iter().map(|candidate| candidate.weight).sum()
 }
 
-/// A server's place in a duty's ranking: the greatest is first. Weighted rendezvous hashing, `-w / ln u`, with u drawn
-/// evenly between 0 and 1 from both names (Schindelhauer and Schomaker, "Weighted distributed hash tables").
+/// The score of a server for a duty; the highest wins. Weighted rendezvous hashing: `-w / ln u`, where u is a hash of both
+/// names, uniform between 0 and 1 (Schindelhauer and Schomaker, "Weighted distributed hash tables").
 fn score(duty: &str, candidate: &Candidate) -> f64 {
     let mut hasher = DefaultHasher::new();
     (duty, candidate.name.as_str()).hash(&mut hasher);
@@ -92,7 +92,7 @@
     -candidate.weight / u.ln()
 }
 
-/// How unevenly duties are spread: the maximum that a server owns over the mean, by weight; for measurements.
+/// The highest load of a server over the mean load, both relative to the weights of the servers; for measurements.
 pub fn imbalance(duties: &Duties, candidates: &[Candidate]) -> f64 {
     let loads = Loads::new(duties, candidates);
     let total: f64 = loads.owned.values().sum();
--- a/crates/loomflow-fleet/src/duty/mod.rs
+++ b/crates/loomflow-fleet/src/duty/mod.rs
@@ -1,22 +1,22 @@
-//! Duties: work on behalf of the fleet that exactly one server does at a time, and that a former owner cannot disturb.
+//! Duties: fleet-wide work that one server at a time owns, fenced against the effects of former owners.
 //!
-//! - [`state`]: the state machine applied from the log: sessions, leases, what owners have written, what is parked.
-//! - [`client_session`]: what one member knows of its own session and the duties that it owns, by its own clock.
-//! - [`fence`]: the receiver's check, which rejects what comes from a former owner.
-//! - [`assign`]: who should own what, by `load`, and what its owner is to release, by `recall`. Only the leader decides; its
-//!   decisions go into the log.
-//! - `attempts`: when a duty that fails again and again is parked.
-//! - [`job`]: the operators' jobs: when a run begins, and what is written about it.
+//! - [`state`]: the replicated state machine: sessions, leases, checkpoints, runs and parked duties.
+//! - [`client_session`]: a member's view of its session and of the duties that it owns, on its own clock.
+//! - [`fence`]: the check by which a receiver of effects rejects stale tokens.
+//! - [`assign`]: owners for duties, chosen by `load`, and duties to move, chosen by `recall`. Only the leader runs it; its
+//!   decisions are committed to the log.
+//! - `attempts`: parks a duty after repeated failures.
+//! - [`job`]: the operators' jobs: when a run begins, and what is recorded about it.
 //! - [`supervisor`]: when the process of a run has to end.
-//! - [`schedule`]: when a duty with a schedule is due, and what happens to missed runs.
-//! - [`summary`]: the duty that sums the fleet up.
+//! - [`schedule`]: when a scheduled duty is due, and how missed runs are handled.
+//! - [`summary`]: the duty that aggregates the load of the fleet.
 //!
-//! A server has a **session** while it renews it. A **lease** records in the state which server owns a duty and by which
-//! fencing token; it lasts as long as its owner's session. [`Ownership`] is what an owner is told: its session, and for each of
-//! its leases an [`OwnedDuty`].
+//! A server has a **session** while it renews it. A **lease** records in the state which server owns a duty and its fencing
+//! token; it lasts as long as its owner's session. [`Ownership`] is what a server receives: its session, and an
+//! [`OwnedDuty`] for each of its leases.
 //!
-//! Time separates two owners while clocks behave, and only to spare them useless work: what protects the fleet's effects is
-//! the fencing token and the receiver's fence.
+//! While clocks drift within [`MAX_CLOCK_DRIFT`] the leases of two owners do not overlap, which only avoids useless work.
+//! The fleet's effects are protected by the fencing token and the receiver's fence.
 //!
 //! Many fields and variants have another name in JSON, which operators' tools read: `#[serde(rename)]` keeps that name. The
 //! log and snapshots are postcard, which holds no names.
@@ -40,39 +40,39 @@
 
 /// The name of a duty: 1 to 64 bytes.
 pub type DutyName = String;
-/// A fencing token. Rises with every owner of any duty, across leaders, restarts and snapshots.
+/// A fencing token. Every assignment of any duty gets a higher one, across leaders, restarts and snapshots.
 pub type Token = u64;
-/// Rises with every session of any server.
+/// The number of a session. Every new session of any server gets a higher one.
 pub type SessionId = u64;
-/// Numbers a run: the Unix time at which it was due, s.
+/// The number of a run: the Unix time at which it was due, s.
 pub type RunId = u64;
 
-/// Maximum number of duties.
+/// Maximum number of duties that the settings may declare.
 pub const MAX_DUTIES: usize = 2_048;
-/// What an owner may write for the next one, bytes.
+/// Maximum length of a checkpoint, bytes.
 pub const MAX_CHECKPOINT_BYTES: usize = 1_024;
-/// Maximum length of a reason that is stored, bytes: of a ticket a longer one is rejected, elsewhere it is truncated.
+/// Maximum length of a stored reason, bytes. A ticket with a longer one is rejected; elsewhere it is truncated.
 pub const MAX_REASON_BYTES: usize = 256;
-/// The rates of two machines' boot-time clocks differ by at most this fraction. Beyond it two may believe that they own a
-/// duty; the fence then still lets only the later one through.
+/// Maximum fraction by which the rates of two machines' boot-time clocks may differ. Beyond it two servers may act as the
+/// owner of a duty; the fence then still admits only the one with the higher token.
 pub const MAX_CLOCK_DRIFT: f64 = 0.01;
 
-/// One start of a server, as an owner of duties.
+/// One incarnation of a server, which owns duties independently of the others.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ServerInstance {
-    /// The server.
+    /// The server's name.
     pub name: ServerName,
-    /// Which start of it.
+    /// Identifies the start of the server.
     pub incarnation: Incarnation,
 }
 
-/// The operators' settings for all duties.
+/// Settings of the operators that apply to all duties.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseSettings {
     /// The time until a session without a renewal expires, ms.
     #[serde(rename = "lease")]
     pub lease_millis: IntegerMillis,
-    /// A duty that was lost or failed this many times in a row, with nothing done between, is parked.
+    /// A duty is parked after this many lost owners or failed runs without a successful run between them.
     #[serde(rename = "attempts")]
     pub max_attempts: u32,
 }
@@ -84,232 +84,237 @@
 }
 
 impl LeaseSettings {
-    /// How long the owner relies on its session, from before the renewal was sent, ms: the lease less the bound on drift.
+    /// How long the owner relies on its session, counted from before it sent the renewal, ms: the lease less
+    /// [`MAX_CLOCK_DRIFT`].
     pub fn owner_duration(&self) -> IntegerMillis {
         scaled(self.lease_millis, 1.0 - MAX_CLOCK_DRIFT)
     }
 
-    /// How long the others wait, from when the session was committed, ms: the lease plus that bound.
+    /// How long the state machine waits after it applied a renewal until the session expires, ms: the lease plus
+    /// [`MAX_CLOCK_DRIFT`].
     pub fn waiting_duration(&self) -> IntegerMillis {
         scaled_up(self.lease_millis, 1.0 + MAX_CLOCK_DRIFT)
     }
 }
 
-/// A duty as it is declared, by the operators' settings or built in.
+/// The declaration of a duty, from the operators' settings or built in.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutySpec {
-    /// Its name.
+    /// The duty's name, unique in the fleet.
     pub name: DutyName,
-    /// How heavy it is beside others; 1 is usual.
+    /// Load of the duty relative to others, by which owners are balanced; 1 by default.
     pub weight: u32,
-    /// When it is to be run; none for what its owner does all the time, or that is run on demand.
+    /// Times of its runs; `None` for a duty that its owner performs continuously or that runs on demand.
     pub schedule: Option<schedule::Schedule>,
 }
 
 impl DutySpec {
-    /// A duty without a schedule, as heavy as usual.
+    /// A duty of weight 1 without a schedule.
     pub fn plain(name: &str) -> DutySpec {
         DutySpec { name: name.to_owned(), weight: 1, schedule: None }
     }
 }
 
-/// What an owner writes into the fleet's state, with its token: the state is fenced like any other receiver.
+/// An owner's write to the fleet's state. It carries the owner's token, and the state is fenced like any other receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OwnerUpdate {
-    /// For the next owner.
+    /// Progress for the next owner: at most [`MAX_CHECKPOINT_BYTES`].
     Checkpoint(Vec<u8>),
-    /// A run begins. No run begins twice, except to retry one that did not end.
+    /// A run begins. Rejected if the run began before, unless this retries a run that did not end.
     Began(RunId),
-    /// The run succeeded.
+    /// The owner's current run succeeded.
     Done(RunId),
-    /// The run failed; with the reason.
+    /// The owner's current run failed, for this reason.
     Failed(RunId, String),
 }
 
-/// A log entry on duties.
+/// A command of the replicated log that concerns duties.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum DutyCommand {
-    /// By the leader, from its settings: all duties there are.
+    /// From the leader: the complete list of duties in its settings.
     Declare(LeaseSettings, Vec<DutySpec>),
-    /// Servers that renewed their sessions. One renewal extends all that a server owns.
+    /// Opens or renews the sessions of servers. A renewal extends all leases of the server.
     KeepAlive(Vec<ServerInstance>),
-    /// A server shuts down, and owns nothing that it has to finish.
+    /// A server shuts down and has finished its work: its session ends, and its duties are released.
     End(ServerInstance),
-    /// By the leader: owners for duties without one.
+    /// From the leader: owners for available duties.
     Assign(Vec<(DutyName, ServerName)>),
-    /// By the leader or an operator: its owner is to release it.
+    /// From the leader or an operator: requires the owner to release the duty.
     Recall(DutyName),
-    /// By its owner: it is available again.
+    /// From the owner: releases the duty.
     Release {
-        /// The duty.
+        /// Name of the duty.
         duty: DutyName,
         /// The owner's fencing token.
         token: Token,
-        /// Who gets it at once, filled in by the leader.
+        /// The server that the duty is assigned to at once; set by the leader.
         #[serde(rename = "to")]
         successor: Option<ServerName>,
     },
-    /// By its owner: something to keep.
+    /// From the owner: updates the duty's stored state.
     Write {
-        /// The duty.
+        /// Name of the duty.
         duty: DutyName,
         /// The owner's fencing token.
         token: Token,
-        /// What to keep.
+        /// The checkpoint, or the beginning or end of a run.
         #[serde(rename = "note")]
         update: OwnerUpdate,
     },
-    /// By an operator: nobody is to own it until it is resumed; with the reason.
+    /// From an operator: the duty is not assigned until it is resumed, for this reason.
     Park(DutyName, String),
-    /// By an operator: it may be owned again.
+    /// From an operator: the duty may be assigned again.
     Resume(DutyName),
-    /// By an operator: its owner is to run it once, now. The number identifies the request: sent again it is the same run.
+    /// From an operator: the owner runs the duty once, as soon as possible. The number identifies the request, so that one
+    /// that is sent twice causes one run.
     Run(DutyName, u64),
 }
 
-/// The response to a [`DutyCommand`], or to a request for all duties.
+/// The response to a [`DutyCommand`], or to a request for the list of duties.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum DutyResponse {
-    /// Done.
+    /// The command was applied.
     Done,
-    /// To [`DutyCommand::KeepAlive`]: what the server owns.
+    /// To [`DutyCommand::KeepAlive`]: the server's session and its duties.
     #[serde(rename = "Kept")]
     Ownership(Ownership),
-    /// Not done, and nothing has changed.
+    /// The command was rejected.
     #[serde(rename = "Refused")]
     Rejected(DutyRejection),
-    /// All duties.
+    /// To a request for the list of duties.
     List(Box<DutyList>),
 }
 
 /// A server's session and the duties that it owns.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Ownership {
-    /// The session; 0 where there is none.
+    /// Number of the session; 0 for a server without one.
     pub session: SessionId,
     /// The lease settings in force.
     #[serde(rename = "terms")]
     pub lease_settings: LeaseSettings,
-    /// What is owned.
+    /// The duties that the server owns.
     #[serde(rename = "held")]
     pub duties: Vec<OwnedDuty>,
 }
 
-/// One duty that a server owns, as its owner is told of it.
+/// A duty, as it is sent to its owner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct OwnedDuty {
-    /// The duty.
+    /// Name of the duty.
     pub duty: DutyName,
     /// The owner's fencing token.
     pub token: Token,
-    /// The owner is to release it.
+    /// Whether the owner has to release the duty.
     #[serde(rename = "recalled")]
     pub is_recalled: bool,
-    /// What the last owner wrote.
+    /// The last checkpoint, by this owner or a former one; empty before the first.
     pub checkpoint: Vec<u8>,
-    /// The last run that began; 0 before any did.
+    /// The last run that began; 0 before the first.
     pub last_run: RunId,
-    /// Whether that run has not ended.
+    /// Whether `last_run` has not ended.
     #[serde(rename = "unended")]
     pub has_unfinished_run: bool,
-    /// An operator requested a run that has not begun.
+    /// Whether an operator requested a run that has not begun.
     #[serde(rename = "wanted")]
     pub is_run_requested: bool,
-    /// When it is to be run.
+    /// Times of its runs; `None` for a duty without a schedule.
     pub schedule: Option<schedule::Schedule>,
 }
 
-/// Why a command on a duty is not done. It changes nothing then.
+/// Why a command that concerns a duty is rejected. It has no effect, except that a stale token
+/// is counted and recorded as an event.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum DutyRejection {
     /// No duty has this name.
     #[error("no duty is called {0:?}")]
     Unknown(DutyName),
-    /// From a server that does not own the duty.
-    #[error("{duty}: token {token} is of an old owner, {current} counts")]
+    /// The token is not that of the current lease: the sender does not own the duty.
+    #[error("{duty}: token {token} is stale, the highest token assigned is {current}")]
     Stale {
-        /// The duty.
+        /// Name of the duty.
         duty: DutyName,
         /// The token that the command carries.
         token: Token,
-        /// The highest token of the duty.
+        /// The highest token ever assigned for the duty.
         #[serde(rename = "counts")]
         current: Token,
     },
-    /// An earlier start of this server may still own something, for this long, ms.
-    #[error("an earlier start of this server may own something for {0} ms more")]
+    /// The session of an earlier incarnation of the server expires only after this many ms; 0 if there is none, and the
+    /// sessions are at their limit.
+    #[error("an earlier incarnation of this server may own duties for another {0} ms")]
     #[serde(rename = "FormerSelf")]
     EarlierIncarnation(IntegerMillis),
-    /// This run has begun already, or is over.
-    #[error("{duty}: run {run} has begun already")]
+    /// The run cannot begin, because it or a later one has begun, or cannot end, because it is not the owner's current run.
+    #[error("{duty}: the run is over or not its owner's, the last run that began is {run}")]
     Begun {
-        /// The duty.
+        /// Name of the duty.
         duty: DutyName,
         /// The last run that began.
         run: RunId,
     },
-    /// The command makes no sense, in words.
+    /// The command exceeds a limit or names an invalid value, which the text describes.
     #[error("{0}")]
     #[serde(rename = "Bad")]
     Invalid(String),
 }
 
-/// A duty with all that is known of it.
+/// The status of a duty, as operators see it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyStatus {
-    /// The duty.
+    /// Name of the duty.
     pub duty: DutyName,
-    /// Its owner.
+    /// The server that owns the duty, if one does. Its incarnation is 0 if it has no session.
     pub owner: Option<ServerInstance>,
     /// The highest token ever assigned for it.
     pub token: Token,
-    /// Since when it is owned, or available.
+    /// When the current lease began, or when the last one ended.
     pub since: FleetMillis,
-    /// Its owner is to release it.
+    /// Whether the owner has to release the duty.
     #[serde(rename = "recalled")]
     pub is_recalled: bool,
-    /// Why nobody is to own it; none where somebody may.
+    /// The reason for which the duty is parked; `None` while it is not.
     pub parked: Option<String>,
-    /// Owners lost or runs failed in a row, with their reasons.
+    /// Reasons of the lost owners and failed runs that count towards [`LeaseSettings::max_attempts`], the oldest first.
     #[serde(rename = "strikes")]
     pub recent_failures: Vec<String>,
-    /// The last run that began; 0 before any did.
+    /// The last run that began; 0 before the first.
     pub last_run: RunId,
-    /// Whether that run has not ended.
+    /// Whether `last_run` has not ended.
     #[serde(rename = "unended")]
     pub has_unfinished_run: bool,
-    /// An operator requested a run that has not begun.
+    /// Whether an operator requested a run that has not begun.
     #[serde(rename = "wanted")]
     pub is_run_requested: bool,
-    /// Writes that were rejected for a stale token.
+    /// Number of commands that were rejected for a stale token.
     #[serde(rename = "refused")]
     pub rejected_writes: u64,
 }
 
-/// All duties and their history.
+/// All duties, with the sessions of their owners and the recent events.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DutyList {
-    /// All duties, by name.
+    /// All duties, ordered by name.
     pub duties: Vec<DutyStatus>,
-    /// Servers with a session.
+    /// The servers that have a session.
     pub sessions: Vec<ServerName>,
     /// The lease settings in force.
     #[serde(rename = "terms")]
     pub lease_settings: LeaseSettings,
-    /// The fleet's time.
+    /// The fleet's time at the last log entry, ms.
     pub time: FleetMillis,
-    /// The last events, the oldest first.
+    /// The last [`state::MAX_EVENTS`] events, the oldest first.
     pub events: Vec<DutyEvent>,
 }
 
-/// What happened to a duty.
+/// The kind of an event in the history of a duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DutyEventKind {
-    /// It has an owner.
+    /// The duty was assigned to an owner.
     Taken,
-    /// Its owner released it.
+    /// The owner released the duty or ended its session.
     Released,
-    /// Its owner's session expired.
+    /// The owner's session expired.
     Lost,
     /// A run began.
     Began,
@@ -317,17 +322,17 @@
     Done,
     /// A run failed.
     Failed,
-    /// Nobody is to own it.
+    /// The duty was parked.
     Parked,
-    /// It may be owned again.
+    /// The duty may be assigned again.
     Resumed,
-    /// A write with a stale token.
+    /// A command was rejected for a stale token.
     #[serde(rename = "Refused")]
     Rejected,
 }
 
 impl DutyEventKind {
-    /// Its name as operators see it.
+    /// The name of the kind in the operators' output.
     pub fn as_str(self) -> &'static str {
         match self {
             DutyEventKind::Taken => "taken",
@@ -346,36 +351,37 @@
 /// One event in the history of a duty.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyEvent {
-    /// When.
+    /// Time of the event.
     pub at: FleetMillis,
-    /// Which duty.
+    /// Name of the duty.
     pub duty: DutyName,
-    /// The highest token at that time.
+    /// The highest token assigned for the duty at that time.
     pub token: Token,
-    /// Its owner; empty where there was none.
+    /// The owner at that time; empty if there was none.
     pub owner: ServerName,
-    /// What happened.
+    /// The kind of the event.
     #[serde(rename = "what")]
     pub kind: DutyEventKind,
-    /// A reason, a run, or the token that was rejected.
+    /// The reason, the run or the rejected token, depending on the kind; may be empty.
     pub detail: String,
 }
 
-/// Checks a duty's name.
+/// Checks the length and the characters of a duty's name.
 ///
 /// # Errors
-/// What is wrong with it.
+/// [`DutyRejection::Invalid`] with the rule that the name breaks.
 pub fn check_name(name: &str) -> Result<(), DutyRejection> {
     if (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.contains(char::is_control) {
         Ok(())
     } else {
         Err(DutyRejection::Invalid(format!(
-            "a duty's name has 1 to {MAX_NAME_BYTES} bytes, none of them a control"
+            "a duty name must have 1 to {MAX_NAME_BYTES} bytes and no control characters, this one has {} bytes",
+            name.len()
         )))
     }
 }
 
-/// A reason, as far as it is stored: [`MAX_REASON_BYTES`].
+/// Truncates a reason to at most [`MAX_REASON_BYTES`], at a character boundary.
 pub fn truncate_reason(reason: &str) -> String {
     let mut end = reason.len().min(MAX_REASON_BYTES);
     while !reason.is_char_boundary(end) {
--- a/crates/loomflow-fleet/src/duty/recall/tests.rs
+++ b/crates/loomflow-fleet/src/duty/recall/tests.rs
@@ -2,9 +2,9 @@
 use crate::duty::{DutyCommand, DutySpec, LeaseSettings, ServerInstance};
 use crate::member::{LoadReport, MemberState, Zone};
 
-const SETTLED_AT: FleetMillis = 30_000;
+const MAY_MOVE_AT: FleetMillis = 30_000;
 
-/// Six duties of the server "a" since time 0, and a server "b" that may acquire them.
+/// Six duties that the server "a" owns since time 0, and a server "b" that may acquire them.
 fn duties() -> Duties {
     let mut duties = Duties::default();
     let names: Vec<DutyName> = (0..6).map(|n| format!("d{n}")).collect();
@@ -27,26 +27,26 @@
     BTreeMap::from([("a".into(), view(share_of_owner)), ("b".into(), view(1.0))])
 }
 
-/// The number of duties that are recalled at a time, where the owner requests this share and has this weight.
-fn recall_count(at: FleetMillis, share_of_owner: f32, weight: f64, with_place: Option<&str>) -> usize {
+/// The number of duties recalled at `at` from an owner with this share and weight; `slot_holder` holds a maintenance slot.
+fn recall_count(at: FleetMillis, share_of_owner: f32, weight: f64, slot_holder: Option<&str>) -> usize {
     let mut duties = duties();
     duties.advance_time(at);
     let candidates = [
         Candidate { name: "a".into(), weight, can_acquire: share_of_owner >= 0.9 },
         Candidate { name: "b".into(), weight: 1.0, can_acquire: true },
     ];
-    recalls(&duties, &members(share_of_owner), &candidates, &|name| Some(name) == with_place).len()
+    recalls(&duties, &members(share_of_owner), &candidates, &|name| Some(name) == slot_holder).len()
 }
 
 #[test]
-fn an_owner_in_overload_or_over_its_bound_releases_a_few_once_they_settled() {
+fn owner_in_overload_or_over_bound_releases_4_after_30_s() {
     let cases = [
-        // Nine tenths of the weight: the bound of the owner is 6.75, and only its overload counts.
-        (SETTLED_AT, 0.49, 9.0, 4),
-        (SETTLED_AT - 1, 0.49, 9.0, 0),
-        (SETTLED_AT, 0.5, 9.0, 0),
-        // Six duties for two servers: the bound is 3.75, so that the owner is over it by two duties.
-        (SETTLED_AT, 0.5, 1.0, 4),
+        // The owner has 9/10 of the total weight: its bound is 6.75, so only overload causes recalls.
+        (MAY_MOVE_AT, 0.49, 9.0, 4),
+        (MAY_MOVE_AT - 1, 0.49, 9.0, 0),
+        (MAY_MOVE_AT, 0.5, 9.0, 0),
+        // Six duties on two equal servers: the bound is 3.75, and the owner exceeds it by two duties.
+        (MAY_MOVE_AT, 0.5, 1.0, 4),
     ];
     for (at, share, weight, expected) in cases {
         assert_eq!(
@@ -58,6 +58,6 @@
 }
 
 #[test]
-fn an_owner_that_shuts_down_releases_all_at_once() {
+fn owner_with_a_maintenance_slot_releases_all_at_once() {
     assert_eq!(recall_count(0, 1.0, 9.0, Some("a")), 6);
 }
--- a/crates/loomflow-fleet/src/duty/schedule.rs
+++ b/crates/loomflow-fleet/src/duty/schedule.rs
@@ -1,6 +1,6 @@
-//! When a duty with a schedule is to be run. Times are Unix seconds by the owner's wall clock, and a run is numbered by the
-//! time at which it was due: a number that began before is rejected, so a clock that is set back runs nothing twice. One
-//! that is set ahead runs once too early and then not until that time has come.
+//! Schedules of duties. Times are Unix seconds on the owner's wall clock, and a run is numbered by its due time. A number that
+//! began before is rejected, so a clock that is set back repeats no run. A clock that is set ahead causes one early run, and
+//! the next one follows only after that time.
 
 use std::str::FromStr;
 
@@ -10,60 +10,60 @@
 
 use super::RunId;
 
-/// A run that starts no later than this after its time was not missed, s.
-const PUNCTUAL_WITHIN_SECONDS: u64 = 60;
+/// A run that would begin later than this after its due time counts as missed, s.
+const MISSED_AFTER_SECONDS: u64 = 60;
 
-/// When a duty is to be run.
+/// The schedule of a duty.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Schedule {
-    /// The times.
+    /// The times at which the duty is due.
     #[serde(rename = "when")]
     pub recurrence: Recurrence,
-    /// What is done about times that were missed.
+    /// Handling of runs that did not begin in time.
     #[serde(rename = "missed")]
     pub missed_runs: MissedRuns,
 }
 
-/// The times at which a duty is due.
+/// A rule for the times at which a duty is due.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Recurrence {
-    /// Each time that the Unix time is a multiple of this many seconds.
+    /// Whenever the Unix time is a multiple of this many seconds.
     Every(u64),
-    /// Five fields, in UTC.
+    /// A cron expression of five fields, in UTC.
     Cron(String),
 }
 
-/// What is done about a time at which nobody could run it.
+/// Handling of runs that did not begin within a minute of their due time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MissedRuns {
-    /// The next time is waited for.
+    /// Missed runs are skipped; the next run is at the next due time.
     #[default]
     Skip,
-    /// The last time that was missed is made up for, once.
+    /// Only the latest missed run is run late.
     Once,
 }
 
-/// Why a recurrence is not valid.
+/// Why a recurrence is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ScheduleError {
-    /// No time at all.
-    #[error("every: from a second on")]
+    /// The period is 0.
+    #[error("every: the period is 0 s, the minimum is 1 s")]
     ZeroPeriod,
-    /// Not five fields that can be read.
+    /// The cron expression cannot be parsed.
     #[error("cron: {expression:?}: {reason}")]
     InvalidCron {
-        /// The text.
+        /// The cron expression.
         expression: String,
-        /// The library's message.
+        /// The error message of the cron library.
         reason: String,
     },
 }
 
 impl Recurrence {
-    /// Checks that it can be read.
+    /// Checks that the period is not 0 or that the cron expression can be parsed.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// The period is 0, or the expression is invalid.
     pub fn check(&self) -> Result<(), ScheduleError> {
         match self {
             Recurrence::Every(0) => Err(ScheduleError::ZeroPeriod),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The last time that was due, at `now` or before. None where there was none or the text cannot be read.
+    /// The last due time at or before `now`. `None` if there was none or the expression is invalid.
     fn last_due(&self, now: u64) -> Option<RunId> {
         match self {
             Recurrence::Every(seconds) => Some(now - now % (*seconds).max(1)),
@@ -92,13 +92,13 @@
 }
 
 impl Schedule {
-    /// The run that is due at `now`, if one is. `last_run`: the last that began; 0 before any did.
+    /// The run that is due at `now`, if any. `last_run` is the last run that began; 0 before the first.
     pub fn due_run(&self, last_run: RunId, now: u64) -> Option<RunId> {
         let due = self.recurrence.last_due(now).filter(|due| *due > last_run)?;
-        let is_punctual = now - due <= PUNCTUAL_WITHIN_SECONDS;
-        // What was due before the duty was first run was not missed.
-        let is_made_up = self.missed_runs == MissedRuns::Once && last_run > 0;
-        (is_punctual || is_made_up).then_some(due)
+        let is_on_time = now - due <= MISSED_AFTER_SECONDS;
+        // A due time before the first run was not missed: the duty may not have existed then.
+        let runs_late = self.missed_runs == MissedRuns::Once && last_run > 0;
+        (is_on_time || runs_late).then_some(due)
     }
 }
 
--- a/crates/loomflow-fleet/src/duty/state.rs
+++ b/crates/loomflow-fleet/src/duty/state.rs
@@ -1,12 +1,12 @@
-//! The state machine that the log is applied to, for duties. It checks every command by itself: what the leader or an owner
-//! relied on may be outdated when it is committed.
+//! The replicated state machine of duties. It validates every command when it applies it, because the state on which the
+//! leader or an owner based the command may have changed before the command was committed.
 //!
-//! A server has a session while it renews it; a lease of a duty lasts as long as its owner's session. Time is the fleet's
-//! own, which never runs ahead of any real clock by more than [`super::MAX_CLOCK_DRIFT`] and stops without a leader:
-//! sessions expire late and never early, whoever leads. So a new leader has nothing more to wait for than what is
-//! committed.
+//! A server has a session while it renews it; a lease of a duty lasts as long as its owner's session. Sessions expire in the
+//! fleet's time, which never runs ahead of any real clock by more than [`super::MAX_CLOCK_DRIFT`] and stops without a
+//! leader. So sessions expire late and never early under any leader, and a new leader only waits for the committed
+//! expirations.
 //!
-//! This file has the state, what can be read of it, and its snapshot; `apply` changes it.
+//! This file has the state, its queries and its snapshot; `apply` has the changes.
 
 mod apply;
 
@@ -22,83 +22,83 @@
 use crate::member::{Incarnation, ServerName};
 use crate::time::FleetMillis;
 
-/// Events that are retained.
+/// Maximum number of events retained; older ones are discarded.
 pub const MAX_EVENTS: usize = 2_000;
-/// Requests for a run that are remembered, so that none counts twice.
+/// Requests for a run retained per duty, so that a request that is sent again is ignored.
 const MAX_RUN_REQUESTS: usize = 16;
 
-/// A server's session.
+/// A server's session, which lasts as long as the server renews it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Session {
-    /// Its number.
+    /// Number of the session, unique in the fleet.
     pub id: SessionId,
-    /// The start of the server that has it.
+    /// The incarnation of the server that opened the session.
     pub incarnation: Incarnation,
-    /// When it expires unless it is renewed.
+    /// When the session expires unless it is renewed.
     pub expires_at: FleetMillis,
 }
 
-/// A duty's owner.
+/// The ownership of a duty by one server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The server.
+    /// The server that owns the duty.
     pub owner: ServerName,
-    /// Its fencing token.
+    /// The fencing token of this lease.
     pub token: Token,
-    /// Since when.
+    /// When the duty was assigned.
     pub since: FleetMillis,
-    /// The owner is to release it.
+    /// Whether the owner has to release the duty.
     pub is_recalled: bool,
 }
 
-/// A duty.
+/// A duty with its lease and the history of its runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Duty {
-    /// As it is declared.
+    /// The last declaration of the duty.
     pub spec: DutySpec,
-    /// Its owner, if it has one.
+    /// The current lease; `None` while the duty has no owner.
     pub lease: Option<Lease>,
-    /// The highest token ever assigned for it.
+    /// The highest token ever assigned for the duty; 0 before the first owner.
     pub token: Token,
-    /// Since when it was last without an owner.
+    /// When the last lease ended, or when the duty was declared.
     pub available_since: FleetMillis,
-    /// Why nobody is to own it; none where somebody may.
+    /// The reason for which the duty is parked; `None` while it is not.
     pub parked: Option<String>,
-    /// Owners lost or runs failed in a row.
+    /// Reasons of the lost owners and failed runs that count towards [`LeaseSettings::max_attempts`].
     pub recent_failures: Vec<String>,
     checkpoint: Vec<u8>,
-    /// The last run that began.
+    /// The last run that began; 0 before the first.
     last_run: RunId,
-    /// The owner of the last run, while that has not ended.
+    /// The token under which `last_run` began, until that run ends.
     unfinished_run: Option<Token>,
-    /// An operator requested a run that has not begun.
+    /// Whether an operator requested a run that has not begun.
     is_run_requested: bool,
-    /// The last requests for a run.
+    /// Identifiers of the last [`MAX_RUN_REQUESTS`] requests for a run, the latest first.
     run_requests: VecDeque<u64>,
     rejected_writes: u64,
 }
 
-/// The contents of a snapshot; the indexes follow from it.
+/// The contents of a snapshot. The indexes of [`Duties`] are rebuilt from it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct PersistentState {
     time: FleetMillis,
     last_token: Token,
     last_session: SessionId,
     lease_settings: Option<LeaseSettings>,
-    /// Nothing is assigned before: somebody may own it by what was lost.
+    /// No duty is assigned before this time: entries that a recovery lost may have assigned it to another owner.
     quiet_until: FleetMillis,
     sessions: BTreeMap<ServerName, Session>,
     duties: BTreeMap<DutyName, Duty>,
     events: VecDeque<DutyEvent>,
 }
 
-/// All sessions, duties and what has happened to them.
+/// The state of all sessions and duties, with their recent events.
 #[derive(Clone, Debug, Default)]
 pub struct Duties {
     state: PersistentState,
-    /// What each server owns.
+    /// Index of the leases: the duties that each server owns.
     duties_by_owner: BTreeMap<ServerName, BTreeSet<DutyName>>,
-    /// When sessions expire, and whose; the next first.
+    /// Index of the sessions by the time at which they expire.
     expirations: BTreeSet<(FleetMillis, ServerName)>,
 }
 
@@ -125,7 +125,7 @@
         self.is_run_requested
     }
 
-    /// Whether it has no owner and may have one.
+    /// Whether the duty has no owner and is not parked.
     pub fn is_available(&self) -> bool {
         self.lease.is_none() && self.parked.is_none()
     }
@@ -146,7 +146,7 @@
 }
 
 impl Duties {
-    /// The fleet's time at the last entry.
+    /// The fleet's time as of the last log entry, ms.
     pub fn time(&self) -> FleetMillis {
         self.state.time
     }
@@ -156,49 +156,49 @@
         self.state.lease_settings.unwrap_or_default()
     }
 
-    /// All duties.
+    /// All duties by name, including those that are removed once their owners have released them.
     pub fn duties(&self) -> &BTreeMap<DutyName, Duty> {
         &self.state.duties
     }
 
-    /// All sessions.
+    /// The sessions that have not expired, by server.
     pub fn sessions(&self) -> &BTreeMap<ServerName, Session> {
         &self.state.sessions
     }
 
-    /// The highest token ever assigned.
+    /// The highest token ever assigned for any duty.
     pub fn last_token(&self) -> Token {
         self.state.last_token
     }
 
-    /// The last events, the oldest first.
+    /// The last [`MAX_EVENTS`] events, the oldest first.
     pub fn events(&self) -> impl DoubleEndedIterator<Item = &DutyEvent> {
         self.state.events.iter()
     }
 
-    /// What a server owns.
+    /// The duties that a server owns.
     pub fn owned_by(&self, server: &str) -> impl Iterator<Item = (&DutyName, &Duty)> {
         let names = self.duties_by_owner.get(server).into_iter().flatten();
         names.filter_map(|duty| self.state.duties.get_key_value(duty))
     }
 
-    /// When time changes something next.
+    /// The next time at which a session expires or assignments are permitted again.
     pub fn next_deadline(&self) -> Option<FleetMillis> {
         let quiet_until = Some(self.state.quiet_until).filter(|until| *until > self.state.time);
         let next_expiration = self.expirations.first().map(|(at, _)| *at);
         next_expiration.into_iter().chain(quiet_until).min()
     }
 
-    /// Whether exactly this is declared.
+    /// Whether exactly these settings and duties are in force.
     pub fn has_declared(&self, lease_settings: LeaseSettings, specs: &[DutySpec]) -> bool {
-        let is_known =
+        let is_unchanged =
             |spec: &DutySpec| self.state.duties.get(&spec.name).is_some_and(|duty| duty.spec == *spec);
         self.state.lease_settings == Some(lease_settings)
             && specs.len() == self.state.duties.len()
-            && specs.iter().all(is_known)
+            && specs.iter().all(is_unchanged)
     }
 
-    /// A server's session and what it owns.
+    /// A server's session and the duties that it owns.
     pub fn ownership(&self, server: &str) -> Ownership {
         Ownership {
             session: self.state.sessions.get(server).map_or(0, |session| session.id),
@@ -207,7 +207,7 @@
         }
     }
 
-    /// All duties with their history.
+    /// All duties, sessions and events, for operators.
     pub fn list(&self) -> DutyList {
         DutyList {
             duties: self.state.duties.values().map(|duty| self.status(duty)).collect(),
@@ -240,23 +240,24 @@
         }
     }
 
-    /// The fleet was recovered from one data directory: no token that was ever assigned comes again. Who owned what by what
-    /// was lost is not known, so nothing is assigned until that must have expired.
+    /// Resets the state after the fleet was recovered from one data directory. Tokens and sessions skip
+    /// [`RECOVERY_ID_GAP`] numbers, so that none is assigned twice. Lost entries may have assigned duties, so none is
+    /// assigned until those sessions must have expired.
     pub fn reset_after_recovery(&mut self) {
         self.state.last_token += RECOVERY_ID_GAP;
         self.state.last_session += RECOVERY_ID_GAP;
         self.state.quiet_until = self.state.time + self.lease_settings().waiting_duration();
     }
 
-    /// A snapshot.
+    /// Encodes a snapshot.
     pub fn save(&self) -> Vec<u8> {
         postcard::to_stdvec(&self.state).unwrap_or_default()
     }
 
-    /// Restores a snapshot.
+    /// Restores the state from a snapshot.
     ///
     /// # Errors
-    /// The bytes are not what [`Duties::save`] writes.
+    /// The bytes are not a snapshot that [`Duties::save`] encoded.
     pub fn load(bytes: &[u8]) -> Result<Duties, SnapshotError> {
         let state: PersistentState =
             postcard::from_bytes(bytes).map_err(|source| SnapshotError { part: "duties", source })?;
--- a/crates/loomflow-fleet/src/duty/state/apply.rs
+++ b/crates/loomflow-fleet/src/duty/state/apply.rs
@@ -1,4 +1,4 @@
-//! How commands and the passing of time change sessions and duties.
+//! Changes of sessions and duties by commands and by the fleet's time.
 
 use super::{Duties, Duty, Lease, MAX_EVENTS, MAX_RUN_REQUESTS, PersistentState, Session};
 use crate::duty::{
@@ -10,7 +10,7 @@
 use crate::time::FleetMillis;
 
 impl Duties {
-    /// Advances the fleet's time: sessions whose end has come expire, in the order of their ends.
+    /// Advances the fleet's time, and ends the sessions that expire until then in the order of their expiration.
     pub fn advance_time(&mut self, time: FleetMillis) {
         self.state.time = self.state.time.max(time);
         while let Some((at, server)) =
@@ -18,11 +18,11 @@
         {
             self.expirations.remove(&(at, server.clone()));
             self.state.sessions.remove(&server);
-            self.lose_all(&server);
+            self.expire_leases(&server);
         }
     }
 
-    /// Applies one command, at the time that was last set.
+    /// Applies a command at the current time of the fleet.
     pub fn apply(&mut self, command: &DutyCommand) -> DutyResponse {
         self.execute(command).map_or_else(DutyResponse::Rejected, |()| DutyResponse::Done)
     }
@@ -47,13 +47,16 @@
 
     fn declare(&mut self, lease_settings: LeaseSettings, specs: &[DutySpec]) -> Result<(), DutyRejection> {
         if specs.len() > MAX_DUTIES {
-            return Err(DutyRejection::Invalid(format!("at most {MAX_DUTIES} duties")));
+            return Err(DutyRejection::Invalid(format!(
+                "{} duties are declared, the limit is {MAX_DUTIES}",
+                specs.len()
+            )));
         }
         specs.iter().try_for_each(|spec| check_name(&spec.name))?;
         self.state.lease_settings = Some(lease_settings);
         let is_declared = |name: &str| specs.iter().any(|spec| spec.name == name);
         self.state.duties.retain(|name, duty| duty.lease.is_some() || is_declared(name));
-        // One that is owned and no longer declared is removed when its owner has released it.
+        // A duty that is owned and no longer declared stays until its owner has released it: the next declaration removes it.
         for (name, duty) in &mut self.state.duties {
             if !is_declared(name) {
                 duty.recall();
@@ -61,14 +64,14 @@
         }
         let now = self.state.time;
         for spec in specs {
-            let known = self.state.duties.entry(spec.name.clone());
-            known.and_modify(|duty| duty.spec = spec.clone()).or_insert_with(|| Duty::new(spec.clone(), now));
+            let entry = self.state.duties.entry(spec.name.clone());
+            entry.and_modify(|duty| duty.spec = spec.clone()).or_insert_with(|| Duty::new(spec.clone(), now));
         }
         Ok(())
     }
 
-    /// Renews a server's session, or opens one. What an earlier start of it owns is not touched: that one may still be
-    /// running somewhere, until its own session expires.
+    /// Renews a server's session, or opens one. The session of an earlier incarnation is left until it expires, because that
+    /// incarnation may still be running somewhere.
     fn renew_session(&mut self, instance: &ServerInstance) {
         let expires_at = self.state.time + self.lease_settings().waiting_duration();
         let is_full = self.state.sessions.len() >= MAX_MEMBERS;
@@ -106,7 +109,7 @@
         self.duties_by_owner.get(server).into_iter().flatten().cloned().collect()
     }
 
-    /// Assigns an available duty to a server with a session; nothing where it is not available, or there is none.
+    /// Assigns a duty to a server. Does nothing if the duty is unavailable or the server has no session.
     fn assign(&mut self, name: &DutyName, owner: &ServerName) {
         let PersistentState { duties, sessions, last_token, time, quiet_until, .. } = &mut self.state;
         let Some(duty) = duties.get_mut(name) else { return };
@@ -139,7 +142,10 @@
         self.check_token(name, token)?;
         match update {
             OwnerUpdate::Checkpoint(bytes) if bytes.len() > MAX_CHECKPOINT_BYTES => {
-                Err(DutyRejection::Invalid(format!("a checkpoint has at most {MAX_CHECKPOINT_BYTES} bytes")))
+                Err(DutyRejection::Invalid(format!(
+                    "the checkpoint has {} bytes, the limit is {MAX_CHECKPOINT_BYTES}",
+                    bytes.len()
+                )))
             }
             OwnerUpdate::Checkpoint(bytes) => {
                 self.duty_mut(name)?.checkpoint.clone_from(bytes);
@@ -153,7 +159,7 @@
 
     fn begin_run(&mut self, name: &DutyName, token: Token, run: RunId) -> Result<(), DutyRejection> {
         let duty = self.duty_mut(name)?;
-        // Written twice by the same owner it has begun once; of another owner's that did not end it is a retry.
+        // Beginning an unfinished run again is a repeated write if the token is the same, and a retry by a new owner if not.
         let is_retry = run == duty.last_run && duty.unfinished_run.is_some();
         if run < duty.last_run || (run == duty.last_run && !is_retry) {
             return Err(DutyRejection::Begun { duty: name.clone(), run: duty.last_run });
@@ -168,8 +174,13 @@
         Ok(())
     }
 
-    /// The duty, if this run is the one that its owner has begun.
-    fn duty_of_run(&mut self, name: &DutyName, token: Token, run: RunId) -> Result<&mut Duty, DutyRejection> {
+    /// The duty, if `run` is its unfinished run and began under this token.
+    fn duty_with_run(
+        &mut self,
+        name: &DutyName,
+        token: Token,
+        run: RunId,
+    ) -> Result<&mut Duty, DutyRejection> {
         let duty = self.duty_mut(name)?;
         if run != duty.last_run || duty.unfinished_run != Some(token) {
             return Err(DutyRejection::Begun { duty: name.clone(), run: duty.last_run });
@@ -178,7 +189,7 @@
     }
 
     fn finish_run(&mut self, name: &DutyName, token: Token, run: RunId) -> Result<(), DutyRejection> {
-        let duty = self.duty_of_run(name, token, run)?;
+        let duty = self.duty_with_run(name, token, run)?;
         duty.unfinished_run = None;
         duty.recent_failures.clear();
         self.record_event(name, DutyEventKind::Done, run.to_string());
@@ -194,7 +205,7 @@
     ) -> Result<(), DutyRejection> {
         let settings = self.lease_settings();
         let reason = truncate_reason(reason);
-        let duty = self.duty_of_run(name, token, run)?;
+        let duty = self.duty_with_run(name, token, run)?;
         let is_last_attempt = duty.record_failure(&reason, settings);
         if is_last_attempt {
             duty.unfinished_run = None;
@@ -205,7 +216,7 @@
 
     fn park(&mut self, name: &DutyName, reason: &str) -> Result<(), DutyRejection> {
         let duty = self.duty_mut(name)?;
-        // Its owner releases it first: it is working until it reports that it is not.
+        // The lease lasts until the owner releases the duty, because the owner may still be working.
         duty.recall();
         if duty.parked.is_none() {
             let reason = truncate_reason(reason);
@@ -228,11 +239,11 @@
         self.state.duties.get_mut(name).ok_or_else(|| DutyRejection::Unknown(name.to_owned()))
     }
 
-    /// The fence of the fleet's own state: only the token of the current lease passes. Each rejection is counted and
-    /// recorded.
+    /// Fences the fleet's own state: admits only the token of the current lease. Each rejection is counted and recorded as
+    /// an event.
     ///
     /// # Errors
-    /// The duty is unknown, or the token is not of its current lease.
+    /// The duty is unknown, or the token is not that of its current lease.
     pub fn check_token(&mut self, name: &str, token: Token) -> Result<(), DutyRejection> {
         let duty = self.duty_mut(name)?;
         if duty.lease.as_ref().is_some_and(|lease| lease.token == token) {
@@ -244,8 +255,8 @@
         Err(rejection)
     }
 
-    /// A server's session expired: it owns nothing any more.
-    fn lose_all(&mut self, server: &ServerName) {
+    /// Ends all leases of a server whose session expired.
+    fn expire_leases(&mut self, server: &ServerName) {
         let settings = self.lease_settings();
         let now = self.state.time;
         for name in self.names_owned_by(server) {
@@ -258,7 +269,7 @@
         }
     }
 
-    /// Takes a duty from its owner.
+    /// Ends a lease and records the event.
     fn end_lease(&mut self, name: &DutyName, kind: DutyEventKind) {
         self.record_event(name, kind, String::new());
         let now = self.state.time;
@@ -292,14 +303,14 @@
 }
 
 impl Duty {
-    /// Requires the owner, if there is one, to release it.
+    /// Requires the owner, if there is one, to release the duty.
     fn recall(&mut self) {
         if let Some(lease) = &mut self.lease {
             lease.is_recalled = true;
         }
     }
 
-    /// Notes an operator's request for a run; one that was noted before has no further effect.
+    /// Records an operator's request for a run. Does nothing if the request is among the retained ones.
     fn request_run(&mut self, request: u64) {
         if !self.run_requests.contains(&request) {
             self.is_run_requested = true;
--- a/crates/loomflow-fleet/src/duty/state/tests.rs
+++ b/crates/loomflow-fleet/src/duty/state/tests.rs
@@ -2,7 +2,7 @@
 use crate::duty::{DutyCommand, DutyRejection, DutyResponse, OwnerUpdate};
 
 #[test]
-fn a_write_of_a_former_owner_is_rejected_and_counted() {
+fn stale_write_is_rejected_and_counted() {
     let mut duties = Duties::default();
     let duty: DutyName = "d".into();
     duties.apply(&DutyCommand::Declare(LeaseSettings::default(), vec![DutySpec::plain(&duty)]));
@@ -24,9 +24,9 @@
 }
 
 #[test]
-fn a_name_beyond_the_limit_is_rejected_with_the_limit() {
+fn overlong_name_is_rejected_with_length_and_limit() {
     let check = |name: &str| crate::duty::check_name(name).map_err(|rejection| rejection.to_string());
-    let expected = "a duty's name has 1 to 64 bytes, none of them a control";
+    let expected = "a duty name must have 1 to 64 bytes and no control characters, this one has 65 bytes";
     assert_eq!(check(&"d".repeat(64)), Ok(()));
     assert_eq!(check(&"d".repeat(65)), Err(expected.into()));
 }
--- a/crates/loomflow-fleet/src/duty/summary.rs
+++ b/crates/loomflow-fleet/src/duty/summary.rs
@@ -1,4 +1,5 @@
-//! The fleet in figures, summed up by the owner of that duty: what each member receives each period, with the owner's token.
+//! Summary of the fleet's load. The owner of the summary duty computes it each period and sends it to all members with its
+//! fencing token.
 
 use std::collections::BTreeMap;
 
@@ -6,43 +7,43 @@
 
 use crate::member::{LoadReport, MemberState, ServerName, Zone};
 
-/// Maximum number of zones listed.
+/// Maximum number of zones in a summary.
 const MAX_ZONES: usize = 8;
-/// Maximum number of servers listed.
+/// Maximum number of servers that a summary names as not serving.
 const MAX_NAMES: usize = 16;
 
-/// The fleet in figures; loads in concurrent runs.
+/// The load of the fleet. Loads and capacities are in concurrent runs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Members.
+    /// Number of members.
     pub members: u32,
-    /// Members that take their part of the load.
+    /// Number of members that serve with a valid load report.
     pub serving: u32,
-    /// Their load.
+    /// Total load of the serving members.
     #[serde(rename = "carries")]
     pub carried_load: f32,
-    /// What they can carry.
+    /// Total capacity of the serving members.
     #[serde(rename = "bears")]
     pub capacity: f32,
-    /// Mean of the shares that they request; 1 where nobody serves.
+    /// Mean share of traffic that the serving members request; 1 if none serves.
     pub share: f32,
-    /// The fullest zones, with their load as a fraction of their capacity.
+    /// The zones with the highest load as a fraction of capacity, the highest first; at most 8.
     #[serde(rename = "worst")]
     pub fullest_zones: Vec<(Zone, f32)>,
-    /// Members that do not serve, the first of them by name.
+    /// Members that do not serve or lack a valid load report; at most 16.
     #[serde(rename = "out")]
     pub not_serving: Vec<ServerName>,
 }
 
-/// What the leader knows of one member.
+/// State and load of one member, from the view of the node that summarizes.
 pub struct MemberLoad<'a> {
-    /// The member.
+    /// Name of the member.
     pub name: &'a ServerName,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: &'a Zone,
-    /// What it is doing.
+    /// State of the member in the fleet.
     pub state: MemberState,
-    /// Its last load report.
+    /// The last load report of the member, if it has sent one.
     pub load_report: Option<LoadReport>,
 }
 
@@ -53,12 +54,12 @@
 }
 
 impl ZoneLoad {
-    fn fill(&self) -> f32 {
+    fn load_ratio(&self) -> f32 {
         (self.carried_load / self.capacity.max(f64::from(f32::EPSILON))) as f32
     }
 }
 
-/// Sums up what the leader knows of the members.
+/// Summarizes the load of the members.
 pub fn summarize<'a>(members: impl Iterator<Item = MemberLoad<'a>>) -> Summary {
     let mut summary = Summary::default();
     let mut zones: BTreeMap<&str, ZoneLoad> = BTreeMap::new();
@@ -83,7 +84,8 @@
         summary.capacity += zone.capacity as f32;
     }
     summary.share = if summary.serving > 0 { shares / summary.serving as f32 } else { 1.0 };
-    summary.fullest_zones = zones.iter().map(|(name, zone)| ((*name).to_owned(), zone.fill())).collect();
+    summary.fullest_zones =
+        zones.iter().map(|(name, zone)| ((*name).to_owned(), zone.load_ratio())).collect();
     summary.fullest_zones.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
     summary.fullest_zones.truncate(MAX_ZONES);
     summary
--- a/crates/loomflow-fleet/src/duty/summary/tests.rs
+++ b/crates/loomflow-fleet/src/duty/summary/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Sums up members by their name, zone, state and running requests.
-fn summed(rows: &[(&str, &str, MemberState, f32)]) -> Summary {
+/// Summarizes members of this name, zone, state and number of running requests.
+fn summary_of(rows: &[(&str, &str, MemberState, f32)]) -> Summary {
     let names: Vec<(ServerName, Zone)> = rows.iter().map(|row| (row.0.into(), row.1.into())).collect();
     summarize(rows.iter().zip(&names).map(|(row, (name, zone))| MemberLoad {
         name,
@@ -12,8 +12,8 @@
 }
 
 #[test]
-fn members_that_serve_are_summed_and_the_fullest_zone_comes_first() {
-    let summary = summed(&[
+fn only_serving_members_count_and_the_fullest_zone_is_first() {
+    let summary = summary_of(&[
         ("a", "x", MemberState::Serving, 1.0),
         ("b", "y", MemberState::Serving, 3.0),
         ("c", "y", MemberState::Down, 9.0),
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_fleet_in_which_nobody_serves_has_a_summary() {
-    assert_eq!(summed(&[]).share, 1.0);
-    assert_eq!(summed(&[("a", "x", MemberState::Cold, 1.0)]).fullest_zones, []);
+fn fleet_without_serving_members_has_share_1_and_no_zones() {
+    assert_eq!(summary_of(&[]).share, 1.0);
+    assert_eq!(summary_of(&[("a", "x", MemberState::Cold, 1.0)]).fullest_zones, []);
 }
--- a/crates/loomflow-fleet/src/duty/supervisor.rs
+++ b/crates/loomflow-fleet/src/duty/supervisor.rs
@@ -1,51 +1,51 @@
-//! When the process of an owner has to end: before its lease can expire, first by a signal that it may handle, then by force.
-//! What still runs after that, such as a process that left its group, is rejected by the fences of its receivers.
+//! Decides when the process of an owner has to end: before its lease can expire, first by SIGTERM and then by SIGKILL. A
+//! process that survives both, for example one that left its process group, is rejected by the fences of its receivers.
 
 use super::LeaseSettings;
 use crate::time::{IntegerMillis, scaled};
 
-/// A process is sent SIGTERM when this fraction of the lease remains: the lease is renewed four times in its length, so that
-/// this does not happen while the fleet responds.
+/// A process is sent SIGTERM when this fraction of the lease remains. A lease is renewed four times in its length, so this
+/// fraction is not reached while the fleet responds.
 const TERMINATE_AT_LEASE_FRACTION: f64 = 0.3;
-/// A process is killed when this fraction of the lease remains.
+/// A process is sent SIGKILL when this fraction of the lease remains.
 const KILL_AT_LEASE_FRACTION: f64 = 0.1;
-/// A process that was sent SIGTERM is killed after this fraction of the lease.
+/// Time from SIGTERM to SIGKILL, as a fraction of the lease.
 pub const GRACE_LEASE_FRACTION: f64 = 0.5;
 
 /// Why a process has to end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
-    /// Its owner is to release the duty, or is shutting down.
+    /// The owner has to release the duty or is shutting down.
     HandOver,
-    /// Its lease was about to expire, or was lost.
+    /// The lease is about to expire or was lost.
     LeaseExpiring,
-    /// It ran longer than it may.
+    /// The process exceeded its maximum duration.
     TimedOut,
 }
 
-/// What is sent to a process.
+/// A signal to a process that has to end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopSignal {
-    /// SIGTERM.
+    /// SIGTERM, which the process may handle.
     Terminate,
-    /// SIGKILL.
+    /// SIGKILL, which ends the process at once.
     Kill,
 }
 
-/// Supervises one process of an owner.
+/// Supervises one process of an owner. All times are ms on the clock that the caller passes as `now`.
 #[derive(Clone, Debug)]
 pub struct ProcessSupervisor {
     lease_settings: LeaseSettings,
     started_at: IntegerMillis,
     max_duration: IntegerMillis,
-    /// Until when its owner owns the duty.
+    /// When the ownership of the duty expires.
     owned_until: IntegerMillis,
     stop_requested: Option<(IntegerMillis, StopReason)>,
     is_killed: bool,
 }
 
 impl ProcessSupervisor {
-    /// A process that starts now.
+    /// Supervises a process that starts at `now`.
     pub fn new(
         lease_settings: LeaseSettings,
         owned_until: IntegerMillis,
@@ -62,28 +62,28 @@
         }
     }
 
-    /// The duty is still owned, until then.
+    /// Extends the ownership of the duty until `until`; an earlier time has no effect.
     pub fn extend_ownership(&mut self, until: IntegerMillis) {
         self.owned_until = self.owned_until.max(until);
     }
 
-    /// The owner wants the process to end.
+    /// Requests the end of the process because the owner has to release the duty or shuts down.
     pub fn request_stop(&mut self, now: IntegerMillis) {
         self.stop_requested.get_or_insert((now, StopReason::HandOver));
     }
 
-    /// The duty is no longer owned, whatever time was left.
+    /// Records that the duty is no longer owned, whatever time remained.
     pub fn ownership_lost(&mut self, now: IntegerMillis) {
         self.owned_until = self.owned_until.min(now);
         self.stop_requested.get_or_insert((now, StopReason::LeaseExpiring));
     }
 
-    /// Why the process has to end; none where it may go on.
+    /// Why the process has to end; `None` while it may continue.
     pub fn stop_reason(&self) -> Option<StopReason> {
         self.stop_requested.map(|(_, reason)| reason)
     }
 
-    /// What is to be sent to the process now: each signal once.
+    /// The signal that has to be sent to the process at `now`. Each signal is returned once.
     pub fn step(&mut self, now: IntegerMillis) -> Option<StopSignal> {
         let lease_millis = self.lease_settings.lease_millis as f64;
         let remaining = self.owned_until.saturating_sub(now) as f64;
--- a/crates/loomflow-fleet/src/duty/supervisor/tests.rs
+++ b/crates/loomflow-fleet/src/duty/supervisor/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
 #[test]
-fn a_process_ends_before_its_lease_can_be_over() {
+fn process_is_stopped_before_its_lease_expires() {
     let settings = LeaseSettings { lease_millis: 1_000, max_attempts: 3 };
     let mut supervisor = ProcessSupervisor::new(settings, 990, 60_000, 0);
     assert_eq!(supervisor.step(600), None);
     supervisor.extend_ownership(1_400);
-    assert_eq!(supervisor.step(1_000), None, "it was kept");
+    assert_eq!(supervisor.step(1_000), None, "the ownership was extended to 1400 ms");
     assert_eq!(supervisor.step(1_100), Some(StopSignal::Terminate));
     assert_eq!(supervisor.step(1_110), None);
     assert_eq!(supervisor.step(1_300), Some(StopSignal::Kill));
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_process_that_timed_out_has_a_grace_period_and_one_whose_duty_is_lost_has_none() {
+fn timed_out_process_has_a_grace_period_and_lost_ownership_none() {
     let settings = LeaseSettings { lease_millis: 1_000, max_attempts: 3 };
     let mut supervisor = ProcessSupervisor::new(settings, 100_000, 5_000, 0);
     assert_eq!((supervisor.step(4_999), supervisor.step(5_000)), (None, Some(StopSignal::Terminate)));
--- a/crates/loomflow-server/src/fleet/jobs.rs
+++ b/crates/loomflow-server/src/fleet/jobs.rs
@@ -145,7 +145,7 @@
                 _ => None,
             };
             let owned = currently_owned(node, &duty, now);
-            let action = job.runs.begin_answered(result.as_ref(), owned.as_ref(), now);
+            let action = job.runs.begin_result(result.as_ref(), owned.as_ref(), now);
             self.carry_out(&duty, action, node, now);
         }
         true
--- a/crates/loomflow-server/tests/stored_data.rs
+++ b/crates/loomflow-server/tests/stored_data.rs
@@ -120,7 +120,8 @@
     let fleet = restored();
     let highest = highest_token(fleet.folder());
     let (code, output, errors) = fence(&fleet, STALE_TOKEN);
-    let message = format!("loomflow: writes: token {STALE_TOKEN} is of an old owner: {highest} was here\n");
+    let message =
+        format!("loomflow: writes: token {STALE_TOKEN} is stale: the fence has admitted token {highest}\n");
     assert_eq!((code, output.as_str(), errors), (4, "", message));
     let (code, output, errors) = fence(&fleet, &highest.to_string());
     assert_eq!((code, output.as_str(), errors.as_str()), (0, "done\n", ""));
