--- a/crates/loomflow-fleet/tests/ownership_model.rs
+++ b/crates/loomflow-fleet/tests/ownership_model.rs
@@ -1,7 +1,7 @@
-//! Sessions, leases and fences, checked exhaustively within bounds: two servers, one duty, every order of requests, responses,
-//! checks of ownership and effects, with messages that are lost, late or duplicated, a change of leader, and time between any
-//! two of them. The state machine, the client session and the fence are the real ones. Each [`Fault`] is one way in which the
-//! protocol may be built wrong; the checker has to find every one.
+//! Exhaustive bounded model checking of sessions, leases and fences: two servers, one duty, and every order of renewals,
+//! assignments, ownership checks and effects, with lost, late and duplicated messages, a change of leader, and time that
+//! passes between any two steps. The model runs the production state machine, client session and fence. Each [`Fault`] is an
+//! incorrect variant of the protocol, which the checker has to detect.
 
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -17,7 +17,7 @@
 /// Time advances by half a lease, at most [`MAX_TIME_STEPS`] times.
 const TIME_STEP: u64 = 50;
 const MAX_TIME_STEPS: u64 = 3;
-/// Renewals of each server's session, beside the one that began it.
+/// Maximum renewals of each server's session after the one that opened it.
 const MAX_RENEWALS: u8 = 1;
 const MAX_ASSIGNMENTS: u8 = 2;
 const MAX_LEADER_CHANGES: u8 = 1;
@@ -25,15 +25,15 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    /// From a server: it renews its session.
+    /// From a server: renews its session.
     KeepAlive { server: usize, sent_at: u64 },
-    /// To a server: what it owns, in response to the renewal that it sent then.
+    /// To a server: its session and token, in response to the renewal that it sent at `sent_at`.
     Renewed { server: usize, sent_at: u64, session: u64, token: Token },
-    /// To a server: the same without a request, which does not extend its session.
+    /// To a server: its session and token, without a renewal. Does not extend the session.
     Notified { server: usize, session: u64, token: Token },
 }
 
-/// When the leader was elected, on its own clock and in the fleet's time.
+/// The time of the leader's election, on its own clock and in the fleet's time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Election {
     at: u64,
@@ -43,11 +43,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Server {
     session: ClientSession,
-    /// The token by which it checked that it owns the duty, and has not acted yet.
+    /// The token of a successful ownership check whose effect has not been sent yet.
     checked_token: Option<Token>,
 }
 
-/// What was done so far, of all that is bounded or must not happen.
+/// Counts of the bounded actions, and the admitted effects.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct History {
     renewals: [u8; SERVERS],
@@ -55,7 +55,7 @@
     leader_changes: u8,
     /// The highest token of an effect that was admitted.
     highest_admitted: Token,
-    /// Whether an effect was admitted with a lower token after that.
+    /// Whether an effect with a lower token was admitted after that one.
     has_stale_effect: bool,
 }
 
@@ -64,18 +64,18 @@
     now: u64,
     duties: Duties,
     election: Election,
-    /// Tokens that a leader counts by itself, where that fault is planted.
+    /// The last token assigned in the leader's memory; sent only with [`Fault::TokenFromMemory`].
     token_in_memory: Token,
-    /// The token of the lease as it is sent to its owner.
+    /// The token of the lease that is sent to its owner.
     sent_token: Token,
     servers: [Server; SERVERS],
-    /// All messages ever sent: each may arrive at any time, any number of times.
+    /// All messages ever sent. Each may be delivered at any time, any number of times or never.
     sent: BTreeSet<Message>,
     fence: Fence,
     history: History,
 }
 
-/// A session in the state machine.
+/// The part of a [`StateKey`] that identifies a session.
 #[derive(PartialEq, Eq, Hash)]
 struct SessionKey<'a> {
     server: &'a str,
@@ -84,13 +84,14 @@
     expires_at: u64,
 }
 
-/// What of a state matters for what may still happen: the history of duties does not.
+/// The parts of a [`State`] that determine its successors. The event history of duties is left out, so that states that
+/// differ only in it are equal.
 #[derive(PartialEq, Eq, Hash)]
 struct StateKey<'a> {
     now: u64,
     fleet_time: u64,
     sessions: Vec<SessionKey<'a>>,
-    /// Owner and token.
+    /// Owner and token of the lease, if any.
     lease: Option<(&'a str, Token)>,
     last_token: Token,
     fenced_token: Token,
@@ -151,22 +152,22 @@
     Deliver(Message),
     Assign(usize),
     ChangeLeader,
-    /// A server checks that it owns the duty, and acts on that later.
+    /// A server checks that it owns the duty. Its effect follows as a separate step.
     CheckOwnership(usize),
     SendEffect(usize),
 }
 
-/// The ways in which it may be built wrong.
+/// Defects that are built into the model, to show that the checker detects them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
     /// The receiver admits every token.
-    FenceDoesNotCompare,
-    /// The owner counts its lease from the response.
+    FenceAdmitsAll,
+    /// The owner counts its lease from the receipt of the response instead of the sending of the renewal.
     LeaseFromResponse,
-    /// A new leader takes all sessions for expired.
+    /// A new leader assigns duties without waiting for the committed sessions to expire.
     NewLeaderAssignsAtOnce,
-    /// Tokens are counted in the leader's memory.
+    /// Tokens are counted in the memory of the leader, so that a new leader starts again.
     TokenFromMemory,
 }
 
@@ -198,7 +199,7 @@
 }
 
 impl OwnershipModel {
-    /// A message arrives.
+    /// Delivers a message to its recipient.
     fn deliver(&self, state: &mut State, message: Message) {
         match message {
             Message::KeepAlive { server, sent_at } => {
@@ -209,9 +210,9 @@
                 state.sent.insert(Message::Renewed { server, sent_at, session: ownership.session, token });
             }
             Message::Renewed { server, sent_at, session, token } => {
-                let counts_from = if self.fault == Fault::LeaseFromResponse { state.now } else { sent_at };
+                let valid_from = if self.fault == Fault::LeaseFromResponse { state.now } else { sent_at };
                 let client = &mut state.servers[server].session;
-                client.renewed(ownership(session, token), counts_from, state.now);
+                client.renewed(ownership(session, token), valid_from, state.now);
                 client.take_changes();
             }
             Message::Notified { server, session, token } => {
@@ -222,7 +223,7 @@
         }
     }
 
-    /// The leader assigns the duty; none where it has an owner.
+    /// The leader assigns the duty. `None` if the state machine did not assign it.
     fn assign(&self, state: &mut State, server: usize) -> Option<()> {
         state.duties.advance_time(state.fleet_time());
         let before = state.duties.last_token();
@@ -251,10 +252,10 @@
         state.election = Election { at: state.now, fleet_time: state.duties.time() };
     }
 
-    /// The receiver gets an effect with a token.
+    /// The receiver checks an effect with this token against its fence.
     fn receive_effect(&self, state: &mut State, token: Token) {
-        let compares = self.fault != Fault::FenceDoesNotCompare;
-        let is_admitted = state.fence.admit(DUTY, token, |_| Ok::<(), ()>(())).is_ok() || !compares;
+        let compares_tokens = self.fault != Fault::FenceAdmitsAll;
+        let is_admitted = state.fence.admit(DUTY, token, |_| Ok::<(), ()>(())).is_ok() || !compares_tokens;
         if is_admitted {
             let history = &mut state.history;
             history.has_stale_effect |= token < history.highest_admitted;
@@ -273,7 +274,7 @@
             LeaseSettings { lease_millis: LEASE, max_attempts: 99 },
             vec![DutySpec::plain(DUTY)],
         ));
-        // Both have a session from the start.
+        // Both servers start with a session.
         duties.apply(&DutyCommand::KeepAlive((0..SERVERS).map(instance).collect()));
         let servers = [0, 1].map(|server| {
             let mut session = ClientSession::default();
@@ -350,10 +351,10 @@
                 let is_owner = |server: &&Server| server.session.owned_token(DUTY, state.now).is_some();
                 state.servers.iter().filter(is_owner).count() <= 1
             }),
-            Property::always(OWN_TOKENS, |_, state: &State| {
+            Property::always(UNIQUE_TOKENS, |_, state: &State| {
                 tokens_sent_to(state, 0).is_disjoint(&tokens_sent_to(state, 1))
             }),
-            Property::sometimes("two owned it one after the other", |_, state: &State| {
+            Property::sometimes("an effect of a second owner is admitted", |_, state: &State| {
                 state.history.highest_admitted >= 2
             }),
         ]
@@ -361,10 +362,10 @@
 }
 
 const NO_STALE_EFFECT: &str = "no effect of a former owner is admitted";
-const ONE_OWNER: &str = "one owner at a time";
-const OWN_TOKENS: &str = "a token is one owner's";
+const ONE_OWNER: &str = "at most one server owns the duty at a time";
+const UNIQUE_TOKENS: &str = "no token is sent to two servers";
 
-/// The tokens by which a server was sent the duty.
+/// The tokens of the duty in all messages sent to a server.
 fn tokens_sent_to(state: &State, server: usize) -> BTreeSet<Token> {
     let token = |message: &Message| match message {
         Message::Renewed { server: to, token, .. } | Message::Notified { server: to, token, .. }
@@ -380,14 +381,14 @@
 fn check(fault: Fault) -> impl Checker<OwnershipModel> {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let run = OwnershipModel { fault }.checker().threads(threads);
-    // A planted fault ends the search where it is found.
+    // With a fault, the search ends at the first violated property.
     let run =
         if fault == Fault::None { run } else { run.finish_when(stateright::HasDiscoveries::AnyFailures) };
     run.spawn_dfs().join()
 }
 
 #[test]
-fn one_owner_at_a_time_and_no_effect_of_a_former_one() {
+fn protocol_has_one_owner_and_admits_no_stale_effect() {
     let checked = check(Fault::None);
     println!("{} states, depth {}", checked.unique_state_count(), checked.max_depth());
     checked.assert_properties();
@@ -395,16 +396,17 @@
 }
 
 #[test]
-fn planted_faults_are_found() {
-    let planted = [
-        (Fault::FenceDoesNotCompare, NO_STALE_EFFECT),
+fn each_fault_violates_its_property() {
+    let violations = [
+        (Fault::FenceAdmitsAll, NO_STALE_EFFECT),
         (Fault::LeaseFromResponse, ONE_OWNER),
         (Fault::NewLeaderAssignsAtOnce, ONE_OWNER),
-        (Fault::TokenFromMemory, OWN_TOKENS),
+        (Fault::TokenFromMemory, UNIQUE_TOKENS),
     ];
-    for (fault, property) in planted {
+    for (fault, property) in violations {
         let checked = check(fault);
-        let found = checked.discovery(property).unwrap_or_else(|| panic!("{fault:?} is not found"));
+        let found =
+            checked.discovery(property).unwrap_or_else(|| panic!("{fault:?} did not violate: {property}"));
         let steps: Vec<String> = found.into_actions().iter().map(|action| format!("{action:?}")).collect();
         println!("{fault:?}: {}", steps.join(", "));
     }
