--- a/crates/loomflow-server/src/fleet/jobs.rs
+++ b/crates/loomflow-server/src/fleet/jobs.rs
@@ -148,7 +148,7 @@
                 _ => None,
             };
             let owned = currently_owned(node, &duty, now);
-            let action = job.runs.begin_answered(result.as_ref(), owned.as_ref(), now);
+            let action = job.runs.begin_result(result.as_ref(), owned.as_ref(), now);
             self.execute(&duty, action, node, now);
         }
         true
