--- a/crates/loomflow-fleet-commands/src/progress.rs
+++ b/crates/loomflow-fleet-commands/src/progress.rs
@@ -49,7 +49,7 @@
 }
 
 fn servers_out(open: &[Ticket]) -> String {
-    let out = open.iter().filter(|ticket| ticket.stage.has_place());
+    let out = open.iter().filter(|ticket| ticket.stage.has_slot());
     let out = out.map(|ticket| format!("{} {}", ticket.request.server, ticket.stage.as_str()));
     out.collect::<Vec<_>>().join(", ")
 }
@@ -129,11 +129,11 @@
         };
         match stage {
             TicketStage::Requested | TicketStage::Granted => None,
-            TicketStage::Begun | TicketStage::Draining => {
+            TicketStage::Accepted | TicketStage::Draining => {
                 self.has_begun = true;
                 None
             }
-            TicketStage::Out => Some(WaitOutcome::drained("drained")),
+            TicketStage::Offline => Some(WaitOutcome::drained("drained")),
             TicketStage::Overdue if !has_returned => Some(WaitOutcome::drained("drained, and overdue")),
             TicketStage::Withdrawn => Some(WaitOutcome::may_not_go("its ticket was withdrawn")),
             TicketStage::Lapsed => Some(WaitOutcome::may_not_go("its ticket lapsed")),
--- a/crates/loomflow-fleet-simulation/src/invariants.rs
+++ b/crates/loomflow-fleet-simulation/src/invariants.rs
@@ -171,7 +171,7 @@
     /// For one fleet.
     pub(crate) fn new(config: &SimulationConfig) -> InvariantChecker {
         InvariantChecker {
-            max_out: config.rules.max_out.of(config.machines as u32) as usize,
+            max_out: config.rules.max_out.resolve(config.machines as u32) as usize,
             out: BTreeMap::new(),
             abandoned: BTreeSet::new(),
             leaders: BTreeMap::new(),
@@ -259,7 +259,7 @@
 fn check_begun(departure: Departure, machines: &[Machine]) -> Result<(), Violation> {
     let Departure { machine, ticket, .. } = departure;
     let has_begun = |stage: TicketStage| {
-        stage >= TicketStage::Begun && !matches!(stage, TicketStage::Withdrawn | TicketStage::Lapsed)
+        stage >= TicketStage::Accepted && !matches!(stage, TicketStage::Withdrawn | TicketStage::Lapsed)
     };
     let states = machines.iter().filter_map(|machine| machine.node.as_ref()?.maintenance());
     if states.filter_map(|state| state.find(ticket)).any(|ticket| has_begun(ticket.stage)) {
--- a/crates/loomflow-fleet-simulation/tests/hard_cases.rs
+++ b/crates/loomflow-fleet-simulation/tests/hard_cases.rs
@@ -68,7 +68,7 @@
 fn a_grant_received_after_it_lapsed_has_no_effect() {
     // The server is paused before it can begin, and resumed when its grant has lapsed and another server is out.
     // Two may be out: the paused server counts as one of them.
-    let rules = Rules { begin_within_millis: 4_000, max_out: Limit::Count(2), ..Rules::default() };
+    let rules = Rules { accept_timeout_millis: 4_000, max_out: Limit::Count(2), ..Rules::default() };
     let mut simulation =
         Simulation::new(SimulationConfig { rules, maintenance_millis: 20_000, ..config(5, 3) }, 7);
     simulation.run_until(12_000).unwrap();
--- a/crates/loomflow-fleet/src/command.rs
+++ b/crates/loomflow-fleet/src/command.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::duty::{DutyCommand, DutyResponse};
-use crate::maintenance::Census;
+use crate::maintenance::FleetAvailability;
 use crate::maintenance::campaign::{CampaignCommand, CampaignView};
 use crate::maintenance::rules::Rules;
 use crate::maintenance::scheduling::Explanation;
@@ -69,7 +69,8 @@
         /// The start of the server that may go.
         incarnation: Incarnation,
         /// Whom the leader saw.
-        census: Census,
+        #[serde(rename = "census")]
+        availability: FleetAvailability,
     },
     /// No grants until resumed; with the reason.
     Pause(String),
--- a/crates/loomflow-fleet/src/maintenance/campaign.rs
+++ b/crates/loomflow-fleet/src/maintenance/campaign.rs
@@ -1,10 +1,9 @@
-//! Campaigns: many tickets in batches, carried out by whoever owns the duty for it. The fleet's state records how far each
-//! has come, so that an owner that takes over continues where the last one stopped, and a batch that is requested again is
-//! rejected.
+//! Campaigns: rollouts of many tickets in batches, driven by the owner of the campaign duty. The progress of each campaign
+//! is replicated, so that a new owner continues where the last one stopped and a repeated request for a batch is rejected.
 //!
-//! A batch is requested when all tickets of the one before are done. A campaign halts when one of its tickets did not end in
-//! order, or when the servers that came back request clearly less of their usual traffic than before: what was rolled out is
-//! worse, and the rest of the fleet is not changed. An operator resumes it or drops it.
+//! A batch is requested when all tickets of the one before are done. A campaign halts when a ticket of the last batch is
+//! overdue or ends in another way, or when the returned servers request clearly less of their usual traffic than before: the
+//! rollout has made them worse, and must not reach the rest of the fleet. An operator resumes or drops a halted campaign.
 
 use std::collections::BTreeMap;
 
@@ -15,82 +14,82 @@
 use crate::duty::{Token, truncate_reason};
 use crate::member::{FleetRequestId, MAX_NAME_BYTES, MemberView, ServerName};
 
-/// Campaigns that are retained, finished ones included.
+/// Maximum number of campaigns, including finished ones that are retained.
 pub const MAX_CAMPAIGNS: usize = 16;
-/// Tickets of one campaign.
+/// Maximum number of tickets of one campaign.
 pub const MAX_TICKETS: usize = 10_000;
-/// A batch came back worse when its servers' mean share fell by more than this.
+/// A campaign halts when the mean send share of the last batch's servers fell by more than this.
 pub const MAX_SHARE_DROP: f32 = 0.1;
 
-/// The status of a campaign.
+/// Whether a campaign requests further batches.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CampaignStatus {
-    /// The next batch is requested when the last one is done.
+    /// Requests the next batch when the last one is done.
     #[serde(rename = "Runs")]
     Running,
-    /// No further batch until an operator resumes it; with the reason.
+    /// Requests no batch until an operator resumes the campaign; with the reason.
     Halted(String),
     /// All batches are done.
     Done,
 }
 
-/// One campaign, as the log has it.
+/// The replicated state of one campaign.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Campaign {
-    /// The operator who started it.
+    /// The operator who started the campaign.
     pub requested_by: String,
     requests: Vec<TicketRequest>,
-    /// Tickets requested at once.
+    /// Number of tickets of one batch.
     pub batch_size: u32,
     /// Index of the first request that has no ticket yet.
     pub next_index: u32,
-    /// Tickets of the last batch.
+    /// Tickets of the last batch; empty before the first one and after a resume.
     last_tickets: Vec<TicketId>,
-    /// Mean share of the last batch's servers before it was requested.
+    /// Mean send share of the last batch's servers before it was requested.
     share_before: f32,
-    /// Its status.
+    /// Whether it is running, halted or done.
     pub status: CampaignStatus,
 }
 
-/// A log entry on campaigns.
+/// A command on a campaign, as it is written to the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CampaignCommand {
-    /// By an operator: a new campaign.
+    /// By an operator: starts a new campaign.
     Start {
-        /// Its name, 1 to 64 bytes.
+        /// Name of the campaign, 1 to 64 bytes.
         name: String,
-        /// A ticket for each.
+        /// The tickets to create, in order; 1 to [`MAX_TICKETS`].
         #[serde(rename = "wanted")]
         requests: Vec<TicketRequest>,
-        /// Tickets requested at once.
+        /// Number of tickets of one batch, at least 1.
         #[serde(rename = "batch")]
         batch_size: u32,
     },
-    /// By an operator: continue one that halted.
+    /// By an operator: continues a halted campaign of this name.
     Resume(String),
-    /// By an operator: forget it.
+    /// By an operator: deletes the campaign of this name. Its tickets remain.
     Drop(String),
-    /// By the owner of the duty: request the next batch; where no request is left, the campaign is done.
+    /// By the owner of the duty: requests the next batch, or marks the campaign done if no request is left.
     Next {
-        /// The campaign.
+        /// Name of the campaign.
         name: String,
         /// Index of the batch's first request.
         #[serde(rename = "from")]
         from_index: u32,
-        /// Mean share that the batch's servers request now.
+        /// Mean send share of the batch's servers now.
         #[serde(rename = "base")]
         share_before: f32,
         /// The owner's fencing token.
         token: Token,
     },
-    /// By the owner of the duty: request no more.
+    /// By the owner of the duty: halts the campaign.
     Halt {
-        /// The campaign.
+        /// Name of the campaign.
         name: String,
-        /// How far the owner believes it to have come.
+        /// The campaign's next index as the owner knows it; the command is rejected if it has changed.
         #[serde(rename = "from")]
         from_index: u32,
-        /// Why.
+        /// The reason, shown to operators.
         reason: String,
         /// The owner's fencing token.
         token: Token,
@@ -98,7 +97,7 @@
 }
 
 impl CampaignCommand {
-    /// The owner's token, where an owner issues it.
+    /// The fencing token of a command by the duty's owner; `None` for operators' commands.
     pub fn token(&self) -> Option<Token> {
         match self {
             CampaignCommand::Next { token, .. } | CampaignCommand::Halt { token, .. } => Some(*token),
@@ -107,57 +106,57 @@
     }
 }
 
-/// A campaign as the leader sees it: what its owner decides by, and what operators are shown.
+/// A campaign as the leader reports it, to the duty's owner for its decisions and to operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CampaignView {
-    /// Its name.
+    /// Name of the campaign.
     pub name: String,
-    /// Who started it.
+    /// The operator who started the campaign.
     #[serde(rename = "by")]
     pub requested_by: String,
-    /// Its status.
+    /// Whether it is running, halted or done.
     #[serde(rename = "stand")]
     pub status: CampaignStatus,
     /// Index of the first request that has no ticket yet.
     #[serde(rename = "next")]
     pub next_index: u32,
-    /// Requests in all.
+    /// Total number of requests of the campaign.
     #[serde(rename = "all")]
     pub total: u32,
-    /// Servers of the last batch with the stages of their tickets; none where a ticket is no longer retained.
+    /// Servers of the last batch with the stages of their tickets; `None` if a ticket is no longer retained.
     #[serde(rename = "last")]
     pub last_batch: Vec<(ServerName, Option<TicketStage>)>,
-    /// Mean share of the last batch's servers before it was requested.
+    /// Mean send share of the last batch's servers before it was requested.
     #[serde(rename = "base")]
     pub share_before: f32,
-    /// The same now; none where one of them sends no report.
+    /// Mean send share of the last batch's servers now; `None` without a batch or a recent load report of each server.
     #[serde(rename = "now")]
     pub share_now: Option<f32>,
-    /// The same of the servers that come next.
+    /// Mean send share of the next batch's servers now; `None` without a batch or a recent load report of each server.
     #[serde(rename = "coming")]
     pub next_batch_share: Option<f32>,
 }
 
-/// What the owner does about one campaign.
+/// The next action of the duty's owner on a campaign.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CampaignStep {
-    /// Request the next batch; where no request is left, end the campaign.
+    /// Request the next batch, or end the campaign if no request is left.
     Next {
-        /// Index of its first request.
+        /// Index of the batch's first request.
         from_index: u32,
-        /// Mean share of its servers now.
+        /// Mean send share of the batch's servers now; 1 if no request is left.
         share_before: f32,
     },
-    /// Request no more.
+    /// Halt the campaign.
     Halt {
-        /// How far the campaign has come.
+        /// Index of the first request that has no ticket yet.
         from_index: u32,
-        /// Why.
+        /// The reason, shown to operators.
         reason: String,
     },
 }
 
-/// What is to be done now; none where something is waited for.
+/// The next action on a campaign; `None` while it has to wait, or is halted or done.
 pub fn next_step(view: &CampaignView) -> Option<CampaignStep> {
     if view.status != CampaignStatus::Running {
         return None;
@@ -170,21 +169,22 @@
     if view.last_batch.iter().any(|(_, stage)| is_open(stage)) {
         return None;
     }
-    // Servers that send no report are waited for: nothing is known of them.
+    // Wait for the load reports of all servers of the last batch before comparing their share.
     if !view.last_batch.is_empty() {
         let (now, before) = (view.share_now?, view.share_before);
         if now < before - MAX_SHARE_DROP {
-            let reason = format!("the last batch came back worse: share {now:.2}, {before:.2} before");
+            let reason = format!("the mean send share of the last batch fell from {before:.2} to {now:.2}");
             return Some(CampaignStep::Halt { from_index, reason });
         }
     }
-    // After the last batch one more `Next` is issued, for an empty batch: it creates no ticket and ends the campaign.
+    // After the last batch, another `Next` with no requests ends the campaign.
     let is_complete = view.next_index >= view.total;
     let share_before = if is_complete { 1.0 } else { view.next_batch_share? };
     Some(CampaignStep::Next { from_index, share_before })
 }
 
-/// The failure of the first ticket of the last batch that did not end in order.
+/// The reason to halt for the first ticket of the last batch that is overdue or was closed without being done; `None` if
+/// there is no such ticket.
 fn failed_ticket(view: &CampaignView) -> Option<String> {
     view.last_batch.iter().find_map(|(server, stage)| match stage {
         Some(TicketStage::Overdue) => Some(format!("{server} is overdue")),
@@ -200,15 +200,17 @@
 pub struct Campaigns(BTreeMap<String, Campaign>);
 
 impl Campaigns {
-    /// Whether any campaign has batches to come.
+    /// Whether any campaign is running.
     pub fn is_any_running(&self) -> bool {
         self.0.values().any(|campaign| campaign.status == CampaignStatus::Running)
     }
 
-    /// Applies one command; an owner's token was checked before. Tickets are created under `request_id`, the entry's own.
+    /// Applies one command. The caller has checked an owner's token. Tickets are created under `request_id`, the id of the
+    /// log entry.
     ///
     /// # Errors
-    /// The campaign is unknown, or not where the command believes it to be; or the tickets are rejected.
+    /// The campaign is unknown, not running, or not at the command's index; the parameters are invalid; or the tickets are
+    /// rejected.
     pub fn apply(
         &mut self,
         maintenance: &mut MaintenanceState,
@@ -223,13 +225,13 @@
             CampaignCommand::Resume(name) => {
                 let campaign = self.campaign(name)?;
                 if let CampaignStatus::Halted(_) = campaign.status {
-                    // What it halted for is the operator's business now.
+                    // Forget the last batch, so that the campaign does not halt again for the same reason.
                     campaign.status = CampaignStatus::Running;
                     campaign.last_tickets.clear();
                 }
             }
             CampaignCommand::Drop(name) => {
-                self.0.remove(name).ok_or_else(|| unknown(name))?;
+                self.0.remove(name).ok_or_else(|| unknown_campaign(name))?;
             }
             CampaignCommand::Next { name, from_index, share_before, .. } => {
                 let campaign = self.running_campaign(name, *from_index)?;
@@ -276,7 +278,7 @@
         Ok(())
     }
 
-    /// Drops a finished campaign where there are as many as may be.
+    /// Deletes a finished campaign if [`MAX_CAMPAIGNS`] exist already and `name` is a new one.
     fn evict_finished(&mut self, name: &str) -> Result<(), Rejection> {
         if self.0.len() < MAX_CAMPAIGNS || self.0.contains_key(name) {
             return Ok(());
@@ -288,10 +290,10 @@
     }
 
     fn campaign(&mut self, name: &str) -> Result<&mut Campaign, Rejection> {
-        self.0.get_mut(name).ok_or_else(|| unknown(name))
+        self.0.get_mut(name).ok_or_else(|| unknown_campaign(name))
     }
 
-    /// A campaign that runs, and has come as far as the command believes: a repeated command is rejected.
+    /// Finds a running campaign whose next index is `from_index`. Rejects repeated commands, whose index has been passed.
     fn running_campaign(&mut self, name: &str, from_index: u32) -> Result<&mut Campaign, Rejection> {
         let campaign = self.campaign(name)?;
         let next_index = campaign.next_index;
@@ -302,7 +304,7 @@
         Ok(campaign)
     }
 
-    /// All campaigns, for their owner and for operators.
+    /// Views of all campaigns, for the duty's owner and for operators.
     pub fn views(
         &self,
         maintenance: &MaintenanceState,
@@ -313,20 +315,20 @@
 }
 
 impl Campaign {
-    /// Requests that have no ticket yet and come next.
+    /// Requests of the next batch; empty if none is left.
     fn next_batch(&self) -> &[TicketRequest] {
         let start = self.next_index as usize;
         let end = (start + self.batch_size as usize).min(self.requests.len());
         &self.requests[start..end]
     }
 
-    /// Requests of the last batch.
+    /// Requests of the last batch, in the order of `last_tickets`.
     fn last_batch(&self) -> &[TicketRequest] {
         let end = self.next_index as usize;
         &self.requests[end.saturating_sub(self.last_tickets.len())..end]
     }
 
-    /// Creates the tickets of the next batch; where there is none left, the campaign is done.
+    /// Creates the tickets of the next batch, or marks the campaign done if no request is left.
     fn create_batch(
         &mut self,
         maintenance: &mut MaintenanceState,
@@ -353,9 +355,9 @@
         maintenance: &MaintenanceState,
         members: &BTreeMap<ServerName, MemberView>,
     ) -> CampaignView {
-        let last = self.last_batch();
+        let last_batch = self.last_batch();
         let stage = |id: &TicketId| maintenance.find(*id).map(|ticket| ticket.stage);
-        let servers = last.iter().map(|request| request.server.clone());
+        let servers = last_batch.iter().map(|request| request.server.clone());
         CampaignView {
             name: name.to_owned(),
             requested_by: self.requested_by.clone(),
@@ -364,20 +366,20 @@
             total: self.requests.len() as u32,
             last_batch: servers.zip(self.last_tickets.iter().map(stage)).collect(),
             share_before: self.share_before,
-            share_now: mean_share(last, members),
+            share_now: mean_share(last_batch, members),
             next_batch_share: mean_share(self.next_batch(), members),
         }
     }
 }
 
-/// The mean share that the servers request; none where one of them sends no report, or there is none.
+/// The mean send share of the servers; `None` if one of them has no recent load report, or there is no server.
 fn mean_share(requests: &[TicketRequest], members: &BTreeMap<ServerName, MemberView>) -> Option<f32> {
     let share = |request: &TicketRequest| Some(members.get(&request.server)?.load_report?.share);
     let shares: Vec<f32> = requests.iter().map(share).collect::<Option<_>>()?;
     (!shares.is_empty()).then(|| shares.iter().sum::<f32>() / shares.len() as f32)
 }
 
-/// A number below a million, with a comma before its last three digits where there are more.
+/// Formats a number below one million with a comma as thousands separator.
 fn group_thousands(number: usize) -> String {
     match number / 1_000 {
         0 => number.to_string(),
@@ -385,7 +387,7 @@
     }
 }
 
-fn unknown(name: &str) -> Rejection {
+fn unknown_campaign(name: &str) -> Rejection {
     Rejection::Invalid(format!("no campaign is called {name:?}"))
 }
 
--- a/crates/loomflow-fleet/src/maintenance/headroom.rs
+++ b/crates/loomflow-fleet/src/maintenance/headroom.rs
@@ -1,11 +1,13 @@
-//! Whether those who stay can carry the fleet's load: judged from load reports, by the figures that the servers' controllers
-//! themselves use.
+//! Whether the remaining servers can carry the fleet's load, estimated from load reports with the same figures that the
+//! servers' controllers use.
 //!
 //! The **load** of a server is the number of its concurrent runs, times the ratio of queueing time to setpoint where that is
-//! above 1: requests that are queued for longer than the setpoint wait for runs that cannot begin. Its **capacity** is its
-//! concurrency limit, which rises only on runs that ended well and is cut when they do not, times the share that it
-//! requests: a server that wants half of its usual traffic can carry half. A server may go when those who stay would be filled to at most [`MAX_FILL`], with the
-//! maximum that was carried in the last [`BURST_WINDOW_MILLIS`], all by recent reports.
+//! above 1: requests that are queued for longer than the setpoint are demand that cannot start yet. The **capacity** of a
+//! server is its concurrency limit times its send share: a server that requests half of its usual traffic can carry half.
+//! The limit rises only while runs succeed and is cut when they fail.
+//!
+//! A server may leave if the remaining servers would be utilized to at most [`MAX_UTILIZATION`] by the highest load of the
+//! last [`BURST_WINDOW_MILLIS`]. Only recent load reports count.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -15,17 +17,17 @@
 use crate::member::{ServerName, Zone};
 use crate::time::IntegerMillis;
 
-/// How full those who stay may be, as a fraction of their capacity.
-pub const MAX_FILL: f64 = 0.85;
-/// The highest load within this window counts as the load now, ms.
+/// Maximum utilization of the remaining servers, as a fraction of their capacity.
+pub const MAX_UTILIZATION: f64 = 0.85;
+/// Window over which the highest load is taken, ms.
 pub const BURST_WINDOW_MILLIS: IntegerMillis = 5 * 60 * 1000;
-/// Loads are averaged over buckets of this length, ms.
+/// Length of the buckets over which load is averaged, ms.
 const BUCKET_MILLIS: IntegerMillis = 10_000;
-/// A zone that carries this fraction of its highest recent load is busy.
+/// Fraction of its highest recent load from which on a zone counts as busy.
 const BUSY_FRACTION: f64 = 0.9;
 
-/// The recent load, averaged over each bucket of the last [`BURST_WINDOW_MILLIS`]: what is migrated from one server to
-/// another is in both their reports for a moment, and must not look like a burst.
+/// The load of the last [`BURST_WINDOW_MILLIS`], averaged over buckets: load that migrates from one server to another is in
+/// both their reports for a moment, and must not count as a burst.
 #[derive(Clone, Debug, Default)]
 pub struct Headroom {
     buckets: VecDeque<Bucket>,
@@ -35,8 +37,9 @@
 struct Bucket {
     start: IntegerMillis,
     sample_count: f64,
-    /// Sums over the samples, in concurrent runs.
+    /// Sum over the bucket's samples, in concurrent runs.
     load_by_zone: BTreeMap<Zone, f64>,
+    /// Sum over the bucket's samples, in concurrent runs.
     fleet_load: f64,
 }
 
@@ -50,39 +53,40 @@
     }
 }
 
-/// Load and remaining capacity if some servers left, in concurrent runs.
+/// The fleet's load, and the capacity that would remain without some of the servers, in concurrent runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Estimate {
-    /// The fleet's load now.
+    /// Current load of the fleet.
     #[serde(rename = "now")]
     pub current_load: f64,
-    /// Its highest recent load.
+    /// Highest bucket average of the fleet's load within [`BURST_WINDOW_MILLIS`].
     #[serde(rename = "most")]
     pub peak_load: f64,
-    /// The capacity of those who would stay.
+    /// Capacity of the servers that would remain.
     #[serde(rename = "stay")]
     pub remaining_capacity: f64,
 }
 
 impl Estimate {
-    /// The load that those who stay have to be able to carry.
+    /// The load that the remaining servers have to carry: the current or the peak load, whichever is higher.
     pub fn load(&self) -> f64 {
         self.current_load.max(self.peak_load)
     }
 
-    /// How full those who stay would be, as a fraction.
-    pub fn fill(&self) -> f64 {
+    /// Utilization of the remaining servers, as a fraction of their capacity.
+    pub fn utilization(&self) -> f64 {
         self.load() / self.remaining_capacity.max(f64::MIN_POSITIVE)
     }
 
-    /// Whether those who stay can carry the load.
+    /// Whether the load is at most [`MAX_UTILIZATION`] of the remaining capacity.
     pub fn is_sufficient(&self) -> bool {
-        self.load() <= MAX_FILL * self.remaining_capacity
+        self.load() <= MAX_UTILIZATION * self.remaining_capacity
     }
 }
 
 impl Headroom {
-    /// Takes in the members' load. To be called every second or so, on every voter: a new leader knows it too.
+    /// Adds a sample of the members' load. Called about once a second on every voter, so that a new leader has the recent
+    /// load at once.
     pub fn observe(&mut self, now: IntegerMillis, members: &BTreeMap<ServerName, MemberView>) {
         if self.buckets.back().is_none_or(|bucket| now >= bucket.start + BUCKET_MILLIS) {
             self.buckets.push_back(Bucket { start: now, ..Bucket::default() });
@@ -100,18 +104,18 @@
         }
     }
 
-    /// The fleet's load, and the capacity of those for whom `stays` is true.
+    /// The fleet's load, and the capacity of the serving members for which `remains` returns true.
     pub fn estimate(
         &self,
         members: &BTreeMap<ServerName, MemberView>,
-        stays: &dyn Fn(&str) -> bool,
+        remains: &dyn Fn(&str) -> bool,
     ) -> Estimate {
         let mut current_load = 0.0;
         let mut remaining_capacity = 0.0;
         for (name, member) in members {
             let Some(report) = member.load_report else { continue };
             current_load += report.carried_load();
-            if member.is_serving() && stays(name) {
+            if member.is_serving() && remains(name) {
                 remaining_capacity += report.capacity();
             }
         }
@@ -119,17 +123,18 @@
         Estimate { current_load, peak_load, remaining_capacity }
     }
 
-    /// Whether a zone is near its highest recent load.
+    /// Whether a zone's load is at least 90% of its recent maximum, and was below that within the window.
     pub fn is_busy(&self, zone: &str, members: &BTreeMap<ServerName, MemberView>) -> bool {
-        let here = members.values().filter(|member| member.zone == zone);
-        let now: f64 = here.filter_map(|member| member.load_report).map(|report| report.carried_load()).sum();
+        let zone_members = members.values().filter(|member| member.zone == zone);
+        let current: f64 =
+            zone_members.filter_map(|member| member.load_report).map(|report| report.carried_load()).sum();
         let (lowest, highest) = self
             .buckets
             .iter()
             .map(|bucket| bucket.mean_zone_load(zone))
             .fold((f64::INFINITY, 0.0_f64), |(lowest, highest), load| (lowest.min(load), highest.max(load)));
-        // Where the load hardly changes no moment is busier than another.
-        highest > 0.0 && now >= BUSY_FRACTION * highest && lowest < BUSY_FRACTION * highest
+        // If the load hardly varies, postponing a ticket would not find a quieter time.
+        highest > 0.0 && current >= BUSY_FRACTION * highest && lowest < BUSY_FRACTION * highest
     }
 }
 
--- a/crates/loomflow-fleet/src/maintenance/headroom/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/headroom/tests.rs
@@ -13,46 +13,51 @@
     (0..count).map(|n| (format!("n{n}"), member.clone())).collect()
 }
 
-fn holds(members: &BTreeMap<ServerName, MemberView>, headroom: &Headroom, without: usize) -> bool {
-    let gone: Vec<ServerName> = (0..without).map(|n| format!("n{n}")).collect();
-    headroom.estimate(members, &|name| !gone.iter().any(|g| g == name)).is_sufficient()
+/// Whether the servers that remain without the first `removed` ones can carry the load.
+fn is_sufficient_without(
+    members: &BTreeMap<ServerName, MemberView>,
+    headroom: &Headroom,
+    removed: usize,
+) -> bool {
+    let removed: Vec<ServerName> = (0..removed).map(|n| format!("n{n}")).collect();
+    headroom.estimate(members, &|name| !removed.iter().any(|other| other == name)).is_sufficient()
 }
 
 #[test]
-fn at_seven_tenths_one_of_nine_may_go_and_a_third_may_not() {
+fn at_70_percent_load_one_of_nine_may_leave_but_not_three() {
     let (members, headroom) = (fleet(9, 5.6, 1.0, 0.8), Headroom::default());
-    assert!(holds(&members, &headroom, 1));
-    assert!(!holds(&members, &headroom, 3));
+    assert!(is_sufficient_without(&members, &headroom, 1));
+    assert!(!is_sufficient_without(&members, &headroom, 3));
 }
 
 #[test]
-fn a_share_below_one_or_holds_over_the_aim_leave_no_room() {
+fn reduced_share_or_queueing_above_setpoint_leaves_no_headroom() {
     let headroom = Headroom::default();
-    assert!(!holds(&fleet(9, 5.6, 0.7, 0.8), &headroom, 1));
-    assert!(!holds(&fleet(9, 5.6, 1.0, 1.5), &headroom, 1));
+    assert!(!is_sufficient_without(&fleet(9, 5.6, 0.7, 0.8), &headroom, 1));
+    assert!(!is_sufficient_without(&fleet(9, 5.6, 1.0, 1.5), &headroom, 1));
 }
 
 #[test]
-fn a_burst_of_the_last_minutes_counts_and_is_forgotten() {
+fn burst_counts_until_the_window_has_passed() {
     let (mut headroom, calm) = (Headroom::default(), fleet(9, 3.0, 1.0, 0.5));
     headroom.observe(0, &fleet(9, 8.0, 1.0, 0.9));
     headroom.observe(BUCKET_MILLIS, &calm);
-    assert!(!holds(&calm, &headroom, 1));
+    assert!(!is_sufficient_without(&calm, &headroom, 1));
     headroom.observe(BURST_WINDOW_MILLIS + BUCKET_MILLIS + 1, &calm);
-    assert!(holds(&calm, &headroom, 1));
+    assert!(is_sufficient_without(&calm, &headroom, 1));
     assert!(headroom.buckets.len() <= (BURST_WINDOW_MILLIS / BUCKET_MILLIS + 2) as usize);
 }
 
 #[test]
-fn a_member_without_a_recent_load_report_has_no_capacity() {
+fn member_without_load_report_has_no_capacity() {
     let mut members = fleet(3, 4.0, 1.0, 0.5);
-    assert!(holds(&members, &Headroom::default(), 1));
+    assert!(is_sufficient_without(&members, &Headroom::default(), 1));
     members.get_mut("n2").unwrap().load_report = None;
-    assert!(!holds(&members, &Headroom::default(), 1) || MAX_FILL > 1.0);
+    assert!(!is_sufficient_without(&members, &Headroom::default(), 1) || MAX_UTILIZATION > 1.0);
 }
 
 #[test]
-fn a_zone_is_busy_near_its_most_where_it_moves_at_all() {
+fn zone_is_busy_near_its_peak_if_load_varies() {
     let (mut headroom, calm, full) = (Headroom::default(), fleet(3, 2.0, 1.0, 0.5), fleet(3, 7.0, 1.0, 0.5));
     headroom.observe(0, &calm);
     assert!(!headroom.is_busy("a", &calm));
--- a/crates/loomflow-fleet/src/maintenance/observation/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/observation/tests.rs
@@ -5,12 +5,12 @@
 use crate::member::{LoadReport, MemberState, Zone};
 use std::collections::BTreeMap;
 
-/// When the ticket came to its stage.
+/// Fleet time at which the ticket entered its stage, ms.
 const SINCE: u64 = 1_000;
 
-/// The ticket of a server that left as start 1 and came back as start 2.
+/// The ticket of a server that left as incarnation 1 and returned as incarnation 2.
 fn ticket(stage: TicketStage) -> Ticket {
-    let has_returned = matches!(stage, TicketStage::Back | TicketStage::Ready);
+    let has_returned = matches!(stage, TicketStage::Returned | TicketStage::Ready);
     Ticket { since: SINCE, returned_incarnation: if has_returned { 2 } else { 0 }, ..fixtures::ticket(stage) }
 }
 
@@ -19,7 +19,7 @@
     MemberView { zone: Zone::new(), state, incarnation, load_report: Some(report) }
 }
 
-/// The transition at a time; `members` beside the ticket's server are none.
+/// The transition at fleet time `now`, in a fleet whose only member is the ticket's server.
 fn transition_at(now: u64, stage: TicketStage, member: &MemberView) -> Option<(Transition, Incarnation)> {
     let members = BTreeMap::from([("a".to_owned(), member.clone())]);
     let view = SchedulerView {
@@ -33,39 +33,36 @@
 }
 
 #[test]
-fn each_transition_follows_from_what_is_seen_of_the_server() {
+fn transition_follows_from_member_state_and_load_report() {
     use MemberState::{Down, Serving, Suspect};
-    let (soon, settled) = (SINCE + 9_999, SINCE + 10_000);
+    let (before_ready, after_ready) = (SINCE + 9_999, SINCE + 10_000);
     for (now, stage, member, expected) in [
-        (soon, TicketStage::Begun, member(Serving, 1, 1.0, true), None),
-        (soon, TicketStage::Draining, member(Suspect, 1, 1.0, true), None),
-        (soon, TicketStage::Draining, member(Down, 1, 1.0, true), Some((Transition::Depart, 1))),
-        (soon, TicketStage::Out, member(Down, 1, 1.0, true), None),
-        (soon, TicketStage::Out, member(Serving, 2, 1.0, true), Some((Transition::Return, 2))),
-        (soon, TicketStage::Overdue, member(Serving, 2, 1.0, true), Some((Transition::Return, 2))),
-        (soon, TicketStage::Back, member(Serving, 2, 0.89, true), None),
-        (soon, TicketStage::Back, member(Serving, 2, 1.0, false), None),
-        (soon, TicketStage::Back, member(Serving, 2, 0.9, true), Some((Transition::Ready, 2))),
-        (soon, TicketStage::Back, member(Down, 2, 1.0, true), Some((Transition::Depart, 2))),
-        (soon, TicketStage::Ready, member(Serving, 2, 0.89, true), Some((Transition::Unready, 2))),
-        (soon, TicketStage::Ready, member(Serving, 2, 1.0, true), None),
-        (settled, TicketStage::Ready, member(Serving, 2, 1.0, true), Some((Transition::Finish, 2))),
-        (settled, TicketStage::Ready, member(Serving, 3, 1.0, true), Some((Transition::Return, 3))),
+        (before_ready, TicketStage::Accepted, member(Serving, 1, 1.0, true), None),
+        (before_ready, TicketStage::Draining, member(Suspect, 1, 1.0, true), None),
+        (before_ready, TicketStage::Draining, member(Down, 1, 1.0, true), Some((Transition::Depart, 1))),
+        (before_ready, TicketStage::Offline, member(Down, 1, 1.0, true), None),
+        (before_ready, TicketStage::Offline, member(Serving, 2, 1.0, true), Some((Transition::Return, 2))),
+        (before_ready, TicketStage::Overdue, member(Serving, 2, 1.0, true), Some((Transition::Return, 2))),
+        (before_ready, TicketStage::Returned, member(Serving, 2, 0.89, true), None),
+        (before_ready, TicketStage::Returned, member(Serving, 2, 1.0, false), None),
+        (before_ready, TicketStage::Returned, member(Serving, 2, 0.9, true), Some((Transition::Ready, 2))),
+        (before_ready, TicketStage::Returned, member(Down, 2, 1.0, true), Some((Transition::Depart, 2))),
+        (before_ready, TicketStage::Ready, member(Serving, 2, 0.89, true), Some((Transition::Unready, 2))),
+        (before_ready, TicketStage::Ready, member(Serving, 2, 1.0, true), None),
+        (after_ready, TicketStage::Ready, member(Serving, 2, 1.0, true), Some((Transition::Finish, 2))),
+        (after_ready, TicketStage::Ready, member(Serving, 3, 1.0, true), Some((Transition::Return, 3))),
     ] {
         assert_eq!(transition_at(now, stage, &member), expected, "{stage:?} at {now}, {member:?}");
     }
 }
 
 #[test]
-fn a_grant_is_recalled_when_the_others_can_no_longer_carry_the_load() {
-    let recall = Some((Transition::Recall, 1));
-    let alone = member(MemberState::Serving, 1, 1.0, true);
-    assert_eq!(transition_at(SINCE, TicketStage::Granted, &alone), None, "there is no load");
-    let mut loaded = alone.clone();
+fn grant_is_revoked_without_headroom_or_load_report() {
+    let revoke = Some((Transition::Revoke, 1));
+    let idle = member(MemberState::Serving, 1, 1.0, true);
+    assert_eq!(transition_at(SINCE, TicketStage::Granted, &idle), None, "the only server carries no load");
+    let mut loaded = idle.clone();
     loaded.load_report.as_mut().unwrap().running = 1.0;
-    assert_eq!(transition_at(SINCE, TicketStage::Granted, &loaded), recall);
-    assert_eq!(
-        transition_at(SINCE, TicketStage::Granted, &MemberView { load_report: None, ..alone }),
-        recall
-    );
+    assert_eq!(transition_at(SINCE, TicketStage::Granted, &loaded), revoke);
+    assert_eq!(transition_at(SINCE, TicketStage::Granted, &MemberView { load_report: None, ..idle }), revoke);
 }
--- a/crates/loomflow-fleet/src/maintenance/rules.rs
+++ b/crates/loomflow-fleet/src/maintenance/rules.rs
@@ -1,21 +1,22 @@
-//! How many servers may be out, and what counts as back: set by the operators, the same on all servers through the log.
+//! The operators' rules: how many servers may be out for maintenance, and when a returned server counts as ready. Replicated
+//! through the log, so that all servers apply the same rules.
 
 use serde::{Deserialize, Serialize};
 
 use crate::time::FleetMillis;
 
-/// A number of servers, or a share of those in the fleet or zone.
+/// A maximum number of servers, absolute or relative to the size of the fleet or zone.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Limit {
-    /// This many.
+    /// An absolute number of servers.
     Count(u32),
-    /// From 0 to 1; rounded down, but never to none.
+    /// A fraction from 0 to 1, rounded down to whole servers but to at least one.
     Share(f64),
 }
 
 impl Limit {
-    /// The number of servers that this is of `total`.
-    pub fn of(self, total: u32) -> u32 {
+    /// The number of servers that the limit allows in a fleet or zone of `total` servers.
+    pub fn resolve(self, total: u32) -> u32 {
         match self {
             Limit::Count(count) => count,
             Limit::Share(share) => ((f64::from(total) * share) as u32).max(1),
@@ -26,19 +27,19 @@
 /// The operators' rules for maintenance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
-    /// Servers out at once, in the fleet.
+    /// Maximum number of servers out at once in the whole fleet.
     #[serde(rename = "out")]
     pub max_out: Limit,
-    /// Servers out at once in one zone; no limit of its own where absent.
+    /// Maximum number of servers out at once in one zone; `None` sets no limit per zone.
     #[serde(rename = "zone_out")]
     pub max_out_per_zone: Option<Limit>,
-    /// A grant that is not taken up for this long lapses, ms.
+    /// Time within which a server has to accept a grant before it lapses, ms.
     #[serde(rename = "begin_within")]
-    pub begin_within_millis: FleetMillis,
-    /// How long a server carries its load before its place is available, ms.
+    pub accept_timeout_millis: FleetMillis,
+    /// How long a returned server has to stay ready before its slot is released, ms.
     #[serde(rename = "warm_for")]
     pub ready_for_millis: FleetMillis,
-    /// The send share from which on a server carries its load.
+    /// Minimum send share at which a returned server counts as ready, from 0 to 1.
     #[serde(rename = "warm_share")]
     pub min_ready_share: f32,
 }
@@ -48,16 +49,16 @@
         Rules {
             max_out: Limit::Count(1),
             max_out_per_zone: None,
-            begin_within_millis: 30_000,
+            accept_timeout_millis: 30_000,
             ready_for_millis: 10_000,
             min_ready_share: 0.9,
         }
     }
 }
 
-/// Voters that must stay healthy when one of `total` leaves: a majority, and one more where there are that many, so that
-/// the majority never depends on one machine. Of three only a majority can stay; then all three must be healthy before. Of one
-/// or two voters none can be granted: fewer than a majority would stay.
+/// The number of voters that must remain healthy while one of `total` voters is out: a majority plus one, so that the quorum
+/// never depends on a single machine. Of three voters only a majority can remain, so all three have to be healthy before one
+/// leaves. With one or two voters no voter is ever granted, because fewer than a majority would remain.
 pub fn voters_needed(total: u32) -> u32 {
     let majority = total / 2 + 1;
     majority + u32::from(total > majority + 1)
--- a/crates/loomflow-fleet/src/maintenance/rules/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/rules/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
 #[test]
-fn a_share_is_never_none() {
-    assert_eq!([0, 5, 9, 10, 300].map(|all| Limit::Share(0.1).of(all)), [1, 1, 1, 1, 30]);
-    assert_eq!(Limit::Count(0).of(9), 0);
+fn share_limit_is_at_least_one() {
+    assert_eq!([0, 5, 9, 10, 300].map(|total| Limit::Share(0.1).resolve(total)), [1, 1, 1, 1, 30]);
+    assert_eq!(Limit::Count(0).resolve(9), 0);
 }
 
 #[test]
-fn a_single_voter_stays_and_of_five_one_more_than_a_majority() {
+fn voters_needed_exceeds_a_majority_by_one_of_five() {
     assert_eq!([1, 2, 3, 5].map(voters_needed), [1, 2, 2, 4]);
 }
--- a/crates/loomflow-fleet/src/maintenance/scheduling.rs
+++ b/crates/loomflow-fleet/src/maintenance/scheduling.rs
@@ -1,7 +1,7 @@
-//! Which server is next, and why each of the others waits. Used by the leader alone; its decision is checked again when it is
-//! applied.
+//! Scheduling of grants: which server goes next, and why each of the others waits. Runs on the leader alone; the state
+//! machine checks its decisions again when it applies them.
 //!
-//! This file puts the tickets in their order and decides; `checks` has the conditions that a ticket has to meet.
+//! This file orders the waiting tickets and decides; `checks` holds the conditions that a ticket has to meet.
 
 mod checks;
 
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::Census;
+use super::FleetAvailability;
 use super::headroom::{Estimate, Headroom};
 use super::state::MaintenanceState;
 use super::ticket::{Ticket, TicketId, TicketStage};
@@ -18,84 +18,85 @@
 use crate::time::FleetMillis;
 pub use checks::{Check, Finding};
 
-/// A ticket rises by one urgency each time that it has waited this long, ms.
+/// Waiting time that raises the priority of a ticket by one urgency, ms.
 pub const AGEING_MILLIS: FleetMillis = 30 * 60 * 1000;
-/// One that has waited this long for a place is not overtaken, ms: a place that becomes available is reserved for it.
+/// Waiting time after which a ticket is not overtaken, ms: while it fails the check of budget, voters or headroom, no ticket
+/// behind it is granted, so that the next free slot is reserved for it.
 pub const NO_OVERTAKING_AFTER_MILLIS: FleetMillis = 2 * AGEING_MILLIS;
-/// Tickets that are considered in one round.
+/// Maximum number of tickets that are considered in one round.
 const MAX_TICKETS_CONSIDERED: usize = 256;
 
-/// Why a server waits, or that it does not.
+/// The result of `explain`: why a server waits for its grant, if it does.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// The server.
+    /// Name of the server.
     pub server: ServerName,
-    /// What it is doing; none where the fleet does not know it.
+    /// Membership state of the server; `None` if no member has that name.
     #[serde(rename = "standing")]
     pub state: Option<MemberState>,
-    /// The ticket that this is about, with its stage; none where none is open.
+    /// The ticket that has a slot, or else the oldest open one, with its stage; `None` if the server has no open ticket.
     pub ticket: Option<(TicketId, TicketStage)>,
-    /// Every check, where the ticket waits.
+    /// Results of all checks; empty unless the ticket waits for its grant.
     pub findings: Vec<Finding>,
-    /// Load and capacity if this one left.
+    /// The fleet's load, and the capacity that would remain without the server.
     pub estimate: Estimate,
 }
 
-/// What the leader decides by.
+/// The leader's view of the fleet on which its decisions are based.
 pub struct SchedulerView<'a> {
-    /// Tickets and rules.
+    /// Replicated state: tickets, rules and voters.
     pub maintenance: &'a MaintenanceState,
-    /// All members.
+    /// State and load report of every member, by name.
     pub members: &'a BTreeMap<ServerName, MemberView>,
-    /// The recent load.
+    /// Load of the last minutes.
     pub headroom: &'a Headroom,
-    /// The fleet's time.
+    /// Current fleet time, ms.
     pub now: FleetMillis,
-    /// The leader's own name.
+    /// Name of the leader itself.
     pub leader: &'a str,
 }
 
-/// What to do about the ticket that comes next.
+/// The action that the leader takes next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Its server may go.
+    /// Grant a ticket a slot.
     Grant {
-        /// The ticket.
+        /// Number of the ticket.
         ticket: TicketId,
-        /// The start of its server that may go.
+        /// The incarnation of the server that the grant is valid for.
         incarnation: Incarnation,
     },
-    /// Its server leads: another has to lead before it leaves.
+    /// Transfer leadership, because the next ticket is for the leader itself.
     TransferLeadership,
 }
 
 impl SchedulerView<'_> {
-    /// The members by zone, and who counts as out whatever their tickets.
-    pub fn census(&self) -> Census {
-        let mut zones: BTreeMap<Zone, u32> = BTreeMap::new();
+    /// The number of members in each zone, and the members that count as out even without a ticket.
+    pub fn availability(&self) -> FleetAvailability {
+        let mut zone_sizes: BTreeMap<Zone, u32> = BTreeMap::new();
         for member in self.members.values() {
-            *zones.entry(member.zone.clone()).or_default() += 1;
+            *zone_sizes.entry(member.zone.clone()).or_default() += 1;
         }
-        let away = self.members.iter().filter(|(_, member)| !member.is_serving());
-        Census {
-            zones: zones.into_iter().collect(),
-            away: away.map(|(name, member)| (name.clone(), member.zone.clone())).collect(),
+        let unavailable = self.members.iter().filter(|(_, member)| !member.is_serving());
+        FleetAvailability {
+            zone_sizes: zone_sizes.into_iter().collect(),
+            unavailable: unavailable.map(|(name, member)| (name.clone(), member.zone.clone())).collect(),
         }
     }
 
-    /// What to do now; none where all tickets wait.
+    /// The next action; `None` while every ticket has to wait.
     pub fn decide(&self) -> Option<Decision> {
-        let census = self.census();
+        let availability = self.availability();
         for ticket in self.waiting_tickets().into_iter().take(MAX_TICKETS_CONSIDERED) {
-            let failed = self.checks(ticket, &census).find(|finding| !finding.is_satisfied);
+            let failed = self.checks(ticket, &availability).find(|finding| !finding.is_satisfied);
             match failed.map(|finding| finding.check) {
                 None => {
                     let incarnation = self.members.get(&ticket.request.server)?.incarnation;
                     return Some(Decision::Grant { ticket: ticket.id, incarnation });
                 }
                 Some(Check::Leader) => return Some(Decision::TransferLeadership),
-                // These concern all tickets alike.
-                Some(Check::Pause | Check::Evidence) => return None,
+                // These conditions do not depend on the ticket.
+                Some(Check::Pause | Check::LoadReports) => return None,
                 Some(Check::Budget | Check::Voters | Check::Headroom)
                     if self.waiting_millis(ticket) >= NO_OVERTAKING_AFTER_MILLIS =>
                 {
@@ -107,15 +108,15 @@
         None
     }
 
-    /// Whether the conditions of a grant that was not taken up yet are still met. What has been committed since is in the
-    /// limits already.
+    /// Whether the conditions of a grant that was not accepted yet are still met: load reports and headroom. The limits need
+    /// no second check, because grants committed later already count this server as out.
     pub fn is_grant_still_valid(&self, ticket: &Ticket) -> bool {
-        self.check_evidence().is_satisfied && self.estimate(&ticket.request.server).is_sufficient()
+        self.check_load_reports().is_satisfied && self.estimate(&ticket.request.server).is_sufficient()
     }
 
-    /// Why a server waits, check by check.
+    /// Explains why a server waits, with the result of each check.
     pub fn explain(&self, server: &str) -> Explanation {
-        let ticket = self.maintenance.ticket_with_place(server);
+        let ticket = self.maintenance.ticket_with_slot(server);
         let ticket = ticket.or_else(|| self.maintenance.tickets_of(server).next());
         let findings = match ticket {
             Some(ticket) if ticket.stage == TicketStage::Requested => self.findings(ticket),
@@ -130,17 +131,17 @@
         }
     }
 
-    /// Every check of a waiting ticket, its place in the queue included.
+    /// Results of all checks of a waiting ticket, including its position in the queue.
     fn findings(&self, ticket: &Ticket) -> Vec<Finding> {
-        let mut findings: Vec<Finding> = self.checks(ticket, &self.census()).collect();
+        let mut findings: Vec<Finding> = self.checks(ticket, &self.availability()).collect();
         let queue = self.waiting_tickets();
-        let before: Vec<&&Ticket> = queue.iter().take_while(|other| other.id != ticket.id).collect();
+        let ahead: Vec<&&Ticket> = queue.iter().take_while(|other| other.id != ticket.id).collect();
         findings.push(Finding {
             check: Check::Queue,
-            is_satisfied: before.is_empty(),
-            actual: before.len() as f64,
+            is_satisfied: ahead.is_empty(),
+            actual: ahead.len() as f64,
             required: 0.0,
-            detail: before.first().map(|first| first.request.server.clone()),
+            detail: ahead.first().map(|first| first.request.server.clone()),
         });
         findings
     }
@@ -149,8 +150,9 @@
         self.now.saturating_sub(ticket.requested_at)
     }
 
-    /// Waiting tickets in the order in which they are considered: the leader last; urgency with age; a voter not right after
-    /// another; a zone not right after itself, nor while it is busy; then the oldest first.
+    /// Waiting tickets in the order in which they are considered: the leader's own last, until it has waited for
+    /// [`NO_OVERTAKING_AFTER_MILLIS`]; then by urgency, raised with age; voters later if the last grant was for a voter;
+    /// zones later if the last grant was for the same zone, or while they are busy; then the oldest first.
     fn waiting_tickets(&self) -> Vec<&Ticket> {
         let open = self.maintenance.open().values();
         let mut waiting: Vec<&Ticket> =
@@ -178,10 +180,10 @@
         waiting
     }
 
-    /// Load and capacity if this server left, beside those that are out.
+    /// The fleet's load, and the capacity that would remain without this server and those that have a slot.
     fn estimate(&self, server: &str) -> Estimate {
-        let stays = |name: &str| name != server && !self.maintenance.has_place(name);
-        self.headroom.estimate(self.members, &stays)
+        let remains = |name: &str| name != server && !self.maintenance.has_slot(name);
+        self.headroom.estimate(self.members, &remains)
     }
 }
 
--- a/crates/loomflow-fleet/src/maintenance/scheduling/checks.rs
+++ b/crates/loomflow-fleet/src/maintenance/scheduling/checks.rs
@@ -1,55 +1,56 @@
-//! The conditions that a ticket has to meet before its server may go.
+//! The conditions that a ticket has to meet before it is granted.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
 use super::SchedulerView;
-use crate::maintenance::Census;
-use crate::maintenance::headroom::MAX_FILL;
+use crate::maintenance::FleetAvailability;
+use crate::maintenance::headroom::MAX_UTILIZATION;
 use crate::maintenance::rules::voters_needed;
 use crate::maintenance::ticket::{Rejection, Ticket};
 use crate::member::MemberState;
 
-/// One condition, in the order in which they are checked.
+/// A condition for a grant. Conditions are checked in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Check {
-    /// Operators have not paused grants.
+    /// Grants are not paused by an operator.
     Pause,
-    /// Its window is open.
+    /// The ticket's window has opened.
     Window,
-    /// The server is known and does not have a place by another ticket.
+    /// The server is a reachable member and has no slot under another ticket.
     Server,
-    /// All members that are alive send load reports.
-    Evidence,
-    /// The limits of fleet and zone.
+    /// All members that are alive have a recent load report.
+    #[serde(rename = "Evidence")]
+    LoadReports,
+    /// The limits on servers out at once, for the fleet and for the zone, allow one more.
     Budget,
-    /// A majority of the voters stays, and does not depend on one machine.
+    /// Enough healthy voters remain, see [`voters_needed`].
     Voters,
-    /// Those who stay can carry the fleet's load.
+    /// The remaining servers can carry the fleet's load.
     Headroom,
-    /// The leader has handed over.
+    /// The server is not the leader.
     Leader,
-    /// No other ticket comes before it.
+    /// No other ticket is ahead in the queue.
     #[serde(rename = "Turn")]
     Queue,
 }
 
-/// The result of one check, with its figures.
+/// The result of one check, with the figures that were compared.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Finding {
-    /// Which check.
+    /// The condition that was checked.
     pub check: Check,
-    /// Whether the condition is met.
+    /// Whether the ticket meets the condition.
     #[serde(rename = "holds")]
     pub is_satisfied: bool,
-    /// The figure that was found; its unit is the check's.
+    /// The measured figure: servers, voters, members or tickets, concurrent runs, or ms, depending on the check.
     #[serde(rename = "have")]
     pub actual: f64,
-    /// The figure that it is compared with.
+    /// The figure that `actual` is compared with, in the same unit.
     #[serde(rename = "need")]
     pub required: f64,
-    /// A reason, a zone or a server, as the check has it.
+    /// Depending on the check: a reason, a zone, or the server next in the queue.
     #[serde(rename = "who")]
     pub detail: Option<String>,
 }
@@ -65,47 +66,59 @@
         let (actual, required) = (self.actual, self.required);
         let detail = self.detail.as_deref().unwrap_or_default();
         match self.check {
-            Check::Pause if self.is_satisfied => write!(f, "work is not paused"),
-            Check::Pause => write!(f, "work is paused: {detail}"),
-            Check::Window if self.is_satisfied => write!(f, "its window is open"),
-            Check::Window => write!(f, "its window opens in {:.0} s", actual / 1000.0),
-            Check::Server if self.is_satisfied => write!(f, "the server is here"),
+            Check::Pause if self.is_satisfied => write!(f, "grants are not paused"),
+            Check::Pause => write!(f, "grants are paused: {detail}"),
+            Check::Window if self.is_satisfied => write!(f, "the ticket's window is open"),
+            Check::Window => write!(f, "the ticket's window opens in {:.0} s", actual / 1000.0),
+            Check::Server if self.is_satisfied => {
+                write!(f, "the server is a reachable member without a slot")
+            }
             Check::Server => write!(f, "{detail}"),
-            Check::Evidence => write!(f, "{actual:.0} of {required:.0} members are seen by young digests"),
+            Check::LoadReports => {
+                write!(f, "{actual:.0} of {required:.0} live members have a recent load report")
+            }
             Check::Budget if detail.is_empty() => {
-                write!(f, "{actual:.0} would be out at once, {required:.0} may be")
+                write!(f, "{actual:.0} servers would be out at once, the limit is {required:.0}")
             }
             Check::Budget => {
-                write!(f, "{actual:.0} would be out at once in zone {detail}, {required:.0} may be")
+                write!(
+                    f,
+                    "{actual:.0} servers would be out at once in zone {detail}, the limit is {required:.0}"
+                )
             }
-            Check::Voters => write!(f, "{actual:.0} voters would stay well, {required:.0} are needed"),
+            Check::Voters => write!(f, "{actual:.0} healthy voters would remain, {required:.0} are required"),
             Check::Headroom => {
-                let fill = 100.0 * actual / required.max(f64::MIN_POSITIVE);
-                write!(f, "those who stay would carry {actual:.1} runs at once, and bear {required:.1}: ")?;
-                write!(f, "{fill:.0}% of the {:.0}% that may be", 100.0 * MAX_FILL)
+                let utilization = 100.0 * actual / required.max(f64::MIN_POSITIVE);
+                write!(
+                    f,
+                    "the remaining servers would carry {actual:.1} concurrent runs with a capacity of {required:.1}: "
+                )?;
+                write!(f, "utilization {utilization:.0}%, the limit is {:.0}%", 100.0 * MAX_UTILIZATION)
+            }
+            Check::Leader if self.is_satisfied => write!(f, "the server is not the leader"),
+            Check::Leader => write!(f, "the server is the leader and has to transfer leadership first"),
+            Check::Queue if self.is_satisfied => write!(f, "no ticket is ahead in the queue"),
+            Check::Queue => {
+                write!(f, "{actual:.0} tickets are ahead in the queue, the first is for {detail}")
             }
-            Check::Leader if self.is_satisfied => write!(f, "it does not lead"),
-            Check::Leader => write!(f, "it leads, and has to hand over first"),
-            Check::Queue if self.is_satisfied => write!(f, "nobody is before it"),
-            Check::Queue => write!(f, "{actual:.0} are before it, the next is {detail}"),
         }
     }
 }
 
 impl SchedulerView<'_> {
-    /// Every check but that of the queue, one after the other; each is only made when it is needed.
+    /// Results of all checks except [`Check::Queue`], in order. Each check is evaluated only when the iterator reaches it.
     pub(super) fn checks<'a>(
         &'a self,
         ticket: &'a Ticket,
-        census: &'a Census,
+        availability: &'a FleetAvailability,
     ) -> impl Iterator<Item = Finding> + 'a {
         let checks: [Box<dyn Fn() -> Finding + 'a>; 8] = [
             Box::new(move || self.check_pause()),
             Box::new(move || self.check_window(ticket)),
             Box::new(move || self.check_server(&ticket.request.server)),
-            Box::new(move || self.check_evidence()),
-            Box::new(move || self.check_budget(ticket, census)),
-            Box::new(move || self.check_voters(ticket, census)),
+            Box::new(move || self.check_load_reports()),
+            Box::new(move || self.check_budget(ticket, availability)),
+            Box::new(move || self.check_voters(ticket, availability)),
             Box::new(move || self.check_headroom(&ticket.request.server)),
             Box::new(move || Finding::new(Check::Leader, ticket.request.server != self.leader, 0.0, 0.0)),
         ];
@@ -124,10 +137,10 @@
 
     fn check_server(&self, server: &str) -> Finding {
         use MemberState::{Down, Left, Suspect};
-        let obstacle = match (self.members.get(server), self.maintenance.tickets_with_place().get(server)) {
-            (_, Some(other)) => Some(format!("it holds a place by ticket {other}")),
-            (None, _) => Some("no server of that name was ever here".into()),
-            // It could not receive the grant; one that is suspect may be back at once.
+        let obstacle = match (self.members.get(server), self.maintenance.tickets_with_slot().get(server)) {
+            (_, Some(other)) => Some(format!("the server already has a slot under ticket {other}")),
+            (None, _) => Some("no server of that name has joined the fleet".into()),
+            // These cannot receive a grant. A suspect server may be reachable again shortly.
             (Some(member), _) if matches!(member.state, Down | Left | Suspect) => {
                 Some(format!("the server is {}", member.state.as_str()))
             }
@@ -136,30 +149,33 @@
         Finding { detail: obstacle.clone(), ..Finding::new(Check::Server, obstacle.is_none(), 0.0, 0.0) }
     }
 
-    /// Members that are alive and send no report may be overloaded, or be cut off from this one alone: nothing is known.
-    pub(super) fn check_evidence(&self) -> Finding {
+    /// A live member without a recent load report may be overloaded, or unreachable from the leader only. Its load is
+    /// unknown, so nothing is granted.
+    pub(super) fn check_load_reports(&self) -> Finding {
         let alive = self.members.values().filter(|member| member.is_alive());
         let total = alive.clone().count();
         let reporting = alive.filter(|member| member.load_report.is_some()).count();
-        Finding::new(Check::Evidence, reporting == total, reporting as f64, total as f64)
+        Finding::new(Check::LoadReports, reporting == total, reporting as f64, total as f64)
     }
 
-    fn check_budget(&self, ticket: &Ticket, census: &Census) -> Finding {
+    fn check_budget(&self, ticket: &Ticket, availability: &FleetAvailability) -> Finding {
         let (server, zone) = (&ticket.request.server, &ticket.request.zone);
-        if let Err(Rejection::NoPlace { out, limit, zone }) =
-            self.maintenance.check_place(server, zone, census)
+        if let Err(Rejection::NoSlot { out, limit, zone }) =
+            self.maintenance.check_slot(server, zone, availability)
         {
             let finding = Finding::new(Check::Budget, false, f64::from(out) + 1.0, f64::from(limit));
             return Finding { detail: zone, ..finding };
         }
-        let (out, limit) = self.maintenance.out_and_limit(server, zone, census);
+        let (out, limit) = self.maintenance.out_and_limit(server, zone, availability);
         Finding::new(Check::Budget, true, out as f64, f64::from(limit))
     }
 
-    fn check_voters(&self, ticket: &Ticket, census: &Census) -> Finding {
+    fn check_voters(&self, ticket: &Ticket, availability: &FleetAvailability) -> Finding {
         let (server, zone) = (&ticket.request.server, &ticket.request.zone);
-        if let Err(Rejection::Voters { stay, needed }) = self.maintenance.check_place(server, zone, census) {
-            return Finding::new(Check::Voters, false, f64::from(stay), f64::from(needed));
+        if let Err(Rejection::Voters { remaining, needed }) =
+            self.maintenance.check_slot(server, zone, availability)
+        {
+            return Finding::new(Check::Voters, false, f64::from(remaining), f64::from(needed));
         }
         let total = self.maintenance.voter_names().len() as u32;
         let needed = voters_needed(total);
--- a/crates/loomflow-fleet/src/maintenance/state.rs
+++ b/crates/loomflow-fleet/src/maintenance/state.rs
@@ -1,7 +1,8 @@
-//! The state machine that the log is applied to, for maintenance. It checks every transition against the table and the limits
-//! by itself: what the leader saw may be outdated when it is committed, and the limits are enforced again.
+//! The replicated state machine for maintenance. It checks every transition against the table and the limits again, because
+//! the leader's view may be outdated by the time its decision is committed.
 //!
-//! This file has the state, what can be read of it, and its snapshot; `apply` changes it.
+//! This file holds the state, its accessors and its snapshot; `apply` holds the changes to it, and `limits` the limits on
+//! servers that are out.
 
 mod apply;
 mod limits;
@@ -19,40 +20,40 @@
 
 /// Maximum number of open tickets; further ones are rejected.
 pub const MAX_OPEN_TICKETS: usize = 12_000;
-/// Closed tickets that are retained.
+/// Number of closed tickets that are retained; the oldest are dropped.
 pub const MAX_CLOSED_TICKETS: usize = 1_000;
-/// Events that are retained.
+/// Number of events that are retained; the oldest are dropped.
 pub const MAX_EVENTS: usize = 2_000;
-/// Responses that are retained for retries.
+/// Number of responses that are retained, so that a retried request gets the response to its first attempt.
 const MAX_REMEMBERED_RESPONSES: usize = 1_024;
-/// A ticket whose grants lapsed this many times is closed.
+/// Number of lapsed grants after which a ticket is closed.
 const MAX_LAPSES: u8 = 3;
 
-/// A ticket came to a stage.
+/// An event of the history: a ticket was created or changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TicketEvent {
-    /// When.
+    /// Fleet time of the event, ms.
     pub at: FleetMillis,
-    /// Which ticket.
+    /// Number of the ticket.
     pub ticket: TicketId,
-    /// Its server.
+    /// The server that the ticket is for.
     pub server: ServerName,
-    /// The stage.
+    /// The ticket's stage after the event.
     pub stage: TicketStage,
-    /// The last grant; 0 before there is one.
+    /// Number of the ticket's last grant; 0 before the first one.
     pub grant: GrantNumber,
 }
 
-/// A server that was let go.
+/// The server of a grant, remembered so that voters and zones take turns.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct GrantedServer {
-    /// The server.
+    /// Name of the server; empty before the first grant.
     pub name: ServerName,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: Zone,
 }
 
-/// The contents of a snapshot; the indexes follow from it.
+/// The contents of a snapshot; the indexes of [`MaintenanceState`] are rebuilt from it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct PersistentState {
     time: FleetMillis,
@@ -69,91 +70,91 @@
     responses: VecDeque<(FleetRequestId, FleetResponse)>,
 }
 
-/// Tickets, rules and what has happened.
+/// Tickets, rules and history, with indexes for lookup.
 #[derive(Clone, Debug, Default)]
 pub struct MaintenanceState {
     state: PersistentState,
-    /// Servers that have a place, with the ticket by which.
-    tickets_with_place: BTreeMap<ServerName, TicketId>,
-    /// Tickets with a deadline, the next first.
+    /// The ticket under which each server has a slot.
+    tickets_with_slot: BTreeMap<ServerName, TicketId>,
+    /// Deadlines of open tickets, earliest first.
     deadlines: BTreeSet<(FleetMillis, TicketId)>,
-    /// Open tickets of each server.
+    /// Numbers of each server's open tickets.
     tickets_by_server: BTreeMap<ServerName, BTreeSet<TicketId>>,
 }
 
 impl MaintenanceState {
-    /// The fleet's time at the last entry.
+    /// Fleet time to which the state has advanced, ms.
     pub fn time(&self) -> FleetMillis {
         self.state.time
     }
 
-    /// Open tickets.
+    /// Open tickets by number.
     pub fn open(&self) -> &BTreeMap<TicketId, Ticket> {
         &self.state.open
     }
 
-    /// The last closed tickets, the oldest first.
+    /// Retained closed tickets, oldest first; at most [`MAX_CLOSED_TICKETS`].
     pub fn closed(&self) -> impl DoubleEndedIterator<Item = &Ticket> {
         self.state.closed.iter()
     }
 
-    /// The last events, the oldest first.
+    /// Retained events, oldest first; at most [`MAX_EVENTS`].
     pub fn events(&self) -> impl DoubleEndedIterator<Item = &TicketEvent> {
         self.state.events.iter()
     }
 
-    /// The rules in force; none before any were committed.
+    /// The rules in force; `None` before the first were committed.
     pub fn rules(&self) -> Option<&Rules> {
         self.state.rules.as_ref()
     }
 
-    /// Who has a vote.
+    /// Names of the servers that vote in the consensus group.
     pub fn voter_names(&self) -> &[ServerName] {
         &self.state.voters
     }
 
-    /// Why grants are paused; none where they are not.
+    /// The operator's reason for pausing grants; `None` while they are not paused.
     pub fn paused(&self) -> Option<&str> {
         self.state.paused.as_deref()
     }
 
-    /// Servers that were shut down without a ticket, since the fleet began.
+    /// Number of shutdowns without a ticket since the fleet was created.
     pub fn drains_without_ticket(&self) -> u64 {
         self.state.drains_without_ticket
     }
 
-    /// The server that was granted last; its name is empty before any was.
+    /// The server of the most recent grant; its name is empty before the first one.
     pub fn last_granted(&self) -> &GrantedServer {
         &self.state.last_granted
     }
 
-    /// Servers that have a place, with the ticket by which.
-    pub fn tickets_with_place(&self) -> &BTreeMap<ServerName, TicketId> {
-        &self.tickets_with_place
+    /// The ticket under which each server has a slot.
+    pub fn tickets_with_slot(&self) -> &BTreeMap<ServerName, TicketId> {
+        &self.tickets_with_slot
     }
 
-    /// Whether a server has a place: it is about to shut down, out, overdue, or back and not yet done.
-    pub fn has_place(&self, server: &str) -> bool {
-        self.tickets_with_place.contains_key(server)
+    /// Whether a server has a slot: its ticket is granted and not done or abandoned yet, so that the server counts as out.
+    pub fn has_slot(&self, server: &str) -> bool {
+        self.tickets_with_slot.contains_key(server)
     }
 
-    /// The ticket by which a server has a place.
-    pub fn ticket_with_place(&self, server: &str) -> Option<&Ticket> {
-        self.state.open.get(self.tickets_with_place.get(server)?)
+    /// The ticket under which a server has a slot.
+    pub fn ticket_with_slot(&self, server: &str) -> Option<&Ticket> {
+        self.state.open.get(self.tickets_with_slot.get(server)?)
     }
 
-    /// A server's open tickets, oldest first.
+    /// Open tickets of a server, oldest first.
     pub fn tickets_of(&self, server: &str) -> impl Iterator<Item = &Ticket> {
         let ids = self.tickets_by_server.get(server).into_iter().flatten();
         ids.filter_map(|id| self.state.open.get(id))
     }
 
-    /// Any ticket that is open or still retained.
+    /// Finds a ticket by number among the open and the retained closed ones.
     pub fn find(&self, id: TicketId) -> Option<&Ticket> {
         self.state.open.get(&id).or_else(|| self.state.closed.iter().find(|ticket| ticket.id == id))
     }
 
-    /// The next deadline.
+    /// Fleet time of the earliest deadline of an open ticket, ms.
     pub fn next_deadline(&self) -> Option<FleetMillis> {
         self.deadlines.first().map(|(at, _)| *at)
     }
@@ -174,8 +175,8 @@
     fn reset_after_recovery(&mut self) {
         self.state.last_ticket += RECOVERY_ID_GAP;
         self.state.last_grant += RECOVERY_ID_GAP;
-        // The lost part of the log may say that a granted server has begun. Such grants are revoked, and their tickets wait
-        // for another one.
+        // The lost part of the log may contain the acceptance of a grant. Grants that are not known to be accepted are
+        // therefore revoked, and their tickets wait for a new one.
         let granted: Vec<TicketId> = self
             .state
             .open
--- a/crates/loomflow-fleet/src/maintenance/state/apply.rs
+++ b/crates/loomflow-fleet/src/maintenance/state/apply.rs
@@ -1,4 +1,4 @@
-//! How entries of the log and the passing of time change tickets.
+//! Changes to the state: applies log entries, and deadlines as the fleet time advances.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
     MaintenanceState, TicketEvent,
 };
 use crate::command::{Entry, FleetCommand, FleetResponse, Issuer};
-use crate::maintenance::Census;
+use crate::maintenance::FleetAvailability;
 use crate::maintenance::ticket::{
     Actor, GrantNumber, Rejection, Ticket, TicketId, TicketRequest, TicketStage, Transition, next_stage,
 };
@@ -15,13 +15,13 @@
 use crate::time::FleetMillis;
 
 impl MaintenanceState {
-    /// Advances the fleet's time, and applies the deadlines that are due.
+    /// Advances the fleet time, which never goes backwards, and applies the deadlines that have passed.
     pub fn advance_time(&mut self, time: FleetMillis) {
         self.state.time = self.state.time.max(time);
         self.apply_deadlines();
     }
 
-    /// Applies one entry. A retry gets the response of the first one, and changes nothing.
+    /// Applies one entry. A retry with the same request id gets the response to the first attempt and changes nothing.
     pub fn apply_entry(&mut self, entry: &Entry) -> FleetResponse {
         let remembered = self.state.responses.iter().rev().find(|(id, _)| *id == entry.id);
         if let Some((_, response)) = remembered {
@@ -48,8 +48,8 @@
                 };
                 return self.create_tickets(entry.id, requested_by, requests);
             }
-            FleetCommand::Grant { ticket, incarnation, census } => {
-                return self.grant(&entry.issuer, *ticket, *incarnation, census);
+            FleetCommand::Grant { ticket, incarnation, availability } => {
+                return self.grant(&entry.issuer, *ticket, *incarnation, availability);
             }
             FleetCommand::Transition { ticket, transition, grant, incarnation } => {
                 return self.transition(&entry.issuer, *ticket, *transition, *grant, *incarnation);
@@ -62,8 +62,8 @@
                 require_operator(&entry.issuer)?;
                 self.state.paused = None;
             }
-            // No issuer is checked for these three: in each round the leader replaces rules that differ from those in its
-            // settings, drains without a ticket are only counted, and a clock entry does nothing beyond its time.
+            // These three are accepted from any issuer: the leader restores rules that differ from its settings in every
+            // round, drains without a ticket are only counted, and a clock entry has no effect but to advance the time.
             FleetCommand::Rules(rules) => self.state.rules = Some(rules.clone()),
             FleetCommand::DrainedWithoutTicket(_) => self.state.drains_without_ticket += 1,
             FleetCommand::Clock => {}
@@ -74,10 +74,10 @@
         Ok(Vec::new())
     }
 
-    /// Creates tickets, all or none.
+    /// Creates one ticket for each request, or none if any request is rejected.
     ///
     /// # Errors
-    /// Too many are open, or a request is not valid.
+    /// More than [`MAX_OPEN_TICKETS`] would be open, a request is invalid, a server is named twice, or there is no request.
     pub fn create_tickets(
         &mut self,
         request_id: FleetRequestId,
@@ -121,7 +121,7 @@
         issuer: &Issuer,
         id: TicketId,
         incarnation: Incarnation,
-        census: &Census,
+        availability: &FleetAvailability,
     ) -> Result<Vec<TicketId>, Rejection> {
         let ticket = self.open_ticket(id)?;
         let stage = next_stage(ticket.stage, Transition::Grant, actor(issuer, ticket)?)?;
@@ -132,15 +132,15 @@
         if ticket.opens_in(self.state.time) > 0 {
             return Err(Rejection::WindowNotOpen);
         }
-        if let Some(other) = self.tickets_with_place.get(&server) {
-            return Err(Rejection::HasPlace(*other));
+        if let Some(other) = self.tickets_with_slot.get(&server) {
+            return Err(Rejection::HasSlot(*other));
         }
-        self.check_place(&server, &zone, census)?;
+        self.check_slot(&server, &zone, availability)?;
         self.state.last_grant += 1;
         self.state.last_granted = GrantedServer { name: server, zone };
         let grant = self.state.last_grant;
-        let begin_within = self.state.rules.clone().unwrap_or_default().begin_within_millis;
-        let deadline = self.state.time + begin_within;
+        let accept_timeout = self.state.rules.clone().unwrap_or_default().accept_timeout_millis;
+        let deadline = self.state.time + accept_timeout;
         self.update_ticket(id, |ticket| {
             ticket.stage = stage;
             ticket.grant = grant;
@@ -158,15 +158,16 @@
         grant: GrantNumber,
         incarnation: Incarnation,
     ) -> Result<Vec<TicketId>, Rejection> {
-        use Transition::{Begin, Depart, Drain, Expire, Grant, Lapse, Overrun, Recall, Return};
+        use Transition::{Accept, Depart, Drain, Expire, Grant, Lapse, Overrun, Return, Revoke};
         let ticket = self.open_ticket(id)?;
-        // A grant comes with a census, and deadlines are not reported by anybody.
+        // Grants have a command of their own, which carries the fleet's availability, and deadlines are applied by the state
+        // machine itself.
         if matches!(transition, Grant | Lapse | Expire | Overrun) {
             return Err(Rejection::NotPermitted);
         }
         let actor = actor(issuer, ticket)?;
-        // Whatever rests on a grant is void once that grant is not the current one.
-        if matches!(transition, Begin | Recall | Drain | Depart) && grant != ticket.grant {
+        // Transitions under a grant are rejected once it has been superseded.
+        if matches!(transition, Accept | Revoke | Drain | Depart) && grant != ticket.grant {
             return Err(Rejection::Superseded { grant, current: ticket.grant });
         }
         let stage = next_stage(ticket.stage, transition, actor)?;
@@ -175,7 +176,7 @@
         self.update_ticket(id, |ticket| {
             ticket.stage = stage;
             match transition {
-                Begin => ticket.deadline = now + ticket.request.duration_millis,
+                Accept => ticket.deadline = now + ticket.request.duration_millis,
                 Return => ticket.returned_incarnation = incarnation,
                 _ => {}
             }
@@ -183,7 +184,7 @@
         Ok(vec![id])
     }
 
-    /// Applies the deadlines that have passed, in their order.
+    /// Applies the deadlines that have passed, earliest first.
     fn apply_deadlines(&mut self) {
         while let Some((at, id)) = self.deadlines.first().copied().filter(|(at, _)| *at <= self.state.time) {
             self.deadlines.remove(&(at, id));
@@ -214,7 +215,7 @@
         }
     }
 
-    /// Changes an open ticket and updates the indexes.
+    /// Applies `update` to an open ticket, then updates the indexes and the history.
     pub(super) fn update_ticket(&mut self, id: TicketId, update: impl FnOnce(&mut Ticket)) {
         let Some(mut ticket) = self.state.open.remove(&id) else { return };
         self.unindex(&ticket);
@@ -254,8 +255,8 @@
         if let Some(at) = deadline(ticket) {
             self.deadlines.insert((at, ticket.id));
         }
-        if ticket.stage.has_place() {
-            self.tickets_with_place.insert(server.clone(), ticket.id);
+        if ticket.stage.has_slot() {
+            self.tickets_with_slot.insert(server.clone(), ticket.id);
         }
         self.tickets_by_server.entry(server.clone()).or_default().insert(ticket.id);
     }
@@ -265,8 +266,8 @@
         if let Some(at) = deadline(ticket) {
             self.deadlines.remove(&(at, ticket.id));
         }
-        if ticket.stage.has_place() {
-            self.tickets_with_place.remove(server);
+        if ticket.stage.has_slot() {
+            self.tickets_with_slot.remove(server);
         }
         if let Some(ids) = self.tickets_by_server.get_mut(server) {
             ids.remove(&ticket.id);
@@ -277,11 +278,11 @@
     }
 }
 
-/// When the passing of time changes a ticket as it is.
+/// The fleet time at which a ticket in its present stage expires, lapses or becomes overdue, ms; `None` where it does not.
 fn deadline(ticket: &Ticket) -> Option<FleetMillis> {
     match ticket.stage {
         TicketStage::Requested => ticket.closes_at(),
-        TicketStage::Granted | TicketStage::Begun | TicketStage::Draining | TicketStage::Out => {
+        TicketStage::Granted | TicketStage::Accepted | TicketStage::Draining | TicketStage::Offline => {
             Some(ticket.deadline)
         }
         _ => None,
@@ -292,7 +293,7 @@
     if matches!(issuer, Issuer::Operator(_)) { Ok(()) } else { Err(Rejection::NotPermitted) }
 }
 
-/// As whom an issuer acts on a ticket. Errors: it is another server's.
+/// The role in which an issuer acts on a ticket. A server acts on its own tickets only.
 fn actor(issuer: &Issuer, ticket: &Ticket) -> Result<Actor, Rejection> {
     match issuer {
         Issuer::Leader => Ok(Actor::Leader),
@@ -302,7 +303,7 @@
     }
 }
 
-/// Checks that a transition is about the right start of the server.
+/// Checks that a transition names the incarnation of the server that the ticket expects.
 fn check_incarnation(
     ticket: &Ticket,
     transition: Transition,
@@ -310,13 +311,13 @@
     incarnation: Incarnation,
 ) -> Result<(), Rejection> {
     let expected = match transition {
-        // A server that came back is another incarnation than the one that left.
+        // A returned server has to be a later incarnation than the one that left.
         Transition::Return
             if incarnation <= ticket.incarnation || incarnation < ticket.returned_incarnation =>
         {
             return Err(Rejection::OtherIncarnation);
         }
-        Transition::Begin | Transition::Drain => ticket.incarnation,
+        Transition::Accept | Transition::Drain => ticket.incarnation,
         Transition::Depart if actor == Actor::Server => ticket.last_incarnation(),
         Transition::Ready | Transition::Unready | Transition::Finish => ticket.returned_incarnation,
         _ => incarnation,
--- a/crates/loomflow-fleet/src/maintenance/state/limits.rs
+++ b/crates/loomflow-fleet/src/maintenance/state/limits.rs
@@ -1,41 +1,47 @@
-//! How many servers may be out at once: the operators' limits for the fleet and each zone, and the majority of the voters.
-//! The leader checks before it grants, and the state machine checks again when the grant is applied.
+//! Limits on how many servers may be out at once: the operators' limits for the fleet and for each zone, and the number of
+//! voters that have to remain healthy. The leader checks them before it grants, and the state machine again when it applies
+//! the grant.
 
 use std::collections::BTreeMap;
 
 use super::MaintenanceState;
-use crate::maintenance::Census;
+use crate::maintenance::FleetAvailability;
 use crate::maintenance::rules::voters_needed;
 use crate::maintenance::ticket::Rejection;
 use crate::member::Zone;
 
 impl MaintenanceState {
-    /// Checks whether one more server may be out: the limits of fleet and zone, and the voters. Counts servers and not
-    /// tickets, so that one that is down and has a ticket is out once.
+    /// Checks whether one more server may be out, by the limits for fleet and zone and by the voters. Counts servers rather
+    /// than tickets, so that a server that is down and has a ticket counts once.
     ///
     /// # Errors
-    /// The limit that would be exceeded.
-    pub fn check_place(&self, server: &str, zone: &str, census: &Census) -> Result<(), Rejection> {
-        let out = self.out_with(server, zone, census);
-        self.check_limits(zone, &out, census)?;
+    /// [`Rejection::NoSlot`] or [`Rejection::Voters`], with the figures of the limit that would be exceeded.
+    pub fn check_slot(
+        &self,
+        server: &str,
+        zone: &str,
+        availability: &FleetAvailability,
+    ) -> Result<(), Rejection> {
+        let out = self.servers_out_with(server, zone, availability);
+        self.check_limits(zone, &out, availability)?;
         self.check_voters(server, &out)
     }
 
-    /// How many servers would be out if this one left, and how many may be in the fleet.
-    pub fn out_and_limit(&self, server: &str, zone: &str, census: &Census) -> (usize, u32) {
-        (self.out_with(server, zone, census).len(), self.fleet_limit(census))
+    /// The number of servers that would be out with `server`, and the limit for the fleet.
+    pub fn out_and_limit(&self, server: &str, zone: &str, availability: &FleetAvailability) -> (usize, u32) {
+        (self.servers_out_with(server, zone, availability).len(), self.fleet_limit(availability))
     }
 
-    /// All that would be out if this server left, with their zones.
-    fn out_with<'a>(
+    /// The servers that would be out with `server`, with their zones: unavailable members and servers that have a slot.
+    fn servers_out_with<'a>(
         &'a self,
         server: &'a str,
         zone: &'a str,
-        census: &'a Census,
+        availability: &'a FleetAvailability,
     ) -> BTreeMap<&'a str, &'a str> {
         let mut out: BTreeMap<&str, &str> =
-            census.away.iter().map(|(name, zone)| (name.as_str(), zone.as_str())).collect();
-        for (name, id) in &self.tickets_with_place {
+            availability.unavailable.iter().map(|(name, zone)| (name.as_str(), zone.as_str())).collect();
+        for (name, id) in &self.tickets_with_slot {
             let zone = self.state.open.get(id).map_or("", |ticket| ticket.request.zone.as_str());
             out.insert(name, zone);
         }
@@ -43,19 +49,25 @@
         out
     }
 
-    /// Servers that may be out at once in the fleet.
-    fn fleet_limit(&self, census: &Census) -> u32 {
-        let fleet_size = census.zones.iter().map(|(_, count)| count).sum();
-        self.state.rules.clone().unwrap_or_default().max_out.of(fleet_size)
+    /// Maximum number of servers out at once in the whole fleet.
+    fn fleet_limit(&self, availability: &FleetAvailability) -> u32 {
+        let fleet_size = availability.zone_sizes.iter().map(|(_, count)| count).sum();
+        self.state.rules.clone().unwrap_or_default().max_out.resolve(fleet_size)
     }
 
-    fn check_limits(&self, zone: &str, out: &BTreeMap<&str, &str>, census: &Census) -> Result<(), Rejection> {
-        check_limit(out.len(), self.fleet_limit(census), None)?;
+    fn check_limits(
+        &self,
+        zone: &str,
+        out: &BTreeMap<&str, &str>,
+        availability: &FleetAvailability,
+    ) -> Result<(), Rejection> {
+        check_limit(out.len(), self.fleet_limit(availability), None)?;
         let rules = self.state.rules.clone().unwrap_or_default();
         if let Some(limit) = rules.max_out_per_zone {
-            let zone_size = census.zones.iter().find(|(name, _)| name == zone).map_or(0, |(_, count)| *count);
+            let zone_size =
+                availability.zone_sizes.iter().find(|(name, _)| name == zone).map_or(0, |(_, count)| *count);
             let count = out.values().filter(|other| **other == zone).count();
-            check_limit(count, limit.of(zone_size), Some(zone.to_owned()))?;
+            check_limit(count, limit.resolve(zone_size), Some(zone.to_owned()))?;
         }
         Ok(())
     }
@@ -65,16 +77,17 @@
         if !voters.iter().any(|voter| voter == server) {
             return Ok(());
         }
-        let stay = voters.iter().filter(|voter| !out.contains_key(voter.as_str())).count() as u32;
+        let remaining = voters.iter().filter(|voter| !out.contains_key(voter.as_str())).count() as u32;
         let needed = voters_needed(voters.len() as u32);
-        if stay < needed { Err(Rejection::Voters { stay, needed }) } else { Ok(()) }
+        if remaining < needed { Err(Rejection::Voters { remaining, needed }) } else { Ok(()) }
     }
 }
 
-/// `count`: servers that would be out, with the one that is to go.
+/// Checks `count`, the number of servers that would be out including the candidate, against the limit for a zone or for the
+/// fleet (`zone` is `None`).
 fn check_limit(count: usize, limit: u32, zone: Option<Zone>) -> Result<(), Rejection> {
     if count as u32 <= limit {
         return Ok(());
     }
-    Err(Rejection::NoPlace { out: count as u32 - 1, limit, zone })
+    Err(Rejection::NoSlot { out: count as u32 - 1, limit, zone })
 }
--- a/crates/loomflow-fleet/src/maintenance/ticket.rs
+++ b/crates/loomflow-fleet/src/maintenance/ticket.rs
@@ -1,8 +1,8 @@
-//! A ticket: one server's turn to be out for maintenance. [`TABLE`] defines which transition is legal in which stage and
-//! who may make it; every other one is rejected with a reason.
+//! Maintenance tickets: each permits one server to go out of service once. [`TABLE`] lists the legal transitions of each
+//! stage and who may make them; all others are rejected with a reason.
 //!
-//! A **place** is one of the limited slots for servers that may be out at the same time. A ticket has one from its grant
-//! until it is done or abandoned, or the grant is taken back ([`TicketStage::has_place`]).
+//! A **slot** is a unit of the limit on servers that may be out at the same time. A ticket has a slot from its grant until
+//! it is done, withdrawn or abandoned, or until the grant lapses or is revoked ([`TicketStage::has_slot`]).
 
 use serde::{Deserialize, Serialize};
 
@@ -10,64 +10,68 @@
 use crate::member::{FleetRequestId, Incarnation, MAX_NAME_BYTES, ServerName, Zone};
 use crate::time::FleetMillis;
 
-/// Numbers a ticket, from 1 on.
+/// Number of a ticket, assigned in order of creation from 1.
 pub type TicketId = u64;
-/// Rises with every grant: a grant that is received late finds its number superseded.
+/// Number of a grant; increases with every grant of the fleet, so that messages about an earlier one are known to be stale.
 pub type GrantNumber = u64;
 
-/// How soon a ticket's server should go.
+/// Priority of a ticket in the queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Urgency {
-    /// Whenever it is its turn.
+    /// Planned work, considered in order of age.
     #[default]
     Routine,
-    /// Before routine work.
+    /// Considered before routine work.
     Urgent,
-    /// The server is broken already: out of service in all but name.
+    /// The server no longer works properly; considered before all other work.
     Broken,
 }
 
-/// How far a ticket has come.
+/// Stage of a ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum TicketStage {
-    /// Waits for its turn. Operators see "asked".
+    /// Waits in the queue for a grant. Operators see "asked".
     #[serde(rename = "Asked")]
     Requested,
-    /// May go: its place is reserved until it begins, or the grant lapses. Operators see "granted".
+    /// Has a slot, which is reserved until the server accepts the grant or the grant lapses. Operators see "granted".
     Granted,
-    /// It will go: committed before it does. Operators see "begun".
-    Begun,
-    /// Answers what it still has. Operators see "draining".
+    /// The server accepted the grant. Committed before the server starts to drain. Operators see "begun".
+    #[serde(rename = "Begun")]
+    Accepted,
+    /// The server finishes the requests that it has and accepts no others. Operators see "draining".
     Draining,
-    /// Has shut down. Operators see "out".
-    Out,
-    /// Its next incarnation is here. Operators see "back".
-    Back,
-    /// It carries its load; its place is available when that has lasted for a while. Operators see "warm".
+    /// The server has shut down or failed. Operators see "out".
+    #[serde(rename = "Out")]
+    Offline,
+    /// A later incarnation of the server has joined the fleet. Operators see "back".
+    #[serde(rename = "Back")]
+    Returned,
+    /// The returned server carries its load again. Its slot is released once it has done so for
+    /// [`Rules::ready_for_millis`](super::rules::Rules::ready_for_millis). Operators see "warm".
     #[serde(rename = "Warm")]
     Ready,
-    /// Not back in time. Its place stays reserved. Operators see "overdue".
+    /// The server did not return before its deadline. It keeps its slot. Operators see "overdue".
     Overdue,
-    /// Its place is available again. Operators see "done".
+    /// Maintenance is complete and the slot is released. Operators see "done".
     Done,
-    /// An operator took it back before it began. Operators see "withdrawn".
+    /// Cancelled by an operator before the server accepted a grant. Operators see "withdrawn".
     Withdrawn,
-    /// Its window closed, or its grants were not taken up. Operators see "lapsed".
+    /// Closed because its window ended, or because too many of its grants lapsed. Operators see "lapsed".
     Lapsed,
-    /// Abandoned by an operator: the server does not come back under this ticket. Operators see "written off".
+    /// Closed by an operator because the server will not return under this ticket. Operators see "written off".
     #[serde(rename = "WrittenOff")]
     Abandoned,
 }
 
 impl TicketStage {
-    /// Every stage, in their order.
+    /// Every stage, in order of declaration.
     pub const ALL: [TicketStage; 12] = [
         TicketStage::Requested,
         TicketStage::Granted,
-        TicketStage::Begun,
+        TicketStage::Accepted,
         TicketStage::Draining,
-        TicketStage::Out,
-        TicketStage::Back,
+        TicketStage::Offline,
+        TicketStage::Returned,
         TicketStage::Ready,
         TicketStage::Overdue,
         TicketStage::Done,
@@ -76,21 +80,21 @@
         TicketStage::Abandoned,
     ];
 
-    /// Whether the ticket has a place, so that its server counts as out.
-    pub fn has_place(self) -> bool {
+    /// Whether the ticket has a slot, so that its server counts as out.
+    pub fn has_slot(self) -> bool {
         matches!(
             self,
             TicketStage::Granted
-                | TicketStage::Begun
+                | TicketStage::Accepted
                 | TicketStage::Draining
-                | TicketStage::Out
-                | TicketStage::Back
+                | TicketStage::Offline
+                | TicketStage::Returned
                 | TicketStage::Ready
                 | TicketStage::Overdue
         )
     }
 
-    /// Whether the ticket is closed: there is no transition from this stage.
+    /// Whether the ticket is closed: no transition leads out of this stage.
     pub fn is_closed(self) -> bool {
         matches!(
             self,
@@ -98,15 +102,15 @@
         )
     }
 
-    /// Its name as operators see it.
+    /// The stage's name in commands' output.
     pub fn as_str(self) -> &'static str {
         match self {
             TicketStage::Requested => "asked",
             TicketStage::Granted => "granted",
-            TicketStage::Begun => "begun",
+            TicketStage::Accepted => "begun",
             TicketStage::Draining => "draining",
-            TicketStage::Out => "out",
-            TicketStage::Back => "back",
+            TicketStage::Offline => "out",
+            TicketStage::Returned => "back",
             TicketStage::Ready => "warm",
             TicketStage::Overdue => "overdue",
             TicketStage::Done => "done",
@@ -117,49 +121,51 @@
     }
 }
 
-/// What happens to a ticket.
+/// An event that moves a ticket from one stage to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Transition {
-    /// The leader lets its server go.
+    /// The leader grants the ticket a slot.
     Grant,
-    /// The leader takes a grant back before it was taken up: its conditions are no longer met.
-    Recall,
-    /// The server takes up the grant.
-    Begin,
-    /// The server drains.
+    /// The leader revokes a grant that was not accepted yet, because its conditions are no longer met.
+    #[serde(rename = "Recall")]
+    Revoke,
+    /// The server accepts the grant.
+    #[serde(rename = "Begin")]
+    Accept,
+    /// The server starts to drain.
     Drain,
-    /// The server has drained and shut down, or is down.
+    /// The server has drained and shuts down, or the leader sees it down.
     #[serde(rename = "Leave")]
     Depart,
-    /// A later incarnation is here.
+    /// The leader sees a later incarnation of the server, or the same one again after it was wrongly declared down.
     Return,
-    /// It carries its load.
+    /// The returned server carries its load.
     #[serde(rename = "Warm")]
     Ready,
-    /// It does not after all.
+    /// A server that was ready no longer carries its load.
     #[serde(rename = "Cool")]
     Unready,
-    /// It has carried its load for the required time.
+    /// The server has carried its load for the required time: the ticket is done.
     Finish,
-    /// An operator takes the ticket back.
+    /// An operator cancels the ticket before the server has accepted a grant.
     Withdraw,
-    /// An operator gives the server up.
+    /// An operator closes the ticket of a server that will not return.
     #[serde(rename = "WriteOff")]
     Abandon,
-    /// A deadline passed: a grant was not taken up.
+    /// The deadline for accepting a grant passed.
     Lapse,
-    /// A deadline passed: the window is over.
+    /// The ticket's window closed before a grant.
     Expire,
-    /// A deadline passed: the server is not back.
+    /// The server did not return before its deadline.
     Overrun,
 }
 
 impl Transition {
-    /// Every transition.
+    /// Every transition, in order of declaration.
     pub const ALL: [Transition; 14] = [
         Transition::Grant,
-        Transition::Recall,
-        Transition::Begin,
+        Transition::Revoke,
+        Transition::Accept,
         Transition::Drain,
         Transition::Depart,
         Transition::Return,
@@ -174,99 +180,102 @@
     ];
 }
 
-/// Who makes a transition.
+/// The role in which a transition is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Actor {
-    /// The leader of the log, by what it sees of members and time.
+    /// The leader of the log, which acts on the state of members and on deadlines.
     Leader,
     /// The server that the ticket is for.
     Server,
-    /// An operator.
+    /// An operator, through the fleet's commands.
     Operator,
-    /// Either of the first two: the server reports it, or the leader sees it where no report arrives.
+    /// In [`TABLE`] only: the server, which reports the transition, or the leader, which detects it when no report arrives.
     ServerOrLeader,
 }
 
 impl Actor {
-    /// Whether `actor` may do what is this actor's to do.
+    /// Whether a transition that is reserved for this role may be made by `actor`.
     pub fn includes(self, actor: Actor) -> bool {
         self == actor || (self == Actor::ServerOrLeader && matches!(actor, Actor::Server | Actor::Leader))
     }
 }
 
-/// Why a command on a ticket is not done. It changes nothing then.
+/// Why a command on a ticket or campaign was rejected. A rejected command changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum Rejection {
-    /// No ticket of that number is known: it never was, or is long closed.
-    #[error("no such ticket is known")]
+    /// No ticket has that number: it never existed, or is no longer retained after it was closed.
+    #[error("the ticket does not exist or is no longer retained")]
     Unknown,
-    /// The ticket is closed.
-    #[error("the ticket is {}", .0.as_str())]
+    /// The ticket is closed; with its stage.
+    #[error("the ticket is closed: {}", .0.as_str())]
     #[serde(rename = "Over")]
     Closed(TicketStage),
-    /// Its stage is too late for this.
-    #[error("it has gone too far for this: {}", .0.as_str())]
+    /// The ticket is past the stages that allow the transition; with its stage.
+    #[error("too late: the ticket is already {}", .0.as_str())]
     #[serde(rename = "UnderWay")]
     TooLate(TicketStage),
-    /// Its stage is too early for this.
-    #[error("it is not so far: {}", .0.as_str())]
+    /// The ticket has not reached a stage that allows the transition; with its stage.
+    #[error("too early: the ticket is only {}", .0.as_str())]
     #[serde(rename = "NotYet")]
     TooEarly(TicketStage),
-    /// The grant that this rests on is no longer the current one.
-    #[error("grant {grant} is superseded by {current}")]
+    /// The command names a grant that is no longer the ticket's current one.
+    #[error("grant {grant} has been superseded by grant {current}")]
     Superseded {
-        /// The grant that the command names.
+        /// Number of the grant that the command names.
         grant: GrantNumber,
-        /// The ticket's grant.
+        /// Number of the ticket's current grant.
         #[serde(rename = "holds")]
         current: GrantNumber,
     },
-    /// Another incarnation than the one whose transition it is.
-    #[error("another start of that server is meant")]
+    /// The command names another incarnation of the server than the ticket expects.
+    #[error("the command is about another incarnation of the server")]
     OtherIncarnation,
-    /// Not by this issuer.
-    #[error("that is not this hand's to do")]
+    /// The issuer may not issue this command.
+    #[error("the issuer of the command is not permitted to issue it")]
     #[serde(rename = "NotYours")]
     NotPermitted,
-    /// No place is available.
-    #[error("{out} are out{}, {limit} may be", zone_suffix(.zone.as_deref()))]
-    NoPlace {
-        /// Servers that are out.
+    /// The limit on servers that are out at once is reached.
+    #[error("{out} servers are out{}, the limit is {limit}", zone_suffix(.zone.as_deref()))]
+    #[serde(rename = "NoPlace")]
+    NoSlot {
+        /// Number of servers that are out, without the candidate.
         out: u32,
-        /// Servers that may be.
+        /// Maximum number of servers out at once.
         #[serde(rename = "most")]
         limit: u32,
-        /// The zone whose limit is reached; none where it is the fleet's.
+        /// The zone whose limit is reached; `None` for the limit of the whole fleet.
         zone: Option<Zone>,
     },
-    /// Not the required number of voters would stay.
-    #[error("{stay} voters would stay, {needed} are needed")]
+    /// Too few healthy voters would remain.
+    #[error("{remaining} healthy voters would remain, {needed} are required")]
     Voters {
-        /// Voters that would stay.
-        stay: u32,
-        /// Voters that have to.
+        /// Number of voters that would not be out.
+        #[serde(rename = "stay")]
+        remaining: u32,
+        /// Number of voters that have to remain, by [`voters_needed`](super::rules::voters_needed).
         needed: u32,
     },
     /// An operator has paused grants.
-    #[error("work is paused")]
+    #[error("grants are paused")]
     Paused,
-    /// Its window is not open.
-    #[error("its window is not open")]
+    /// The ticket's window has not opened yet.
+    #[error("the ticket's window has not opened yet")]
     #[serde(rename = "Window")]
     WindowNotOpen,
-    /// Its server has a place under another ticket.
-    #[error("it holds a place by ticket {0}")]
+    /// The server already has a slot under another ticket.
+    #[error("the server already has a slot under ticket {0}")]
     #[serde(rename = "HoldsPlace")]
-    HasPlace(TicketId),
-    /// This many are open, as many as there may be.
-    #[error("{0} are open, as many as there may be")]
+    HasSlot(TicketId),
+    /// The maximum number of open tickets or campaigns would be exceeded; with the number that is open now.
+    #[error("too many: {0} are open already")]
     TooMany(u32),
-    /// The command makes no sense, in words.
+    /// The command is invalid; with the reason. The text is part of the replicated state, because responses are remembered
+    /// there, so it must be the same in all versions.
     #[error("{0}")]
     #[serde(rename = "Bad")]
     Invalid(String),
-    /// There is no leader, or it could not be reached; whether the command was done is not known.
-    #[error("no leader could be reached; whether it was done is not known")]
+    /// There is no leader, or it could not be reached. The command may have been applied nevertheless.
+    #[error("no leader could be reached; whether the command was applied is unknown")]
     NoLeader,
 }
 
@@ -274,15 +283,15 @@
     zone.map_or(String::new(), |zone| format!(" in zone {zone}"))
 }
 
-/// One legal transition.
+/// A legal transition of [`TABLE`].
 pub struct Rule {
-    /// The stage from which it leads.
+    /// The stage before the transition.
     pub from: TicketStage,
-    /// What happens.
+    /// The transition that this rule allows.
     pub transition: Transition,
-    /// Who may make it.
+    /// The role that may make the transition.
     pub actor: Actor,
-    /// The stage that it leads to.
+    /// The stage after the transition.
     pub to: TicketStage,
 }
 
@@ -290,57 +299,57 @@
     Rule { from, transition, actor, to }
 }
 
-/// All that is legal. Anything else is rejected.
+/// All legal transitions; any other is rejected.
 pub const TABLE: [Rule; 33] = {
     use Actor::{Leader, Operator, Server, ServerOrLeader};
     use TicketStage::{
-        Abandoned, Back, Begun, Done, Draining, Granted, Lapsed, Out, Overdue, Ready, Requested, Withdrawn,
+        Abandoned, Accepted, Done, Draining, Granted, Lapsed, Offline, Overdue, Ready, Requested, Returned,
+        Withdrawn,
     };
     [
         rule(Requested, Transition::Grant, Leader, Granted),
         rule(Requested, Transition::Withdraw, Operator, Withdrawn),
         rule(Requested, Transition::Expire, Leader, Lapsed),
-        rule(Granted, Transition::Begin, Server, Begun),
-        rule(Granted, Transition::Recall, Leader, Requested),
+        rule(Granted, Transition::Accept, Server, Accepted),
+        rule(Granted, Transition::Revoke, Leader, Requested),
         rule(Granted, Transition::Lapse, Leader, Requested),
         rule(Granted, Transition::Withdraw, Operator, Withdrawn),
-        rule(Begun, Transition::Drain, Server, Draining),
-        rule(Begun, Transition::Depart, ServerOrLeader, Out),
-        rule(Begun, Transition::Overrun, Leader, Overdue),
-        rule(Begun, Transition::Abandon, Operator, Abandoned),
-        rule(Draining, Transition::Depart, ServerOrLeader, Out),
+        rule(Accepted, Transition::Drain, Server, Draining),
+        rule(Accepted, Transition::Depart, ServerOrLeader, Offline),
+        rule(Accepted, Transition::Overrun, Leader, Overdue),
+        rule(Accepted, Transition::Abandon, Operator, Abandoned),
+        rule(Draining, Transition::Depart, ServerOrLeader, Offline),
         rule(Draining, Transition::Overrun, Leader, Overdue),
         rule(Draining, Transition::Abandon, Operator, Abandoned),
-        // A server may be back before anybody saw it down.
-        rule(Begun, Transition::Return, Leader, Back),
-        rule(Draining, Transition::Return, Leader, Back),
-        rule(Out, Transition::Return, Leader, Back),
-        rule(Out, Transition::Overrun, Leader, Overdue),
-        rule(Out, Transition::Abandon, Operator, Abandoned),
-        rule(Back, Transition::Ready, Leader, Ready),
-        rule(Back, Transition::Depart, ServerOrLeader, Out),
-        // It started once more before it was ready.
-        rule(Back, Transition::Return, Leader, Back),
-        rule(Back, Transition::Abandon, Operator, Abandoned),
+        // A server may return before its shutdown is reported or detected.
+        rule(Accepted, Transition::Return, Leader, Returned),
+        rule(Draining, Transition::Return, Leader, Returned),
+        rule(Offline, Transition::Return, Leader, Returned),
+        rule(Offline, Transition::Overrun, Leader, Overdue),
+        rule(Offline, Transition::Abandon, Operator, Abandoned),
+        rule(Returned, Transition::Ready, Leader, Ready),
+        rule(Returned, Transition::Depart, ServerOrLeader, Offline),
+        // The server restarted before it was ready.
+        rule(Returned, Transition::Return, Leader, Returned),
+        rule(Returned, Transition::Abandon, Operator, Abandoned),
         rule(Ready, Transition::Finish, Leader, Done),
-        rule(Ready, Transition::Unready, Leader, Back),
-        rule(Ready, Transition::Depart, ServerOrLeader, Out),
+        rule(Ready, Transition::Unready, Leader, Returned),
+        rule(Ready, Transition::Depart, ServerOrLeader, Offline),
         rule(Ready, Transition::Abandon, Operator, Abandoned),
-        rule(Overdue, Transition::Return, Leader, Back),
-        rule(Ready, Transition::Return, Leader, Back),
-        // A late or repeated report changes nothing.
+        rule(Overdue, Transition::Return, Leader, Returned),
+        rule(Ready, Transition::Return, Leader, Returned),
+        // Late and repeated reports are accepted without effect, also the last rule of the table.
         rule(Overdue, Transition::Depart, ServerOrLeader, Overdue),
         rule(Overdue, Transition::Drain, Server, Overdue),
         rule(Overdue, Transition::Abandon, Operator, Abandoned),
-        // Nor does this one.
-        rule(Out, Transition::Depart, ServerOrLeader, Out),
+        rule(Offline, Transition::Depart, ServerOrLeader, Offline),
     ]
 };
 
 /// The stage that a transition leads to.
 ///
 /// # Errors
-/// Why the transition is not legal.
+/// The reason why [`TABLE`] does not allow `actor` to make this transition from this stage.
 pub fn next_stage(from: TicketStage, transition: Transition, actor: Actor) -> Result<TicketStage, Rejection> {
     match TABLE.iter().find(|rule| rule.from == from && rule.transition == transition) {
         Some(rule) if rule.actor.includes(actor) => Ok(rule.to),
@@ -349,17 +358,19 @@
     }
 }
 
-/// Why a transition that is not in [`TABLE`] is rejected: it comes too early, too late, or after the ticket is closed. The
-/// table alone says what is legal; this only words the rejection.
+/// The rejection of a transition that is not in [`TABLE`]: too early, too late, or on a closed ticket. The table alone
+/// decides what is legal; this function only chooses the reason.
 fn rejection(from: TicketStage, transition: Transition) -> Rejection {
-    use TicketStage::{Abandoned, Back, Begun, Done, Draining, Granted, Lapsed, Ready, Requested, Withdrawn};
-    // A rejection says "too early" in a stage before this one. Not always the first stage that the table allows.
+    use TicketStage::{
+        Abandoned, Accepted, Done, Draining, Granted, Lapsed, Ready, Requested, Returned, Withdrawn,
+    };
+    // In an earlier stage than this the transition is too early. Not always the first stage in which the table allows it.
     let earliest = match transition {
         Transition::Grant | Transition::Withdraw | Transition::Expire => Requested,
-        Transition::Begin | Transition::Recall | Transition::Lapse => Granted,
-        Transition::Drain | Transition::Depart | Transition::Abandon | Transition::Overrun => Begun,
+        Transition::Accept | Transition::Revoke | Transition::Lapse => Granted,
+        Transition::Drain | Transition::Depart | Transition::Abandon | Transition::Overrun => Accepted,
         Transition::Return => Draining,
-        Transition::Ready => Back,
+        Transition::Ready => Returned,
         Transition::Unready | Transition::Finish => Ready,
     };
     match from {
@@ -369,34 +380,34 @@
     }
 }
 
-/// A request to take one server out.
+/// A request to take one server out of service for maintenance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TicketRequest {
-    /// The server.
+    /// Name of the server to take out.
     pub server: ServerName,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: Zone,
-    /// Why, for people.
+    /// The operator's reason, shown to other operators; at most 256 bytes.
     pub reason: String,
-    /// How soon.
+    /// Priority in the queue.
     pub urgency: Urgency,
-    /// How long it is to be out, ms.
+    /// Time from acceptance of the grant until the server is overdue, ms; from a second to a week.
     #[serde(rename = "lasts")]
     pub duration_millis: FleetMillis,
-    /// When it may be granted, ms from when it was requested: from, and before.
+    /// Start and end of the time in which the ticket may be granted, ms after it was requested; `None` for any time.
     pub window: Option<(FleetMillis, FleetMillis)>,
 }
 
-/// Minimum duration of a maintenance, ms: a second.
+/// Minimum duration of maintenance, ms: one second.
 const MIN_DURATION_MILLIS: FleetMillis = 1_000;
-/// Maximum duration of a maintenance, ms: a week.
+/// Maximum duration of maintenance, ms: one week.
 pub const MAX_DURATION_MILLIS: FleetMillis = 7 * 24 * 3_600_000;
 
 impl TicketRequest {
-    /// Checks the request by itself.
+    /// Validates the fields of the request.
     ///
     /// # Errors
-    /// What is wrong with it, naming the field.
+    /// [`Rejection::Invalid`], naming the server, the field and its limit.
     pub fn check(&self) -> Result<(), Rejection> {
         let invalid = |what: &str| Err(Rejection::Invalid(format!("{}: {what}", self.server)));
         if !(1..=MAX_NAME_BYTES).contains(&self.server.len()) || self.zone.len() > MAX_NAME_BYTES {
@@ -415,54 +426,54 @@
     }
 }
 
-/// One server's turn to be out for maintenance.
+/// A ticket: the request to take a server out, and its progress.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ticket {
-    /// Its number.
+    /// Number of the ticket.
     pub id: TicketId,
-    /// The request that created it.
+    /// Identifies the client's request that created the ticket.
     #[serde(rename = "key")]
     pub request_id: FleetRequestId,
-    /// What was requested.
+    /// The server, duration, window and priority that were requested.
     #[serde(rename = "wanted")]
     pub request: TicketRequest,
-    /// Who requested it, for people.
+    /// Operator, server or campaign that requested the ticket, for display.
     #[serde(rename = "by")]
     pub requested_by: String,
-    /// How far it has come.
+    /// Current stage.
     pub stage: TicketStage,
-    /// When it was requested.
+    /// Fleet time at which the ticket was created, ms.
     #[serde(rename = "asked_at")]
     pub requested_at: FleetMillis,
-    /// When it came to its stage.
+    /// Fleet time at which the ticket entered its current stage, ms.
     pub since: FleetMillis,
-    /// The last grant; 0 before there is one.
+    /// Number of the last grant; 0 before the first one.
     pub grant: GrantNumber,
-    /// The start of the server that may begin, and later the one that did.
+    /// The incarnation of the server that was granted, and that leaves; 0 before the first grant.
     pub incarnation: Incarnation,
-    /// The start that came back; 0 before that.
+    /// The incarnation that returned last; 0 before one has.
     #[serde(rename = "returned")]
     pub returned_incarnation: Incarnation,
-    /// Grants that were not taken up.
+    /// Number of grants that lapsed because the server did not accept them in time.
     pub lapses: u8,
-    /// When the grant lapses, or the server has to be back.
+    /// Fleet time at which the grant lapses or, once it is accepted, the server is overdue, ms; 0 before the first grant.
     #[serde(rename = "due")]
     pub deadline: FleetMillis,
 }
 
 impl Ticket {
-    /// Time until its window opens, ms; 0 once it has, or where it has none.
+    /// Time until the window opens, ms; 0 when it is open or over, or if the ticket has none.
     pub fn opens_in(&self, now: FleetMillis) -> FleetMillis {
         let opens_at = self.request.window.map_or(0, |(from, _)| self.requested_at + from);
         opens_at.saturating_sub(now)
     }
 
-    /// When its window closes, if it has one.
+    /// Fleet time at which the window closes, ms; `None` if the ticket has none.
     pub fn closes_at(&self) -> Option<FleetMillis> {
         self.request.window.map(|(_, before)| self.requested_at + before)
     }
 
-    /// The last start of the server that this ticket knows of.
+    /// The latest incarnation of the server that the ticket has recorded: the one that left or the one that returned.
     pub fn last_incarnation(&self) -> Incarnation {
         self.incarnation.max(self.returned_incarnation)
     }
--- a/crates/loomflow-fleet/src/maintenance/ticket/tests.rs
+++ b/crates/loomflow-fleet/src/maintenance/ticket/tests.rs
@@ -2,25 +2,25 @@
 use crate::fixtures::ticket_request;
 
 #[test]
-fn the_table_has_each_transition_of_each_stage_once() {
-    for (at, rule) in TABLE.iter().enumerate() {
-        let twins = TABLE
+fn table_has_each_stage_and_transition_once() {
+    for (index, rule) in TABLE.iter().enumerate() {
+        let occurrences = TABLE
             .iter()
             .filter(|other| other.from == rule.from && other.transition == rule.transition)
             .count();
-        assert_eq!(twins, 1, "rule {at}");
-        assert!(!rule.from.is_closed(), "nothing moves once it is over");
+        assert_eq!(occurrences, 1, "rule {index}: {:?} by {:?}", rule.from, rule.transition);
+        assert!(!rule.from.is_closed(), "rule {index} leads out of the closed stage {:?}", rule.from);
     }
 }
 
 #[test]
-fn every_transition_of_every_stage_by_every_actor_is_made_or_rejected_with_its_reason() {
+fn every_stage_transition_and_actor_is_accepted_or_rejected_with_the_reason() {
     for from in TicketStage::ALL {
         for transition in Transition::ALL {
             let rule = TABLE.iter().find(|rule| rule.from == from && rule.transition == transition);
             for actor in [Actor::Leader, Actor::Server, Actor::Operator] {
-                let made = next_stage(from, transition, actor);
-                match (rule, made) {
+                let result = next_stage(from, transition, actor);
+                match (rule, result) {
                     (Some(rule), Ok(to)) => assert!(rule.to == to && rule.actor.includes(actor)),
                     (Some(rule), Err(Rejection::NotPermitted)) => assert!(!rule.actor.includes(actor)),
                     (None, Err(Rejection::Closed(stage))) => assert!(stage == from && from.is_closed()),
@@ -35,37 +35,36 @@
 }
 
 #[test]
-fn a_begun_ticket_is_not_withdrawn_and_a_requested_one_is_not_abandoned() {
+fn transition_outside_its_stages_is_too_early_or_too_late() {
     assert_eq!(
-        next_stage(TicketStage::Begun, Transition::Withdraw, Actor::Operator),
-        Err(Rejection::TooLate(TicketStage::Begun))
+        next_stage(TicketStage::Accepted, Transition::Withdraw, Actor::Operator),
+        Err(Rejection::TooLate(TicketStage::Accepted))
     );
     assert_eq!(
         next_stage(TicketStage::Requested, Transition::Abandon, Actor::Operator),
         Err(Rejection::TooEarly(TicketStage::Requested))
     );
     assert_eq!(
-        next_stage(TicketStage::Requested, Transition::Begin, Actor::Server),
+        next_stage(TicketStage::Requested, Transition::Accept, Actor::Server),
         Err(Rejection::TooEarly(TicketStage::Requested))
     );
 }
 
 #[test]
-fn a_place_is_reserved_from_the_grant_until_the_ticket_is_done_or_abandoned() {
-    // No way leads from a stage that has a place to one that does not, but these.
-    for rule in TABLE.iter().filter(|rule| rule.from.has_place() && !rule.to.has_place()) {
-        let free = matches!(
+fn slot_is_released_only_by_the_listed_transitions() {
+    for rule in TABLE.iter().filter(|rule| rule.from.has_slot() && !rule.to.has_slot()) {
+        let may_release = matches!(
             (rule.from, rule.transition),
-            (TicketStage::Granted, Transition::Recall | Transition::Lapse | Transition::Withdraw)
+            (TicketStage::Granted, Transition::Revoke | Transition::Lapse | Transition::Withdraw)
                 | (TicketStage::Ready, Transition::Finish)
                 | (_, Transition::Abandon)
         );
-        assert!(free, "{:?} by {:?}", rule.from, rule.transition);
+        assert!(may_release, "{:?} by {:?}", rule.from, rule.transition);
     }
 }
 
 #[test]
-fn a_request_beyond_a_limit_is_rejected_with_the_limit() {
+fn invalid_request_is_rejected_with_the_limit() {
     let request = ticket_request("n1");
     let check = |request: TicketRequest| request.check().map_err(|rejection| rejection.to_string());
     assert_eq!(check(request.clone()), Ok(()));
--- a/crates/loomflow-fleet/src/node/duty_leadership.rs
+++ b/crates/loomflow-fleet/src/node/duty_leadership.rs
@@ -127,7 +127,7 @@
             }
         }
         let members = self.member_views(now);
-        let has_place = |name: &str| state.maintenance.has_place(name);
+        let has_place = |name: &str| state.maintenance.has_slot(name);
         let commands = assign::commands(&state.duties, &members, &has_place);
         commands.into_iter().map(FleetCommand::Duty).collect()
     }
@@ -136,7 +136,7 @@
     pub(super) fn choose_successor(&self, duty: &str, now: IntegerMillis) -> Option<ServerName> {
         let state = self.fleet_state()?;
         let owner = &state.duties.duties().get(duty)?.lease.as_ref()?.owner;
-        let has_place = |name: &str| state.maintenance.has_place(name);
+        let has_place = |name: &str| state.maintenance.has_slot(name);
         let candidates = assign::candidates(&state.duties, &self.member_views(now), &has_place);
         assign::successor(&state.duties, &candidates, duty, owner)
     }
--- a/crates/loomflow-fleet/src/node/leadership.rs
+++ b/crates/loomflow-fleet/src/node/leadership.rs
@@ -134,7 +134,7 @@
         }
         match view.decide() {
             Some(Decision::Grant { ticket, incarnation }) => {
-                vec![FleetCommand::Grant { ticket, incarnation, census: view.census() }]
+                vec![FleetCommand::Grant { ticket, incarnation, availability: view.availability() }]
             }
             Some(Decision::TransferLeadership) => {
                 self.transfer_leadership();
--- a/crates/loomflow-fleet/src/node/leadership_transfer.rs
+++ b/crates/loomflow-fleet/src/node/leadership_transfer.rs
@@ -26,7 +26,7 @@
 fn may_lead(known: &KnownMember, maintenance: &MaintenanceState) -> bool {
     let is_draining = known.load_report.is_some_and(|received| received.report.phase == Phase::Draining);
     let is_alive = known.swim_state == foca::State::Alive;
-    is_alive && !is_draining && !maintenance.has_place(&known.identity.name)
+    is_alive && !is_draining && !maintenance.has_slot(&known.identity.name)
 }
 
 #[cfg(test)]
--- a/crates/loomflow-fleet/src/node/leadership_transfer/tests.rs
+++ b/crates/loomflow-fleet/src/node/leadership_transfer/tests.rs
@@ -2,23 +2,23 @@
 use crate::command::{Entry, FleetCommand, Issuer};
 use crate::consensus::StateMachine;
 use crate::fixtures::ticket_request;
-use crate::maintenance::Census;
+use crate::maintenance::FleetAvailability;
 use crate::member::{LoadReport, MemberIdentity, ReceivedReport, Zone};
 use foca::State::{Alive, Down, Suspect};
 
 /// A state in which the server "a" has a place.
 fn maintenance() -> MaintenanceState {
-    let census = Census { zones: vec![(Zone::new(), 3)], away: Vec::new() };
+    let availability = FleetAvailability { zone_sizes: vec![(Zone::new(), 3)], unavailable: Vec::new() };
     let commands = [
         FleetCommand::CreateTickets(vec![ticket_request("a")]),
-        FleetCommand::Grant { ticket: 1, incarnation: 1, census },
+        FleetCommand::Grant { ticket: 1, incarnation: 1, availability },
     ];
     let mut maintenance = MaintenanceState::default();
     for (id, command) in (1..).zip(commands) {
         let entry = Entry { id, at: 0, issuer: Issuer::Leader, command };
         maintenance.apply(&postcard::to_stdvec(&entry).unwrap());
     }
-    assert!(maintenance.has_place("a"));
+    assert!(maintenance.has_slot("a"));
     maintenance
 }
 
--- a/crates/loomflow-fleet/src/node/outgoing.rs
+++ b/crates/loomflow-fleet/src/node/outgoing.rs
@@ -36,7 +36,7 @@
             leader: consensus.leader().cloned(),
             term: consensus.term(),
             index: consensus.applied_index(),
-            ticket: consensus.machine().maintenance.ticket_with_place(to).cloned(),
+            ticket: consensus.machine().maintenance.ticket_with_slot(to).cloned(),
         };
         self.send(to, Body::Notification(notification));
     }
--- a/crates/loomflow-fleet/src/node/own_ticket.rs
+++ b/crates/loomflow-fleet/src/node/own_ticket.rs
@@ -55,7 +55,7 @@
     /// The ticket by which this server has a place, as far as is known here.
     fn own_ticket(&self, now: IntegerMillis) -> Option<Ticket> {
         if let Some(consensus) = self.consensus.as_ref().filter(|consensus| consensus.is_leader()) {
-            return consensus.machine().maintenance.ticket_with_place(&self.config.name).cloned();
+            return consensus.machine().maintenance.ticket_with_slot(&self.config.name).cloned();
         }
         let (_, notification) = self.last_notification.as_ref()?;
         is_notification_recent(notification.sent_at, now).then(|| notification.ticket.clone())?
@@ -73,11 +73,11 @@
         let is_new_grant = self.own_ticket.pending_begin.is_none_or(|(_, grant)| grant != ticket.grant);
         match ticket.stage {
             TicketStage::Granted if is_new_grant => {
-                let id = self.report_transition(ticket.id, ticket.grant, Transition::Begin, now);
+                let id = self.report_transition(ticket.id, ticket.grant, Transition::Accept, now);
                 self.own_ticket.pending_begin = Some((id, ticket.grant));
             }
             // Committed, and the response was lost; or the server was declared dead before it received it.
-            TicketStage::Begun | TicketStage::Draining | TicketStage::Out | TicketStage::Overdue => {
+            TicketStage::Accepted | TicketStage::Draining | TicketStage::Offline | TicketStage::Overdue => {
                 self.drain_by_ticket(ticket.id, ticket.grant, now);
             }
             _ => {}
--- a/crates/loomflow-fleet/src/node/status.rs
+++ b/crates/loomflow-fleet/src/node/status.rs
@@ -74,7 +74,7 @@
             rules: maintenance.rules().cloned().unwrap_or_else(|| self.config.rules.clone()),
             paused: maintenance.paused().map(str::to_owned),
             open: maintenance.open().len() as u32,
-            out: maintenance.tickets_with_place().len() as u32,
+            out: maintenance.tickets_with_slot().len() as u32,
             drains_without_ticket: maintenance.drains_without_ticket(),
             time: maintenance.time(),
             storage_error: self.storage_error.clone(),
@@ -93,7 +93,7 @@
     ) -> MemberRow {
         let known = self.membership.get(&name);
         let last_report = known.map_or(self.load, |known| known.load_report);
-        let ticket = maintenance.ticket_with_place(&name).map(|ticket| (ticket.id, ticket.stage));
+        let ticket = maintenance.ticket_with_slot(&name).map(|ticket| (ticket.id, ticket.stage));
         let has_begun = ticket.is_some_and(|(_, stage)| stage != TicketStage::Granted);
         let is_out = has_begun && !view.is_alive();
         MemberRow {
--- a/crates/loomflow-fleet/src/node/tests.rs
+++ b/crates/loomflow-fleet/src/node/tests.rs
@@ -31,7 +31,7 @@
 /// The ticket by which the member has begun.
 fn begun_ticket(node: &Node) -> Ticket {
     let incarnation = node.identity().incarnation;
-    Ticket { id: 4, incarnation, deadline: 60_000, ..fixtures::ticket(TicketStage::Begun) }
+    Ticket { id: 4, incarnation, deadline: 60_000, ..fixtures::ticket(TicketStage::Accepted) }
 }
 
 /// Whether the member drains by a notification that it receives at this time.
--- a/crates/loomflow-fleet/tests/ticket_model.rs
+++ b/crates/loomflow-fleet/tests/ticket_model.rs
@@ -1,52 +1,54 @@
-//! The ticket table, checked exhaustively within bounds: three servers, two tickets, one place, with crashes, and messages
-//! that are lost, late or duplicated. Entries are taken for committed at once; what is checked is everything that follows from
-//! them: the state machine itself (the real one), and what a server does on what it receives.
+//! Model checking of the ticket protocol, exhaustive within bounds: three servers, two tickets and one slot, with crashes
+//! and with messages that are lost, delayed or duplicated. It combines the real state machine with a model of how servers
+//! react to messages. Entries are committed at once, so consensus is not covered.
 //!
-//! Left out: abandoning a ticket, which frees its place because an operator says that the server does not come back.
+//! Abandoning a ticket is left out: it releases the slot because an operator states that the server will not return.
 
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 
 use loomflow_fleet::command::{Entry, FleetCommand, FleetResponse, Issuer};
 use loomflow_fleet::consensus::StateMachine;
-use loomflow_fleet::maintenance::Census;
+use loomflow_fleet::maintenance::FleetAvailability;
 use loomflow_fleet::maintenance::state::MaintenanceState;
 use loomflow_fleet::maintenance::ticket::{TicketId, TicketRequest, TicketStage, Transition, Urgency};
 use stateright::{Checker, Model, Property};
 
 const SERVERS: usize = 3;
-/// Starts of each server.
+/// Maximum incarnation of each server.
 const MAX_STARTS: u64 = 2;
-/// Grants that lapse or are recalled before they are taken up, in all.
+/// Maximum number of grants that lapse or are revoked before they are accepted, in total.
 const MAX_VOID_GRANTS: u8 = 2;
-/// Servers that crash, in all.
+/// Maximum number of crashes, in total.
 const MAX_CRASHES: u8 = 1;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Process {
     Serving,
-    /// It drains, by this ticket.
+    /// Draining under this ticket.
     Draining(TicketId),
-    /// It shut down by this ticket.
-    Out(TicketId),
+    /// Shut down under this ticket.
+    Offline(TicketId),
     Dead,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    /// To a server: its ticket is granted.
+    /// To a server: the ticket is granted.
     Granted { server: usize, ticket: TicketId, grant: u64, incarnation: u64 },
-    /// From a server: it begins by the grant.
-    Begin { server: usize, ticket: TicketId, grant: u64, incarnation: u64 },
-    /// To a server: its begin is committed.
-    Begun { server: usize, ticket: TicketId, incarnation: u64 },
+    /// From a server: it accepts the grant.
+    Accept { server: usize, ticket: TicketId, grant: u64, incarnation: u64 },
+    /// To a server: its acceptance is committed.
+    Accepted { server: usize, ticket: TicketId, incarnation: u64 },
 }
 
 #[derive(Clone, Debug)]
 struct State {
     maintenance: MaintenanceState,
-    /// Entries so far: each has a number of its own, as repeats that the machine answers from memory are the easier case.
+    /// Number of log entries so far, used as request ids. Duplicates get a new id, because retries with the same id get a
+    /// remembered response and change nothing.
     entries: u128,
+    /// Process and incarnation of each server.
     servers: [(Process, u64); SERVERS],
     /// All messages ever sent: each may arrive at any time, any number of times.
     sent: BTreeSet<Message>,
@@ -56,30 +58,31 @@
 }
 
 impl State {
-    /// What of the state machine matters for what may still happen: times and history do not.
-    fn shown(&self) -> Vec<(TicketId, TicketStage, u64, u64, u64, u8)> {
+    /// The part of the state machine that affects later steps; times and history do not.
+    fn ticket_states(&self) -> Vec<(TicketId, TicketStage, u64, u64, u64, u8)> {
         let open = self.maintenance.open().values();
         open.map(|t| (t.id, t.stage, t.grant, t.incarnation, t.returned_incarnation, t.lapses)).collect()
     }
 
-    /// Applies an entry; whether the state machine accepted it.
-    fn commit(&mut self, issuer: Issuer, command: FleetCommand, after: u64) -> bool {
+    /// Applies an entry, `elapsed` ms after the last one. Returns whether the state machine accepted it.
+    fn commit(&mut self, issuer: Issuer, command: FleetCommand, elapsed: u64) -> bool {
         self.entries += 1;
-        let entry = Entry { id: self.entries, at: self.maintenance.time() + after, issuer, command };
+        let entry = Entry { id: self.entries, at: self.maintenance.time() + elapsed, issuer, command };
         let bytes = postcard::to_stdvec(&entry).unwrap();
         matches!(self.maintenance.apply(&bytes), Some((_, FleetResponse::Done(_))))
     }
 
+    /// Number of servers that are draining or have shut down under a ticket.
     fn departed_count(&self) -> usize {
         let has_departed =
-            |(process, _): &&(Process, u64)| matches!(process, Process::Draining(_) | Process::Out(_));
+            |(process, _): &&(Process, u64)| matches!(process, Process::Draining(_) | Process::Offline(_));
         self.servers.iter().filter(has_departed).count()
     }
 }
 
 impl PartialEq for State {
     fn eq(&self, other: &State) -> bool {
-        self.shown() == other.shown()
+        self.ticket_states() == other.ticket_states()
             && (self.servers, self.crashes, self.void_grants, self.has_withdrawn)
                 == (other.servers, other.crashes, other.void_grants, other.has_withdrawn)
             && self.sent == other.sent
@@ -88,7 +91,7 @@
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        (self.shown(), self.servers, &self.sent, self.crashes, self.void_grants, self.has_withdrawn)
+        (self.ticket_states(), self.servers, &self.sent, self.crashes, self.void_grants, self.has_withdrawn)
             .hash(hasher);
     }
 }
@@ -96,28 +99,28 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
     Grant(TicketId),
-    /// The leader notifies the server of a granted ticket.
+    /// The leader sends the server its grant.
     Notify(TicketId),
-    /// Time passes until the grant lapses.
+    /// Time advances until the grant lapses.
     Lapse(TicketId),
-    Recall(TicketId),
+    Revoke(TicketId),
     Withdraw(TicketId),
-    /// The leader observes a server that has a place.
+    /// The leader records a transition that it observes of a server that has a slot.
     Observe(TicketId, Transition),
     Deliver(Message),
-    /// A server that drains shuts down.
+    /// A draining server shuts down.
     FinishDrain(usize),
     Start(usize),
     Crash(usize),
 }
 
-/// The ways in which the protocol may be built wrong.
+/// Faults that are injected into the model to prove that the properties detect them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
-    /// A server drains when its ticket is granted, without waiting until its begin is committed.
+    /// A server drains when its ticket is granted, without waiting until its acceptance is committed.
     DrainsOnGrant,
-    /// The response to a begin counts for any start of the server.
+    /// A server takes the response to an acceptance of any of its incarnations as its own.
     IgnoresIncarnation,
 }
 
@@ -133,18 +136,18 @@
     name[1..].parse().unwrap()
 }
 
-/// The command that makes a transition of a ticket by its current grant.
+/// The command for a transition of a ticket under its current grant.
 fn transition_of(state: &State, transition: Transition, id: TicketId, incarnation: u64) -> FleetCommand {
     let grant = state.maintenance.open().get(&id).map_or(0, |ticket| ticket.grant);
     FleetCommand::Transition { ticket: id, transition, grant, incarnation }
 }
 
-/// The leader reports what it sees of a server; none where it cannot see that.
+/// The leader commits a transition that it observes. Returns `None` if the server's state does not show that transition.
 fn observe(state: &mut State, last: &State, id: TicketId, transition: Transition) -> Option<bool> {
     let ticket = last.maintenance.open().get(&id)?;
     let (process, incarnation) = last.servers[number(&ticket.request.server)];
     let is_up = matches!(process, Process::Serving | Process::Draining(_));
-    // As the observation has it: one that is back is up, with another start than the one that left.
+    // As in `maintenance::observation`: a returned server is up, as another incarnation than the one that left.
     let incarnation = match transition {
         Transition::Depart => ticket.incarnation.max(ticket.returned_incarnation),
         _ if !is_up => return None,
@@ -155,7 +158,7 @@
 }
 
 impl TicketModel {
-    /// A message arrives; whether that changes anything.
+    /// Delivers a message. Returns whether the state changes, or `None` if the server ignores the message.
     fn deliver(&self, state: &mut State, last: &State, message: Message) -> Option<bool> {
         let changed = match message {
             Message::Granted { server, ticket, grant, incarnation } => {
@@ -167,17 +170,17 @@
                     state.servers[server].0 = Process::Draining(ticket);
                     true
                 } else {
-                    state.sent.insert(Message::Begin { server, ticket, grant, incarnation })
+                    state.sent.insert(Message::Accept { server, ticket, grant, incarnation })
                 }
             }
-            Message::Begin { server, ticket, grant, incarnation } => {
-                let by = Issuer::Server { name: name(server), incarnation };
+            Message::Accept { server, ticket, grant, incarnation } => {
+                let issuer = Issuer::Server { name: name(server), incarnation };
                 let command =
-                    FleetCommand::Transition { ticket, transition: Transition::Begin, grant, incarnation };
-                state.commit(by, command, 1)
-                    && state.sent.insert(Message::Begun { server, ticket, incarnation })
+                    FleetCommand::Transition { ticket, transition: Transition::Accept, grant, incarnation };
+                state.commit(issuer, command, 1)
+                    && state.sent.insert(Message::Accepted { server, ticket, incarnation })
             }
-            Message::Begun { server, ticket, incarnation } => {
+            Message::Accepted { server, ticket, incarnation } => {
                 let (process, own) = last.servers[server];
                 let is_addressed = own == incarnation || self.fault == Fault::IgnoresIncarnation;
                 state.servers[server].0 = Process::Draining(ticket);
@@ -202,7 +205,7 @@
             void_grants: 0,
             has_withdrawn: false,
         };
-        let wanted = |server| TicketRequest {
+        let ticket_request = |server| TicketRequest {
             server: name(server),
             zone: String::new(),
             reason: String::new(),
@@ -212,7 +215,7 @@
         };
         assert!(state.commit(
             Issuer::Operator("ops".into()),
-            FleetCommand::CreateTickets(vec![wanted(0), wanted(1)]),
+            FleetCommand::CreateTickets(vec![ticket_request(0), ticket_request(1)]),
             1
         ));
         vec![state]
@@ -227,22 +230,23 @@
                 TicketStage::Granted => {
                     actions.push(Action::Notify(id));
                     if state.void_grants < MAX_VOID_GRANTS {
-                        actions.extend([Action::Lapse(id), Action::Recall(id)]);
+                        actions.extend([Action::Lapse(id), Action::Revoke(id)]);
                     }
                 }
                 _ => {}
             }
-            if ticket.stage.has_place() && ticket.stage != TicketStage::Granted {
-                // A server may be taken for dead that is not.
-                let seen = [Transition::Depart, Transition::Return, Transition::Ready, Transition::Finish];
-                actions.extend(seen.map(|by| Action::Observe(id, by)));
+            if ticket.stage.has_slot() && ticket.stage != TicketStage::Granted {
+                // Departure may be observed of a server that is alive.
+                let observable =
+                    [Transition::Depart, Transition::Return, Transition::Ready, Transition::Finish];
+                actions.extend(observable.map(|transition| Action::Observe(id, transition)));
             }
         }
         actions.extend(state.sent.iter().map(|message| Action::Deliver(*message)));
         for (server, (process, incarnation)) in state.servers.iter().enumerate() {
             match process {
                 Process::Draining(_) => actions.push(Action::FinishDrain(server)),
-                Process::Out(_) | Process::Dead if *incarnation < MAX_STARTS => {
+                Process::Offline(_) | Process::Dead if *incarnation < MAX_STARTS => {
                     actions.push(Action::Start(server));
                 }
                 Process::Serving if state.crashes < MAX_CRASHES => actions.push(Action::Crash(server)),
@@ -253,27 +257,38 @@
 
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
-        let of = |id: TicketId| last.maintenance.open().get(&id);
+        let open_ticket = |id: TicketId| last.maintenance.open().get(&id);
         let transition = |transition, id, incarnation| transition_of(last, transition, id, incarnation);
         let changed = match action {
             Action::Grant(id) => {
-                let incarnation = last.servers[number(&of(id)?.request.server)].1;
-                let census = Census { zones: vec![(String::new(), SERVERS as u32)], away: Vec::new() };
-                state.commit(Issuer::Leader, FleetCommand::Grant { ticket: id, incarnation, census }, 1)
+                let incarnation = last.servers[number(&open_ticket(id)?.request.server)].1;
+                let availability = FleetAvailability {
+                    zone_sizes: vec![(String::new(), SERVERS as u32)],
+                    unavailable: Vec::new(),
+                };
+                state.commit(Issuer::Leader, FleetCommand::Grant { ticket: id, incarnation, availability }, 1)
             }
             Action::Notify(id) => {
-                let ticket = of(id)?;
+                let ticket = open_ticket(id)?;
                 let (grant, incarnation) = (ticket.grant, ticket.incarnation);
                 let server = number(&ticket.request.server);
                 state.sent.insert(Message::Granted { server, ticket: id, grant, incarnation })
             }
             Action::Lapse(id) => {
                 state.void_grants += 1;
-                state.commit(Issuer::Leader, FleetCommand::Clock, of(id)?.deadline - last.maintenance.time())
+                state.commit(
+                    Issuer::Leader,
+                    FleetCommand::Clock,
+                    open_ticket(id)?.deadline - last.maintenance.time(),
+                )
             }
-            Action::Recall(id) => {
+            Action::Revoke(id) => {
                 state.void_grants += 1;
-                state.commit(Issuer::Leader, transition(Transition::Recall, id, of(id)?.incarnation), 1)
+                state.commit(
+                    Issuer::Leader,
+                    transition(Transition::Revoke, id, open_ticket(id)?.incarnation),
+                    1,
+                )
             }
             Action::Withdraw(id) => {
                 state.has_withdrawn = true;
@@ -283,7 +298,7 @@
             Action::Deliver(message) => self.deliver(&mut state, last, message)?,
             Action::FinishDrain(server) => {
                 let Process::Draining(ticket) = last.servers[server].0 else { return None };
-                state.servers[server].0 = Process::Out(ticket);
+                state.servers[server].0 = Process::Offline(ticket);
                 true
             }
             Action::Start(server) => {
@@ -302,39 +317,40 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(ONE_DEPARTED, |_, state: &State| state.departed_count() <= 1),
-            Property::always(PLACE_RESERVED, |_, state: &State| {
+            Property::always(SLOT_RESERVED, |_, state: &State| {
                 state.servers.iter().enumerate().all(|(server, (process, _))| match process {
-                    Process::Draining(ticket) | Process::Out(ticket) => {
-                        state.maintenance.tickets_with_place().get(&name(server)) == Some(ticket)
+                    Process::Draining(ticket) | Process::Offline(ticket) => {
+                        state.maintenance.tickets_with_slot().get(&name(server)) == Some(ticket)
                     }
                     _ => true,
                 })
             }),
-            Property::sometimes("both are done", |_, state: &State| {
+            Property::sometimes("both tickets are done", |_, state: &State| {
                 state.maintenance.closed().filter(|ticket| ticket.stage == TicketStage::Done).count() == 2
             }),
         ]
     }
 }
 
-const ONE_DEPARTED: &str = "at most one server departs at a time";
-const PLACE_RESERVED: &str = "a server that departed has the place";
+const ONE_DEPARTED: &str = "at most one server has departed";
+const SLOT_RESERVED: &str = "a departed server has a slot under its ticket";
 
 #[test]
-fn no_order_of_messages_and_deaths_takes_two_out_or_one_without_its_place() {
+fn at_most_one_server_departs_and_only_with_a_slot() {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let checker = TicketModel { fault: Fault::None }.checker().threads(threads).spawn_bfs().join();
-    let (all, different) = (checker.state_count(), checker.unique_state_count());
-    println!("{all} states, {different} of them different, to a depth of {}", checker.max_depth());
+    let (states, unique_states) = (checker.state_count(), checker.unique_state_count());
+    println!("{states} states, {unique_states} of them unique, to a depth of {}", checker.max_depth());
     checker.assert_properties();
-    assert!(checker.is_done() && different > 1_000);
+    assert!(checker.is_done() && unique_states > 1_000, "{unique_states} unique states");
 }
 
 #[test]
-fn planted_faults_are_found() {
+fn injected_faults_are_detected() {
     for fault in [Fault::DrainsOnGrant, Fault::IgnoresIncarnation] {
         let checker = TicketModel { fault }.checker().spawn_bfs().join();
-        let found = [ONE_DEPARTED, PLACE_RESERVED].iter().any(|rule| checker.discovery(rule).is_some());
-        assert!(found, "{fault:?}");
+        let found =
+            [ONE_DEPARTED, SLOT_RESERVED].iter().any(|property| checker.discovery(property).is_some());
+        assert!(found, "no property detects the fault {fault:?}");
     }
 }
--- a/crates/loomflow-fleet/tests/wire_format.rs
+++ b/crates/loomflow-fleet/tests/wire_format.rs
@@ -15,7 +15,7 @@
     LeaseSettings, OwnedDuty, OwnerUpdate, Ownership, ServerInstance,
 };
 use loomflow_fleet::fleet_state::FleetState;
-use loomflow_fleet::maintenance::Census;
+use loomflow_fleet::maintenance::FleetAvailability;
 use loomflow_fleet::maintenance::campaign::{CampaignCommand, CampaignStatus, CampaignView};
 use loomflow_fleet::maintenance::headroom::Estimate;
 use loomflow_fleet::maintenance::rules::{Limit, Rules};
@@ -238,14 +238,14 @@
     Rules { max_out_per_zone: Some(Limit::Share(0.25)), ..Rules::default() }
 }
 
-fn census() -> Census {
-    Census { zones: vec![("z1".into(), 3)], away: vec![("n3".into(), "z1".into())] }
+fn availability() -> FleetAvailability {
+    FleetAvailability { zone_sizes: vec![("z1".into(), 3)], unavailable: vec![("n3".into(), "z1".into())] }
 }
 
 fn commands() -> Vec<FleetCommand> {
     let mut commands = vec![
         FleetCommand::CreateTickets(vec![wanted()]),
-        FleetCommand::Grant { ticket: 1, incarnation: 6, census: census() },
+        FleetCommand::Grant { ticket: 1, incarnation: 6, availability: availability() },
         FleetCommand::Pause("storm".into()),
         FleetCommand::Resume,
         FleetCommand::Rules(rules()),
@@ -267,16 +267,16 @@
     vec![
         Rejection::Unknown,
         Rejection::Closed(TicketStage::Done),
-        Rejection::TooLate(TicketStage::Out),
+        Rejection::TooLate(TicketStage::Offline),
         Rejection::TooEarly(TicketStage::Requested),
         Rejection::Superseded { grant: 1, current: 2 },
         Rejection::OtherIncarnation,
         Rejection::NotPermitted,
-        Rejection::NoPlace { out: 1, limit: 1, zone: Some("z1".into()) },
-        Rejection::Voters { stay: 1, needed: 2 },
+        Rejection::NoSlot { out: 1, limit: 1, zone: Some("z1".into()) },
+        Rejection::Voters { remaining: 1, needed: 2 },
         Rejection::Paused,
         Rejection::WindowNotOpen,
-        Rejection::HasPlace(3),
+        Rejection::HasSlot(3),
         Rejection::TooMany(4),
         Rejection::Invalid("no".into()),
         Rejection::NoLeader,
@@ -302,7 +302,7 @@
         is_voter: true,
         load_report: Some(load_report()),
         report_age_millis: Some(10),
-        ticket: Some((1, TicketStage::Out)),
+        ticket: Some((1, TicketStage::Offline)),
     };
     FleetStatus {
         fleet: "riga".into(),
@@ -329,7 +329,7 @@
         Check::Pause,
         Check::Window,
         Check::Server,
-        Check::Evidence,
+        Check::LoadReports,
         Check::Budget,
         Check::Voters,
         Check::Headroom,
@@ -463,10 +463,10 @@
     let mut entries = vec![
         leader(FleetCommand::Rules(rules())),
         operator(FleetCommand::CreateTickets(vec![TicketRequest { window: None, ..wanted() }])),
-        leader(FleetCommand::Grant { ticket: 1, incarnation: 6, census: Census::default() }),
+        leader(FleetCommand::Grant { ticket: 1, incarnation: 6, availability: FleetAvailability::default() }),
         server(FleetCommand::Transition {
             ticket: 1,
-            transition: Transition::Begin,
+            transition: Transition::Accept,
             grant: 1,
             incarnation: 6,
         }),
--- a/crates/loomflow-server/src/fleet/node_config.rs
+++ b/crates/loomflow-server/src/fleet/node_config.rs
@@ -38,7 +38,7 @@
     Rules {
         max_out: limit(options.out),
         max_out_per_zone: options.zone_out.map(limit),
-        begin_within_millis: millis_of_seconds(options.begin_within_s),
+        accept_timeout_millis: millis_of_seconds(options.begin_within_s),
         ready_for_millis: millis_of_seconds(options.warm_for_s),
         min_ready_share: options.warm_share,
     }
--- a/crates/loomflow-server/tests/fleet.rs
+++ b/crates/loomflow-server/tests/fleet.rs
@@ -173,7 +173,9 @@
     assert_eq!(fleet.wait_for_exit(NON_VOTER), Some(0));
     wait_for_stage(&fleet, 0, 1, "Overdue");
     let second = fleet.request_ticket(0, 2);
-    assert!(fleet.run_command(0, &["explain", "n3"]).1.contains("2 would be out at once, 1 may be"));
+    assert!(
+        fleet.run_command(0, &["explain", "n3"]).1.contains("2 servers would be out at once, the limit is 1")
+    );
     expect_success(&fleet, 0, &["work", "write-off", "1"]);
     // A second time there is nothing to abandon.
     expect_rejection(&fleet, 0, &["work", "write-off", "1"]);
