--- a/crates/loomflow-fleet/src/consensus/election.rs
+++ b/crates/loomflow-fleet/src/consensus/election.rs
@@ -1,5 +1,6 @@
-//! Who leads. The election itself is the library's: Raft with pre-vote and a check of the quorum, so that a leader without a
-//! majority steps down (Ongaro, "Consensus: Bridging Theory and Practice", sections 6.2 and 9.6).
+//! Leader election and leadership transfer. The `raft` library runs the election, with pre-vote and quorum
+//! checks: a leader that loses contact with a majority steps down (Ongaro, "Consensus: Bridging Theory and
+//! Practice", sections 6.2 and 9.6).
 
 use raft::{RawNode, StateRole};
 
@@ -8,16 +9,16 @@
 use crate::member::ServerName;
 use crate::time::IntegerMillis;
 
-/// The library's tick, ms.
+/// Interval between ticks of the Raft library, ms.
 pub(super) const TICK_MILLIS: IntegerMillis = 100;
-/// A leader sends heartbeats every this many ticks.
+/// Ticks between a leader's heartbeats.
 pub(super) const HEARTBEAT_TICKS: usize = 2;
-/// A voter without a heartbeat for this many ticks, up to twice as many by chance, starts an election.
+/// Minimum election timeout, in ticks. The timeout in effect lies between this and twice this value.
 pub(super) const ELECTION_TICKS: usize = 10;
 
 impl<M: StateMachine> Consensus<M> {
-    /// The library draws its election time-outs from the thread's generator; here they follow from the replica, the term and
-    /// the role, so that a simulation is the same every time.
+    /// Derives the election timeout from the replica, the term and the role. The library draws it from a
+    /// thread-local random generator, which would make simulations irreproducible.
     pub(super) fn set_election_timeout(&mut self) {
         let Some(node) = &mut self.raft_node else { return };
         let raft = &mut node.raft;
@@ -28,7 +29,8 @@
         raft.set_randomized_election_timeout(ELECTION_TICKS + extra_ticks);
     }
 
-    /// Whether this voter leads, and has applied all that was committed before it did.
+    /// Whether this voter leads, has applied every entry of earlier terms, and is not transferring its
+    /// leadership.
     pub fn is_leader(&self) -> bool {
         self.raft_node.as_ref().is_some_and(|node| {
             node.raft.state == StateRole::Leader
@@ -37,27 +39,28 @@
         })
     }
 
-    /// Who leads, as far as this voter knows.
+    /// The leader known to this voter, if any.
     pub fn leader(&self) -> Option<&ServerName> {
         let id = self.raft_node.as_ref()?.raft.leader_id;
         self.replicas.get(&id)
     }
 
-    /// Lets another voter lead, the one with the highest matched index among those that `may_lead`. False where there is none.
+    /// Starts a leadership transfer to the voter with the highest matched index among those that satisfy
+    /// `may_lead`. Returns false if this voter does not lead or no other voter qualifies.
     pub fn transfer_leadership(&mut self, may_lead: &dyn Fn(&ServerName) -> bool) -> bool {
         let is_leader = |node: &&mut RawNode<Log>| node.raft.state == StateRole::Leader;
         let Some(node) = self.raft_node.as_mut().filter(is_leader) else { return false };
-        let own = self.metadata.replica.id;
+        let own_id = self.metadata.replica.id;
         let voters = node.store().configuration().voters;
         let candidates =
-            voters.iter().filter(|id| **id != own && self.replicas.get(id).is_some_and(may_lead));
+            voters.iter().filter(|id| **id != own_id && self.replicas.get(id).is_some_and(may_lead));
         let matched = |id: &&u64| node.raft.prs().get(**id).map_or(0, |progress| progress.matched);
-        let best = candidates.max_by_key(matched).copied();
-        if let Some(to) = best {
-            node.transfer_leader(to);
+        let successor = candidates.max_by_key(matched).copied();
+        if let Some(id) = successor {
+            node.transfer_leader(id);
         }
         self.process_ready();
-        best.is_some()
+        successor.is_some()
     }
 }
 
--- a/crates/loomflow-fleet/src/consensus/election/tests.rs
+++ b/crates/loomflow-fleet/src/consensus/election/tests.rs
@@ -5,10 +5,10 @@
 const GROUP: u64 = 3;
 const VOTERS: usize = 3;
 
-/// Three voters, the first of which leads; messages arrive at once.
-struct Voters {
+/// A Raft group of three voters, led by the first one, with instant message delivery.
+struct Group {
     voters: Vec<Consensus<MaintenanceState>>,
-    /// The one that no message reaches, and none leaves.
+    /// The voter whose messages are dropped in both directions.
     unreachable: Option<usize>,
 }
 
@@ -16,26 +16,26 @@
     format!("n{voter}")
 }
 
-impl Voters {
-    fn elected() -> Voters {
+impl Group {
+    fn formed() -> Group {
         let start =
             |voter| Consensus::start(name(voter), Box::new(MemoryStorage::default()), voter as u64 + 1, 1, 0);
-        let mut voters = Voters { voters: (0..VOTERS).map(start).collect(), unreachable: None };
-        voters.voters[0].bootstrap(GROUP).unwrap();
-        let wanted: Vec<(ServerName, Option<u64>)> =
-            (0..VOTERS).map(|voter| (name(voter), Some(voters.voters[voter].replica().id))).collect();
+        let mut group = Group { voters: (0..VOTERS).map(start).collect(), unreachable: None };
+        group.voters[0].bootstrap(GROUP).unwrap();
+        let desired: Vec<(ServerName, Option<u64>)> =
+            (0..VOTERS).map(|voter| (name(voter), Some(group.voters[voter].replica().id))).collect();
         let mut now = 0;
-        while voters.voters.iter().any(|voter| voter.voters().len() < VOTERS) {
+        while group.voters.iter().any(|voter| voter.voters().len() < VOTERS) {
             now += TICK_MILLIS;
-            voters.voters[0].change_voters_towards(&wanted);
-            voters.voters.iter_mut().for_each(|voter| voter.tick(now));
-            voters.deliver();
-            assert!(now < 60_000, "they do not form a group");
+            group.voters[0].reconcile_voters(&desired);
+            group.voters.iter_mut().for_each(|voter| voter.tick(now));
+            group.deliver();
+            assert!(now < 60_000, "not all {VOTERS} voters are in the group after {now} ms");
         }
-        voters
+        group
     }
 
-    /// Delivers messages until there are none.
+    /// Delivers messages until no voter sends any.
     fn deliver(&mut self) {
         loop {
             let mut is_idle = true;
@@ -56,15 +56,15 @@
 }
 
 #[test]
-fn the_voter_with_the_most_complete_log_leads_next() {
+fn leadership_is_transferred_to_the_voter_with_the_most_complete_log() {
     for (behind, next_leader) in [(1, 2), (2, 1)] {
-        let mut voters = Voters::elected();
-        voters.unreachable = Some(behind);
-        voters.voters[0].propose(b"an entry".to_vec()).unwrap();
-        voters.deliver();
-        voters.unreachable = None;
-        assert!(voters.voters[0].transfer_leadership(&|_| true));
-        voters.deliver();
-        assert_eq!(voters.voters[0].leader(), Some(&name(next_leader)), "n{behind} lags");
+        let mut group = Group::formed();
+        group.unreachable = Some(behind);
+        group.voters[0].propose(b"an entry".to_vec()).unwrap();
+        group.deliver();
+        group.unreachable = None;
+        assert!(group.voters[0].transfer_leadership(&|_| true));
+        group.deliver();
+        assert_eq!(group.voters[0].leader(), Some(&name(next_leader)), "n{behind} lags");
     }
 }
--- a/crates/loomflow-fleet/src/consensus/error.rs
+++ b/crates/loomflow-fleet/src/consensus/error.rs
@@ -1,59 +1,60 @@
-//! What can go wrong with the log.
+//! Errors of the replicated log.
 
 use super::storage::StorageError;
 
-/// A snapshot of the state machine cannot be read.
+/// A snapshot of the state machine cannot be decoded.
 #[derive(Debug, thiserror::Error)]
 #[error("the {part} cannot be read: {source}")]
 pub struct SnapshotError {
-    /// Which part of the state.
+    /// The part of the state that cannot be decoded.
     pub part: &'static str,
-    /// Why.
+    /// The decoding error.
     pub source: postcard::Error,
 }
 
-/// Why nothing was proposed.
+/// Why an entry was not proposed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// Another voter leads, or none.
+    /// Another voter leads, or there is no leader.
     #[error("this voter does not lead")]
     NotLeader,
-    /// The leader hands over, or too much is not committed yet.
+    /// The leader is transferring its leadership, or too many bytes are uncommitted.
     #[error("the proposal was dropped")]
     Dropped,
 }
 
-/// Why a voter takes no part in the consensus, or cannot begin a fleet.
+/// Why a voter does not participate in the consensus, or cannot create or recover a fleet.
 #[derive(Debug, thiserror::Error)]
 pub enum ConsensusError {
     /// The data directory cannot be read or written.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// The data directory was replaced by another voter's.
-    #[error("the folder is another voter's now")]
+    /// The data directory now holds another replica than the one this process started with.
+    #[error("the data directory now belongs to another voter")]
     OtherReplica,
-    /// A fleet cannot be created by a voter that has one.
+    /// A voter that belongs to a fleet cannot create another one.
     #[error("this voter already belongs to a fleet")]
     AlreadyInFleet,
-    /// A fleet cannot be recovered from a voter that never had one.
-    #[error("this voter never belonged to a fleet: found one instead")]
+    /// Recovery needs the data directory of a voter that belonged to a fleet.
+    #[error("this voter never belonged to a fleet and cannot recover one: create a fleet instead")]
     NeverInFleet,
-    /// An entry, a message or a snapshot is not what the Raft library writes.
+    /// An entry, a message or a snapshot is not valid protobuf of the Raft library.
     #[error(transparent)]
     Protobuf(#[from] protobuf::ProtobufError),
-    /// A snapshot's data cannot be read.
+    /// The payload of a snapshot cannot be decoded.
     #[error("snapshot: {0}")]
     SnapshotData(postcard::Error),
-    /// A snapshot's state cannot be read.
+    /// The state machine in a snapshot cannot be decoded.
     #[error(transparent)]
     SnapshotState(#[from] SnapshotError),
-    /// The data directory does not contain a log.
-    #[error("the log: {0}")]
+    /// The snapshot and entries of the data directory do not form a valid log.
+    #[error("invalid log: {0}")]
     Log(raft::Error),
-    /// The Raft library rejects it.
+    /// The Raft library rejects an operation.
     #[error(transparent)]
     Raft(#[from] raft::Error),
-    /// The log contains a change of configuration in a form that is no longer written.
-    #[error("a change of an old form is in the log")]
+    /// The log contains a configuration change of the old form `ConfChange`; only `ConfChangeV2` is
+    /// supported.
+    #[error("the log contains a configuration change of the unsupported form ConfChange")]
     UnsupportedConfigurationChange,
 }
--- a/crates/loomflow-fleet/src/consensus/log.rs
+++ b/crates/loomflow-fleet/src/consensus/log.rs
@@ -1,20 +1,22 @@
-//! The log as the Raft library reads it: in memory, with the last snapshot and what follows it.
+//! The log as the Raft library reads it: the last snapshot and the entries around and after it, in memory.
 
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::storage::MemStorage;
 use raft::{GetEntriesContext, RaftState, Result, Storage, StorageError};
 
-/// Entries that stay in memory behind a snapshot, so that a voter that is a little late needs none.
+/// Entries before a snapshot that stay in memory, so that a voter that lags slightly does not need the
+/// snapshot.
 const RETAINED_ENTRIES: u64 = 256;
 
-/// The library's own log in memory, except for snapshots: those that it creates have no state.
+/// Wraps the library's [`MemStorage`], and stores snapshots itself: those of `MemStorage` contain no state
+/// machine.
 pub(super) struct Log {
     entries: MemStorage,
     snapshot: Snapshot,
 }
 
 impl Log {
-    /// A log that begins behind a snapshot; an empty one where that is the default.
+    /// Creates a log of a snapshot and the entries after it. The default snapshot stands for an empty log.
     pub fn new(snapshot: Snapshot, hard_state: Option<HardState>, entries: &[Entry]) -> Result<Log> {
         let log = Log { entries: MemStorage::new(), snapshot: snapshot.clone() };
         {
@@ -50,15 +52,16 @@
         self.entries.initial_state().map(|state| state.conf_state).unwrap_or_default()
     }
 
-    /// Replaces all by a snapshot that came from a leader.
+    /// Replaces the whole log by a snapshot received from a leader.
     pub fn restore_snapshot(&mut self, snapshot: Snapshot) -> Result<()> {
         self.entries.wl().apply_snapshot(snapshot.clone())?;
         self.snapshot = snapshot;
         Ok(())
     }
 
-    /// Adds a snapshot of our own, of what is applied; entries far behind it are dropped from memory.
-    pub fn keep_snapshot(&mut self, snapshot: Snapshot) -> Result<()> {
+    /// Sets a snapshot of the applied state, and drops entries more than [`RETAINED_ENTRIES`] before it from
+    /// memory.
+    pub fn set_snapshot(&mut self, snapshot: Snapshot) -> Result<()> {
         let index = snapshot.get_metadata().index;
         self.snapshot = snapshot;
         self.entries.wl().compact(index.saturating_sub(RETAINED_ENTRIES))
@@ -97,8 +100,8 @@
         self.entries.last_index()
     }
 
-    /// The last snapshot. Not available where it is older than requested, or where its configuration does not know the
-    /// replica that it is for, which would reject it.
+    /// Returns the last snapshot. It is unavailable if it is older than requested, or if its configuration
+    /// does not contain the receiving replica, which would reject it.
     fn snapshot(&self, request_index: u64, to: u64) -> Result<Snapshot> {
         let metadata = self.snapshot.get_metadata();
         let configuration = metadata.get_conf_state();
--- a/crates/loomflow-fleet/src/consensus/mod.rs
+++ b/crates/loomflow-fleet/src/consensus/mod.rs
@@ -1,19 +1,24 @@
-//! A replicated log among several voters: Raft, by the library `raft`. Fed messages and times; it knows no socket, and of its
-//! disk only [`Storage`].
+//! A log replicated among several voters with Raft, by the library `raft`. The module performs no I/O: its
+//! inputs are messages and times, and [`Storage`] is its only access to the disk.
 //!
-//! Election with pre-vote and a check of the quorum, transfer of leadership, snapshots and changes of configuration are the
-//! library's. Ours is the order of things around it: a step is durable before anything that follows from it is sent; a
-//! storage that fails takes this voter out of the consensus until it can be read and written again, with its contents then;
-//! and a voter is its data directory, so that one whose directory is lost is another voter.
+//! The library implements elections with pre-vote and quorum checks, leadership transfer, snapshots and
+//! configuration changes. This module adds three guarantees:
 //!
-//! - this file: starting, creating and recovering a fleet, what comes in;
-//! - `ready`: carrying out what the library wants done;
+//! - A step is durable before any message or output that depends on it is sent.
+//! - A voter whose storage fails leaves the consensus until the storage can be read and written again, and
+//!   then restarts from its contents.
+//! - A replica is identified by its data directory: a server that loses its directory is a new replica.
+//!
+//! Its parts:
+//!
+//! - this file: start, creation and recovery of a fleet, received messages, proposals;
+//! - `ready`: processes the library's `Ready` states;
 //! - `snapshot`: snapshots of the state machine;
-//! - `voter_changes`: bringing the configuration to the voters that the settings name;
+//! - `voter_changes`: reconciles the Raft configuration with the voters in the settings;
 //! - `log`: the log as the library reads it;
-//! - [`storage`]: what a voter must not forget;
-//! - `election`: who leads, and when a voter starts an election;
-//! - `error`: what can go wrong.
+//! - [`storage`]: the persisted state and the interface of storages;
+//! - `election`: election timeouts and leadership transfer;
+//! - `error`: errors.
 
 mod election;
 mod error;
@@ -35,76 +40,81 @@
 use log::Log;
 use storage::{PersistedState, ReplicaMetadata, Storage, WriteBatch};
 
-/// A storage that failed is tried again after this, ms.
+/// Interval between attempts to reopen a failed storage, ms.
 const STORAGE_RETRY_MILLIS: IntegerMillis = 1_000;
-/// A snapshot that did not arrive is sent again after this, ms.
+/// Interval at which snapshots without an acknowledgement are sent again, ms.
 const SNAPSHOT_RETRY_MILLIS: IntegerMillis = 3_000;
-/// Proposals that may be uncommitted, bytes.
+/// Maximum size of the uncommitted proposals, bytes.
 const MAX_UNCOMMITTED_BYTES: u64 = 16 * 1024 * 1024;
-/// Entries in one message, bytes, and messages on their way to one voter.
+/// Maximum size of the entries in one message, bytes.
 const MAX_MESSAGE_BYTES: u64 = 256 * 1024;
+/// Maximum number of unacknowledged append messages to one voter.
 const MAX_INFLIGHT_MESSAGES: usize = 64;
-/// A new group's log begins here and not at the first entry, so that whoever joins it gets its first state.
+/// Index of a new group's first snapshot. It is above 0 so that every voter that joins receives the initial
+/// state.
 const FIRST_INDEX: u64 = 16;
-/// How far the log of a recovered fleet is ahead of the data directory that it was recovered from.
+/// Added to the last log index when a fleet is recovered: above any index that the lost data directories may
+/// have reached.
 const RECOVERY_INDEX_GAP: u64 = 1 << 20;
-/// How far the numbers that a state machine assigns jump when a fleet is recovered: above any that the lost data directories
-/// may have assigned.
+/// Added to the ids that a state machine assigns when a fleet is recovered: above any that entries in lost
+/// data directories may have assigned.
 pub const RECOVERY_ID_GAP: u64 = 1 << 20;
-/// Replicas that are remembered before the log knows them.
+/// Maximum number of entries in `Consensus::unconfirmed_replicas`.
 const MAX_UNCONFIRMED_REPLICAS: usize = 16;
 
-/// What the log is applied to: the same bytes in the same order give the same state everywhere.
+/// The state machine that the log is applied to. It is deterministic: the same entries in the same order give
+/// the same state on every voter.
 pub trait StateMachine: Default + Send {
-    /// The result of one entry, for whoever proposed it.
+    /// The result of one entry, returned to its proposer.
     type Output;
 
-    /// Applies one entry; none where it cannot be read.
+    /// Applies one entry. Returns `None` if it cannot be decoded.
     fn apply(&mut self, entry: &[u8]) -> Option<Self::Output>;
 
-    /// Sets who has a vote from now on.
+    /// Sets the names of the current voters.
     fn set_voters(&mut self, names: Vec<ServerName>);
 
-    /// Called when the fleet was recovered from one data directory: numbers that others may know must not be assigned again.
+    /// Called when the fleet is recovered from one data directory. Ids that lost entries may have assigned
+    /// must not be assigned again.
     fn reset_after_recovery(&mut self);
 
-    /// A snapshot of the state.
+    /// Encodes the state for a snapshot.
     fn save(&self) -> Vec<u8>;
 
-    /// Restores a snapshot.
+    /// Decodes a state that [`StateMachine::save`] encoded.
     ///
     /// # Errors
-    /// The bytes are not what [`StateMachine::save`] writes.
+    /// The bytes cannot be decoded.
     fn load(bytes: &[u8]) -> Result<Self, SnapshotError>;
 }
 
-/// One voter's part in the replicated log.
+/// One voter of the replicated log, with its copy of the state machine.
 pub struct Consensus<M: StateMachine> {
     name: ServerName,
     seed: u64,
     storage: Box<dyn Storage>,
     metadata: ReplicaMetadata,
-    /// None while the storage has an error.
+    /// `None` while the storage has an error.
     raft_node: Option<RawNode<Log>>,
     error: Option<ConsensusError>,
     machine: M,
     applied_index: u64,
-    /// The replicas of the log's configuration.
+    /// Names of the replicas in the Raft configuration.
     replicas: BTreeMap<u64, ServerName>,
-    /// Replicas that sent messages, whether the configuration knows them or not.
+    /// Names of senders that may not be in the configuration yet: replies to them need a name.
     unconfirmed_replicas: BTreeMap<u64, ServerName>,
     next_tick_at: IntegerMillis,
     next_snapshot_check_at: IntegerMillis,
     outgoing: Vec<(ServerName, Vec<u8>)>,
     outputs: Vec<M::Output>,
-    /// Messages of another group, or that could not be taken.
+    /// Messages that were rejected: malformed, of another group, or for another replica.
     pub rejected: u64,
 }
 
 impl<M: StateMachine> Consensus<M> {
-    /// Continues from the data directory. An empty one is a new replica, with an id drawn from `seed`. Where it cannot be
-    /// read or written this voter takes no part and retries; [`Consensus::error`] has the reason. `unix_millis`: the
-    /// wall clock.
+    /// Starts from the data directory; an empty one becomes a new replica with the id `seed`. If the
+    /// directory cannot be read or written, this voter does not participate and retries; [`Consensus::error`]
+    /// has the reason. `unix_millis` is the wall clock.
     pub fn start(
         name: ServerName,
         storage: Box<dyn Storage>,
@@ -116,7 +126,8 @@
             name,
             seed,
             storage,
-            // The wall clock only helps where the directory was lost; setting it back cannot make the number fall.
+            // Keeps incarnations rising when the directory is lost. Otherwise the stored one bounds it from
+            // below, so that setting the clock back has no effect.
             metadata: ReplicaMetadata { incarnation: unix_millis, ..ReplicaMetadata::default() },
             raft_node: None,
             error: None,
@@ -138,14 +149,14 @@
         consensus
     }
 
-    /// Reads the data directory, counts this start in it, and starts from its contents.
+    /// Reads the data directory, stores this start's incarnation in it, and starts Raft from its contents.
     fn open_storage(&mut self) -> Result<(), ConsensusError> {
         let persisted = self.storage.read()?;
-        let known = persisted.metadata.replica;
-        if self.metadata.replica.id != 0 && known != self.metadata.replica {
+        let stored = persisted.metadata.replica;
+        if self.metadata.replica.id != 0 && stored != self.metadata.replica {
             return Err(ConsensusError::OtherReplica);
         }
-        let replica = if known.id == 0 { Replica { id: self.seed.max(1), group: 0 } } else { known };
+        let replica = if stored.id == 0 { Replica { id: self.seed.max(1), group: 0 } } else { stored };
         self.store_metadata(ReplicaMetadata { replica, ..self.metadata })?;
         self.start_raft(persisted)
     }
@@ -156,27 +167,27 @@
         Ok(())
     }
 
-    /// The server's start, as the data directory counts it.
+    /// The incarnation of this start, as stored in the data directory.
     pub fn incarnation(&self) -> Incarnation {
         self.metadata.incarnation
     }
 
-    /// This voter's replica.
+    /// The id of this voter's data directory, and its Raft group.
     pub fn replica(&self) -> Replica {
         self.metadata.replica
     }
 
-    /// The state machine, as far as the log is applied.
+    /// The state machine, up to [`Consensus::applied_index`].
     pub fn machine(&self) -> &M {
         &self.machine
     }
 
-    /// The index up to which the log is applied.
+    /// The index of the last log entry applied to the state machine.
     pub fn applied_index(&self) -> u64 {
         self.applied_index
     }
 
-    /// Why this voter takes no part; none where it does.
+    /// Why this voter does not participate; `None` while it does.
     pub fn error(&self) -> Option<&ConsensusError> {
         self.error.as_ref()
     }
@@ -186,14 +197,14 @@
         self.raft_node.as_ref().map_or(0, |node| node.raft.term)
     }
 
-    /// Who has a vote, in the order of the replicas.
+    /// The names of the current voters, in the order of the Raft configuration.
     pub fn voters(&self) -> Vec<ServerName> {
         let Some(node) = &self.raft_node else { return Vec::new() };
         let configuration = node.store().configuration();
         configuration.voters.iter().filter_map(|id| self.replicas.get(id).cloned()).collect()
     }
 
-    /// Creates a fleet with this voter alone.
+    /// Creates a fleet with this voter as its only member.
     ///
     /// # Errors
     /// This voter already belongs to a group, or its storage fails.
@@ -201,11 +212,11 @@
         if self.metadata.replica.group != 0 {
             return Err(ConsensusError::AlreadyInFleet);
         }
-        self.begin_group(group, FIRST_INDEX, 1)
+        self.create_group(group, FIRST_INDEX, 1)
     }
 
-    /// Recreates the fleet from this data directory, with this voter alone: for when a majority of the directories
-    /// is lost. What only the lost ones had committed is lost.
+    /// Recreates the fleet from this data directory, with this voter as the only one, after a majority of the
+    /// directories was lost. Entries that were committed only in the lost directories are lost.
     ///
     /// # Errors
     /// This voter never belonged to a group, or its storage fails.
@@ -218,10 +229,10 @@
             None => (self.applied_index, 1),
         };
         self.machine.reset_after_recovery();
-        self.begin_group(group, index + RECOVERY_INDEX_GAP, term + 1)
+        self.create_group(group, index + RECOVERY_INDEX_GAP, term + 1)
     }
 
-    fn begin_group(&mut self, group: u64, index: u64, term: u64) -> Result<(), ConsensusError> {
+    fn create_group(&mut self, group: u64, index: u64, term: u64) -> Result<(), ConsensusError> {
         let id = self.metadata.replica.id;
         let configuration = ConfState { voters: vec![id], ..ConfState::default() };
         self.replicas = BTreeMap::from([(id, self.name.clone())]);
@@ -239,7 +250,7 @@
         self.metadata = metadata;
         let persisted = self.storage.read()?;
         self.start_raft(persisted)?;
-        // Nobody else can lead, so there is no election to wait for.
+        // The only voter wins the election at once: there is no reason to wait for the election timeout.
         if let Some(node) = &mut self.raft_node {
             let _ = node.campaign();
         }
@@ -247,7 +258,7 @@
         Ok(())
     }
 
-    /// Starts from the data directory. On an error this voter takes no part.
+    /// Starts Raft from the contents of the data directory. On an error this voter does not participate.
     fn start_raft(&mut self, persisted: PersistedState) -> Result<(), ConsensusError> {
         self.raft_node = None;
         let PersistedState { hard_state, snapshot, entries, .. } = persisted;
@@ -281,17 +292,18 @@
         Ok(())
     }
 
-    /// Takes a message of another voter of this fleet.
+    /// Handles a Raft message from another voter of this fleet.
     pub fn step(&mut self, from: &ServerName, group: u64, bytes: &[u8]) {
         let Ok(message) = decode::<Message>(bytes) else {
             self.rejected += 1;
             return;
         };
         let replica = self.metadata.replica;
-        // One that belongs to no group takes what is for its own replica: only a leader that admitted it knows that id.
+        // A replica without a group accepts messages that carry its id: only a leader that admitted it sends
+        // them.
         let joins_group = replica.group == 0 && message.to == replica.id && group != 0;
-        let is_ours = message.to == replica.id && (group == replica.group || joins_group);
-        if self.raft_node.is_none() || !is_ours {
+        let is_for_replica = message.to == replica.id && (group == replica.group || joins_group);
+        if self.raft_node.is_none() || !is_for_replica {
             self.rejected += 1;
             return;
         }
@@ -306,14 +318,15 @@
             self.unconfirmed_replicas.pop_first();
         }
         let Some(node) = &mut self.raft_node else { return };
-        // The library's local messages must not come from the network.
+        // The library's local messages must not be accepted from the network.
         if raft::raw_node::is_local_msg(message.get_msg_type()) || node.step(message).is_err() {
             self.rejected += 1;
         }
         self.process_ready();
     }
 
-    /// Does what is due. After a sleep only one tick is made up for: the others had theirs.
+    /// Advances the Raft clock, or reopens a failed storage. After a pause of any length it ticks once:
+    /// catching up on the missed ticks would start an election at once.
     pub fn tick(&mut self, now: IntegerMillis) {
         if now < self.next_tick_at {
             return;
@@ -333,15 +346,15 @@
         self.process_ready();
     }
 
-    /// When something is due next.
+    /// The time of the next call of [`Consensus::tick`].
     pub fn next_wake(&self) -> IntegerMillis {
         self.next_tick_at
     }
 
-    /// Puts an entry into the log, if this voter leads.
+    /// Proposes an entry for the log.
     ///
     /// # Errors
-    /// It does not lead, or takes no proposals now.
+    /// This voter does not lead, or currently accepts no proposals.
     pub fn propose(&mut self, entry: Vec<u8>) -> Result<(), ProposeError> {
         if !self.is_leader() {
             return Err(ProposeError::NotLeader);
@@ -352,13 +365,14 @@
         Ok(())
     }
 
-    /// What the library believes to be durable may not be: this voter starts again from the data directory.
+    /// Stops Raft after an error. The library may treat a step as durable that is not, so [`Consensus::tick`]
+    /// restarts it from the data directory.
     fn stop_on_error(&mut self, error: ConsensusError) {
         self.raft_node = None;
         self.error = Some(error);
     }
 
-    /// Messages to send since this was last called, by the voter's name.
+    /// Takes the messages to send, each with the name of its receiver.
     pub fn take_messages(&mut self) -> Vec<(ServerName, Vec<u8>)> {
         std::mem::take(&mut self.outgoing)
     }
@@ -368,13 +382,13 @@
         !self.outgoing.is_empty() || !self.outputs.is_empty()
     }
 
-    /// Results of entries that were applied since this was last called.
+    /// Takes the results of the entries that were applied since the last call.
     pub fn take_outputs(&mut self) -> Vec<M::Output> {
         std::mem::take(&mut self.outputs)
     }
 }
 
-/// Reports snapshots that are still in transit as lost: the library sends them again.
+/// Reports snapshots without an acknowledgement as failed, so that the library sends them again.
 fn report_pending_snapshots(node: &mut RawNode<Log>) {
     let is_pending = |state| state == raft::ProgressState::Snapshot;
     let pending = node.raft.prs().iter().filter(|(_, progress)| is_pending(progress.state));
--- a/crates/loomflow-fleet/src/consensus/ready.rs
+++ b/crates/loomflow-fleet/src/consensus/ready.rs
@@ -1,4 +1,4 @@
-//! Carries out what the Raft library wants done: write, send, apply, in that order.
+//! Processes the `Ready` states of the Raft library: write, send, apply, in that order.
 
 use raft::eraftpb::{ConfChangeV2, Entry, EntryType, Message, MessageType};
 use raft::{Ready, SnapshotStatus};
@@ -7,11 +7,11 @@
 use super::{Consensus, ConsensusError, StateMachine, decode, encode};
 use crate::member::ServerName;
 
-/// A snapshot is written after this many entries: what a restart reads again at most.
+/// Applied entries between two snapshots: bounds the entries that a restart replays.
 const SNAPSHOT_EVERY_ENTRIES: u64 = 512;
 
 impl<M: StateMachine> Consensus<M> {
-    /// Carries out what the library wants done, until it wants nothing.
+    /// Processes `Ready` states until the library has none left, then stores a snapshot if one is due.
     pub(super) fn process_ready(&mut self) {
         while self.raft_node.as_ref().is_some_and(raft::RawNode::has_ready) {
             if let Err(error) = self.process_one_ready() {
@@ -53,7 +53,7 @@
         Ok(())
     }
 
-    /// Brings the log in memory to what was written.
+    /// Applies the written step to the log in memory.
     fn update_log(&mut self, ready: &Ready) -> Result<(), ConsensusError> {
         let Some(node) = &mut self.raft_node else { return Ok(()) };
         let snapshot = ready.snapshot();
@@ -89,7 +89,7 @@
         for entry in entries {
             self.applied_index = entry.index;
             match entry.get_entry_type() {
-                // A new leader's first entry is empty.
+                // A new leader proposes an empty entry first.
                 EntryType::EntryNormal if entry.data.is_empty() => {}
                 EntryType::EntryNormal => self.outputs.extend(self.machine.apply(&entry.data)),
                 EntryType::EntryConfChange => return Err(ConsensusError::UnsupportedConfigurationChange),
@@ -102,8 +102,9 @@
         Ok(())
     }
 
-    /// Applies a change of configuration; a snapshot follows at once, as whoever joined needs one that knows it. `context`
-    /// names the replica that the change admits.
+    /// Applies a configuration change and stores a snapshot: a replica that joins rejects one whose
+    /// configuration does not contain it. `context` holds the id and the name of the replica that the change
+    /// concerns.
     fn apply_configuration_change(
         &mut self,
         change: &ConfChangeV2,
@@ -127,10 +128,10 @@
         Ok(())
     }
 
-    /// Passes the voters to the state machine.
+    /// Passes the names of the voters to the state machine.
     pub(super) fn update_machine_voters(&mut self) {
         let mut voters = self.voters();
-        // The library stores them in no order, and the state must be the same everywhere.
+        // The library returns them in no defined order, and the state must be equal on all voters.
         voters.sort();
         if !voters.is_empty() {
             self.machine.set_voters(voters);
@@ -138,7 +139,7 @@
     }
 }
 
-/// What has to be durable before anything else of this is done.
+/// The part of `ready` that must be durable before its messages are sent and its entries applied.
 fn write_batch(ready: &Ready) -> Result<WriteBatch, ConsensusError> {
     let mut batch = WriteBatch::default();
     let snapshot_index = ready.snapshot().get_metadata().index;
--- a/crates/loomflow-fleet/src/consensus/snapshot.rs
+++ b/crates/loomflow-fleet/src/consensus/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the state machine, with the names of the replicas.
+//! Creation, restoration and storage of snapshots: the state machine and the names of the replicas.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use super::{Consensus, ConsensusError, StateMachine, encode};
 use crate::member::ServerName;
 
-/// The contents of a snapshot's data.
+/// The payload of a Raft snapshot.
 #[derive(Serialize, Deserialize)]
 pub(super) struct SnapshotPayload {
     pub replicas: BTreeMap<u64, ServerName>,
@@ -17,7 +17,7 @@
 }
 
 impl<M: StateMachine> Consensus<M> {
-    /// A snapshot of the state machine as it is.
+    /// Creates a snapshot of the current state machine.
     pub(super) fn snapshot(&self, index: u64, term: u64, configuration: ConfState) -> Snapshot {
         let payload = SnapshotPayload { replicas: self.replicas.clone(), machine: self.machine.save() };
         let data = postcard::to_stdvec(&payload).unwrap_or_default().into();
@@ -29,7 +29,7 @@
         snapshot
     }
 
-    /// Replaces the state machine by a snapshot's.
+    /// Replaces the state machine and the names of the replicas by those of a snapshot.
     pub(super) fn load_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), ConsensusError> {
         let payload: SnapshotPayload =
             postcard::from_bytes(&snapshot.data).map_err(ConsensusError::SnapshotData)?;
@@ -38,7 +38,7 @@
         Ok(())
     }
 
-    /// Writes a snapshot of what is applied, and drops what is far behind it.
+    /// Writes a snapshot of the applied state, and drops old entries from memory.
     pub(super) fn store_snapshot(&mut self) {
         let Some(node) = &self.raft_node else { return };
         let index = self.applied_index;
@@ -50,7 +50,7 @@
             return self.stop_on_error(error.into());
         }
         if let Some(node) = &mut self.raft_node {
-            let _ = node.mut_store().keep_snapshot(snapshot);
+            let _ = node.mut_store().set_snapshot(snapshot);
         }
     }
 }
--- a/crates/loomflow-fleet/src/consensus/storage.rs
+++ b/crates/loomflow-fleet/src/consensus/storage.rs
@@ -1,4 +1,4 @@
-//! What a voter must not forget, as plain bytes: what a storage writes and reads back, and the interface of storages.
+//! The state that a voter persists, as plain bytes, and the interface of the storages that write it.
 
 use std::error::Error;
 
@@ -9,61 +9,61 @@
 /// The contents of a data directory.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistedState {
-    /// What belongs to the data directory itself.
+    /// Identity of the data directory.
     pub metadata: ReplicaMetadata,
-    /// The Raft library's hard state: term, vote, commit.
+    /// The Raft library's hard state (term, vote, commit), encoded.
     pub hard_state: Option<Vec<u8>>,
-    /// The last snapshot, with its configuration.
+    /// The last snapshot, encoded; it contains the Raft configuration.
     pub snapshot: Option<Vec<u8>>,
-    /// Log entries by their index.
+    /// Log entries, each with its index, in ascending order.
     pub entries: Vec<(u64, Vec<u8>)>,
 }
 
-/// What belongs to the data directory itself.
+/// Identity of a data directory, kept apart from the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaMetadata {
-    /// The server's last start with this data directory.
+    /// The incarnation of the last start with this data directory.
     pub incarnation: Incarnation,
-    /// The replica that the directory is.
+    /// The replica that this directory holds.
     pub replica: Replica,
 }
 
 impl ReplicaMetadata {
-    /// The bytes of a storage.
+    /// Encodes the metadata for a storage.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads what [`ReplicaMetadata::encode`] wrote; none where it is something else.
+    /// Decodes bytes of [`ReplicaMetadata::encode`]. Returns `None` if they are invalid.
     pub fn decode(bytes: &[u8]) -> Option<ReplicaMetadata> {
         postcard::from_bytes(bytes).ok()
     }
 }
 
-/// One step that must be durable, completely or not at all, before anything that follows from it is sent.
+/// One atomic write. It must be durable before any message or output that depends on it is sent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WriteBatch {
     /// Replaces the metadata.
     pub metadata: Option<ReplicaMetadata>,
     /// Replaces the hard state.
     pub hard_state: Option<Vec<u8>>,
-    /// Replaces the snapshot. Entries up to its index are of no further use.
+    /// Replaces the snapshot, given with its index, and removes the entries up to that index.
     pub snapshot: Option<(u64, Vec<u8>)>,
-    /// Replace what is there from the first of them on, to the end.
+    /// Replaces all entries from the first of these indices to the end of the log.
     pub entries: Vec<(u64, Vec<u8>)>,
-    /// Drops every entry before anything else is written: the log begins anew behind a snapshot.
+    /// Removes all entries before the rest of the batch is applied: the log restarts after a snapshot.
     pub clears_log: bool,
 }
 
 impl WriteBatch {
-    /// Whether there is nothing to write.
+    /// Whether the batch writes nothing.
     pub fn is_empty(&self) -> bool {
         *self == WriteBatch::default()
     }
 }
 
 impl PersistedState {
-    /// Applies one step. This defines what a step means: storages are tested against it.
+    /// Applies a batch. This is the reference implementation that storages are tested against.
     pub fn apply(&mut self, batch: &WriteBatch) {
         if let Some(metadata) = batch.metadata {
             self.metadata = metadata;
@@ -91,7 +91,7 @@
 pub struct StorageError(Box<dyn Error + Send + Sync>);
 
 impl StorageError {
-    /// From the storage's own error, or a message.
+    /// Wraps the storage's own error, or a message.
     pub fn new(source: impl Into<Box<dyn Error + Send + Sync>>) -> StorageError {
         StorageError(source.into())
     }
@@ -99,16 +99,16 @@
 
 /// Stores a [`PersistedState`] across restarts of the process.
 pub trait Storage: Send {
-    /// Reads all.
+    /// Reads the persisted state.
     ///
     /// # Errors
-    /// It cannot be read.
+    /// The storage cannot be read.
     fn read(&mut self) -> Result<PersistedState, StorageError>;
 
-    /// Writes one step; returns when it is durable.
+    /// Writes a batch, and returns when it is durable.
     ///
     /// # Errors
-    /// It cannot be written; nothing of the step may be there then, or all of it.
+    /// The storage cannot be written. The batch is then stored completely or not at all.
     fn write(&mut self, batch: &WriteBatch) -> Result<(), StorageError>;
 }
 
--- a/crates/loomflow-fleet/src/consensus/tests.rs
+++ b/crates/loomflow-fleet/src/consensus/tests.rs
@@ -11,34 +11,34 @@
     consensus
 }
 
-fn heartbeat(to: u64) -> Vec<u8> {
+fn heartbeat_response(to: u64) -> Vec<u8> {
     let mut message = Message { to, from: 9, term: 1, ..Message::default() };
     message.set_msg_type(MessageType::MsgHeartbeatResponse);
     encode(&message).unwrap()
 }
 
 #[test]
-fn a_voter_takes_messages_of_its_own_group_and_replica_alone() {
+fn messages_for_another_group_or_replica_are_rejected() {
     let mut consensus = bootstrapped();
     let replica = consensus.replica();
     assert!(consensus.is_leader());
-    consensus.step(&"n1".into(), GROUP + 1, &heartbeat(replica.id));
+    consensus.step(&"n1".into(), GROUP + 1, &heartbeat_response(replica.id));
     assert_eq!((consensus.replica(), consensus.rejected), (replica, 1), "another group");
-    consensus.step(&"n1".into(), GROUP, &heartbeat(replica.id + 1));
+    consensus.step(&"n1".into(), GROUP, &heartbeat_response(replica.id + 1));
     assert_eq!((consensus.replica(), consensus.rejected), (replica, 2), "another replica");
-    consensus.step(&"n1".into(), GROUP, b"no message");
+    consensus.step(&"n1".into(), GROUP, b"not a message");
     assert_eq!(consensus.rejected, 3, "unreadable");
     assert!(consensus.is_leader());
 }
 
 #[test]
-fn a_voter_without_a_group_joins_that_of_whoever_admits_it() {
+fn a_voter_without_a_group_joins_the_group_of_the_leader_that_admits_it() {
     let mut consensus: Consensus<MaintenanceState> =
         Consensus::start("n0".into(), Box::new(MemoryStorage::default()), 7, 1, 0);
     let id = consensus.replica().id;
-    consensus.step(&"n1".into(), GROUP, &heartbeat(id + 1));
+    consensus.step(&"n1".into(), GROUP, &heartbeat_response(id + 1));
     assert_eq!((consensus.replica().group, consensus.rejected), (0, 1), "for another replica");
-    consensus.step(&"n1".into(), GROUP, &heartbeat(id));
+    consensus.step(&"n1".into(), GROUP, &heartbeat_response(id));
     assert_eq!(consensus.replica().group, GROUP);
     assert!(matches!(consensus.bootstrap(GROUP + 1), Err(ConsensusError::AlreadyInFleet)));
 }
--- a/crates/loomflow-fleet/src/consensus/voter_changes.rs
+++ b/crates/loomflow-fleet/src/consensus/voter_changes.rs
@@ -1,8 +1,9 @@
-//! Who should have a vote: the settings name the voters, their data directories identify their replicas. The leader brings
-//! the configuration there one change at a time.
+//! Reconciles the Raft configuration with the voters in the settings, one change at a time. The settings name
+//! the voters; their data directories identify the replicas.
 //!
-//! A voter whose data directory was lost comes back as another replica. It is admitted as a learner, which has no vote; when
-//! it has caught up it takes the place of its predecessor in one joint change. At no moment do both have a vote that counts.
+//! A server whose data directory was lost returns as a new replica. It is first added as a learner, which has
+//! no vote. When it has caught up, one joint change makes it a voter and removes its predecessor, so that the
+//! two never both count.
 
 use raft::Progress;
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2};
@@ -10,17 +11,17 @@
 use super::{Consensus, StateMachine};
 use crate::member::ServerName;
 
-/// A learner that is no further behind than this has caught up, entries.
+/// Maximum lag of a learner that may become a voter, in log entries.
 const MAX_LEARNER_LAG_ENTRIES: u64 = 64;
 
-/// A change, and the replica that it concerns.
+/// A configuration change, with the id and name of the replica that it adds, promotes or removes.
 #[derive(Debug, PartialEq)]
 struct Change {
     steps: Vec<(ConfChangeType, u64)>,
     replica: (u64, ServerName),
 }
 
-/// The configuration as it is.
+/// The current Raft configuration.
 struct Configuration<'a> {
     voters: &'a [u64],
     learners: &'a [u64],
@@ -29,25 +30,29 @@
 }
 
 impl Configuration<'_> {
-    /// The replica of that name among some.
+    /// The replica among `ids` that belongs to the named server.
     fn find(&self, ids: &[u64], name: &ServerName) -> Option<u64> {
         ids.iter().copied().find(|id| (self.name_of)(*id) == Some(name))
     }
 
-    /// The next change towards `wanted`: names that shall vote, each with its replica if it is here. Names that are no longer
-    /// wanted lose their vote once all that are wanted have theirs.
-    fn next_change(&self, wanted: &[(ServerName, Option<u64>)]) -> Option<Change> {
-        let here = wanted.iter().filter_map(|(name, id)| Some((name, (*id)?)));
-        here.into_iter().find_map(|(name, id)| self.admission(name, id)).or_else(|| self.removal(wanted))
+    /// The next change towards the `desired` voters, each given with its replica if it is available. Servers
+    /// that are no longer desired lose their vote only after every desired one has a vote.
+    fn next_change(&self, desired: &[(ServerName, Option<u64>)]) -> Option<Change> {
+        let available = desired.iter().filter_map(|(name, id)| Some((name, (*id)?)));
+        available
+            .into_iter()
+            .find_map(|(name, id)| self.admission(name, id))
+            .or_else(|| self.removal(desired))
     }
 
-    /// The next step by which a replica gets a vote; none where it has one, or has not caught up.
+    /// The next change that leads to a vote for this replica. `None` if it has a vote, or is a learner that
+    /// has not caught up.
     fn admission(&self, name: &ServerName, id: u64) -> Option<Change> {
         if self.voters.contains(&id) {
             return None;
         }
         let (kind, predecessor) = if !self.learners.contains(&id) {
-            // A learner of that name whose data directory was lost before it had a vote.
+            // Replaces a learner of this server whose data directory was lost before it became a voter.
             (ConfChangeType::AddLearnerNode, self.find(self.learners, name))
         } else if (self.has_caught_up)(id) {
             (ConfChangeType::AddNode, self.find(self.voters, name))
@@ -59,23 +64,24 @@
         Some(Change { steps, replica: (id, name.clone()) })
     }
 
-    /// Removes a replica that is not wanted, once all that are wanted vote.
-    fn removal(&self, wanted: &[(ServerName, Option<u64>)]) -> Option<Change> {
+    /// Removes a replica that is not desired, once every desired server has a vote.
+    fn removal(&self, desired: &[(ServerName, Option<u64>)]) -> Option<Change> {
         let has_vote = |name: &ServerName| self.find(self.voters, name).is_some();
-        if !wanted.iter().all(|(name, _)| has_vote(name)) {
+        if !desired.iter().all(|(name, _)| has_vote(name)) {
             return None;
         }
-        let is_wanted =
-            |id: u64| (self.name_of)(id).is_some_and(|name| wanted.iter().any(|(wanted, _)| wanted == name));
-        let id = *self.voters.iter().chain(self.learners).find(|id| !is_wanted(**id))?;
+        let is_desired =
+            |id: u64| (self.name_of)(id).is_some_and(|name| desired.iter().any(|(other, _)| other == name));
+        let id = *self.voters.iter().chain(self.learners).find(|id| !is_desired(**id))?;
         let name = (self.name_of)(id).cloned().unwrap_or_default();
         Some(Change { steps: vec![(ConfChangeType::RemoveNode, id)], replica: (id, name) })
     }
 }
 
 impl<M: StateMachine> Consensus<M> {
-    /// Proposes the next change towards the voters that are wanted, if this voter leads and no change is under way.
-    pub fn change_voters_towards(&mut self, wanted: &[(ServerName, Option<u64>)]) {
+    /// Proposes the next change towards the `desired` voters, if this voter leads and no change is in
+    /// progress. Each voter is given with the id of its replica, if that is available.
+    pub fn reconcile_voters(&mut self, desired: &[(ServerName, Option<u64>)]) {
         if !self.is_leader() {
             return;
         }
@@ -94,14 +100,14 @@
             name_of: &|id| self.replicas.get(&id),
             has_caught_up: &has_caught_up,
         };
-        let Some(Change { steps, replica }) = current.next_change(wanted) else { return };
+        let Some(Change { steps, replica }) = current.next_change(desired) else { return };
         let context = postcard::to_stdvec(&replica).unwrap_or_default();
         let _ = node.propose_conf_change(context, configuration_change(steps));
         self.process_ready();
     }
 }
 
-/// Whether a learner's log is complete enough for a vote: it is active, and lags by a bounded number of entries.
+/// Whether a learner may become a voter: it is active, and lags by at most [`MAX_LEARNER_LAG_ENTRIES`].
 fn has_caught_up(progress: &Progress, committed: u64) -> bool {
     progress.recent_active && progress.matched + MAX_LEARNER_LAG_ENTRIES >= committed
 }
--- a/crates/loomflow-fleet/src/node/leadership.rs
+++ b/crates/loomflow-fleet/src/node/leadership.rs
@@ -1,5 +1,6 @@
-//! The leader's round: who votes, what is known of servers that are out, and which server is next. Everything it decides is
-//! committed in the log, one thing after the other: nothing new is decided before the last is committed.
+//! The leader's round: it reconciles the voters, advances tickets by the observed state of their servers,
+//! grants the next ticket, and assigns duties. Decisions are committed in the log; none are made while
+//! earlier ones are not committed yet.
 
 use std::collections::BTreeSet;
 
@@ -14,27 +15,28 @@
 use crate::member::{FleetRequestId, MemberState, ServerName};
 use crate::time::{FleetMillis, IntegerMillis};
 
-/// How often the leader decides, ms.
+/// Interval between the leader's rounds, ms.
 const ROUND_PERIOD_MILLIS: IntegerMillis = 250;
-/// A proposal that was not committed for this long is lost, ms.
+/// Time after which a proposal that is not committed counts as lost, ms.
 const PROPOSAL_TIMEOUT_MILLIS: IntegerMillis = 5_000;
-/// How often the fleet's time is committed while a deadline is ahead, ms: a new leader counts on from there.
+/// Interval at which the fleet's time is committed while there is a deadline, ms: a new leader continues from
+/// the committed time.
 const CLOCK_PERIOD_MILLIS: IntegerMillis = 5_000;
 
-/// The state of a member while it leads.
+/// The state of a member that leads; the default otherwise.
 #[derive(Default)]
 pub(super) struct Leadership {
-    /// When this member began to lead, and the fleet's time then.
-    began: Option<(IntegerMillis, FleetMillis)>,
+    /// Local time and fleet time at which this member became the leader.
+    leading_since: Option<(IntegerMillis, FleetMillis)>,
     next_round_at: IntegerMillis,
-    /// Proposals that are not committed yet, and until when they are waited for.
+    /// Proposals that are not committed yet; they count as lost at `pending_until`.
     pending: BTreeSet<FleetRequestId>,
     pending_until: IntegerMillis,
     pub sessions: SessionBatches,
 }
 
 impl Leadership {
-    /// A proposal is applied: what follows from it need not wait for the next round.
+    /// Handles an applied proposal. When none is pending any more, the next round is due at once.
     pub fn proposal_applied(&mut self, id: FleetRequestId) {
         if self.pending.remove(&id) && self.pending.is_empty() {
             self.next_round_at = 0;
@@ -43,11 +45,12 @@
 }
 
 impl Node {
-    /// The fleet's time as this member would count it.
+    /// The fleet's time: if this member leads, advanced by its local clock, otherwise the last committed
+    /// time.
     pub(super) fn fleet_time(&self, now: IntegerMillis) -> FleetMillis {
         let committed = self.maintenance().map_or(0, MaintenanceState::time);
-        let Some((since, time_then)) = self.leadership.began else { return committed };
-        committed.max(time_then + now.saturating_sub(since))
+        let Some((started_at, time_at_start)) = self.leadership.leading_since else { return committed };
+        committed.max(time_at_start + now.saturating_sub(started_at))
     }
 
     pub(super) fn run_leader_round(&mut self, now: IntegerMillis) {
@@ -55,10 +58,10 @@
             self.leadership = Leadership::default();
             return;
         }
-        if self.leadership.began.is_none() {
+        if self.leadership.leading_since.is_none() {
             let committed = self.maintenance().map_or(0, MaintenanceState::time);
-            self.leadership.began = Some((now, committed));
-            self.effects.push(Effect::Log("leads the fleet".into()));
+            self.leadership.leading_since = Some((now, committed));
+            self.effects.push(Effect::Log("became the leader of the fleet".into()));
         }
         if now < self.next_round() {
             return;
@@ -76,41 +79,45 @@
         }
     }
 
-    /// When the leader decides again: at its next round, or at the next deadline.
+    /// The time of the leader's next round, which is earlier if a deadline is.
     pub(super) fn next_round(&self) -> IntegerMillis {
         let leadership = &self.leadership;
-        let Some((since, time_then)) = leadership.began.filter(|_| leadership.pending.is_empty()) else {
+        let Some((started_at, time_at_start)) =
+            leadership.leading_since.filter(|_| leadership.pending.is_empty())
+        else {
             return leadership.next_round_at;
         };
         let is_ahead = |deadline: &FleetMillis| {
             self.maintenance().is_some_and(|maintenance| maintenance.time() < *deadline)
         };
         match self.next_deadline().filter(is_ahead) {
-            Some(deadline) => leadership.next_round_at.min(since + deadline.saturating_sub(time_then)),
+            Some(deadline) => {
+                leadership.next_round_at.min(started_at + deadline.saturating_sub(time_at_start))
+            }
             None => leadership.next_round_at,
         }
     }
 
-    /// The next deadline in the fleet's time.
+    /// The next deadline of a ticket or a session, in fleet time.
     fn next_deadline(&self) -> Option<FleetMillis> {
         let state = self.fleet_state()?;
         state.maintenance.next_deadline().into_iter().chain(state.duties.next_deadline()).min()
     }
 
-    /// Gives the votes to those that the settings name, by the replicas that they report.
+    /// Reconciles the Raft configuration with the configured voters, by the replicas that they report.
     fn update_voters(&mut self) {
         let replica = |name: &ServerName| {
             if *name == self.config.name {
                 return self.replica().map(|replica| replica.id);
             }
             let known = self.membership.get(name)?;
-            let is_here = matches!(known.state(), MemberState::Serving | MemberState::Cold);
-            known.replica.filter(|_| is_here).map(|replica| replica.id)
+            let is_available = matches!(known.state(), MemberState::Serving | MemberState::Cold);
+            known.replica.filter(|_| is_available).map(|replica| replica.id)
         };
         let names = self.config.voters.iter().map(|(name, _)| name);
-        let wanted: Vec<_> = names.map(|name| (name.clone(), replica(name))).collect();
+        let desired: Vec<_> = names.map(|name| (name.clone(), replica(name))).collect();
         if let Some(consensus) = &mut self.consensus {
-            consensus.change_voters_towards(&wanted);
+            consensus.reconcile_voters(&desired);
         }
     }
 
