--- a/crates/loomflow-fleet/src/command.rs
+++ b/crates/loomflow-fleet/src/command.rs
@@ -1,5 +1,5 @@
-//! What the log and the leader are asked: commands, the entries of the log that carry them, requests to the leader, and its
-//! responses. They are about maintenance, duties and campaigns alike.
+//! Commands on maintenance, duties and campaigns, the log entries that contain them, and requests to the
+//! leader with their responses.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,129 +14,129 @@
 use crate::status::FleetStatus;
 use crate::time::FleetMillis;
 
-/// Who issued a command.
+/// The issuer of a command, which determines the commands it may issue.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Issuer {
     /// The leader of the log.
     Leader,
-    /// A start of a server.
+    /// A server, in one of its starts.
     Server {
-        /// The server.
+        /// The server's name.
         name: ServerName,
-        /// Which start of it.
+        /// The start of the server that issued the command.
         incarnation: Incarnation,
     },
-    /// An operator, by the name of the account.
+    /// An operator, identified by the account name.
     Operator(String),
 }
 
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Identifies the request: a retry has no further effect.
+    /// Id of the request: an entry with the id of an applied one has no effect.
     pub id: FleetRequestId,
-    /// The fleet's time, as the leader counts it.
+    /// The fleet's time at the proposal, as counted by the leader.
     pub at: FleetMillis,
-    /// Who issued the command.
+    /// The issuer of the command.
     pub issuer: Issuer,
-    /// What is to be applied.
+    /// The command to apply.
     pub command: FleetCommand,
 }
 
-/// What a log entry changes.
+/// A change of the fleet's state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FleetCommand {
-    /// One ticket for each request, all or none.
+    /// Creates one ticket for each request: all of them or none.
     #[serde(rename = "Ask")]
     CreateTickets(Vec<TicketRequest>),
     /// Advances a ticket: reported by its server, observed by the leader, or requested by an operator.
     #[serde(rename = "Move")]
     Transition {
-        /// The ticket.
+        /// The ticket to advance.
         ticket: TicketId,
-        /// What happens to it.
+        /// The transition of the ticket.
         #[serde(rename = "by")]
         transition: Transition,
-        /// The grant that this rests on.
+        /// The grant that the transition refers to.
         grant: GrantNumber,
-        /// The start of the server that this is about.
+        /// The start of the server that the transition refers to.
         incarnation: Incarnation,
     },
-    /// Lets a ticket's server go.
+    /// Permits a ticket's server to shut down for maintenance.
     Grant {
-        /// The ticket.
+        /// The ticket to grant.
         ticket: TicketId,
-        /// The start of the server that may go.
+        /// The start of the server that receives the grant.
         incarnation: Incarnation,
-        /// Whom the leader saw.
+        /// The members as the leader saw them.
         census: Census,
     },
-    /// No grants until resumed; with the reason.
+    /// Suspends grants until [`FleetCommand::Resume`], for the given reason.
     Pause(String),
-    /// Grants again.
+    /// Resumes grants.
     Resume,
-    /// Replaces the rules.
+    /// Replaces the rules for maintenance.
     Rules(Rules),
-    /// A server was shut down without a ticket.
+    /// Records that a server was shut down without a ticket.
     #[serde(rename = "Unasked")]
     DrainedWithoutTicket(ServerName),
-    /// Only its time counts.
+    /// Advances the fleet's time, and changes nothing else.
     Clock,
-    /// On a duty: applied by [`crate::fleet_state`].
+    /// A command on duties, applied by [`crate::fleet_state`].
     Duty(DutyCommand),
-    /// On a campaign: applied by [`crate::fleet_state`].
+    /// A command on a campaign, applied by [`crate::fleet_state`].
     Campaign(CampaignCommand),
 }
 
-/// A request to the leader; any member takes it and forwards it.
+/// A request to the leader. Any member accepts it and forwards it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FleetRequest {
-    /// Puts a command into the log.
+    /// Proposes a command for the log.
     #[serde(rename = "Do")]
     Execute {
-        /// Who issues it.
+        /// The issuer of the command.
         #[serde(rename = "by")]
         issuer: Issuer,
-        /// The command.
+        /// The command to propose.
         command: FleetCommand,
     },
-    /// The fleet as the leader sees it.
+    /// Queries the fleet's status as the leader sees it.
     Status,
-    /// Tickets that are open, and the last of those that are closed.
+    /// Queries the open tickets, the last closed ones and the last events.
     Tickets,
-    /// Why this server waits.
+    /// Queries why the named server's ticket is not granted.
     Explain(ServerName),
-    /// All duties and their history.
+    /// Queries all duties and their history.
     Duties,
-    /// All campaigns.
+    /// Queries all campaigns.
     Campaigns,
 }
 
 /// The response to a [`FleetRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FleetResponse {
-    /// Done, with the tickets that it was about.
+    /// The command was applied; with the tickets that it concerned.
     Done(Vec<TicketId>),
-    /// Not done, and nothing has changed.
+    /// The command was rejected and changed nothing, or the leader could not be reached.
     #[serde(rename = "Refused")]
     Rejected(Rejection),
-    /// To [`FleetRequest::Status`].
+    /// Response to [`FleetRequest::Status`].
     Status(Box<FleetStatus>),
-    /// To [`FleetRequest::Tickets`].
+    /// Response to [`FleetRequest::Tickets`].
     Tickets {
-        /// Open tickets, by their number.
+        /// Open tickets, in ascending order of their ids.
         open: Vec<Ticket>,
-        /// Closed tickets, the last first.
+        /// Closed tickets, the latest first.
         #[serde(rename = "over")]
         closed: Vec<Ticket>,
-        /// The history, the last first.
+        /// Events of tickets, the latest first.
         events: Vec<TicketEvent>,
     },
-    /// To [`FleetRequest::Explain`].
+    /// Response to [`FleetRequest::Explain`].
     #[serde(rename = "Explained")]
     Explanation(Explanation),
-    /// To [`FleetRequest::Duties`] and commands on duties.
+    /// Response to [`FleetRequest::Duties`] and to commands on duties.
     Duty(DutyResponse),
-    /// To [`FleetRequest::Campaigns`].
+    /// Response to [`FleetRequest::Campaigns`].
     Campaigns(Vec<CampaignView>),
 }
--- a/crates/loomflow-fleet/src/fixtures.rs
+++ b/crates/loomflow-fleet/src/fixtures.rs
@@ -1,10 +1,10 @@
-//! Values that several unit tests begin with.
+//! Fixtures shared by several unit tests.
 
 use crate::duty::{DutyName, OwnedDuty, Token};
 use crate::maintenance::ticket::{Ticket, TicketRequest, TicketStage, Urgency};
 use crate::member::{ServerName, Zone};
 
-/// A request for a minute of routine maintenance, at any time.
+/// A request for one minute of routine maintenance, without a window.
 pub fn ticket_request(server: &str) -> TicketRequest {
     TicketRequest {
         server: ServerName::from(server),
@@ -16,7 +16,7 @@
     }
 }
 
-/// The ticket of the server "a", which left as start 1.
+/// A ticket of the server "a" in the given stage, granted to incarnation 1.
 pub fn ticket(stage: TicketStage) -> Ticket {
     Ticket {
         id: 1,
@@ -34,7 +34,7 @@
     }
 }
 
-/// A duty as its owner is told of it first.
+/// A duty as its owner first receives it: without a checkpoint, a run or a schedule.
 pub fn owned_duty(duty: &str, token: Token) -> OwnedDuty {
     OwnedDuty {
         duty: DutyName::from(duty),
--- a/crates/loomflow-fleet/src/lib.rs
+++ b/crates/loomflow-fleet/src/lib.rs
@@ -1,25 +1,28 @@
-//! How the servers of a fleet know each other and agree. The crate performs no I/O: it is fed messages and times, and returns
-//! what is to be done as plain data, so that a driver on sockets and a simulation run the same code.
+//! Membership, consensus, maintenance scheduling and duties of a fleet of servers. The crate performs no I/O:
+//! its inputs are messages and times, and its outputs are plain data, so that a driver on sockets and a
+//! simulation run the same code.
 //!
 //! From the bottom up:
 //!
 //! - [`time`]: units of time.
-//! - [`member`]: who a server is, and the report of its load.
-//! - [`wire`]: the one envelope that members exchange, and its bounds.
-//! - [`membership`]: who is here (SWIM, by `foca`).
-//! - [`consensus`]: a replicated log among several voters (Raft, by `raft`).
-//! - [`maintenance`]: the state machine that schedules maintenance: tickets, whose turn it is, how many, and whether at all.
-//! - [`duty`]: work that one server does for the whole fleet: sessions, leases, fences, assignment.
-//! - [`command`]: commands, log entries, and requests to the leader with its responses.
+//! - [`member`]: the identity of a server, its state and its load report.
+//! - [`wire`]: the messages between members, their framing and size limits.
+//! - [`membership`]: the members and their liveness (SWIM, by `foca`).
+//! - [`consensus`]: a log replicated among several voters (Raft, by `raft`).
+//! - [`maintenance`]: the state machine that schedules maintenance: tickets, their order, and the limits on
+//!   servers that are out.
+//! - [`duty`]: work that one server does for the whole fleet: sessions, leases, fencing, assignment.
+//! - [`command`]: commands, log entries, and requests to the leader with their responses.
 //! - [`status`]: the fleet as one member sees it.
-//! - [`fleet_state`]: maintenance, duties and campaigns as the one state machine that the log is applied to.
+//! - [`fleet_state`]: the state machine of the log, composed of maintenance, duties and campaigns.
 //! - [`operator`]: requests and responses on the operators' socket.
-//! - [`node`]: one member, made of all of these.
+//! - [`node`]: one member, composed of the modules above.
 //!
-//! Times are milliseconds on a clock that only advances and does not stop while the machine sleeps (boot time).
+//! Times are milliseconds on a monotonic clock that includes suspension of the machine (boot time).
 //!
-//! Members exchange postcard, which carries no names; operators are answered in JSON, which does. Where a name in the code
-//! differs from the one in JSON, a serde attribute gives the latter. `tests/wire_format.rs` pins both.
+//! Members exchange postcard, which contains no field names; operators receive JSON, which does. Where a name
+//! in the code differs from its name in JSON, a serde attribute sets the latter. `tests/wire_format.rs` pins
+//! both formats.
 
 #![forbid(unsafe_code)]
 
--- a/crates/loomflow-fleet/src/member.rs
+++ b/crates/loomflow-fleet/src/member.rs
@@ -1,4 +1,4 @@
-//! Who a server is, and what it reports of its load. Plain data.
+//! The identity of a server, its state and its load report.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
@@ -8,43 +8,47 @@
 
 use crate::time::IntegerMillis;
 
-/// The name of a server, as in its configuration. At most [`MAX_NAME_BYTES`] bytes.
+/// The name of a server, as configured. At most [`MAX_NAME_BYTES`] bytes.
 pub type ServerName = String;
 
 /// The name of a zone; empty where the fleet has none.
 pub type Zone = String;
 
-/// Maximum length of the name of a server, a zone or a fleet, bytes: a member's own data fits into a packet many times.
+/// Maximum length of the name of a server, a zone or a fleet, bytes. It is small enough for a packet to hold
+/// many members.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// One start of a server. Rises with every start, so that a restart is never taken for the process before it.
+/// Identifies one start of a server. Rises with every start, to distinguish a restarted server from its
+/// previous process.
 pub type Incarnation = u64;
 
-/// Identifies one request for good: a retry carries the same.
+/// Unique id of a request; a retry carries the same id.
 pub type FleetRequestId = u128;
 
-/// What the members know each other by. To the membership a name is an address: of two members with the same name the later
-/// start wins, and of one start the one that was renewed more often.
+/// The identity of a member in the membership protocol, which uses the name as its address. Of two identities
+/// with the same name, the one with the later incarnation wins; within one incarnation, the one with more
+/// renewals.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "IdentityFields")]
 pub struct MemberIdentity {
     /// The server's name.
     pub name: ServerName,
-    /// Its zone.
+    /// The server's zone.
     pub zone: Zone,
-    /// Where it listens for the fleet.
+    /// The address at which the server listens for other members.
     pub address: SocketAddr,
-    /// Which start of the server this is.
+    /// The start of the server that this identity belongs to.
     pub incarnation: Incarnation,
-    /// How often this start was declared dead and came back.
+    /// How often this start was declared down and rejoined.
     pub renewals: u16,
-    /// Hash of the name, never sent: the membership library compares it with every member's for each update that it receives.
-    /// Two names of a full fleet share one once in 10^13 fleets.
+    /// Hash of the name, not sent. The membership library compares addresses with every member for each
+    /// update that it receives, and hashes are cheaper to compare than names. The probability of a collision
+    /// in a full fleet is 10^-13.
     #[serde(skip)]
     name_hash: u64,
 }
 
-/// The fields of a [`MemberIdentity`] that are sent.
+/// The serialized fields of a [`MemberIdentity`].
 #[derive(Deserialize)]
 struct IdentityFields {
     name: ServerName,
@@ -62,7 +66,7 @@
 }
 
 impl MemberIdentity {
-    /// A start that was never renewed.
+    /// Creates the identity of a start without renewals.
     pub fn new(
         name: ServerName,
         zone: Zone,
@@ -91,108 +95,110 @@
     }
 }
 
-/// A voter's replica of the log. Its id is drawn with its data directory, so that a lost directory is a new replica.
+/// A voter's replica of the log. Its id is chosen when the data directory is created: a server that loses its
+/// directory returns as a new replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replica {
-    /// Identifies the data directory, never 0.
+    /// Id of the data directory; 0 stands for a directory without a replica.
     pub id: u64,
-    /// The Raft group that it belongs to; 0 before it belongs to any.
+    /// Id of the Raft group; 0 before the replica belongs to one.
     pub group: u64,
 }
 
-/// What a server is doing, as it reports itself.
+/// The phase of a server's life, as it reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// Started into a running fleet, with caches and code still cold.
+    /// Warming up after its start; caches and code are still cold.
     #[default]
     Cold,
-    /// Taking its part of the load.
+    /// Serving its share of the traffic.
     Serving,
-    /// It drains before it shuts down.
+    /// Draining before it shuts down.
     #[serde(rename = "Leaving")]
     Draining,
 }
 
-/// A server's load as its controller sees it. Small, sent each [`REPORT_PERIOD_MILLIS`] to the voters alone: what it
-/// costs a member does not grow with the fleet.
+/// A server's load as measured by its controller. It is small and sent every [`REPORT_PERIOD_MILLIS`] to the
+/// voters only, so that its cost for a member does not grow with the fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// What the server is doing.
+    /// The server's phase.
     pub phase: Phase,
-    /// The share of usual traffic that it requests, 0 to 1.
+    /// The send share: the part of its usual traffic that the server requests, 0 to 1.
     pub share: f32,
     /// Queueing time of requests, divided by the controller's setpoint.
     #[serde(rename = "over_aim")]
     pub hold_time_ratio: f32,
-    /// The controller's concurrency limit: concurrent runs that it considers sustainable.
+    /// The controller's concurrency limit, in concurrent runs.
     pub limit: f32,
-    /// Concurrent runs, in the mean since the report before.
+    /// Mean number of concurrent runs since the previous report.
     pub running: f32,
-    /// Cores of the server.
+    /// Number of cores of the server.
     pub cores: f32,
-    /// What its health checks answer.
+    /// Whether the server's health checks succeed.
     pub healthy: bool,
 }
 
 impl LoadReport {
-    /// Whether each figure is one that a controller can produce; a report that is not valid is ignored.
+    /// Whether all figures are finite and in range. Invalid reports are ignored.
     pub fn is_valid(&self) -> bool {
         let figures = [self.share, self.hold_time_ratio, self.limit, self.running, self.cores];
         figures.iter().all(|figure| figure.is_finite() && *figure >= 0.0) && self.share <= 1.0
     }
 
-    /// The load that the server carries, in concurrent runs: those running, times the ratio of queueing time to
-    /// setpoint where that is above 1.
+    /// The server's load, in concurrent runs: the running ones, multiplied by the ratio of queueing time to
+    /// setpoint if that is above 1.
     pub fn carried_load(&self) -> f64 {
         f64::from(self.running) * f64::from(self.hold_time_ratio).max(1.0)
     }
 
-    /// The load that the server can carry, in concurrent runs: its concurrency limit times the share that it requests.
+    /// The server's capacity, in concurrent runs: its concurrency limit multiplied by its send share.
     pub fn capacity(&self) -> f64 {
         f64::from(self.limit) * f64::from(self.share)
     }
 }
 
-/// A load report with the time at which it was received.
+/// A load report and the time at which it was received.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReceivedReport {
-    /// When, by the clock of the receiver.
+    /// Time of receipt, by the receiver's clock.
     pub at: IntegerMillis,
-    /// The report.
+    /// The received report.
     pub report: LoadReport,
 }
 
-/// What the leader knows of a member, itself included.
+/// A member as the leader sees it; the leader has a view of itself too.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberView {
     /// The member's zone.
     pub zone: Zone,
-    /// By the membership and its own report; tickets are not considered.
+    /// State by the membership and the member's load report; tickets are not considered, so it is never
+    /// `Out`.
     pub state: MemberState,
-    /// Its last known start.
+    /// The last known start of the member.
     pub incarnation: Incarnation,
-    /// None where the last one is outdated.
+    /// The last load report; `None` if it is older than [`REPORT_MAX_AGE_MILLIS`].
     pub load_report: Option<LoadReport>,
 }
 
 impl MemberView {
-    /// Whether it takes its part of the load.
+    /// Whether the member serves traffic and has a recent load report.
     pub fn is_serving(&self) -> bool {
         self.state == MemberState::Serving && self.load_report.is_some()
     }
 
-    /// Whether the membership does not count it as down or left.
+    /// Whether the member is neither down nor left.
     pub fn is_alive(&self) -> bool {
         !matches!(self.state, MemberState::Down | MemberState::Left)
     }
 }
 
-/// How often load reports are sent, ms.
+/// Interval between a member's load reports, ms.
 pub const REPORT_PERIOD_MILLIS: IntegerMillis = 1_000;
-/// An older report is not relied on, ms: three were missed.
+/// Maximum age of a load report that is relied on, ms. An older one means that three reports were missed.
 pub const REPORT_MAX_AGE_MILLIS: IntegerMillis = 3_500;
 
-/// Whether a load report that came at `received_at` is still relied on.
+/// Whether a load report received at `received_at` is recent enough to be relied on.
 pub fn is_report_recent(received_at: IntegerMillis, now: IntegerMillis) -> bool {
     now.saturating_sub(received_at) <= REPORT_MAX_AGE_MILLIS
 }
@@ -200,26 +206,26 @@
 /// The state of a member, derived from the membership, its report and the tickets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
-    /// Started, and not yet serving.
+    /// Started and not yet serving, or without a load report.
     Cold,
-    /// Takes its part of the load.
+    /// Serves its share of the traffic.
     Serving,
-    /// Shuts down, and answers what it still has.
+    /// Shuts down, and completes the requests that it has accepted.
     #[serde(rename = "Leaving")]
     Draining,
-    /// Out for maintenance, by a ticket.
+    /// Shut down for maintenance, with a ticket.
     Out,
-    /// Did not answer a probe, and has not been declared dead.
+    /// Did not respond to a probe, and has not been declared down.
     Suspect,
-    /// Declared dead.
+    /// Declared down by the membership.
     Down,
-    /// Shut down by itself, in order.
+    /// Down after it reported that it was draining: an orderly shutdown.
     #[serde(rename = "Gone")]
     Left,
 }
 
 impl MemberState {
-    /// Its name as operators see it.
+    /// The state's name in the output for operators.
     pub fn as_str(self) -> &'static str {
         match self {
             MemberState::Cold => "cold",
--- a/crates/loomflow-fleet/src/membership.rs
+++ b/crates/loomflow-fleet/src/membership.rs
@@ -1,8 +1,10 @@
-//! Who is here: SWIM with suspicion, by `foca`. Fed packets and times; what it wants sent comes out.
+//! Membership by SWIM with suspicion, from the library `foca`. Its inputs are packets and times, its outputs
+//! packets to send.
 //!
-//! The library decides who is alive, suspect and down, and refutes a false suspicion by itself; [`failure_detection`] has
-//! the periods by which it does. This file stores what else is known of each member: its last load report with the moment
-//! it came, whether it is shutting down, and since when it is in its state. Members are bounded by [`MAX_MEMBERS`].
+//! The library decides which members are alive, suspect and down, and refutes false suspicions;
+//! [`failure_detection`] sets its periods. This module adds the last load report of each member, with its
+//! time of receipt, and the time of the last change of state. The number of members is bounded by
+//! [`MAX_MEMBERS`].
 
 pub mod failure_detection;
 mod suspicion;
@@ -20,25 +22,25 @@
 use crate::member::{LoadReport, MemberIdentity, ReceivedReport, Replica, ServerName};
 use crate::time::{IntegerMillis, whole_millis};
 
-/// Maximum number of members, this one included; a packet that names more is taken without them.
+/// Maximum number of members, this one included; further members in a packet are ignored.
 pub const MAX_MEMBERS: usize = 2_048;
-/// How often voters that are named in the settings and not here are contacted, ms.
+/// Interval at which configured voters that are unknown or down are contacted, ms.
 const REJOIN_PERIOD_MILLIS: IntegerMillis = 2_000;
-/// Maximum number of timers: several for each member.
+/// Maximum number of pending timers: four for each member.
 const MAX_TIMERS: usize = 4 * MAX_MEMBERS;
 
-/// What is known of one member.
+/// Another member, as known to this one.
 #[derive(Clone, Debug)]
 pub struct KnownMember {
-    /// Who it is.
+    /// The member's identity, of its last known start.
     pub identity: MemberIdentity,
-    /// Its state by the membership protocol.
+    /// State in the membership protocol: alive, suspect or down.
     pub swim_state: SwimState,
-    /// Its last load report; none yet from this start of it.
+    /// The last load report; `None` until one arrives from this start of the member.
     pub load_report: Option<ReceivedReport>,
-    /// Its replica, if it is a voter.
+    /// The member's replica of the log, if it is a voter.
     pub replica: Option<Replica>,
-    /// Since when it is in its state.
+    /// Time at which `swim_state` last changed.
     pub since: IntegerMillis,
 }
 
@@ -47,16 +49,16 @@
     foca: Foca<MemberIdentity, PostcardCodec, SmallRng, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<MemberIdentity>,
     timers: BinaryHeap<Reverse<DueTimer>>,
-    /// Orders timers of one moment by when they were set.
+    /// Number of timers set so far: orders timers that are due at the same time.
     timer_sequence: u64,
     known: BTreeMap<ServerName, KnownMember>,
     suspicions: Suspicions,
-    /// Whom to contact when they are not here: voters by their settings.
+    /// The configured voters other than this member, contacted while they are unknown or down.
     seeds: Vec<MemberIdentity>,
     next_rejoin_at: IntegerMillis,
     next_refresh_at: IntegerMillis,
     refresh_period: IntegerMillis,
-    /// Packets that could not be read.
+    /// Number of packets that could not be decoded.
     pub malformed: u64,
     outgoing: Vec<(MemberIdentity, Vec<u8>)>,
 }
@@ -69,7 +71,8 @@
 }
 
 impl Membership {
-    /// `seeds`: name and address of the voters, to join by; this member may be among them.
+    /// Creates a membership that joins the fleet through `seeds`, the names and addresses of the voters; this
+    /// member may be among them.
     pub fn new(
         identity: MemberIdentity,
         seeds: Vec<MemberIdentity>,
@@ -100,22 +103,23 @@
         }
     }
 
-    /// Who this member is.
+    /// The identity of this member.
     pub fn identity(&self) -> &MemberIdentity {
         self.foca.identity()
     }
 
-    /// All members but this one, dead ones that are not yet forgotten included.
+    /// All other members, including those that are down and not yet forgotten.
     pub fn known(&self) -> &BTreeMap<ServerName, KnownMember> {
         &self.known
     }
 
-    /// One member.
+    /// Another member by its name.
     pub fn get(&self, name: &str) -> Option<&KnownMember> {
         self.known.get(name)
     }
 
-    /// Takes a packet. One that cannot be read is counted and changes nothing.
+    /// Handles a packet of the membership protocol. One that cannot be decoded is counted in
+    /// [`Membership::malformed`].
     pub fn handle_packet(&mut self, bytes: &[u8], now: IntegerMillis) {
         use foca::Error::{DataTooBig, Decode, MalformedPacket};
         let result = self.foca.handle_data(bytes, &mut self.runtime);
@@ -125,7 +129,8 @@
         self.process_events(now);
     }
 
-    /// Takes a member's load report. It is ignored where the membership does not know the member yet, or knows a later start.
+    /// Stores a member's load report. It is ignored if it is invalid, the member is unknown, or the report
+    /// comes from another start than the one known.
     pub fn handle_load_report(
         &mut self,
         from: &MemberIdentity,
@@ -142,11 +147,12 @@
         }
     }
 
-    /// Does what is due.
+    /// Handles the timers that are due, and contacts voters that are unknown or down.
     pub fn tick(&mut self, now: IntegerMillis) {
         while self.timers.peek().is_some_and(|Reverse(due)| due.at <= now) {
             let Some(Reverse(due)) = self.timers.pop() else { break };
-            // A machine that slept finds probes whose round is over: the library begins the next one.
+            // After a suspension, probe timers may belong to a past round: the library reports an error and
+            // starts the next.
             let _ = self.foca.handle_timer(due.timer, &mut self.runtime);
             self.process_events(now);
         }
@@ -166,27 +172,29 @@
         }
     }
 
-    /// When something is due next.
+    /// The time of the next call of [`Membership::tick`].
     pub fn next_wake(&self) -> IntegerMillis {
         let next_timer = self.timers.peek().map(|Reverse(due)| due.at);
         next_timer.map_or(self.next_rejoin_at, |at| at.min(self.next_rejoin_at))
     }
 
-    /// Announces to the others that this member shuts down. It is of no further use then.
+    /// Announces that this member leaves the fleet. It must not be used after that, except for sending the
+    /// packets.
     pub fn leave(&mut self, now: IntegerMillis) {
         let _ = self.foca.leave_cluster(&mut self.runtime);
         self.process_events(now);
     }
 
-    /// Packets to send since this was last called. Of a seed only name and address are known, not its incarnation.
+    /// Takes the packets to send, each with its receiver. The identity of a seed has only a valid name and
+    /// address.
     pub fn take_packets(&mut self) -> Vec<(MemberIdentity, Vec<u8>)> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Takes over what the library wants done, and what it has learnt.
+    /// Processes the library's outputs, and refreshes the states of all members when that is due.
     fn process_events(&mut self, now: IntegerMillis) {
         self.drain_runtime(now);
-        // Suspicion is not notified, so the state of all members is read periodically.
+        // The library does not notify of suspicions, so the states of all members are read periodically.
         if now >= self.next_refresh_at {
             self.next_refresh_at = now + self.refresh_period;
             self.refresh(now);
@@ -219,8 +227,8 @@
         }
     }
 
-    /// Reads the state of all members, ends suspicions that nothing else ends, and forgets members that have been down for
-    /// long.
+    /// Reads the states of all members, declares suspects down whose timer was lost (see [`suspicion`]), and
+    /// forgets members that have been down for [`failure_detection::FORGET_AFTER_MILLIS`].
     fn refresh(&mut self, now: IntegerMillis) {
         let declared_down = self.suspicions.update(self.foca.iter_membership_state(), now);
         let _ = self.foca.apply_many(declared_down.into_iter(), true, &mut self.runtime);
@@ -231,7 +239,7 @@
     }
 }
 
-/// Takes over a member's state by the library.
+/// Updates a member with the identity and state that the library reports.
 fn update_member(
     known: &mut BTreeMap<ServerName, KnownMember>,
     identity: &MemberIdentity,
@@ -256,7 +264,7 @@
                 member.identity = identity.clone();
             }
         }
-        // A new start: nothing that the former one reported is true of it.
+        // A new start: reports of the previous one no longer apply.
         Some(member) if member.identity.incarnation < identity.incarnation => *member = new_member(),
         Some(_) => {}
         None if has_capacity => {
--- a/crates/loomflow-fleet/src/membership/tests.rs
+++ b/crates/loomflow-fleet/src/membership/tests.rs
@@ -2,11 +2,11 @@
 use crate::member::{MemberState, Phase, Zone};
 use foca::{Header, Message, ProbeNumber};
 
-/// Long enough for two members to know each other, ms.
+/// Time by which the members of a new cluster know each other, ms.
 const JOINED_AT: IntegerMillis = 10_000;
 const STEP_MILLIS: IntegerMillis = 10;
 
-/// A packet by the header that the library gives it.
+/// A sent packet, described by its header.
 struct SentPacket {
     at: IntegerMillis,
     from: usize,
@@ -14,13 +14,13 @@
     message: Message<MemberIdentity>,
 }
 
-/// Members "a", "b" and so on, which exchange their packets while `is_connected`.
+/// Members "a", "b" and "c" that exchange packets while `is_connected`.
 struct Cluster {
     members: Vec<Membership>,
     now: IntegerMillis,
     is_connected: bool,
-    /// The one whose packets are lost although they are connected.
-    unheard: Option<usize>,
+    /// The member whose packets are all lost, while it still receives those of the others.
+    muted: Option<usize>,
     sent: Vec<SentPacket>,
 }
 
@@ -30,7 +30,7 @@
         Cluster::joined(2, 2)
     }
 
-    /// Members that know each other; the first few are voters.
+    /// `count` members that know each other, the first `voters` of which are voters.
     fn joined(count: usize, voters: usize) -> Cluster {
         let identity = |name: &str, port: u16| {
             MemberIdentity::new(name.into(), Zone::new(), ([127, 0, 0, 1], port).into(), 1)
@@ -39,7 +39,7 @@
         let member =
             |n: usize| Membership::new(identities[n].clone(), identities[..voters].to_vec(), n as u64, 0);
         let members = (0..count).map(member).collect();
-        let mut cluster = Cluster { members, now: 0, is_connected: true, unheard: None, sent: Vec::new() };
+        let mut cluster = Cluster { members, now: 0, is_connected: true, muted: None, sent: Vec::new() };
         while cluster.now < JOINED_AT {
             cluster.step();
         }
@@ -57,15 +57,15 @@
                 self.sent.push(SentPacket { at: self.now, from, to: to.name.clone(), message });
                 let is_receiver = |member: &&mut Membership| member.identity().name == to.name;
                 let receiver = self.members.iter_mut().find(is_receiver).unwrap();
-                if self.is_connected && self.unheard != Some(from) {
+                if self.is_connected && self.muted != Some(from) {
                     receiver.handle_packet(&packet, self.now);
                 }
             }
         }
     }
 
-    fn run_for(&mut self, span: IntegerMillis) {
-        let until = self.now + span;
+    fn run_for(&mut self, duration: IntegerMillis) {
+        let until = self.now + duration;
         while self.now < until {
             self.step();
         }
@@ -78,7 +78,7 @@
         self.members[0].handle_load_report(&identity, report, None, self.now);
     }
 
-    /// What the first member knows of the second.
+    /// The second member as known to the first.
     fn known(&self) -> Option<&KnownMember> {
         self.members[0].get("b")
     }
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_silent_member_is_suspect_within_three_seconds_and_down_four_seconds_later() {
+fn a_disconnected_member_is_suspect_within_3_s_and_down_4_s_later() {
     let mut pair = Cluster::pair();
     assert_eq!(pair.state(), Some(MemberState::Serving));
     pair.is_connected = false;
@@ -108,30 +108,30 @@
     let until_down = pair.millis_until(MemberState::Down);
     assert!((3_500..=4_500).contains(&until_down), "{until_down} ms");
     pair.is_connected = true;
-    let until_back = pair.millis_until(MemberState::Serving);
-    assert!(until_back <= 5_000, "{until_back} ms");
+    let until_serving = pair.millis_until(MemberState::Serving);
+    assert!(until_serving <= 5_000, "{until_serving} ms");
 }
 
-/// A member that is told it is down renews its identity, and the library drops its timers then: the suspicions that it had
-/// must end all the same.
+/// Guards against suspicions that never end: a member that was declared down renews its identity, and the
+/// library then drops the timers of its suspicions of others.
 #[test]
-fn both_members_are_serving_again_after_a_one_way_partition_of_any_length() {
-    for unheard in [0, 1] {
+fn members_recover_from_one_way_partitions_of_any_length() {
+    for muted in [0, 1] {
         for partition_millis in (500..=12_000).step_by(250) {
             let mut pair = Cluster::pair();
-            pair.unheard = Some(unheard);
+            pair.muted = Some(muted);
             pair.run_for(partition_millis);
-            pair.unheard = None;
+            pair.muted = None;
             pair.run_for(10_000);
             let states =
                 [pair.members[0].get("b"), pair.members[1].get("a")].map(|known| known.unwrap().swim_state);
-            assert_eq!(states, [SwimState::Alive; 2], "{unheard} unheard for {partition_millis} ms");
+            assert_eq!(states, [SwimState::Alive; 2], "member {muted} muted for {partition_millis} ms");
         }
     }
 }
 
 #[test]
-fn a_member_that_drained_is_gone_and_is_forgotten_after_an_hour() {
+fn a_member_that_drained_has_left_and_is_forgotten_after_an_hour() {
     let mut pair = Cluster::pair();
     pair.report(Phase::Draining);
     assert_eq!(pair.state(), Some(MemberState::Draining));
@@ -146,11 +146,11 @@
 }
 
 #[test]
-fn a_load_report_is_relied_on_until_three_were_missed_and_the_member_is_not_down() {
+fn a_load_report_is_recent_for_3500_ms_while_the_member_is_not_down() {
     let mut pair = Cluster::pair();
     let known = pair.known().unwrap().clone();
-    let is_relied_on = |known: &KnownMember, age| known.recent_report(JOINED_AT + age).is_some();
-    assert_eq!([0, 3_500, 3_501].map(|age| is_relied_on(&known, age)), [true, true, false]);
+    let is_recent = |known: &KnownMember, age| known.recent_report(JOINED_AT + age).is_some();
+    assert_eq!([0, 3_500, 3_501].map(|age| is_recent(&known, age)), [true, true, false]);
     pair.is_connected = false;
     pair.millis_until(MemberState::Down);
     pair.report(Phase::Serving);
@@ -158,15 +158,15 @@
 }
 
 #[test]
-fn a_probe_without_an_answer_is_repeated_through_another_member_after_half_a_second() {
+fn a_failed_probe_is_repeated_through_another_member_after_500_ms() {
     let mut cluster = Cluster::joined(3, 3);
-    cluster.unheard = Some(1);
+    cluster.muted = Some(1);
     cluster.run_for(5_000);
     let probed_at = |from: usize, target: &MemberIdentity, probe_number: ProbeNumber| {
         let is_probe = |packet: &&SentPacket| {
             packet.from == from && packet.to == target.name && packet.message == Message::Ping(probe_number)
         };
-        cluster.sent.iter().find(is_probe).expect("a probe before it is repeated").at
+        cluster.sent.iter().find(is_probe).expect("a direct probe precedes the indirect one").at
     };
     let delay = |packet: &SentPacket| match &packet.message {
         Message::PingReq { target, probe_number } => {
@@ -175,15 +175,15 @@
         _ => None,
     };
     let delays: Vec<IntegerMillis> = cluster.sent.iter().filter_map(delay).collect();
-    assert!(!delays.is_empty(), "no probe was repeated");
+    assert!(!delays.is_empty(), "no probe was repeated through another member");
     assert!(delays.iter().all(|delay| *delay == 500), "{delays:?} ms");
 }
 
 #[test]
-fn a_member_announces_itself_every_three_seconds_to_one_that_it_takes_for_down() {
-    // The third is no voter: those are announced to more often, to join by.
+fn a_member_announces_itself_every_3_s_to_a_member_that_is_down() {
+    // The third member is not a voter: voters that are down receive announcements more often, for joining.
     let mut cluster = Cluster::joined(3, 2);
-    cluster.unheard = Some(2);
+    cluster.muted = Some(2);
     cluster.run_for(10_000);
     assert!(cluster.members[0].get("c").is_some_and(KnownMember::is_down));
     cluster.sent.clear();
@@ -196,9 +196,9 @@
     assert!(announced_at.windows(2).all(|pair| pair[1] - pair[0] == 3_000), "{announced_at:?}");
 }
 
-/// Packets and timers come at least every 200 ms, and the states are read with the next one.
+/// The states are read with the first packet or timer after the period; these occur at least every 200 ms.
 #[test]
-fn voters_read_the_states_of_all_members_every_half_second_and_others_every_five_seconds() {
+fn member_states_are_read_every_500_ms_by_voters_and_every_5_s_by_others() {
     let mut cluster = Cluster::joined(2, 1);
     for (member, period) in [(0, 500), (1, 5_000)] {
         let mut read_at = Vec::new();
--- a/crates/loomflow-fleet/src/operator.rs
+++ b/crates/loomflow-fleet/src/operator.rs
@@ -1,4 +1,4 @@
-//! Requests and responses on the operators' socket: one value a line, as JSON.
+//! Requests and responses on the operators' socket, each a line of JSON.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,76 +7,76 @@
 use crate::status::FleetStatus;
 use crate::time::IntegerMillis;
 
-/// Maximum length of a line, bytes: a campaign over as many servers as there may be.
+/// Maximum length of a line, bytes: enough for a campaign over the maximum number of servers.
 pub const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
 
-/// Ends each line.
+/// The byte that ends each line.
 pub const LINE_END: u8 = b'\n';
 
-/// A request of a command line to the server on its machine.
+/// A request from a command to the server on the same machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum OperatorRequest {
-    /// For the leader, wherever it is.
+    /// A request that the server forwards to the leader.
     Fleet(FleetRequest),
-    /// What this server knows by itself, with a leader or without.
+    /// Queries the fleet's status as this server sees it, whether there is a leader or not.
     #[serde(rename = "Here")]
     LocalStatus,
-    /// Create a fleet with this voter alone.
+    /// Creates a fleet with this voter as its only member.
     #[serde(rename = "Found")]
     Bootstrap,
-    /// Recreate the fleet from this voter's data directory.
+    /// Recreates the fleet from this voter's data directory.
     Recover,
-    /// Whether this server owns a duty. Sent again and again by the process that does the duty's work: that process counts as
-    /// running until it sends [`OperatorRequest::WorkEnded`], or is silent for too long.
+    /// Queries whether this server owns a duty. The process that does the duty's work sends it periodically:
+    /// it counts as running until it sends [`OperatorRequest::WorkEnded`], or its requests stop for too long.
     #[serde(rename = "Owns")]
     CheckOwnership(DutyName),
-    /// The process that did the duty's work has ended.
+    /// Reports that the process that did the duty's work has ended.
     #[serde(rename = "LetGo")]
     WorkEnded(DutyName),
 }
 
-/// Confirms that the server owns a duty at this moment.
+/// Confirms that the server currently owns a duty.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OwnershipConfirmation {
     /// The owner's fencing token.
     pub token: Token,
-    /// The lease is valid for at least this time from when the request was sent, ms.
+    /// Minimum time for which the lease remains valid, counted from the sending of the request, ms.
     #[serde(rename = "left")]
     pub remaining_millis: IntegerMillis,
-    /// The owner is to release it.
+    /// Whether the owner must release the duty.
     #[serde(rename = "recalled")]
     pub is_recalled: bool,
-    /// The lease settings of the fleet.
+    /// The fleet's lease settings.
     #[serde(rename = "terms")]
     pub lease_settings: LeaseSettings,
-    /// What the last owner wrote for the next one.
+    /// The last checkpoint that an owner wrote for its successor.
     pub checkpoint: Vec<u8>,
 }
 
-/// The server's answer to an [`OperatorRequest`].
+/// The server's response to an [`OperatorRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum OperatorResponse {
-    /// The leader's response, or that it could not be reached.
+    /// The leader's response, or a rejection because it could not be reached.
     #[serde(rename = "Answer")]
     Response(FleetResponse),
     /// The fleet as this server sees it.
     #[serde(rename = "Here")]
     LocalStatus(Box<FleetStatus>),
-    /// Done, with nothing to report.
+    /// The request was carried out; there is no further result.
     Done,
     /// The server owns the duty.
     Owned(OwnershipConfirmation),
-    /// The server does not own the duty, or cannot be sure of it.
+    /// The server does not own the duty, or cannot be certain that it does.
     NotOwned,
-    /// The error, in words.
+    /// The request failed; with a description of the error.
     #[serde(rename = "Fault")]
     Error(String),
 }
 
-/// Writes a request or a response as its line, with the line's end.
+/// Encodes a request or a response as a line, including [`LINE_END`].
 ///
 /// # Errors
-/// The value cannot be written as JSON.
+/// The value cannot be encoded as JSON.
 pub fn encode_line(value: &impl Serialize) -> Result<Vec<u8>, serde_json::Error> {
     let mut line = serde_json::to_vec(value)?;
     line.push(LINE_END);
--- a/crates/loomflow-fleet/src/status.rs
+++ b/crates/loomflow-fleet/src/status.rs
@@ -1,4 +1,4 @@
-//! The fleet as one member sees it, for operators.
+//! The fleet's status, as operators receive it.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,80 +14,80 @@
 pub struct FleetStatus {
     /// The fleet's name.
     pub fleet: String,
-    /// The leader, if one is known.
+    /// The leader, if the responding server knows one.
     pub leader: Option<ServerName>,
-    /// The term of the log.
+    /// The Raft term; 0 if the responding server is not a voter.
     pub term: u64,
-    /// The index up to which the log is applied.
+    /// Index of the last log entry that the responding server applied.
     pub index: u64,
-    /// Who has a vote.
+    /// The current voters, as known to the responding server.
     pub voters: Vec<ServerName>,
-    /// False where the responding server does not lead, so that this may be outdated.
+    /// Whether the responding server leads. Otherwise the status may be outdated.
     #[serde(rename = "fresh")]
     pub is_from_leader: bool,
-    /// All members.
+    /// All known members, including the responding server.
     pub members: Vec<MemberRow>,
-    /// The rules in force.
+    /// The current rules for maintenance.
     pub rules: Rules,
-    /// Why grants are paused; none where they are not.
+    /// The reason for which grants are paused; `None` if they are not.
     pub paused: Option<String>,
-    /// Open tickets.
+    /// Number of open tickets.
     pub open: u32,
-    /// Servers that have a place.
+    /// Number of servers that hold a maintenance slot.
     pub out: u32,
-    /// Servers that were shut down without a ticket, since the fleet began.
+    /// Number of shutdowns without a ticket since the fleet was created.
     #[serde(rename = "unasked")]
     pub drains_without_ticket: u64,
-    /// The fleet's time.
+    /// The fleet's time, ms.
     pub time: FleetMillis,
-    /// What is wrong with the storage of the responding server.
+    /// The storage error of the responding server, if any.
     #[serde(rename = "fault")]
     pub storage_error: Option<String>,
-    /// The summary that the responding server received last.
+    /// The last summary that the responding server received.
     pub summary: Option<SummaryReport>,
-    /// Messages of former owners of duties that the responding server rejected.
+    /// Number of messages from previous owners of duties that the responding server rejected.
     #[serde(rename = "refused")]
     pub rejected_messages: u64,
 }
 
-/// A summary as a member received it.
+/// A summary that a member received from the owner of the summary duty.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SummaryReport {
-    /// The owner of the summary.
+    /// The sender, which owned the summary duty.
     #[serde(rename = "by")]
     pub owner: ServerName,
-    /// Its fencing token.
+    /// The owner's fencing token.
     pub token: Token,
     /// Time since it was received, ms.
     #[serde(rename = "age")]
     pub age_millis: IntegerMillis,
-    /// The figures.
+    /// The received summary.
     pub summary: Summary,
 }
 
 /// One member in a [`FleetStatus`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberRow {
-    /// The server.
+    /// The server's name.
     pub name: ServerName,
-    /// Its zone.
+    /// The server's zone.
     pub zone: Zone,
-    /// Where it listens for the fleet.
+    /// The address at which the server listens for other members.
     pub address: String,
-    /// Its last known start.
+    /// The last known start of the server.
     pub incarnation: Incarnation,
-    /// What it is doing.
+    /// The server's state, `Out` if it is down during maintenance.
     #[serde(rename = "standing")]
     pub state: MemberState,
-    /// Whether it has a vote.
+    /// Whether the server is a voter.
     #[serde(rename = "voter")]
     pub is_voter: bool,
-    /// Its last load report.
+    /// The last load report, of any age.
     #[serde(rename = "digest")]
     pub load_report: Option<LoadReport>,
-    /// Age of that report, ms.
+    /// Age of the last load report, ms.
     #[serde(rename = "age")]
     pub report_age_millis: Option<IntegerMillis>,
-    /// The ticket by which it has a place, and its stage.
+    /// The ticket for which the server holds a maintenance slot, and its stage.
     pub ticket: Option<(TicketId, TicketStage)>,
 }
--- a/crates/loomflow-fleet/src/time/tests.rs
+++ b/crates/loomflow-fleet/src/time/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn durations_and_parts_are_rounded_down_unless_the_name_says_up() {
+fn conversions_round_down_except_scaled_up() {
     assert_eq!(whole_millis(Duration::from_micros(1_999)), 1);
     assert_eq!(whole_seconds(1_999), 1);
     assert_eq!(scaled(999, 0.5), 499);
--- a/crates/loomflow-fleet/src/wire.rs
+++ b/crates/loomflow-fleet/src/wire.rs
@@ -1,9 +1,9 @@
-//! What members exchange: envelopes behind a length. Payloads are written by the libraries' own codecs; ours are the length,
-//! the envelope's fields and the bounds.
+//! The messages between members: length-prefixed postcard. Payloads of membership and consensus are encoded
+//! by their libraries.
 //!
-//! A stream is cut into messages by [`FrameReader`]. A message that is too long, cannot be read, or comes from another fleet
-//! is an error that ends its connection: nothing after it on that stream can be trusted. [`encode`] and [`decode`] are the
-//! only places that see bytes, and where encryption would be added.
+//! [`FrameReader`] splits a stream into messages. A message that is too long, cannot be decoded, or comes
+//! from another fleet is an error that ends its connection: nothing after it on that stream can be trusted.
+//! Only [`encode`] and [`decode`] handle the bytes of a message; encryption would be added there.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,102 +13,106 @@
 use crate::member::{FleetRequestId, LoadReport, MemberIdentity, Replica, ServerName};
 use crate::time::IntegerMillis;
 
-/// Maximum size of a message, bytes: a snapshot of as many tickets as there may be.
+/// Maximum size of a message, bytes: enough for a snapshot with the maximum number of tickets.
 pub const MAX_MESSAGE_BYTES: usize = 8 * 1024 * 1024;
-/// Size of the length before each message, bytes; big-endian.
+/// Size of the length prefix of each message, bytes. The prefix is big-endian.
 pub const LENGTH_BYTES: usize = 4;
 
-/// One message between two members.
+/// A message between two members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
     /// The fleet's name: messages of another fleet are rejected.
     pub fleet: String,
-    /// Who sends it.
+    /// The sender's identity.
     pub from: MemberIdentity,
-    /// The message itself.
+    /// The content of the message.
     pub body: Body,
 }
 
-/// The body of a message.
+/// The content of a [`Message`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// Membership, by its library's codec.
+    /// A packet of the membership protocol, encoded by its library.
     Swim(Vec<u8>),
-    /// Consensus, by its library's codec, among the voters of one group.
+    /// A message between voters, encoded by the Raft library.
     Raft {
         /// The Raft group of the sender.
         group: u64,
-        /// The library's message.
+        /// The encoded message.
         bytes: Vec<u8>,
     },
-    /// A member's load, to the voters.
+    /// A member's load report to a voter.
     LoadReport {
-        /// When it was sent, by the member's own clock.
+        /// Time of sending, by the sender's clock.
         sent_at: IntegerMillis,
-        /// The load.
+        /// The sender's load.
         load_report: LoadReport,
-        /// The sender's replica if it is a voter.
+        /// The sender's replica of the log, if it is a voter.
         replica: Option<Replica>,
     },
     /// A voter's reply to a load report.
     Notification(Notification),
-    /// A request on its way to the leader.
+    /// A request to the leader, possibly forwarded by another member.
     Request {
-        /// Identifies the request; a retry carries the same.
+        /// Id of the request; a retry carries the same id.
         id: FleetRequestId,
-        /// How often it has been forwarded.
+        /// Number of times that the request has been forwarded.
         hops: u8,
-        /// The request.
+        /// The request to the leader.
         request: FleetRequest,
     },
-    /// A response on its way back.
+    /// A response, returned along the path of its request.
     Response {
-        /// The request that it answers.
+        /// Id of the request.
         id: FleetRequestId,
-        /// The response.
+        /// The leader's response.
         response: FleetResponse,
     },
-    /// The leader notifies a member of the duties that it owns, as soon as that is committed.
+    /// The leader's notification of the duties that the receiver owns, sent when a change of them is
+    /// committed.
     Duties(duty::Ownership),
-    /// The owner of the summary sends it to all members.
+    /// The fleet's summary, sent by the owner of the summary duty to all members.
     Summary {
         /// The owner's fencing token.
         token: Token,
-        /// The fleet in figures.
+        /// The fleet's load and capacity.
         summary: Summary,
     },
 }
 
-/// A voter's reply to a member's load report: who leads, and the ticket by which the member is to shut down.
+/// A voter's reply to a member's load report: the leader, and the ticket for which the member holds a
+/// maintenance slot.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Notification {
-    /// When the load report that this answers was sent, by its sender's clock: a late notification is recognized by it.
+    /// `sent_at` of the load report, by the clock of the member that sent it: the member uses it to recognize
+    /// late replies.
     pub sent_at: IntegerMillis,
-    /// The leader as far as the voter knows.
+    /// The leader, if the voter knows one.
     pub leader: Option<ServerName>,
-    /// The voter's term.
+    /// The voter's Raft term.
     pub term: u64,
-    /// The index up to which the voter has applied its log.
+    /// Index of the last log entry that the voter applied.
     pub index: u64,
-    /// The ticket by which the receiver has a place.
+    /// The ticket for which the receiver holds a maintenance slot.
     pub ticket: Option<Ticket>,
 }
 
-/// Why a stream cannot be read on.
+/// An error that ends the reading of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// Longer than [`MAX_MESSAGE_BYTES`]; the length in bytes.
-    #[error("a message of {0} bytes is too long")]
+    /// The message is longer than [`MAX_MESSAGE_BYTES`]; with its length in bytes.
+    #[error("a message of {0} bytes exceeds the limit of {MAX_MESSAGE_BYTES} bytes")]
     TooLong(usize),
-    /// Not a message.
-    #[error("a message cannot be read")]
+    /// The bytes are not a valid message.
+    #[error("a message cannot be decoded")]
     Unreadable,
-    /// From a fleet of another name.
-    #[error("a message of another fleet")]
+    /// The message belongs to a fleet of another name.
+    #[error("a message belongs to another fleet")]
     Foreign,
 }
 
-/// One message with its length before it. None where it would be over the bound: it is never sent.
+/// Encodes a message with its length prefix. Returns `None` if it exceeds [`MAX_MESSAGE_BYTES`]; it must not
+/// be sent then.
 pub fn encode(message: &Message) -> Option<Vec<u8>> {
     let mut framed = postcard::to_extend(message, vec![0; LENGTH_BYTES]).ok()?;
     let length = framed.len() - LENGTH_BYTES;
@@ -119,10 +123,10 @@
     Some(framed)
 }
 
-/// Reads what [`encode`] wrote, without its length.
+/// Decodes a message, given without its length prefix.
 ///
 /// # Errors
-/// The bytes are not a message, or one of another fleet.
+/// The bytes are not a valid message, or its fleet is not `fleet`.
 pub fn decode(fleet: &str, bytes: &[u8]) -> Result<Message, FrameError> {
     let message: Message = postcard::from_bytes(bytes).map_err(|_| FrameError::Unreadable)?;
     if message.fleet != fleet {
@@ -131,33 +135,33 @@
     Ok(message)
 }
 
-/// Splits a stream into messages. Buffers no more than one message of maximum size and one read.
+/// Splits a stream into messages. It buffers at most one message of maximum size and one read.
 #[derive(Default)]
 pub struct FrameReader {
     buffer: Vec<u8>,
-    /// Bytes at the front of the buffer that have been returned.
+    /// Number of bytes at the front of the buffer that belong to returned messages.
     consumed: usize,
 }
 
 impl FrameReader {
-    /// Takes in bytes that were read from the stream.
+    /// Appends bytes read from the stream.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.drain(..std::mem::take(&mut self.consumed));
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next complete message's bytes without the length, if one is there.
+    /// Returns the next complete message without its length prefix, or `None` if more bytes are needed.
     ///
     /// # Errors
-    /// The length is over the bound.
+    /// The length exceeds [`MAX_MESSAGE_BYTES`].
     pub fn next_frame(&mut self) -> Result<Option<&[u8]>, FrameError> {
-        let rest = &self.buffer[self.consumed..];
-        let Some(prefix) = rest.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
+        let unread = &self.buffer[self.consumed..];
+        let Some(prefix) = unread.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let length = u32::from_be_bytes(*prefix) as usize;
         if length > MAX_MESSAGE_BYTES {
             return Err(FrameError::TooLong(length));
         }
-        if rest.len() < LENGTH_BYTES + length {
+        if unread.len() < LENGTH_BYTES + length {
             return Ok(None);
         }
         let start = self.consumed + LENGTH_BYTES;
--- a/crates/loomflow-fleet/tests/wire_format.rs
+++ b/crates/loomflow-fleet/tests/wire_format.rs
@@ -1,6 +1,7 @@
-//! The bytes that leave the process: JSON on the operators' socket, in `--json` output and in a fence file; postcard between
-//! members, in the log and in snapshots. `wire_format.txt` holds them as they were first released. A name in the code may
-//! change freely, these lines may not: another build of the fleet, a script or a stored log reads them.
+//! Pins the formats that leave the process: JSON on the operators' socket, in `--json` output and in a fence
+//! file; postcard between members, in the log and in snapshots. The files in `wire_format/` hold them as
+//! first released. They must not change when names in the code do: other builds of the fleet, scripts and
+//! stored logs depend on them.
 
 use std::fmt::Write as _;
 
@@ -31,7 +32,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// One line for each value: its JSON, and its postcard bytes in hexadecimal.
+/// One line for each value: its JSON and its postcard bytes in hexadecimal.
 #[derive(Default)]
 struct Lines(String);
 
@@ -58,7 +59,7 @@
     LoadReport { phase: Phase::Serving, share, hold_time_ratio, limit, running, cores, healthy: true }
 }
 
-fn wanted() -> TicketRequest {
+fn ticket_request() -> TicketRequest {
     let (server, zone, reason) = ("n1".into(), "z1".into(), "kernel".into());
     TicketRequest {
         server,
@@ -74,7 +75,7 @@
     Ticket {
         id: 1,
         request_id: 2,
-        request: wanted(),
+        request: ticket_request(),
         requested_by: "ops".into(),
         stage: TicketStage::Draining,
         requested_at: 3,
@@ -104,7 +105,7 @@
     }
 }
 
-fn kept() -> Ownership {
+fn ownership() -> Ownership {
     Ownership {
         session: 3,
         lease_settings: LeaseSettings { lease_millis: 1_000, max_attempts: 3 },
@@ -150,7 +151,7 @@
     ]
 }
 
-fn duty_answers() -> Vec<DutyResponse> {
+fn duty_responses() -> Vec<DutyResponse> {
     let row = DutyStatus {
         duty: "d".into(),
         owner: Some(owner()),
@@ -190,24 +191,24 @@
         DutyRejection::Begun { duty: "d".into(), run: 4 },
         DutyRejection::Invalid("no".into()),
     ];
-    let listed = DutyList {
+    let list = DutyList {
         duties: vec![row],
         sessions: vec!["n1".into()],
         lease_settings: LeaseSettings::default(),
         time: 8,
         events: kinds.map(event).to_vec(),
     };
-    let mut answers = vec![DutyResponse::Done, DutyResponse::Ownership(kept())];
-    answers.extend(rejections.map(DutyResponse::Rejected));
-    answers.push(DutyResponse::List(Box::new(listed)));
-    answers
+    let mut responses = vec![DutyResponse::Done, DutyResponse::Ownership(ownership())];
+    responses.extend(rejections.map(DutyResponse::Rejected));
+    responses.push(DutyResponse::List(Box::new(list)));
+    responses
 }
 
 fn campaign_commands() -> Vec<CampaignCommand> {
     use CampaignCommand::*;
     let name = || "kernel".to_owned();
     vec![
-        Start { name: name(), requests: vec![wanted()], batch_size: 2 },
+        Start { name: name(), requests: vec![ticket_request()], batch_size: 2 },
         Resume(name()),
         Drop(name()),
         Next { name: name(), from_index: 1, share_before: 0.5, token: 3 },
@@ -244,7 +245,7 @@
 
 fn commands() -> Vec<FleetCommand> {
     let mut commands = vec![
-        FleetCommand::CreateTickets(vec![wanted()]),
+        FleetCommand::CreateTickets(vec![ticket_request()]),
         FleetCommand::Grant { ticket: 1, incarnation: 6, census: census() },
         FleetCommand::Pause("storm".into()),
         FleetCommand::Resume,
@@ -324,7 +325,7 @@
     }
 }
 
-fn explained() -> Explanation {
+fn explanation() -> Explanation {
     let checks = [
         Check::Pause,
         Check::Window,
@@ -347,9 +348,9 @@
     }
 }
 
-fn answers() -> Vec<FleetResponse> {
+fn responses() -> Vec<FleetResponse> {
     let event = |stage| TicketEvent { at: 1, ticket: 2, server: "n1".into(), stage, grant: 3 };
-    let mut answers = vec![
+    let mut responses = vec![
         FleetResponse::Done(vec![1, 2]),
         FleetResponse::Status(Box::new(status())),
         FleetResponse::Tickets {
@@ -357,40 +358,40 @@
             closed: vec![ticket()],
             events: TicketStage::ALL.map(event).to_vec(),
         },
-        FleetResponse::Explanation(explained()),
+        FleetResponse::Explanation(explanation()),
         FleetResponse::Campaigns(campaign_views()),
     ];
-    answers.extend(rejections().into_iter().map(FleetResponse::Rejected));
-    answers.extend(duty_answers().into_iter().map(FleetResponse::Duty));
-    answers
+    responses.extend(rejections().into_iter().map(FleetResponse::Rejected));
+    responses.extend(duty_responses().into_iter().map(FleetResponse::Duty));
+    responses
 }
 
-fn asks() -> Vec<FleetRequest> {
+fn requests() -> Vec<FleetRequest> {
     let issuers = [
         Issuer::Leader,
         Issuer::Server { name: "n1".into(), incarnation: 6 },
         Issuer::Operator("ops".into()),
     ];
-    let mut asks: Vec<FleetRequest> =
+    let mut requests: Vec<FleetRequest> =
         issuers.map(|issuer| FleetRequest::Execute { issuer, command: FleetCommand::Clock }).to_vec();
-    asks.extend(
+    requests.extend(
         commands().into_iter().map(|command| FleetRequest::Execute { issuer: Issuer::Leader, command }),
     );
-    asks.extend([
+    requests.extend([
         FleetRequest::Status,
         FleetRequest::Tickets,
         FleetRequest::Explain("n1".into()),
         FleetRequest::Duties,
         FleetRequest::Campaigns,
     ]);
-    asks
+    requests
 }
 
-/// The operators' socket: its answers and requests are lines of JSON.
+/// Guards against changes of the JSON on the operators' socket and of the postcard bytes of the same values.
 #[test]
-fn operator_messages_keep_their_json_and_all_values_their_bytes() {
+fn operator_messages_keep_their_json_and_bytes() {
     let mut lines = Lines::default();
-    lines.add_all(asks().into_iter().map(OperatorRequest::Fleet));
+    lines.add_all(requests().into_iter().map(OperatorRequest::Fleet));
     lines.add_all([
         OperatorRequest::LocalStatus,
         OperatorRequest::Bootstrap,
@@ -398,7 +399,7 @@
         OperatorRequest::CheckOwnership("d".into()),
         OperatorRequest::WorkEnded("d".into()),
     ]);
-    lines.add_all(answers().into_iter().map(OperatorResponse::Response));
+    lines.add_all(responses().into_iter().map(OperatorResponse::Response));
     let owned = OwnershipConfirmation {
         token: 1,
         remaining_millis: 2,
@@ -423,7 +424,7 @@
     assert_same(&lines.0, include_str!("wire_format/operator.txt"));
 }
 
-/// Members speak postcard behind a length.
+/// Guards against changes of the length-prefixed postcard between members and of the stored metadata.
 #[test]
 fn member_messages_keep_their_bytes() {
     let replica = Replica { id: 1, group: 2 };
@@ -436,7 +437,7 @@
         Body::Notification(notification),
         Body::Request { id: 1, hops: 1, request: FleetRequest::Status },
         Body::Response { id: 1, response: FleetResponse::Done(vec![4]) },
-        Body::Duties(kept()),
+        Body::Duties(ownership()),
         Body::Summary { token: 5, summary: summary() },
     ];
     let from = MemberIdentity::new("n1".into(), "z1".into(), ([127, 0, 0, 1], 7).into(), 6);
@@ -449,7 +450,8 @@
     assert_same(&text, include_str!("wire_format/member.txt"));
 }
 
-/// A log of every kind of entry gives the snapshot that it always gave.
+/// Guards against changes of log entries, their results and snapshots, with a log that contains every kind of
+/// entry.
 #[test]
 fn entries_and_snapshots_keep_their_bytes() {
     let mut text = String::new();
@@ -458,11 +460,11 @@
     let leader = |command| (Issuer::Leader, command);
     let operator = |command| (Issuer::Operator("ops".into()), command);
     let server = |command| (Issuer::Server { name: "n1".into(), incarnation: 6 }, command);
-    let own = || DutyCommand::KeepAlive(vec![ServerInstance { name: "n1".into(), incarnation: 6 }]);
+    let keep_alive = || DutyCommand::KeepAlive(vec![ServerInstance { name: "n1".into(), incarnation: 6 }]);
     let declared = DutySpec { name: "d".into(), weight: 2, schedule: Some(schedule()) };
     let mut entries = vec![
         leader(FleetCommand::Rules(rules())),
-        operator(FleetCommand::CreateTickets(vec![TicketRequest { window: None, ..wanted() }])),
+        operator(FleetCommand::CreateTickets(vec![TicketRequest { window: None, ..ticket_request() }])),
         leader(FleetCommand::Grant { ticket: 1, incarnation: 6, census: Census::default() }),
         server(FleetCommand::Transition {
             ticket: 1,
@@ -471,7 +473,7 @@
             incarnation: 6,
         }),
         leader(FleetCommand::Duty(DutyCommand::Declare(LeaseSettings::default(), vec![declared]))),
-        leader(FleetCommand::Duty(own())),
+        leader(FleetCommand::Duty(keep_alive())),
         leader(FleetCommand::Duty(DutyCommand::Assign(vec![("d".into(), "n1".into())]))),
         server(FleetCommand::Duty(DutyCommand::Write {
             duty: "d".into(),
@@ -479,11 +481,12 @@
             update: OwnerUpdate::Began(60),
         })),
     ];
-    let start = CampaignCommand::Start { name: "kernel".into(), requests: vec![wanted()], batch_size: 1 };
+    let start =
+        CampaignCommand::Start { name: "kernel".into(), requests: vec![ticket_request()], batch_size: 1 };
     entries.push(operator(FleetCommand::Campaign(start)));
     entries.extend(commands().into_iter().map(operator));
-    for (at, (issuer, command)) in entries.into_iter().enumerate() {
-        let entry = Entry { id: at as u128 + 1, at: at as u64, issuer, command };
+    for (index, (issuer, command)) in entries.into_iter().enumerate() {
+        let entry = Entry { id: index as u128 + 1, at: index as u64, issuer, command };
         let bytes = postcard::to_stdvec(&entry).unwrap();
         let output = state.apply(&bytes).unwrap();
         writeln!(text, "{} {}", hex(&bytes), hex(&postcard::to_stdvec(&output).unwrap())).unwrap();
@@ -494,10 +497,10 @@
     assert_same(&text, include_str!("wire_format/log.txt"));
 }
 
-/// Names the first line that differs.
+/// Panics with the number of the first line that differs.
 fn assert_same(actual: &str, released: &str) {
-    for (at, (now, before)) in actual.lines().zip(released.lines()).enumerate() {
-        assert_eq!(now, before, "line {}", at + 1);
+    for (index, (actual, released)) in actual.lines().zip(released.lines()).enumerate() {
+        assert_eq!(actual, released, "line {}", index + 1);
     }
-    assert_eq!(actual.lines().count(), released.lines().count(), "lines");
+    assert_eq!(actual.lines().count(), released.lines().count(), "number of lines");
 }
