--- a/crates/loomflow-fleet-simulation/src/config.rs
+++ b/crates/loomflow-fleet-simulation/src/config.rs
@@ -94,7 +94,7 @@
             zone: self.zone(machine),
             address: address(machine),
             voters: (0..self.voters).map(|voter| (server_name(voter), address(voter))).collect(),
-            via: BTreeMap::new(),
+            address_overrides: BTreeMap::new(),
             rules: self.rules.clone(),
             duties: (self.duties > 0).then_some(duties),
             seed,
--- a/crates/loomflow-fleet-simulation/src/simulation/queries.rs
+++ b/crates/loomflow-fleet-simulation/src/simulation/queries.rs
@@ -44,7 +44,7 @@
     pub fn explain(&self, machine: MachineId) -> Vec<String> {
         let response = self.leader().and_then(|leader| {
             let node = self.machines[leader].node.as_ref()?;
-            node.answer_query(&FleetRequest::Explain(server_name(machine)), self.local_time(leader))
+            node.respond_to_query(&FleetRequest::Explain(server_name(machine)), self.local_time(leader))
         });
         let Some(FleetResponse::Explanation(explanation)) = response else { return Vec::new() };
         let Some((ticket, stage)) = explanation.ticket else { return Vec::new() };
--- a/crates/loomflow-fleet/src/fleet_state.rs
+++ b/crates/loomflow-fleet/src/fleet_state.rs
@@ -1,5 +1,6 @@
-//! The state machine that the log is applied to: maintenance, duties and campaigns. Each checks its own commands; this module
-//! checks who may issue which command on duties and campaigns, and advances all three by the same time.
+//! The state machine of the log, composed of maintenance, duties and campaigns. Each part validates its own
+//! commands; this module checks which issuers may issue commands on duties and campaigns, and advances the
+//! time of all parts together.
 
 use crate::command::{Entry, FleetCommand, FleetResponse, Issuer};
 use crate::consensus::{SnapshotError, StateMachine};
@@ -10,26 +11,28 @@
 use crate::maintenance::ticket::Rejection;
 use crate::member::{FleetRequestId, ServerName};
 
-/// All that the fleet has agreed on.
+/// The replicated state of the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct FleetState {
-    /// Tickets and rules.
+    /// Maintenance tickets and rules.
     pub maintenance: MaintenanceState,
-    /// Sessions and leases.
+    /// Duties with their leases, and the servers' sessions.
     pub duties: Duties,
-    /// Tickets in batches.
+    /// Campaigns, which create tickets in batches.
     pub campaigns: Campaigns,
 }
 
-/// The duty whose owner carries out campaigns.
-pub const CAMPAIGN: &str = "campaign";
+/// Name of the built-in duty whose owner carries out campaigns.
+pub const CAMPAIGN_DUTY: &str = "campaign";
 
 impl FleetState {
-    /// Applies a command on a campaign: an operator's, or one of the owner of the duty with a valid token.
+    /// Applies a command on a campaign: of an operator, or of the owner of [`CAMPAIGN_DUTY`] with a valid
+    /// token.
     fn apply_to_campaign(&mut self, entry: &Entry, command: &CampaignCommand) -> FleetResponse {
         let requested_by = match (&entry.issuer, command.token()) {
             (Issuer::Operator(operator), None) => operator,
-            (Issuer::Server { name, .. }, Some(token)) => match self.duties.check_token(CAMPAIGN, token) {
+            (Issuer::Server { name, .. }, Some(token)) => match self.duties.check_token(CAMPAIGN_DUTY, token)
+            {
                 Ok(()) => name,
                 Err(rejection) => return FleetResponse::Duty(DutyResponse::Rejected(rejection)),
             },
@@ -39,7 +42,7 @@
         result.map_or_else(FleetResponse::Rejected, FleetResponse::Done)
     }
 
-    /// Applies a command on a duty if its issuer may issue it.
+    /// Applies a command on a duty if [`is_permitted`] allows it.
     fn apply_to_duties(&mut self, entry: &Entry, command: &DutyCommand) -> DutyResponse {
         if is_permitted(&entry.issuer, command) {
             self.duties.apply(command)
@@ -49,7 +52,8 @@
     }
 }
 
-/// Whether this issuer may issue this command on a duty. What an owner writes is checked by its token as well.
+/// Whether an issuer may issue a command on a duty. An owner's commands are also checked by their fencing
+/// token when they are applied.
 fn is_permitted(issuer: &Issuer, command: &DutyCommand) -> bool {
     use DutyCommand::{Assign, Declare, End, KeepAlive, Park, Recall, Release, Resume, Run, Write};
     match (issuer, command) {
--- a/crates/loomflow-fleet/src/node/duties.rs
+++ b/crates/loomflow-fleet/src/node/duties.rs
@@ -1,5 +1,5 @@
-//! What a member does about duties: it renews its session, acquires what it is assigned, releases what is recalled, and
-//! carries out the built-in duties.
+//! A member's handling of duties: it renews its session, acquires the duties assigned to it, releases those
+//! that are recalled, and carries out the built-in ones.
 
 use rand::RngExt;
 
@@ -13,59 +13,59 @@
     DutyCommand, DutyName, DutyResponse, DutySpec, LeaseSettings, OwnedDuty, OwnerUpdate, Ownership,
     ServerInstance, Token,
 };
-use crate::fleet_state::CAMPAIGN;
+use crate::fleet_state::CAMPAIGN_DUTY;
 use crate::maintenance::campaign::{self, CampaignCommand, CampaignStep, CampaignView};
 use crate::member::{FleetRequestId, Phase, ServerName};
 use crate::status::{FleetStatus, SummaryReport};
 use crate::time::IntegerMillis;
 use crate::wire::Body;
 
-/// How often the owner of campaigns checks them, ms.
+/// Interval at which the owner of [`CAMPAIGN_DUTY`] checks the campaigns, ms.
 const CAMPAIGN_PERIOD_MILLIS: IntegerMillis = 1_000;
-/// The duty that sums the fleet up.
-pub const SUMMARY: &str = "summary";
+/// Name of the built-in duty whose owner sends the fleet's summary to all members.
+pub const SUMMARY_DUTY: &str = "summary";
 
-/// A member's configuration of duties; the same on all members.
+/// The configuration of duties, which must be equal on all members.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DutyConfig {
-    /// The operators' settings for all duties.
+    /// The configured lease settings of all duties.
     pub lease_settings: LeaseSettings,
-    /// The operators' own duties.
+    /// The configured duties, without the built-in ones.
     pub specs: Vec<DutySpec>,
-    /// How often the fleet is summed up, ms.
+    /// Interval between summaries of the fleet, ms.
     pub summary_period_millis: IntegerMillis,
 }
 
 impl DutyConfig {
-    /// All duties there are: the operators' and the built-in ones.
+    /// The configured and the built-in duties.
     pub(super) fn all_specs(&self) -> Vec<DutySpec> {
-        let built_in = [SUMMARY, CAMPAIGN].map(DutySpec::plain);
+        let built_in = [SUMMARY_DUTY, CAMPAIGN_DUTY].map(DutySpec::plain);
         self.specs.iter().cloned().chain(built_in).collect()
     }
 }
 
-/// A built-in duty that begins with a periodic query to the leader.
+/// The periodic query to the leader that a built-in duty is based on.
 #[derive(Default)]
 struct PeriodicQuery {
     next_at: IntegerMillis,
-    /// The question that has no answer yet, and the token that it was sent with.
+    /// The query without a response, and the fencing token under which it was sent.
     pending: Option<(FleetRequestId, Token)>,
 }
 
 impl PeriodicQuery {
-    /// The question is sent; the next one is due at `next_at`.
+    /// Records that a query is sent, and schedules the next one.
     fn start(&mut self, id: FleetRequestId, token: Token, next_at: IntegerMillis) {
         self.next_at = next_at;
         self.pending = Some((id, token));
     }
 
-    /// The token of the question, where this is the answer to it.
-    fn answered(&mut self, id: FleetRequestId) -> Option<Token> {
+    /// Completes the pending query if it has this id, and returns its token.
+    fn complete(&mut self, id: FleetRequestId) -> Option<Token> {
         self.pending.take_if(|(pending, _)| *pending == id).map(|(_, token)| token)
     }
 }
 
-/// A summary that this member received.
+/// The last summary that this member received.
 struct ReceivedSummary {
     at: IntegerMillis,
     owner: ServerName,
@@ -73,21 +73,21 @@
     summary: Summary,
 }
 
-/// How far the end of the session is.
+/// Progress in closing the session when the server shuts down.
 #[derive(Default, PartialEq)]
 enum SessionEnd {
     #[default]
     Open,
-    /// The end was sent, and has no response.
+    /// The command that ends the session was sent and has no response yet.
     Pending(FleetRequestId),
     Ended,
 }
 
-/// A member's part in duties.
+/// The state of a member's handling of duties.
 #[derive(Default)]
 pub(super) struct DutyClient {
     pub session: ClientSession,
-    /// For what owners send to members.
+    /// Rejects messages from previous owners of duties.
     fence: Fence,
     last_summary: Option<ReceivedSummary>,
     summary_query: PeriodicQuery,
@@ -96,55 +96,56 @@
 }
 
 impl DutyClient {
-    /// When something is due next.
+    /// The time of the next renewal, expiry or periodic query.
     pub fn next_wake(&self) -> IntegerMillis {
         if self.is_session_ended() {
             return IntegerMillis::MAX;
         }
-        let due = |duty: &str, query: &PeriodicQuery| {
+        let next_query_at = |duty: &str, query: &PeriodicQuery| {
             if self.session.duty(duty).is_some() { query.next_at } else { IntegerMillis::MAX }
         };
-        let summary_at = due(SUMMARY, &self.summary_query);
-        let campaign_at = due(CAMPAIGN, &self.campaign_query);
+        let summary_at = next_query_at(SUMMARY_DUTY, &self.summary_query);
+        let campaign_at = next_query_at(CAMPAIGN_DUTY, &self.campaign_query);
         self.session.next_wake().min(summary_at).min(campaign_at)
     }
 
-    /// Whether nothing is owned any more, and that is reported.
+    /// Whether the session has ended and the report of that has a response or timed out.
     pub fn is_session_ended(&self) -> bool {
         self.session_end == SessionEnd::Ended
     }
 }
 
 impl Node {
-    /// The token by which this member owns a duty at this moment; none where it does not, or cannot be sure.
+    /// The token with which this member currently owns a duty. `None` if it does not own the duty, or cannot
+    /// be certain.
     pub fn owned_token(&self, duty: &str, now: IntegerMillis) -> Option<Token> {
         self.config.duties.as_ref()?;
         self.duties.session.owned_token(duty, now)
     }
 
-    /// All duties that it owns at this moment, with their tokens.
+    /// The duties that this member currently owns, with their tokens.
     pub fn owned_duties(&self, now: IntegerMillis) -> Vec<(DutyName, Token)> {
         let duties = self.duties.session.duties();
         let with_token = |owned: &OwnedDuty| Some((owned.duty.clone(), self.owned_token(&owned.duty, now)?));
         duties.filter_map(with_token).collect()
     }
 
-    /// A duty of the session, whether that is still valid or not.
+    /// A duty of the session, even if the session has expired.
     pub fn session_duty(&self, duty: &str) -> Option<&OwnedDuty> {
         self.duties.session.duty(duty)
     }
 
-    /// The operators' settings, as this member has them.
+    /// The configured lease settings; the defaults if the fleet has no duties.
     pub fn lease_settings(&self) -> LeaseSettings {
         self.config.duties.as_ref().map_or_else(LeaseSettings::default, |config| config.lease_settings)
     }
 
-    /// Until when, by its own clock, this member owns what it owns.
+    /// The time, by this member's clock, at which its ownership of all duties expires.
     pub fn owned_until(&self) -> IntegerMillis {
         self.duties.session.valid_until()
     }
 
-    /// The server has finished with a duty, or left it where the next owner can continue.
+    /// Releases a duty that the server has finished, or has written a checkpoint of for the next owner.
     pub fn release(&mut self, duty: &str, now: IntegerMillis) {
         if let Some(token) = self.duties.session.release(duty) {
             let command = DutyCommand::Release { duty: duty.to_owned(), token, successor: None };
@@ -154,7 +155,8 @@
         self.process_outputs(now);
     }
 
-    /// Writes something about a duty into the fleet's state. The response comes as an effect.
+    /// Writes an update of an owned duty to the fleet's state. The response is returned as
+    /// [`Effect::Responded`].
     pub fn write(
         &mut self,
         duty: &str,
@@ -175,7 +177,7 @@
         id
     }
 
-    /// Renews the session, carries out the built-in duties, and gives up what has expired.
+    /// Renews the session, gives up duties when it expires, and sends the queries of the built-in duties.
     pub(super) fn run_duties(&mut self, now: IntegerMillis) {
         let Some(config) = &self.config.duties else { return };
         if self.duties.is_session_ended() {
@@ -187,14 +189,14 @@
         if self.duties.session_end == SessionEnd::Open && self.duties.session.is_renewal_due(now) {
             self.renew_session(now);
         }
-        if let Some(token) = self.owned_token(SUMMARY, now)
+        if let Some(token) = self.owned_token(SUMMARY_DUTY, now)
             && now >= self.duties.summary_query.next_at
         {
             let id = self.rng.random();
             self.duties.summary_query.start(id, token, now + summary_period);
             self.submit_as(id, FleetRequest::Status, now);
         }
-        if let Some(token) = self.owned_token(CAMPAIGN, now)
+        if let Some(token) = self.owned_token(CAMPAIGN_DUTY, now)
             && now >= self.duties.campaign_query.next_at
         {
             let id = self.rng.random();
@@ -211,14 +213,15 @@
 
     fn renew_session(&mut self, now: IntegerMillis) {
         let id = self.rng.random();
-        if let Some(unanswered) = self.duties.session.renewal_sent(id, now) {
-            self.cancel_request(unanswered);
+        if let Some(previous) = self.duties.session.renewal_sent(id, now) {
+            self.cancel_request(previous);
         }
         let command = FleetCommand::Duty(DutyCommand::KeepAlive(vec![self.own_instance()]));
         self.submit_as(id, FleetRequest::Execute { issuer: self.issuer(), command }, now);
     }
 
-    /// Does what each campaign calls for. Its commands carry the token, so that a former owner changes nothing.
+    /// Sends the command for the next step of each campaign. The commands carry the token, so that those of a
+    /// previous owner are rejected.
     fn run_campaigns(&mut self, token: Token, views: &[CampaignView], now: IntegerMillis) {
         for view in views {
             let name = view.name.clone();
@@ -228,7 +231,7 @@
                     CampaignCommand::Next { name, from_index, share_before, token }
                 }
                 Some(CampaignStep::Halt { from_index, reason }) => {
-                    self.log(format!("campaign {name} halts: {reason}"));
+                    self.log(format!("halting campaign {name}: {reason}"));
                     CampaignCommand::Halt { name, from_index, reason, token }
                 }
             };
@@ -237,22 +240,24 @@
         }
     }
 
-    /// Passes changes of what is owned on to the driver.
+    /// Passes changes of ownership to the driver, and releases recalled built-in duties.
     fn process_ownership_changes(&mut self, now: IntegerMillis) {
-        // What is acquired while this server drains is released at once.
+        // Duties acquired while this server drains are released at once.
         if self.phase == Phase::Draining {
             self.duties.session.recall_all();
         }
         for change in self.duties.session.take_changes() {
             match &change {
                 OwnershipChange::Acquired(owned) => {
-                    self.log(format!("owns {} by token {}", owned.duty, owned.token));
+                    self.log(format!("acquired duty {} with token {}", owned.duty, owned.token));
                 }
                 OwnershipChange::Lost(duty, token) => {
-                    self.log(format!("no longer owns {duty}, token {token}"));
+                    self.log(format!("no longer owns duty {duty} with token {token}"));
                 }
-                // Nothing of these has to be finished: the fleet's state records how far they are.
-                OwnershipChange::ReleaseRequested(duty, _) if duty == SUMMARY || duty == CAMPAIGN => {
+                // Built-in duties have no work to finish: their progress is in the fleet's state.
+                OwnershipChange::ReleaseRequested(duty, _)
+                    if duty == SUMMARY_DUTY || duty == CAMPAIGN_DUTY =>
+                {
                     let duty = duty.clone();
                     self.release(&duty, now);
                     continue;
@@ -263,14 +268,14 @@
         }
     }
 
-    /// The server shuts down: all that it owns is to be released while it drains.
+    /// Requests the release of all duties when the server starts to drain.
     pub(super) fn release_all_duties(&mut self, now: IntegerMillis) {
         self.duties.session.recall_all();
         self.process_ownership_changes(now);
     }
 
-    /// Once the server has drained, its session is closed as soon as it owns nothing any more. What it still owns when the driver
-    /// waits no longer expires.
+    /// Ends the session of a drained server once it owns no duties. Duties that it has not released when the
+    /// driver stops waiting expire with their leases.
     pub(super) fn end_session_when_idle(&mut self, now: IntegerMillis) {
         if !self.own_ticket.has_drained || self.duties.session_end != SessionEnd::Open {
             return;
@@ -287,24 +292,24 @@
         self.duties.session_end = SessionEnd::Pending(id);
     }
 
-    /// Handles the response to a request of this member's part in duties; true where it was one.
+    /// Handles the response to a request that concerns duties. Returns false if the request did not.
     pub(super) fn handle_duty_response(&mut self, received: &ReceivedResponse, now: IntegerMillis) -> bool {
         let ReceivedResponse { id, response, sent_at } = *received;
         if self.duties.session_end == SessionEnd::Pending(id) {
             self.duties.session_end = SessionEnd::Ended;
             return true;
         }
-        if let Some(token) = self.duties.summary_query.answered(id) {
+        if let Some(token) = self.duties.summary_query.complete(id) {
             if let FleetResponse::Status(status) = response
-                && self.owned_token(SUMMARY, now) == Some(token)
+                && self.owned_token(SUMMARY_DUTY, now) == Some(token)
             {
                 self.send_summary(token, summary_of(status), now);
             }
             return true;
         }
-        if let Some(token) = self.duties.campaign_query.answered(id) {
+        if let Some(token) = self.duties.campaign_query.complete(id) {
             if let FleetResponse::Campaigns(views) = response
-                && self.owned_token(CAMPAIGN, now) == Some(token)
+                && self.owned_token(CAMPAIGN_DUTY, now) == Some(token)
             {
                 self.run_campaigns(token, views, now);
             }
@@ -320,7 +325,7 @@
         true
     }
 
-    /// Handles the leader's notification of what this member owns.
+    /// Handles the leader's notification of the duties that this member owns.
     pub(super) fn handle_ownership(&mut self, ownership: Ownership, now: IntegerMillis) {
         if self.config.duties.is_some() && !self.duties.is_session_ended() {
             self.duties.session.notified(ownership, now);
@@ -338,7 +343,7 @@
         self.handle_summary(self.identity().name.clone(), token, summary, now);
     }
 
-    /// Handles the summary of its owner; a former owner is rejected by its token.
+    /// Handles a summary. Summaries of previous owners are rejected by their tokens.
     pub(super) fn handle_summary(
         &mut self,
         owner: ServerName,
@@ -346,19 +351,19 @@
         summary: Summary,
         now: IntegerMillis,
     ) {
-        // The fence is stored where the summary is: in this member's memory.
-        match self.duties.fence.admit(SUMMARY, token, |_| Ok::<(), ()>(())) {
+        // The fence is kept in memory only, like the summary that it protects, so there is nothing to store.
+        match self.duties.fence.admit(SUMMARY_DUTY, token, |_| Ok::<(), ()>(())) {
             Ok(()) => {
                 self.duties.last_summary = Some(ReceivedSummary { at: now, owner, token, summary });
             }
             Err(FenceError::Stale { token, highest }) => {
-                self.log(format!("a summary by {owner} was refused: token {token}, {highest} was here"));
+                self.log(format!("rejected a summary from {owner}: token {token} is older than {highest}"));
             }
             Err(_) => {}
         }
     }
 
-    /// The last summary, as operators are shown it.
+    /// The last summary that this member received, for operators.
     pub(super) fn summary_report(&self, now: IntegerMillis) -> Option<SummaryReport> {
         let received = self.duties.last_summary.as_ref()?;
         Some(SummaryReport {
@@ -369,13 +374,13 @@
         })
     }
 
-    /// Messages of former owners that this member rejected.
+    /// Number of messages from previous owners that this member rejected.
     pub(super) fn rejected_messages(&self) -> u64 {
         self.duties.fence.rejected()
     }
 }
 
-/// Sums up what the leader knows of the members.
+/// Summarizes the members of a status.
 fn summary_of(status: &FleetStatus) -> Summary {
     let loads = status.members.iter().map(|member| summary::MemberLoad {
         name: &member.name,
--- a/crates/loomflow-fleet/src/node/duty_leadership.rs
+++ b/crates/loomflow-fleet/src/node/duty_leadership.rs
@@ -1,5 +1,5 @@
-//! The leader's part in duties: renewals are committed in batches, duties without an owner are assigned, owners are
-//! notified of changes at once.
+//! The leader's handling of duties: it commits renewals of sessions in batches, assigns duties without an
+//! owner, and notifies owners of changes as soon as they are committed.
 
 use std::collections::BTreeMap;
 
@@ -17,20 +17,20 @@
 use crate::time::IntegerMillis;
 use crate::wire::Body;
 
-/// A batch of renewals that was proposed and not committed for this long is lost, ms.
+/// Time after which a proposed batch of renewals that is not committed counts as lost, ms.
 const RENEWAL_BATCH_TIMEOUT_MILLIS: IntegerMillis = 2_000;
 
-/// Renewals, each with its request.
+/// Renewals of sessions, each with the id of its request.
 type Batch = Vec<(FleetRequestId, ServerInstance)>;
 
-/// A batch that is to be committed.
+/// A batch that was proposed and is not committed yet.
 struct PendingBatch {
     id: FleetRequestId,
     renewals: Batch,
     expires_at: IntegerMillis,
 }
 
-/// What an owner was last notified of.
+/// The state of a duty that its owner was last notified of.
 #[derive(Clone, Copy, PartialEq)]
 struct Notified {
     token: Token,
@@ -38,17 +38,17 @@
     is_run_requested: bool,
 }
 
-/// Renewals on their way into the log, and what owners know.
+/// Renewals that are not committed yet, and the notifications sent to owners.
 #[derive(Default)]
 pub(super) struct SessionBatches {
-    /// Renewals since the last batch.
+    /// Renewals received since the last batch was proposed.
     waiting: Batch,
     pending: Option<PendingBatch>,
     notified: BTreeMap<DutyName, Notified>,
 }
 
 impl Node {
-    /// Takes a server's renewal; it is added to the log with those of others.
+    /// Queues a server's renewal for the next batch.
     pub(super) fn queue_renewal(
         &mut self,
         id: FleetRequestId,
@@ -64,7 +64,7 @@
         self.propose_renewals(now);
     }
 
-    /// Proposes the next batch, unless one is to be committed.
+    /// Proposes the queued renewals as a batch, unless one is pending.
     pub(super) fn propose_renewals(&mut self, now: IntegerMillis) {
         let sessions = &mut self.leadership.sessions;
         if sessions.pending.as_ref().is_some_and(|pending| now >= pending.expires_at) {
@@ -81,12 +81,12 @@
         let expires_at = now + RENEWAL_BATCH_TIMEOUT_MILLIS;
         self.leadership.sessions.pending = Some(PendingBatch { id, renewals, expires_at });
         if self.propose(&entry).is_err() {
-            // The servers send their renewals again.
+            // The servers retry their renewals.
             self.leadership.sessions.pending = None;
         }
     }
 
-    /// An entry is applied; true where it was the pending batch, whose servers are then notified of what they own.
+    /// Handles an applied entry. If it is the pending batch, responds to its servers and returns true.
     pub(super) fn renewals_applied(&mut self, id: FleetRequestId, now: IntegerMillis) -> bool {
         let pending = self.leadership.sessions.pending.take_if(|pending| pending.id == id);
         let Some(PendingBatch { renewals, .. }) = pending else { return false };
@@ -98,7 +98,8 @@
         true
     }
 
-    /// What a server is answered to its renewal.
+    /// The response to a server's renewal: the duties that it owns, or the remaining time of a session of
+    /// another start.
     fn renewal_response(&self, instance: &ServerInstance) -> Option<DutyResponse> {
         let duties = &self.fleet_state()?.duties;
         let session = duties.sessions().get(&instance.name);
@@ -110,19 +111,20 @@
         Some(DutyResponse::Rejected(DutyRejection::EarlierIncarnation(remaining)))
     }
 
-    /// What is to be committed about duties now.
+    /// The commands on duties to commit now.
     pub(super) fn duty_decisions(&self, now: IntegerMillis) -> Vec<FleetCommand> {
         let (Some(config), Some(state)) = (&self.config.duties, self.fleet_state()) else {
             return Vec::new();
         };
         let specs = config.all_specs();
         if !state.duties.has_declared(config.lease_settings, &specs) {
-            // A duty that is owned and no longer declared stays for a while, and is no reason to declare again.
-            let is_leftover = |(name, duty): (&DutyName, &Duty)| {
+            // A duty that is no longer declared remains while it is owned: that is no reason to declare
+            // again.
+            let is_undeclared = |(name, duty): (&DutyName, &Duty)| {
                 duty.lease.is_some() && specs.iter().all(|spec| spec.name != *name)
             };
-            let has_leftovers = state.duties.duties().iter().any(is_leftover);
-            if !has_leftovers || state.duties.lease_settings() != config.lease_settings {
+            let has_undeclared = state.duties.duties().iter().any(is_undeclared);
+            if !has_undeclared || state.duties.lease_settings() != config.lease_settings {
                 return vec![FleetCommand::Duty(DutyCommand::Declare(config.lease_settings, specs))];
             }
         }
@@ -132,7 +134,7 @@
         commands.into_iter().map(FleetCommand::Duty).collect()
     }
 
-    /// Who gets a duty that its owner releases, so that it is not without an owner for a moment.
+    /// Chooses the next owner of a duty when its owner releases it, so that it is never without one.
     pub(super) fn choose_successor(&self, duty: &str, now: IntegerMillis) -> Option<ServerName> {
         let state = self.fleet_state()?;
         let owner = &state.duties.duties().get(duty)?.lease.as_ref()?.owner;
@@ -141,7 +143,7 @@
         assign::successor(&state.duties, &candidates, duty, owner)
     }
 
-    /// Notifies owners of what changed about their duties, as soon as it is committed.
+    /// Notifies owners of committed changes of their duties.
     pub(super) fn notify_owners(&mut self, now: IntegerMillis) {
         if self.config.duties.is_none() || !self.is_leader() {
             return;
@@ -149,7 +151,7 @@
         let Some(state) = self.consensus.as_ref().map(Consensus::machine) else {
             return;
         };
-        let mut news: BTreeMap<ServerName, Ownership> = BTreeMap::new();
+        let mut notifications: BTreeMap<ServerName, Ownership> = BTreeMap::new();
         for (name, duty) in state.duties.duties() {
             let Some(lease) = &duty.lease else { continue };
             let current = Notified {
@@ -160,10 +162,10 @@
             if self.leadership.sessions.notified.get(name) != Some(&current) {
                 self.leadership.sessions.notified.insert(name.clone(), current);
                 let ownership = || state.duties.ownership(&lease.owner);
-                news.entry(lease.owner.clone()).or_insert_with(ownership);
+                notifications.entry(lease.owner.clone()).or_insert_with(ownership);
             }
         }
-        for (owner, ownership) in news {
+        for (owner, ownership) in notifications {
             if owner == self.config.name {
                 self.handle_ownership(ownership, now);
             } else {
--- a/crates/loomflow-fleet/src/node/leadership_transfer.rs
+++ b/crates/loomflow-fleet/src/node/leadership_transfer.rs
@@ -1,4 +1,4 @@
-//! Who is to lead when this member hands its leadership over.
+//! Choice of the next leader when this member transfers its leadership.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,7 @@
 use crate::membership::KnownMember;
 
 impl Node {
-    /// Lets another voter lead, of those that [`may_lead`] the one with the most complete log.
+    /// Transfers leadership to the voter with the most complete log among those that [`may_lead`].
     pub(super) fn transfer_leadership(&mut self) {
         let Some(consensus) = &self.consensus else { return };
         let maintenance = &consensus.machine().maintenance;
@@ -17,12 +17,13 @@
         let candidates: BTreeSet<ServerName> = candidates.map(|known| known.identity.name.clone()).collect();
         let Some(consensus) = &mut self.consensus else { return };
         if consensus.transfer_leadership(&|name| candidates.contains(name)) {
-            self.log("hands the lead over".into());
+            self.log("transferring leadership to another voter".into());
         }
     }
 }
 
-/// Whether a member is alive and about to stay: a leader that shuts down soon would hand over once more.
+/// Whether a member is alive and not about to shut down: such a leader would soon transfer its leadership
+/// again.
 fn may_lead(known: &KnownMember, maintenance: &MaintenanceState) -> bool {
     let is_draining = known.load_report.is_some_and(|received| received.report.phase == Phase::Draining);
     let is_alive = known.swim_state == foca::State::Alive;
--- a/crates/loomflow-fleet/src/node/leadership_transfer/tests.rs
+++ b/crates/loomflow-fleet/src/node/leadership_transfer/tests.rs
@@ -6,7 +6,7 @@
 use crate::member::{LoadReport, MemberIdentity, ReceivedReport, Zone};
 use foca::State::{Alive, Down, Suspect};
 
-/// A state in which the server "a" has a place.
+/// A state in which the server "a" holds a maintenance slot.
 fn maintenance() -> MaintenanceState {
     let census = Census { zones: vec![(Zone::new(), 3)], away: Vec::new() };
     let commands = [
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn only_a_voter_that_is_alive_and_stays_is_to_lead() {
+fn a_member_may_lead_if_it_is_alive_and_not_about_to_shut_down() {
     let maintenance = maintenance();
     for (name, swim_state, phase, expected) in [
         ("b", Alive, Phase::Serving, true),
--- a/crates/loomflow-fleet/src/node/mod.rs
+++ b/crates/loomflow-fleet/src/node/mod.rs
@@ -1,15 +1,15 @@
-//! One member of the fleet: membership, consensus, maintenance and duties put together. Fed messages, times and the server's
-//! load; what it wants done comes out as [`Effect`]s.
+//! One member of the fleet, composed of membership, consensus, maintenance and duties. Its inputs are
+//! messages, times and the server's load; its outputs are [`Effect`]s.
 //!
-//! - this file: its identity, and the handling of what it receives;
-//! - `outgoing`: what it sends to other members;
-//! - `requests`: requests on their way to the leader and responses on their way back;
-//! - `own_ticket`: what it does about a ticket of its own: begin, drain, depart;
+//! - this file: configuration, start, and handling of messages and time;
+//! - `outgoing`: messages to other members;
+//! - `requests`: forwarding of requests to the leader and of responses to their senders;
+//! - `own_ticket`: transitions of the server's own ticket;
 //! - `leadership`: the leader's round: voters, transitions, the next grant;
-//! - `leadership_transfer`: who leads after it;
-//! - [`duties`]: its session, and the duties that it owns;
-//! - `duty_leadership`: the leader's part in them;
-//! - `status`: the fleet as operators see it.
+//! - `leadership_transfer`: choice of the next leader;
+//! - [`duties`]: the session, and the duties that the server owns;
+//! - `duty_leadership`: the leader's handling of duties;
+//! - `status`: responses to queries.
 
 pub mod duties;
 mod duty_leadership;
@@ -55,77 +55,77 @@
     pub fleet: String,
     /// The server's name.
     pub name: ServerName,
-    /// Its zone.
+    /// The server's zone.
     pub zone: Zone,
-    /// Where the others reach it.
+    /// The address at which other members reach this one.
     pub address: SocketAddr,
-    /// Names and addresses of those who shall vote; all others join by them.
+    /// Names and addresses of the configured voters, through which all other members join.
     pub voters: Vec<(ServerName, SocketAddr)>,
-    /// Other addresses of members than those they announce.
-    pub via: BTreeMap<ServerName, SocketAddr>,
-    /// The operators' rules for maintenance.
+    /// Addresses used for members instead of those they announce.
+    pub address_overrides: BTreeMap<ServerName, SocketAddr>,
+    /// The configured rules for maintenance.
     pub rules: Rules,
-    /// None where this fleet has no duties.
+    /// The configuration of duties; `None` if the fleet has none.
     pub duties: Option<duties::DutyConfig>,
-    /// Of everything drawn here; the same seed and the same inputs give the same outputs.
+    /// Seed of the random generator; the same seed and the same inputs give the same outputs.
     pub seed: u64,
-    /// The wall clock at the start, Unix ms.
+    /// Wall-clock time of the start, ms since the Unix epoch.
     pub unix_millis: u64,
 }
 
-/// What is to be done.
+/// An output of a [`Node`], for the driver to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send an encoded message; it need not arrive.
+    /// Sends an encoded message. Delivery need not be reliable.
     Send {
-        /// The receiver.
+        /// The receiver's name.
         to: ServerName,
-        /// Its address.
+        /// The receiver's address.
         address: SocketAddr,
-        /// The message with its length.
+        /// The message with its length prefix.
         bytes: Vec<u8>,
     },
-    /// Shut the server down as on SIGTERM: its begin is committed.
+    /// Shuts the server down as on SIGTERM: the start of its maintenance is committed.
     Drain(TicketId),
-    /// The response to a request that was submitted here.
+    /// Returns the response to a request that was submitted to this node.
     Responded(FleetRequestId, FleetResponse),
-    /// The server acquired a duty, is to release it, or no longer owns it.
+    /// Reports that the server acquired a duty, must release it, or no longer owns it.
     Duty(OwnershipChange),
-    /// A line for the log.
+    /// Writes a log line.
     Log(String),
 }
 
-/// Why a fleet cannot be created or recovered here.
+/// An error that prevents the creation or recovery of a fleet.
 #[derive(Debug, thiserror::Error)]
 pub enum BootstrapError {
-    /// Another voter has a fleet.
-    #[error("{0} already belongs to a fleet: this voter will be let in")]
+    /// Another voter already belongs to a fleet, which will admit this one.
+    #[error("{0} already belongs to a fleet, which will admit this voter")]
     FleetExists(ServerName),
     /// The settings do not name this server as a voter.
     #[error("this server is not among fleet.voters")]
     NotAVoter,
-    /// The data directory cannot be used, in words.
+    /// The data directory cannot be used; with a description of the error.
     #[error("{0}")]
     StorageUnavailable(String),
-    /// The consensus rejects it.
+    /// The consensus rejects the creation or recovery.
     #[error(transparent)]
     Consensus(#[from] ConsensusError),
 }
 
-/// One member of the fleet.
+/// One member of the fleet; see the module documentation.
 pub struct Node {
     config: NodeConfig,
     membership: Membership,
-    /// Voters only.
+    /// `None` if this member is not a configured voter.
     consensus: Option<Consensus<FleetState>>,
-    /// Why the data directory cannot be used, in words.
+    /// Description of the error that makes the data directory unusable.
     storage_error: Option<String>,
     rng: SmallRng,
-    /// The server's own load.
+    /// The last load set with [`Node::set_load`].
     load: Option<ReceivedReport>,
     phase: Phase,
     next_report_at: IntegerMillis,
-    /// The newest notification of a voter, and when it came.
+    /// The newest notification from a voter, and its time of receipt.
     last_notification: Option<(IntegerMillis, Notification)>,
     own_ticket: OwnTicket,
     requests: PendingRequests,
@@ -133,13 +133,13 @@
     duties: DutyClient,
     headroom: Headroom,
     effects: Vec<Effect>,
-    /// Messages that could not be read, or are another fleet's.
+    /// Number of messages that could not be decoded or belong to another fleet.
     pub malformed: u64,
 }
 
 impl Node {
-    /// A member that joins by the voters. `storage` has what must outlast it; a voter whose data directory cannot be used
-    /// continues without a vote.
+    /// Starts a member, which joins through the configured voters. `storage` holds the state that must
+    /// survive restarts; a voter whose storage cannot be used runs without participating in the consensus.
     pub fn start(config: NodeConfig, storage: Box<dyn Storage>, now: IntegerMillis) -> Node {
         let mut rng = SmallRng::seed_from_u64(config.seed);
         let is_voter = config.voters.iter().any(|(name, _)| *name == config.name);
@@ -149,9 +149,9 @@
             let consensus = Consensus::start(config.name.clone(), storage, seed, config.unix_millis, now);
             (consensus.incarnation(), Some(consensus))
         } else {
-            let counted = own_ticket::count_start(storage, config.unix_millis);
-            let counted = counted.map_err(|error: StorageError| storage_error = Some(error.to_string()));
-            (counted.unwrap_or(config.unix_millis), None)
+            let recorded = own_ticket::record_start(storage, config.unix_millis);
+            let recorded = recorded.map_err(|error: StorageError| storage_error = Some(error.to_string()));
+            (recorded.unwrap_or(config.unix_millis), None)
         };
         let (name, zone) = (config.name.clone(), config.zone.clone());
         let identity = MemberIdentity::new(name, zone, config.address, incarnation);
@@ -180,12 +180,12 @@
         }
     }
 
-    /// Who this member is.
+    /// This member's identity in the membership protocol.
     pub fn identity(&self) -> &MemberIdentity {
         self.membership.identity()
     }
 
-    /// This start of the server, as the issuer of commands.
+    /// This server as the issuer of commands.
     fn issuer(&self) -> Issuer {
         let identity = self.identity();
         Issuer::Server { name: identity.name.clone(), incarnation: identity.incarnation }
@@ -196,17 +196,17 @@
         &self.membership
     }
 
-    /// Tickets and rules, as this voter has applied them; none where it is not a voter.
+    /// Tickets and rules, as applied by this voter; `None` if it is not a voter.
     pub fn maintenance(&self) -> Option<&MaintenanceState> {
         self.fleet_state().map(|state| &state.maintenance)
     }
 
-    /// All that the fleet has agreed on, as this voter has applied it; none where it is not a voter.
+    /// The replicated state, as applied by this voter; `None` if it is not a voter.
     pub fn fleet_state(&self) -> Option<&FleetState> {
         self.consensus.as_ref().map(Consensus::machine)
     }
 
-    /// This voter's part in the log; none where it is not a voter.
+    /// This voter's consensus; `None` if it is not a voter.
     pub fn consensus(&self) -> Option<&Consensus<FleetState>> {
         self.consensus.as_ref()
     }
@@ -216,13 +216,14 @@
         self.consensus.as_ref().is_some_and(Consensus::is_leader)
     }
 
-    /// Who leads, as far as this member knows.
+    /// The leader known to this member, if any.
     pub fn leader(&self) -> Option<&ServerName> {
         let own = self.consensus.as_ref().filter(|consensus| consensus.replica().group != 0);
         own.and_then(Consensus::leader).or_else(|| self.last_notification.as_ref()?.1.leader.as_ref())
     }
 
-    /// Sets the server's load, every second or so. Without it this member reports nothing of itself.
+    /// Sets the server's load. It must be called about every second: without a recent load this member sends
+    /// no load reports.
     pub fn set_load(&mut self, now: IntegerMillis, load_report: LoadReport) {
         self.load = Some(ReceivedReport { at: now, report: load_report });
         if self.phase != Phase::Draining {
@@ -230,16 +231,17 @@
         }
     }
 
-    /// The server's last load report, if that is recent.
+    /// The server's last load report, if it is recent.
     fn own_load_report(&self, now: IntegerMillis) -> Option<LoadReport> {
         let ReceivedReport { at, report } = self.load?;
         is_report_recent(at, now).then_some(LoadReport { phase: self.phase, ..report })
     }
 
-    /// Takes a message's bytes, without the length.
+    /// Handles a received message, given without its length prefix.
     ///
     /// # Errors
-    /// It cannot be read: nothing after it on that stream is to be trusted.
+    /// The message cannot be decoded or belongs to another fleet: nothing after it on that stream can be
+    /// trusted.
     pub fn handle_message(&mut self, bytes: &[u8], now: IntegerMillis) -> Result<(), FrameError> {
         let message = wire::decode(&self.config.fleet, bytes).inspect_err(|_| self.malformed += 1)?;
         let Message { from, body, .. } = message;
@@ -264,7 +266,8 @@
         Ok(())
     }
 
-    /// Does what is due. To be called at [`Node::next_wake`] and after a sleep.
+    /// Performs all work that is due. Must be called at [`Node::next_wake`], and after a suspension of the
+    /// machine.
     pub fn tick(&mut self, now: IntegerMillis) {
         self.membership.tick(now);
         if let Some(consensus) = &mut self.consensus {
@@ -273,7 +276,7 @@
         if now >= self.next_report_at {
             self.next_report_at = now + REPORT_PERIOD_MILLIS;
             self.send_load_report(now);
-            // Only voters receive load reports.
+            // Only voters receive the load reports that the headroom is estimated from.
             if self.consensus.is_some() {
                 let members = self.member_views(now);
                 self.headroom.observe(now, &members);
@@ -286,7 +289,7 @@
         self.process_outputs(now);
     }
 
-    /// When something is due next.
+    /// The time of the next call of [`Node::tick`].
     pub fn next_wake(&self) -> IntegerMillis {
         let consensus = self.consensus.as_ref().map_or(IntegerMillis::MAX, Consensus::next_wake);
         let duties = if self.config.duties.is_some() { self.duties.next_wake() } else { IntegerMillis::MAX };
@@ -295,7 +298,8 @@
         wakes.into_iter().fold(self.next_report_at, IntegerMillis::min)
     }
 
-    /// Sends a request of this machine to the leader; its response comes as an effect.
+    /// Sends a request from this machine to the leader. The response is returned as [`Effect::Responded`]
+    /// with the id.
     pub fn submit(&mut self, request: FleetRequest, now: IntegerMillis) -> FleetRequestId {
         let id = self.rng.random();
         self.submit_as(id, request, now);
@@ -303,40 +307,41 @@
         id
     }
 
-    /// Creates a fleet with this voter alone.
+    /// Creates a fleet with this voter as its only member.
     ///
     /// # Errors
-    /// A fleet exists, or this member cannot be its voter.
+    /// A fleet exists already, or this member is not a voter with a usable data directory.
     pub fn bootstrap(&mut self, now: IntegerMillis) -> Result<(), BootstrapError> {
         let has_fleet = |replica: crate::member::Replica| replica.group != 0;
-        let other = self.membership.known().values().find(|known| known.replica.is_some_and(has_fleet));
-        if let Some(other) = other {
+        let existing = self.membership.known().values().find(|known| known.replica.is_some_and(has_fleet));
+        if let Some(other) = existing {
             return Err(BootstrapError::FleetExists(other.identity.name.clone()));
         }
         let group = self.rng.random();
-        self.voter()?.bootstrap(group)?;
+        self.consensus_mut()?.bootstrap(group)?;
         self.process_outputs(now);
         Ok(())
     }
 
-    /// Recreates the fleet from this voter's data directory, with this voter alone.
+    /// Recreates the fleet from this voter's data directory, with this voter as its only one.
     ///
     /// # Errors
     /// This voter never belonged to a fleet, or cannot use its data directory.
     pub fn recover(&mut self, now: IntegerMillis) -> Result<(), BootstrapError> {
         let group = self.rng.random();
-        self.voter()?.recover(group)?;
+        self.consensus_mut()?.recover(group)?;
         self.process_outputs(now);
         Ok(())
     }
 
-    fn voter(&mut self) -> Result<&mut Consensus<FleetState>, BootstrapError> {
+    /// The consensus, or the reason why this member has none.
+    fn consensus_mut(&mut self) -> Result<&mut Consensus<FleetState>, BootstrapError> {
         let error = self.storage_error.clone();
-        let missing = || error.map_or(BootstrapError::NotAVoter, BootstrapError::StorageUnavailable);
-        self.consensus.as_mut().ok_or_else(missing)
+        let unavailable = || error.map_or(BootstrapError::NotAVoter, BootstrapError::StorageUnavailable);
+        self.consensus.as_mut().ok_or_else(unavailable)
     }
 
-    /// What is to be done since this was last called.
+    /// Takes the effects to carry out, in order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
@@ -345,7 +350,7 @@
         self.effects.push(Effect::Log(text));
     }
 
-    /// All members as they are known here, this one included.
+    /// All members as known to this one, itself included.
     fn member_views(&self, now: IntegerMillis) -> BTreeMap<ServerName, MemberView> {
         let others = self.membership.known().iter().map(|(name, known)| {
             let view = MemberView {
@@ -370,20 +375,21 @@
         others.chain([(identity.name.clone(), own)]).collect()
     }
 
-    /// Logs when the data directory fails, and when it works again.
+    /// Logs when the consensus stops on an error, and when it resumes.
     fn log_storage_errors(&mut self) {
         let Some(consensus) = &self.consensus else { return };
         let error = consensus.error().map(ToString::to_string);
         if error != self.storage_error {
             self.log(match &error {
-                Some(reason) => format!("takes no part in the agreement: {reason}"),
-                None => "takes part in the agreement again".into(),
+                Some(reason) => format!("does not participate in the consensus: {reason}"),
+                None => "participates in the consensus again".into(),
             });
             self.storage_error = error;
         }
     }
 
-    /// Handles all that came of what was just done.
+    /// Processes the outputs of membership and consensus: sends messages, delivers responses and follows this
+    /// server's ticket.
     fn process_outputs(&mut self, now: IntegerMillis) {
         self.log_storage_errors();
         self.send_queued_packets();
@@ -404,8 +410,8 @@
                 self.notify_owners(now);
             }
         }
-        self.follow_own_ticket(now);
-        // What this proposed may have been committed at once, where there is one voter alone.
+        self.process_own_ticket(now);
+        // With a single voter, proposals made above are committed at once.
         if self.consensus.as_ref().is_some_and(Consensus::has_output) {
             self.process_outputs(now);
         }
--- a/crates/loomflow-fleet/src/node/outgoing.rs
+++ b/crates/loomflow-fleet/src/node/outgoing.rs
@@ -1,4 +1,5 @@
-//! What a member sends: load reports to the voters, notices to members, packets of the membership.
+//! Messages to other members: load reports to the voters, notifications to members, packets of the membership
+//! protocol.
 
 use std::net::SocketAddr;
 
@@ -9,7 +10,7 @@
 use crate::wire::{self, Body, Message, Notification};
 
 impl Node {
-    /// Voters by the settings, except this one.
+    /// The configured voters, except this server.
     pub(super) fn other_voters(&self) -> Vec<ServerName> {
         let names = self.config.voters.iter().map(|(name, _)| name);
         names.filter(|name| **name != self.config.name).cloned().collect()
@@ -27,7 +28,8 @@
         }
     }
 
-    /// Notifies a member of what this voter knows about it.
+    /// Replies to a member's load report with the leader and the member's ticket, if this voter belongs to a
+    /// fleet.
     pub(super) fn send_notification(&mut self, to: &ServerName, sent_at: IntegerMillis) {
         let has_fleet = |consensus: &&Consensus<_>| consensus.replica().group != 0;
         let Some(consensus) = self.consensus.as_ref().filter(has_fleet) else { return };
@@ -42,7 +44,7 @@
     }
 
     pub(super) fn handle_notification(&mut self, notification: Notification, now: IntegerMillis) {
-        // What was requested before a long stop may have changed since.
+        // The reply to a report that was sent before a long pause of this process may be outdated.
         if !own_ticket::is_notification_recent(notification.sent_at, now) {
             return;
         }
@@ -65,7 +67,7 @@
     }
 
     fn send_to(&mut self, to: &ServerName, address: SocketAddr, body: Body) {
-        let address = self.config.via.get(to).copied().unwrap_or(address);
+        let address = self.config.address_overrides.get(to).copied().unwrap_or(address);
         let message = Message { fleet: self.config.fleet.clone(), from: self.identity().clone(), body };
         if let Some(bytes) = wire::encode(&message) {
             self.effects.push(Effect::Send { to: to.clone(), address, bytes });
--- a/crates/loomflow-fleet/src/node/own_ticket.rs
+++ b/crates/loomflow-fleet/src/node/own_ticket.rs
@@ -1,5 +1,6 @@
-//! What a server does about a ticket of its own. It drains only on a begin that it knows to be committed, by a response or a
-//! notification that is recent by its own clock: what it receives after a long stop is requested again.
+//! A server's handling of its own ticket. It drains only when the start of its maintenance is known to be
+//! committed, by a response or notification that is recent by its own clock. After a long pause of the
+//! process it ignores older ones, and reports the start again.
 
 use rand::RngExt;
 
@@ -11,21 +12,22 @@
 use crate::member::{FleetRequestId, Incarnation, Phase};
 use crate::time::IntegerMillis;
 
-/// Maximum age of a response or notification that is relied on, from its request, ms. No timeout frees the place of a server
-/// that has begun, but an operator may abandon its ticket: this bounds how long after that a server that was suspended may
-/// still begin to drain.
+/// Maximum age of a response or notification that is relied on, counted from the sending of its request, ms.
+/// A maintenance slot in use has no timeout, but an operator may abandon its ticket: this bounds how long
+/// after that a suspended server may still start to drain.
 const MAX_NOTIFICATION_AGE_MILLIS: IntegerMillis = 2_000;
 
-/// Whether a response or notification to what was sent at `sent_at` is still relied on.
+/// Whether a response to a request, or a notification after a load report, that was sent at `sent_at` is
+/// still relied on.
 pub(super) fn is_notification_recent(sent_at: IntegerMillis, now: IntegerMillis) -> bool {
     now.saturating_sub(sent_at) <= MAX_NOTIFICATION_AGE_MILLIS
 }
 
-/// Counts this start in the data directory of a server that is not a voter.
+/// Stores and returns the incarnation of this start, for a server that is not a voter.
 ///
 /// # Errors
-/// The data directory cannot be used.
-pub(super) fn count_start(
+/// The storage cannot be read or written.
+pub(super) fn record_start(
     mut storage: Box<dyn Storage>,
     unix_millis: u64,
 ) -> Result<Incarnation, StorageError> {
@@ -36,23 +38,25 @@
     Ok(incarnation)
 }
 
-/// How far this server is with a ticket of its own.
+/// The progress of this server's own ticket.
 #[derive(Default)]
 pub(super) struct OwnTicket {
-    /// The begin that has no response yet: its request, and the grant that it takes up.
-    pending_begin: Option<(FleetRequestId, GrantNumber)>,
-    /// The ticket by which the server drains.
-    draining_by: Option<(TicketId, GrantNumber)>,
-    /// The report that it has drained, while that has no response.
+    /// The report that maintenance starts, while it has no response: its request and its grant. It stays set
+    /// after a rejection, so that the same grant is not reported again.
+    pending_start: Option<(FleetRequestId, GrantNumber)>,
+    /// The ticket and grant for which the server drains.
+    draining_ticket: Option<(TicketId, GrantNumber)>,
+    /// The report that the server has drained, while it has no response.
     pending_departure: Option<FleetRequestId>,
-    /// That report is answered, or has timed out.
+    /// Whether that report has a response or timed out, or none was needed.
     pub is_departure_reported: bool,
-    /// Every request that the server took is answered.
+    /// Whether the server has responded to every accepted request.
     pub has_drained: bool,
 }
 
 impl Node {
-    /// The ticket by which this server has a place, as far as is known here.
+    /// The ticket for which this server holds a maintenance slot: by its own state if it leads, otherwise by
+    /// a recent notification.
     fn own_ticket(&self, now: IntegerMillis) -> Option<Ticket> {
         if let Some(consensus) = self.consensus.as_ref().filter(|consensus| consensus.is_leader()) {
             return consensus.machine().maintenance.ticket_with_place(&self.config.name).cloned();
@@ -61,8 +65,8 @@
         is_notification_recent(notification.sent_at, now).then(|| notification.ticket.clone())?
     }
 
-    /// Takes up a grant, or drains on a begin that is committed.
-    pub(super) fn follow_own_ticket(&mut self, now: IntegerMillis) {
+    /// Reports the start of maintenance on a new grant, and drains once that is committed.
+    pub(super) fn process_own_ticket(&mut self, now: IntegerMillis) {
         if self.phase == Phase::Draining {
             return;
         }
@@ -70,21 +74,22 @@
         if ticket.incarnation != self.identity().incarnation {
             return;
         }
-        let is_new_grant = self.own_ticket.pending_begin.is_none_or(|(_, grant)| grant != ticket.grant);
+        let is_new_grant = self.own_ticket.pending_start.is_none_or(|(_, grant)| grant != ticket.grant);
         match ticket.stage {
             TicketStage::Granted if is_new_grant => {
                 let id = self.report_transition(ticket.id, ticket.grant, Transition::Begin, now);
-                self.own_ticket.pending_begin = Some((id, ticket.grant));
+                self.own_ticket.pending_start = Some((id, ticket.grant));
             }
-            // Committed, and the response was lost; or the server was declared dead before it received it.
+            // Committed, but the response was lost, or the server was declared down before it received it.
             TicketStage::Begun | TicketStage::Draining | TicketStage::Out | TicketStage::Overdue => {
-                self.drain_by_ticket(ticket.id, ticket.grant, now);
+                self.drain_for_ticket(ticket.id, ticket.grant, now);
             }
             _ => {}
         }
     }
 
-    /// Handles the response to a transition of this server's own ticket; true where it was one.
+    /// Handles the response to a transition of this server's own ticket. Returns false if the request was not
+    /// one.
     pub(super) fn handle_ticket_response(&mut self, received: &ReceivedResponse, now: IntegerMillis) -> bool {
         let ReceivedResponse { id, response, sent_at } = *received;
         if self.own_ticket.pending_departure == Some(id) {
@@ -92,34 +97,38 @@
             self.own_ticket.is_departure_reported = true;
             return true;
         }
-        let pending = self.own_ticket.pending_begin.filter(|(begin, _)| *begin == id);
+        let pending = self.own_ticket.pending_start.filter(|(request_id, _)| *request_id == id);
         let Some((_, grant)) = pending else { return false };
         match response {
             FleetResponse::Done(tickets) if is_notification_recent(sent_at, now) => {
                 if let Some(ticket) = tickets.first() {
-                    self.drain_by_ticket(*ticket, grant, now);
+                    self.drain_for_ticket(*ticket, grant, now);
                 }
             }
-            // Late, or nothing is known: what a recent notification shows is requested again.
+            // The response is late or there is no leader: the transition is reported again if a recent
+            // notification still shows the grant.
             FleetResponse::Done(_) | FleetResponse::Rejected(Rejection::NoLeader) => {
-                self.own_ticket.pending_begin = None;
+                self.own_ticket.pending_start = None;
+            }
+            FleetResponse::Rejected(rejection) => {
+                self.log(format!("maintenance under grant {grant} was not started: {rejection}"));
             }
-            FleetResponse::Rejected(rejection) => self.log(format!("a grant was not taken up: {rejection}")),
             _ => {}
         }
         true
     }
 
-    fn drain_by_ticket(&mut self, ticket: TicketId, grant: GrantNumber, now: IntegerMillis) {
+    fn drain_for_ticket(&mut self, ticket: TicketId, grant: GrantNumber, now: IntegerMillis) {
         self.phase = Phase::Draining;
-        self.own_ticket.draining_by = Some((ticket, grant));
+        self.own_ticket.draining_ticket = Some((ticket, grant));
         self.effects.push(Effect::Drain(ticket));
-        self.log(format!("ticket {ticket}: begun, this server leaves for work"));
+        self.log(format!("ticket {ticket}: maintenance started, draining this server"));
         self.report_transition(ticket, grant, Transition::Drain, now);
-        self.hand_everything_over(now);
+        self.transfer_duties_and_leadership(now);
     }
 
-    /// The server received SIGTERM from outside, and shuts down. Counted where it has no ticket for it.
+    /// Handles a SIGTERM from outside. Unless the server already drains, the shutdown is counted as one
+    /// without a ticket.
     pub fn begin_drain(&mut self, now: IntegerMillis) {
         if self.phase == Phase::Draining {
             return;
@@ -128,24 +137,25 @@
         let command = FleetCommand::DrainedWithoutTicket(self.config.name.clone());
         let request = FleetRequest::Execute { issuer: self.issuer(), command };
         self.submit(request, now);
-        self.hand_everything_over(now);
+        self.transfer_duties_and_leadership(now);
         self.process_outputs(now);
     }
 
-    /// Duties and leadership go to others, who learn at once that this server drains.
-    fn hand_everything_over(&mut self, now: IntegerMillis) {
+    /// Releases all duties, transfers leadership, and reports at once that this server drains.
+    fn transfer_duties_and_leadership(&mut self, now: IntegerMillis) {
         self.release_all_duties(now);
         self.transfer_leadership();
         self.send_load_report(now);
     }
 
-    /// Every request that the server took is answered. Reports that it is out; see [`Node::is_finished`].
+    /// Records that the server has responded to every accepted request, and reports that it shuts down if it
+    /// has a ticket. The process may exit once [`Node::is_finished`].
     pub fn drained(&mut self, now: IntegerMillis) {
         self.phase = Phase::Draining;
         self.own_ticket.has_drained = true;
         self.send_load_report(now);
         self.end_session_when_idle(now);
-        match self.own_ticket.draining_by {
+        match self.own_ticket.draining_ticket {
             Some((ticket, grant)) => {
                 let id = self.report_transition(ticket, grant, Transition::Depart, now);
                 self.own_ticket.pending_departure = Some(id);
@@ -155,12 +165,12 @@
         self.process_outputs(now);
     }
 
-    /// Whether the process may exit with nothing left to report.
+    /// Whether a drained server has nothing left to report, so that the process may exit.
     pub fn is_finished(&self) -> bool {
         self.own_ticket.is_departure_reported && self.duties.is_session_ended()
     }
 
-    /// Leaves the membership; the last thing before the process exits.
+    /// Leaves the membership. Must be the last call before the process exits.
     pub fn leave(&mut self, now: IntegerMillis) {
         self.membership.leave(now);
         self.process_outputs(now);
--- a/crates/loomflow-fleet/src/node/requests.rs
+++ b/crates/loomflow-fleet/src/node/requests.rs
@@ -1,5 +1,5 @@
-//! Requests on their way to the leader, and responses on their way back. A request is retried under its id until it is
-//! answered or times out, and the log applies it once.
+//! Forwarding of requests to the leader and of responses to their senders. A request is retried with the same
+//! id until it has a response or times out; the log applies it once.
 
 use std::collections::BTreeMap;
 
@@ -12,16 +12,16 @@
 use crate::time::IntegerMillis;
 use crate::wire::Body;
 
-/// A request without a response is sent again after this, to another voter, ms.
+/// Time without a response after which a request is sent again, to another voter, ms.
 const RETRY_AFTER_MILLIS: IntegerMillis = 700;
-/// A request without a response fails after this, ms.
+/// Time without a response after which a request fails, ms.
 pub const REQUEST_TIMEOUT_MILLIS: IntegerMillis = 10_000;
-/// Requests of others that are remembered until their response comes.
-const MAX_FORWARDED: usize = 4_096;
-/// Requests of our own at once.
-const MAX_OWN: usize = 1_024;
+/// Maximum number of requests whose return address is stored.
+const MAX_FORWARDED_REQUESTS: usize = 4_096;
+/// Maximum number of this member's own pending requests.
+const MAX_OWN_REQUESTS: usize = 1_024;
 
-/// A request of our own.
+/// A request of this member without a response.
 struct PendingRequest {
     request: FleetRequest,
     retry_at: IntegerMillis,
@@ -29,23 +29,23 @@
     attempts: usize,
 }
 
-/// A response to a request of our own.
+/// The response to a request of this member.
 pub(super) struct ReceivedResponse<'a> {
-    /// The request.
+    /// Id of the request.
     pub id: FleetRequestId,
-    /// Its response.
+    /// The leader's response.
     pub response: &'a FleetResponse,
-    /// When the request was sent first.
+    /// Time at which the request was first sent.
     pub sent_at: IntegerMillis,
 }
 
-/// Where a response is to go.
+/// The member to which the response to a request is sent.
 struct ReturnAddress {
     member: ServerName,
     expires_at: IntegerMillis,
 }
 
-/// Requests that have no response yet.
+/// Requests without a response: of this member, and forwarded or accepted for others.
 #[derive(Default)]
 pub(super) struct PendingRequests {
     own: BTreeMap<FleetRequestId, PendingRequest>,
@@ -53,7 +53,7 @@
 }
 
 impl PendingRequests {
-    /// When something is due next.
+    /// The time of the next retry or timeout of an own request.
     pub fn next_wake(&self) -> IntegerMillis {
         let wakes = self.own.values().map(|pending| pending.retry_at.min(pending.expires_at));
         wakes.min().unwrap_or(IntegerMillis::MAX)
@@ -61,9 +61,10 @@
 }
 
 impl Node {
+    /// Sends a request to the leader under the given id. It is rejected at once if too many are pending.
     pub(super) fn submit_as(&mut self, id: FleetRequestId, request: FleetRequest, now: IntegerMillis) {
-        if self.requests.own.len() >= MAX_OWN {
-            let rejection = Rejection::TooMany(MAX_OWN as u32);
+        if self.requests.own.len() >= MAX_OWN_REQUESTS {
+            let rejection = Rejection::TooMany(MAX_OWN_REQUESTS as u32);
             self.effects.push(Effect::Responded(id, FleetResponse::Rejected(rejection)));
             return;
         }
@@ -73,12 +74,12 @@
         self.send_request(id, now);
     }
 
-    /// The response to a request of our own is no longer wanted.
+    /// Stops retrying a request of this member, and ignores its response.
     pub(super) fn cancel_request(&mut self, id: FleetRequestId) {
         self.requests.own.remove(&id);
     }
 
-    /// Sends requests again that have no response, and fails those that timed out.
+    /// Retries and fails own requests that are due, and forgets expired return addresses.
     pub(super) fn retry_requests(&mut self, now: IntegerMillis) {
         let due: Vec<(FleetRequestId, bool)> = self
             .requests
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Handles another member's request, or one of our own where this member leads.
+    /// Handles a request of another member, or one of this member if it leads: executes or forwards it.
     pub(super) fn handle_request(
         &mut self,
         from: ServerName,
@@ -122,7 +123,7 @@
         request: FleetRequest,
         now: IntegerMillis,
     ) {
-        if self.requests.forwarded.len() < MAX_FORWARDED {
+        if self.requests.forwarded.len() < MAX_FORWARDED_REQUESTS {
             let expires_at = now + REQUEST_TIMEOUT_MILLIS;
             self.requests.forwarded.insert(id, ReturnAddress { member: from, expires_at });
         }
@@ -135,7 +136,7 @@
         }
     }
 
-    /// The leader's part: commands are proposed, everything else is answered at once.
+    /// Executes a request on the leader: commands are proposed, queries are responded to at once.
     fn execute_request(&mut self, id: FleetRequestId, request: FleetRequest, now: IntegerMillis) {
         match request {
             FleetRequest::Execute {
@@ -148,20 +149,20 @@
                     *successor = self.choose_successor(duty, now);
                 }
                 let entry = Entry { id, at: self.fleet_time(now), issuer, command };
-                // What is not taken now is sent again by whoever wants it.
+                // The sender retries a proposal that was not accepted.
                 if self.propose(&entry) == Err(ProposeError::NotLeader) {
                     self.requests.forwarded.remove(&id);
                 }
             }
             query => {
-                if let Some(response) = self.answer_query(&query, now) {
+                if let Some(response) = self.respond_to_query(&query, now) {
                     self.deliver_response(id, response, now);
                 }
             }
         }
     }
 
-    /// Sends a response to whoever sent the request.
+    /// Sends a response to the sender of the request.
     pub(super) fn deliver_response(
         &mut self,
         id: FleetRequestId,
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Handles a response: to a request of our own, or to pass on.
+    /// Handles the response to a request of this member, or forwards it to the sender of the request.
     pub(super) fn handle_response(
         &mut self,
         id: FleetRequestId,
@@ -202,8 +203,9 @@
     }
 }
 
-/// The receiver of a request. Odd attempts go to the leader where one is known, all others to the other voters in turn, since
-/// the known leader may be outdated. `attempts`: how often the request was sent, this attempt included.
+/// Chooses the receiver of a request. Odd attempts go to the leader if one is known, all others to the other
+/// voters in turn, since the known leader may be outdated. `attempts` counts the attempts so far, this one
+/// included.
 fn receiver_of_attempt(
     attempts: usize,
     leader: Option<ServerName>,
--- a/crates/loomflow-fleet/src/node/requests/tests.rs
+++ b/crates/loomflow-fleet/src/node/requests/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn attempts_alternate_between_the_leader_and_the_voters_in_turn() {
+fn attempts_alternate_between_the_leader_and_the_other_voters() {
     let voters = ["a", "b"].map(ServerName::from);
     let receivers = |leader: Option<&str>| -> Vec<Option<ServerName>> {
         (1..=4).map(|attempts| receiver_of_attempt(attempts, leader.map(ServerName::from), &voters)).collect()
--- a/crates/loomflow-fleet/src/node/status.rs
+++ b/crates/loomflow-fleet/src/node/status.rs
@@ -1,4 +1,4 @@
-//! The fleet as operators see it.
+//! Responses to queries: the fleet's status, tickets, explanations, duties and campaigns.
 
 use super::Node;
 use crate::command::{FleetRequest, FleetResponse};
@@ -17,8 +17,9 @@
 const MAX_HISTORY_IN_RESPONSE: usize = 500;
 
 impl Node {
-    /// The response to a query, as far as this member knows. None where it knows nothing of it.
-    pub fn answer_query(&self, request: &FleetRequest, now: IntegerMillis) -> Option<FleetResponse> {
+    /// Responds to a query from this member's state. Returns `None` for commands, and for queries of the
+    /// replicated state if this member is not a voter.
+    pub fn respond_to_query(&self, request: &FleetRequest, now: IntegerMillis) -> Option<FleetResponse> {
         match request {
             FleetRequest::Execute { .. } => None,
             FleetRequest::Status => Some(FleetResponse::Status(Box::new(self.status(now)))),
@@ -56,7 +57,7 @@
         Some(view.explain(server))
     }
 
-    /// The fleet as this member sees it; from the leader only where this one leads.
+    /// The fleet's status as this member sees it; it may be outdated unless this member leads.
     pub fn status(&self, now: IntegerMillis) -> FleetStatus {
         let empty = MaintenanceState::default();
         let maintenance = self.maintenance().unwrap_or(&empty);
@@ -94,8 +95,8 @@
         let known = self.membership.get(&name);
         let last_report = known.map_or(self.load, |known| known.load_report);
         let ticket = maintenance.ticket_with_place(&name).map(|ticket| (ticket.id, ticket.stage));
-        let has_begun = ticket.is_some_and(|(_, stage)| stage != TicketStage::Granted);
-        let is_out = has_begun && !view.is_alive();
+        let has_started = ticket.is_some_and(|(_, stage)| stage != TicketStage::Granted);
+        let is_out = has_started && !view.is_alive();
         MemberRow {
             zone: view.zone,
             address: known.map_or(self.config.address, |known| known.identity.address).to_string(),
--- a/crates/loomflow-server/src/fleet/node_config.rs
+++ b/crates/loomflow-server/src/fleet/node_config.rs
@@ -21,7 +21,7 @@
         zone: options.zone.clone(),
         address: options.advertised_address(),
         voters: options.voters.iter().map(|voter| (voter.name.clone(), voter.address)).collect(),
-        via: options.via.clone(),
+        address_overrides: options.via.clone(),
         rules: rules(options),
         duties: options.duties.as_ref().map(duty_config),
         // Numbers that are drawn must not come again after a restart.
