--- a/crates/loomflow-fleet/src/consensus/error.rs
+++ b/crates/loomflow-fleet/src/consensus/error.rs
@@ -42,7 +42,7 @@
     #[error(transparent)]
     Protobuf(#[from] protobuf::ProtobufError),
     /// The payload of a snapshot cannot be decoded.
-    #[error("snapshot: {0}")]
+    #[error("the payload of a snapshot cannot be decoded: {0}")]
     SnapshotData(postcard::Error),
     /// The state machine in a snapshot cannot be decoded.
     #[error(transparent)]
--- a/crates/loomflow-fleet/src/consensus/tests.rs
+++ b/crates/loomflow-fleet/src/consensus/tests.rs
@@ -23,11 +23,11 @@
     let replica = consensus.replica();
     assert!(consensus.is_leader());
     consensus.step(&"n1".into(), GROUP + 1, &heartbeat_response(replica.id));
-    assert_eq!((consensus.replica(), consensus.rejected), (replica, 1), "another group");
+    assert_eq!((consensus.replica(), consensus.rejected), (replica, 1), "message for another group");
     consensus.step(&"n1".into(), GROUP, &heartbeat_response(replica.id + 1));
-    assert_eq!((consensus.replica(), consensus.rejected), (replica, 2), "another replica");
+    assert_eq!((consensus.replica(), consensus.rejected), (replica, 2), "message for another replica");
     consensus.step(&"n1".into(), GROUP, b"not a message");
-    assert_eq!(consensus.rejected, 3, "unreadable");
+    assert_eq!(consensus.rejected, 3, "malformed message");
     assert!(consensus.is_leader());
 }
 
@@ -37,7 +37,7 @@
         Consensus::start("n0".into(), Box::new(MemoryStorage::default()), 7, 1, 0);
     let id = consensus.replica().id;
     consensus.step(&"n1".into(), GROUP, &heartbeat_response(id + 1));
-    assert_eq!((consensus.replica().group, consensus.rejected), (0, 1), "for another replica");
+    assert_eq!((consensus.replica().group, consensus.rejected), (0, 1), "message for another replica");
     consensus.step(&"n1".into(), GROUP, &heartbeat_response(id));
     assert_eq!(consensus.replica().group, GROUP);
     assert!(matches!(consensus.bootstrap(GROUP + 1), Err(ConsensusError::AlreadyInFleet)));
--- a/crates/loomflow-fleet/src/membership/tests.rs
+++ b/crates/loomflow-fleet/src/membership/tests.rs
@@ -91,7 +91,7 @@
     fn millis_until(&mut self, state: MemberState) -> IntegerMillis {
         let start = self.now;
         while self.state() != Some(state) {
-            assert!(self.now < start + 60_000, "still {:?}", self.state());
+            assert!(self.now < start + 60_000, "the state is still {:?} after 60 s", self.state());
             self.step();
         }
         self.now - start
@@ -104,12 +104,12 @@
     assert_eq!(pair.state(), Some(MemberState::Serving));
     pair.is_connected = false;
     let until_suspect = pair.millis_until(MemberState::Suspect);
-    assert!((500..=3_000).contains(&until_suspect), "{until_suspect} ms");
+    assert!((500..=3_000).contains(&until_suspect), "suspect after {until_suspect} ms");
     let until_down = pair.millis_until(MemberState::Down);
-    assert!((3_500..=4_500).contains(&until_down), "{until_down} ms");
+    assert!((3_500..=4_500).contains(&until_down), "down {until_down} ms later");
     pair.is_connected = true;
     let until_serving = pair.millis_until(MemberState::Serving);
-    assert!(until_serving <= 5_000, "{until_serving} ms");
+    assert!(until_serving <= 5_000, "serving again after {until_serving} ms");
 }
 
 /// Guards against suspicions that never end: a member that was declared down renews its identity, and the
@@ -141,7 +141,7 @@
     let hour = 3_600_000;
     for (at, is_known) in [(since + hour - 1, true), (since + hour + 1_000, false)] {
         pair.members[0].tick(at);
-        assert_eq!(pair.known().is_some(), is_known, "at {at}");
+        assert_eq!(pair.known().is_some(), is_known, "{} ms after it was down", at - since);
     }
 }
 
@@ -176,7 +176,7 @@
     };
     let delays: Vec<IntegerMillis> = cluster.sent.iter().filter_map(delay).collect();
     assert!(!delays.is_empty(), "no probe was repeated through another member");
-    assert!(delays.iter().all(|delay| *delay == 500), "{delays:?} ms");
+    assert!(delays.iter().all(|delay| *delay == 500), "delays of the indirect probes: {delays:?} ms");
 }
 
 #[test]
@@ -192,8 +192,11 @@
         |packet: &&SentPacket| packet.from == 0 && packet.to == "c" && packet.message == Message::Announce;
     let announced_at: Vec<IntegerMillis> =
         cluster.sent.iter().filter(is_announcement).map(|packet| packet.at).collect();
-    assert_eq!(announced_at.len(), 10, "{announced_at:?}");
-    assert!(announced_at.windows(2).all(|pair| pair[1] - pair[0] == 3_000), "{announced_at:?}");
+    assert_eq!(announced_at.len(), 10, "announced at {announced_at:?} ms");
+    assert!(
+        announced_at.windows(2).all(|pair| pair[1] - pair[0] == 3_000),
+        "announced at {announced_at:?} ms"
+    );
 }
 
 /// The states are read with the first packet or timer after the period; these occur at least every 200 ms.
@@ -211,7 +214,10 @@
             }
         }
         let gaps: Vec<IntegerMillis> = read_at.windows(2).map(|pair| pair[1] - pair[0]).collect();
-        assert!(gaps.len() > 5, "{gaps:?}");
-        assert!(gaps.iter().all(|gap| (period..=period + 200).contains(gap)), "{gaps:?}");
+        assert!(gaps.len() > 5, "intervals of member {member}: {gaps:?} ms");
+        assert!(
+            gaps.iter().all(|gap| (period..=period + 200).contains(gap)),
+            "intervals of member {member}: {gaps:?} ms"
+        );
     }
 }
