--- a/crates/loomflow-server/tests/amqp.rs
+++ b/crates/loomflow-server/tests/amqp.rs
@@ -1,5 +1,5 @@
-//! The AMQP interface of a server process, between a test broker that misbehaves on command and a test engine that counts
-//! runs: each message is run at most once, answered, and settled.
+//! The AMQP interface of a server process, with a test broker that injects faults and a test engine that counts runs: each
+//! message is run at most once, gets a reply and is settled.
 
 mod common;
 
@@ -11,9 +11,9 @@
 use loomflow_test_servers::broker::{AMQPFrame, Broker, Message, Settled, message};
 use loomflow_test_servers::*;
 
-const WORK: Duration = Duration::from_millis(5);
+const RUN_DURATION: Duration = Duration::from_millis(5);
 
-/// Options of a server that consumes the queue `jobs`; `more` are further lines of the section.
+/// Options of a server that consumes the queue `jobs`; `more` holds additional lines of the `amqp` section.
 fn options(brokers: &[&Broker], more: &str) -> String {
     let brokers: Vec<String> = brokers.iter().map(|broker| format!("\"{}\"", broker.address)).collect();
     format!(
@@ -23,12 +23,12 @@
     )
 }
 
-/// A broker with the queues of the tests, and an engine with this number of cores.
+/// Starts a broker with the queues of the tests, and an engine with `cores` cores.
 fn start_peers(cores: usize) -> (Broker, AutonomousEngine) {
-    (Broker::with_jobs(), AutonomousEngine::start(cores, WORK))
+    (Broker::with_jobs(), AutonomousEngine::start(cores, RUN_DURATION))
 }
 
-/// Starts a server with options.
+/// Starts a server with an options file.
 fn serve(options: &str, worker: &AutonomousEngine) -> ServerFixture {
     ServerFixture::start_with(site(LONG_TIMEOUT), options, worker)
 }
@@ -39,6 +39,7 @@
     (broker, worker, fixture)
 }
 
+/// A message with id `j<id>` and a reply to `replies` under the correlation id `c-j<id>`.
 fn job(id: usize) -> Message {
     let id = format!("j{id}");
     message("jobs", &id, id.as_bytes()).reply_to("replies", &format!("c-{id}"))
@@ -50,12 +51,12 @@
     }
 }
 
-/// The next reply.
+/// Takes the next message of the queue `replies`.
 fn next_reply(broker: &Broker) -> Message {
     broker.wait_for_messages("replies", 1).swap_remove(0)
 }
 
-/// The next message of the dead-letter queue.
+/// Takes the next message of the dead-letter queue.
 fn next_dead_letter(broker: &Broker) -> Message {
     broker.wait_for_messages("dead", 1).swap_remove(0)
 }
@@ -64,7 +65,7 @@
     message.header_text("x-loomflow-reason")
 }
 
-/// Expects that a reply reports a failure of a run whose effect is unknown.
+/// Expects a reply that reports a failure and that the message may have run.
 fn expect_uncertain_failure(reply: &Message) {
     let ran = reply.header_text("x-loomflow-ran");
     assert_eq!((reply.kind().as_str(), ran.as_deref()), ("failed", Some("perhaps")));
@@ -75,14 +76,14 @@
     assert!(counts.values().all(|count| *count == 1), "{counts:?}");
 }
 
-/// Expects that this many jobs ran, each once, and that none was dead-lettered.
+/// Expects that `count` jobs ran, each once, and that none was dead-lettered.
 fn expect_run_once(broker: &Broker, worker: &AutonomousEngine, count: usize) {
     expect_no_run_twice(worker);
     assert_eq!(worker.run_count(), count);
     assert!(broker.take("dead").is_empty());
 }
 
-/// Expects that each of the jobs ran once, was answered once and was settled.
+/// Expects that each of `count` jobs ran once, got one reply and was settled.
 fn expect_all_served_once(broker: &Broker, worker: &AutonomousEngine, count: usize) {
     broker.wait_until_empty("jobs");
     let replies = broker.wait_for_messages("replies", count);
@@ -96,12 +97,12 @@
 }
 
 #[test]
-fn messages_run_once_and_are_answered_confirmed_and_acked() {
+fn messages_run_once_get_a_reply_and_are_acked() {
     let (broker, worker, _fixture) = start_serving();
     publish_jobs(&broker, 0..200);
     expect_all_served_once(&broker, &worker, 200);
     let settled = broker.with_state(|state| state.settled.clone());
-    assert_eq!(settled.iter().filter(|(_, how)| *how == Settled::Acked).count(), 200);
+    assert_eq!(settled.iter().filter(|(_, outcome)| *outcome == Settled::Acked).count(), 200);
     assert_eq!(settled.len(), 200);
 }
 
@@ -113,14 +114,14 @@
     worker.wait_for_runs(1);
     // All unacknowledged messages are delivered again while their runs are open.
     broker.disconnect_all();
-    broker.wait_until("it is redelivered", |state| state.unacked("jobs") > 0);
+    broker.wait_until("the message is redelivered", |state| state.unacked("jobs") > 0);
     worker.set_held(false);
     expect_all_served_once(&broker, &worker, 6);
 }
 
-/// While the first message is open, and once it has been served.
+/// Both while the first message with a key is open and after it has been served.
 #[test]
-fn a_key_of_another_tenant_is_distinct_and_a_different_body_is_rejected() {
+fn keys_are_per_tenant_and_reject_another_body() {
     let (broker, worker) = start_peers(4);
     let publish = |tenant: &str, body: &[u8], name: &str| {
         broker.publish(message("jobs", "k", body).header("tenant", tenant).reply_to("replies", name));
@@ -150,9 +151,9 @@
 }
 
 #[test]
-fn a_confirmed_reply_is_not_repeated_when_only_the_ack_was_lost() {
+fn a_lost_ack_does_not_repeat_a_confirmed_reply() {
     let (broker, worker, _fixture) = start_serving();
-    // A message whose ack was lost counts against the prefetch limit, which starts at one and grows to two.
+    // A message whose ack was lost still counts towards the prefetch limit, which starts at one and grows to two.
     broker.faults(|faults| faults.forget_acks = 2);
     publish_jobs(&broker, 0..2);
     assert_eq!(broker.wait_for_messages("replies", 2).len(), 2);
@@ -175,7 +176,7 @@
     assert_eq!((reply.kind().as_str(), headers), ("failed", ["out-of-time", "no"].map(str::to_owned)));
     assert!(reply.header_text("x-loomflow-holdoff").is_some());
     assert_eq!(reason(&next_dead_letter(&broker)).as_deref(), Some("out-of-time"));
-    // A message that was sent just now, one by a clock that is ahead, and one without a time are run.
+    // A message sent just now, one with a timestamp in the future and one without a timestamp are run.
     broker.publish(job(2).with_sent_time());
     broker.publish(job(3).with_number_header("timestamp_in_ms", i64::MAX));
     broker.publish(job(4));
@@ -185,20 +186,20 @@
 }
 
 #[test]
-fn a_channel_closed_between_publish_and_confirm_loses_nothing() {
+fn an_unconfirmed_reply_is_resent_without_a_second_run() {
     let (broker, worker, _fixture) = start_serving();
     broker.faults(|faults| faults.unconfirmed = 1);
     broker.publish(job(1));
     let first = next_reply(&broker);
     broker.disconnect_all();
-    // The server cannot know whether the broker took the first reply: it is sent twice, and the job runs once.
+    // Without a confirm the broker may not have the reply: the server sends it again and does not run the job again.
     assert_eq!(next_reply(&broker).body, first.body);
     broker.wait_until_empty("jobs");
     assert_eq!(worker.run_count(), 1);
 }
 
 #[test]
-fn after_a_restart_a_redelivered_effect_is_dead_lettered_as_unknown() {
+fn a_run_interrupted_by_a_kill_is_dead_lettered_as_unknown() {
     let (broker, worker, mut fixture) = start_serving();
     worker.set_held(true);
     broker.publish(job(1));
@@ -206,7 +207,7 @@
     fixture.kill();
     worker.set_held(false);
     worker.server_died();
-    broker.wait_until("it is redelivered", |state| state.ready("jobs") == 1);
+    broker.wait_until("the message is redelivered", |state| state.ready("jobs") == 1);
     fixture.start(SERVE);
     let dead = next_dead_letter(&broker);
     assert_eq!(reason(&dead).as_deref(), Some("run-unknown"));
@@ -227,9 +228,9 @@
 }
 
 #[test]
-fn two_deliveries_of_one_message_run_once_and_each_caller_is_answered() {
+fn duplicate_messages_run_once_and_each_caller_gets_a_reply() {
     let (broker, worker, _fixture) = start_serving();
-    // The prefetch limit grows as messages are served.
+    // Serving 60 messages raises the prefetch limit enough to deliver the next four at once.
     publish_jobs(&broker, 100..160);
     broker.wait_for_messages("replies", 60);
     worker.set_held(true);
@@ -255,7 +256,7 @@
     assert_eq!(reason(&dead).as_deref(), Some("may-have-run"));
     assert_eq!((dead.body.as_slice(), dead.correlation().as_str()), (&b"j1"[..], "c-j1"));
     expect_uncertain_failure(&next_reply(&broker));
-    // A repeat gets the same reply.
+    // A message with the same id gets the same reply.
     broker.publish(job(1));
     assert_eq!(next_reply(&broker).kind(), "failed");
     assert_eq!(worker.run_count(), 1);
@@ -282,13 +283,13 @@
 }
 
 #[test]
-fn deeply_nested_tables_close_the_connection_and_not_the_server() {
+fn deeply_nested_tables_close_only_the_connection() {
     let (broker, worker, mut fixture) = start_serving();
     broker.publish(job(1));
     broker.wait_for_messages("replies", 1);
     let before = broker.with_state(|state| state.connections()[0]);
     broker.send_bytes(&deeply_nested_header());
-    broker.wait_until("it has reconnected", |state| {
+    broker.wait_until("the server has reconnected", |state| {
         state.consumers("jobs") > 0 && state.connections()[0] != before
     });
     broker.publish(job(2));
@@ -296,12 +297,12 @@
     assert!(fixture.is_running() && worker.run_count() == 2);
 }
 
-/// The frame of a content header with 3,000 nested tables.
+/// A content header frame with 3,000 nested tables.
 fn deeply_nested_header() -> Vec<u8> {
     let mut payload = [0, 60, 0, 0, 0, 0, 0, 0, 0, 0, 0, 5, 0x20, 0].to_vec();
-    for inner in (0..=3_000_u32).rev() {
-        payload.extend((inner * 7).to_be_bytes());
-        payload.extend(if inner > 0 { &b"\x01aF"[..] } else { &[] });
+    for depth in (0..=3_000_u32).rev() {
+        payload.extend((depth * 7).to_be_bytes());
+        payload.extend(if depth > 0 { &b"\x01aF"[..] } else { &[] });
     }
     let mut frame = [2, 0, 2].to_vec();
     frame.extend((payload.len() as u32).to_be_bytes());
@@ -311,25 +312,26 @@
 }
 
 #[test]
-fn after_frames_out_of_order_the_connection_is_reopened_and_nothing_runs_twice() {
+fn malformed_frames_reopen_the_connection_without_a_second_run() {
     let too_long = [&[1, 0, 2][..], &1_000_000_u32.to_be_bytes()].concat();
     let malformed: [&[u8]; 6] = [
         b"HTTP/1.1 400 Bad Request\r\n",
         &too_long,
-        // A heartbeat without its end, a body without a header, a header without a method, a delivery on channel 1.
+        // A heartbeat without its end octet, a body without a header, a header without a method, and a truncated cancel-ok
+        // on channel 9, which is not open.
         &[8, 0, 0, 0, 0, 0, 0, 0],
         &[3, 0, 2, 0, 0, 0, 1, b'x', 0xCE],
         &[2, 0, 2, 0, 0, 0, 14, 0, 60, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0xCE],
         &[1, 0, 9, 0, 0, 0, 4, 0, 60, 0, 31, 0xCE],
     ];
     let (broker, worker, mut fixture) = start_serving();
-    for (at, bytes) in malformed.iter().enumerate() {
-        broker.publish(job(at));
+    for (id, bytes) in malformed.iter().enumerate() {
+        broker.publish(job(id));
         broker.send_bytes(bytes);
-        broker.wait_until("it is connected again", |s| s.consumers("jobs") > 0);
+        broker.wait_until("the server consumes again", |s| s.consumers("jobs") > 0);
     }
     broker.wait_until_empty("jobs");
-    broker.wait_until("all are answered", |state| state.ready("replies") >= malformed.len());
+    broker.wait_until("all have a reply", |state| state.ready("replies") >= malformed.len());
     expect_no_run_twice(&worker);
     assert!(fixture.is_running());
     // An acknowledgement of a message that was never published is ignored.
@@ -347,7 +349,7 @@
 }
 
 #[test]
-fn a_nacked_or_unroutable_publish_is_retried_or_dead_lettered() {
+fn a_nacked_reply_is_retried_and_an_unroutable_one_is_settled() {
     let (broker, worker, _fixture) = start_serving();
     broker.faults(|faults| faults.nack = 2);
     publish_jobs(&broker, 0..3);
@@ -364,10 +366,10 @@
     broker.publish(job(0));
     broker.wait_for_messages("replies", 1);
     broker.with_state(|state| state.block(true));
-    // A consumer that was being started when the broker blocked is cancelled once it is registered.
-    broker.wait_until("it consumes no more", |state| state.consumers("jobs") == 0);
+    // A consumer that was being registered when the broker blocked is cancelled once it is registered.
+    broker.wait_until("the server has no consumer", |state| state.consumers("jobs") == 0);
     std::thread::sleep(QUIET_PERIOD);
-    broker.wait_until("it consumes no more", |state| state.consumers("jobs") == 0);
+    broker.wait_until("the server has no consumer", |state| state.consumers("jobs") == 0);
     publish_jobs(&broker, 1..50);
     std::thread::sleep(QUIET_PERIOD);
     assert_eq!((worker.run_count(), broker.with_state(|s| s.ready("jobs"))), (1, 49));
@@ -398,7 +400,7 @@
 fn several_brokers_are_tried_in_turn() {
     let (one, other) = (Broker::with_jobs(), Broker::with_jobs());
     one.refuse_connections(true);
-    let worker = AutonomousEngine::start(2, WORK);
+    let worker = AutonomousEngine::start(2, RUN_DURATION);
     let _fixture = serve(&options(&[&one, &other], ""), &worker);
     other.publish(job(1));
     assert_eq!(other.wait_for_messages("replies", 1).len(), 1);
@@ -415,12 +417,12 @@
     for queue in ["jobs", "dead", "replies"] {
         broker.declare(queue);
     }
-    let worker = AutonomousEngine::start(2, WORK);
+    let worker = AutonomousEngine::start(2, RUN_DURATION);
     let fixture = serve(&options(&[&broker], ""), &worker);
     broker.publish(message("jobs", "long", &[7; 10_000]).reply_to("replies", "c"));
     assert_eq!(next_reply(&broker).body, result_of(&[7; 10_000]));
     broker.set_stalled(true);
-    broker.wait_until("it has reconnected", |state| {
+    broker.wait_until("the server has reconnected", |state| {
         state.connections().len() != 1 || state.connections()[0] > 1
     });
     broker.set_stalled(false);
@@ -428,7 +430,7 @@
 }
 
 #[test]
-fn draining_settles_runs_requeues_the_rest_and_closes_in_order() {
+fn draining_settles_runs_and_requeues_the_rest() {
     let (broker, worker, mut fixture) = start_serving();
     publish_jobs(&broker, 0..40);
     broker.wait_for_messages("replies", 40);
@@ -438,17 +440,17 @@
     fixture.terminate();
     assert_eq!(fixture.exit_code(), Some(0));
     let replies = broker.take("replies");
-    assert_eq!(replies.len(), worker.run_count() - 40, "one reply for each run");
+    assert_eq!(replies.len(), worker.run_count() - 40, "replies and runs");
     assert!(replies.iter().all(|reply| reply.kind() == "served"));
-    // The other messages are in their queue, not marked as redelivered.
-    let left = broker.take("jobs");
-    assert_eq!(left.len() + worker.run_count(), 70);
-    assert!(left.iter().all(|message| !message.redelivered));
+    // The other messages are back in their queue and not marked as redelivered.
+    let requeued = broker.take("jobs");
+    assert_eq!(requeued.len() + worker.run_count(), 70);
+    assert!(requeued.iter().all(|message| !message.redelivered));
     assert!(broker.take("dead").is_empty());
 }
 
 #[test]
-fn draining_ends_in_time_when_the_channel_closes_or_the_broker_stops_reading() {
+fn draining_ends_in_time_despite_broker_faults() {
     for stalls in [false, true] {
         let (broker, worker, mut fixture) = start_serving();
         worker.set_held(true);
@@ -468,24 +470,24 @@
 }
 
 #[test]
-fn a_wrong_password_is_logged_without_naming_it_and_retried_with_backoff() {
+fn a_login_failure_is_logged_without_the_password() {
     let broker = Broker::with_jobs();
     broker.with_state(|state| state.password = "another".into());
-    let worker = AutonomousEngine::start(1, WORK);
+    let worker = AutonomousEngine::start(1, RUN_DURATION);
     let fixture = serve(&options(&[&broker], ""), &worker);
     fixture.wait_for_log("403");
     assert!(!fixture.log().contains("guest"), "{}", fixture.log());
 }
 
 #[test]
-fn the_log_is_json_if_the_options_set_it() {
+fn log_format_json_writes_json_lines() {
     let (broker, worker) = start_peers(1);
     let text = format!("log: {{format: json}}\n{}", options(&[&broker], ""));
     let fixture = serve(&text, &worker);
     broker.publish(job(1));
     broker.wait_for_messages("replies", 1);
     for line in fixture.log().lines() {
-        let line: serde_json::Value = serde_json::from_str(line).expect("an object a line");
+        let line: serde_json::Value = serde_json::from_str(line).expect("each line is a JSON object");
         assert!(line["message"].is_string() && line["timestamp"].is_string(), "{line}");
     }
     assert!(fixture.log().contains("connected to the broker"));
@@ -508,7 +510,7 @@
         60
     );
     assert!(fixture.log().contains("404"), "{}", fixture.log());
-    // Once it is declared it is consumed, too.
+    // The server consumes the queue once it is declared.
     broker.declare("late");
     broker.publish(message("late", "l", b"l").reply_to("replies", "l"));
     assert_eq!(next_reply(&broker).kind(), "served");
@@ -541,7 +543,7 @@
     let _fixture = serve(&options(&[&broker], ""), &worker);
     worker.wait_for_runs(1);
     std::thread::sleep(QUIET_PERIOD);
-    // The prefetch limit is one until a message was served.
+    // The prefetch limit stays at one until a message has been served.
     assert_eq!(broker.with_state(|state| (state.max_unacked, state.ready("jobs"))), (1, 4_999));
     worker.set_held(false);
     broker.wait_until("some are served", |state| state.ready("replies") >= 200);
@@ -549,23 +551,23 @@
 }
 
 #[test]
-fn without_options_there_is_no_amqp_front() {
-    let worker = AutonomousEngine::start(1, WORK);
+fn no_amqp_connection_without_options() {
+    let worker = AutonomousEngine::start(1, RUN_DURATION);
     let sockets = |fixture: &ServerFixture| {
-        let held = std::fs::read_dir(format!("/proc/{}/fd", fixture.pid())).expect("its descriptors");
-        let link = |one: std::io::Result<std::fs::DirEntry>| std::fs::read_link(one.ok()?.path()).ok();
-        held.filter_map(link).filter(|to| to.to_string_lossy().starts_with("socket:")).count()
+        let fds = std::fs::read_dir(format!("/proc/{}/fd", fixture.pid())).expect("/proc/PID/fd is readable");
+        let link = |entry: std::io::Result<std::fs::DirEntry>| std::fs::read_link(entry.ok()?.path()).ok();
+        fds.filter_map(link).filter(|target| target.to_string_lossy().starts_with("socket:")).count()
     };
     let off = serve("", &worker);
     let broker = Broker::with_jobs();
-    let on = serve(&options(&[&broker], ""), &AutonomousEngine::start(1, WORK));
-    broker.wait_until("it consumes", |state| state.consumers("jobs") > 0);
-    // The gateways that waited for service are closed some time later; one connection is the whole difference.
-    let until = std::time::Instant::now() + RESPONSE_TIMEOUT;
+    let on = serve(&options(&[&broker], ""), &AutonomousEngine::start(1, RUN_DURATION));
+    broker.wait_until("the server consumes", |state| state.consumers("jobs") > 0);
+    // The gateways used for the start are closed after a while; then the broker's connection is the only difference.
+    let deadline = std::time::Instant::now() + RESPONSE_TIMEOUT;
     while sockets(&on) != sockets(&off) + 1 {
         assert!(
-            std::time::Instant::now() < until,
-            "{} with the front, {} without",
+            std::time::Instant::now() < deadline,
+            "{} sockets with AMQP, {} without",
             sockets(&on),
             sockets(&off)
         );
@@ -574,7 +576,7 @@
 }
 
 #[test]
-fn results_go_to_their_exchange_and_dead_letters_default_to_those_of_the_queue() {
+fn results_use_their_exchange_and_dead_letters_the_queue_default() {
     let (broker, worker) = start_peers(2);
     broker.with_state(|state| {
         state.declare("jobs", Some(("", "queue's own")));
--- a/crates/loomflow-server/tests/command_line.rs
+++ b/crates/loomflow-server/tests/command_line.rs
@@ -1,5 +1,5 @@
-//! The command line and the check of the configuration: each error is named on one line, with the right exit code, and an
-//! address in use is awaited.
+//! Command line and configuration check: each error is reported on one line with its exit code, and startup waits for an
+//! address that is in use.
 
 mod common;
 
@@ -18,11 +18,12 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-/// What `check-config` says of a configuration, and its exit code.
+/// Runs `check-config` on a configuration; returns its standard error and exit code. If the check fails, `serve` must fail
+/// in the same way.
 fn check(name: &str, text: &str) -> (String, Option<i32>) {
     let file = std::env::temp_dir().join(format!("loomflow-check-{}-{name}.json", std::process::id()));
     std::fs::write(&file, text).expect("the configuration is written");
-    let path = file.to_str().expect("a path");
+    let path = file.to_str().expect("the path is UTF-8");
     let output = loomflow(&["check-config", "--config", path]);
     let served = (output.status.code() != Some(0)).then(|| loomflow(&["serve", "--config", path]));
     let _ = std::fs::remove_file(&file);
@@ -37,7 +38,7 @@
 }
 
 #[test]
-fn a_valid_configuration_is_reported_good_and_unknown_keys_are_ignored() {
+fn a_valid_configuration_with_unknown_keys_passes() {
     let mut config = valid_config();
     config["new"] = json!({"a": [1]});
     config["settings"]["Domain"]["New"] = json!(true);
@@ -48,7 +49,7 @@
 fn each_error_names_its_key_on_one_line() {
     let with_value = |path: &str, value: Value| {
         let mut config = valid_config();
-        *config.pointer_mut(path).expect("a key") = value;
+        *config.pointer_mut(path).expect("the configuration has the key") = value;
         config
     };
     let cases = [
@@ -73,8 +74,8 @@
         (with_value("/settings/Domain/Gauges", json!([1])), "settings.Domain.Gauges"),
         (with_value("/settings/Rules", Value::Null), "settings.Rules"),
     ];
-    for (at, (config, key)) in cases.into_iter().enumerate() {
-        let (output, code) = check(&format!("fault-{at}"), &config.to_string());
+    for (number, (config, key)) in cases.into_iter().enumerate() {
+        let (output, code) = check(&format!("fault-{number}"), &config.to_string());
         assert_eq!((output.lines().count(), code), (1, Some(1)), "{key}: {output}");
         assert!(output.contains(&format!("{key}: ")), "{key}: {output}");
     }
@@ -91,33 +92,33 @@
 }
 
 #[test]
-fn an_unavailable_address_is_named() {
+fn startup_fails_if_the_address_stays_in_use() {
     let mut fixture = ServerFixture::new(site(1000.0));
-    let taken = std::net::TcpListener::bind(fixture.listen).expect("the address");
+    let listener = std::net::TcpListener::bind(fixture.listen).expect("the address is free");
     fixture.start(SERVE);
     assert_eq!(fixture.exit_code(), Some(1));
-    // One line as it begins to wait, and one as it gives up; both name the address.
+    // One line when it starts to wait and one when it gives up; both name the address.
     let log = fixture.complete_log();
     let lines: Vec<&str> = log.lines().collect();
     let (waits, gives_up) = ("the address is in use: waiting for it", "listen: cannot bind");
     assert!(lines.len() == 2 && lines[0].contains(waits) && lines[1].contains(gives_up), "{log}");
     assert!(lines.iter().all(|line| line.contains(&fixture.listen.to_string())), "{log}");
-    drop(taken);
+    drop(listener);
 }
 
 #[test]
-fn an_address_that_becomes_available_is_awaited() {
+fn startup_waits_until_the_address_is_free() {
     let mut fixture = ServerFixture::new(site(1000.0));
-    let taken = std::net::TcpListener::bind(fixture.listen).expect("the address");
+    let listener = std::net::TcpListener::bind(fixture.listen).expect("the address is free");
     fixture.start(SERVE);
     std::thread::sleep(QUIET_PERIOD);
     assert!(fixture.is_running());
-    release(taken);
+    release(listener);
     idle_gateway(&fixture);
 }
 
 #[test]
-fn an_invalid_command_line_prints_the_usage_and_exits_with_2() {
+fn an_invalid_command_line_prints_usage_and_exits_2() {
     for args in
         [&[][..], &["dance"], &["serve"], &["serve", "--loud"], &["serve", "--config"], &["version", "x"]]
     {
--- a/crates/loomflow-server/tests/common/fleet.rs
+++ b/crates/loomflow-server/tests/common/fleet.rs
@@ -1,4 +1,4 @@
-//! Plans, link faults and steps of the tests with a fleet of server processes.
+//! Fleet plans, link faults and test steps for fleets of server processes.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 use super::idle_gateway;
 
-/// Messages pass unchanged.
+/// Delivers every message at once and unchanged.
 pub const NO_FAULT: LinkFault = LinkFault {
     is_cut: false,
     is_stalled: false,
@@ -17,15 +17,15 @@
     reordered: 0.0,
     delay: Duration::ZERO,
 };
-/// Messages are dropped.
+/// Drops every message.
 pub const PARTITIONED: LinkFault = LinkFault { is_cut: true, ..NO_FAULT };
-/// Messages are held back.
+/// Holds every message back until the fault is removed.
 pub const STALLED: LinkFault = LinkFault { is_stalled: true, ..NO_FAULT };
-/// Messages are late, and some are lost, duplicated or reordered.
+/// Delays every message by 20 ms; loses 10 %, duplicates 20 % and reorders 20 % of them.
 pub const LOSSY: LinkFault =
     LinkFault { lost: 0.1, duplicated: 0.2, reordered: 0.2, delay: Duration::from_millis(20), ..NO_FAULT };
 
-/// Three voters and one more server; one may be out.
+/// Three voters and one non-voter; one server may be out of service at a time.
 pub const FOUR_MEMBERS: Plan = Plan {
     members: 4,
     zones: 1,
@@ -34,49 +34,49 @@
     work: Duration::from_millis(5),
     seed: 1,
 };
-/// The members that vote.
+/// Indices of the voters.
 pub const VOTERS: [usize; 3] = [0, 1, 2];
-/// The member that does not vote.
+/// Index of the member that does not vote.
 pub const NON_VOTER: usize = 3;
 
-/// The JSON that a command printed; null if it printed none.
+/// Parses the JSON output of a command; null if it is not JSON.
 pub fn json(output: &str) -> Value {
     serde_json::from_str(output).unwrap_or(Value::Null)
 }
 
-/// Expects that a command of the operators succeeds.
-pub fn expect_success(fleet: &Fleet, member: usize, words: &[&str]) {
-    let (code, output, errors) = fleet.run_command(member, words);
-    assert_eq!(code, 0, "{words:?}: {output}{errors}");
+/// Expects that an operator's command exits with 0.
+pub fn expect_success(fleet: &Fleet, member: usize, args: &[&str]) {
+    let (code, output, errors) = fleet.run_command(member, args);
+    assert_eq!(code, 0, "{args:?}: {output}{errors}");
 }
 
-/// Expects that a command of the operators fails.
-pub fn expect_rejection(fleet: &Fleet, member: usize, words: &[&str]) {
-    let (code, output, errors) = fleet.run_command(member, words);
-    assert_eq!(code, 1, "{words:?}: {output}{errors}");
+/// Expects that an operator's command exits with 1.
+pub fn expect_rejection(fleet: &Fleet, member: usize, args: &[&str]) {
+    let (code, output, errors) = fleet.run_command(member, args);
+    assert_eq!(code, 1, "{args:?}: {output}{errors}");
 }
 
-/// Sets the fault of the links from each voter to a member.
+/// Sets the fault on the links from all voters to a member.
 pub fn set_faults_from_voters(fleet: &mut Fleet, member: usize, fault: LinkFault) {
     for voter in VOTERS {
         fleet.set_link_fault(voter, member, fault);
     }
 }
 
-/// Waits until a ticket has a stage, as a member reports it.
+/// Waits until `observer` reports that a ticket has reached a stage.
 pub fn wait_for_stage(fleet: &Fleet, observer: usize, ticket: u64, stage: &str) {
     let condition = format!("ticket {ticket} is {stage}");
     fleet.wait_until(&condition, |fleet| fleet.stage(observer, ticket) == stage);
 }
 
-/// Waits until a member reports another leader than the former one.
+/// Waits until `observer` reports a leader other than `former`.
 pub fn wait_for_new_leader(fleet: &Fleet, observer: usize, former: usize) {
     fleet.wait_until("another member leads", |fleet| {
         fleet.leader(observer).is_some_and(|leader| leader != former)
     });
 }
 
-/// Waits until a server has drained for its ticket, restarts it, and waits until the ticket is done.
+/// Waits until a server exits for its ticket, restarts it, and waits until the ticket is done.
 pub fn drain_and_restart(fleet: &mut Fleet, member: usize, observer: usize, ticket: u64) {
     assert_eq!(fleet.wait_for_exit(member), Some(0), "{}", fleet.diagnostics());
     fleet.start_member(member);
--- a/crates/loomflow-server/tests/common/mod.rs
+++ b/crates/loomflow-server/tests/common/mod.rs
@@ -1,21 +1,22 @@
-//! Set-up and steps that several tests share.
+//! Setup and test steps shared by the integration tests.
 
-#![allow(dead_code, reason = "each test file uses a part of them")]
+#![allow(dead_code, reason = "each test file uses only some of these items")]
 
 pub mod fleet;
 
 use loomflow_test_servers::*;
 
-/// A timeout of requests, in ms, that no test reaches.
+/// Request timeout in ms that no test reaches.
 pub const LONG_TIMEOUT: f64 = 20_000.0;
-/// The shell command that starts a server.
+/// Shell command that starts the server; `$0` is the path of its program.
 pub const SERVE: &str = "exec \"$0\" serve";
-/// The end of a report to the control plane.
+/// Body of a report to the control plane that the server is ready.
 const READY_REPORT: &str = "{\"condition\":\"Ready\"}";
 
 // ---- Servers ----
 
-/// Starts a server with a scripted engine after a change of its configuration; returns the engine's connection.
+/// Starts a server with a scripted engine; `configure` changes the configuration before the start. Returns the engine's
+/// connection, too.
 pub fn start_configured(
     settings: serde_json::Value,
     configure: impl FnOnce(&mut ServerFixture),
@@ -28,7 +29,7 @@
     (fixture, engine)
 }
 
-/// Starts a server without an answer to its engine's connection, which is returned.
+/// Starts a server whose `ATTACH` to the engine has no response yet; returns that connection, too.
 pub fn start_unattached() -> (ServerFixture, PeerConnection) {
     let mut fixture = ServerFixture::new(site(LONG_TIMEOUT));
     fixture.start(SERVE);
@@ -36,33 +37,33 @@
     (fixture, engine)
 }
 
-/// Accepts the server's next connection to the engine, which has to begin with this line.
+/// Accepts the server's next connection to the engine, whose first line must be `line`.
 pub fn attach(fixture: &ServerFixture, line: &str) -> PeerConnection {
     let engine = fixture.engine.link();
     engine.accept_attach(line);
     engine
 }
 
-/// Replaces the configuration file, requests a reload, and waits for a line of the log.
+/// Replaces the configuration file, sends SIGHUP and waits until the log contains `line`.
 pub fn reload(fixture: &ServerFixture, config: &serde_json::Value, line: &str) {
     fixture.write(&config.to_string());
     fixture.signal("HUP");
     fixture.wait_for_log(line);
 }
 
-/// Requests a shutdown, which a gateway has to learn by its next message.
+/// Sends SIGTERM; the gateway's next message must be `BYE`.
 pub fn shut_down(fixture: &ServerFixture, gateway: &mut Gateway) {
     fixture.terminate();
-    expect_goodbye(gateway);
+    expect_bye(gateway);
 }
 
-/// Closes connections; the server has to end by itself.
+/// Closes connections; the server must then exit with code 0.
 pub fn expect_exit<T>(fixture: &mut ServerFixture, connections: T) {
     drop(connections);
     assert_eq!(fixture.exit_code(), Some(0));
 }
 
-/// Expects the next report to the control plane.
+/// Expects that the next report to the control plane says the server is ready.
 pub fn expect_ready_report(control: &Control) {
     let report = control.report();
     assert!(report.ends_with(READY_REPORT), "{report}");
@@ -75,18 +76,18 @@
     engine.expect("RUN").word(1).to_owned()
 }
 
-/// Sends a request, which has to be run next; returns its attempt id.
+/// Sends a request, which must be the next run; returns its attempt id.
 pub fn start_run(gateway: &mut Gateway, engine: &PeerConnection, tag: u64, class: &str) -> String {
     let id = gateway.call(tag, class, b"x");
     assert_eq!(expect_run(engine), id);
     id
 }
 
-/// Ends a run with the engine's notice of this number; its result has to be the next response.
+/// Ends a run by the engine's notice `number`; the next response must carry its result.
 pub fn finish_run(gateway: &mut Gateway, engine: &PeerConnection, number: u64, id: &str) {
     engine.send_done(number, id, b"y");
-    let answer = gateway.response();
-    assert_eq!((answer.status.as_str(), answer.body.as_slice()), ("OK", &b"y"[..]));
+    let response = gateway.response();
+    assert_eq!((response.status.as_str(), response.body.as_slice()), ("OK", &b"y"[..]));
 }
 
 /// Runs a request from its arrival to its response.
@@ -95,8 +96,8 @@
     finish_run(gateway, engine, number, &id);
 }
 
-/// Answers the call that a request makes on a new connection, and waits until its run has the reply.
-pub fn answer_call(ledger: &OpenLedger, engine: &PeerConnection, id: &str) -> PeerConnection {
+/// Replies to a request's call, which must come on a new connection, and waits until the reply is fed to its run.
+pub fn reply_to_call(ledger: &OpenLedger, engine: &PeerConnection, id: &str) -> PeerConnection {
     let connection = ledger.link();
     let post = connection.expect("post");
     assert_eq!((post.word(1), post.body.as_slice()), (id, &b"call"[..]));
@@ -105,19 +106,19 @@
     connection
 }
 
-/// Two open requests of one gateway: one runs, and the run of the other waits for the reply to its first call.
+/// Two open requests of one gateway: the first one runs, the second one waits for the reply to a call.
 pub struct OpenRequests {
-    /// The gateway that sent them; the tags are 1 and 2.
+    /// Gateway that sent them, with tags 1 and 2.
     pub gateway: Gateway,
-    /// Attempt id of the one that runs.
+    /// Attempt id of the request that runs.
     pub running: String,
-    /// Attempt id of the one that waits, whose call was the engine's first notice.
+    /// Attempt id of the request that waits; its `NEED` was the engine's notice 1.
     pub calling: String,
-    /// The connection of the call.
+    /// Connection to the ledger on which the call is open.
     pub call: PeerConnection,
 }
 
-/// Sends two requests, the first of this class, and makes the second call the ledger.
+/// Sends a request of `class` and a `pay` request, and makes the second one call the ledger.
 pub fn start_open_requests(
     fixture: &ServerFixture,
     engine: &PeerConnection,
@@ -135,39 +136,38 @@
 
 // ---- Gateways ----
 
-/// Expects a goodbye as the next message.
-pub fn expect_goodbye(gateway: &mut Gateway) {
-    let goodbye = gateway.response();
-    assert_eq!((goodbye.tag, goodbye.status.as_str()), (0, "BYE"));
+/// Expects `BYE` as the next message.
+pub fn expect_bye(gateway: &mut Gateway) {
+    let bye = gateway.response();
+    assert_eq!((bye.tag, bye.status.as_str()), (0, "BYE"));
 }
 
-/// Expects the response to a request, as the next message.
+/// Expects a response with this tag and status as the next message.
 pub fn expect_status(gateway: &mut Gateway, tag: u64, status: &str) {
-    let answer = gateway.response();
-    assert_eq!((answer.tag, answer.status.as_str()), (tag, status));
+    let response = gateway.response();
+    assert_eq!((response.tag, response.status.as_str()), (tag, status));
 }
 
-/// Sends a health check, which has to succeed.
+/// Sends a health check without `real` and expects `UP`.
 pub fn check_health(gateway: &mut Gateway, tag: u64) {
     gateway.send(&health(tag, false));
     expect_status(gateway, tag, "UP");
 }
 
-/// A gateway that has had a response and is idle.
+/// Opens a gateway connection that has received a response and has no open request.
 pub fn idle_gateway(fixture: &ServerFixture) -> Gateway {
     let mut gateway = fixture.gateway();
     check_health(&mut gateway, 1);
     gateway
 }
 
-/// The next responses, by their tags.
+/// Receives `count` responses and sorts them by tag.
 pub fn responses_by_tag(gateway: &mut Gateway, count: u64) -> Vec<GatewayResponse> {
     let mut responses: Vec<GatewayResponse> = (0..count).map(|_| gateway.response()).collect();
     responses.sort_by_key(|response| response.tag);
     responses
 }
 
-/// The tags of responses.
 pub fn tags(responses: &[GatewayResponse]) -> Vec<u64> {
     responses.iter().map(|response| response.tag).collect()
 }
--- a/crates/loomflow-server/tests/control_plane.rs
+++ b/crates/loomflow-server/tests/control_plane.rs
@@ -1,5 +1,5 @@
-//! Reports of a server process to a control plane that is down, slow or closes its connections, that rejects reports, or
-//! whose response never ends.
+//! Reports of a server process to a control plane that is down, is slow, closes connections, rejects reports, or sends a
+//! response without an end.
 
 mod common;
 
@@ -7,14 +7,14 @@
 use loomflow_test_servers::*;
 
 #[test]
-fn reports_continue_when_the_control_plane_is_slow_disconnects_or_rejects() {
+fn reports_continue_after_control_plane_faults() {
     let (mut fixture, _engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let report = "PUT /v2/endpoints/n3 HTTP/1.1 {\"condition\":\"Ready\"}";
     assert_eq!(fixture.control.report(), report);
-    for answer in
+    for response in
         ["", "HTTP/1.1 20", "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "no HTTP at all\r\n\r\n"]
     {
-        fixture.control.set_response(answer);
+        fixture.control.set_response(response);
         fixture.control.forget();
         assert_eq!(fixture.control.report(), report);
         assert_eq!(fixture.control.report(), report);
@@ -25,23 +25,23 @@
 }
 
 #[test]
-fn a_control_plane_that_was_down_is_reconnected_without_affecting_service() {
+fn a_control_plane_outage_does_not_affect_service() {
     let mut fixture = ServerFixture::new(site(LONG_TIMEOUT));
-    // An address that refuses connections.
-    let down = fixture.ledger.address;
-    fixture.config["control"] = down.to_string().into();
+    // Nobody listens at this address, so connections are refused.
+    let address = fixture.ledger.address;
+    fixture.config["control"] = address.to_string().into();
     fixture.start(SERVE);
     let engine = attach(&fixture, "ATTACH 0");
     std::thread::sleep(QUIET_PERIOD);
     let mut gateway = fixture.gateway();
     serve_request(&mut gateway, &engine, 1, "read", 1);
-    let control = Control::at(std::net::TcpListener::bind(down).expect("its address"));
+    let control = Control::at(std::net::TcpListener::bind(address).expect("the address is free"));
     expect_ready_report(&control);
 }
 
-/// Each read brings a part of the response, which never ends: the timeout is that of the whole exchange.
+/// Every read returns more of a response that never ends, so the timeout must apply to the whole exchange, not to a read.
 #[test]
-fn an_endless_response_of_the_control_plane_blocks_neither_reload_nor_shutdown() {
+fn an_endless_report_response_does_not_block_reload_or_shutdown() {
     for endless_response in ["HTTP/1.1 102 Processing\r\n\r\n", "H"] {
         let mut fixture = ServerFixture::new(site(LONG_TIMEOUT));
         let endless = Control::endless(endless_response);
--- a/crates/loomflow-server/tests/short_days.rs
+++ b/crates/loomflow-server/tests/event_ordering.rs
@@ -1,5 +1,5 @@
-//! Orders of events that are rare in production, each forced between scripted peers (`docs/design/crossings.md`): reload and
-//! drain, a kill after an accept, split messages, late responses of the control plane, a silent engine.
+//! Event orders that are rare in production, forced with scripted peers (`docs/design/crossings.md`): a drain right after a
+//! reload, a kill right after an accept, split messages, late responses of the control plane, and a silent engine.
 
 mod common;
 
@@ -9,8 +9,8 @@
 use common::*;
 use loomflow_test_servers::*;
 
-/// Ends each run that the server sends to a moved engine, until this many have ended. The run that made a call is not started
-/// again: it continues with the reply.
+/// Ends the runs that the server sends to a moved engine, until `count` have ended. The run `calling` must not be started
+/// again; it ends when the reply to its call is fed.
 fn end_runs(engine: &PeerConnection, calling: &str, count: usize) {
     let (mut ended, mut number) = (BTreeSet::new(), 1);
     while ended.len() < count {
@@ -19,7 +19,7 @@
         let ends = match line.word(0) {
             "FEED" => id == calling,
             "RUN" => id != calling,
-            other => panic!("{other} is not expected"),
+            other => panic!("{other} is neither RUN nor FEED"),
         };
         if ends && ended.insert(id.clone()) {
             number += 1;
@@ -28,7 +28,7 @@
     }
 }
 
-/// No request is lost, whether it is queued, runs or waits for its call, and each is answered once.
+/// Each request, whether queued, running or waiting for the reply to its call, is answered once.
 #[test]
 fn a_reload_followed_by_a_drain_answers_all_open_requests() {
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
@@ -53,9 +53,9 @@
     expect_exit(&mut fixture, gateway);
 }
 
-/// However much of a request was received: the next process knows nothing of it, and serves.
+/// The process is killed with none, a part or all of a request received. The next process does not run it, and serves.
 #[test]
-fn a_process_killed_right_after_an_accept_is_replaced_by_one_that_serves() {
+fn a_restart_after_a_kill_on_accept_serves() {
     let mut fixture = ServerFixture::new(site(LONG_TIMEOUT));
     let request = call(1, "pay", &fields(&next_attempt_id()), b"x");
     for sent in [0, 20, request.len()] {
@@ -66,7 +66,7 @@
         gateway.send(&request[..sent]);
         fixture.kill();
         gateway.expect_closed();
-        // The next process reads notices from the first one, and repeats no command of the killed one.
+        // The next process asks for notices from the first one on, and repeats no command of the killed process.
         fixture.start(SERVE);
         let engine = attach(&fixture, "ATTACH 0");
         engine.expect_quiet();
@@ -76,25 +76,25 @@
     }
 }
 
-/// Every form of a message that the protocol allows, with its tag and the status of its response.
+/// Messages in every form that the protocol allows, each with its tag and the status of its response.
 fn message_forms() -> Vec<(Vec<u8>, u64, &'static str)> {
-    let plain = || fields(&next_attempt_id());
-    let reversed = || plain().split(',').rev().collect::<Vec<_>>().join(",");
-    let without_work = || plain().replace("ms=12.50,", "");
-    let whole_numbers = || plain().replace("need=24.5", "need=24").replace("level=0.6250", "level=0");
-    let without_body = |tag: &str| array(&[b"RPC.CALL", tag.as_bytes(), b"read", plain().as_bytes()]);
+    let all_fields = || fields(&next_attempt_id());
+    let reversed = || all_fields().split(',').rev().collect::<Vec<_>>().join(",");
+    let without_work = || all_fields().replace("ms=12.50,", "");
+    let whole_numbers = || all_fields().replace("need=24.5", "need=24").replace("level=0.6250", "level=0");
+    let without_body = |tag: &str| array(&[b"RPC.CALL", tag.as_bytes(), b"read", all_fields().as_bytes()]);
     vec![
-        (call(1, "read", &plain(), b"body"), 1, "OK"),
-        (call(2, "pay", &plain(), b""), 2, "OK"),
+        (call(1, "read", &all_fields(), b"body"), 1, "OK"),
+        (call(2, "pay", &all_fields(), b""), 2, "OK"),
         (without_body("3"), 3, "OK"),
-        (call(4, "book", &format!("{},opkey=k", plain()), b"*1\r\n$4\r\nbody\r\n"), 4, "OK"),
-        (call(5, "read", &format!("{},subject=7f3a9c21e0b4d655", plain()), &[0; 2048]), 5, "OK"),
+        (call(4, "book", &format!("{},opkey=k", all_fields()), b"*1\r\n$4\r\nbody\r\n"), 4, "OK"),
+        (call(5, "read", &format!("{},subject=7f3a9c21e0b4d655", all_fields()), &[0; 2048]), 5, "OK"),
         (call(6, "read", &reversed(), b"\r\n"), 6, "OK"),
-        // The expected work is an estimate, and may be absent.
+        // The expected work (`ms`) is an estimate and optional.
         (call(7, "read", &without_work(), b"x"), 7, "OK"),
         (call(8, "read", &whole_numbers(), b"x"), 8, "OK"),
-        // An unknown field.
-        (call(9, "read", &format!("colour=red,{}", plain()), b"x"), 9, "OK"),
+        // Unknown fields are ignored.
+        (call(9, "read", &format!("colour=red,{}", all_fields()), b"x"), 9, "OK"),
         (health(10, true), 10, "UP"),
         (health(11, false), 11, "UP"),
         (array(&[b"RPC.HEALTH", b"12"]), 12, "UP"),
@@ -102,7 +102,7 @@
     ]
 }
 
-/// A server with an engine that runs requests by itself.
+/// Starts a server with an engine that runs requests by itself.
 fn start_with_worker() -> (ServerFixture, AutonomousEngine) {
     let worker = AutonomousEngine::start(4, Duration::from_millis(1));
     let mut fixture = ServerFixture::new(site(LONG_TIMEOUT));
@@ -111,46 +111,49 @@
 }
 
 #[test]
-fn fragmented_requests_are_answered_on_every_site() {
+fn fragmented_requests_are_answered() {
     let (fixture, _worker) = start_with_worker();
     for size in [1, 2, 3, 5, 16, 61, 700, usize::MAX] {
         let forms = message_forms();
         let bytes: Vec<u8> = forms.iter().flat_map(|(bytes, ..)| bytes.clone()).collect();
         let mut gateway = fixture.gateway();
         bytes.chunks(size.min(bytes.len())).for_each(|part| gateway.send(part));
-        let mut answers: Vec<(u64, String)> =
-            forms.iter().map(|_| gateway.response()).map(|answer| (answer.tag, answer.status)).collect();
-        answers.sort();
+        let mut responses: Vec<(u64, String)> = forms
+            .iter()
+            .map(|_| gateway.response())
+            .map(|response| (response.tag, response.status))
+            .collect();
+        responses.sort();
         let expected: Vec<(u64, String)> =
             forms.iter().map(|(_, tag, status)| (*tag, (*status).to_owned())).collect();
-        assert_eq!(answers, expected, "in parts of {size} bytes");
+        assert_eq!(responses, expected, "responses to messages in parts of {size} bytes");
     }
 }
 
-/// The server has read the first part before the second is sent.
+/// A health check of another gateway ensures that the server has read the first part before the second one is sent.
 #[test]
-fn a_request_split_at_any_byte_is_answered_on_every_site() {
+fn a_request_split_at_any_byte_is_answered() {
     let (fixture, _worker) = start_with_worker();
     let mut other = fixture.gateway();
     let mut checks = 0;
     for (number, form) in (0..message_forms().len()).zip(1_usize..) {
         let mut gateway = fixture.gateway();
         let length = message_forms()[number].0.len();
-        // Each form is split at other places; all forms together are split at all of them.
+        // Each form is split at every seventh byte; the offsets of successive forms differ, and together cover all seven.
         for at in (form % 7..length).step_by(7) {
-            // Each message has an attempt id of its own.
+            // Each message needs a new attempt id.
             let (bytes, tag, status) = message_forms().swap_remove(number);
             gateway.send(&bytes[..at]);
             checks += 1;
             check_health(&mut other, checks);
             gateway.send(&bytes[at..]);
-            let answer = gateway.response();
-            assert_eq!((answer.tag, answer.status.as_str()), (tag, status), "split at {at}");
+            let response = gateway.response();
+            assert_eq!((response.tag, response.status.as_str()), (tag, status), "split at {at}");
         }
     }
 }
 
-/// The control plane stops responding, and responds to several reports at once, late or twice.
+/// The control plane sends no response, then several at once, late or twice.
 #[test]
 fn reports_continue_past_silent_late_or_batched_responses() {
     const ONE: &str = "HTTP/1.1 204 No Content\r\n\r\n";
@@ -168,9 +171,9 @@
     assert!(fixture.is_running());
 }
 
-/// There are no requests, and none of the peers listens.
+/// Without requests and with no peer listening, the server must neither spin, leak descriptors nor flood its log.
 #[test]
-fn an_idle_process_waits_quietly_and_shuts_down_on_request() {
+fn an_idle_server_without_peers_does_not_spin() {
     let mut fixture = ServerFixture::new(site(LONG_TIMEOUT));
     for peer in ["engine", "ledger", "control"] {
         fixture.config[peer] = loopback_address().to_string().into();
@@ -197,7 +200,7 @@
     }
     let runs: Vec<String> = (0..4).map(|_| expect_run(&engine)).collect();
     expect_each_answered_once(&mut gateway, 6);
-    // Results that come later change nothing for these requests, and free the capacity of their runs.
+    // Late results free the capacity of their runs and cause no second response.
     for (id, number) in runs.iter().zip(1..) {
         engine.send_done(number, id, b"late");
     }
@@ -209,7 +212,7 @@
         }
     }
     engine.send_done(5, &id, b"y");
-    let answer = gateway.response();
-    assert_eq!((answer.tag, answer.body.as_slice()), (7, &b"y"[..]));
+    let response = gateway.response();
+    assert_eq!((response.tag, response.body.as_slice()), (7, &b"y"[..]));
     assert!(fixture.is_running());
 }
--- a/crates/loomflow-server/tests/fleet.rs
+++ b/crates/loomflow-server/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Maintenance by tickets in fleets of server processes, with faults of processes, disks and links. Checked from outside:
-//! by the processes, the gateways' ports and the output of the operators' commands.
+//! Maintenance tickets in fleets of server processes, with faults of processes, disks and links. The tests observe only the
+//! processes, the gateway ports and the output of the operators' commands.
 
 mod common;
 
@@ -12,11 +12,12 @@
 use loomflow_test_servers::fleet::{Fleet, Plan};
 use loomflow_test_servers::relay::LinkFault;
 
-/// Two servers may be out.
+/// As [`FOUR_MEMBERS`], but two servers may be out of service at a time.
 const TWO_OUT: Plan =
     Plan { extra: "  begin_within_s: 2\n  warm_for_s: 1\n  out: {count: 2}\n", ..FOUR_MEMBERS };
 
-/// Requests a ticket for the non-voter and waits until it is granted, while a fault keeps the grant from it.
+/// Requests a ticket for the non-voter and waits until it is granted; a link fault keeps the grant from reaching the
+/// non-voter.
 fn grant_behind_fault(fleet: &mut Fleet, fault: LinkFault) -> u64 {
     set_faults_from_voters(fleet, NON_VOTER, fault);
     let ticket = fleet.request_ticket(0, NON_VOTER);
@@ -24,8 +25,8 @@
     ticket
 }
 
-/// Whether a grant of a ticket has lapsed: the ticket waits again after it was granted. A ticket that was begun is no lapse, and
-/// neither is a history that could not be read.
+/// Whether a grant has lapsed: the history shows the ticket as requested again after it was granted. A ticket that has begun
+/// has not lapsed, and an unreadable history counts as no lapse.
 fn has_lapsed(fleet: &Fleet, ticket: u64) -> bool {
     let (_, output, _) = fleet.run_command(0, &["work", "history", "--json"]);
     let events = json(&output);
@@ -34,16 +35,16 @@
     stages.any(|stage| stage == "Granted") && stages.any(|stage| stage == "Asked")
 }
 
-/// Waits until a grant lapses, and withdraws its ticket.
+/// Waits until the grant of a ticket lapses, then withdraws the ticket.
 fn withdraw_lapsed(fleet: &Fleet, ticket: u64) {
     fleet.wait_until("the grant lapses", |fleet| has_lapsed(fleet, ticket));
     expect_success(fleet, 0, &["work", "withdraw", &ticket.to_string()]);
 }
 
 #[test]
-fn a_server_drains_for_maintenance_and_returns_and_a_script_can_wait_for_it() {
+fn a_ticket_takes_a_server_through_maintenance() {
     let mut fleet = Fleet::start_bootstrapped(Plan::default());
-    assert_eq!(fleet.run_command(0, &["work", "wait", "--server", "n2"]).0, 3, "it has no ticket");
+    assert_eq!(fleet.run_command(0, &["work", "wait", "--server", "n2"]).0, 3, "n2 has no ticket");
     let ticket = fleet.request_ticket(0, 1);
     assert_eq!(fleet.run_command(0, &["work", "wait", "--server", "n2"]).0, 0);
     assert_eq!(fleet.wait_for_exit(1), Some(0));
@@ -56,30 +57,30 @@
 }
 
 #[test]
-fn a_leader_killed_between_grant_and_notification_loses_nothing() {
+fn a_grant_survives_a_leader_killed_before_notification() {
     let mut fleet = Fleet::start_bootstrapped(FOUR_MEMBERS);
     let ticket = grant_behind_fault(&mut fleet, PARTITIONED);
     let leader = fleet.leader(0).unwrap();
     fleet.kill(leader);
     set_faults_from_voters(&mut fleet, NON_VOTER, NO_FAULT);
     let observer = (leader + 1) % 3;
-    // The killed leader is out, and only one may be: nothing is granted until it is back.
+    // The killed leader counts as the one server that may be out: nothing is granted until it is back.
     wait_for_new_leader(&fleet, observer, leader);
     fleet.start_member(leader);
     drain_and_restart(&mut fleet, NON_VOTER, observer, ticket);
 }
 
 #[test]
-fn a_late_or_repeated_grant_has_no_effect_once_it_lapsed() {
+fn a_lapsed_grant_has_no_effect() {
     let mut fleet = Fleet::start_bootstrapped(TWO_OUT);
     let ticket = grant_behind_fault(&mut fleet, STALLED);
     withdraw_lapsed(&fleet, ticket);
     let other = fleet.request_ticket(0, 2);
     assert_eq!(fleet.wait_for_exit(2), Some(0));
-    // Everything that was held back arrives, and then arrives once more.
+    // All messages that were held back arrive, and then arrive a second time.
     set_faults_from_voters(&mut fleet, NON_VOTER, NO_FAULT);
     (0..2).for_each(|voter| fleet.replay_messages(voter, NON_VOTER));
-    fleet.wait_until("the leader sees it serve", |fleet| {
+    fleet.wait_until("the leader reports that n4 serves", |fleet| {
         let status = fleet.status(0);
         let members = status["members"].as_array().cloned().unwrap_or_default();
         members.iter().any(|member| member["name"] == "n4" && member["standing"] == "Serving")
@@ -95,7 +96,7 @@
 fn a_server_paused_past_its_grant_keeps_serving() {
     let mut fleet = Fleet::start_bootstrapped(TWO_OUT);
     let ticket = grant_behind_fault(&mut fleet, STALLED);
-    // All its threads stand still before the grant reaches its sockets: until then it could take the grant up.
+    // All its threads are paused before the grant reaches its sockets; otherwise it could accept the grant.
     let paused = fleet.pause_process_tree(NON_VOTER);
     set_faults_from_voters(&mut fleet, NON_VOTER, NO_FAULT);
     withdraw_lapsed(&fleet, ticket);
@@ -107,7 +108,7 @@
 }
 
 #[test]
-fn a_server_paused_while_draining_keeps_its_slot_until_it_is_back() {
+fn a_server_paused_while_draining_keeps_its_slot() {
     let mut fleet = Fleet::start_bootstrapped(FOUR_MEMBERS);
     let first = fleet.request_ticket(0, NON_VOTER);
     fleet.wait_until("the drain begins", |fleet| {
@@ -116,7 +117,7 @@
     if fleet.is_running(NON_VOTER) {
         fleet.pause(NON_VOTER);
         let second = fleet.request_ticket(0, 2);
-        fleet.wait_until("its absence is noticed", |fleet| fleet.stage(0, first) == "Out");
+        fleet.wait_until("the fleet reports that n4 is out", |fleet| fleet.stage(0, first) == "Out");
         assert!(fleet.is_running(2), "{}", fleet.diagnostics());
         fleet.resume(NON_VOTER);
         drain_and_restart(&mut fleet, NON_VOTER, 0, first);
@@ -144,12 +145,12 @@
 }
 
 #[test]
-fn a_server_that_cannot_send_is_not_granted() {
+fn a_server_that_cannot_send_gets_no_grant() {
     let mut fleet = Fleet::start_bootstrapped(TWO_OUT);
     for voter in VOTERS {
         fleet.set_link_fault(NON_VOTER, voter, PARTITIONED);
     }
-    fleet.wait_until("its silence is noticed", |fleet| {
+    fleet.wait_until("the fleet reports that n4 is silent", |fleet| {
         let (_, output, _) = fleet.run_command(0, &["explain", "n4", "--json"]);
         !output.contains("Serving") || fleet.status(0)["members"][3]["age"].as_u64() > Some(4_000)
     });
@@ -164,7 +165,7 @@
 }
 
 #[test]
-fn an_overdue_server_frees_its_slot_when_it_is_abandoned() {
+fn abandoning_an_overdue_ticket_frees_its_slot() {
     let mut fleet = Fleet::start_bootstrapped(FOUR_MEMBERS);
     let (code, output, errors) =
         fleet.run_command(0, &["work", "ask", "--server", "n4", "--for", "1s", "--json"]);
@@ -175,10 +176,10 @@
     let second = fleet.request_ticket(0, 2);
     assert!(fleet.run_command(0, &["explain", "n3"]).1.contains("2 would be out at once, 1 may be"));
     expect_success(&fleet, 0, &["work", "write-off", "1"]);
-    // A second time there is nothing to abandon.
+    // The ticket can be abandoned only once.
     expect_rejection(&fleet, 0, &["work", "write-off", "1"]);
     assert!(fleet.is_running(2));
-    // Once it is back, it has no ticket and takes no slot.
+    // A server that returns after its ticket was abandoned has no ticket and takes no slot.
     fleet.start_member(NON_VOTER);
     drain_and_restart(&mut fleet, 2, 0, second);
 }
@@ -190,7 +191,7 @@
     fleet.kill(1);
     fleet.delete_data_directory(1);
     fleet.start_member(1);
-    fleet.wait_until("it is a voter again", |fleet| {
+    fleet.wait_until("n2 is a voter again", |fleet| {
         let status = fleet.status(1);
         let votes =
             status["members"][1]["voter"] == true && status["voters"].as_array().map(Vec::len) == Some(3);
@@ -201,7 +202,7 @@
 }
 
 #[test]
-fn a_voter_with_a_full_disk_serves_and_votes_again_once_it_can_write() {
+fn a_voter_with_a_full_disk_serves_and_later_rejoins() {
     let mut fleet = Fleet::start_bootstrapped(FOUR_MEMBERS);
     let leader = fleet.leader(0).unwrap();
     let observer = (leader + 1) % 3;
@@ -211,7 +212,7 @@
     expect_serving(&fleet, leader);
     drain_and_restart(&mut fleet, NON_VOTER, observer, ticket);
     fleet.fill_disk(leader, false);
-    fleet.wait_until("it follows a leader again", |fleet| {
+    fleet.wait_until("the former leader follows a leader again", |fleet| {
         fleet.local_status(leader)["fault"].is_null() && fleet.local_status(leader)["leader"].is_string()
     });
 }
@@ -252,16 +253,16 @@
     let messages: [Vec<u8>; 3] = [
         [&9u32.to_be_bytes()[..], &[0xFF; 9]].concat(),
         [&u32::MAX.to_be_bytes()[..], &[0; 64]].concat(),
-        // The first field is the name of another fleet.
+        // The first field, the fleet name, is that of another fleet.
         [&6u32.to_be_bytes()[..], &[5], b"other"].concat(),
     ];
     for bytes in messages {
         let mut connection = TcpStream::connect(fleet.members[0].address).unwrap();
         connection.set_read_timeout(Some(RESPONSE_TIMEOUT)).unwrap();
         connection.write_all(&bytes).unwrap();
-        assert_eq!(connection.read(&mut [0; 1]).unwrap_or(0), 0, "the connection is closed");
+        assert_eq!(connection.read(&mut [0; 1]).unwrap_or(0), 0, "the server closes the connection");
     }
-    // An incomplete message delays nobody.
+    // An incomplete message does not delay other connections.
     let mut incomplete = TcpStream::connect(fleet.members[0].address).unwrap();
     incomplete.write_all(&[0, 0]).unwrap();
     let ticket = fleet.request_ticket(0, 1);
@@ -269,7 +270,7 @@
 }
 
 #[test]
-fn sigterm_without_a_ticket_is_obeyed_and_a_second_bootstrap_is_rejected() {
+fn sigterm_needs_no_ticket_and_bootstrap_runs_once() {
     let mut fleet = Fleet::start_bootstrapped(FOUR_MEMBERS);
     for member in [0, 1, NON_VOTER] {
         expect_rejection(&fleet, member, &["found"]);
@@ -284,7 +285,7 @@
 }
 
 #[test]
-fn every_server_is_maintained_once_over_lossy_duplicating_reordering_links() {
+fn tickets_complete_over_faulty_links() {
     let mut fleet = Fleet::start_bootstrapped(FOUR_MEMBERS);
     fleet.set_fault_on_all_links(LOSSY);
     for server in [NON_VOTER, 1] {
--- a/crates/loomflow-server/tests/gateways.rs
+++ b/crates/loomflow-server/tests/gateways.rs
@@ -1,5 +1,5 @@
-//! Gateway connections of a server process: pipelined, split, stalled, reset, flooding or too many, with malformed and
-//! invalid messages. Each test checks the responses, and that other gateways are still served.
+//! Gateway connections of a server process that are pipelined, stalled, reset, flooding or too many, or that send split,
+//! malformed or invalid messages. The tests check the responses and that other gateways are still served.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use loomflow_test_servers::*;
 use serde_json::Value;
 
-/// Expects that the server serves another gateway; the engine's notice has this number.
+/// Expects that the server serves a new gateway; `number` is the number of the engine's notice.
 fn expect_serving(fixture: &ServerFixture, engine: &PeerConnection, number: u64) {
     let mut gateway = fixture.gateway();
     let id = gateway.call(1, "read", b"still here");
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn requests_are_read_wherever_their_bytes_are_split() {
+fn requests_in_small_parts_are_read() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     let id = next_attempt_id();
@@ -49,20 +49,21 @@
     for number in 1..=32 {
         let run = engine.expect("RUN");
         engine.send_done(number, run.word(1), run.word(1).as_bytes());
-        let answer = gateway.response();
-        assert_eq!(answer.body, ids[answer.tag as usize - 1].as_bytes());
-        tags.push(answer.tag);
+        let response = gateway.response();
+        assert_eq!(response.body, ids[response.tag as usize - 1].as_bytes());
+        tags.push(response.tag);
     }
     tags.sort_unstable();
     assert_eq!(tags, (1..=32).collect::<Vec<u64>>());
 }
 
+/// A request of about 2 KB that is rejected, as its class does not exist.
 fn long_call(tag: u64) -> Vec<u8> {
     call(tag, "no-such-class", &fields(&next_attempt_id()), &[1; 2000])
 }
 
-/// Writes up to `max` requests, until the server reads no more. Returns the number of requests, and the unsent rest of the
-/// last one.
+/// Writes up to `max` requests, or until the server stops reading. Returns the number of requests and the unsent rest of
+/// the last one.
 fn write_until_blocked(gateway: &mut Gateway, max: u64) -> (u64, Vec<u8>) {
     let (mut sent, mut rest, mut blocked) = (0, Vec::new(), 0);
     while blocked < 20 {
@@ -84,12 +85,12 @@
 }
 
 #[test]
-fn a_gateway_that_stops_reading_delays_nobody_and_gets_all_responses() {
+fn a_slow_reader_delays_no_other_and_gets_all_responses() {
     const MANY: u64 = 400;
     let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut slow = fixture.gateway();
     socket2::SockRef::from(&slow.stream).set_recv_buffer_size(4096).unwrap();
-    // Far more responses than fit into its socket: the server stops reading from it.
+    // The responses exceed the gateway's receive buffer by far, so the server stops reading from it.
     slow.stream.set_nonblocking(true).unwrap();
     let (sent, rest) = write_until_blocked(&mut slow, MANY);
     expect_serving(&fixture, &engine, 1);
@@ -117,12 +118,12 @@
     assert!(fixture.is_running());
 }
 
-/// A run whose gateway has disconnected ends at its call and frees its capacity.
+/// A run whose gateway has disconnected is stopped at its call and frees its capacity.
 #[test]
 fn open_requests_of_a_disconnected_gateway_are_cancelled() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let ledger = fixture.ledger.open();
-    // More than run at the same time: four run, one of them waits for its call, and the others are queued.
+    // Of eight requests four run, one of which waits for the reply to its call, and the others are queued.
     let mut gateway = fixture.gateway();
     let ids: Vec<String> = (1..=8).map(|tag| gateway.call(tag, "pay", b"x")).collect();
     let runs: Vec<String> = (0..4).map(|_| expect_run(&engine)).collect();
@@ -130,11 +131,11 @@
     engine.send_need(1, &runs[0], b"call");
     let call = ledger.link();
     call.expect("post");
-    // Another run takes the place of the one that waits.
+    // A waiting run takes no capacity, so a queued request is run.
     engine.expect("RUN");
     drop(gateway);
     call.expect_closed();
-    // What was queued is never run: the next run is that of another gateway.
+    // Queued requests of the closed gateway are never run; the next run is that of another gateway.
     engine.expect_quiet();
     engine.send_with_body(&format!("DONE 2 {} broken_off 5", runs[0]), b"");
     for (id, number) in runs[1..].iter().zip(3..) {
@@ -144,7 +145,7 @@
 }
 
 #[test]
-fn a_malformed_message_fails_the_open_requests_and_closes_the_connection() {
+fn a_malformed_message_fails_open_requests_and_closes() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let cases: [&[u8]; 6] = [
         b"GET / HTTP/1.1\r\n\r\n",
@@ -164,7 +165,7 @@
         assert_eq!(tags(&responses), [1, 2]);
         assert!(responses.iter().all(|response| response.status == "FAILED"), "{responses:?}");
         gateway.expect_closed();
-        // The ends of their runs have no effect.
+        // The results of their runs are ignored.
         engine.send_done(2 * number - 1, &ids[0], b"no");
         engine.send_done(2 * number, &ids[1], b"no");
     }
@@ -184,7 +185,7 @@
 }
 
 #[test]
-fn partial_messages_and_silence_time_out() {
+fn partial_and_silent_connections_time_out() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut silent = fixture.gateway();
     let mut partial = fixture.gateway();
@@ -199,7 +200,7 @@
 }
 
 #[test]
-fn gateways_are_accepted_while_silent_connections_use_all_descriptors() {
+fn silent_connections_do_not_lock_out_gateways() {
     let mut fixture = ServerFixture::new(site(LONG_TIMEOUT));
     fixture.config["limits"]["sockets"] = 96.into();
     fixture.start("ulimit -n 96; exec \"$0\" serve");
@@ -215,7 +216,7 @@
 }
 
 #[test]
-fn unknown_names_and_missing_fields_get_a_failed_response() {
+fn invalid_requests_get_a_failed_response() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     let valid = fields(&next_attempt_id());
@@ -270,8 +271,8 @@
         let fields = fields(&next_attempt_id());
         assert!(fields.contains(valid));
         gateway.send(&call(tag, "read", &fields.replace(valid, invalid), b"x"));
-        let answer = gateway.response();
-        assert_eq!((answer.tag, answer.status.as_str()), (tag, "FAILED"), "{invalid}");
+        let response = gateway.response();
+        assert_eq!((response.tag, response.status.as_str()), (tag, "FAILED"), "{invalid}");
     }
     engine.expect_quiet();
     expect_serving(&fixture, &engine, 1);
@@ -281,7 +282,7 @@
 fn open_requests_are_bounded_by_memory() {
     let (fixture, _engine) =
         start_configured(site(LONG_TIMEOUT), |fixture| fixture.config["limits"]["memory_mb"] = 1.into());
-    // 51 requests of 2.5 KB in an eighth of 1 MB.
+    // An eighth of the 1 MB, the share for open requests, holds 51 of 2.5 KB each.
     let mut gateways = [fixture.gateway(), fixture.gateway()];
     for gateway in &mut gateways {
         for tag in 1..=32 {
@@ -290,8 +291,8 @@
     }
     let mut busy = 0;
     for gateway in &mut gateways {
-        while let Ok(Some(answer)) = gateway.next_response(QUIET_PERIOD) {
-            assert_eq!(answer.status, "BUSY");
+        while let Ok(Some(response)) = gateway.next_response(QUIET_PERIOD) {
+            assert_eq!(response.status, "BUSY");
             busy += 1;
         }
     }
@@ -299,7 +300,7 @@
 }
 
 #[test]
-fn half_of_the_descriptors_can_be_used_by_connections() {
+fn gateways_may_use_half_of_the_descriptors() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let before = fixture.descriptors();
     let mut gateways: Vec<Gateway> = (0..512).map(|_| fixture.gateway()).collect();
@@ -328,26 +329,26 @@
 }
 
 #[test]
-fn after_a_pause_everything_that_arrived_is_read_first() {
+fn after_a_pause_input_is_read_before_timeouts() {
     let (fixture, engine) = ServerFixture::start_serving(site(1_000.0));
     let mut gateway = fixture.gateway();
     let id = start_run(&mut gateway, &engine, 1, "pay");
     fixture.signal("STOP");
-    // Its result and new requests arrive while nothing is read, and its timeout passes.
+    // While the process is stopped the result and new requests arrive, and the request's timeout passes.
     engine.send_done(1, &id, b"y");
     for tag in 2..=10 {
         gateway.send(&health(tag, false));
     }
     thread::sleep(Duration::from_millis(1_200));
     fixture.signal("CONT");
-    let answers = responses_by_tag(&mut gateway, 10);
-    assert_eq!((answers[0].tag, answers[0].status.as_str()), (1, "OK"));
-    assert!(answers[1..].iter().all(|answer| answer.status == "UP"));
+    let responses = responses_by_tag(&mut gateway, 10);
+    assert_eq!((responses[0].tag, responses[0].status.as_str()), (1, "OK"));
+    assert!(responses[1..].iter().all(|response| response.status == "UP"));
     gateway.expect_quiet();
 }
 
 #[test]
-fn an_unread_log_does_not_affect_service() {
+fn a_closed_log_does_not_affect_service() {
     let mut fixture = ServerFixture::new(site(LONG_TIMEOUT));
     fixture.close_log();
     fixture.start(SERVE);
@@ -361,7 +362,7 @@
     assert!(fixture.is_running());
 }
 
-/// A slow request is served, however long the whole of it takes.
+/// The timeout applies to the gap between two parts of a message, not to the whole message.
 #[test]
 fn a_slow_request_is_served_and_a_stalled_one_times_out() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
@@ -369,7 +370,7 @@
     let id = next_attempt_id();
     let bytes = call(1, "read", &fields(&id), b"x");
     stalled.send(&bytes[..20]);
-    // Each part arrives long before a connection counts as stalled, and all of them together take longer than that.
+    // Every gap is far below the stall timeout, and all of them together exceed it.
     for part in bytes.chunks(bytes.len() / 12) {
         slow.send(part);
         thread::sleep(Duration::from_millis(200));
@@ -381,35 +382,35 @@
     assert_eq!(stalled.next_response(RESPONSE_TIMEOUT), Ok(None));
 }
 
-/// A site that closes idle connections after 50 ms.
+/// Settings with an idle timeout of 50 ms.
 fn site_with_short_idle_timeout() -> Value {
     let mut settings = site(LONG_TIMEOUT);
     settings["Domain"]["Idle"] = 50.0.into();
     settings
 }
 
-/// A gateway that was sent a goodbye because it is idle.
-fn gateway_with_goodbye(fixture: &ServerFixture) -> Gateway {
+/// Opens a gateway connection and waits for the `BYE` that it gets for being idle.
+fn gateway_after_bye(fixture: &ServerFixture) -> Gateway {
     let mut gateway = idle_gateway(fixture);
-    expect_goodbye(&mut gateway);
+    expect_bye(&mut gateway);
     gateway
 }
 
 #[test]
-fn a_request_that_crosses_the_goodbye_is_served() {
+fn a_request_that_crosses_bye_is_served() {
     let (fixture, engine) = ServerFixture::start_serving(site_with_short_idle_timeout());
-    let mut gateway = gateway_with_goodbye(&fixture);
+    let mut gateway = gateway_after_bye(&fixture);
     for (tag, number) in (2..5).zip(1..) {
         serve_request(&mut gateway, &engine, tag, "pay", number);
     }
-    // Nothing more is sent, so the connection is closed, without a second goodbye.
+    // Idle again, the connection is closed without a second BYE.
     gateway.expect_closed();
 }
 
 #[test]
 fn a_request_after_an_idle_close_is_not_run() {
     let (fixture, engine) = ServerFixture::start_serving(site_with_short_idle_timeout());
-    let mut gateway = gateway_with_goodbye(&fixture);
+    let mut gateway = gateway_after_bye(&fixture);
     gateway.expect_closed();
     // A request on the closed connection, in two parts.
     let bytes = call(2, "pay", &fields(&next_attempt_id()), b"x");
@@ -430,19 +431,19 @@
         engine.expect("RUN");
         engine.send_done(number, id, &[7; 4096]);
     }
-    // Once another gateway is served all responses were sent, as those of one batch are sent in order.
+    // The responses of a batch are sent in order: when another gateway has been served, all earlier responses were sent.
     expect_serving(&fixture, &engine, 9);
-    gateway.stream.shutdown(Shutdown::Write).expect("its side is closed");
+    gateway.stream.shutdown(Shutdown::Write).expect("the write side is shut down");
     for _ in &ids {
         assert_eq!(gateway.response().body, [7; 4096]);
     }
     gateway.expect_closed();
 }
 
-/// Writes to connections, whether or not it is read, for as long as this.
+/// Writes to the connections for `duration`, ignoring errors, whether or not the server reads.
 fn flood(gateways: &mut [Gateway], duration: Duration) {
-    let until = Instant::now() + duration;
-    while Instant::now() < until {
+    let deadline = Instant::now() + duration;
+    while Instant::now() < deadline {
         for gateway in &mut *gateways {
             let _ = gateway.stream.write(&[b'x'; 100]);
         }
@@ -450,26 +451,26 @@
     }
 }
 
-/// Waits until the server has no more descriptors than this.
+/// Waits until the server has at most `limit` open descriptors.
 fn wait_for_descriptors(fixture: &ServerFixture, limit: usize) {
-    let until = Instant::now() + RESPONSE_TIMEOUT;
+    let deadline = Instant::now() + RESPONSE_TIMEOUT;
     while fixture.descriptors() > limit {
-        assert!(Instant::now() < until, "{} over {limit}", fixture.descriptors());
+        assert!(Instant::now() < deadline, "{} descriptors, the limit is {limit}", fixture.descriptors());
         thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Gateways that flood after a malformed message and then keep their side open: the server frees its descriptors.
+/// Gateways that keep writing after a malformed message and do not close their side must not keep descriptors in use.
 #[test]
-fn closed_connections_are_released_although_their_peers_flood() {
+fn closed_connections_are_released_while_their_peers_write() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let before = fixture.descriptors();
     let mut flooding: Vec<Gateway> = (0..40).map(|_| fixture.gateway()).collect();
     for gateway in &mut flooding {
         gateway.send(b"this is no RESP\r\n");
-        gateway.stream.set_nonblocking(true).expect("it does not wait");
+        gateway.stream.set_nonblocking(true).expect("the stream is non-blocking");
     }
-    // The server stops reading at another fraction of a millisecond on each connection.
+    // The writes go on for 250 ms, so that the server stops reading each connection at another moment between two writes.
     flood(&mut flooding, Duration::from_millis(250));
     wait_for_descriptors(&fixture, before);
     drop(flooding);
@@ -478,44 +479,47 @@
 
 /// Writes bytes to a gateway's connection in a thread.
 fn write_in_background(gateway: &Gateway, bytes: Vec<u8>) -> JoinHandle<std::io::Result<()>> {
-    let mut writer = gateway.stream.try_clone().expect("a clone");
+    let mut writer = gateway.stream.try_clone().expect("the stream can be cloned");
     thread::spawn(move || writer.write_all(&bytes))
 }
 
-/// A flood of rejected requests delays its own gateway only.
+/// A flood of rejected requests delays only the gateway that sends it.
 #[test]
-fn other_requests_are_answered_during_a_flood_of_rejected_ones() {
+fn a_flood_of_rejected_requests_does_not_delay_others() {
     const FLOOD: u64 = 3_000;
     let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut flooding = fixture.gateway();
     let flood: Vec<u8> =
         (1..=FLOOD).flat_map(|tag| call(tag, "no-such-class", &fields(&next_attempt_id()), b"x")).collect();
     let writes = write_in_background(&flooding, flood);
-    // The flood has started.
+    // The first response shows that the server reads the flood.
     flooding.response();
     (1..=40).for_each(|number| expect_serving(&fixture, &engine, number));
-    flooding.stream.set_nonblocking(true).expect("it does not wait");
+    flooding.stream.set_nonblocking(true).expect("the stream is non-blocking");
     let mut answered = 1;
     while let Ok(Some(_)) = flooding.next_response(Duration::ZERO) {
         answered += 1;
     }
-    assert!(answered < FLOOD, "all of the flood was answered before other requests");
-    flooding.stream.shutdown(Shutdown::Both).expect("it ends");
-    drop(writes.join().expect("it ends"));
+    assert!(
+        answered < FLOOD,
+        "all {FLOOD} requests of the flood were answered before those of other gateways"
+    );
+    flooding.stream.shutdown(Shutdown::Both).expect("the connection is shut down");
+    drop(writes.join().expect("the writer does not panic"));
 }
 
 #[test]
-fn each_of_a_flood_of_health_checks_is_answered_once_without_the_engine() {
+fn a_flood_of_health_checks_is_answered_without_the_engine() {
     const FLOOD: u64 = 600;
     let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
-    // From now on the test sees the server's queries, too.
+    // From now on the test receives the server's gauge queries, too.
     fixture.engine.answers_by_itself(false);
     let mut flooding = fixture.gateway();
     let flood: Vec<u8> = (1..=FLOOD).flat_map(|tag| health(tag, true)).collect();
     let writes = write_in_background(&flooding, flood);
     expect_each_answered_once(&mut flooding, FLOOD);
-    writes.join().expect("it ends").expect("all is sent");
-    // The engine gets the next request, and before it only queries of its gauges.
+    writes.join().expect("the writer does not panic").expect("all checks are sent");
+    // Before the next request the engine has received nothing but gauge queries.
     let id = flooding.call(FLOOD + 1, "pay", b"x");
     loop {
         let line = engine.line();
--- a/crates/loomflow-server/tests/links.rs
+++ b/crates/loomflow-server/tests/links.rs
@@ -1,33 +1,33 @@
-//! Connections of a server process to its engine and its ledger: scripted peers disconnect, fall silent, reply late or send
-//! malformed messages at each stage of a run, and a gateway checks the responses.
+//! Connections of a server process to its engine and its ledger. Scripted peers disconnect, stop responding, reply late or
+//! send malformed messages at each stage of a run; the tests check the responses to a gateway.
 
 mod common;
 
 use common::*;
 use loomflow_test_servers::*;
 
-/// A timeout of requests, in ms, that passes in the test.
+/// Request timeout in ms, short enough to expire during a test.
 const SHORT_TIMEOUT: f64 = 1_500.0;
 const CLASSES: [&str; 3] = ["read", "pay", "book"];
-/// An attempt id that no request has.
+/// An attempt id that is not in use.
 const UNKNOWN_ID: &str = "00000000000000ff";
 
 /// A server with its scripted peers and a gateway.
-struct Serving {
+struct ServingFixture {
     fixture: ServerFixture,
     engine: PeerConnection,
     ledger: OpenLedger,
     gateway: Gateway,
 }
 
-fn start_serving(timeout: f64) -> Serving {
+fn start_serving(timeout: f64) -> ServingFixture {
     let (fixture, engine) = ServerFixture::start_serving(site(timeout));
     let (ledger, gateway) = (fixture.ledger.open(), fixture.gateway());
-    Serving { fixture, engine, ledger, gateway }
+    ServingFixture { fixture, engine, ledger, gateway }
 }
 
-/// A server whose first request waits for the reply to its call.
-struct Calling {
+/// A serving server whose first request waits for the reply to its call.
+struct CallFixture {
     fixture: ServerFixture,
     engine: PeerConnection,
     ledger: OpenLedger,
@@ -36,14 +36,14 @@
     id: String,
 }
 
-fn start_calling(class: &str, timeout: f64) -> Calling {
-    let Serving { fixture, engine, ledger, mut gateway } = start_serving(timeout);
+fn start_calling(class: &str, timeout: f64) -> CallFixture {
+    let ServingFixture { fixture, engine, ledger, mut gateway } = start_serving(timeout);
     let id = start_run(&mut gateway, &engine, 1, class);
     let call = start_call(&ledger, &engine, 1, &id, b"call");
-    Calling { fixture, engine, ledger, call, gateway, id }
+    CallFixture { fixture, engine, ledger, call, gateway, id }
 }
 
-/// Makes a run call the ledger, by the engine's notice of this number; returns the connection of the call.
+/// Makes a run call the ledger by the engine's notice `number`; returns the call's connection to the ledger.
 fn start_call(
     ledger: &OpenLedger,
     engine: &PeerConnection,
@@ -58,44 +58,44 @@
     connection
 }
 
-/// Answers a call.
+/// Sends the reply to a call.
 fn reply(connection: &PeerConnection, id: &str, body: &[u8]) {
     connection.send_with_body(&format!("{id} posted"), body);
 }
 
-/// Expects that the reply to a call is passed to its run.
+/// Expects that the reply to a call is fed to its run.
 fn expect_feed(engine: &PeerConnection, id: &str, body: &[u8]) {
     let feed = engine.expect("FEED");
     assert_eq!((feed.word(1), feed.body.as_slice()), (id, body));
 }
 
-/// Expects the command to run a request with the body of [`start_run`].
-fn expect_run_of(engine: &PeerConnection, id: &str) {
+/// Expects the command to run the request `id` with the body that [`start_run`] sends.
+fn expect_run_with_id(engine: &PeerConnection, id: &str) {
     let run = engine.expect("RUN");
     assert_eq!((run.word(1), run.body.as_slice()), (id, &b"x"[..]));
 }
 
-/// Ends a run without a result.
+/// Ends a run with this outcome and without a result.
 fn end_run(engine: &PeerConnection, number: u64, id: &str, outcome: &str) {
     engine.send_with_body(&format!("DONE {number} {id} {outcome}"), b"");
 }
 
-/// Answers a query of the gauges, as one that closes a replay.
+/// Replies to a query of the gauges; the reply to the first query of a connection ends its replay.
 fn send_stats(engine: &PeerConnection, query: &Line) {
     engine.send_line(&format!("STATS {} 0 1 0.1 4", query.word(1)));
 }
 
-/// The next connection to the engine, whose `ATTACH` is not answered yet.
+/// Accepts the next connection to the engine, and leaves its `ATTACH` without a response.
 fn next_unattached(fixture: &ServerFixture, line: &str) -> PeerConnection {
     let engine = fixture.engine.link();
     assert_eq!(engine.line().text, line);
     engine
 }
 
-// ---- The engine's link ----
+// ---- Engine connection ----
 
 #[test]
-fn a_run_requested_while_disconnected_is_sent_on_the_next_connection() {
+fn a_run_requested_while_disconnected_is_sent_after_reconnect() {
     for class in ["read", "pay"] {
         let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
         let mut gateway = fixture.gateway();
@@ -104,22 +104,22 @@
         let id = gateway.call(1, class, b"x");
         gateway.expect_quiet();
         engine.send_line("HELLO running 60000");
-        expect_run_of(&engine, &id);
+        expect_run_with_id(&engine, &id);
         finish_run(&mut gateway, &engine, 1, &id);
         engine.expect_quiet();
     }
 }
 
 #[test]
-fn an_uncertain_run_is_sent_again_whatever_its_effect() {
+fn an_uncertain_run_is_resent_for_every_class() {
     for class in CLASSES {
         let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
         let mut gateway = fixture.gateway();
         let id = start_run(&mut gateway, &engine, 1, class);
         engine.disconnect();
         let engine = attach(&fixture, "ATTACH 0");
-        expect_run_of(&engine, &id);
-        // The run had ended already: the repeated command is answered as late, after the result.
+        expect_run_with_id(&engine, &id);
+        // The run had already ended: the engine sends its result, then rejects the repeated command as late.
         engine.send_done(1, &id, b"y");
         end_run(&engine, 2, &id, "late 0");
         assert_eq!(gateway.response().status, "OK");
@@ -128,10 +128,10 @@
     }
 }
 
-/// Ages are measured by the server's clock, in which a pause of the machine counts: for a run the age must not matter.
+/// Ages are measured by the server's clock, which includes pauses of the machine, so a run must be sent again at any age.
 #[test]
-fn after_a_disconnect_an_old_run_is_sent_again_and_an_old_reply_is_not() {
-    let Serving { fixture, engine, ledger, mut gateway } = start_serving(LONG_TIMEOUT);
+fn reconnect_resends_old_runs_but_not_old_replies() {
+    let ServingFixture { fixture, engine, ledger, mut gateway } = start_serving(LONG_TIMEOUT);
     let fed = start_run(&mut gateway, &engine, 1, "read");
     engine.send_need(1, &fed, b"call");
     reply(&ledger.link(), &fed, b"reply");
@@ -140,7 +140,7 @@
     std::thread::sleep(std::time::Duration::from_millis(400));
     engine.disconnect();
     let engine = attach(&fixture, "ATTACH 1");
-    expect_run_of(&engine, &running);
+    expect_run_with_id(&engine, &running);
     engine.expect_quiet();
     for (id, number) in [(&fed, 2), (&running, 3)] {
         engine.send_done(number, id, b"y");
@@ -150,8 +150,8 @@
 }
 
 #[test]
-fn notices_are_replayed_after_the_last_one_read_and_handled_once() {
-    let Serving { fixture, engine, ledger, mut gateway } = start_serving(LONG_TIMEOUT);
+fn replayed_notices_are_handled_once() {
+    let ServingFixture { fixture, engine, ledger, mut gateway } = start_serving(LONG_TIMEOUT);
     let a = gateway.call(1, "pay", b"a");
     engine.expect("RUN");
     let b = gateway.call(2, "pay", b"b");
@@ -159,7 +159,7 @@
     let call = start_call(&ledger, &engine, 1, &a, b"call");
     engine.disconnect();
     let engine = fixture.engine.link();
-    // The first was read before; the second was sent while there was no connection.
+    // The server has read the first notice already; the engine sent the second one while disconnected.
     let notices = [(format!("NEED 1 {a}"), &b"call"[..]), (format!("DONE 2 {b} fine 5"), b"B")];
     engine.accept_attach_replaying("ATTACH 1", &notices);
     assert_eq!(gateway.response().body, b"B");
@@ -172,8 +172,8 @@
 }
 
 #[test]
-fn a_reply_received_while_disconnected_is_fed_on_the_next_connection() {
-    let Calling { fixture, engine, ledger: _ledger, call, mut gateway, id } =
+fn a_reply_received_while_disconnected_is_fed_after_reconnect() {
+    let CallFixture { fixture, engine, ledger: _ledger, call, mut gateway, id } =
         start_calling("pay", LONG_TIMEOUT);
     engine.disconnect();
     let engine = next_unattached(&fixture, "ATTACH 1");
@@ -185,18 +185,19 @@
 }
 
 #[test]
-fn an_uncertain_reply_is_fed_again_without_an_effect() {
+fn an_uncertain_reply_is_resent_only_without_an_effect() {
     for class in ["read", "pay"] {
-        let Calling { fixture, engine, ledger, call, mut gateway, id } = start_calling(class, LONG_TIMEOUT);
+        let CallFixture { fixture, engine, ledger, call, mut gateway, id } =
+            start_calling(class, LONG_TIMEOUT);
         reply(&call, &id, b"reply");
         engine.expect("FEED");
         engine.disconnect();
         let engine = attach(&fixture, "ATTACH 1");
-        // A repeated notice is not a further call.
+        // The repeated notice makes no second call.
         engine.send_need(1, &id, b"call");
         if class == "read" {
             expect_feed(&engine, &id, b"reply");
-            // A further call of the run is made.
+            // The run's next notice does make a call.
             let second = start_call(&ledger, &engine, 2, &id, b"second");
             reply(&second, &id, b"other");
             expect_feed(&engine, &id, b"other");
@@ -208,17 +209,17 @@
 }
 
 #[test]
-fn a_repeated_reply_that_may_have_reached_another_call_fails_its_request() {
-    let Calling { fixture, engine, ledger, call, mut gateway, id } = start_calling("read", LONG_TIMEOUT);
+fn a_resent_reply_that_may_reach_another_call_fails_the_request() {
+    let CallFixture { fixture, engine, ledger, call, mut gateway, id } = start_calling("read", LONG_TIMEOUT);
     reply(&call, &id, b"reply");
     engine.expect("FEED");
     engine.disconnect();
     let engine = fixture.engine.link();
     fixture.engine.answers_by_itself(false);
     engine.accept_attach("ATTACH 1");
-    let closes_replay = engine.expect("STAT");
-    send_stats(&engine, &closes_replay);
-    // The next query, the reply, and a call that the engine sent before it had read either.
+    let replay_query = engine.expect("STAT");
+    send_stats(&engine, &replay_query);
+    // The server sends its next query and the reply; the engine sends a call before it has read either.
     engine.expect("STAT");
     expect_feed(&engine, &id, b"reply");
     engine.send_need(2, &id, b"second");
@@ -229,7 +230,7 @@
 }
 
 #[test]
-fn a_partially_read_result_is_repeated_on_the_next_connection() {
+fn a_partially_read_result_is_replayed() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     let id = start_run(&mut gateway, &engine, 1, "pay");
@@ -267,8 +268,8 @@
 }
 
 #[test]
-fn a_rejected_run_command_fails_the_request_unless_it_has_started() {
-    let Calling { fixture: _fixture, engine, ledger: _ledger, call, mut gateway, id } =
+fn a_rejected_run_fails_its_request_unless_started() {
+    let CallFixture { fixture: _fixture, engine, ledger: _ledger, call, mut gateway, id } =
         start_calling("pay", LONG_TIMEOUT);
     engine.send_line(&format!("NO RUN {id}"));
     gateway.expect_quiet();
@@ -281,9 +282,9 @@
     gateway.expect_quiet();
 }
 
-/// A connection breaks while its replay is being read: commands that wait are sent on the next one.
+/// The connection breaks during the replay: pending commands are sent on the next connection.
 #[test]
-fn a_connection_replaced_during_replay_loses_nothing() {
+fn commands_survive_a_disconnect_during_replay() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     fixture.engine.answers_by_itself(false);
@@ -291,12 +292,12 @@
     let replaying = attach(&fixture, "ATTACH 0");
     let former_query = replaying.expect("STAT");
     let id = gateway.call(1, "pay", b"x");
-    // Once this is answered the request has been received, too.
+    // The response to this check shows that the server has received the request.
     check_health(&mut gateway, 2);
     replaying.disconnect();
     let engine = attach(&fixture, "ATTACH 0");
     let query = engine.expect("STAT");
-    // The answer to the query on the former connection does not close this replay.
+    // A reply to the former connection's query does not end this replay.
     send_stats(&engine, &former_query);
     send_stats(&engine, &query);
     assert_eq!(engine.expect("RUN").word(1), id);
@@ -311,29 +312,29 @@
     let mut gateway = fixture.gateway();
     let id = start_run(&mut gateway, &engine, 1, "pay");
     engine.send_need(1, &id, b"call");
-    // The ledger opens while the call is retried, or after the last retry.
+    // The ledger starts to listen during the retries or after the last one.
     let ledger = fixture.ledger.open();
-    if let Ok(Some(answer)) = gateway.next_response(QUIET_PERIOD) {
-        assert_eq!(answer.status, "FAILED");
+    if let Ok(Some(response)) = gateway.next_response(QUIET_PERIOD) {
+        assert_eq!(response.status, "FAILED");
     } else {
-        let _call = answer_call(&ledger, &engine, &id);
+        let _call = reply_to_call(&ledger, &engine, &id);
         finish_run(&mut gateway, &engine, 2, &id);
     }
 }
 
 #[test]
 fn a_call_with_an_effect_is_not_retried_after_a_disconnect() {
-    let Calling { fixture: _fixture, engine: _engine, ledger, call, mut gateway, id: _id } =
+    let CallFixture { fixture: _fixture, engine: _engine, ledger, call, mut gateway, id: _id } =
         start_calling("pay", LONG_TIMEOUT);
     call.disconnect();
-    let answer = gateway.response();
-    assert_eq!(answer.status, "FAILED");
+    let response = gateway.response();
+    assert_eq!(response.status, "FAILED");
     ledger.expect_no_link();
 }
 
 #[test]
-fn a_call_with_an_effect_is_retried_after_queue_full_but_not_after_an_error() {
-    let Calling { fixture: _fixture, engine: _engine, ledger, call, mut gateway, id } =
+fn a_call_with_an_effect_is_retried_only_after_queue_full() {
+    let CallFixture { fixture: _fixture, engine: _engine, ledger, call, mut gateway, id } =
         start_calling("pay", LONG_TIMEOUT);
     call.send_line(&format!("{id} queue_full"));
     let call = ledger.link();
@@ -345,19 +346,19 @@
 
 #[test]
 fn an_idempotent_call_is_retried_after_a_disconnect() {
-    let Calling { fixture: _fixture, engine, ledger, call, mut gateway, id } =
+    let CallFixture { fixture: _fixture, engine, ledger, call, mut gateway, id } =
         start_calling("read", LONG_TIMEOUT);
     call.disconnect();
-    let _call = answer_call(&ledger, &engine, &id);
+    let _call = reply_to_call(&ledger, &engine, &id);
     finish_run(&mut gateway, &engine, 2, &id);
 }
 
 #[test]
-fn a_silent_ledger_fails_the_request_and_its_late_reply_is_ignored() {
-    let Calling { fixture: _fixture, engine, ledger, call, mut gateway, id } =
+fn a_silent_ledger_fails_the_request_and_late_replies_are_ignored() {
+    let CallFixture { fixture: _fixture, engine, ledger, call, mut gateway, id } =
         start_calling("pay", SHORT_TIMEOUT);
     assert_eq!(gateway.response().status, "FAILED");
-    // Its connection is not used again.
+    // The call's connection is closed, not reused.
     call.expect_closed();
     end_run(&engine, 2, &id, "broken_off 1500");
     reply(&call, &id, b"late");
@@ -365,12 +366,13 @@
     engine.expect_quiet();
     let id = start_run(&mut gateway, &engine, 2, "pay");
     engine.send_need(3, &id, b"call");
-    let _call = answer_call(&ledger, &engine, &id);
+    let _call = reply_to_call(&ledger, &engine, &id);
 }
 
 #[test]
 fn a_malformed_reply_closes_the_ledger_connection() {
-    let Calling { mut fixture, engine, ledger, call, mut gateway, id } = start_calling("pay", LONG_TIMEOUT);
+    let CallFixture { mut fixture, engine, ledger, call, mut gateway, id } =
+        start_calling("pay", LONG_TIMEOUT);
     call.send_line("what is this");
     assert_eq!(gateway.response().status, "FAILED");
     end_run(&engine, 2, &id, "broken_off 9");
@@ -382,16 +384,16 @@
 
 #[test]
 fn a_malformed_reply_fails_no_other_call() {
-    let without_end = "x".repeat(100_000);
+    let unterminated = "x".repeat(100_000);
     let malformed = [
         "noise\u{7f}\r\n",
-        &without_end,
+        &unterminated,
         "ID posted 3221225472\r\n",
         "ID posted -5\r\n",
         "ID posted 3\r\ntoo long\r\n",
     ];
     for text in malformed {
-        let Calling { fixture: _fixture, engine, ledger, call, mut gateway, id } =
+        let CallFixture { fixture: _fixture, engine, ledger, call, mut gateway, id } =
             start_calling("pay", LONG_TIMEOUT);
         let other = start_run(&mut gateway, &engine, 2, "pay");
         let other_call = start_call(&ledger, &engine, 2, &other, b"call");
@@ -405,12 +407,12 @@
 
 #[test]
 fn duplicate_and_unknown_replies_are_ignored() {
-    let Calling { fixture: _fixture, engine, ledger, call, mut gateway, id } =
+    let CallFixture { fixture: _fixture, engine, ledger, call, mut gateway, id } =
         start_calling("read", LONG_TIMEOUT);
     reply(&call, UNKNOWN_ID, b"whose");
     reply(&call, &id, b"reply");
     expect_feed(&engine, &id, b"reply");
-    // A repeated reply to the first call is no reply to the second.
+    // A repeated reply to the first call is not taken as the reply to the second.
     let second = start_call(&ledger, &engine, 2, &id, b"second");
     reply(&call, &id, b"reply");
     engine.expect_quiet();
@@ -423,36 +425,36 @@
 
 #[test]
 fn a_call_with_an_effect_never_uses_an_idle_connection() {
-    let Serving { fixture: _fixture, engine, ledger, mut gateway } = start_serving(LONG_TIMEOUT);
+    let ServingFixture { fixture: _fixture, engine, ledger, mut gateway } = start_serving(LONG_TIMEOUT);
     let mut idle_connections = Vec::new();
     for (number, class) in (0..).zip(CLASSES) {
         let id = start_run(&mut gateway, &engine, number, class);
         engine.send_need(2 * number + 1, &id, b"call");
-        let call = answer_call(&ledger, &engine, &id);
+        let call = reply_to_call(&ledger, &engine, &id);
         finish_run(&mut gateway, &engine, 2 * number + 2, &id);
         idle_connections.push(call);
     }
 }
 
 #[test]
-fn an_idle_closed_connection_is_reopened_for_the_next_call() {
-    let Serving { fixture: _fixture, engine, ledger, mut gateway } = start_serving(LONG_TIMEOUT);
+fn a_closed_idle_connection_is_replaced() {
+    let ServingFixture { fixture: _fixture, engine, ledger, mut gateway } = start_serving(LONG_TIMEOUT);
     for number in 0..2u64 {
         let id = start_run(&mut gateway, &engine, number, "pay");
         engine.send_need(3 * number + 1, &id, b"call");
-        let call = answer_call(&ledger, &engine, &id);
+        let call = reply_to_call(&ledger, &engine, &id);
         finish_run(&mut gateway, &engine, 3 * number + 2, &id);
         call.disconnect();
         std::thread::sleep(QUIET_PERIOD);
     }
 }
 
-// ---- Capacity of runs without a known end ----
+// ---- Capacity of runs whose end is unknown ----
 
-/// Runs that a server starts at first on the scripted engine's four cores.
+/// Initial limit on concurrent runs, with the four cores of the scripted engine.
 const CAPACITY: u64 = 4;
 
-/// Starts as many runs as there is capacity for; returns their ids.
+/// Starts as many runs as the limit allows; returns their attempt ids.
 fn fill_capacity(gateway: &mut Gateway, engine: &PeerConnection) -> Vec<String> {
     (1..=CAPACITY).map(|tag| start_run(gateway, engine, tag, "pay")).collect()
 }
@@ -463,7 +465,7 @@
     }
 }
 
-/// Expects that a request is run and answered.
+/// Expects that there is capacity for a request to be run and answered.
 fn expect_capacity(gateway: &mut Gateway, engine: &PeerConnection) {
     serve_request(gateway, engine, 9, "pay", 9);
 }
@@ -476,7 +478,7 @@
     expect_all_failed(&mut gateway);
     engine.disconnect();
     let engine = attach(&fixture, "ATTACH 0");
-    // The engine still has the runs, and their ends come with the replay.
+    // The engine still had the runs and reports their ends after the reconnect.
     for (id, number) in ids.iter().zip(1..) {
         end_run(&engine, number, id, "broken_off 1500");
     }
--- a/crates/loomflow-server/tests/printed_output.rs
+++ b/crates/loomflow-server/tests/printed_output.rs
@@ -1,4 +1,5 @@
-//! What the program prints and returns, byte for byte as it was first released: operators and scripts read it.
+//! Output and exit codes of the program, compared byte for byte with the first release, as operators and scripts parse
+//! them.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -6,24 +7,24 @@
 use loomflow_test_servers::{ServerFixture, site};
 use serde_json::{Value, json};
 
-/// A folder of its own for the files of one test.
-struct Folder(PathBuf);
+/// A temporary directory for one test, deleted on drop.
+struct TempDirectory(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
+impl TempDirectory {
+    fn new(name: &str) -> TempDirectory {
         let path = std::env::temp_dir().join(format!("loomflow-printed-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
+        std::fs::create_dir_all(&path).expect("the directory is created");
+        TempDirectory(path)
     }
 
     fn write(&self, name: &str, config: &Value) -> String {
         let path = self.0.join(name);
-        std::fs::write(&path, config.to_string()).expect("a file");
-        path.to_str().expect("a path").to_owned()
+        std::fs::write(&path, config.to_string()).expect("the file is written");
+        path.to_str().expect("the path is UTF-8").to_owned()
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -35,6 +36,7 @@
     command.output().expect("the program starts")
 }
 
+/// Standard output, standard error and exit code.
 fn printed(output: &Output) -> (String, String, Option<i32>) {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (text(&output.stdout), text(&output.stderr), output.status.code())
@@ -52,8 +54,8 @@
 }
 
 #[test]
-fn check_config_lists_each_change_with_when_it_takes_effect() {
-    let folder = Folder::new("changes");
+fn check_config_lists_changes_and_when_they_apply() {
+    let directory = TempDirectory::new("changes");
     let old = config();
     let mut new = old.clone();
     new["seed"] = json!("0000000000000001");
@@ -62,7 +64,7 @@
     new["settings"]["Classes"][0]["Effect"] = json!("keyed");
     new["settings"]["Orgs"] = json!([{"Name": "a", "QuotaPerS": 7}, {"Name": "c"}]);
     new["settings"]["Domain"]["Cpus"] = json!(9);
-    let (old_file, new_file) = (folder.write("old.json", &old), folder.write("new.json", &new));
+    let (old_file, new_file) = (directory.write("old.json", &old), directory.write("new.json", &new));
     let output = loomflow(&["check-config", "--config", &new_file, "--against", &old_file]);
     let cpus = old["settings"]["Domain"]["Cpus"].to_string();
     let expected = format!(
@@ -82,7 +84,7 @@
 
 #[test]
 fn check_config_names_each_rule_violation() {
-    let folder = Folder::new("faults");
+    let directory = TempDirectory::new("faults");
     let old = config();
     let mut new = old.clone();
     new["name"] = json!("n4");
@@ -90,45 +92,45 @@
         "Points": 1.0});
     new["settings"]["Classes"][1]["Effect"] = json!("unsafe");
     new["settings"]["Rules"]["DrainGrace"] = json!(99000.0);
-    let (old_file, new_file) = (folder.write("old.json", &old), folder.write("new.json", &new));
+    let (old_file, new_file) = (directory.write("old.json", &old), directory.write("new.json", &new));
     let output = loomflow(&["check-config", "--config", &new_file, "--against", &old_file]);
-    let faults = [
+    let violations = [
         "name: n4 is turned down: it is the configuration of another server",
         "settings.Classes[pay].Effect: unsafe is turned down: what has run could be run again",
         "settings.Classes[read].OnTime: 4000 is turned down: an answer would be in time after its caller has left \
          (HardLimit)",
         "settings.Rules.DrainGrace: 99000 is turned down: the server is killed before (stop_ms)",
     ];
-    let lines: Vec<String> = faults.iter().map(|fault| format!("{new_file}: {fault}")).collect();
+    let lines: Vec<String> = violations.iter().map(|violation| format!("{new_file}: {violation}")).collect();
     assert_eq!(printed(&output), (String::new(), format!("loomflow: {}\n", lines.join("\n")), Some(1)));
 }
 
 #[test]
-fn every_idempotency_has_its_name() {
-    let folder = Folder::new("effects");
+fn check_config_names_the_rejected_effect() {
+    let directory = TempDirectory::new("effects");
     for (before, after) in [("keyed", "safe"), ("unsafe", "keyed"), ("keyed", "unsafe")] {
         let (mut old, mut new) = (config(), Value::Null);
         old["settings"]["Classes"][1]["Effect"] = json!(before);
         new.clone_from(&old);
         new["settings"]["Classes"][1]["Effect"] = json!(after);
-        let (old_file, new_file) = (folder.write("old.json", &old), folder.write("new.json", &new));
+        let (old_file, new_file) = (directory.write("old.json", &old), directory.write("new.json", &new));
         let output = loomflow(&["check-config", "--config", &new_file, "--against", &old_file]);
         let (_, errors, code) = printed(&output);
         assert_eq!(code, Some(1));
-        let fault = format!("settings.Classes[pay].Effect: {after} is turned down: ");
-        assert!(errors.contains(&fault), "{errors}");
+        let violation = format!("settings.Classes[pay].Effect: {after} is turned down: ");
+        assert!(errors.contains(&violation), "{errors}");
     }
 }
 
 #[test]
-fn version_prints_the_program_and_its_version() {
+fn version_prints_name_and_version() {
     let output = loomflow(&["version"]);
     assert_eq!(printed(&output), ("loomflow 0.1.0\n".into(), String::new(), Some(0)));
 }
 
 #[test]
-fn the_published_schema_is_printed() {
+fn schema_prints_the_published_file() {
     let published = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/options.schema.json");
-    let published = std::fs::read_to_string(published).expect("the published schema");
+    let published = std::fs::read_to_string(published).expect("deploy/options.schema.json is readable");
     assert_eq!(printed(&loomflow(&["schema"])), (published, String::new(), Some(0)));
 }
--- a/crates/loomflow-server/tests/published_client.rs
+++ b/crates/loomflow-server/tests/published_client.rs
@@ -1,5 +1,5 @@
-//! A published AMQP client (`lapin`) against the test broker, as publisher and as consumer, so that a misreading of the
-//! specification by both the broker and the server is found; and the same client as the caller of a server.
+//! The published AMQP client `lapin` as publisher and consumer at the test broker, and as the caller of a server. Broker and
+//! server are both part of this repository and could share a misreading of the specification, which `lapin` reveals.
 
 use std::time::Duration;
 
@@ -11,19 +11,22 @@
 use loomflow_test_servers::autonomous_engine::result_of;
 use loomflow_test_servers::*;
 
-/// How long a step may take. Only failures take this long.
+/// Time limit of a step, reached only by a failure.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 async fn connect(broker: &Broker) -> Connection {
     let address = format!("amqp://guest:guest@{}/%2f", broker.address);
     let runtime = async_rs::Runtime::tokio_current();
     let opening = Connection::connect_with_runtime(&address, ConnectionProperties::default(), runtime);
-    tokio::time::timeout(TIMEOUT, opening).await.expect("in time").expect("a connection")
+    tokio::time::timeout(TIMEOUT, opening)
+        .await
+        .expect("the connection opens in time")
+        .expect("the broker accepts the connection")
 }
 
 async fn declare_queue(channel: &Channel, name: &str, arguments: FieldTable) {
     let options = QueueDeclareOptions::default();
-    channel.queue_declare(name.into(), options, arguments).await.expect("a queue");
+    channel.queue_declare(name.into(), options, arguments).await.expect("the queue is declared");
 }
 
 async fn publish(
@@ -35,17 +38,20 @@
 ) -> Confirmation {
     let options = BasicPublishOptions { mandatory: true, ..BasicPublishOptions::default() };
     let publish = channel.basic_publish(exchange.into(), key.into(), options, body, properties);
-    publish.await.expect("published").await.expect("confirmed")
+    publish.await.expect("the message is published").await.expect("the broker confirms it")
 }
 
 async fn consume(channel: &Channel, queue: &str) -> Consumer {
     let (options, arguments) = (BasicConsumeOptions::default(), FieldTable::default());
-    channel.basic_consume(queue.into(), "me".into(), options, arguments).await.expect("a consumer")
+    channel
+        .basic_consume(queue.into(), "me".into(), options, arguments)
+        .await
+        .expect("the consumer is registered")
 }
 
-async fn next(consumer: &mut Consumer) -> Delivery {
-    let delivery = tokio::time::timeout(TIMEOUT, consumer.next()).await.expect("in time");
-    delivery.expect("a delivery").expect("no error")
+async fn next_delivery(consumer: &mut Consumer) -> Delivery {
+    let delivery = tokio::time::timeout(TIMEOUT, consumer.next()).await.expect("a delivery arrives in time");
+    delivery.expect("the consumer is not cancelled").expect("the delivery is valid")
 }
 
 async fn expect_no_delivery(consumer: &mut Consumer) {
@@ -53,7 +59,7 @@
 }
 
 #[tokio::test]
-async fn a_published_client_gets_confirms_nacks_and_returned_messages() {
+async fn lapin_gets_confirms_nacks_and_returned_messages() {
     let broker = Broker::start();
     let connection = connect(&broker).await;
     let channel = connection.create_channel().await.unwrap();
@@ -63,14 +69,14 @@
     assert!(matches!(publish(&channel, "", "q", b"1", properties.clone()).await, Confirmation::Ack(None)));
     broker.faults(|faults| faults.nack = 1);
     assert!(matches!(publish(&channel, "", "q", b"2", properties.clone()).await, Confirmation::Nack(None)));
-    let Confirmation::Ack(Some(back)) = publish(&channel, "", "nowhere", b"3", properties).await else {
-        panic!("it is returned")
+    let Confirmation::Ack(Some(returned)) = publish(&channel, "", "nowhere", b"3", properties).await else {
+        panic!("the unroutable message is not returned")
     };
-    assert_eq!((back.reply_code, back.delivery.data.as_slice()), (312, &b"3"[..]));
+    assert_eq!((returned.reply_code, returned.delivery.data.as_slice()), (312, &b"3"[..]));
 }
 
 #[tokio::test]
-async fn a_published_client_consumes_within_its_prefetch_limit_and_settles_each_way() {
+async fn lapin_consumes_within_its_prefetch_limit_and_settles() {
     let broker = Broker::start();
     let connection = connect(&broker).await;
     let channel = connection.create_channel().await.unwrap();
@@ -85,16 +91,16 @@
     }
     channel.basic_qos(2, BasicQosOptions::default()).await.unwrap();
     let mut consumer = consume(&channel, "q").await;
-    let (first, second) = (next(&mut consumer).await, next(&mut consumer).await);
+    let (first, second) = (next_delivery(&mut consumer).await, next_delivery(&mut consumer).await);
     expect_no_delivery(&mut consumer).await;
     assert_eq!((first.data.len(), first.redelivered), (10_000, false));
     first.ack(BasicAckOptions::default()).await.unwrap();
-    let third = next(&mut consumer).await;
+    let third = next_delivery(&mut consumer).await;
     third.reject(BasicRejectOptions { requeue: false }).await.unwrap();
     second.nack(BasicNackOptions { multiple: false, requeue: true }).await.unwrap();
-    let again = next(&mut consumer).await;
-    assert!(again.redelivered);
-    again.ack(BasicAckOptions::default()).await.unwrap();
+    let redelivery = next_delivery(&mut consumer).await;
+    assert!(redelivery.redelivered);
+    redelivery.ack(BasicAckOptions::default()).await.unwrap();
     broker.wait_until_empty("q");
     assert_eq!(broker.wait_for_messages("dead", 1).len(), 1);
 }
@@ -126,8 +132,8 @@
     publish(&channel, "one", "k", b"y", BasicProperties::default()).await;
     assert_eq!((broker.wait_for_messages("a", 2).len(), broker.wait_for_messages("b", 1).len()), (2, 1));
     let (options, arguments) = (BasicConsumeOptions::default(), FieldTable::default());
-    let lost = channel.basic_consume("no such queue".into(), "me".into(), options, arguments).await;
-    assert!(lost.is_err() && !channel.status().connected());
+    let consumer = channel.basic_consume("no such queue".into(), "me".into(), options, arguments).await;
+    assert!(consumer.is_err() && !channel.status().connected());
     assert!(connection.status().connected());
 }
 
@@ -150,7 +156,7 @@
 }
 
 #[tokio::test]
-async fn a_published_client_calls_a_server_and_gets_each_reply_once() {
+async fn lapin_gets_one_reply_per_message() {
     let broker = Broker::start();
     let worker = AutonomousEngine::start(4, Duration::from_millis(2));
     let connection = connect(&broker).await;
@@ -163,25 +169,26 @@
         let worker = worker.clone();
         move || ServerFixture::start_with(site(5_000.0), &options, &worker)
     });
-    let _fixture = fixture.await.expect("a server");
+    let _fixture = fixture.await.expect("the server starts");
     channel.confirm_select(ConfirmSelectOptions::default()).await.unwrap();
     for number in 0..50 {
         let name = format!("m{number}");
-        // One in ten names a class that is not there.
+        // One in ten has a class that the server does not have.
         let class = if number % 10 == 9 { "none" } else { "book" };
         publish(&channel, "", "jobs", name.as_bytes(), message_properties(&name, class)).await;
     }
     let mut replies = consume(&channel, "mine").await;
     let mut kinds = std::collections::BTreeMap::new();
     for _ in 0..50 {
-        let reply = next(&mut replies).await;
-        let name = reply.properties.correlation_id().clone().expect("its name").to_string();
-        let kind = reply.properties.kind().clone().expect("its kind").to_string();
+        let reply = next_delivery(&mut replies).await;
+        let name =
+            reply.properties.correlation_id().clone().expect("the reply has a correlation id").to_string();
+        let kind = reply.properties.kind().clone().expect("the reply has a type").to_string();
         reply.ack(BasicAckOptions::default()).await.unwrap();
         if kind == "served" {
             assert_eq!(reply.data, result_of(name.as_bytes()));
         }
-        assert!(kinds.insert(name, kind).is_none(), "one reply each");
+        assert!(kinds.insert(name, kind).is_none(), "a second reply to the same message");
     }
     expect_no_delivery(&mut replies).await;
     assert_eq!(kinds.values().filter(|kind| *kind == "served").count(), 45);
--- a/crates/loomflow-server/tests/reload.rs
+++ b/crates/loomflow-server/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Reload of a server process's configuration by SIGHUP: new addresses and settings take effect at once, no open request is
+//! Configuration reload of a server process by SIGHUP: new addresses and settings take effect at once, no open request is
 //! lost, and an invalid file changes nothing.
 
 mod common;
@@ -7,7 +7,7 @@
 use loomflow_test_servers::*;
 use serde_json::{Value, json};
 
-/// Writes a configuration with new addresses of the peers and requests a reload; returns the former peers.
+/// Writes a configuration with new peers at new addresses and sends SIGHUP; returns the former peers.
 fn reload_with_new_peers(fixture: &mut ServerFixture) -> (ScriptedEngine, Ledger, Control) {
     let former = fixture.move_peers();
     fixture.signal("HUP");
@@ -15,17 +15,18 @@
 }
 
 #[test]
-fn a_reload_moves_engine_ledger_and_control_plane_with_runs_and_calls_open() {
+fn reload_moves_all_peers_with_open_runs_and_calls() {
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let former_ledger = fixture.ledger.open();
     let OpenRequests { mut gateway, running, calling, call } =
         start_open_requests(&fixture, &engine, &former_ledger, "pay");
     let former_peers = reload_with_new_peers(&mut fixture);
-    // The new connection continues where the former one was.
+    // The new connection continues after the last notice that was read from the former one.
     let moved = fixture.engine.link();
     moved.accept_attach_replaying("ATTACH 1", &[(format!("DONE 2 {running} fine 5"), b"A")]);
     assert_eq!(gateway.response().body, b"A");
-    // An open call ends where it was made; its reply and all later calls go to the new peers.
+    // An open call is completed by the former ledger; its reply is fed to the new engine, and later calls go to the new
+    // ledger.
     call.send_with_body(&format!("{calling} posted"), b"ok");
     assert_eq!(moved.expect("FEED").word(1), calling);
     let ledger = fixture.ledger.open();
@@ -33,27 +34,27 @@
     ledger.link().expect("post");
     former_ledger.expect_no_link();
     expect_ready_report(&fixture.control);
-    // Nothing more is sent on the former connection, and it is closed.
+    // The former connection is closed without further commands.
     engine.expect_closed();
     drop(former_peers);
     assert!(fixture.is_running());
 }
 
 #[test]
-fn commands_sent_just_before_a_move_are_not_lost() {
+fn commands_sent_before_a_move_are_resent() {
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     let _former_peers = fixture.move_peers();
     let id = start_run(&mut gateway, &engine, 1, "read");
     fixture.signal("HUP");
     let moved = attach(&fixture, "ATTACH 0");
-    // The command is repeated: a run that the engine has already is not started twice.
+    // The command is sent again; an engine that already has the run does not start it twice.
     assert_eq!(expect_run(&moved), id);
     finish_run(&mut gateway, &moved, 1, &id);
 }
 
 #[test]
-fn an_invalid_file_changes_nothing_and_its_key_is_logged() {
+fn an_invalid_file_is_logged_and_changes_nothing() {
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     let valid = fixture.config.clone();
@@ -66,16 +67,16 @@
         (Some(String::new()), "not JSON: EOF"),
         (None, "cannot be read"),
     ];
-    for (number, (text, fault)) in (1..).zip(cases) {
+    for (number, (text, error)) in (1..).zip(cases) {
         match text {
             Some(text) => fixture.write(&text),
             None => fixture.remove_file(),
         }
         fixture.signal("HUP");
-        fixture.wait_for_log(fault);
+        fixture.wait_for_log(error);
         serve_request(&mut gateway, &engine, number, "read", number);
     }
-    // Keys that only a start can change are logged.
+    // Changed keys that need a restart are logged.
     let mut other = valid;
     other["seed"] = "1".into();
     other["limits"]["sockets"] = 99.into();
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn a_move_during_shutdown_still_answers_all_open_requests() {
+fn a_move_during_shutdown_answers_open_requests() {
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     let id = start_run(&mut gateway, &engine, 1, "pay");
@@ -109,13 +110,13 @@
     expect_exit(&mut fixture, gateway);
 }
 
-/// Sends a request of a tenant.
+/// Sends a `read` request of `tenant`.
 fn call_for(gateway: &mut Gateway, tag: u64, tenant: &str) {
     let fields = fields(&next_attempt_id()).replace("owner=acme", &format!("owner={tenant}"));
     gateway.send(&call(tag, "read", &fields, b"x"));
 }
 
-/// Sends a request of a tenant, which has to be run and answered.
+/// Sends a `read` request of `tenant`, which must be run and answered.
 fn serve_tenant(gateway: &mut Gateway, engine: &PeerConnection, tag: u64, tenant: &str, number: u64) {
     call_for(gateway, tag, tenant);
     let id = expect_run(engine);
@@ -123,26 +124,26 @@
 }
 
 #[test]
-fn reloadable_settings_take_effect_and_a_violation_changes_nothing() {
+fn reloadable_settings_apply_and_violations_change_nothing() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     call_for(&mut gateway, 1, "newcomer");
     expect_status(&mut gateway, 1, "FAILED");
-    // A new tenant, at the head of the list, and a new latency objective take effect.
+    // A new tenant at the head of the list and a new latency objective (`OnTime`) take effect.
     let mut new = fixture.config.clone();
     let tenants = new["settings"]["Orgs"].as_array_mut().unwrap();
     tenants.insert(0, json!({"Name": "newcomer", "QuotaPerS": 5.0}));
     new["settings"]["Classes"][0]["OnTime"] = 100.0.into();
     reload(&fixture, &new, "live=\"settings.Classes[read].OnTime, settings.Orgs[newcomer]\"");
     serve_tenant(&mut gateway, &engine, 2, "newcomer", 1);
-    // A file that breaks rules is rejected as a whole, with its new address.
-    let mut bad = new.clone();
-    bad["settings"]["Classes"][2]["Effect"] = "safe".into();
-    bad["settings"]["Rules"]["DrainGrace"] = 3000.0.into();
-    bad["engine"] = fixture.ledger.address.to_string().into();
+    // A file that violates rules is rejected as a whole, including its new engine address.
+    let mut invalid = new.clone();
+    invalid["settings"]["Classes"][2]["Effect"] = "safe".into();
+    invalid["settings"]["Rules"]["DrainGrace"] = 3000.0.into();
+    invalid["engine"] = fixture.ledger.address.to_string().into();
     reload(
         &fixture,
-        &bad,
+        &invalid,
         "key=\"settings.Classes[book].Effect\" value=\"safe\" rule=\"what has run could be run again\"",
     );
     fixture.wait_for_log("settings.Rules.DrainGrace");
@@ -154,7 +155,7 @@
     reload(&fixture, &without_class, "settings.Classes[pay]");
 }
 
-/// A change of a configuration that makes it that of another server or site, and the key that the log names.
+/// A change that turns a configuration into that of another server or site, and the log text that names its key.
 type ForeignConfiguration = (fn(&mut Value), &'static str);
 
 const FOREIGN_CONFIGURATIONS: [ForeignConfiguration; 4] = [
@@ -164,7 +165,7 @@
         |file| file["settings"]["Classes"] = json!([class("scan", "safe", LONG_TIMEOUT)]),
         "key=\"settings.Classes\" value=\"scan\"",
     ),
-    // Server and classes have the same names, but the tenants are others.
+    // Same server name and classes, but different tenants.
     (
         |file| {
             file["settings"]["Orgs"] = json!([{"Name": "stranger", "QuotaPerS": 1.0}]);
@@ -186,7 +187,7 @@
         reload(&fixture, &file, key);
     }
     foreign_engine.expect_no_link();
-    // The server's own file is accepted after that, and an open request keeps its class.
+    // After that the server still accepts its own file, and an open request keeps its class.
     let mut gateway = fixture.gateway();
     let id = start_run(&mut gateway, &engine, 1, "pay");
     let _former_peers = reload_with_new_peers(&mut fixture);
@@ -195,12 +196,12 @@
 }
 
 #[test]
-fn no_configuration_file_blocks_a_shutdown_request() {
+fn an_unreadable_configuration_does_not_block_shutdown() {
     let (mut fixture, _engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     fixture.write(&format!("{{\"x\": \"{}\"}}", "y".repeat(8 * 1024 * 1024)));
     fixture.signal("HUP");
     fixture.wait_for_log("longer than 4 MiB");
-    // A pipe without a writer.
+    // Opening a pipe that has no writer blocks.
     fixture.remove_file();
     fixture.make_pipe();
     fixture.signal("HUP");
@@ -210,7 +211,7 @@
 }
 
 #[test]
-fn a_simultaneous_reload_and_shutdown_are_both_handled() {
+fn simultaneous_reload_and_shutdown_are_both_handled() {
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     let id = start_run(&mut gateway, &engine, 1, "pay");
--- a/crates/loomflow-server/tests/repeats.rs
+++ b/crates/loomflow-server/tests/repeats.rs
@@ -1,11 +1,11 @@
-//! Repeats of keyed requests at a server process: with another body, of another tenant, and of a request that never ran.
+//! Repeated requests with an idempotency key: with another body, from another tenant, and after a request that never ran.
 
 mod common;
 
 use common::*;
 use loomflow_test_servers::*;
 
-/// Sends a keyed request of a tenant.
+/// Sends a `book` request of `tenant` with the idempotency key `k`.
 fn call_keyed(gateway: &mut Gateway, tag: u64, tenant: &str, body: &[u8]) {
     let fields = fields(&next_attempt_id()).replace("owner=acme", &format!("owner={tenant}"));
     gateway.send(&call(tag, "book", &format!("{fields},opkey=k"), body));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_same_key_of_another_tenant_is_distinct() {
+fn keys_are_distinct_per_tenant() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     for (tag, tenant) in [(1, "acme"), (2, "other")] {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_repeat_of_a_request_that_never_ran_may_run() {
+fn a_repeat_runs_if_the_first_request_never_ran() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     call_keyed(&mut gateway, 1, "acme", b"x");
@@ -55,8 +55,8 @@
     call_keyed(&mut gateway, 2, "acme", b"x");
     gateway.expect_quiet();
     engine.send_with_body(&format!("DONE 1 {id} late 0"), b"");
-    let answers = responses_by_tag(&mut gateway, 2);
-    assert_eq!((answers[0].status.as_str(), answers[1].status.as_str()), ("FAILED", "BUSY"));
+    let responses = responses_by_tag(&mut gateway, 2);
+    assert_eq!((responses[0].status.as_str(), responses[1].status.as_str()), ("FAILED", "BUSY"));
     call_keyed(&mut gateway, 3, "acme", b"x");
     let id = expect_run(&engine);
     engine.send_done(2, &id, b"booked");
--- a/crates/loomflow-server/tests/service.rs
+++ b/crates/loomflow-server/tests/service.rs
@@ -1,5 +1,5 @@
-//! Requests served by a server process between scripted peers: every message in both directions, for each idempotency, and
-//! what the site's settings allow.
+//! Requests served by a server process with scripted peers: every message in both directions, each idempotency, and the
+//! optional features that a site's settings enable.
 
 mod common;
 
@@ -16,9 +16,9 @@
     assert_eq!(run.text, format!("RUN {id} read 23"));
     assert_eq!(run.body, b"a body\r\nof any \0 bytes\xff");
     engine.send_done(1, &id, b"*1\r\nresult\0\xfe");
-    let answer = gateway.response();
-    assert_eq!((answer.tag, answer.status.as_str()), (7, "OK"));
-    assert_eq!(answer.body, b"*1\r\nresult\0\xfe");
+    let response = gateway.response();
+    assert_eq!((response.tag, response.status.as_str()), (7, "OK"));
+    assert_eq!(response.body, b"*1\r\nresult\0\xfe");
     gateway.expect_quiet();
 }
 
@@ -52,7 +52,7 @@
         call.send_with_body(&format!("{id} posted"), b"\r\nreply\xff");
         let feed = engine.expect("FEED");
         assert_eq!((feed.word(1), feed.body.as_slice()), (id.as_str(), &b"\r\nreply\xff"[..]));
-        // A run may make several calls, one after the other, each on its own connection.
+        // A run may make several calls in succession, each on its own connection.
         engine.send_need(2, &id, b"second");
         let call = ledger.link();
         assert_eq!(call.expect("post").body, b"second");
@@ -76,7 +76,7 @@
         tag += 1;
         let id = gateway.call(tag, "pay", b"x");
         match gateway.next_response(QUIET_PERIOD) {
-            Ok(Some(answer)) => assert_eq!(answer.status, "BUSY"),
+            Ok(Some(response)) => assert_eq!(response.status, "BUSY"),
             _ => break id,
         }
     };
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn health_checks_are_answered_before_the_engine_connects_and_requests_after() {
+fn health_checks_are_answered_before_the_engine_connects() {
     let (fixture, engine) = start_unattached();
     assert_eq!(engine.line().text, "ATTACH 0");
     let mut gateway = fixture.gateway();
@@ -107,14 +107,14 @@
 }
 
 #[test]
-fn an_idempotent_request_runs_once_and_its_repeats_get_its_result() {
+fn repeats_of_an_idempotent_request_share_one_run() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let (mut one, mut two) = (fixture.gateway(), fixture.gateway());
     let keyed = |id: &str, key: &str| format!("{},opkey={key}", fields(id));
     let first = next_attempt_id();
     one.send(&call(1, "book", &keyed(&first, "k1"), b"x"));
     engine.expect("RUN");
-    // A repeat while it runs, on another connection; then one after it has run.
+    // One repeat on another connection during the run, and one after it.
     two.send(&call(1, "book", &keyed(&next_attempt_id(), "k1"), b"x"));
     two.expect_quiet();
     engine.expect_quiet();
@@ -124,7 +124,7 @@
     let repeat = two.response();
     assert_eq!((repeat.status.as_str(), repeat.body.as_slice()), ("OK", &b"booked"[..]));
     engine.expect_quiet();
-    // Another key is another request.
+    // A request with another key is run.
     two.send(&call(3, "book", &keyed(&next_attempt_id(), "k2"), b"x"));
     engine.expect("RUN");
 }
@@ -174,7 +174,7 @@
     let (fixture, engine) = ServerFixture::start_serving(settings);
     let mut gateway = fixture.gateway();
     let id = start_run(&mut gateway, &engine, 1, "read");
-    // The request is given up in time, and its run is stopped.
+    // The request is answered before its timeout, and its run is stopped.
     assert_ne!(gateway.response().status, "OK");
     assert_eq!(engine.line().text, format!("HALT {id}"));
     engine.send_with_body(&format!("DONE 1 {id} broken_off 600"), b"");
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn responses_go_to_their_own_connection_and_tag_in_any_order() {
+fn responses_match_connection_and_tag_in_any_order() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let (mut one, mut two) = (fixture.gateway(), fixture.gateway());
     let a = one.call(1, "read", b"a");
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn every_request_is_answered_once_in_time_when_the_engine_is_silent() {
+fn requests_are_answered_in_time_if_the_engine_is_silent() {
     let (fixture, engine) = ServerFixture::start_serving(site(700.0));
     let mut gateway = fixture.gateway();
     for tag in 1..=32 {
@@ -222,7 +222,11 @@
     }
     let start = std::time::Instant::now();
     expect_each_answered_once(&mut gateway, 32);
-    assert!(start.elapsed() < RESPONSE_TIMEOUT / 2, "the responses are far too late");
+    assert!(
+        start.elapsed() < RESPONSE_TIMEOUT / 2,
+        "the responses took {:?}, the limit is half of {RESPONSE_TIMEOUT:?}",
+        start.elapsed()
+    );
     gateway.expect_quiet();
     drop(engine);
 }
--- a/crates/loomflow-server/tests/leaving.rs
+++ b/crates/loomflow-server/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! Shutdown of a server process by SIGTERM, between scripted peers: every request that was received is answered before the
-//! exit, none is run that comes too late, and the process ends by itself.
+//! Shutdown of a server process by SIGTERM with scripted peers: every received request is answered before the exit,
+//! requests after the grace period are not run, and the process exits by itself.
 
 mod common;
 
@@ -14,7 +14,7 @@
 use loomflow_test_servers::*;
 
 #[test]
-fn an_idle_server_sends_goodbyes_and_exits() {
+fn an_idle_server_sends_bye_and_exits() {
     let (mut fixture, _engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = idle_gateway(&fixture);
     shut_down(&fixture, &mut gateway);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn new_requests_are_served_until_the_end_of_the_grace_period() {
+fn requests_are_served_until_the_grace_period_ends() {
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let old = idle_gateway(&fixture);
     fixture.terminate();
@@ -32,8 +32,8 @@
         finish_run(gateway, &engine, number, &id);
     }
     for gateway in &mut both {
-        expect_goodbye(gateway);
-        // A request that comes later never runs; its stamp is in whole ms.
+        expect_bye(gateway);
+        // A request stamped after the grace period never runs; the stamp has a resolution of 1 ms.
         thread::sleep(Duration::from_millis(5));
         gateway.call(3, "pay", b"x");
         assert_eq!(gateway.response().status, "BUSY");
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn shutdown_does_not_wait_for_a_gateway_that_does_not_close() {
+fn an_open_gateway_does_not_block_shutdown() {
     let (mut fixture, _engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     shut_down(&fixture, &mut gateway);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn shutdown_waits_for_runs_and_answers_them() {
+fn shutdown_waits_for_open_runs() {
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let ledger = fixture.ledger.open();
     let OpenRequests { mut gateway, running, calling, call } =
@@ -69,14 +69,14 @@
 }
 
 #[test]
-fn endless_runs_are_answered_before_the_kill() {
+fn unfinished_runs_are_answered_before_the_stop_deadline() {
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     for tag in 1..=3 {
         gateway.call(tag, ["read", "pay", "book"][tag as usize - 1], b"x");
     }
     engine.expect("RUN");
-    // Without results, and without a connection to the engine.
+    // The runs get no result, and the engine's connection is closed.
     engine.disconnect();
     let start = Instant::now();
     shut_down(&fixture, &mut gateway);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_second_shutdown_request_has_no_effect() {
+fn a_second_sigterm_has_no_effect() {
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
     let id = start_run(&mut gateway, &engine, 1, "read");
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_shutdown_request_before_the_engine_connects_is_obeyed() {
+fn sigterm_before_the_engine_connects_is_obeyed() {
     let (mut fixture, _engine) = start_unattached();
     let mut gateway = idle_gateway(&fixture);
     shut_down(&fixture, &mut gateway);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_shutdown_request_before_the_engine_connects_holds_once_it_does() {
+fn sigterm_before_the_engine_connects_rejects_later_requests() {
     let (mut fixture, engine) = start_unattached();
     let mut gateway = fixture.gateway();
     gateway.send(&health(1, true));
@@ -123,37 +123,37 @@
     expect_exit(&mut fixture, gateway);
 }
 
-/// Starts a server whose address is in use, and waits until it has noticed; returns the listener that has the address.
+/// Starts a server whose address is in use and waits until it logs that; returns the listener that holds the address.
 fn start_with_address_in_use() -> (ServerFixture, TcpListener) {
     let mut fixture = ServerFixture::new(site(LONG_TIMEOUT));
-    let former = TcpListener::bind(fixture.listen).expect("the address");
+    let listener = TcpListener::bind(fixture.listen).expect("the address is free");
     fixture.start(SERVE);
     fixture.wait_for_log("the address is in use");
-    (fixture, former)
+    (fixture, listener)
 }
 
 #[test]
-fn a_shutdown_request_is_obeyed_while_the_address_is_in_use() {
-    let (mut fixture, _former) = start_with_address_in_use();
+fn sigterm_is_obeyed_while_the_address_is_in_use() {
+    let (mut fixture, _listener) = start_with_address_in_use();
     fixture.terminate();
     assert_eq!(fixture.exit_code(), Some(0));
 }
 
 #[test]
-fn an_address_in_use_for_more_than_a_second_is_awaited() {
-    let (mut fixture, former) = start_with_address_in_use();
+fn startup_waits_over_a_second_for_the_address() {
+    let (mut fixture, listener) = start_with_address_in_use();
     thread::sleep(Duration::from_millis(1_500));
     assert!(fixture.is_running());
-    release(former);
+    release(listener);
     attach(&fixture, "ATTACH 0");
     fixture.wait_for_service();
 }
 
-/// Connections beyond the limit wait in the listen queue, where the system has accepted them: what was sent on them is
-/// received.
+/// Connections beyond the limit wait in the listen queue. The kernel has completed their handshake and received their
+/// requests, which therefore need a response.
 #[test]
-fn requests_in_the_listen_queue_at_its_close_are_answered() {
-    // Half of the descriptors are for gateways.
+fn requests_in_the_listen_queue_are_answered_at_shutdown() {
+    // Gateways may use half of the 50 descriptors.
     let (mut fixture, _engine) =
         start_configured(site(LONG_TIMEOUT), |fixture| fixture.config["limits"]["sockets"] = 50.into());
     let mut accepted: Vec<Gateway> = (0..25).map(|_| fixture.gateway()).collect();
@@ -164,30 +164,30 @@
     queued.call(7, "pay", b"x");
     queued.expect_quiet();
     fixture.terminate();
-    accepted.iter_mut().for_each(expect_goodbye);
-    // The queue is read only once the others have closed.
+    accepted.iter_mut().for_each(expect_bye);
+    // Connections are taken from the queue only after the accepted ones have closed.
     queued.expect_quiet();
     drop(accepted);
-    let answer = next_response_to(&mut queued, 7);
-    assert_eq!(answer.status, "BUSY");
+    let response = next_response_to(&mut queued, 7);
+    assert_eq!(response.status, "BUSY");
     expect_exit(&mut fixture, queued);
 }
 
-/// The response to a request; before it only goodbyes are expected.
+/// Returns the response with this tag; only `BYE` may come before it.
 fn next_response_to(gateway: &mut Gateway, tag: u64) -> GatewayResponse {
     loop {
-        let answer = gateway.response();
-        if answer.tag == tag {
-            return answer;
+        let response = gateway.response();
+        if response.tag == tag {
+            return response;
         }
-        assert_eq!(answer.status, "BYE");
+        assert_eq!(response.status, "BYE");
     }
 }
 
-/// The head of a call whose fields are a thousand bytes.
+/// First bytes of a call, up to its fields of 1,000 bytes.
 const CALL_HEAD: &[u8] = b"*4\r\n$8\r\nRPC.CALL\r\n$4\r\n1234\r\n$1000\r\n";
 
-/// Writes a byte of a message every 2 ms until it is told to stop.
+/// Writes one byte every 2 ms until `is_stopped` is set.
 fn write_slowly(mut writer: impl Write, is_stopped: &AtomicBool) {
     while !is_stopped.load(Ordering::SeqCst) {
         let _ = writer.write(b"x");
@@ -195,18 +195,19 @@
     }
 }
 
-/// A process that ends with unread bytes resets their connection, and its peer loses what it has not read yet.
+/// The kernel resets a connection that is closed with unread input, and its peer loses the responses that it has not read
+/// yet.
 #[test]
-fn a_gateway_that_writes_at_the_last_moment_reads_all_responses() {
+fn a_late_write_does_not_reset_the_connection() {
     let (mut fixture, _engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = idle_gateway(&fixture);
     shut_down(&fixture, &mut gateway);
-    let mut writer = gateway.stream.try_clone().expect("a clone");
+    let mut writer = gateway.stream.try_clone().expect("the stream can be cloned");
     let _ = writer.write_all(CALL_HEAD);
     let is_stopped = Arc::new(AtomicBool::new(false));
     let stop = is_stopped.clone();
     let writes = thread::spawn(move || write_slowly(writer, &stop));
-    gateway.stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).expect("a time-out");
+    gateway.stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).expect("the read timeout is valid");
     let end = gateway.stream.read_to_end(&mut Vec::new());
     is_stopped.store(true, Ordering::SeqCst);
     writes.join().expect("the writer ends");
@@ -214,9 +215,9 @@
     expect_exit(&mut fixture, gateway);
 }
 
-/// A shutdown answers everything that was received, however little time it has, and the process ends by itself.
+/// With a `stop_ms` of 200 to 800 a shutdown still answers all received requests, and the process exits by itself.
 #[test]
-fn a_very_short_shutdown_answers_all_open_requests() {
+fn a_short_stop_timeout_answers_all_open_requests() {
     for stop_ms in [200.0, 400.0, 800.0] {
         let (mut fixture, engine) =
             start_configured(site(LONG_TIMEOUT), |fixture| fixture.config["stop_ms"] = stop_ms.into());
@@ -227,10 +228,13 @@
         engine.expect("RUN");
         fixture.terminate();
         let responses = responses_by_tag(&mut busy, 9);
-        let answered: Vec<u64> =
-            responses.iter().filter(|answer| answer.status != "BYE").map(|answer| answer.tag).collect();
+        let answered: Vec<u64> = responses
+            .iter()
+            .filter(|response| response.status != "BYE")
+            .map(|response| response.tag)
+            .collect();
         assert_eq!(answered, (1..=8).collect::<Vec<u64>>(), "stop_ms {stop_ms}");
-        expect_goodbye(&mut idle);
+        expect_bye(&mut idle);
         assert_eq!(fixture.exit_code(), Some(0));
         idle.expect_closed();
     }
--- a/crates/loomflow-server/tests/starting.rs
+++ b/crates/loomflow-server/tests/starting.rs
@@ -1,5 +1,5 @@
-//! Start of a server process before its engine, its ledger or its control plane: what is answered before they are there, and
-//! that all of them are connected in any order.
+//! Startup of a server process before its engine, ledger or control plane: its responses until they are available, and
+//! that they may become available in any order.
 
 mod common;
 
@@ -8,16 +8,16 @@
 use common::*;
 use loomflow_test_servers::*;
 
-/// A request is run once the engine is connected, and its call made once the ledger is, in any order.
+/// A request is run as soon as the engine is connected, and its call is made as soon as the ledger listens.
 #[test]
-fn engine_ledger_and_control_plane_may_start_in_any_order() {
+fn peers_may_start_in_any_order() {
     for first in ["engine", "ledger", "control"] {
         let mut fixture = ServerFixture::new(site(LONG_TIMEOUT));
-        let down = loopback_address();
-        fixture.config["control"] = down.to_string().into();
+        let control_address = loopback_address();
+        fixture.config["control"] = control_address.to_string().into();
         let mut ledger = (first == "ledger").then(|| fixture.ledger.open());
-        let start_control = |address| Control::at(TcpListener::bind(address).expect("its address"));
-        let mut control = (first == "control").then(|| start_control(down));
+        let start_control = |address| Control::at(TcpListener::bind(address).expect("the address is free"));
+        let mut control = (first == "control").then(|| start_control(control_address));
         fixture.start(SERVE);
         let engine = fixture.engine.link();
         // Health checks are answered before the engine is connected; requests are rejected.
@@ -36,7 +36,7 @@
         ledger.link().send_with_body(&format!("{id} posted"), b"ok");
         assert_eq!(engine.expect("FEED").word(1), id);
         finish_run(&mut gateway, &engine, 2, &id);
-        let control = control.take().unwrap_or_else(|| start_control(down));
+        let control = control.take().unwrap_or_else(|| start_control(control_address));
         expect_ready_report(&control);
     }
 }
--- a/crates/loomflow-server/tests/stored_data.rs
+++ b/crates/loomflow-server/tests/stored_data.rs
@@ -1,7 +1,7 @@
-//! What an earlier build stored, the program reads and goes on with: the folders of a fleet's members, the record of its
-//! duties and a fence file.
+//! The program reads the data that an earlier build stored, and continues from it: the state directories of a fleet's
+//! members, with their duties, and a fence file.
 //!
-//! `stored_data/` was written by the build of a2e1c2e:
+//! `stored_data/` was written by the build of commit a2e1c2e:
 //!
 //!     PROGRAM=target/release/loomflow cargo test -p loomflow-server --test stored_data -- --ignored record
 
@@ -10,8 +10,8 @@
 use loomflow_test_servers::fleet::{Fleet, Plan};
 use serde_json::Value;
 
-/// A duty that writes a line behind the fence again and again: the token.
-const DUTY: &str = r#"
+/// Options with a duty whose job appends its token to the file `lines` every 50 ms, behind the fence.
+const WRITER_DUTY: &str = r#"
   begin_within_s: 5
   warm_for_s: 1
   duties:
@@ -31,30 +31,38 @@
             done
 "#;
 
-const PLAN: Plan =
-    Plan { members: 3, zones: 1, extra: DUTY, cores: 4, work: std::time::Duration::from_millis(5), seed: 1 };
+const PLAN: Plan = Plan {
+    members: 3,
+    zones: 1,
+    extra: WRITER_DUTY,
+    cores: 4,
+    work: std::time::Duration::from_millis(5),
+    seed: 1,
+};
 const FILES: [&str; 5] = ["n1/fleet.redb", "n2/fleet.redb", "n3/fleet.redb", "fence", "lines"];
 const PAUSE_REASON: &str = "a release of a2e1c2e";
-/// Lower than any token that wrote through the stored fence.
+/// A token below every one that the stored fence has let pass.
 const STALE_TOKEN: &str = "1";
 
-fn stored(name: &str) -> PathBuf {
+fn stored_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/stored_data").join(name)
 }
 
 fn copy(from: &Path, to: &Path) {
-    std::fs::create_dir_all(to.parent().expect("a folder")).expect("a folder");
-    std::fs::copy(from, to).expect("a copy");
+    std::fs::create_dir_all(to.parent().expect("the path has a parent")).expect("the directory is created");
+    std::fs::copy(from, to).expect("the file is copied");
 }
 
-/// A fleet of this build that starts with what was stored.
-fn restored() -> Fleet {
-    let restore = |folder: &Path| FILES.iter().for_each(|name| copy(&stored(name), &folder.join(name)));
+/// Starts a fleet of this build from the stored data.
+fn start_restored() -> Fleet {
+    let restore =
+        |directory: &Path| FILES.iter().for_each(|name| copy(&stored_path(name), &directory.join(name)));
     Fleet::start_from(PLAN, &loomflow_test_servers::program(), restore)
 }
 
-fn highest_token(folder: &Path) -> u64 {
-    let lines = std::fs::read_to_string(folder.join("lines")).unwrap_or_default();
+/// The highest token that was written to `lines`.
+fn highest_token(directory: &Path) -> u64 {
+    let lines = std::fs::read_to_string(directory.join("lines")).unwrap_or_default();
     lines.lines().filter_map(|line| line.parse().ok()).max().unwrap_or(0)
 }
 
@@ -62,13 +70,13 @@
     serde_json::from_str(output).unwrap_or(Value::Null)
 }
 
-/// Runs a command behind the fence that the fleet's duty writes through.
+/// Runs `echo done` behind the duty's fence; returns the exit code, standard output and standard error.
 fn fence(fleet: &Fleet, token: &str) -> (i32, String, String) {
     let file = fleet.folder().join("fence");
-    let file = file.to_str().expect("a path");
+    let file = file.to_str().expect("the path is UTF-8");
     let program = loomflow_test_servers::program();
-    let words = ["fleet", "fence", file, "--duty", "writes", "--token", token, "--", "echo", "done"];
-    let output = std::process::Command::new(program).args(words).output().expect("the program runs");
+    let args = ["fleet", "fence", file, "--duty", "writes", "--token", token, "--", "echo", "done"];
+    let output = std::process::Command::new(program).args(args).output().expect("the program runs");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (output.status.code().unwrap_or(-1), text(&output.stdout), text(&output.stderr))
 }
@@ -76,7 +84,9 @@
 #[test]
 #[ignore = "writes the fixture; see the head of this file"]
 fn record() {
-    let program = PathBuf::from(std::env::var("PROGRAM").expect("PROGRAM names the program that stores"));
+    let program = PathBuf::from(
+        std::env::var("PROGRAM").expect("PROGRAM is the path of the program that stores the data"),
+    );
     let mut fleet = Fleet::start_with(PLAN, &program).bootstrap(PLAN);
     fleet.wait_until("the duty writes", |fleet| highest_token(fleet.folder()) > 0);
     let first = highest_token(fleet.folder());
@@ -88,20 +98,21 @@
     fleet.wait_until("the duty is parked", |fleet| duty(fleet)["owner"].is_null());
     (0..3).for_each(|member| fleet.kill(member));
     for name in FILES {
-        copy(&fleet.folder().join(name), &stored(name));
+        copy(&fleet.folder().join(name), &stored_path(name));
     }
 }
 
+/// The row of the duty in `duty show`, as JSON.
 fn duty(fleet: &Fleet) -> Value {
     json(&fleet.run_command(0, &["duty", "show", "writes", "--json"]).1)
 }
 
 #[test]
-fn a_fleet_resumes_from_the_stored_data_of_an_earlier_build() {
-    let mut fleet = restored();
+fn a_fleet_resumes_from_data_of_an_earlier_build() {
+    let mut fleet = start_restored();
     let before = highest_token(fleet.folder());
-    fleet.wait_until("a leader is there", |fleet| fleet.status(0)["paused"] == PAUSE_REASON);
-    assert_eq!(fleet.run_command(0, &["found"]).0, 1, "the fleet is not founded a second time");
+    fleet.wait_until("the fleet has a leader", |fleet| fleet.status(0)["paused"] == PAUSE_REASON);
+    assert_eq!(fleet.run_command(0, &["found"]).0, 1, "`found` succeeded although the fleet exists");
     assert_eq!(fleet.stage(0, 1), "Asked");
     let row = duty(&fleet);
     assert_eq!(row["token"].as_u64(), Some(before), "{row}");
@@ -110,14 +121,14 @@
     assert_eq!(fleet.run_command(0, &["work", "resume"]).0, 0);
     assert_eq!(fleet.wait_for_exit(2), Some(0));
     assert_eq!(fleet.request_ticket(0, 1), 2);
-    // The duty has another owner, by a later token.
+    // The duty gets an owner under a later token.
     assert_eq!(fleet.run_command(0, &["duty", "resume", "writes"]).0, 0);
     fleet.wait_until("a later owner writes", |fleet| highest_token(fleet.folder()) > before);
 }
 
 #[test]
-fn a_stored_fence_rejects_what_the_earlier_build_rejected() {
-    let fleet = restored();
+fn a_stored_fence_rejects_a_stale_token() {
+    let fleet = start_restored();
     let highest = highest_token(fleet.folder());
     let (code, output, errors) = fence(&fleet, STALE_TOKEN);
     let message = format!("loomflow: writes: token {STALE_TOKEN} is of an old owner: {highest} was here\n");
