--- a/crates/loomflow-adapter/src/error.rs
+++ b/crates/loomflow-adapter/src/error.rs
@@ -1,31 +1,31 @@
-//! Errors of the adapter. A message names the batch, the message within it, and the key.
+//! Errors of a batch. A message contains the number of the batch, the name of the message in it and the key.
 
 use loomflow_settings::FieldError;
 use thiserror::Error;
 
-/// A batch that cannot be played.
+/// A batch that cannot be handled.
 #[derive(Debug, Error)]
 pub enum BatchError {
     /// The line is not JSON.
     #[error("batch: not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// The line is not an object.
+    /// The line is JSON but not an object.
     #[error("batch: {0}")]
     NotAnObject(FieldError),
-    /// The batch has no number.
+    /// The number of the batch is missing or invalid.
     #[error(transparent)]
     Number(FieldError),
-    /// The content of the batch has an error.
+    /// The batch has a number, but its content is invalid.
     #[error("batch {number}: {source}")]
     Content {
         /// Number of the batch.
         number: u64,
-        /// The error.
+        /// What is wrong with the content.
         source: ContentError,
     },
 }
 
-/// An error in the content of a batch.
+/// An error in the content of a batch, apart from its number.
 #[derive(Debug, Error)]
 pub enum ContentError {
     /// A key of the batch is missing or invalid.
@@ -34,9 +34,9 @@
     /// A message is invalid.
     #[error("{name}: {source}")]
     Message {
-        /// Name of the message.
+        /// Name of the message on the wire.
         name: String,
-        /// The error.
+        /// What is wrong with the message.
         source: MessageError,
     },
 }
@@ -44,16 +44,16 @@
 /// An error within a message.
 #[derive(Debug, Error)]
 pub enum MessageError {
-    /// A key is missing or invalid.
+    /// A key of the message is missing or invalid.
     #[error(transparent)]
     Field(#[from] FieldError),
-    /// The message is for an instance that does not exist.
+    /// No instance with this number is running.
     #[error("ServerId: instance {0} is unknown")]
     UnknownInstance(u64),
-    /// The settings have no such class.
+    /// The settings of the instance have no class with this index.
     #[error("Service: class {0} is unknown")]
     UnknownClass(u64),
-    /// The outcome is unknown.
+    /// No outcome of a call or a run has this code.
     #[error("Disposition: {0} is not known")]
     UnknownOutcome(u64),
 }
--- a/crates/loomflow-adapter/src/host.rs
+++ b/crates/loomflow-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The controller instances: passes the simulator's messages to them as events.
+//! Runs the controller instances and passes the simulator's messages to them as events.
 
 use std::collections::BTreeMap;
 
@@ -15,41 +15,45 @@
     MessageKind, MessageName, Recipient, RequestClass, RequestMessage, ShutdownMessage, TimerMessage,
 };
 
-/// All controller instances of this process. They share nothing.
+/// All controller instances of this process, by number. They share no state.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, Instance>,
 }
 
+/// One simulated server.
 struct Instance {
     controller: Controller,
     class_count: usize,
+    /// Names of the gauges, in the order in which the simulator sends their values.
     gauges: Vec<String>,
+    /// Actions since the last reply; empty between batches.
     actions: Vec<Action>,
-    /// Whether it has received events in this batch.
+    /// Whether the instance was started or received an event in this batch.
     needs_decision: bool,
 }
 
 impl Host {
-    /// Plays a batch, one line of input.
+    /// Handles a batch, which is one line of input.
     ///
     /// # Errors
     ///
-    /// The batch cannot be played; the message names the batch, the message and the key.
-    pub fn play_batch(&mut self, line: &str) -> Result<Reply, BatchError> {
+    /// The batch is invalid. Its messages before the invalid one have been handled.
+    pub fn handle_batch(&mut self, line: &str) -> Result<Reply, BatchError> {
         let value: Value = serde_json::from_str(line)?;
         let batch = JsonObject::new("", &value).map_err(BatchError::NotAnObject)?;
         let BatchNumber { number } = batch.deserialize().map_err(BatchError::Number)?;
-        let actions = self.play_messages(&batch).map_err(|source| BatchError::Content { number, source })?;
+        let actions =
+            self.handle_messages(&batch).map_err(|source| BatchError::Content { number, source })?;
         Ok(Reply { number, actions })
     }
 
-    /// Passes the events of a batch to their instances, and then lets each of these instances decide, in the order of their
-    /// first events.
-    fn play_messages(&mut self, batch: &JsonObject) -> Result<Vec<ActionMessage>, ContentError> {
+    /// Passes the events of a batch to their instances. Then each of these instances makes its decisions, in the order of
+    /// their first events.
+    fn handle_messages(&mut self, batch: &JsonObject) -> Result<Vec<ActionMessage>, ContentError> {
         let BatchTime { now } = batch.deserialize()?;
         let mut order = Vec::new();
-        for message in batch.children(messages::LIST)? {
+        for message in batch.children(messages::MESSAGES)? {
             let MessageName { name } = message.deserialize()?;
             self.handle_message(now, name, &message, &mut order)
                 .map_err(|source| ContentError::Message { name: name.to_owned(), source })?;
@@ -67,7 +71,7 @@
         Ok(actions)
     }
 
-    /// Handles a message. Unknown ones are ignored.
+    /// Handles a message; unknown messages are ignored. Appends the instance to `order` if it has to make decisions.
     fn handle_message(
         &mut self,
         now: Millis,
@@ -92,7 +96,7 @@
         }
     }
 
-    /// Passes an event to its instance.
+    /// Passes an event to its instance, and appends the instance to `order` with its first event of the batch.
     fn handle_event(
         &mut self,
         now: Millis,
@@ -102,7 +106,7 @@
     ) -> Result<(), MessageError> {
         let Recipient { server } = message.deserialize()?;
         let instance = self.instances.get_mut(&server).ok_or(MessageError::UnknownInstance(server))?;
-        let event = instance.event(kind, message)?;
+        let event = instance.parse_event(kind, message)?;
         if !instance.needs_decision {
             instance.needs_decision = true;
             order.push(server);
@@ -113,6 +117,7 @@
 }
 
 impl Instance {
+    /// Starts an instance with the settings of its `BOOT` message.
     fn boot(now: Millis, message: &JsonObject) -> Result<Instance, FieldError> {
         let BootMessage { seed } = message.deserialize()?;
         let Site { settings, gauges, .. } = Site::parse(&message.child(messages::SETTINGS)?)?;
@@ -121,14 +126,14 @@
         Ok(Instance { controller, class_count, gauges, actions: Vec::new(), needs_decision: true })
     }
 
-    fn event(&self, kind: EventKind, message: &JsonObject) -> Result<Event, MessageError> {
+    fn parse_event(&self, kind: EventKind, message: &JsonObject) -> Result<Event, MessageError> {
         Ok(match kind {
-            EventKind::RequestArrived => Event::RequestArrived(self.arrival(message)?),
+            EventKind::RequestArrived => Event::RequestArrived(self.parse_arrival(message)?),
             EventKind::RequestCancelled => {
                 let RequestMessage { id } = message.deserialize()?;
                 Event::RequestCancelled(id)
             }
-            EventKind::TimerFired => Event::TimerFired(self.gauges(message)?),
+            EventKind::TimerFired => Event::TimerFired(self.parse_gauges(message)?),
             EventKind::CallNeeded => {
                 let RequestMessage { id } = message.deserialize()?;
                 Event::CallNeeded(id)
@@ -138,17 +143,17 @@
                 Event::ShutdownRequested { time_left }
             }
             EventKind::CallEnded => {
-                let End { id, outcome, duration } = End::read(message)?;
+                let AttemptEnd { id, outcome, duration } = AttemptEnd::parse(message)?;
                 Event::CallEnded { id, outcome, duration }
             }
             EventKind::RunEnded => {
-                let End { id, outcome, duration } = End::read(message)?;
+                let AttemptEnd { id, outcome, duration } = AttemptEnd::parse(message)?;
                 Event::RunEnded { id, outcome, duration }
             }
         })
     }
 
-    fn arrival(&self, message: &JsonObject) -> Result<Arrival, MessageError> {
+    fn parse_arrival(&self, message: &JsonObject) -> Result<Arrival, MessageError> {
         let RequestClass { class } = message.deserialize()?;
         if class as usize >= self.class_count {
             return Err(MessageError::UnknownClass(class));
@@ -172,24 +177,25 @@
         })
     }
 
-    fn gauges(&self, message: &JsonObject) -> Result<Gauges, FieldError> {
+    fn parse_gauges(&self, message: &JsonObject) -> Result<Gauges, FieldError> {
         let TimerMessage { gauges } = message.deserialize()?;
         Ok(Site::gauges(&self.gauges, gauges.into_iter().map(|gauge| gauge.0)))
     }
 }
 
-/// The end of a call or a run.
-struct End {
+/// The end of a downstream call or a run.
+struct AttemptEnd {
     id: RequestId,
     outcome: AttemptOutcome,
     duration: Millis,
 }
 
-impl End {
-    fn read(message: &JsonObject) -> Result<End, MessageError> {
+impl AttemptEnd {
+    fn parse(message: &JsonObject) -> Result<AttemptEnd, MessageError> {
         let EndMessage { id, outcome_code } = message.deserialize()?;
-        let outcome = messages::outcome(outcome_code).ok_or(MessageError::UnknownOutcome(outcome_code))?;
+        let outcome =
+            messages::parse_outcome(outcome_code).ok_or(MessageError::UnknownOutcome(outcome_code))?;
         let EndDuration { duration } = message.deserialize()?;
-        Ok(End { id, outcome, duration })
+        Ok(AttemptEnd { id, outcome, duration })
     }
 }
--- a/crates/loomflow-adapter/src/main.rs
+++ b/crates/loomflow-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Connects the controller to a simulator: JSON lines on standard input to events, actions to JSON lines on standard
-//! output. Makes no decisions of its own.
+//! Connects the controller to a simulator: converts JSON lines on standard input to events, and actions to JSON lines on
+//! standard output. Makes no decisions of its own.
 
 #![forbid(unsafe_code)]
 
@@ -15,7 +15,7 @@
 use thiserror::Error;
 use wire::actions::Reply;
 
-/// Why the adapter stops.
+/// An error that terminates the adapter, printed as one line on standard error.
 #[derive(Debug, Error)]
 enum AdapterError {
     #[error("reading standard input: {0}")]
@@ -26,18 +26,19 @@
     Batch(#[from] BatchError),
 }
 
+/// Handles batches until the end of the input.
 fn run() -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut output = BufWriter::new(io::stdout().lock());
     for line in io::stdin().lock().lines() {
         let line = line.map_err(AdapterError::Input)?;
-        let reply = host.play_batch(&line)?;
+        let reply = host.handle_batch(&line)?;
         write_reply(&mut output, &reply).map_err(AdapterError::Output)?;
     }
     Ok(())
 }
 
-/// Writes a reply as a line and flushes it: the simulator waits for each.
+/// Writes a reply as one line and flushes it, because the simulator waits for each reply.
 fn write_reply(output: &mut impl Write, reply: &Reply) -> io::Result<()> {
     serde_json::to_writer(&mut *output, reply)?;
     output.write_all(b"\n")?;
--- a/crates/loomflow-adapter/src/wire.rs
+++ b/crates/loomflow-adapter/src/wire.rs
@@ -1,6 +1,6 @@
-//! The simulator's JSON lines: its messages, and the actions that it is told.
+//! The JSON lines of the simulator: the messages that it sends, and the actions that it receives.
 //!
-//! The names of the wire are mapped to the controller's terms here and, for settings, in `loomflow_settings`.
+//! Wire names are mapped to the controller's terms here and, for settings, in `loomflow_settings`.
 
 pub mod actions;
 pub mod messages;
--- a/crates/loomflow-adapter/src/wire/actions.rs
+++ b/crates/loomflow-adapter/src/wire/actions.rs
@@ -1,22 +1,22 @@
-//! Messages to the simulator: an action of the controller each.
+//! Messages to the simulator, each for one action of the controller.
 //!
-//! Keys are written in alphabetical order, which is that of the fields here; a number that is not finite is written as
-//! null.
+//! Keys are written in the order of the fields, which is the alphabetical order of the wire names. Non-finite numbers are
+//! written as null.
 
 use loomflow::interface::{Action, RequestId};
 use loomflow::time::Millis;
 use serde::Serialize;
 
-/// The cookie of the only timer that is in use.
+/// Cookie of the timer; an instance uses only one.
 const TIMER_COOKIE: &str = "t";
 
-/// The line of output for a batch.
+/// The reply to a batch, written as one line of output.
 #[derive(Debug, Serialize)]
 pub struct Reply {
-    /// Number of the batch.
+    /// Number of the batch that this replies to.
     #[serde(rename = "batch")]
     pub number: u64,
-    /// The actions of all instances.
+    /// Actions of all instances, in the order of their decisions.
     #[serde(rename = "outbox")]
     pub actions: Vec<ActionMessage>,
 }
@@ -24,44 +24,44 @@
 /// An action of an instance. Only the keys that belong to the action are written.
 #[derive(Debug, Serialize)]
 pub struct ActionMessage {
-    /// See [`Action::Call`].
+    /// Time at which the call is abandoned; see [`Action::Call`].
     #[serde(rename = "AbandonAt", skip_serializing_if = "Option::is_none")]
     deadline: Option<Millis>,
-    /// See [`Action::SetTimer`].
+    /// Time at which the timer fires; see [`Action::SetTimer`].
     #[serde(rename = "AlarmTime", skip_serializing_if = "Option::is_none")]
     at: Option<Millis>,
-    /// The timer that is set.
+    /// Identifies the timer that is set.
     #[serde(rename = "Cookie", skip_serializing_if = "Option::is_none")]
     cookie: Option<&'static str>,
-    /// See [`Action::Reject`].
+    /// Whether the caller should not try another server; see [`Action::Reject`].
     #[serde(rename = "Final", skip_serializing_if = "Option::is_none")]
     is_final: Option<bool>,
-    /// See [`Action::Reject`].
+    /// Retry-after, ms; see [`Action::Reject`].
     #[serde(rename = "Pause", skip_serializing_if = "Option::is_none")]
     retry_after: Option<Millis>,
-    /// The request that the action is about.
+    /// Number of the request that the action applies to.
     #[serde(rename = "Ref", skip_serializing_if = "Option::is_none")]
     id: Option<RequestId>,
-    /// The number of the instance.
+    /// Number of the instance.
     #[serde(rename = "ServerId")]
     server: u64,
-    /// See [`Action::SetHealth`].
+    /// Whether health checks are served from the cache; see [`Action::SetHealth`].
     #[serde(rename = "Stored", skip_serializing_if = "Option::is_none")]
     is_cached: Option<bool>,
-    /// How long a key is retained, or a connection may be idle.
+    /// Time for which a key is retained or a connection may be idle, ms.
     #[serde(rename = "Ttl", skip_serializing_if = "Option::is_none")]
     duration: Option<Millis>,
-    /// See [`Action::SetHealth`].
+    /// Whether the instance is reported as healthy; see [`Action::SetHealth`].
     #[serde(rename = "Want", skip_serializing_if = "Option::is_none")]
     is_healthy: Option<bool>,
-    /// See [`Action::SetSignal`].
+    /// Value of the feedback signal; see [`Action::SetSignal`].
     #[serde(rename = "X", skip_serializing_if = "Option::is_none")]
     signal: Option<f64>,
     #[serde(rename = "msg")]
     name: ActionName,
 }
 
-/// The name of an action on the wire.
+/// The wire name of an action.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub enum ActionName {
     #[serde(rename = "TAKE")]
@@ -93,28 +93,28 @@
 }
 
 impl ActionMessage {
-    /// The message for an action of the instance `server`.
+    /// Converts an action of the instance `server` to its message.
     pub fn new(server: u64, action: Action) -> ActionMessage {
         let message = |name| ActionMessage::without_values(server, name);
-        let about = |name, id| ActionMessage { id: Some(id), ..message(name) };
+        let request_message = |name, id| ActionMessage { id: Some(id), ..message(name) };
         match action {
-            Action::Run(id) => about(ActionName::Run, id),
-            Action::ReuseResult(id) => about(ActionName::ReuseResult, id),
+            Action::Run(id) => request_message(ActionName::Run, id),
+            Action::ReuseResult(id) => request_message(ActionName::ReuseResult, id),
             Action::Reject { id, retry_after, is_final } => ActionMessage {
                 retry_after: Some(retry_after),
                 is_final: Some(is_final),
-                ..about(ActionName::Reject, id)
+                ..request_message(ActionName::Reject, id)
             },
-            Action::Fail(id) => about(ActionName::Fail, id),
-            Action::Preempt(id) => about(ActionName::Preempt, id),
+            Action::Fail(id) => request_message(ActionName::Fail, id),
+            Action::Preempt(id) => request_message(ActionName::Preempt, id),
             Action::Call { id, deadline } => {
-                ActionMessage { deadline: Some(deadline), ..about(ActionName::Call, id) }
+                ActionMessage { deadline: Some(deadline), ..request_message(ActionName::Call, id) }
             }
-            Action::SkipCall(id) => about(ActionName::SkipCall, id),
+            Action::SkipCall(id) => request_message(ActionName::SkipCall, id),
             Action::RetainKey { id, ttl } => {
-                ActionMessage { duration: Some(ttl), ..about(ActionName::RetainKey, id) }
+                ActionMessage { duration: Some(ttl), ..request_message(ActionName::RetainKey, id) }
             }
-            Action::ReleaseKey(id) => about(ActionName::ReleaseKey, id),
+            Action::ReleaseKey(id) => request_message(ActionName::ReleaseKey, id),
             Action::SetHealth { is_healthy, is_cached } => ActionMessage {
                 is_healthy: Some(is_healthy),
                 is_cached: Some(is_cached),
@@ -132,7 +132,7 @@
         }
     }
 
-    /// A message that names no more than the instance and the action.
+    /// Creates a message with the instance and the action only.
     fn without_values(server: u64, name: ActionName) -> ActionMessage {
         ActionMessage {
             deadline: None,
--- a/crates/loomflow-adapter/src/wire/actions/tests.rs
+++ b/crates/loomflow-adapter/src/wire/actions/tests.rs
@@ -1,15 +1,17 @@
 use super::*;
 
+/// The largest number of an instance, which must be written exactly.
 const SERVER: u64 = 18_446_744_073_709_551_615;
 
-fn text(action: Action) -> String {
+/// The message of an action as it is written.
+fn to_json(action: Action) -> String {
     serde_json::to_string(&ActionMessage::new(SERVER, action)).unwrap()
 }
 
-/// The message of an action, with the number of the server in the place of `SERVER`.
-fn assert_bytes(action: Action, message: &str) {
-    let what = format!("{action:?}");
-    assert_eq!(text(action), message.replace("SERVER", &SERVER.to_string()), "{what}");
+/// Asserts the message of an action, in which `SERVER` stands for the number of the instance.
+fn assert_json(action: Action, message: &str) {
+    let description = format!("{action:?}");
+    assert_eq!(to_json(action), message.replace("SERVER", &SERVER.to_string()), "{description}");
 }
 
 #[test]
@@ -42,12 +44,12 @@
         (Action::SetTimer(150.0), r#"{"AlarmTime":150.0,"Cookie":"t","ServerId":SERVER,"msg":"SET_TIMER"}"#),
     ];
     for (action, message) in cases {
-        assert_bytes(action, message);
+        assert_json(action, message);
     }
 }
 
 #[test]
-fn numbers_are_written_with_the_shortest_digits_that_give_them_back() {
+fn numbers_are_written_with_the_shortest_round_trip_digits() {
     let cases = [
         (0.0, "0.0"),
         (-0.0, "-0.0"),
@@ -65,27 +67,27 @@
         (f64::NAN, "null"),
     ];
     for (number, digits) in cases {
-        assert_bytes(
+        assert_json(
             Action::Reject { id: 1, retry_after: number, is_final: false },
             &format!(r#"{{"Final":false,"Pause":{digits},"Ref":1,"ServerId":SERVER,"msg":"SHED"}}"#),
         );
-        assert_bytes(
+        assert_json(
             Action::Call { id: 1, deadline: number },
             &format!(r#"{{"AbandonAt":{digits},"Ref":1,"ServerId":SERVER,"msg":"GO_CALL"}}"#),
         );
-        assert_bytes(
+        assert_json(
             Action::RetainKey { id: 1, ttl: number },
             &format!(r#"{{"Ref":1,"ServerId":SERVER,"Ttl":{digits},"msg":"RETAIN"}}"#),
         );
-        assert_bytes(
+        assert_json(
             Action::SetSignal(number),
             &format!(r#"{{"ServerId":SERVER,"X":{digits},"msg":"STAMP"}}"#),
         );
-        assert_bytes(
+        assert_json(
             Action::SetIdleTimeout(number),
             &format!(r#"{{"ServerId":SERVER,"Ttl":{digits},"msg":"REAP_AFTER"}}"#),
         );
-        assert_bytes(
+        assert_json(
             Action::SetTimer(number),
             &format!(r#"{{"AlarmTime":{digits},"Cookie":"t","ServerId":SERVER,"msg":"SET_TIMER"}}"#),
         );
--- a/crates/loomflow-adapter/src/wire/messages.rs
+++ b/crates/loomflow-adapter/src/wire/messages.rs
@@ -1,18 +1,18 @@
-//! Messages of the simulator: batches, and what they contain.
+//! Messages from the simulator, which arrive in batches.
 //!
-//! The fields of a message are in the order in which they are checked.
+//! The fields of each struct are declared in the order in which their keys are checked.
 
 use loomflow::interface::{AttemptOutcome, RequestId};
 use loomflow::time::Millis;
-use loomflow_settings::json::fields::{Lenient, or_default, required_text};
+use loomflow_settings::json::fields::{ValidOrNone, or_default, required_text};
 use serde::de::{Deserialize, Deserializer, Error};
 
-/// Key of the messages of a batch.
-pub const LIST: &str = "items";
-/// Key of the settings of an instance.
+/// Key of the list of messages in a batch.
+pub const MESSAGES: &str = "items";
+/// Key of the settings in a `BOOT` message.
 pub const SETTINGS: &str = "Settings";
 
-/// The messages that the simulator sends.
+/// Kind of a message from the simulator.
 #[derive(Clone, Copy)]
 pub enum MessageKind {
     Boot,
@@ -20,7 +20,7 @@
     Event(EventKind),
 }
 
-/// The messages that are events of an instance.
+/// Kind of a message that the controller receives as an event.
 #[derive(Clone, Copy)]
 pub enum EventKind {
     RequestArrived,
@@ -33,7 +33,7 @@
 }
 
 impl MessageKind {
-    /// The kind of a message by its name; `None` for a message that is not known.
+    /// Returns the kind of a message by its wire name; `None` if it is unknown.
     pub fn parse(name: &str) -> Option<MessageKind> {
         let kind = match name {
             "BOOT" => return Some(MessageKind::Boot),
@@ -51,31 +51,31 @@
     }
 }
 
-/// The number of a batch, which the reply repeats.
+/// The number of a batch, read first because errors and the reply contain it.
 #[derive(serde::Deserialize)]
 pub struct BatchNumber {
-    /// The number.
+    /// Number that the simulator assigned to the batch.
     #[serde(rename = "batch")]
     pub number: u64,
 }
 
-/// The clock of a batch.
+/// The time of a batch.
 #[derive(serde::Deserialize)]
 pub struct BatchTime {
-    /// The time of all its messages, ms.
+    /// Time at which all messages of the batch take place, ms.
     #[serde(rename = "Ts")]
     pub now: Millis,
 }
 
-/// The name of a message.
+/// The name of a message, which determines its other keys.
 #[derive(serde::Deserialize)]
 pub struct MessageName<'a> {
-    /// The name.
+    /// Wire name of the message; required, not empty.
     #[serde(rename = "msg", deserialize_with = "required_text")]
     pub name: &'a str,
 }
 
-/// The instance that a message is for.
+/// The instance that a message is addressed to.
 #[derive(serde::Deserialize)]
 pub struct Recipient {
     /// Number of the instance.
@@ -83,15 +83,15 @@
     pub server: u64,
 }
 
-/// The start of an instance, beside its settings.
+/// The start of an instance, except its settings.
 #[derive(serde::Deserialize)]
 pub struct BootMessage {
-    /// Seed of its random choices.
+    /// Seed of the controller's random number generator.
     #[serde(rename = "Seed")]
     pub seed: u64,
 }
 
-/// The class of a request that arrives; the settings have to know it before the rest of the message is read.
+/// The class of an arriving request, which is checked against the settings before the rest of the message is read.
 #[derive(serde::Deserialize)]
 pub struct RequestClass {
     /// Index of the class.
@@ -99,7 +99,7 @@
     pub class: u64,
 }
 
-/// A request that arrives.
+/// An arriving request.
 #[derive(serde::Deserialize)]
 pub struct ArrivalMessage {
     /// Index of the tenant; 0 by default.
@@ -108,33 +108,33 @@
     /// Number of the request.
     #[serde(rename = "Ref", deserialize_with = "request")]
     pub id: RequestId,
-    /// How long its caller will wait, ms; 0 by default.
+    /// Time for which its caller will wait, ms; 0 by default.
     #[serde(rename = "Remaining", deserialize_with = "or_default")]
     pub remaining_wait: Millis,
     /// Estimated work on one core, ms; 0 by default, for no estimate.
     #[serde(rename = "WeightHint", deserialize_with = "or_default")]
     pub estimated_work: Millis,
-    /// Memory that it takes while it is queued, KB; 0 by default.
+    /// Memory that the request takes while it is queued, KB; 0 by default.
     #[serde(rename = "Kb", deserialize_with = "or_default")]
     pub memory_kb: f64,
-    /// Its place by weight among all requests, 0 to 1; 0 by default.
+    /// Rank of its weight among all requests, 0 to 1; 0 by default.
     #[serde(rename = "Prio", deserialize_with = "or_default")]
     pub rank: f64,
     /// Whether it is a retry or a hedged request; false by default.
     #[serde(rename = "Resent", deserialize_with = "or_default")]
     pub is_retry: bool,
-    /// Who sent it; 0 by default.
+    /// Number of the caller that sent it; 0 by default.
     #[serde(rename = "From", deserialize_with = "or_default")]
     pub caller: u64,
-    /// Time since it reached the machine, ms; 0 by default.
+    /// Time since the request reached the machine, ms; 0 by default.
     #[serde(rename = "Age", deserialize_with = "or_default")]
     pub age: Millis,
-    /// The retained request that it repeats; none by default and for 0.
+    /// Retained request that this one duplicates; none by default and for 0.
     #[serde(rename = "SameAs", deserialize_with = "original")]
     pub original: Option<RequestId>,
 }
 
-/// A message about a request.
+/// A message about a request that has no further keys.
 #[derive(serde::Deserialize)]
 pub struct RequestMessage {
     /// Number of the request.
@@ -142,15 +142,15 @@
     pub id: RequestId,
 }
 
-/// A timer that fires.
+/// A fired timer, with the load of the instance.
 #[derive(serde::Deserialize)]
 pub struct TimerMessage {
-    /// The values of the gauges in the order of the settings; a value that is no number is not measured.
+    /// Values of the gauges in the order of the settings; a value that is not a number counts as not measured.
     #[serde(rename = "Load", deserialize_with = "or_default")]
-    pub gauges: Vec<Lenient<f64>>,
+    pub gauges: Vec<ValidOrNone<f64>>,
 }
 
-/// The request to shut down.
+/// A shutdown request.
 #[derive(serde::Deserialize)]
 pub struct ShutdownMessage {
     /// Time until the process is killed, ms.
@@ -158,27 +158,27 @@
     pub time_left: Millis,
 }
 
-/// The end of a call or a run.
+/// The end of a downstream call or a run, except its duration.
 #[derive(serde::Deserialize)]
 pub struct EndMessage {
     /// Number of the request.
     #[serde(rename = "Ref", deserialize_with = "request")]
     pub id: RequestId,
-    /// How it ended; see [`outcome`].
+    /// Code of the outcome; see [`parse_outcome`].
     #[serde(rename = "Disposition")]
     pub outcome_code: u64,
 }
 
-/// How long a call or a run took; read once its outcome is known.
+/// The duration of a downstream call or a run, read after the outcome has been checked.
 #[derive(serde::Deserialize)]
 pub struct EndDuration {
-    /// The time, ms; 0 by default.
+    /// Time from its start to its end, ms; 0 by default.
     #[serde(rename = "Spent", deserialize_with = "or_default")]
     pub duration: Millis,
 }
 
-/// The outcome of a code; `None` for a code that is not known.
-pub fn outcome(code: u64) -> Option<AttemptOutcome> {
+/// Returns the outcome for a code; `None` if the code is unknown.
+pub fn parse_outcome(code: u64) -> Option<AttemptOutcome> {
     Some(match code {
         10 => AttemptOutcome::Ok,
         20 => AttemptOutcome::Error,
@@ -196,6 +196,7 @@
     request_id(u64::deserialize(deserializer)?)
 }
 
+/// Deserializes an optional request number; 0 counts as absent.
 fn original<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<RequestId>, D::Error> {
     let id = request_id(or_default(deserializer)?)?;
     Ok(Some(id).filter(|id| *id != 0))
--- a/crates/loomflow-fleet-commands/src/error.rs
+++ b/crates/loomflow-fleet-commands/src/error.rs
@@ -8,7 +8,7 @@
 use loomflow_fleet::duty::DutyRejection;
 use loomflow_fleet::duty::fence::FenceError;
 use loomflow_fleet::maintenance::ticket::Rejection;
-use loomflow_settings::error::{SpanError, YamlError};
+use loomflow_settings::error::{ParseDurationError, YamlError};
 
 /// An unexpected response is printed up to this length, bytes.
 const MAX_PRINTED_BYTES: usize = 300;
@@ -51,7 +51,7 @@
     NoFleet(PathBuf),
     /// A value is not a span of time.
     #[error(transparent)]
-    Span(#[from] SpanError),
+    Span(#[from] ParseDurationError),
     /// The options file cannot be used.
     #[error(transparent)]
     Options(#[from] YamlError),
@@ -108,7 +108,7 @@
     Campaign(#[from] YamlError),
     /// A value in the campaign file is not a span of time.
     #[error(transparent)]
-    Span(#[from] SpanError),
+    Span(#[from] ParseDurationError),
     /// `fence` was given no command.
     #[error("fence FILE --duty D --token N -- COMMAND: which command?")]
     MissingCommand,
--- a/crates/loomflow-server/tests/printed_output.rs
+++ b/crates/loomflow-server/tests/printed_output.rs
@@ -93,11 +93,11 @@
     let (old_file, new_file) = (folder.write("old.json", &old), folder.write("new.json", &new));
     let output = loomflow(&["check-config", "--config", &new_file, "--against", &old_file]);
     let faults = [
-        "name: n4 is turned down: it is the configuration of another server",
-        "settings.Classes[pay].Effect: unsafe is turned down: what has run could be run again",
-        "settings.Classes[read].OnTime: 4000 is turned down: an answer would be in time after its caller has left \
+        "name: n4 is rejected: it is the configuration of another server",
+        "settings.Classes[pay].Effect: unsafe is rejected: requests that have run could run again",
+        "settings.Classes[read].OnTime: 4000 is rejected: a response would be on time after the caller's timeout \
          (HardLimit)",
-        "settings.Rules.DrainGrace: 99000 is turned down: the server is killed before (stop_ms)",
+        "settings.Rules.DrainGrace: 99000 is rejected: the server is killed before it ends (stop_ms)",
     ];
     let lines: Vec<String> = faults.iter().map(|fault| format!("{new_file}: {fault}")).collect();
     assert_eq!(printed(&output), (String::new(), format!("loomflow: {}\n", lines.join("\n")), Some(1)));
@@ -115,7 +115,7 @@
         let output = loomflow(&["check-config", "--config", &new_file, "--against", &old_file]);
         let (_, errors, code) = printed(&output);
         assert_eq!(code, Some(1));
-        let fault = format!("settings.Classes[pay].Effect: {after} is turned down: ");
+        let fault = format!("settings.Classes[pay].Effect: {after} is rejected: ");
         assert!(errors.contains(&fault), "{errors}");
     }
 }
--- a/crates/loomflow-server/tests/reload.rs
+++ b/crates/loomflow-server/tests/reload.rs
@@ -143,7 +143,7 @@
     reload(
         &fixture,
         &bad,
-        "key=\"settings.Classes[book].Effect\" value=\"safe\" rule=\"what has run could be run again\"",
+        "key=\"settings.Classes[book].Effect\" value=\"safe\" rule=\"requests that have run could run again\"",
     );
     fixture.wait_for_log("settings.Rules.DrainGrace");
     serve_tenant(&mut gateway, &engine, 3, "acme", 2);
@@ -204,7 +204,7 @@
     fixture.remove_file();
     fixture.make_pipe();
     fixture.signal("HUP");
-    fixture.wait_for_log("not a file");
+    fixture.wait_for_log("not a regular file");
     fixture.terminate();
     assert_eq!(fixture.exit_code(), Some(0));
 }
--- a/crates/loomflow-settings/src/amqp.rs
+++ b/crates/loomflow-settings/src/amqp.rs
@@ -1,4 +1,4 @@
-//! Options of the AMQP front.
+//! Options of the AMQP front, which consumes work from the queues of a broker.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -107,13 +107,13 @@
     pub rank: f64,
 }
 
-/// User and password at the brokers.
+/// Credentials for the brokers, read from a file of their own so that the options file holds no password.
 #[derive(Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Credentials {
-    /// User name.
+    /// User name for the PLAIN mechanism.
     pub user: String,
-    /// Password.
+    /// Password for the PLAIN mechanism.
     pub password: String,
 }
 
@@ -146,7 +146,7 @@
 }
 
 impl Amqp {
-    /// Names of classes and tenants that are missing, ambiguous or not among those of the settings.
+    /// Returns a fault for each class or tenant that is missing, ambiguous or not defined in the settings.
     pub(crate) fn faults(&self, site: &Site) -> Vec<OptionFault> {
         let mut faults = Vec::new();
         for (index, queue) in self.queues.iter().enumerate() {
@@ -173,19 +173,19 @@
     }
 }
 
-/// Checks that exactly one of a fixed name and a header is given, and that the name is known.
+/// Checks that either a fixed name or a header is given, and that the settings define the name.
 fn name_fault(
     path: &str,
     key: &str,
     name: Option<&Spanned<String>>,
     header: Option<&String>,
-    known: &[String],
+    defined: &[String],
 ) -> Option<OptionFault> {
     let problem = match (name, header) {
-        (Some(_), Some(_)) => format!("and {key}_header exclude each other"),
-        (None, None) => format!("missing, as is {key}_header"),
-        (Some(name), None) if !known.contains(&name.value) => {
-            format!("{:?} is not among the settings' names", name.value)
+        (Some(_), Some(_)) => format!("{key} and {key}_header exclude each other"),
+        (None, None) => format!("missing, either {key} or {key}_header is required"),
+        (Some(name), None) if !defined.contains(&name.value) => {
+            format!("{:?} is not defined in the settings", name.value)
         }
         _ => return None,
     };
@@ -199,7 +199,7 @@
     ///
     /// # Errors
     ///
-    /// The file cannot be read or is incomplete. The message names the file and never quotes it.
+    /// The file cannot be read or is incomplete. The message names the file and never quotes its content.
     pub fn load(path: &Path) -> Result<Credentials, YamlError> {
         let text = read_text(path)?;
         serde_saphyr::from_str(&text).map_err(|_| YamlError::InvalidCredentials { path: path.to_owned() })
--- a/crates/loomflow-settings/src/campaign.rs
+++ b/crates/loomflow-settings/src/campaign.rs
@@ -1,4 +1,4 @@
-//! Campaign file (YAML): the maintenance tickets of a campaign.
+//! The campaign file (YAML): a list of maintenance tickets that are created together.
 
 use std::path::Path;
 use std::time::Duration;
@@ -6,9 +6,9 @@
 use garde::Validate;
 use serde::Deserialize;
 
-use crate::error::{SpanError, YamlError, read_text};
+use crate::error::{ParseDurationError, YamlError, read_text};
 
-/// The campaign file.
+/// A validated campaign file.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 #[garde(allow_unvalidated)]
@@ -18,38 +18,39 @@
     pub tickets: Vec<Ticket>,
 }
 
-/// The maintenance of one server.
+/// A request to take one server out of service for maintenance.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 pub struct Ticket {
-    /// Name of the server.
+    /// Name of the server, as in its configuration.
     #[garde(length(bytes, min = 1, max = 64))]
     pub server: String,
-    /// Why it is taken out of service.
+    /// Reason for the maintenance, for display to operators.
     #[garde(length(bytes, max = 256))]
     pub reason: String,
-    /// Urgency; routine by default.
+    /// Order among the tickets; routine by default.
     #[serde(default)]
     pub urgency: Urgency,
-    /// How long it is to be out of service, such as `20m`.
+    /// Expected duration of the maintenance, such as `20m`.
     #[garde(custom(is_duration))]
     pub lasts: String,
-    /// When it may be granted, counted from now, such as `30m..4h`.
+    /// Window in which the maintenance may be granted, relative to the creation of the ticket, such as `30m..4h`; no limits
+    /// if absent.
     #[garde(inner(custom(is_window)))]
     pub window: Option<String>,
 }
 
-/// Urgency of a ticket.
+/// Urgency of a ticket, which determines when it is granted.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Urgency {
-    /// Granted in turn.
+    /// Granted in turn with other routine tickets.
     #[default]
     Routine,
     /// Granted before routine tickets.
     Urgent,
-    /// The server is broken: out of service already.
+    /// The server is broken, and therefore already out of service.
     Broken,
 }
 
@@ -57,19 +58,20 @@
 ///
 /// # Errors
 ///
-/// The text is not a duration.
-pub fn parse_duration(text: &str) -> Result<Duration, SpanError> {
+/// [`ParseDurationError::NotADuration`] if the text is not a duration.
+pub fn parse_duration(text: &str) -> Result<Duration, ParseDurationError> {
     humantime::parse_duration(text.trim())
-        .map_err(|source| SpanError::NotADuration { text: text.to_owned(), source })
+        .map_err(|source| ParseDurationError::NotADuration { text: text.to_owned(), source })
 }
 
 /// Parses a window of two durations such as `30m..4h`.
 ///
 /// # Errors
 ///
-/// The text is not a window.
-pub fn parse_window(text: &str) -> Result<(Duration, Duration), SpanError> {
-    let (from, before) = text.split_once("..").ok_or_else(|| SpanError::NotAWindow(text.to_owned()))?;
+/// The text has no `..`, or one of its halves is not a duration.
+pub fn parse_window(text: &str) -> Result<(Duration, Duration), ParseDurationError> {
+    let (from, before) =
+        text.split_once("..").ok_or_else(|| ParseDurationError::NotAWindow(text.to_owned()))?;
     Ok((parse_duration(from)?, parse_duration(before)?))
 }
 
@@ -84,7 +86,7 @@
 }
 
 impl Campaign {
-    /// Reads and validates a file.
+    /// Reads and validates a campaign file.
     ///
     /// # Errors
     ///
--- a/crates/loomflow-settings/src/compare/tests.rs
+++ b/crates/loomflow-settings/src/compare/tests.rs
@@ -4,66 +4,74 @@
 
 use super::*;
 
+/// Length of the long lists.
 const MEMBERS: usize = 2_000;
 
+/// A file whose settings consist of one list.
 fn document(list: &str, members: Value) -> Document {
     let mut file = json!({"settings": {}});
     file["settings"][list] = members;
     serde_json::from_str(&file.to_string()).unwrap()
 }
 
-/// A list that counts how often a name of it is looked at.
-struct Counting {
+/// A list that counts how often its names are read.
+struct CountingList {
     names: Vec<String>,
-    looks: Cell<usize>,
+    reads: Cell<usize>,
 }
 
-impl Counting {
-    fn new(names: impl Iterator<Item = usize>) -> Counting {
-        Counting { names: names.map(|at| format!("t{at}")).collect(), looks: Cell::new(0) }
+impl CountingList {
+    fn new(names: impl Iterator<Item = usize>) -> CountingList {
+        CountingList { names: names.map(|number| format!("t{number}")).collect(), reads: Cell::new(0) }
     }
 }
 
-impl NamedList for Counting {
+impl NamedList for CountingList {
     fn len(&self) -> usize {
         self.names.len()
     }
 
-    fn name(&self, at: usize) -> Option<&str> {
-        self.looks.set(self.looks.get() + 1);
-        Some(&self.names[at])
+    fn name(&self, index: usize) -> Option<&str> {
+        self.reads.set(self.reads.get() + 1);
+        Some(&self.names[index])
     }
 }
 
 #[test]
-fn the_work_of_a_comparison_is_linear() {
-    let all = || Counting::new(0..MEMBERS);
-    let half = || Counting::new((0..MEMBERS).filter(|at| at % 2 == 0));
+fn comparison_takes_linear_time() {
+    let all = || CountingList::new(0..MEMBERS);
+    let half = || CountingList::new((0..MEMBERS).filter(|number| number % 2 == 0));
     let cases = [
-        ("the same", all(), all(), MEMBERS),
-        ("reversed", all(), Counting::new((0..MEMBERS).rev()), MEMBERS),
-        ("first one last", all(), Counting::new((1..MEMBERS).chain([0])), MEMBERS),
-        ("one more in front", all(), Counting::new([MEMBERS].into_iter().chain(0..MEMBERS)), MEMBERS + 1),
-        ("half gone", all(), half(), MEMBERS),
-        ("half new", half(), all(), MEMBERS),
-        ("none in common", all(), Counting::new(MEMBERS..2 * MEMBERS), 2 * MEMBERS),
-        ("none before", Counting::new(0..0), all(), MEMBERS),
+        ("same order", all(), all(), MEMBERS),
+        ("reversed", all(), CountingList::new((0..MEMBERS).rev()), MEMBERS),
+        ("first member moved to the end", all(), CountingList::new((1..MEMBERS).chain([0])), MEMBERS),
+        (
+            "one member inserted in front",
+            all(),
+            CountingList::new([MEMBERS].into_iter().chain(0..MEMBERS)),
+            MEMBERS + 1,
+        ),
+        ("half removed", all(), half(), MEMBERS),
+        ("half added", half(), all(), MEMBERS),
+        ("no common member", all(), CountingList::new(MEMBERS..2 * MEMBERS), 2 * MEMBERS),
+        ("current list empty", CountingList::new(0..0), all(), MEMBERS),
     ];
-    for (what, before, after, pairs) in cases {
+    for (case, before, after, pairs) in cases {
         let mut visited = 0;
         pair_members(&before, &after, |_| visited += 1);
-        assert_eq!(visited, pairs, "{what}");
-        // Scans look at eight times a list and once more at most, and then each member is named, indexed and visited.
-        let looks = before.looks.get() + after.looks.get();
+        assert_eq!(visited, pairs, "{case}");
+        // Scans read at most nine times the names of a list: MAX_SCANS times, plus the scan that exceeds this limit. After
+        // that, each name is read once each for the lookup, for the index and for the visit.
+        let reads = before.reads.get() + after.reads.get();
         let members = before.len() + after.len();
-        assert!(looks <= 12 * members, "{what}: {looks} looks at {members} members");
+        assert!(reads <= 12 * members, "{case}: {reads} reads of the names of {members} members");
     }
 }
 
 #[test]
-fn every_difference_is_found_whatever_the_order() {
+fn one_difference_is_found_in_reversed_lists() {
     let tenants = |names: &mut dyn Iterator<Item = usize>| -> Value {
-        names.map(|at| json!({"Name": format!("t{at}"), "QuotaPerS": at})).collect()
+        names.map(|number| json!({"Name": format!("t{number}"), "QuotaPerS": number})).collect()
     };
     let (all, reversed) = (tenants(&mut (0..MEMBERS)), tenants(&mut (0..MEMBERS).rev()));
     let mut changed = reversed.clone();
@@ -78,17 +86,19 @@
 }
 
 #[test]
-fn members_of_both_lists_come_first_in_the_old_order_and_new_ones_last() {
+fn new_members_follow_current_ones_in_current_order() {
     let old = json!([{"Name": "a"}, {"Name": "b", "QuotaPerS": 1}, {"Name": "c"}]);
     let new = json!([{"Name": "d"}, {"Name": "b", "QuotaPerS": 2, "Note": [1]}, {"Name": "a"}]);
     for list in [TENANTS, "Classes"] {
         let found = compare(&document(list, old.clone()), &document(list, new.clone()));
-        let named: Vec<(String, String, String)> =
-            found.into_iter().map(|one| (one.key, one.current.to_string(), one.new.to_string())).collect();
+        let differences: Vec<(String, String, String)> = found
+            .into_iter()
+            .map(|found| (found.key, found.current.to_string(), found.new.to_string()))
+            .collect();
         let row =
             |key: &str, old: &str, new: &str| (format!("settings.{list}[{key}"), old.into(), new.into());
         assert_eq!(
-            named,
+            differences,
             [
                 row("b].Note", "null", "[1]"),
                 row("b].QuotaPerS", "1", "2"),
@@ -100,7 +110,7 @@
 }
 
 #[test]
-fn a_list_without_names_counts_as_one_value() {
+fn list_with_a_nameless_member_counts_as_one_value() {
     let (current, new) = (json!([{"QuotaPerS": 1}]), json!([{"Name": "a", "QuotaPerS": 1}]));
     let found = compare(&document(TENANTS, current.clone()), &document(TENANTS, new.clone()));
     assert_eq!(found, [Difference { key: "settings.Orgs".into(), current, new }]);
--- a/crates/loomflow-settings/src/config.rs
+++ b/crates/loomflow-settings/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file of a server (JSON).
+//! The configuration file of a server (JSON): its addresses, its resource limits and the settings of its site.
 
 mod keys;
 
@@ -12,26 +12,27 @@
 use crate::json::JsonObject;
 use crate::site::Site;
 
-/// Largest file that is read, MiB.
+/// Size limit of a configuration file, MiB.
 const MAX_MIB: u64 = 4;
+/// The same limit, bytes.
 const MAX_BYTES: u64 = MAX_MIB * 1024 * 1024;
 
-/// Configuration of a server. Unknown keys are ignored.
+/// A validated configuration file. Unknown keys are ignored.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Name of the server.
+    /// Name of the server, which identifies it in reports and in its fleet.
     pub name: String,
-    /// Where it listens for gateways.
+    /// Address on which the server listens for gateways.
     pub listen: SocketAddr,
-    /// Address of its engine.
+    /// Address of the engine that runs the server's requests.
     pub engine: SocketAddr,
     /// Address of the control plane; `None` if no reports are sent.
     pub control: Option<SocketAddr>,
     /// Address of the downstream service; `None` on servers of the last tier, which make no calls.
     pub ledger: Option<SocketAddr>,
-    /// Seed of all random choices.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Time between the shutdown request and the kill, ms.
+    /// Time from the shutdown request until the process is killed, ms.
     pub stop_ms: f64,
     /// File descriptors that the process may hold.
     pub sockets: usize,
@@ -39,14 +40,14 @@
     pub memory_mb: usize,
     /// CPU cores that the process may use.
     pub cores: f64,
-    /// The settings of the site.
+    /// Settings of the site: classes, tenants and the controller's parameters.
     pub site: Site,
-    /// The whole file, for comparisons.
+    /// All keys of the file, including unknown ones, for the comparison of a reload.
     document: Document,
 }
 
 impl Config {
-    /// Reads and validates a file.
+    /// Reads and validates a configuration file.
     ///
     /// # Errors
     ///
@@ -56,12 +57,12 @@
         Config::parse(&text).map_err(|error| error.in_file(path))
     }
 
-    /// Reads and validates a file while serving. Only regular files are opened, because opening a pipe would block the
-    /// handling of signals until somebody writes to it.
+    /// Reads and validates a configuration file for a reload. Only regular files are opened, because opening a named pipe
+    /// would block signal handling until another process opens it for writing.
     ///
     /// # Errors
     ///
-    /// As [`load`](Self::load), or the path is not that of a regular file.
+    /// Those of [`load`](Self::load), and [`ConfigError::NotAFile`] if the path is not that of a regular file.
     pub fn load_again(path: &Path) -> Result<Config, ConfigError> {
         match std::fs::metadata(path) {
             Ok(metadata) if !metadata.is_file() => Err(ConfigError::NotAFile { path: path.to_owned() }),
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Parses and validates the text of a file.
+    /// Parses and validates the text of a configuration file.
     ///
     /// # Errors
     ///
@@ -102,15 +103,15 @@
         })
     }
 
-    /// The whole file, for a comparison key by key.
+    /// Returns all keys of the file, including unknown ones.
     pub(crate) fn document(&self) -> &Document {
         &self.document
     }
 
-    /// The configuration after a reload: that of `later`, with the site as it was reloaded, and with the values of this one
-    /// that take effect at the next start only.
+    /// Returns the configuration after a reload: `new` with the reloaded `site`, except for the values that take effect only
+    /// at the next start, which are taken from `self`.
     #[must_use]
-    pub fn reloaded(&self, later: Config, site: Site) -> Config {
+    pub fn reloaded(&self, new: Config, site: Site) -> Config {
         Config {
             name: self.name.clone(),
             listen: self.listen,
@@ -120,12 +121,12 @@
             memory_mb: self.memory_mb,
             cores: self.cores,
             site,
-            ..later
+            ..new
         }
     }
 }
 
-/// Reads a file up to the size limit, so that a larger one costs a serving process neither memory nor time.
+/// Reads a file up to the size limit, which bounds the memory and time that a reload takes from a running server.
 fn read_bounded(path: &Path) -> Result<String, ConfigError> {
     let unreadable = |source| ConfigError::Unreadable { path: path.to_owned(), source };
     let file = std::fs::File::open(path).map_err(unreadable)?;
--- a/crates/loomflow-settings/src/config/tests.rs
+++ b/crates/loomflow-settings/src/config/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 
+/// A minimal configuration file with this value of `settings.Orgs`.
 fn file(tenants: Value) -> Value {
     json!({"name": "n", "listen": "127.0.0.1:1", "engine": "127.0.0.1:2", "seed": "1", "stop_ms": 3000,
         "settings": {
@@ -11,6 +12,7 @@
             "Rules": {"FallMultiple": 5}}})
 }
 
+/// The error of parsing an invalid file.
 fn error_message(file: &Value) -> String {
     Config::parse(&file.to_string()).unwrap_err().to_string()
 }
@@ -26,7 +28,7 @@
 }
 
 #[test]
-fn errors_of_a_tenant_name_its_index_and_key() {
+fn tenant_errors_contain_index_and_key() {
     let good = || json!({"Name": "a", "QuotaPerS": 1});
     let cases = [
         (json!("many"), "settings.Orgs: not an array"),
@@ -47,7 +49,7 @@
 }
 
 #[test]
-fn errors_of_a_file_of_another_shape_name_the_key() {
+fn structural_errors_contain_the_key() {
     for (text, message) in [
         ("[]", "not an object"),
         ("null", "not an object"),
@@ -64,26 +66,26 @@
 }
 
 #[test]
-fn a_reload_keeps_the_values_that_take_effect_at_the_next_start() {
+fn reload_keeps_values_that_take_effect_at_next_start() {
     let first = Config::parse(&file(json!([])).to_string()).unwrap();
     let mut changed = file(json!([{"Name": "a", "QuotaPerS": 1}]));
     (changed["name"], changed["engine"], changed["stop_ms"]) = (json!("m"), json!("127.0.0.1:9"), json!(1));
-    let later = Config::parse(&changed.to_string()).unwrap();
-    let (engine, document) = (later.engine, later.document.clone());
-    let now = first.reloaded(later, first.site.clone());
-    assert_eq!((now.name, now.stop_ms, now.engine), ("n".to_owned(), 3000.0, engine));
-    assert!(now.site.tenants.is_empty() && now.document == document);
+    let new = Config::parse(&changed.to_string()).unwrap();
+    let (engine, document) = (new.engine, new.document.clone());
+    let reloaded = first.reloaded(new, first.site.clone());
+    assert_eq!((reloaded.name, reloaded.stop_ms, reloaded.engine), ("n".to_owned(), 3000.0, engine));
+    assert!(reloaded.site.tenants.is_empty() && reloaded.document == document);
 }
 
 #[test]
-fn a_file_over_the_limit_is_not_read() {
+fn files_over_the_size_limit_are_rejected() {
     let path = std::env::temp_dir().join(format!("loomflow-config-{}", std::process::id()));
     let load = |len: u64| {
         std::fs::write(&path, " ".repeat(len as usize)).unwrap();
-        Config::load(&path).expect_err("it is blank").to_string()
+        Config::load(&path).expect_err("a blank file is not JSON").to_string()
     };
-    let (at_the_limit, beyond) = (load(MAX_BYTES), load(MAX_BYTES + 1));
+    let (at_limit, over_limit) = (load(MAX_BYTES), load(MAX_BYTES + 1));
     let _ = std::fs::remove_file(&path);
-    assert!(at_the_limit.contains("not JSON"), "{at_the_limit}");
-    assert!(beyond.contains("longer than 4 MiB"), "{beyond}");
+    assert!(at_limit.contains("not JSON"), "{at_limit}");
+    assert!(over_limit.contains("longer than 4 MiB"), "{over_limit}");
 }
--- a/crates/loomflow-settings/src/document.rs
+++ b/crates/loomflow-settings/src/document.rs
@@ -1,23 +1,23 @@
-//! The content of a configuration file, for comparisons key by key.
+//! The content of a configuration file, kept for the key-by-key comparison of a reload.
 //!
-//! The file is deserialized straight from its text. Tenants (`settings.Orgs`), the one list that grows with the size of
-//! the platform, go into a compact [`Tenants`] list; everything else is small and stays a tree of JSON values, because the
-//! comparison reports keys that no struct has, such as a note on a class, with their values as they stand in the file.
+//! The file is deserialized directly from its text. Tenants (`settings.Orgs`), the only list that grows with the size of the
+//! platform, are stored in a compact [`Tenants`] list. Everything else is small and stays a tree of JSON values, because
+//! the comparison also reports keys that no struct has, such as a note on a class, with their values in the file.
 
 use serde::de::{Deserialize, Deserializer, MapAccess};
 use serde_json::{Map, Value};
 
-use crate::shaped::{Shaped, deserialize_shaped};
 use crate::tenants::Tenants;
+use crate::value_fallback::{DeserializeOrValue, deserialize_or_value};
 
-/// Key of the object that holds the tenants.
+/// Key of the settings object in the configuration file.
 pub(crate) const SETTINGS: &str = "settings";
-/// Key of the list of tenants in the settings.
+/// Key of the tenants in the settings object.
 pub(crate) const TENANTS: &str = "Orgs";
-/// Key of the name of a list's member.
+/// Key that holds the name of a class or a tenant, by which list members are matched.
 pub(crate) const NAME: &str = "Name";
 
-/// The content of a configuration file.
+/// A configuration file, with the tenants separated from the other keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Document {
     /// All keys except `settings.Orgs`.
@@ -26,14 +26,14 @@
     pub tenants: Tenants,
 }
 
-/// The value of `settings`, with the tenants separated.
-struct SettingsPart {
+/// The value of `settings`, with the tenants separated from the other keys.
+struct SettingsObject {
     tree: Value,
     tenants: Tenants,
 }
 
-impl<'de> Shaped<'de> for Document {
-    fn unexpected(tree: Value) -> Document {
+impl<'de> DeserializeOrValue<'de> for Document {
+    fn from_unexpected(tree: Value) -> Document {
         Document { tree, tenants: Tenants::Absent }
     }
 
@@ -41,7 +41,7 @@
         let (mut tree, mut tenants) = (Map::new(), Tenants::Absent);
         while let Some(key) = map.next_key::<String>()? {
             let value = if key == SETTINGS {
-                let settings: SettingsPart = map.next_value()?;
+                let settings: SettingsObject = map.next_value()?;
                 tenants = settings.tenants;
                 settings.tree
             } else {
@@ -53,12 +53,12 @@
     }
 }
 
-impl<'de> Shaped<'de> for SettingsPart {
-    fn unexpected(tree: Value) -> SettingsPart {
-        SettingsPart { tree, tenants: Tenants::Absent }
+impl<'de> DeserializeOrValue<'de> for SettingsObject {
+    fn from_unexpected(tree: Value) -> SettingsObject {
+        SettingsObject { tree, tenants: Tenants::Absent }
     }
 
-    fn from_object<A: MapAccess<'de>>(mut map: A) -> Result<SettingsPart, A::Error> {
+    fn from_object<A: MapAccess<'de>>(mut map: A) -> Result<SettingsObject, A::Error> {
         let (mut tree, mut tenants) = (Map::new(), Tenants::Absent);
         while let Some(key) = map.next_key::<String>()? {
             if key == TENANTS {
@@ -67,19 +67,19 @@
                 tree.insert(key, map.next_value()?);
             }
         }
-        Ok(SettingsPart { tree: Value::Object(tree), tenants })
+        Ok(SettingsObject { tree: Value::Object(tree), tenants })
     }
 }
 
 impl<'de> Deserialize<'de> for Document {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Document, D::Error> {
-        deserialize_shaped(deserializer)
+        deserialize_or_value(deserializer)
     }
 }
 
-impl<'de> Deserialize<'de> for SettingsPart {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<SettingsPart, D::Error> {
-        deserialize_shaped(deserializer)
+impl<'de> Deserialize<'de> for SettingsObject {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<SettingsObject, D::Error> {
+        deserialize_or_value(deserializer)
     }
 }
 
--- a/crates/loomflow-settings/src/document/tests.rs
+++ b/crates/loomflow-settings/src/document/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// The document as one tree, to hold it against the text that it was read from.
+/// Converts a document back to one tree, for a comparison with the JSON that it was parsed from.
 fn to_tree(document: &Document) -> Value {
     let mut tree = document.tree.clone();
     if document.tenants != Tenants::Absent {
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn no_key_of_a_file_is_lost() {
+fn document_retains_every_key() {
     let lists = [
         json!([]),
         json!([{"Name": "a"}, {"Name": "", "QuotaPerS": 0}, {"Name": "b", "QuotaPerS": 2.50}, {"Name": "ü\"\n"}]),
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_last_value_of_a_duplicate_key_counts() {
+fn last_value_of_a_duplicate_key_is_used() {
     let text = r#"{"settings": {"Orgs": [{"Name": "a"}]}, "settings": {"Orgs": 1, "Orgs": [{"Name": "b"}]}}"#;
     let document: Document = serde_json::from_str(text).unwrap();
     assert_eq!(to_tree(&document), json!({"settings": {"Orgs": [{"Name": "b"}]}}));
--- a/crates/loomflow-settings/src/duties.rs
+++ b/crates/loomflow-settings/src/duties.rs
@@ -1,4 +1,4 @@
-//! Options of the fleet's duties: periodic work that one server does at a time.
+//! Options of the fleet's duties: periodic work that runs on one server at a time.
 
 use std::collections::BTreeSet;
 use std::str::FromStr;
@@ -12,11 +12,11 @@
 use crate::campaign::parse_duration;
 use crate::error::OptionFault;
 
-/// Smallest interval, and smallest maximum of a run, that can be set.
+/// Lower limit of a job's interval and of its maximum run time.
 const MIN_DURATION: Duration = Duration::from_secs(1);
-/// Maximum duration of a run whose job sets none.
+/// Maximum run time of a job that sets none.
 const DEFAULT_MAX_DURATION: Duration = Duration::from_secs(3_600);
-/// Duties that every fleet has.
+/// Names of the duties that every fleet has; jobs cannot use them.
 const BUILT_IN: [&str; 2] = ["summary", "campaign"];
 
 /// Duties of the fleet, the same on every member. Off if absent.
@@ -108,23 +108,23 @@
 #[expect(clippy::trivially_copy_pass_by_ref, reason = "garde passes its context by reference")]
 fn is_job_duration(text: &str, _: &()) -> garde::Result {
     let duration = parse_duration(text).map_err(garde::Error::new)?;
-    if duration < MIN_DURATION { Err(garde::Error::new("from a second on")) } else { Ok(()) }
+    if duration < MIN_DURATION { Err(garde::Error::new("must be at least 1s")) } else { Ok(()) }
 }
 
 impl Job {
-    /// Interval between two runs, s; `None` if it has no interval.
+    /// Returns the interval between two runs, s; `None` if the job has no interval.
     pub fn every_s(&self) -> Option<u64> {
         self.every.as_deref().and_then(|text| parse_duration(text).ok()).map(|interval| interval.as_secs())
     }
 
-    /// How long a run may take.
+    /// Returns the run time after which a run is killed.
     pub fn max_duration(&self) -> Duration {
         parse_duration(&self.longest).unwrap_or(DEFAULT_MAX_DURATION)
     }
 }
 
 impl Duties {
-    /// Contradictions between the options.
+    /// Returns all contradictions between the options.
     pub fn faults(&self) -> Vec<OptionFault> {
         let mut faults: Vec<OptionFault> = self.name_fault().into_iter().collect();
         for (index, job) in self.jobs.iter().enumerate() {
@@ -136,7 +136,7 @@
     fn name_fault(&self) -> Option<OptionFault> {
         let names: BTreeSet<&str> = self.jobs.iter().map(|job| job.name.as_str()).collect();
         let is_unique = names.len() == self.jobs.len() && BUILT_IN.iter().all(|name| !names.contains(name));
-        let problem = "each name once; `summary` and `campaign` are there from the start";
+        let problem = "names must be unique, and `summary` and `campaign` are built in";
         (!is_unique).then(|| OptionFault::new("fleet.duties.jobs", problem))
     }
 
@@ -147,17 +147,17 @@
             faults.push(OptionFault::new(key, format!("{}: {problem}", job.name)));
         };
         if job.every.is_some() && job.cron.is_some() {
-            fault("every", "either every or cron");
+            fault("every", "every and cron exclude each other");
         }
         if let Some(Err(error)) = job.cron.as_deref().map(Cron::from_str) {
             fault("cron", &error.to_string());
         }
         let is_scheduled = job.every.is_some() || job.cron.is_some();
         if is_scheduled && job.run.is_empty() {
-            fault("run", "a job with a time needs a program");
+            fault("run", "a job with a schedule needs a program");
         }
         if is_scheduled && !self.programs {
-            fault("run", "programs are not switched on: fleet.duties.programs");
+            fault("run", "programs are off; fleet.duties.programs must be true");
         }
         faults
     }
--- a/crates/loomflow-settings/src/duties/tests.rs
+++ b/crates/loomflow-settings/src/duties/tests.rs
@@ -1,6 +1,6 @@
 use crate::fleet::tests::{self, assert_faults, assert_parse_errors};
 
-/// Options of duties, within those of a fleet.
+/// Options of duties, to be appended to those of a fleet.
 const DUTIES: &str = "  duties:
     programs: true
     jobs:
@@ -8,11 +8,12 @@
       - {name: by-hand}
 ";
 
+/// Valid options with duties.
 fn good() -> String {
     format!("{}{DUTIES}", tests::GOOD)
 }
 
-/// The options with a text replaced.
+/// The valid options with `from` replaced by `to`.
 fn with(from: &str, to: &str) -> String {
     good().replace(from, to)
 }
@@ -30,10 +31,10 @@
 }
 
 #[test]
-fn errors_and_faults_name_the_key() {
+fn errors_and_faults_contain_the_key() {
     let parsed = [
         (with("longest: 30m", "longest: soon"), "longest"),
-        (with("longest: 30m", "longest: 999ms"), "from a second on"),
+        (with("longest: 30m", "longest: 999ms"), "must be at least 1s"),
         (with("missed: once", "missed: twice"), "skip, once"),
         (with("programs: true", "lease_s: 0"), "lease_s"),
         (with("programs:", "program:"), "program"),
@@ -44,8 +45,8 @@
         (with("run: [/bin/true], ", ""), "jobs[0].run"),
         (with("cron:", "every: 1h, cron:"), "jobs[0].every"),
         (with("0 3 *", "0 33 *"), "jobs[0].cron"),
-        (with("by-hand", "nightly"), "each name once"),
-        (with("by-hand", "summary"), "from the start"),
+        (with("by-hand", "nightly"), "names must be unique"),
+        (with("by-hand", "summary"), "are built in"),
     ];
     assert_faults(&checked);
 }
--- a/crates/loomflow-settings/src/error.rs
+++ b/crates/loomflow-settings/src/error.rs
@@ -1,5 +1,4 @@
-//! Errors of reading configuration, options and campaign files. Every message names the file, and the key if there is
-//! one.
+//! Errors of configuration, options and campaign files. Every message names the file and, if there is one, the key.
 
 use std::fmt;
 use std::io;
@@ -7,24 +6,24 @@
 
 use thiserror::Error;
 
-/// A key whose value is missing or cannot be used.
+/// The value of a key is missing or invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FieldError {
-    /// Full path of the key; empty for the whole document.
+    /// Full path of the key; empty if the error concerns the whole document.
     key: String,
     problem: String,
 }
 
 impl FieldError {
-    /// Creates an error about the key at `key`.
+    /// Creates an error about the key with the path `key`.
     pub fn new(key: impl Into<String>, problem: impl Into<String>) -> FieldError {
         FieldError { key: key.into(), problem: problem.into() }
     }
 
-    /// The same error, with the key as seen from outside the object or the array at `path`.
+    /// Prepends the path of the enclosing object or array to the key.
     pub(crate) fn within(self, path: &str) -> FieldError {
-        let is_member = self.key.starts_with('[');
-        let separator = if path.is_empty() || self.key.is_empty() || is_member { "" } else { "." };
+        let is_element = self.key.starts_with('[');
+        let separator = if path.is_empty() || self.key.is_empty() || is_element { "" } else { "." };
         FieldError { key: format!("{path}{separator}{}", self.key), problem: self.problem }
     }
 }
@@ -41,91 +40,92 @@
 
 impl std::error::Error for FieldError {}
 
-/// A configuration that cannot be used.
+/// An error in reading or validating a configuration file.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The file cannot be read.
     #[error("{}: cannot be read: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The error of the system.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The path is not that of a regular file.
-    #[error("{}: cannot be read: not a file", path.display())]
+    /// The path is a directory, a pipe or another special file.
+    #[error("{}: cannot be read: not a regular file", path.display())]
     NotAFile {
-        /// The path.
+        /// Path that was to be read.
         path: PathBuf,
     },
     /// The file exceeds the size limit.
     #[error("{}: cannot be read: longer than {max_mib} MiB", path.display())]
     TooLong {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The limit, MiB.
+        /// Largest size that is allowed, MiB.
         max_mib: u64,
     },
     /// The text is not JSON.
     #[error("not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// A key has a value that cannot be used.
+    /// A key is missing or has an invalid value.
     #[error(transparent)]
     Invalid(#[from] FieldError),
-    /// The text of a file has an error.
+    /// An error in the content of a file, with the path of the file.
     #[error("{}: {source}", path.display())]
     InFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The error.
+        /// What is wrong with the content.
         source: Box<ConfigError>,
     },
 }
 
 impl ConfigError {
-    /// Adds the name of the file whose text has this error.
+    /// Adds the path of the file to the message.
     pub(crate) fn in_file(self, path: &Path) -> ConfigError {
         ConfigError::InFile { path: path.to_owned(), source: Box::new(self) }
     }
 }
 
-/// A YAML file (options, credentials or campaign) that cannot be used.
+/// An error in reading or validating a YAML file: options, credentials or a campaign.
 #[derive(Debug, Error)]
 pub enum YamlError {
     /// The file cannot be read.
     #[error("{}: cannot be read: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The error of the system.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The text is not YAML, or a value is invalid. The message of the parser names line, column and key.
+    /// The text is not YAML, or a value is invalid. The parser's message gives line, column and key.
     #[error("{0}")]
     Invalid(String),
-    /// The credentials are incomplete. The message never quotes the file.
-    #[error("{}: needs user and password, each a text, and nothing else", path.display())]
+    /// The credentials are incomplete. The message never quotes the file, which holds a password.
+    #[error("{}: must contain exactly the keys user and password, each a string", path.display())]
     InvalidCredentials {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// The text of a file has an error.
+    /// An error in the content of a file, with the path of the file.
     #[error("{}: {source}", path.display())]
     InFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The error.
+        /// What is wrong with the content.
         source: Box<YamlError>,
     },
 }
 
 impl YamlError {
+    /// Adds the path of the file to the message.
     pub(crate) fn in_file(self, path: &Path) -> YamlError {
         YamlError::InFile { path: path.to_owned(), source: Box::new(self) }
     }
 }
 
-/// Reads the text of a YAML file.
+/// Reads a whole YAML file.
 pub(crate) fn read_text(path: &Path) -> Result<String, YamlError> {
     std::fs::read_to_string(path).map_err(|source| YamlError::Unreadable { path: path.to_owned(), source })
 }
@@ -139,7 +139,7 @@
     pub column: u64,
 }
 
-/// An option that contradicts another one or the settings.
+/// An option that contradicts another option or the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OptionFault {
     location: Option<Location>,
@@ -147,7 +147,7 @@
 }
 
 impl OptionFault {
-    /// Creates a fault of the option at `key`.
+    /// Creates a fault of the option with the path `key`, without a position in the file.
     pub fn new(key: impl Into<String>, problem: impl Into<String>) -> OptionFault {
         OptionFault { location: None, error: FieldError::new(key, problem) }
     }
@@ -167,7 +167,7 @@
     }
 }
 
-/// All faults of an options file, displayed as one line each.
+/// All faults of an options file, displayed one per line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OptionFaults(pub Vec<OptionFault>);
 
@@ -180,18 +180,18 @@
 
 impl std::error::Error for OptionFaults {}
 
-/// A text that is not a span of time.
+/// A text that is neither a duration nor a window of two durations.
 #[derive(Clone, Debug, PartialEq, Error)]
-pub enum SpanError {
-    /// Not a duration such as `20m`.
-    #[error("{text:?} is no span of time: {source}")]
+pub enum ParseDurationError {
+    /// The text, or one half of a window, is not a duration such as `20m`.
+    #[error("{text:?} is not a duration: {source}")]
     NotADuration {
-        /// The text.
+        /// The text that was parsed.
         text: String,
-        /// The error of the parser.
+        /// Reason given by the parser.
         source: humantime::DurationError,
     },
-    /// Not two durations such as `30m..4h`.
-    #[error("{0:?} is no window: FROM..BEFORE, such as 30m..4h")]
+    /// The text has no `..` between two durations, as in `30m..4h`.
+    #[error("{0:?} is not a window: expected FROM..BEFORE, such as 30m..4h")]
     NotAWindow(String),
 }
--- a/crates/loomflow-settings/src/fleet.rs
+++ b/crates/loomflow-settings/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Options of the fleet: its members, and how many of them may be out of service for maintenance.
+//! Options of the fleet: its members, the limits on concurrent maintenance, and its duties.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,8 +11,9 @@
 use crate::duties::Duties;
 use crate::error::OptionFault;
 
-/// Numbers of voters that are allowed.
+/// Allowed numbers of voters.
 const VOTER_COUNTS: [usize; 2] = [3, 5];
+/// Longest name of a member, bytes.
 const MAX_NAME_BYTES: usize = 64;
 
 /// The fleet that this server is a member of. Off if absent.
@@ -104,39 +105,42 @@
 }
 
 impl Fleet {
-    /// Contradictions between the options, on the server of this name.
+    /// Returns all contradictions between the options on the server with this name.
     pub fn faults(&self, server: &str) -> Vec<OptionFault> {
         let mut faults = Vec::new();
         let mut fault = |key: &str, problem: String| faults.push(OptionFault::new(key, problem));
         if !VOTER_COUNTS.contains(&self.voters.len()) {
-            fault("fleet.voters", format!("3 or 5 are needed, {} are named", self.voters.len()));
+            fault("fleet.voters", format!("{} voters are listed, 3 or 5 are required", self.voters.len()));
         }
         let names: BTreeSet<&str> = self.voters.iter().map(|voter| voter.name.as_str()).collect();
         let addresses: BTreeSet<SocketAddr> = self.voters.iter().map(|voter| voter.address).collect();
         if names.len() < self.voters.len() || addresses.len() < self.voters.len() {
-            fault("fleet.voters", "each name and each address once".into());
+            fault("fleet.voters", "names and addresses must be unique".into());
         }
         if server.len() > MAX_NAME_BYTES {
-            fault("name", format!("a member's name has at most {MAX_NAME_BYTES} bytes"));
+            fault(
+                "name",
+                format!("{} bytes long, a member's name has at most {MAX_NAME_BYTES}", server.len()),
+            );
         }
         let own = self.voters.iter().find(|voter| voter.name == server);
         let address = self.advertised_address();
         if own.is_some_and(|voter| voter.address != address) {
-            fault("fleet.voters", format!("{server} is this server, and is reached at {address}"));
+            fault("fleet.voters", format!("{server} is this server, whose address is {address}"));
         }
         if address.ip().is_unspecified() {
-            fault("fleet.advertise", "needed where listen names no single address".into());
+            fault("fleet.advertise", "required because listen is not a specific address".into());
         }
         faults.extend(self.duties.iter().flat_map(Duties::faults));
         faults
     }
 
-    /// Where the other members reach this server.
+    /// Returns the address at which the other members reach this server.
     pub fn advertised_address(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.listen)
     }
 
-    /// Path of the operators' socket.
+    /// Returns the path of the operators' socket.
     pub fn socket(&self) -> PathBuf {
         self.state.with_extension("sock")
     }
--- a/crates/loomflow-settings/src/fleet/tests.rs
+++ b/crates/loomflow-settings/src/fleet/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::options::Options;
 
-/// The minimal options of a fleet.
+/// Options of a fleet with the required keys only.
 pub(crate) const GOOD: &str = "
 fleet:
   name: riga
@@ -13,11 +13,12 @@
     - {name: n3, address: 127.0.0.1:7403}
 ";
 
+/// The fleet of valid options.
 pub(crate) fn parse(text: &str) -> Fleet {
     Options::parse(text).unwrap().fleet.unwrap()
 }
 
-/// Checks that each text is rejected by the parser with an error that contains `key`.
+/// Asserts that the parser rejects each text with an error that contains `key`.
 pub(crate) fn assert_parse_errors(cases: &[(String, &str)]) {
     for (text, key) in cases {
         let error = Options::parse(text).unwrap_err().to_string();
@@ -25,7 +26,7 @@
     }
 }
 
-/// Checks that each text parses and has a fault that contains `part`.
+/// Asserts that each text parses and that its fleet has a fault that contains `part`.
 pub(crate) fn assert_faults(cases: &[(String, &str)]) {
     for (text, part) in cases {
         let faults = parse(text).faults("n1");
@@ -34,14 +35,14 @@
 }
 
 #[test]
-fn the_minimal_options_of_a_fleet_are_valid() {
+fn minimal_options_are_valid() {
     let fleet = parse(GOOD);
     assert!(fleet.faults("n1").is_empty() && fleet.faults("n9").is_empty());
     assert_eq!(fleet.socket().to_str(), Some("n1.sock"));
 }
 
 #[test]
-fn errors_and_faults_name_the_key() {
+fn errors_and_faults_contain_the_key() {
     let parsed = [
         (GOOD.replace("name: riga", "name: ''"), "fleet.name"),
         (GOOD.replace("state: n1", "state: n1\n  out: {share: 2}"), "out"),
@@ -53,7 +54,7 @@
     assert_parse_errors(&parsed);
     let checked = [
         (GOOD.replace("    - {name: n3, address: 127.0.0.1:7403}\n", ""), "3 or 5"),
-        (GOOD.replace("name: n3", "name: n2"), "each name"),
+        (GOOD.replace("name: n3", "name: n2"), "names and addresses must be unique"),
         (GOOD.replace("listen: 127.0.0.1:7401", "listen: 127.0.0.1:7409"), "is this server"),
         (GOOD.replace("listen: 127.0.0.1:7401", "listen: 0.0.0.0:7401"), "fleet.advertise"),
     ];
--- a/crates/loomflow-settings/src/guard.rs
+++ b/crates/loomflow-settings/src/guard.rs
@@ -1,6 +1,6 @@
-//! Validation of a configuration reload. Each difference takes effect immediately or at the next start, or is rejected
-//! because it violates a rule. A configuration is accepted as a whole or not at all. Unchanged values are never rejected:
-//! the server already runs with them.
+//! Validates a configuration reload. Each changed value takes effect immediately or at the next start, or violates a rule.
+//! A violation rejects the whole configuration. Unchanged values never violate a rule, because the server already runs
+//! with them.
 
 use loomflow::interface::{Class, Idempotency};
 use serde_json::Value;
@@ -18,43 +18,44 @@
     AtNextStart,
 }
 
-/// A key that differs.
+/// A key whose value a reload changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// Its path; members of lists are named by their `Name`.
+    /// Path of the key; members of lists are identified by their `Name`.
     pub key: String,
-    /// Value in the current configuration.
+    /// Value in the current configuration; null if absent.
     pub current: Value,
-    /// Value in the new configuration.
+    /// Value in the new configuration; null if absent.
     pub new: Value,
     /// When the new value takes effect.
     pub takes_effect: TakesEffect,
 }
 
-/// A value that violates a rule.
+/// A changed value that violates a rule of reloads.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RuleViolation {
-    /// Path of the key.
+    /// Path of the key; classes are identified by name.
     pub key: String,
-    /// The value that is rejected.
+    /// The rejected value, or a description of the change.
     pub value: String,
-    /// The rule, as a reason.
+    /// Reason for the rejection.
     pub rule: &'static str,
 }
 
 impl std::fmt::Display for RuleViolation {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}: {} is turned down: {}", self.key, self.value, self.rule)
+        write!(f, "{}: {} is rejected: {}", self.key, self.value, self.rule)
     }
 }
 
-/// A reload to be checked.
+/// The input of [`check_reload`].
 pub struct ReloadCheck<'a> {
-    /// The configuration in use.
+    /// Configuration that the server runs with.
     pub current: &'a Config,
-    /// The configuration to be loaded.
+    /// Configuration to be loaded.
     pub new: &'a Config,
-    /// Whether a class of the current configuration, by index, has open or remembered requests.
+    /// Whether a class of the current configuration, by index, has open requests or entries in the idempotency
+    /// cache.
     pub is_class_in_use: &'a dyn Fn(usize) -> bool,
 }
 
@@ -63,12 +64,13 @@
     ["OnTime", "AimStretch", "HardLimit", "Points", "LateShare", "Window"];
 /// Keys of a tenant that take effect immediately.
 const RELOADABLE_TENANT_KEYS: [&str; 1] = ["QuotaPerS"];
-/// Other keys that take effect immediately.
+/// Other paths that take effect immediately.
 const RELOADABLE_KEYS: [&str; 4] = ["engine", "control", "ledger", "settings.Rules.DrainGrace"];
 
+/// Returns the violations of one rule.
 type Rule = fn(&ReloadCheck) -> Vec<RuleViolation>;
 
-/// All rules; the tests name each of them.
+/// All rules of a reload; each has a test.
 const RULES: [Rule; 9] = [
     is_for_this_server,
     retains_a_class,
@@ -81,11 +83,11 @@
     drain_grace_is_within_stop_time,
 ];
 
-/// The differences between the configurations.
+/// Checks a reload and returns all changed keys.
 ///
 /// # Errors
 ///
-/// All rule violations.
+/// All violations of all rules, if there are any.
 pub fn check_reload(check: &ReloadCheck) -> Result<Vec<Change>, Vec<RuleViolation>> {
     let violations: Vec<RuleViolation> = RULES.iter().flat_map(|rule| rule(check)).collect();
     if !violations.is_empty() {
@@ -102,11 +104,12 @@
     }
 }
 
+/// Returns when a changed value takes effect, by the path of its key; `current` is null if the key is new.
 fn takes_effect(path: &str, current: &Value) -> TakesEffect {
     let member = |list: &str| path.strip_prefix(list)?.strip_prefix('[')?.split_once(']');
     let is_reloadable = match (member("settings.Classes"), member("settings.Orgs")) {
         (Some((_, key)), _) => key.strip_prefix('.').is_some_and(|key| RELOADABLE_CLASS_KEYS.contains(&key)),
-        // A new tenant, or a value of an existing one.
+        // A whole member: immediately if the tenant is new, at the next start if it is removed.
         (_, Some((_, ""))) => current.is_null(),
         (_, Some((_, key))) => key.strip_prefix('.').is_some_and(|key| RELOADABLE_TENANT_KEYS.contains(&key)),
         _ => RELOADABLE_KEYS.contains(&path),
@@ -116,7 +119,7 @@
 
 // ---- Rules ----
 
-/// A class of the current configuration and its counterpart of the same name.
+/// A class of the current configuration and the class of the same name in the new one.
 struct ClassPair<'a> {
     name: &'a str,
     /// Index in the current configuration.
@@ -136,6 +139,7 @@
     })
 }
 
+/// Returns the path of a key of a class; that of the class itself if `key` is empty.
 fn class_key(name: &str, key: &str) -> String {
     if key.is_empty() {
         format!("settings.Classes[{name}]")
@@ -144,8 +148,9 @@
     }
 }
 
-/// The configuration of another server would send requests to that server's engine and reports under its name. Two servers
-/// of one network never listen on the same address, whatever their names.
+/// Name and listen address must not change: with the configuration of another server, this one would send requests to that
+/// server's engine and reports under its name. The listen address is compared as well, because servers of one network never
+/// share it, whatever their names.
 fn is_for_this_server(check: &ReloadCheck) -> Vec<RuleViolation> {
     let (current, new) = (check.current, check.new);
     let rule = "it is the configuration of another server";
@@ -160,19 +165,20 @@
     violations
 }
 
-/// Servers of different sites may have the same name, and in separate networks even the same address.
+/// At least one class must remain: servers of different sites may have the same name and, in separate networks, the same
+/// listen address.
 fn retains_a_class(check: &ReloadCheck) -> Vec<RuleViolation> {
-    let rule = "no class is left of those that this server serves: it is the configuration of another site";
+    let rule = "no current class is retained: it is the configuration of another site";
     retains_one_name("settings.Classes", &check.current.site.classes, &check.new.site.classes, rule)
 }
 
-/// Different sites may even use the same class names.
+/// At least one tenant must remain: different sites may use the same class names.
 fn retains_a_tenant(check: &ReloadCheck) -> Vec<RuleViolation> {
-    let rule = "no tenant is left of those that this server serves: it is the configuration of another site";
+    let rule = "no current tenant is retained: it is the configuration of another site";
     retains_one_name("settings.Orgs", &check.current.site.tenants, &check.new.site.tenants, rule)
 }
 
-/// A violation if there were names and none of them is retained.
+/// Returns a violation if there are current names and none of them is retained.
 fn retains_one_name(key: &str, current: &[String], new: &[String], rule: &'static str) -> Vec<RuleViolation> {
     let new_names = Lookup::new(new);
     if current.is_empty() || current.iter().any(|name| new_names.find(name).is_some()) {
@@ -181,15 +187,16 @@
     vec![RuleViolation { key: key.into(), value: new.join(", "), rule }]
 }
 
+/// A class with open requests or entries in the idempotency cache must not be removed.
 fn retains_classes_in_use(check: &ReloadCheck) -> Vec<RuleViolation> {
-    let rule = "it has requests that are open or remembered";
+    let rule = "it has open or remembered requests";
     class_pairs(check)
         .filter(|pair| pair.new.is_none() && (check.is_class_in_use)(pair.index))
         .map(|pair| RuleViolation { key: class_key(pair.name, ""), value: "removing it".into(), rule })
         .collect()
 }
 
-/// A violation for each class of both configurations that `is_violated` holds for.
+/// Returns a violation for each class of both configurations for which `is_violated(current, new)` holds.
 fn class_violations(
     check: &ReloadCheck,
     key: &str,
@@ -204,15 +211,16 @@
         .collect()
 }
 
+/// The idempotency of a class may change only from `safe`, which allows requests to run more than once anyway.
 fn retains_idempotency(check: &ReloadCheck) -> Vec<RuleViolation> {
     let is_violated = |current: &Class, new: &Class| {
         current.idempotency != Idempotency::Always && new.idempotency != current.idempotency
     };
     let value = |new: &Class| effect_name(new.idempotency).to_owned();
-    class_violations(check, "Effect", "what has run could be run again", is_violated, value)
+    class_violations(check, "Effect", "requests that have run could run again", is_violated, value)
 }
 
-/// The value of `Effect` in the settings.
+/// Returns the value of `Effect` in the settings.
 fn effect_name(idempotency: Idempotency) -> &'static str {
     match idempotency {
         Idempotency::Always => "safe",
@@ -221,23 +229,26 @@
     }
 }
 
+/// The idempotency window of a `keyed` class must not shrink.
 fn retains_idempotency_windows(check: &ReloadCheck) -> Vec<RuleViolation> {
     let is_violated = |current: &Class, new: &Class| {
         current.idempotency == Idempotency::ByKey && new.idempotency_window < current.idempotency_window
     };
-    let rule = "a repeat of what has run is promised its answer for longer";
+    let rule = "duplicates of requests that have run were promised a response for longer";
     class_violations(check, "Window", rule, is_violated, |new| new.idempotency_window.to_string())
 }
 
+/// A changed latency objective must not exceed the timeout of its class.
 fn objectives_are_within_timeouts(check: &ReloadCheck) -> Vec<RuleViolation> {
     let is_violated = |current: &Class, new: &Class| {
         (current.latency_objective, current.timeout) != (new.latency_objective, new.timeout)
             && new.latency_objective > new.timeout
     };
-    let rule = "an answer would be in time after its caller has left (HardLimit)";
+    let rule = "a response would be on time after the caller's timeout (HardLimit)";
     class_violations(check, "OnTime", rule, is_violated, |new| new.latency_objective.to_string())
 }
 
+/// The sum of changed quotas must be finite and above 0.
 fn quotas_have_a_sum(check: &ReloadCheck) -> Vec<RuleViolation> {
     let sum =
         |config: &Config| config.site.settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum::<f64>();
@@ -246,16 +257,17 @@
     if current == new || !has_tenants || (new.is_finite() && new > 0.0) {
         return Vec::new();
     }
-    let rule = "the quotas of all tenants leave nothing within a share, or have no sum";
+    let rule = "the sum of all quotas must be finite and above 0";
     vec![RuleViolation { key: "settings.Orgs".into(), value: format!("a sum of {new}"), rule }]
 }
 
+/// A changed drain grace must end before the process is killed.
 fn drain_grace_is_within_stop_time(check: &ReloadCheck) -> Vec<RuleViolation> {
     let (current, new) = (check.current.site.settings.drain_grace, check.new.site.settings.drain_grace);
     if current == new || new < check.current.stop_ms {
         return Vec::new();
     }
-    let rule = "the server is killed before (stop_ms)";
+    let rule = "the server is killed before it ends (stop_ms)";
     vec![RuleViolation { key: "settings.Rules.DrainGrace".into(), value: new.to_string(), rule }]
 }
 
--- a/crates/loomflow-settings/src/guard/tests.rs
+++ b/crates/loomflow-settings/src/guard/tests.rs
@@ -12,7 +12,8 @@
             "Rules": {"FallMultiple": 5, "DrainGrace": 1000}}})
 }
 
-fn changed(change: impl FnOnce(&mut Value)) -> Result<Vec<Change>, Vec<RuleViolation>> {
+/// Checks the reload of the base configuration with a change; the class at index 0 is in use.
+fn reload_with(change: impl FnOnce(&mut Value)) -> Result<Vec<Change>, Vec<RuleViolation>> {
     let mut new = base_config();
     change(&mut new);
     let (old, new) = (base_config().to_string(), new.to_string());
@@ -20,37 +21,38 @@
     check_reload(&ReloadCheck { current: &old, new: &new, is_class_in_use: &|at| at == 0 })
 }
 
+/// The message of the only violation of a change.
 fn violation(change: impl FnOnce(&mut Value)) -> String {
-    let faults = changed(change).expect_err("it is turned down");
-    assert_eq!(faults.len(), 1, "{faults:?}");
-    faults[0].to_string()
+    let violations = reload_with(change).expect_err("the change violates a rule");
+    assert_eq!(violations.len(), 1, "{violations:?}");
+    violations[0].to_string()
 }
 
 #[test]
-fn each_difference_is_reported_with_when_it_takes_effect() {
-    assert_eq!(changed(|_| {}), Ok(Vec::new()));
-    let changes = changed(|new| {
+fn each_change_is_reported_with_its_time_of_effect() {
+    assert_eq!(reload_with(|_| {}), Ok(Vec::new()));
+    let changes = reload_with(|new| {
         new["engine"] = json!("127.0.0.1:9");
         new["limits"] = json!({"sockets": 99});
-        // Members are matched by name, wherever they stand.
+        // Members are matched by name, regardless of their order.
         new["settings"]["Classes"].as_array_mut().unwrap().reverse();
         new["settings"]["Classes"][0]["OnTime"] = json!(200);
         new["settings"]["Orgs"] = json!([{"Name": "new", "QuotaPerS": 1}, {"Name": "acme", "QuotaPerS": 20}]);
         new["settings"]["Domain"]["Cpus"] = json!(4);
     });
-    let named: Vec<(String, TakesEffect)> =
-        changes.unwrap().into_iter().map(|c| (c.key, c.takes_effect)).collect();
-    let live = |key: &str| (key.to_owned(), TakesEffect::Immediately);
-    let later = |key: &str| (key.to_owned(), TakesEffect::AtNextStart);
+    let effects: Vec<(String, TakesEffect)> =
+        changes.unwrap().into_iter().map(|change| (change.key, change.takes_effect)).collect();
+    let immediate = |key: &str| (key.to_owned(), TakesEffect::Immediately);
+    let at_next_start = |key: &str| (key.to_owned(), TakesEffect::AtNextStart);
     assert_eq!(
-        named,
+        effects,
         [
-            live("engine"),
-            later("limits"),
-            live("settings.Classes[read].OnTime"),
-            later("settings.Domain.Cpus"),
-            live("settings.Orgs[acme].QuotaPerS"),
-            live("settings.Orgs[new]"),
+            immediate("engine"),
+            at_next_start("limits"),
+            immediate("settings.Classes[read].OnTime"),
+            at_next_start("settings.Domain.Cpus"),
+            immediate("settings.Orgs[acme].QuotaPerS"),
+            immediate("settings.Orgs[new]"),
         ]
     );
 }
@@ -70,10 +72,10 @@
         json!([{"Name": "scan", "Effect": "safe", "HardLimit": 900, "OnTime": 300, "Points": 1}]);
     let (old, new) = (base_config().to_string(), new.to_string());
     let (old, new) = (Config::parse(&old).unwrap(), Config::parse(&new).unwrap());
-    let faults = check_reload(&ReloadCheck { current: &old, new: &new, is_class_in_use: &|_| false })
-        .expect_err("it is turned down");
-    assert_eq!(faults.len(), 1, "{faults:?}");
-    let text = faults[0].to_string();
+    let violations = check_reload(&ReloadCheck { current: &old, new: &new, is_class_in_use: &|_| false })
+        .expect_err("no class is retained");
+    assert_eq!(violations.len(), 1, "{violations:?}");
+    let text = violations[0].to_string();
     assert!(text.starts_with("settings.Classes: scan ") && text.contains("another site"), "{text}");
 }
 
@@ -81,16 +83,19 @@
 fn at_least_one_tenant_must_be_retained() {
     let text = violation(|new| new["settings"]["Orgs"] = json!([{"Name": "stranger", "QuotaPerS": 10}]));
     assert!(text.starts_with("settings.Orgs: stranger ") && text.contains("another site"), "{text}");
-    // One that stays is enough, and where there was none there is nobody to miss.
+    // One retained tenant is enough.
     let both = json!([{"Name": "stranger", "QuotaPerS": 10}, {"Name": "acme", "QuotaPerS": 10}]);
-    assert!(changed(|new| new["settings"]["Orgs"] = both).is_ok());
+    assert!(reload_with(|new| new["settings"]["Orgs"] = both).is_ok());
 }
 
 #[test]
 fn a_class_in_use_must_be_retained() {
     let text = violation(|new| drop(new["settings"]["Classes"].as_array_mut().unwrap().remove(0)));
-    assert!(text.contains("settings.Classes[book]") && text.contains("open or remembered"), "{text}");
-    let unused = changed(|new| drop(new["settings"]["Classes"].as_array_mut().unwrap().remove(1)));
+    assert!(
+        text.contains("settings.Classes[book]") && text.contains("open or remembered requests"),
+        "{text}"
+    );
+    let unused = reload_with(|new| drop(new["settings"]["Classes"].as_array_mut().unwrap().remove(1)));
     assert_eq!(unused.unwrap()[0].takes_effect, TakesEffect::AtNextStart);
 }
 
@@ -100,14 +105,14 @@
         let text = violation(|new| new["settings"]["Classes"][0]["Effect"] = json!(effect));
         assert!(text.contains("[book].Effect") && text.contains(effect), "{text}");
     }
-    assert!(changed(|new| new["settings"]["Classes"][1]["Effect"] = json!("keyed")).is_ok());
+    assert!(reload_with(|new| new["settings"]["Classes"][1]["Effect"] = json!("keyed")).is_ok());
 }
 
 #[test]
 fn an_idempotency_window_must_not_shrink() {
     let text = violation(|new| new["settings"]["Classes"][0]["Window"] = json!(4999));
     assert!(text.contains("[book].Window: 4999"), "{text}");
-    assert!(changed(|new| new["settings"]["Classes"][0]["Window"] = json!(6000)).is_ok());
+    assert!(reload_with(|new| new["settings"]["Classes"][0]["Window"] = json!(6000)).is_ok());
 }
 
 #[test]
@@ -132,9 +137,9 @@
 
 #[test]
 fn all_violations_are_reported_at_once() {
-    let faults = changed(|new| {
+    let violations = reload_with(|new| {
         new["settings"]["Rules"]["DrainGrace"] = json!(3000);
         new["settings"]["Orgs"][0]["QuotaPerS"] = json!(0);
     });
-    assert_eq!(faults.unwrap_err().len(), 2);
+    assert_eq!(violations.unwrap_err().len(), 2);
 }
--- a/crates/loomflow-settings/src/json.rs
+++ b/crates/loomflow-settings/src/json.rs
@@ -1,12 +1,12 @@
-//! Deserialization of types from a tree of JSON values, with errors that name the full path of a key.
+//! Deserializes types from a tree of JSON values, with errors that give the full path of a key.
 //!
-//! Differences from the deserializer of [`serde_json::Value`], which configurations and callers rely on:
+//! Configurations and callers rely on these differences from the deserializer of [`serde_json::Value`]:
 //!
-//! - Keys are read in the order in which a struct declares its fields, and the first error ends it. Which of several errors
-//!   is reported therefore does not depend on the order in the document.
-//! - Null counts as absent, and a key that is absent is passed on as such. A field is required unless it is an `Option` or
-//!   has one of the functions in [`fields`].
-//! - A field that is renamed to `Section.Key` is the key of an object within the object.
+//! - Keys are read in the order in which a struct declares its fields, up to the first error. Which of several errors is
+//!   reported therefore does not depend on the order of keys in the document.
+//! - Null counts as absent. A field is required unless it is an `Option` or has a function from [`fields`] that supplies a
+//!   default.
+//! - A field that is renamed to `Section.Key` is read from the key `Key` of the nested object `Section`.
 
 mod deserializer;
 pub mod fields;
--- a/crates/loomflow-settings/src/json/deserializer.rs
+++ b/crates/loomflow-settings/src/json/deserializer.rs
@@ -1,4 +1,4 @@
-//! The deserializer; see the [parent module](super).
+//! [`Deserializer`] over a [`Value`] that may be absent; see the [parent module](super) for its rules.
 
 use serde::de::value::StrDeserializer;
 use serde::de::{DeserializeSeed, Deserializer, Error, IntoDeserializer, MapAccess, SeqAccess, Visitor};
@@ -10,17 +10,17 @@
 pub(super) const MISSING: &str = "missing";
 pub(super) const NOT_AN_ARRAY: &str = "not an array";
 pub(super) const NOT_AN_OBJECT: &str = "not an object";
-/// Between the key of a section and that of a value in it.
+/// Separates the section from the key in the name of a field, as in `Rules.Cold`.
 const SECTION_SEPARATOR: char = '.';
 
 impl Error for FieldError {
-    /// An error of the value that is being deserialized; the objects and arrays around it add its path.
+    /// Creates an error with an empty path; the enclosing objects and arrays prepend their keys.
     fn custom<T: std::fmt::Display>(problem: T) -> FieldError {
         FieldError::new("", problem.to_string())
     }
 }
 
-/// Deserializes a value of a document.
+/// Deserializes one value of a document.
 pub(crate) struct ValueDeserializer<'a> {
     /// `None` if the key is absent.
     value: Option<&'a Value>,
@@ -31,7 +31,7 @@
         ValueDeserializer { value: Some(value) }
     }
 
-    /// The value, converted; the error if it has another type.
+    /// Converts the value, or fails with `problem` if it has another type, and with [`MISSING`] if it is absent.
     fn typed<T>(self, problem: &str, convert: impl FnOnce(&'a Value) -> Option<T>) -> Result<T, FieldError> {
         let value = self.value.ok_or_else(|| FieldError::custom(MISSING))?;
         convert(value).ok_or_else(|| FieldError::custom(problem))
@@ -74,8 +74,8 @@
     }
 
     fn deserialize_seq<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, FieldError> {
-        let members = self.typed(NOT_AN_ARRAY, Value::as_array)?;
-        visitor.visit_seq(Members { members, next: 0 })
+        let elements = self.typed(NOT_AN_ARRAY, Value::as_array)?;
+        visitor.visit_seq(Elements { elements, next: 0 })
     }
 
     fn deserialize_struct<V: Visitor<'de>>(
@@ -94,28 +94,28 @@
     }
 }
 
-/// The members of an array.
-struct Members<'a> {
-    members: &'a [Value],
+/// Iterates over the elements of an array.
+struct Elements<'a> {
+    elements: &'a [Value],
     next: usize,
 }
 
-impl<'de> SeqAccess<'de> for Members<'de> {
+impl<'de> SeqAccess<'de> for Elements<'de> {
     type Error = FieldError;
 
     fn next_element_seed<T: DeserializeSeed<'de>>(
         &mut self,
         seed: T,
     ) -> Result<Option<T::Value>, FieldError> {
-        let Some(member) = self.members.get(self.next) else { return Ok(None) };
+        let Some(value) = self.elements.get(self.next) else { return Ok(None) };
         let index = self.next;
         self.next += 1;
-        let element = seed.deserialize(ValueDeserializer::new(member));
+        let element = seed.deserialize(ValueDeserializer::new(value));
         element.map(Some).map_err(|error| error.within(&format!("[{index}]")))
     }
 }
 
-/// The keys of a struct, whether they are in the object or not, in the order of its fields.
+/// Iterates over all keys of a struct in the order of its fields, including those that the object lacks.
 struct Fields<'a> {
     map: &'a Map<String, Value>,
     keys: &'static [&'static str],
@@ -139,7 +139,7 @@
     }
 }
 
-/// The value of a key, or of `Section.Key`; null counts as absent.
+/// Looks up `Key` or `Section.Key`; null counts as absent.
 fn find<'a>(map: &'a Map<String, Value>, key: &str) -> Result<Option<&'a Value>, FieldError> {
     let Some((section, key)) = key.split_once(SECTION_SEPARATOR) else { return Ok(get(map, key)) };
     match get(map, section) {
--- a/crates/loomflow-settings/src/json/object.rs
+++ b/crates/loomflow-settings/src/json/object.rs
@@ -1,4 +1,4 @@
-//! Objects of a JSON document.
+//! Access to a JSON object by key, with errors that give the full path of the key.
 
 use serde::Deserialize;
 use serde_json::Value;
@@ -6,7 +6,7 @@
 use super::deserializer::{MISSING, NOT_AN_ARRAY, NOT_AN_OBJECT, ValueDeserializer};
 use crate::error::FieldError;
 
-/// A JSON object and its path within the document.
+/// A JSON object together with its path within the document.
 #[derive(Clone, Debug)]
 pub struct JsonObject<'a> {
     path: String,
@@ -14,7 +14,7 @@
 }
 
 impl<'a> JsonObject<'a> {
-    /// Wraps an object; an empty `path` is the root of the document.
+    /// Wraps the object at `path`; the path of the document's root is empty.
     ///
     /// # Errors
     ///
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Deserializes a type from the keys of this object; keys that it has no field for are ignored.
+    /// Deserializes a type from the keys of this object. Keys without a field are ignored.
     ///
     /// # Errors
     ///
@@ -37,7 +37,7 @@
         self.deserialize_with(T::deserialize)
     }
 
-    /// Deserializes as [`deserialize`](Self::deserialize) does, by a function such as that of a `remote` type.
+    /// Like [`deserialize`](Self::deserialize), with a function such as the one that serde derives for a `remote` type.
     pub(crate) fn deserialize_with<T>(
         &self,
         deserialize: impl FnOnce(ValueDeserializer<'a>) -> Result<T, FieldError>,
@@ -45,41 +45,41 @@
         deserialize(ValueDeserializer::new(self.value)).map_err(|error| error.within(&self.path))
     }
 
-    /// The full path of a key of this object.
+    /// Returns the full path of a key of this object.
     pub fn path_of(&self, key: &str) -> String {
         if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) }
     }
 
-    /// An error about a key of this object.
+    /// Creates an error about a key of this object.
     pub(crate) fn error(&self, key: &str, problem: &str) -> FieldError {
         FieldError::new(self.path_of(key), problem)
     }
 
-    /// The value of a key; null counts as absent.
+    /// Returns the value of a key; null counts as absent.
     pub(crate) fn get(&self, key: &str) -> Option<&'a Value> {
         self.value.get(key).filter(|value| !value.is_null())
     }
 
-    /// An object within this one.
+    /// Returns the nested object at `key`.
     ///
     /// # Errors
     ///
-    /// The value is missing or no object.
+    /// The value is missing or not an object.
     pub fn child(&self, key: &str) -> Result<JsonObject<'a>, FieldError> {
         let value = self.get(key).ok_or_else(|| self.error(key, MISSING))?;
         JsonObject::new(self.path_of(key), value)
     }
 
-    /// An array of objects, which are named by their index; empty if absent.
+    /// Returns the objects of the array at `key`, whose paths end in their index; empty if the key is absent.
     ///
     /// # Errors
     ///
-    /// The value is no array, or one of its members no object.
+    /// The value is not an array, or one of its elements is not an object.
     pub fn children(&self, key: &str) -> Result<Vec<JsonObject<'a>>, FieldError> {
         let Some(value) = self.get(key) else { return Ok(Vec::new()) };
-        let members = value.as_array().ok_or_else(|| self.error(key, NOT_AN_ARRAY))?;
+        let elements = value.as_array().ok_or_else(|| self.error(key, NOT_AN_ARRAY))?;
         let path = self.path_of(key);
-        let objects = members.iter().enumerate();
-        objects.map(|(index, member)| JsonObject::new(format!("{path}[{index}]"), member)).collect()
+        let indexed = elements.iter().enumerate();
+        indexed.map(|(index, element)| JsonObject::new(format!("{path}[{index}]"), element)).collect()
     }
 }
--- a/crates/loomflow-settings/src/json/tests.rs
+++ b/crates/loomflow-settings/src/json/tests.rs
@@ -2,10 +2,10 @@
 use serde_json::{Value, json};
 
 use super::JsonObject;
-use super::fields::{Lenient, non_negative, or_default, positive, required_text, texts};
+use super::fields::{ValidOrNone, non_negative, or_default, positive, required_text, texts};
 
 #[derive(Debug, Deserialize, PartialEq)]
-struct Outer<'a> {
+struct Document<'a> {
     #[serde(deserialize_with = "required_text")]
     name: &'a str,
     #[serde(rename = "Size", deserialize_with = "positive")]
@@ -16,24 +16,25 @@
     is_marked: bool,
     limit: Option<u64>,
     #[serde(deserialize_with = "or_default")]
-    members: Vec<Member>,
+    members: Vec<Entry>,
     #[serde(deserialize_with = "texts")]
     notes: Vec<String>,
 }
 
 #[derive(Debug, Deserialize, PartialEq)]
-struct Member {
+struct Entry {
     count: u64,
 }
 
+/// The error of deserializing `value` as a [`Document`] at the path `at[3]`.
 fn error(value: &Value) -> String {
     let object = JsonObject::new("at[3]", value).unwrap();
-    object.deserialize::<Outer>().unwrap_err().to_string()
+    object.deserialize::<Document>().unwrap_err().to_string()
 }
 
 #[test]
-fn absent_and_null_are_alike_and_unknown_keys_are_ignored() {
-    let expected = Outer {
+fn null_counts_as_absent_and_unknown_keys_are_ignored() {
+    let expected = Document {
         name: "n",
         size: 2.0,
         depth: 0.0,
@@ -46,12 +47,16 @@
     let null = json!({"name": "n", "Size": 2, "More": null, "limit": null, "members": null, "notes": null});
     let null_in_section = json!({"name": "n", "Size": 2, "More": {"Depth": null, "Marked": null}});
     for value in [absent, null, null_in_section] {
-        assert_eq!(JsonObject::new("", &value).unwrap().deserialize::<Outer>().unwrap(), expected, "{value}");
+        assert_eq!(
+            JsonObject::new("", &value).unwrap().deserialize::<Document>().unwrap(),
+            expected,
+            "{value}"
+        );
     }
 }
 
 #[test]
-fn errors_have_the_full_path_of_their_key() {
+fn errors_contain_the_full_path_of_the_key() {
     let file = |key: &str, value: Value| {
         let mut file = json!({"name": "n", "Size": 2, "More": {"Depth": 1}});
         file[key] = value;
@@ -78,7 +83,7 @@
 }
 
 #[test]
-fn the_first_field_that_is_missing_or_invalid_is_named() {
+fn first_error_in_field_order_is_reported() {
     assert_eq!(error(&json!({})), "at[3].name: missing");
     assert_eq!(error(&json!({"name": "n", "More": 1, "members": 1})), "at[3].Size: missing");
     assert_eq!(
@@ -88,11 +93,11 @@
 }
 
 #[test]
-fn lenient_members_take_values_of_any_type() {
+fn elements_of_another_type_become_none() {
     #[derive(Deserialize)]
     struct Lists {
-        numbers: Vec<Lenient<f64>>,
-        flags: Vec<Lenient<bool>>,
+        numbers: Vec<ValidOrNone<f64>>,
+        flags: Vec<ValidOrNone<bool>>,
     }
     let value = json!({
         "numbers": [1, -2, 0.5, 18_446_744_073_709_551_615_u64, null, "1", [1], {"x": 1}, true],
--- a/crates/loomflow-settings/src/lib.rs
+++ b/crates/loomflow-settings/src/lib.rs
@@ -1,4 +1,5 @@
-//! Configuration, settings and options: reading, validation and defaults, for the server and the adapter.
+//! Reads and validates the configuration file, the settings of a site, the options file and campaign files, and supplies
+//! their defaults. Used by the server, the fleet commands and the adapter.
 
 #![forbid(unsafe_code)]
 
@@ -14,9 +15,9 @@
 pub mod json;
 mod lookup;
 pub mod options;
-mod shaped;
 pub mod site;
 pub mod tenants;
+mod value_fallback;
 
 pub use config::Config;
 pub use error::{ConfigError, FieldError};
--- a/crates/loomflow-settings/src/lookup.rs
+++ b/crates/loomflow-settings/src/lookup.rs
@@ -1,21 +1,21 @@
-//! Lookup of list members by name without a scan of the list for each.
+//! Looks up list members by name, in linear total time for the whole list.
 
 use std::cell::{Cell, OnceCell};
 use std::collections::HashMap;
 
-/// Names that scans may compare before an index is built, as a multiple of the list's length.
+/// Name comparisons that scans may spend before a hash index is built, as a multiple of the list's length.
 const MAX_SCANS: usize = 8;
 
-/// A list of named members.
+/// A list whose members may have names.
 pub(crate) trait NamedList {
     fn len(&self) -> usize;
 
-    /// The name of a member, if it has one.
-    fn name(&self, at: usize) -> Option<&str>;
+    /// The name of the member at `index`, if it has one.
+    fn name(&self, index: usize) -> Option<&str>;
 
     /// Whether every member has a name.
     fn all_named(&self) -> bool {
-        (0..self.len()).all(|at| self.name(at).is_some())
+        (0..self.len()).all(|index| self.name(index).is_some())
     }
 }
 
@@ -24,19 +24,19 @@
         <[String]>::len(self)
     }
 
-    fn name(&self, at: usize) -> Option<&str> {
-        Some(&self[at])
+    fn name(&self, index: usize) -> Option<&str> {
+        Some(&self[index])
     }
 }
 
-/// Finds members by name. Two versions of a list mostly have the same order, so a scan starts after the member that was
-/// found last; each missing member costs a scan of the whole list. Once the scans have compared [`MAX_SCANS`] times the
-/// list's length, an index is built, so the work is linear whatever the order.
+/// Finds members by name. Two versions of a list usually have the same order, so a scan starts after the member that was
+/// found last; each missing member costs a scan of the whole list. Once the scans have made [`MAX_SCANS`] comparisons per
+/// member of the list, a hash index is built, so the total work is linear in any order.
 pub(crate) struct Lookup<'a, L: NamedList + ?Sized> {
     list: &'a L,
-    /// Where the next member is expected.
+    /// Index at which the next scan starts.
     expected: Cell<usize>,
-    /// Comparisons that scans may still spend.
+    /// Comparisons left for scans; at 0, `index` is used.
     comparisons_left: Cell<usize>,
     index: OnceCell<HashMap<&'a str, usize>>,
 }
@@ -47,26 +47,26 @@
         Lookup { list, expected: Cell::new(0), comparisons_left, index: OnceCell::new() }
     }
 
-    /// The index of the member of this name. If several have it, any of them may be returned.
+    /// Returns the index of a member with this name. If several have it, which one is returned is unspecified.
     pub(crate) fn find(&self, name: &str) -> Option<usize> {
         let found =
             if self.comparisons_left.get() > 0 { self.scan(name) } else { self.index().get(name).copied() };
-        if let Some(at) = found {
-            self.expected.set(at + 1);
+        if let Some(index) = found {
+            self.expected.set(index + 1);
         }
         found
     }
 
-    /// Searches from the expected index to the end and then from the start.
+    /// Searches from the expected index to the end, then wraps around to the start.
     fn scan(&self, name: &str) -> Option<usize> {
         let length = self.list.len();
         let expected = self.expected.get().min(length);
         let mut comparisons = 0;
-        let found = (expected..length).chain(0..expected).find(|at| {
+        let found = (expected..length).chain(0..expected).find(|index| {
             comparisons += 1;
-            self.list.name(*at) == Some(name)
+            self.list.name(*index) == Some(name)
         });
-        // A member at its expected index costs nothing: the lists have the same order.
+        // A member at its expected index is free, so lists in the same order never build the hash index.
         let wasted = comparisons - usize::from(found.is_some());
         self.comparisons_left.set(self.comparisons_left.get().saturating_sub(wasted));
         found
@@ -75,9 +75,9 @@
     fn index(&self) -> &HashMap<&'a str, usize> {
         self.index.get_or_init(|| {
             let mut index = HashMap::with_capacity(self.list.len());
-            for at in 0..self.list.len() {
-                if let Some(name) = self.list.name(at) {
-                    index.entry(name).or_insert(at);
+            for position in 0..self.list.len() {
+                if let Some(name) = self.list.name(position) {
+                    index.entry(name).or_insert(position);
                 }
             }
             index
--- a/crates/loomflow-settings/src/options.rs
+++ b/crates/loomflow-settings/src/options.rs
@@ -1,4 +1,4 @@
-//! The options file (YAML): features beyond the platform. Everything is off without one.
+//! The options file (YAML): features beyond the platform, all of which are off without it.
 //!
 //! Parsed by `serde`, validated by `garde`, published as a schema by `schemars`. Errors name line, column and key.
 
@@ -49,7 +49,7 @@
 }
 
 impl Options {
-    /// Reads and validates a file. Paths in it are made relative to its directory.
+    /// Reads and validates an options file. Relative paths in it are resolved against its directory.
     ///
     /// # Errors
     ///
@@ -68,11 +68,11 @@
         Ok(options)
     }
 
-    /// Parses and validates the text of a file.
+    /// Parses and validates the text of an options file.
     ///
     /// # Errors
     ///
-    /// A line for each invalid value, with its position and key.
+    /// The text is not YAML or has invalid values. The message has a line for each of them, with its position and key.
     pub fn parse(text: &str) -> Result<Options, YamlError> {
         if text.trim().is_empty() {
             return Ok(Options::default());
@@ -81,18 +81,18 @@
             .map_err(|error| YamlError::Invalid(error.without_snippet().to_string()))
     }
 
-    /// Checks the options against the settings and the name of the server.
+    /// Checks the options against each other, the settings of the site and the name of the server.
     ///
     /// # Errors
     ///
-    /// All contradictions.
+    /// All contradictions that were found.
     pub fn check(&self, site: &Site, server: &str) -> Result<(), OptionFaults> {
         let mut faults = self.amqp.as_ref().map_or_else(Vec::new, |amqp| amqp.faults(site));
         faults.extend(self.fleet.iter().flat_map(|fleet| fleet.faults(server)));
         if faults.is_empty() { Ok(()) } else { Err(OptionFaults(faults)) }
     }
 
-    /// The JSON schema of the file.
+    /// Returns the JSON schema of the options file, as `loomflow schema` prints it.
     pub fn schema() -> String {
         let schema = schemars::schema_for!(Options);
         serde_json::to_string_pretty(&schema).unwrap_or_default()
--- a/crates/loomflow-settings/src/options/tests.rs
+++ b/crates/loomflow-settings/src/options/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn everything_is_off_by_default() {
+fn features_are_off_by_default() {
     for text in ["", "\n", "{}", "log: {}"] {
         assert!(Options::parse(text).unwrap().amqp.is_none());
     }
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn errors_name_line_and_key() {
+fn errors_contain_line_and_key() {
     let cases = [
         (GOOD.replace("vhost", "x").replace("name:", "nam:"), "line 6", "nam"),
         (GOOD.replace("  queues", "  rounds: -1\n  queues"), "line 5", "u32"),
@@ -47,11 +47,14 @@
 }
 
 #[test]
-fn names_must_be_those_of_the_settings() {
+fn names_must_be_defined_in_the_settings() {
     let cases = [
         (GOOD.replace("book", "bok"), "line 7 column 14: amqp.queues[0].class"),
         (GOOD.replace("      tenant: acme\n", ""), "amqp.queues[0].tenant: missing"),
-        (GOOD.replace("class: book", "class: book\n      class_header: x"), "exclude"),
+        (
+            GOOD.replace("class: book", "class: book\n      class_header: x"),
+            "class and class_header exclude each other",
+        ),
     ];
     for (text, part) in cases {
         let error = Options::parse(&text).unwrap().check(&site(), "n1").unwrap_err().to_string();
@@ -60,7 +63,7 @@
 }
 
 #[test]
-fn the_example_and_the_published_schema_are_current() {
+fn example_is_valid_and_published_schema_is_current() {
     let deploy = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/");
     let example = Options::load(Path::new(&format!("{deploy}amqp.example.yaml"))).unwrap();
     assert_eq!(example.check(&site(), "n1"), Ok(()));
@@ -69,7 +72,7 @@
 }
 
 #[test]
-fn credentials_are_never_in_an_error() {
+fn credential_errors_do_not_contain_the_password() {
     let path = std::env::temp_dir().join(format!("loomflow-credentials-{}", std::process::id()));
     std::fs::write(&path, "user: me\npassword: [s3cret]\n").unwrap();
     let error = Credentials::load(&path).err().unwrap().to_string();
--- a/crates/loomflow-settings/src/site.rs
+++ b/crates/loomflow-settings/src/site.rs
@@ -1,4 +1,5 @@
-//! The settings object of a site: the settings of the controller, and the names that only the fronts need.
+//! The settings object of a site: the controller's settings, and the names of classes, tenants and gauges, which only the
+//! fronts need.
 
 mod keys;
 
@@ -6,7 +7,7 @@
 use loomflow::time::Millis;
 
 use self::keys::{
-    BatchKeys, CallSettings, ClassKeys, ClassName, FrontKeys, RetryAfterKeys, RetryAfterLimit, Sections,
+    BatchKeys, ClassCallKeys, ClassKeys, ClassName, FrontKeys, RetryAfterKeys, RetryAfterLimit, SectionTypes,
     SettingsKeys,
 };
 use crate::document::TENANTS;
@@ -18,18 +19,18 @@
 /// Key of the list of classes.
 const CLASSES: &str = "Classes";
 
-/// Settings of a site.
+/// The validated settings object of a site.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// Settings of the controller.
+    /// The controller's settings, which refer to classes and tenants by index.
     pub settings: Settings,
-    /// Names of the classes, by index.
+    /// Names of the classes, in the order of the controller's indices.
     pub classes: Vec<String>,
-    /// Names of the tenants, by index; empty if requests name none.
+    /// Names of the tenants, in the order of the controller's indices; empty if requests have no tenant.
     pub tenants: Vec<String>,
     /// Names of the gauges, in the order in which the engine reports them.
     pub gauges: Vec<String>,
-    /// Whether health checks that are not answered from the cache do real work.
+    /// Whether health checks that are not served from the cache do real work.
     pub deep_checks: bool,
 }
 
@@ -52,21 +53,21 @@
         Ok(Site { settings, classes, tenants, gauges, deep_checks })
     }
 
-    /// Takes over the values of `later` that may change while serving (see [`guard`](crate::guard)). Classes and tenants
-    /// keep their indices whatever their order in `later`; new tenants are appended, and removed ones stay until the next
-    /// start.
-    pub fn reload(&mut self, later: &Site) -> ReloadableSettings {
-        let classes = Lookup::new(&later.classes[..]);
+    /// Applies the values of `new` that may change while the server runs (see [`guard`](crate::guard)), and returns those of
+    /// them that the controller uses. Classes and tenants keep their indices regardless of their order in `new`; new tenants
+    /// are appended, and removed ones remain until the next start.
+    pub fn reload(&mut self, new: &Site) -> ReloadableSettings {
+        let classes = Lookup::new(&new.classes[..]);
         for (name, class) in self.classes.iter().zip(&mut self.settings.classes) {
             let Some(index) = classes.find(name) else { continue };
-            let new = &later.settings.classes[index];
+            let reloaded = &new.settings.classes[index];
             (class.latency_objective, class.objective_per_work, class.timeout) =
-                (new.latency_objective, new.objective_per_work, new.timeout);
+                (reloaded.latency_objective, reloaded.objective_per_work, reloaded.timeout);
             (class.priority_weight, class.late_weight, class.idempotency_window) =
-                (new.priority_weight, new.late_weight, new.idempotency_window);
+                (reloaded.priority_weight, reloaded.late_weight, reloaded.idempotency_window);
         }
-        self.reload_tenants(later);
-        self.settings.drain_grace = later.settings.drain_grace;
+        self.reload_tenants(new);
+        self.settings.drain_grace = new.settings.drain_grace;
         ReloadableSettings {
             classes: self.settings.classes.clone(),
             tenants: self.settings.tenants.clone(),
@@ -74,26 +75,27 @@
         }
     }
 
-    fn reload_tenants(&mut self, later: &Site) {
-        // Without tenants, requests name none.
+    fn reload_tenants(&mut self, new: &Site) {
+        // A site that started without tenants stays so until the next start: its requests have no tenant.
         if self.tenants.is_empty() {
             return;
         }
         let mut added = Vec::new();
-        let known = Lookup::new(&self.tenants[..]);
-        for (later_index, name) in later.tenants.iter().enumerate() {
-            match known.find(name) {
-                Some(index) => self.settings.tenants[index] = later.settings.tenants[later_index].clone(),
-                None => added.push(later_index),
+        let current = Lookup::new(&self.tenants[..]);
+        for (new_index, name) in new.tenants.iter().enumerate() {
+            match current.find(name) {
+                Some(index) => self.settings.tenants[index] = new.settings.tenants[new_index].clone(),
+                None => added.push(new_index),
             }
         }
-        for later_index in added {
-            self.tenants.push(later.tenants[later_index].clone());
-            self.settings.tenants.push(later.settings.tenants[later_index].clone());
+        for new_index in added {
+            self.tenants.push(new.tenants[new_index].clone());
+            self.settings.tenants.push(new.settings.tenants[new_index].clone());
         }
     }
 
-    /// The controller's gauges from the values that the engine reports in the order of `names`.
+    /// Converts the values that the engine reports, in the order of `names`, to the controller's gauges. Gauges with other
+    /// names are ignored.
     pub fn gauges(names: &[String], values: impl Iterator<Item = Option<f64>>) -> Gauges {
         let mut gauges = Gauges::default();
         for (name, value) in names.iter().zip(values) {
@@ -114,8 +116,9 @@
     names.iter().map(|class| class.deserialize().map(|ClassName { name }| name)).collect()
 }
 
+/// Parses the classes, which must not be empty.
 fn parse_classes(object: &JsonObject) -> Result<Vec<Class>, FieldError> {
-    let calls: CallSettings = object.deserialize()?;
+    let calls: ClassCallKeys = object.deserialize()?;
     let mut classes = Vec::new();
     for (index, class) in object.children(CLASSES)?.iter().enumerate() {
         let class = class.deserialize_with(ClassKeys::deserialize)?;
@@ -128,7 +131,7 @@
     Ok(classes)
 }
 
-/// The longest retry-after, ms; 0 where none is passed on.
+/// Returns the longest retry-after, ms; 0 if callers receive none.
 fn parse_max_retry_after(object: &JsonObject) -> Result<Millis, FieldError> {
     let RetryAfterKeys { has_retry_after } = object.deserialize()?;
     if !has_retry_after {
@@ -138,8 +141,9 @@
     Ok(max_retry_after)
 }
 
+/// Parses the controller's settings. The order of the steps determines which of several errors is reported.
 fn parse_settings(object: &JsonObject, tenants: &Tenants) -> Result<Settings, FieldError> {
-    let _: Sections = object.deserialize()?;
+    let _: SectionTypes = object.deserialize()?;
     let classes = parse_classes(object)?;
     let tenants = tenants.quotas(&object.path_of(TENANTS))?;
     let settings = object.deserialize_with(SettingsKeys::deserialize)?;
--- a/crates/loomflow-settings/src/tenants.rs
+++ b/crates/loomflow-settings/src/tenants.rs
@@ -1,4 +1,4 @@
-//! The tenants of a configuration (`settings.Orgs`) in a compact form: all names in one string, and a number for each.
+//! The tenants of a configuration (`settings.Orgs`) in a compact form: all names in one string, and one quota per tenant.
 //!
 //! A tree of JSON values takes about 750 bytes per tenant, this list about 35.
 
@@ -13,11 +13,12 @@
 use crate::json::JsonObject;
 use crate::json::fields::{non_negative, or_default};
 use crate::lookup::NamedList;
-use crate::shaped::{Shaped, deserialize_shaped};
+use crate::value_fallback::{DeserializeOrValue, deserialize_or_value};
 
+/// Key of a tenant's quota.
 const QUOTA: &str = "QuotaPerS";
 
-/// The name of a tenant.
+/// The name of a tenant, deserialized separately from its quota because their errors are reported at different stages.
 #[derive(serde::Deserialize)]
 struct TenantName {
     /// Empty by default.
@@ -28,7 +29,7 @@
 /// The quota of a tenant.
 #[derive(serde::Deserialize)]
 struct TenantQuota {
-    /// Requests a second within the quota, over the whole fleet; 0 by default, for no quota.
+    /// Requests per second that are within the quota, over the whole fleet; 0 by default, for no quota.
     #[serde(rename = "QuotaPerS", deserialize_with = "non_negative")]
     quota_per_s: f64,
 }
@@ -36,12 +37,12 @@
 /// The value of `settings.Orgs`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Tenants {
-    /// No such key, or null.
+    /// The key is absent or null.
     #[default]
     Absent,
-    /// An array.
+    /// The value is an array.
     List(TenantList),
-    /// Not an array.
+    /// The value has another type; [`quotas`](Self::quotas) and [`names`](Self::names) report it as an error.
     Invalid(Value),
 }
 
@@ -50,22 +51,22 @@
 pub struct TenantList {
     /// All names, concatenated.
     names: String,
-    records: Vec<Record>,
-    /// Members that do not consist of just a name and a quota, by index.
-    unusual: BTreeMap<usize, Value>,
+    records: Vec<CompactMember>,
+    /// Members with other keys or types than a name and a quota, by index. Their compact form has the name only.
+    full_members: BTreeMap<usize, Value>,
 }
 
-/// One member of the list.
+/// The compact form of one member.
 #[derive(Clone, Debug, PartialEq)]
-struct Record {
-    /// Where its name ends in `names`; it starts where the previous one ends.
+struct CompactMember {
+    /// End of its name in `names`, in bytes; it starts at the end of the previous one.
     name_end: usize,
-    /// Counts as 0 if absent.
+    /// Quota as written in the file; `None` counts as 0.
     quota: Option<Number>,
 }
 
 impl Tenants {
-    /// Converts a tree of values.
+    /// Converts the value of `settings.Orgs` in a tree of JSON values.
     pub fn from_value(value: Option<&Value>) -> Tenants {
         match value {
             None | Some(Value::Null) => Tenants::Absent,
@@ -80,31 +81,31 @@
         }
     }
 
-    /// The tenants as the controller takes them.
+    /// Returns the controller's settings of the tenants, by index.
     ///
     /// # Errors
     ///
-    /// A quota is invalid; its key is given below `path`.
+    /// The list or a quota is invalid; `path` is the path of the list, to which the error appends that of the quota.
     pub fn quotas(&self, path: &str) -> Result<Vec<Tenant>, FieldError> {
         let list = self.list(path)?;
         let tenant = |index| list.quota(index, path).map(|quota_per_s| Tenant { quota_per_s });
         (0..list.len()).map(tenant).collect()
     }
 
-    /// The names of the tenants.
+    /// Returns the names of the tenants, by index.
     ///
     /// # Errors
     ///
-    /// A name is invalid; its key is given below `path`.
+    /// The list or a name is invalid; `path` is the path of the list, to which the error appends that of the name.
     pub fn names(&self, path: &str) -> Result<Vec<String>, FieldError> {
         let list = self.list(path)?;
         (0..list.len()).map(|index| list.parse_name(index, path)).collect()
     }
 
-    /// The list; empty if absent.
+    /// Returns the list; an empty one if it is absent.
     fn list(&self, path: &str) -> Result<&TenantList, FieldError> {
         static EMPTY: TenantList =
-            TenantList { names: String::new(), records: Vec::new(), unusual: BTreeMap::new() };
+            TenantList { names: String::new(), records: Vec::new(), full_members: BTreeMap::new() };
         match self {
             Tenants::Absent => Ok(&EMPTY),
             Tenants::List(list) => Ok(list),
@@ -112,7 +113,7 @@
         }
     }
 
-    /// The tenants as a tree of values.
+    /// Converts the tenants back to the value in the file.
     pub fn to_value(&self) -> Value {
         match self {
             Tenants::Absent => Value::Null,
@@ -125,19 +126,19 @@
 impl TenantList {
     fn push(&mut self, member: Value) {
         let name_and_quota = name_and_quota(&member);
-        let is_unusual = name_and_quota.is_none();
+        let is_compact = name_and_quota.is_some();
         let name = name_and_quota.map_or_else(|| member[NAME].as_str().unwrap_or_default(), |(name, _)| name);
         self.names.push_str(name);
         let quota = name_and_quota.and_then(|(_, quota)| quota.cloned());
-        if is_unusual {
-            self.unusual.insert(self.records.len(), member);
+        if !is_compact {
+            self.full_members.insert(self.records.len(), member);
         }
-        self.records.push(Record { name_end: self.names.len(), quota });
+        self.records.push(CompactMember { name_end: self.names.len(), quota });
     }
 
-    /// One member as a tree of values.
+    /// Returns one member as it is in the file.
     pub fn value(&self, index: usize) -> Value {
-        if let Some(value) = self.unusual.get(&index) {
+        if let Some(value) = self.full_members.get(&index) {
             return value.clone();
         }
         let mut member = Map::new();
@@ -152,11 +153,11 @@
     pub fn is_same(&self, index: usize, other: &TenantList, other_index: usize) -> bool {
         self.stored_name(index) == other.stored_name(other_index)
             && self.records[index].quota == other.records[other_index].quota
-            && self.unusual.get(&index) == other.unusual.get(&other_index)
+            && self.full_members.get(&index) == other.full_members.get(&other_index)
     }
 
     fn quota(&self, index: usize, path: &str) -> Result<f64, FieldError> {
-        if let Some(value) = self.unusual.get(&index) {
+        if let Some(value) = self.full_members.get(&index) {
             let member = JsonObject::new(member_path(path, index), value)?;
             return member.deserialize().map(|TenantQuota { quota_per_s }| quota_per_s);
         }
@@ -169,7 +170,7 @@
     }
 
     fn parse_name(&self, index: usize, path: &str) -> Result<String, FieldError> {
-        match self.unusual.get(&index) {
+        match self.full_members.get(&index) {
             Some(value) => {
                 let member = JsonObject::new(member_path(path, index), value)?;
                 member.deserialize().map(|TenantName { name }| name)
@@ -178,7 +179,7 @@
         }
     }
 
-    /// The name of a member; empty if it has none.
+    /// Returns the name of a member; an empty one if it has none.
     fn stored_name(&self, index: usize) -> &str {
         let start = if index == 0 { 0 } else { self.records[index - 1].name_end };
         &self.names[start..self.records[index].name_end]
@@ -191,14 +192,14 @@
     }
 
     fn name(&self, index: usize) -> Option<&str> {
-        match self.unusual.get(&index) {
+        match self.full_members.get(&index) {
             Some(value) => value[NAME].as_str(),
             None => Some(self.stored_name(index)),
         }
     }
 
     fn all_named(&self) -> bool {
-        self.unusual.values().all(|value| value[NAME].is_string())
+        self.full_members.values().all(|value| value[NAME].is_string())
     }
 }
 
@@ -206,7 +207,7 @@
     format!("{path}[{index}]")
 }
 
-/// Name and quota of a member that has no other keys.
+/// Returns the name and the quota of a member without other keys; `None` if it has others or one of another type.
 fn name_and_quota(member: &Value) -> Option<(&str, Option<&Number>)> {
     let keys = member.as_object()?;
     let name = keys.get(NAME)?.as_str()?;
@@ -217,8 +218,8 @@
     }
 }
 
-impl<'de> Shaped<'de> for Tenants {
-    fn unexpected(value: Value) -> Tenants {
+impl<'de> DeserializeOrValue<'de> for Tenants {
+    fn from_unexpected(value: Value) -> Tenants {
         if value.is_null() { Tenants::Absent } else { Tenants::Invalid(value) }
     }
 
@@ -235,6 +236,6 @@
 
 impl<'de> Deserialize<'de> for Tenants {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Tenants, D::Error> {
-        deserialize_shaped(deserializer)
+        deserialize_or_value(deserializer)
     }
 }
--- a/crates/loomflow-settings/src/shaped.rs
+++ b/crates/loomflow-settings/src/value_fallback.rs
@@ -1,4 +1,5 @@
-//! Deserialization of values that are expected to have one kind, and become a tree of JSON values if they have another.
+//! Deserializes types that expect an object or an array, and keep a value of any other JSON type as a [`Value`] instead of
+//! failing.
 
 use std::marker::PhantomData;
 
@@ -6,34 +7,35 @@
 use serde::de::{Deserialize, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use serde_json::Value;
 
-/// A type that is deserialized from one kind of JSON value, and from other kinds as a tree.
-pub(crate) trait Shaped<'de>: Sized {
-    /// Wraps a value of another kind.
-    fn unexpected(value: Value) -> Self;
+/// A type that is built from a JSON object or array, with a [`Value`] as the fallback for other JSON types. An
+/// implementation overrides the method for the JSON type that it expects.
+pub(crate) trait DeserializeOrValue<'de>: Sized {
+    /// Wraps a value of a type that was not expected.
+    fn from_unexpected(value: Value) -> Self;
 
-    /// Deserializes an object.
+    /// Deserializes an object; by default, it is not expected.
     fn from_object<A: MapAccess<'de>>(map: A) -> Result<Self, A::Error> {
-        Value::deserialize(MapAccessDeserializer::new(map)).map(Self::unexpected)
+        Value::deserialize(MapAccessDeserializer::new(map)).map(Self::from_unexpected)
     }
 
-    /// Deserializes an array.
+    /// Deserializes an array; by default, it is not expected.
     fn from_array<A: SeqAccess<'de>>(sequence: A) -> Result<Self, A::Error> {
-        Value::deserialize(SeqAccessDeserializer::new(sequence)).map(Self::unexpected)
+        Value::deserialize(SeqAccessDeserializer::new(sequence)).map(Self::from_unexpected)
     }
 }
 
-/// Deserializes a [`Shaped`] type from a value of any kind.
-pub(crate) fn deserialize_shaped<'de, T, D>(deserializer: D) -> Result<T, D::Error>
+/// Deserializes a [`DeserializeOrValue`] type from a JSON value of any type.
+pub(crate) fn deserialize_or_value<'de, T, D>(deserializer: D) -> Result<T, D::Error>
 where
-    T: Shaped<'de>,
+    T: DeserializeOrValue<'de>,
     D: Deserializer<'de>,
 {
-    deserializer.deserialize_any(ShapedVisitor(PhantomData))
+    deserializer.deserialize_any(OrValueVisitor(PhantomData))
 }
 
-struct ShapedVisitor<T>(PhantomData<T>);
+struct OrValueVisitor<T>(PhantomData<T>);
 
-impl<'de, T: Shaped<'de>> Visitor<'de> for ShapedVisitor<T> {
+impl<'de, T: DeserializeOrValue<'de>> Visitor<'de> for OrValueVisitor<T> {
     type Value = T;
 
     fn expecting(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
@@ -41,27 +43,27 @@
     }
 
     fn visit_unit<E: Error>(self) -> Result<T, E> {
-        Ok(T::unexpected(Value::Null))
+        Ok(T::from_unexpected(Value::Null))
     }
 
     fn visit_bool<E: Error>(self, value: bool) -> Result<T, E> {
-        Ok(T::unexpected(value.into()))
+        Ok(T::from_unexpected(value.into()))
     }
 
     fn visit_i64<E: Error>(self, value: i64) -> Result<T, E> {
-        Ok(T::unexpected(value.into()))
+        Ok(T::from_unexpected(value.into()))
     }
 
     fn visit_u64<E: Error>(self, value: u64) -> Result<T, E> {
-        Ok(T::unexpected(value.into()))
+        Ok(T::from_unexpected(value.into()))
     }
 
     fn visit_f64<E: Error>(self, value: f64) -> Result<T, E> {
-        Ok(T::unexpected(value.into()))
+        Ok(T::from_unexpected(value.into()))
     }
 
     fn visit_str<E: Error>(self, value: &str) -> Result<T, E> {
-        Ok(T::unexpected(value.into()))
+        Ok(T::from_unexpected(value.into()))
     }
 
     fn visit_map<A: MapAccess<'de>>(self, map: A) -> Result<T, A::Error> {
--- a/crates/loomflow-settings/tests/error_table/mod.rs
+++ b/crates/loomflow-settings/tests/error_table/mod.rs
@@ -1,6 +1,7 @@
-//! A table of what is said of each key of a document when its value is replaced, and its comparison with a recorded one.
+//! A table of the errors that a document yields when the value of one key is replaced, and its comparison with a recorded
+//! table. Shared with the tests of `loomflow-adapter`.
 //!
-//! A line has a key, what is said, and the values that it is said of. The tests of `loomflow-adapter` use it, too.
+//! Each line holds a key, an error message and the values of the key that cause it, separated by tabs.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -8,36 +9,37 @@
 
 use serde_json::Value;
 
-/// Stands for a document that is accepted.
+/// Takes the place of the error message of a document that is accepted.
 pub const ACCEPTED: &str = "accepted";
-/// Stands for a key that is left out.
+/// Takes the place of the value of a key that is left out.
 const ABSENT: &str = "absent";
 
-/// The values of a list of JSON texts.
+/// Parses a list of JSON texts.
 pub fn parse_values(texts: &[&str]) -> Vec<Value> {
-    texts.iter().map(|text| serde_json::from_str(text).expect("a value")).collect()
+    texts.iter().map(|text| serde_json::from_str(text).expect("the text is JSON")).collect()
 }
 
-/// Adds the lines of a key: what `verdict` says where the key is left out, and where it has each of the values.
+/// Appends the lines of a key. `outcome` returns the error message, or [`ACCEPTED`], of the document with another value of
+/// the key, or without the key.
 pub fn write_lines(
     lines: &mut String,
     key: &str,
     values: &[Value],
-    verdict: impl Fn(Option<&Value>) -> String,
+    outcome: impl Fn(Option<&Value>) -> String,
 ) {
-    let mut verdicts: BTreeMap<String, Vec<String>> = BTreeMap::new();
-    verdicts.entry(verdict(None)).or_default().push(ABSENT.to_owned());
+    let mut outcomes: BTreeMap<String, Vec<String>> = BTreeMap::new();
+    outcomes.entry(outcome(None)).or_default().push(ABSENT.to_owned());
     for value in values {
-        verdicts.entry(verdict(Some(value))).or_default().push(value.to_string());
+        outcomes.entry(outcome(Some(value))).or_default().push(value.to_string());
     }
-    for (verdict, values) in verdicts {
-        writeln!(lines, "{key}\t{verdict}\t{}", values.join(" ")).expect("a line");
+    for (outcome, values) in outcomes {
+        writeln!(lines, "{key}\t{outcome}\t{}", values.join(" ")).expect("writing to a String");
     }
 }
 
-/// Asserts that the lines are those of the recorded file.
+/// Asserts that the lines equal those of the recorded file.
 pub fn assert_recorded(lines: &str, recorded: &Path) {
-    let recorded = std::fs::read_to_string(recorded).expect("the fixture");
+    let recorded = std::fs::read_to_string(recorded).expect("the recorded file can be read");
     for (line, recorded) in lines.lines().zip(recorded.lines()) {
         assert_eq!(line, recorded);
     }
--- a/crates/loomflow-settings/tests/file_errors.rs
+++ b/crates/loomflow-settings/tests/file_errors.rs
@@ -1,11 +1,11 @@
-//! What a server says of each key of its configuration file when the value is absent, null, of another type or out of
-//! range, and which of two errors it names.
+//! Error messages of the configuration file: for each key, those for an absent, null, mistyped or out-of-range value, and
+//! which of two errors is reported.
 //!
 //! `file_errors/recorded.tsv` was recorded with the code that looked keys up in a tree of JSON values:
 //!
 //!     cargo test -p loomflow-settings --test file_errors -- --ignored record
 //!
-//! A line has a key, what is said, and the values that it is said of.
+//! See `error_table` for its format.
 
 mod error_table;
 
@@ -19,7 +19,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/file_errors/recorded.tsv")
 }
 
-/// Every key.
+/// A valid file with every key.
 fn complete() -> Value {
     json!({
         "name": "n1", "listen": "127.0.0.1:1", "engine": "127.0.0.1:2", "control": "127.0.0.1:3",
@@ -48,7 +48,7 @@
     })
 }
 
-/// All values of the file by their JSON pointers, but the file itself.
+/// Collects the JSON pointers of all values below `value`.
 fn pointers(value: &Value, pointer: &str, found: &mut Vec<String>) {
     let children: Vec<(String, &Value)> = match value {
         Value::Object(keys) => keys.iter().map(|(key, value)| (key.clone(), value)).collect(),
@@ -64,7 +64,7 @@
     }
 }
 
-/// Values that every key is tried with.
+/// Values that each key is tested with.
 fn values() -> Vec<Value> {
     let texts = [
         "null",
@@ -99,23 +99,24 @@
     parse_values(&texts)
 }
 
-/// The complete file with another value at a pointer; without the key or the member if there is none.
+/// Returns `file` with another value index a pointer; with `None`, the key or the array element is removed.
 fn with(file: &Value, pointer: &str, value: Option<&Value>) -> Value {
     let mut file = file.clone();
-    let (parent, name) = pointer.rsplit_once('/').expect("a pointer");
-    match (file.pointer_mut(parent).expect("the parent"), value) {
+    let (parent, name) = pointer.rsplit_once('/').expect("the pointer starts with a slash");
+    match (file.pointer_mut(parent).expect("the parent exists"), value) {
         (Value::Object(keys), Some(value)) => drop(keys.insert(name.to_owned(), value.clone())),
         (Value::Object(keys), None) => drop(keys.remove(name)),
         (Value::Array(members), Some(value)) => {
             members[name.parse::<usize>().expect("an index")] = value.clone();
         }
         (Value::Array(members), None) => drop(members.remove(name.parse().expect("an index"))),
-        (other, _) => panic!("{pointer}: {other}"),
+        (other, _) => panic!("{pointer}: the parent {other} is neither an object nor an array"),
     }
     file
 }
 
-fn verdict(file: &Value) -> String {
+/// The error message of a file, or [`ACCEPTED`].
+fn outcome(file: &Value) -> String {
     Config::parse(&file.to_string()).map_or_else(|error| error.to_string(), |_| ACCEPTED.to_owned())
 }
 
@@ -124,25 +125,25 @@
     pointers(&file, "", &mut keys);
     let (mut lines, values) = (String::new(), values());
     for pointer in keys {
-        write_lines(&mut lines, &pointer, &values, |value| verdict(&with(&file, &pointer, value)));
+        write_lines(&mut lines, &pointer, &values, |value| outcome(&with(&file, &pointer, value)));
     }
-    // The longest retry-after is read only where one is passed on.
-    let none = with(&file, "/settings/Limits/RetryAfter", Some(&json!(false)));
+    // MaxRetryAfter is read only if RetryAfter is true.
+    let without_retry_after = with(&file, "/settings/Limits/RetryAfter", Some(&json!(false)));
     write_lines(&mut lines, "without RetryAfter: MaxRetryAfter", &values, |value| {
-        verdict(&with(&none, "/settings/Limits/MaxRetryAfter", value))
+        outcome(&with(&without_retry_after, "/settings/Limits/MaxRetryAfter", value))
     });
     lines
 }
 
 #[test]
-fn every_key_of_a_file_has_the_recorded_errors() {
+fn errors_of_each_key_match_the_recorded_ones() {
     assert_recorded(&all_lines(), &fixture());
 }
 
 #[test]
-#[ignore = "writes the fixture; see the head of this file"]
+#[ignore = "writes the recorded file; see the module documentation"]
 fn record() {
-    std::fs::write(fixture(), all_lines()).expect("the fixture is written");
+    std::fs::write(fixture(), all_lines()).expect("the recorded file can be written");
 }
 
 /// The keys in the order in which they are checked.
@@ -214,14 +215,14 @@
     (Expected::OtherThanText, "/settings/Domain/DeepChecks"),
 ];
 
-/// The type that a key is checked for.
+/// The type that a key requires, by which an invalid value is chosen.
 #[derive(Clone, Copy)]
 enum Expected {
     Text,
     OtherThanText,
 }
 
-/// The keys in the order of [`CHECKS`], each with a value that is an error there.
+/// The keys in the order of [`CHECKS`], each with a value of a type that is invalid for it.
 fn checks() -> Vec<(&'static str, Value)> {
     let invalid_value = |expected| match expected {
         Expected::Text => json!(false),
@@ -231,38 +232,38 @@
 }
 
 #[test]
-fn of_two_errors_the_first_in_the_order_of_the_checks_is_named() {
+fn first_of_two_errors_is_reported() {
     let (file, checks) = (complete(), checks());
-    for (at, (first, value)) in checks.iter().enumerate() {
-        let one = with(&file, first, Some(value));
-        let message = verdict(&one);
+    for (index, (first, value)) in checks.iter().enumerate() {
+        let faulty = with(&file, first, Some(value));
+        let message = outcome(&faulty);
         assert_ne!(message, ACCEPTED, "{first}");
-        for (second, value) in &checks[at + 1..] {
+        for (second, value) in &checks[index + 1..] {
             let is_same_branch = second.starts_with(&format!("{first}/"));
             if !is_same_branch {
-                assert_eq!(verdict(&with(&one, second, Some(value))), message, "{first}, {second}");
+                assert_eq!(outcome(&with(&faulty, second, Some(value))), message, "{first}, {second}");
             }
         }
     }
 }
 
 #[test]
-fn of_a_key_that_is_missing_and_a_later_one_that_is_invalid_the_missing_one_is_named() {
+fn missing_key_is_reported_before_a_later_invalid_one() {
     let (file, checks) = (complete(), checks());
-    let required = checks.iter().enumerate().filter_map(|(at, (key, _))| {
-        let one = with(&file, key, None);
-        let message = verdict(&one);
-        (message != ACCEPTED).then_some((at, *key, one, message))
+    let required = checks.iter().enumerate().filter_map(|(index, (key, _))| {
+        let faulty = with(&file, key, None);
+        let message = outcome(&faulty);
+        (message != ACCEPTED).then_some((index, *key, faulty, message))
     });
     let mut count = 0;
-    for (at, key, one, message) in required {
+    for (index, key, faulty, message) in required {
         count += 1;
-        for (second, value) in &checks[at + 1..] {
+        for (second, value) in &checks[index + 1..] {
             let is_same_branch = second.starts_with(&format!("{key}/"));
-            if !is_same_branch && one.pointer(second).is_some() {
-                assert_eq!(verdict(&with(&one, second, Some(value))), message, "{key}, {second}");
+            if !is_same_branch && faulty.pointer(second).is_some() {
+                assert_eq!(outcome(&with(&faulty, second, Some(value))), message, "{key}, {second}");
             }
         }
     }
-    assert_eq!(count, 18, "keys that must be present");
+    assert_eq!(count, 18, "number of required keys");
 }
--- a/crates/loomflow-settings/tests/settings_keys.rs
+++ b/crates/loomflow-settings/tests/settings_keys.rs
@@ -1,11 +1,11 @@
-//! Every key of the settings object, and where its value goes: a key that is read under another name, or into another
-//! field, fails here.
+//! Checks that each key of the settings object is read under its outer name and into its field. Every numeric key has a
+//! distinct value, so that swapped fields are detected.
 
 use loomflow::interface::{Downstream, FeedbackSignal, Idempotency, Preemption};
 use loomflow_settings::{JsonObject, Site};
 use serde_json::{Value, json};
 
-/// Every key with a value of its own.
+/// Settings with every key.
 fn complete() -> Value {
     json!({
         "Classes": [
@@ -30,19 +30,22 @@
     })
 }
 
-fn read(settings: &Value) -> Site {
-    Site::parse(&JsonObject::new("", settings).expect("an object")).expect("good settings")
+/// The site of valid settings.
+fn parse(settings: &Value) -> Site {
+    Site::parse(&JsonObject::new("", settings).expect("the settings are an object"))
+        .expect("the settings are valid")
 }
 
+/// The site of the complete settings with another value at a JSON pointer.
 fn with(path: &str, value: Value) -> Site {
     let mut settings = complete();
-    *settings.pointer_mut(path).expect("a key") = value;
-    read(&settings)
+    *settings.pointer_mut(path).expect("the key exists") = value;
+    parse(&settings)
 }
 
 #[test]
-fn classes_and_tenants() {
-    let site = read(&complete());
+fn class_and_tenant_keys_map_to_their_fields() {
+    let site = parse(&complete());
     assert_eq!(site.classes, ["read", "book", "send"]);
     assert_eq!(site.tenants, ["a", "b"]);
     let effects: Vec<Idempotency> = site.settings.classes.iter().map(|class| class.idempotency).collect();
@@ -56,8 +59,8 @@
 }
 
 #[test]
-fn fleet_and_machine() {
-    let site = read(&complete());
+fn other_keys_map_to_their_fields() {
+    let site = parse(&complete());
     assert_eq!(site.gauges, ["links", "core_use"]);
     assert!(site.deep_checks);
     let settings = site.settings;
@@ -75,19 +78,19 @@
 }
 
 #[test]
-fn enumerations() {
-    for (word, below) in
+fn enumeration_keys_map_to_their_variants() {
+    for (text, downstream) in
         [("shared", Downstream::Shared), ("tier", Downstream::Tier), ("off", Downstream::None)]
     {
-        assert_eq!(with("/Domain/Downstream", json!(word)).settings.downstream, below);
+        assert_eq!(with("/Domain/Downstream", json!(text)).settings.downstream, downstream);
     }
-    let stopping = [
+    let preemptions = [
         ("drop", Preemption::DiscardsProgress),
         ("pause", Preemption::KeepsProgress),
         ("off", Preemption::Unsupported),
     ];
-    for (word, stopping) in stopping {
-        assert_eq!(with("/Domain/Halt", json!(word)).settings.preemption, stopping);
+    for (text, preemption) in preemptions {
+        assert_eq!(with("/Domain/Halt", json!(text)).settings.preemption, preemption);
     }
     let signals = [
         ("level", FeedbackSignal::LowestRank),
@@ -95,15 +98,15 @@
         ("weight", FeedbackSignal::SendShare),
         ("off", FeedbackSignal::Unused),
     ];
-    for (word, signal) in signals {
-        assert_eq!(with("/Domain/Say", json!(word)).settings.feedback_signal, signal);
+    for (text, signal) in signals {
+        assert_eq!(with("/Domain/Say", json!(text)).settings.feedback_signal, signal);
     }
     assert!(!with("/ValueBy", json!("request")).settings.is_weight_per_work);
     assert_eq!(with("/Limits/RetryAfter", json!(false)).settings.max_retry_after, 0.0);
 }
 
 #[test]
-fn gauges_are_assigned_by_name() {
+fn gauges_are_mapped_by_name() {
     let names = ["core_use", "on_cores", "heap_share", "links", "other"].map(str::to_owned);
     let gauges = Site::gauges(&names, [Some(0.1), Some(2.0), Some(0.3), Some(4.0), Some(5.0)].into_iter());
     assert_eq!((gauges.core_utilization, gauges.runnable), (Some(0.1), Some(2.0)));
