--- a/crates/loomflow-adapter/tests/message_errors.rs
+++ b/crates/loomflow-adapter/tests/message_errors.rs
@@ -1,11 +1,11 @@
-//! What the adapter says of each key of each message when its value is absent, null, of another type or out of range,
-//! and which of two errors it names.
+//! Error messages of the adapter: for each key of each message, those for an absent, null, mistyped or out-of-range
+//! value, and which of two errors is reported.
 //!
 //! `message_errors/recorded.tsv` was recorded with the adapter that looked keys up in a tree of JSON values:
 //!
 //!     cargo test -p loomflow-adapter --test message_errors -- --ignored record
 //!
-//! A line has a key, what the adapter says, and the values that it says it of.
+//! See `error_table` for its format.
 
 mod common;
 #[path = "../../loomflow-settings/tests/error_table/mod.rs"]
@@ -21,21 +21,23 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/message_errors/recorded.tsv")
 }
 
-/// What the adapter says of its input, without its own name.
-fn verdict(lines: &[String]) -> String {
-    let output = common::play(lines);
-    let said = String::from_utf8(output.stderr).expect("a message");
-    assert_eq!(output.status.success(), said.is_empty(), "{said}");
-    match said.strip_prefix("loomflow-adapter: ") {
+/// The error message of the adapter for this input without the program name, or [`ACCEPTED`].
+fn outcome(lines: &[String]) -> String {
+    let output = common::run_adapter(lines);
+    let errors = String::from_utf8(output.stderr).expect("the error message is UTF-8");
+    assert_eq!(output.status.success(), errors.is_empty(), "{errors}");
+    match errors.strip_prefix("loomflow-adapter: ") {
         Some(message) => message.trim_end().to_owned(),
         None => ACCEPTED.to_owned(),
     }
 }
 
+/// A batch with these messages.
 fn batch(items: &[Value]) -> Value {
     json!({"batch": 8, "Ts": 1000.0, "items": items})
 }
 
+/// The start of instance 3.
 fn boot() -> Value {
     json!({"msg": "BOOT", "ServerId": 3, "Seed": 5, "Settings": {
         "Classes": [{"Effect": "safe", "HardLimit": 9000.0, "Name": "a", "OnTime": 3000.0, "Points": 1.0}],
@@ -43,7 +45,7 @@
         "Rules": {"FallMultiple": 5.0}}})
 }
 
-/// Every message with every key that is read, in the order in which they are checked.
+/// Each message by name, with its keys in the order in which they are checked. `NEWS` is unknown to the adapter.
 fn messages() -> Vec<(&'static str, Vec<&'static str>, Value)> {
     let arrival = json!({
         "msg": "WORK_ITEM", "ServerId": 3, "Ref": 10, "Service": 0, "Account": 0, "Remaining": 600.0,
@@ -85,7 +87,7 @@
     ]
 }
 
-/// Values that every key is tried with.
+/// Values that each key is tested with.
 fn values() -> Vec<Value> {
     let texts = [
         "null",
@@ -117,10 +119,10 @@
     parse_values(&texts)
 }
 
-/// An object with another value of a key.
+/// Returns `object` with another value of a key; with `None`, the key is removed.
 fn with(object: &Value, key: &str, value: Option<&Value>) -> Value {
     let mut object = object.clone();
-    let keys = object.as_object_mut().expect("an object");
+    let keys = object.as_object_mut().expect("a message is an object");
     match value {
         Some(value) => drop(keys.insert(key.to_owned(), value.clone())),
         None => drop(keys.remove(key)),
@@ -128,24 +130,24 @@
     object
 }
 
-/// An instance, with a request that runs, and then the message.
-fn play(message: &Value) -> String {
+/// The outcome of a message to an instance with a running request.
+fn message_outcome(message: &Value) -> String {
     let request = json!({"msg": "WORK_ITEM", "ServerId": 3, "Ref": 9, "Service": 0, "Kb": 5.0});
-    let before = json!({"batch": 7, "Ts": 990.0, "items": [boot(), request]});
-    // The message is not the first of its batch, so that its index shows.
+    let first_batch = json!({"batch": 7, "Ts": 990.0, "items": [boot(), request]});
+    // The message is the second of its batch, so that errors that contain its index differ from those of the first.
     let news = json!({"msg": "NEWS"});
-    verdict(&[before.to_string(), batch(&[news, message.clone()]).to_string()])
+    outcome(&[first_batch.to_string(), batch(&[news, message.clone()]).to_string()])
 }
 
 fn all_lines() -> String {
     let (mut lines, values) = (String::new(), values());
     for key in ["batch", "Ts", "items"] {
-        write_lines(&mut lines, key, &values, |value| verdict(&[with(&batch(&[]), key, value).to_string()]));
+        write_lines(&mut lines, key, &values, |value| outcome(&[with(&batch(&[]), key, value).to_string()]));
     }
     for (name, keys, message) in messages() {
         for key in keys {
             write_lines(&mut lines, &format!("{name}.{key}"), &values, |value| {
-                play(&with(&message, key, value))
+                message_outcome(&with(&message, key, value))
             });
         }
     }
@@ -153,36 +155,40 @@
 }
 
 #[test]
-fn every_key_of_every_message_has_the_recorded_errors() {
+fn errors_of_each_key_match_the_recorded_ones() {
     assert_recorded(&all_lines(), &fixture());
 }
 
 #[test]
-#[ignore = "writes the fixture; see the head of this file"]
+#[ignore = "writes the recorded file; see the module documentation"]
 fn record() {
-    std::fs::write(fixture(), all_lines()).expect("the fixture is written");
+    std::fs::write(fixture(), all_lines()).expect("the recorded file can be written");
 }
 
-/// A value that no key accepts but those of objects and lists, which the table has with values of their own.
-fn invalid(key: &str) -> Value {
+/// A value that `key` rejects: settings without classes, or an object in place of a simple value.
+fn invalid_value(key: &str) -> Value {
     if key == "Settings" { json!({"Domain": {}, "Rules": {}}) } else { json!({"x": -1}) }
 }
 
 #[test]
-fn of_two_errors_in_a_message_the_first_in_the_order_of_the_checks_is_named() {
+fn first_of_two_errors_in_a_message_is_reported() {
     for (name, keys, message) in messages() {
-        for (at, first) in keys.iter().enumerate() {
-            let one = with(&message, first, Some(&invalid(first)));
-            for second in &keys[at + 1..] {
-                let two = with(&one, second, Some(&invalid(second)));
-                assert_eq!(play(&two), play(&one), "{name}: {first}, {second}");
+        for (index, first) in keys.iter().enumerate() {
+            let one_error = with(&message, first, Some(&invalid_value(first)));
+            for second in &keys[index + 1..] {
+                let two_errors = with(&one_error, second, Some(&invalid_value(second)));
+                assert_eq!(
+                    message_outcome(&two_errors),
+                    message_outcome(&one_error),
+                    "{name}: {first}, {second}"
+                );
             }
         }
     }
 }
 
 #[test]
-fn values_that_are_unknown_are_named_before_errors_of_later_keys() {
+fn unknown_values_are_reported_before_errors_of_later_keys() {
     let messages: BTreeMap<&str, Value> =
         messages().into_iter().map(|(name, _, message)| (name, message)).collect();
     let cases = [
@@ -192,32 +198,32 @@
         ("FINISHED", "Disposition", 0, "Spent", "FINISHED: Disposition: 0 is not known"),
     ];
     for (name, key, unknown, later, message) in cases {
-        let one = with(&messages[name], key, Some(&json!(unknown)));
-        let two = with(&one, later, Some(&json!("x")));
-        for event in [one, two] {
-            assert_eq!(play(&event), format!("batch 8: {message}"));
+        let one_error = with(&messages[name], key, Some(&json!(unknown)));
+        let two_errors = with(&one_error, later, Some(&json!("x")));
+        for event in [one_error, two_errors] {
+            assert_eq!(message_outcome(&event), format!("batch 8: {message}"));
         }
     }
 }
 
 #[test]
-fn messages_before_the_invalid_one_are_handled_first() {
+fn messages_before_an_invalid_one_are_handled_first() {
     let unknown = json!({"msg": "TERMINATE_SOON", "ServerId": 4, "Remaining": 1.0});
     let invalid = json!({"msg": "TERMINATE_SOON", "ServerId": 3});
-    let error = verdict(&[batch(&[boot(), unknown, invalid.clone()]).to_string()]);
+    let error = outcome(&[batch(&[boot(), unknown, invalid.clone()]).to_string()]);
     assert_eq!(error, "batch 8: TERMINATE_SOON: ServerId: instance 4 is unknown");
-    let error = verdict(&[batch(&[boot(), invalid, json!(5)]).to_string()]);
+    let error = outcome(&[batch(&[boot(), invalid, json!(5)]).to_string()]);
     assert_eq!(error, "batch 8: items[2]: not an object");
 }
 
 #[test]
-fn of_a_key_that_comes_twice_the_last_value_counts() {
+fn last_value_of_a_duplicate_key_is_used() {
     let line = r#"{"batch": "x", "Ts": 1, "batch": 8, "items": [], "Ts": 2, "items": 5}"#;
-    assert_eq!(verdict(&[line.to_owned()]), "batch 8: items: not an array");
+    assert_eq!(outcome(&[line.to_owned()]), "batch 8: items: not an array");
 }
 
 #[test]
-fn lines_that_are_not_json_are_named_with_their_position() {
+fn invalid_lines_are_reported_with_their_position() {
     let cases = [
         ("", "batch: not JSON: EOF while parsing a value at line 1 column 0"),
         ("{\"batch\": 8", "batch: not JSON: EOF while parsing an object at line 1 column 11"),
@@ -228,6 +234,6 @@
         ("5", "batch: not an object"),
     ];
     for (line, message) in cases {
-        assert_eq!(verdict(&[line.to_owned()]), message, "{line}");
+        assert_eq!(outcome(&[line.to_owned()]), message, "{line}");
     }
 }
