--- a/crates/loomflow-settings/src/document.rs
+++ b/crates/loomflow-settings/src/document.rs
@@ -14,7 +14,7 @@
 pub(crate) const SETTINGS: &str = "settings";
 /// Key of the tenants in the settings object.
 pub(crate) const TENANTS: &str = "Orgs";
-/// Key that holds the name of a class or a tenant, by which list members are matched.
+/// Key that holds the name of a class or a tenant. Comparisons match list members by it.
 pub(crate) const NAME: &str = "Name";
 
 /// A configuration file, with the tenants separated from the other keys.
--- a/crates/loomflow-settings/tests/file_errors.rs
+++ b/crates/loomflow-settings/tests/file_errors.rs
@@ -99,7 +99,7 @@
     parse_values(&texts)
 }
 
-/// Returns `file` with another value index a pointer; with `None`, the key or the array element is removed.
+/// Returns `file` with another value at a pointer; with `None`, the key or the array element is removed.
 fn with(file: &Value, pointer: &str, value: Option<&Value>) -> Value {
     let mut file = file.clone();
     let (parent, name) = pointer.rsplit_once('/').expect("the pointer starts with a slash");
@@ -215,7 +215,7 @@
     (Expected::OtherThanText, "/settings/Domain/DeepChecks"),
 ];
 
-/// The type that a key requires, by which an invalid value is chosen.
+/// The type that a key requires, which determines the invalid value that it is tested with.
 #[derive(Clone, Copy)]
 enum Expected {
     Text,
