--- a/crates/loomflow-fleet-commands/src/error.rs
+++ b/crates/loomflow-fleet-commands/src/error.rs
@@ -8,7 +8,7 @@
 use loomflow_fleet::duty::DutyRejection;
 use loomflow_fleet::duty::fence::FenceError;
 use loomflow_fleet::maintenance::ticket::Rejection;
-use loomflow_settings::error::{SpanError, YamlError};
+use loomflow_settings::error::{ParseDurationError, YamlError};
 
 /// An unexpected response is printed only if its text is shorter than this, bytes.
 const MAX_PRINTED_BYTES: usize = 300;
@@ -51,7 +51,7 @@
     NoFleet(PathBuf),
     /// A value is not a duration or a window.
     #[error(transparent)]
-    InvalidDuration(#[from] SpanError),
+    InvalidDuration(#[from] ParseDurationError),
     /// The options file cannot be read or parsed.
     #[error(transparent)]
     Options(#[from] YamlError),
@@ -108,7 +108,7 @@
     Campaign(#[from] YamlError),
     /// A value in the campaign file is not a duration or a window.
     #[error(transparent)]
-    InvalidDuration(#[from] SpanError),
+    InvalidDuration(#[from] ParseDurationError),
     /// `fence` without a command after `--`.
     #[error("fence FILE --duty NAME --token N -- COMMAND: COMMAND is missing")]
     MissingCommand,
--- a/crates/loomflow-server/tests/reload.rs
+++ b/crates/loomflow-server/tests/reload.rs
@@ -144,7 +144,7 @@
     reload(
         &fixture,
         &invalid,
-        "key=\"settings.Classes[book].Effect\" value=\"safe\" rule=\"what has run could be run again\"",
+        "key=\"settings.Classes[book].Effect\" value=\"safe\" rule=\"requests that have run could run again\"",
     );
     fixture.wait_for_log("settings.Rules.DrainGrace");
     serve_tenant(&mut gateway, &engine, 3, "acme", 2);
@@ -205,7 +205,7 @@
     fixture.remove_file();
     fixture.make_pipe();
     fixture.signal("HUP");
-    fixture.wait_for_log("not a file");
+    fixture.wait_for_log("not a regular file");
     fixture.terminate();
     assert_eq!(fixture.exit_code(), Some(0));
 }
