--- a/crates/loomflow-amqp/tests/model.rs
+++ b/crates/loomflow-amqp/tests/model.rs
@@ -126,7 +126,7 @@
             self.broker.handle_frame(connection, frame);
         }
         let mut over = Vec::new();
-        for (to, frame) in self.broker.take_out() {
+        for (to, frame) in self.broker.take_outgoing() {
             let Some(server) = self.servers.iter_mut().find(|server| server.connection == Some(to)) else {
                 continue;
             };
--- a/crates/loomflow-amqp/tests/overload.rs
+++ b/crates/loomflow-amqp/tests/overload.rs
@@ -213,7 +213,7 @@
             for frame in decode(&mut bytes) {
                 self.broker.handle_frame(CONNECTION, frame);
             }
-            let out = self.broker.take_out();
+            let out = self.broker.take_outgoing();
             if out.is_empty() {
                 return;
             }
--- a/crates/loomflow-benchmark/src/amqp.rs
+++ b/crates/loomflow-benchmark/src/amqp.rs
@@ -107,7 +107,7 @@
             Fault::None => {}
             Fault::Restart => {
                 fixture.kill();
-                worker.server_died();
+                worker.reset_for_server_restart();
                 fixture.start("exec \"$0\" serve");
                 fixture.wait_for_service();
             }
--- a/crates/loomflow-benchmark/src/moments.rs
+++ b/crates/loomflow-benchmark/src/moments.rs
@@ -146,7 +146,7 @@
 fn check(gateway: Option<Gateway>, listen: SocketAddr, tag: u64) -> Option<Gateway> {
     let mut gateway = match gateway {
         Some(gateway) => gateway,
-        None => Gateway::of(TcpStream::connect(listen).ok()?),
+        None => Gateway::from_stream(TcpStream::connect(listen).ok()?),
     };
     gateway.stream.write_all(&health(tag, false)).ok()?;
     matches!(gateway.next_response(ANSWER), Ok(Some(_))).then_some(gateway)
--- a/crates/loomflow-benchmark/src/moments/restarts.rs
+++ b/crates/loomflow-benchmark/src/moments/restarts.rs
@@ -107,17 +107,17 @@
             Peers::UpBesideDrain => process.fixture.drain_in_background(),
             _ => process.fixture.kill(),
         }
-        engine.server_died();
+        engine.reset_for_server_restart();
         if peers == Peers::Slow {
             engine.set_hello_delay(SLOW_HELLO);
         }
     }
     in_parallel(&mut processes, |process| {
-        let attached = process.engine.as_ref().map_or(0, AutonomousEngine::attached);
+        let attached = process.engine.as_ref().map_or(0, AutonomousEngine::attach_count);
         let since = Instant::now();
         process.fixture.start("exec \"$0\" serve");
         // Until then the former process may still be the one that answers.
-        while process.engine.as_ref().is_some_and(|engine| engine.attached() == attached)
+        while process.engine.as_ref().is_some_and(|engine| engine.attach_count() == attached)
             && ms(since) < GIVE_UP_MS
         {
             thread::sleep(RETRY_INTERVAL);
--- a/crates/loomflow-load/src/fleet.rs
+++ b/crates/loomflow-load/src/fleet.rs
@@ -122,7 +122,7 @@
             server.generation += 1;
             server.stream = Some(stream);
             let (shared, generation) = (shared.clone(), server.generation);
-            thread::spawn(move || read_answers(&shared, number, generation, Gateway::of(reader)));
+            thread::spawn(move || read_answers(&shared, number, generation, Gateway::from_stream(reader)));
         }
         thread::sleep(RECONNECT_AFTER);
     }
--- a/crates/loomflow-load/src/queue.rs
+++ b/crates/loomflow-load/src/queue.rs
@@ -71,7 +71,7 @@
         let id = String::from_utf8_lossy(&body).into_owned();
         broker.publish(message("jobs", &id, &body).reply_to("replies", &id).with_sent_time());
         results.record_sent(body, now);
-        results.second(now).record_signal(broker.with_state(|state| state.credit("jobs")) as f64);
+        results.second(now).record_signal(broker.with_state(|state| state.total_prefetch("jobs")) as f64);
         schedule.advance();
     }
 }
--- a/crates/loomflow-server/tests/amqp.rs
+++ b/crates/loomflow-server/tests/amqp.rs
@@ -205,7 +205,7 @@
     worker.wait_for_runs(1);
     fixture.kill();
     worker.set_held(false);
-    worker.server_died();
+    worker.reset_for_server_restart();
     broker.wait_until("it is redelivered", |state| state.ready("jobs") == 1);
     fixture.start(SERVE);
     let dead = next_dead_letter(&broker);
@@ -411,7 +411,7 @@
 
 #[test]
 fn a_silent_broker_is_abandoned_after_two_heartbeats() {
-    let broker = Broker::limited(1, 4_096, 40);
+    let broker = Broker::with_limits(1, 4_096, 40);
     for queue in ["jobs", "dead", "replies"] {
         broker.declare(queue);
     }
@@ -580,7 +580,7 @@
         state.declare("jobs", Some(("", "queue's own")));
         state.declare("queue's own", None);
         state.declare("results", None);
-        state.exchange("out", "direct", &[("done", "results")]);
+        state.declare_exchange("out", "direct", &[("done", "results")]);
     });
     let text = options(&[&broker], "  results: {exchange: out, routing_key: done}")
         .replace("  dead_letter: {routing_key: dead}\n", "");
--- a/crates/loomflow-server/tests/control_plane.rs
+++ b/crates/loomflow-server/tests/control_plane.rs
@@ -15,7 +15,7 @@
         ["", "HTTP/1.1 20", "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "no HTTP at all\r\n\r\n"]
     {
         fixture.control.set_response(answer);
-        fixture.control.forget();
+        fixture.control.discard_reports();
         assert_eq!(fixture.control.report(), report);
         assert_eq!(fixture.control.report(), report);
     }
@@ -44,7 +44,7 @@
 fn an_endless_response_of_the_control_plane_blocks_neither_reload_nor_shutdown() {
     for endless_response in ["HTTP/1.1 102 Processing\r\n\r\n", "H"] {
         let mut fixture = ServerFixture::new(site(LONG_TIMEOUT));
-        let endless = Control::endless(endless_response);
+        let endless = Control::start_endless(endless_response);
         fixture.config["control"] = endless.address.to_string().into();
         fixture.start(SERVE);
         let _engine = attach(&fixture, "ATTACH 0");
--- a/crates/loomflow-server/tests/duties.rs
+++ b/crates/loomflow-server/tests/duties.rs
@@ -39,7 +39,7 @@
 
 /// The tokens under which lines were written, in order.
 fn written_tokens(fleet: &Fleet) -> Vec<u64> {
-    let text = std::fs::read_to_string(fleet.folder().join("lines")).unwrap_or_default();
+    let text = std::fs::read_to_string(fleet.directory().join("lines")).unwrap_or_default();
     text.lines().filter_map(|line| line.parse().ok()).collect()
 }
 
@@ -142,7 +142,7 @@
 
 /// Takes the lock of the jobs' fence: until it is released, every effect waits.
 fn lock_fence(fleet: &Fleet) -> File {
-    let lock = OpenOptions::new().create(true).append(true).open(fleet.folder().join("fence.lock"));
+    let lock = OpenOptions::new().create(true).append(true).open(fleet.directory().join("fence.lock"));
     let lock = lock.expect("the lock's file");
     lock.lock().expect("the lock");
     lock
@@ -232,7 +232,7 @@
 
 /// Starts a job of `by-hand` that ignores SIGTERM, and waits until it runs.
 fn start_stubborn_job(fleet: &Fleet, owner: usize) -> Child {
-    let marker = fleet.folder().join("began");
+    let marker = fleet.directory().join("began");
     let script = format!("trap '' TERM; echo > {}; while :; do sleep 0.1; done", marker.display());
     let job = fleet.spawn(owner, &["duty", "run", "by-hand"], &["sh", "-c", &script]);
     fleet.wait_until("the job runs", |_| marker.exists());
@@ -351,7 +351,7 @@
 fn a_campaign_resumes_where_its_killed_owner_stopped() {
     let extra = "  warm_for_s: 1\n  duties: {lease_s: 2}\n";
     let mut fleet = Fleet::start_bootstrapped(Plan { extra, ..PLAN });
-    let file = fleet.folder().join("campaign.yaml");
+    let file = fleet.directory().join("campaign.yaml");
     std::fs::write(&file, CAMPAIGN).expect("the campaign is written");
     let file = file.to_str().expect("a path");
     let start_campaign = ["work", "ask", "--file", file, "--campaign", "kernel", "--batch", "1"];
--- a/crates/loomflow-server/tests/fleet.rs
+++ b/crates/loomflow-server/tests/fleet.rs
@@ -205,12 +205,12 @@
     let mut fleet = Fleet::start_bootstrapped(FOUR_MEMBERS);
     let leader = fleet.leader(0).unwrap();
     let observer = (leader + 1) % 3;
-    fleet.fill_disk(leader, true);
+    fleet.set_disk_full(leader, true);
     let ticket = fleet.request_ticket(observer, NON_VOTER);
     wait_for_new_leader(&fleet, observer, leader);
     expect_serving(&fleet, leader);
     drain_and_restart(&mut fleet, NON_VOTER, observer, ticket);
-    fleet.fill_disk(leader, false);
+    fleet.set_disk_full(leader, false);
     fleet.wait_until("it follows a leader again", |fleet| {
         fleet.local_status(leader)["fault"].is_null() && fleet.local_status(leader)["leader"].is_string()
     });
--- a/crates/loomflow-server/tests/gateways.rs
+++ b/crates/loomflow-server/tests/gateways.rs
@@ -242,7 +242,7 @@
     let mut gateway = fixture.gateway();
     let id = start_run(&mut gateway, &engine, 1, "pay");
     gateway.send(&call(2, "pay", &fields(&id), b"x"));
-    assert_eq!((gateway.response().tag, gateway.next_response(QUIET_PERIOD)), (2, Err(Silence)));
+    assert_eq!((gateway.response().tag, gateway.next_response(QUIET_PERIOD)), (2, Err(NoResponse)));
     engine.expect_quiet();
     engine.send_done(1, &id, b"y");
     assert_eq!(gateway.response().tag, 1);
@@ -509,7 +509,7 @@
     const FLOOD: u64 = 600;
     let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     // From now on the test sees the server's queries, too.
-    fixture.engine.answers_by_itself(false);
+    fixture.engine.set_automatic_replies(false);
     let mut flooding = fixture.gateway();
     let flood: Vec<u8> = (1..=FLOOD).flat_map(|tag| health(tag, true)).collect();
     let writes = write_in_background(&flooding, flood);
--- a/crates/loomflow-server/tests/links.rs
+++ b/crates/loomflow-server/tests/links.rs
@@ -214,7 +214,7 @@
     engine.expect("FEED");
     engine.disconnect();
     let engine = fixture.engine.link();
-    fixture.engine.answers_by_itself(false);
+    fixture.engine.set_automatic_replies(false);
     engine.accept_attach("ATTACH 1");
     let closes_replay = engine.expect("STAT");
     send_stats(&engine, &closes_replay);
@@ -286,7 +286,7 @@
 fn a_connection_replaced_during_replay_loses_nothing() {
     let (fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     let mut gateway = fixture.gateway();
-    fixture.engine.answers_by_itself(false);
+    fixture.engine.set_automatic_replies(false);
     engine.disconnect();
     let replaying = attach(&fixture, "ATTACH 0");
     let former_query = replaying.expect("STAT");
@@ -396,7 +396,7 @@
         let other = start_run(&mut gateway, &engine, 2, "pay");
         let other_call = start_call(&ledger, &engine, 2, &other, b"call");
         call.send_bytes(text.replace("ID", &id).as_bytes());
-        assert_eq!((gateway.response().tag, gateway.next_response(QUIET_PERIOD)), (1, Err(Silence)));
+        assert_eq!((gateway.response().tag, gateway.next_response(QUIET_PERIOD)), (1, Err(NoResponse)));
         call.expect_closed();
         reply(&other_call, &other, b"ok");
         expect_feed(&engine, &other, b"ok");
--- a/crates/loomflow-server/tests/short_days.rs
+++ b/crates/loomflow-server/tests/short_days.rs
@@ -159,7 +159,7 @@
     let (mut fixture, engine) = ServerFixture::start_serving(site(LONG_TIMEOUT));
     for (number, response) in (1..).zip([ONE, "", THREE, "", ONE]) {
         fixture.control.set_response(response);
-        fixture.control.forget();
+        fixture.control.discard_reports();
         for _ in 0..3 {
             expect_ready_report(&fixture.control);
         }
--- a/crates/loomflow-server/tests/stored_data.rs
+++ b/crates/loomflow-server/tests/stored_data.rs
@@ -64,7 +64,7 @@
 
 /// Runs a command behind the fence that the fleet's duty writes through.
 fn fence(fleet: &Fleet, token: &str) -> (i32, String, String) {
-    let file = fleet.folder().join("fence");
+    let file = fleet.directory().join("fence");
     let file = file.to_str().expect("a path");
     let program = loomflow_test_servers::program();
     let words = ["fleet", "fence", file, "--duty", "writes", "--token", token, "--", "echo", "done"];
@@ -78,17 +78,17 @@
 fn record() {
     let program = PathBuf::from(std::env::var("PROGRAM").expect("PROGRAM names the program that stores"));
     let mut fleet = Fleet::start_with(PLAN, &program).bootstrap(PLAN);
-    fleet.wait_until("the duty writes", |fleet| highest_token(fleet.folder()) > 0);
-    let first = highest_token(fleet.folder());
+    fleet.wait_until("the duty writes", |fleet| highest_token(fleet.directory()) > 0);
+    let first = highest_token(fleet.directory());
     assert_eq!(fleet.run_command(0, &["duty", "release", "writes"]).0, 0);
-    fleet.wait_until("a second owner writes", |fleet| highest_token(fleet.folder()) > first);
+    fleet.wait_until("a second owner writes", |fleet| highest_token(fleet.directory()) > first);
     assert_eq!(fleet.run_command(0, &["work", "pause", PAUSE_REASON]).0, 0);
     assert_eq!(fleet.request_ticket(0, 2), 1);
     assert_eq!(fleet.run_command(0, &["duty", "park", "writes", "looked at"]).0, 0);
     fleet.wait_until("the duty is parked", |fleet| duty(fleet)["owner"].is_null());
     (0..3).for_each(|member| fleet.kill(member));
     for name in FILES {
-        copy(&fleet.folder().join(name), &stored(name));
+        copy(&fleet.directory().join(name), &stored(name));
     }
 }
 
@@ -99,7 +99,7 @@
 #[test]
 fn a_fleet_resumes_from_the_stored_data_of_an_earlier_build() {
     let mut fleet = restored();
-    let before = highest_token(fleet.folder());
+    let before = highest_token(fleet.directory());
     fleet.wait_until("a leader is there", |fleet| fleet.status(0)["paused"] == PAUSE_REASON);
     assert_eq!(fleet.run_command(0, &["found"]).0, 1, "the fleet is not founded a second time");
     assert_eq!(fleet.stage(0, 1), "Asked");
@@ -112,13 +112,13 @@
     assert_eq!(fleet.request_ticket(0, 1), 2);
     // The duty has another owner, by a later token.
     assert_eq!(fleet.run_command(0, &["duty", "resume", "writes"]).0, 0);
-    fleet.wait_until("a later owner writes", |fleet| highest_token(fleet.folder()) > before);
+    fleet.wait_until("a later owner writes", |fleet| highest_token(fleet.directory()) > before);
 }
 
 #[test]
 fn a_stored_fence_rejects_what_the_earlier_build_rejected() {
     let fleet = restored();
-    let highest = highest_token(fleet.folder());
+    let highest = highest_token(fleet.directory());
     let (code, output, errors) = fence(&fleet, STALE_TOKEN);
     let message = format!("loomflow: writes: token {STALE_TOKEN} is of an old owner: {highest} was here\n");
     assert_eq!((code, output.as_str(), errors), (4, "", message));
--- a/crates/loomflow-test-servers/src/autonomous_engine.rs
+++ b/crates/loomflow-test-servers/src/autonomous_engine.rs
@@ -1,5 +1,5 @@
-//! Test engine that runs requests by itself: each core has one run at a time, and further runs queue in order of
-//! arrival. It records every run, so that tests notice duplicates.
+//! Test engine that runs requests without a script: each core executes one run at a time, and further runs queue in order
+//! of arrival. It records every requested run, so that tests can detect duplicates.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -10,208 +10,224 @@
 
 use crate::base::{RESPONSE_TIMEOUT, loopback_listener};
 
-/// A run that is in progress or queued.
+/// A run that was requested and has not ended.
 struct Run {
     id: String,
     body: Vec<u8>,
+    /// Time on a core until the run ends or makes its downstream call.
     work: Duration,
-    /// Whether its downstream call has ended, or it makes none.
-    called: bool,
+    /// Whether the run no longer makes a downstream call: the call has ended, or the run makes none.
+    has_called: bool,
 }
 
 #[derive(Default)]
-struct Inner {
-    link: Option<TcpStream>,
-    /// Notices since the start of the server, which later connections repeat.
+struct EngineState {
+    /// Connection that attached last; new notices are sent on it.
+    connection: Option<TcpStream>,
+    /// Encoded notices since the start of the server; a connection that attaches is sent those that the server lacks.
     notices: Vec<Vec<u8>>,
-    waiting: VecDeque<Run>,
-    busy: usize,
-    /// Number of runs by class and body.
+    queued_runs: VecDeque<Run>,
+    busy_cores: usize,
+    /// Number of requested runs by class and body.
     run_counts: BTreeMap<(String, Vec<u8>), usize>,
+    /// Bodies of the requested runs and the times of the requests, in order of arrival.
     started_runs: Vec<(Vec<u8>, Instant)>,
-    known_ids: BTreeSet<String>,
+    /// Ids of all requested runs; a repeated request for one of them is ignored.
+    requested_ids: BTreeSet<String>,
+    /// Duration of new runs.
     work: Duration,
-    fail: usize,
+    /// Number of runs, from the next one to end, that end in a fault.
+    runs_to_fail: usize,
+    /// Whether runs are kept from ending; a held run occupies its core.
     is_held: bool,
-    /// Delay between `ATTACH` and `HELLO`, as of an engine that starts slowly.
+    /// Delay between `ATTACH` and `HELLO`, to simulate an engine that starts slowly.
     hello_delay: Duration,
-    /// Number of connections that were sent `HELLO`.
-    attached: usize,
-    /// Every n-th run makes a downstream call; 0 for none.
-    calls_every: usize,
-    /// Runs that wait for the reply to a downstream call.
-    at_call: BTreeMap<String, Run>,
+    /// Number of connections that were sent `HELLO` so far.
+    attach_count: usize,
+    /// Every n-th requested run makes a downstream call; 0 for none.
+    call_interval: usize,
+    /// Runs that wait for the reply to their downstream call, by id.
+    runs_in_call: BTreeMap<String, Run>,
 }
 
 struct Shared {
-    inner: Mutex<Inner>,
+    state: Mutex<EngineState>,
+    /// Notified when a run is queued and when `is_held` changes.
     changed: Condvar,
     cores: usize,
 }
 
-/// A test engine that runs requests by itself.
+/// A handle of a test engine that runs requests without a script. Clones share the engine.
 #[derive(Clone)]
 pub struct AutonomousEngine {
-    /// Its address.
+    /// Address that the engine listens on.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
-/// The result of a run with this body.
+/// Returns the result of a successful run with this body.
 pub fn result_of(body: &[u8]) -> Vec<u8> {
     [b"done:", body].concat()
 }
 
 impl AutonomousEngine {
-    /// Each run takes one core for `work`.
+    /// Starts an engine on a free loopback address; each run occupies one core for `work`.
     pub fn start(cores: usize, work: Duration) -> AutonomousEngine {
         AutonomousEngine::at(loopback_listener(), cores, work)
     }
 
-    /// As [`AutonomousEngine::start`], on a listener.
+    /// Like [`AutonomousEngine::start`], but accepts connections from `listener`.
     pub fn at(listener: TcpListener, cores: usize, work: Duration) -> AutonomousEngine {
-        let address = listener.local_addr().expect("an address");
-        let inner = Inner { work, ..Inner::default() };
-        let shared = Arc::new(Shared { inner: Mutex::new(inner), changed: Condvar::new(), cores });
+        let address = listener.local_addr().expect("the listener has a local address");
+        let state = EngineState { work, ..EngineState::default() };
+        let shared = Arc::new(Shared { state: Mutex::new(state), changed: Condvar::new(), cores });
         for _ in 0..cores {
             let shared = shared.clone();
-            thread::spawn(move || core(&shared));
+            thread::spawn(move || run_core(&shared));
         }
-        let for_links = shared.clone();
-        thread::spawn(move || links(&listener, &for_links));
+        let for_connections = shared.clone();
+        thread::spawn(move || accept_connections(&listener, &for_connections));
         AutonomousEngine { address, shared }
     }
 
-    fn inner(&self) -> MutexGuard<'_, Inner> {
+    fn state(&self) -> MutexGuard<'_, EngineState> {
         self.shared.lock()
     }
 
-    /// Changes the duration of runs.
+    /// Sets the duration of runs that are requested from now on.
     pub fn set_run_duration(&self, work: Duration) {
-        self.inner().work = work;
+        self.state().work = work;
     }
 
-    /// Sets the delay between `ATTACH` and `HELLO`.
+    /// Sets the delay between `ATTACH` and `HELLO` on new connections.
     pub fn set_hello_delay(&self, delay: Duration) {
-        self.inner().hello_delay = delay;
+        self.state().hello_delay = delay;
     }
 
-    /// Number of connections that have attached so far.
-    pub fn attached(&self) -> usize {
-        self.inner().attached
+    /// Returns the number of connections that were sent `HELLO` so far.
+    pub fn attach_count(&self) -> usize {
+        self.state().attach_count
     }
 
-    /// Makes every n-th run make a downstream call halfway.
+    /// Makes every `every`-th requested run make a downstream call after half of its duration; 0 for none.
     pub fn set_call_interval(&self, every: usize) {
-        self.inner().calls_every = every;
+        self.state().call_interval = every;
     }
 
-    /// Makes the next `count` runs fail.
+    /// Makes the next `count` runs that end report a fault.
     pub fn fail_next(&self, count: usize) {
-        self.inner().fail = count;
+        self.state().runs_to_fail = count;
     }
 
-    /// Holds the end of all runs, or releases it.
+    /// Keeps all runs from ending, or lets them end again. A held run occupies its core.
     pub fn set_held(&self, is_held: bool) {
-        self.inner().is_held = is_held;
+        self.state().is_held = is_held;
         self.shared.changed.notify_all();
     }
 
-    /// Number of runs by class and body.
+    /// Returns the number of requested runs by class and body.
     pub fn run_counts(&self) -> BTreeMap<(String, Vec<u8>), usize> {
-        self.inner().run_counts.clone()
+        self.state().run_counts.clone()
     }
 
-    /// Bodies in the order in which their runs were requested.
+    /// Returns the bodies of the requested runs, in order of arrival.
     pub fn run_order(&self) -> Vec<Vec<u8>> {
-        self.inner().started_runs.iter().map(|(body, _)| body.clone()).collect()
+        self.state().started_runs.iter().map(|(body, _)| body.clone()).collect()
     }
 
-    /// Bodies with the times at which their runs were requested.
+    /// Returns the bodies of the requested runs and the times of the requests, in order of arrival.
     pub fn started_runs(&self) -> Vec<(Vec<u8>, Instant)> {
-        self.inner().started_runs.clone()
+        self.state().started_runs.clone()
     }
 
-    /// Number of runs that were requested.
+    /// Returns the number of requested runs.
     pub fn run_count(&self) -> usize {
-        self.inner().started_runs.len()
+        self.state().started_runs.len()
     }
 
-    /// Waits until this many runs were requested.
+    /// Waits until at least `count` runs were requested.
+    ///
+    /// # Panics
+    ///
+    /// Panics after [`RESPONSE_TIMEOUT`].
     pub fn wait_for_runs(&self, count: usize) {
         let until = Instant::now() + RESPONSE_TIMEOUT;
         while self.run_count() < count {
-            assert!(Instant::now() < until, "{count} runs, {} so far", self.run_count());
+            assert!(Instant::now() < until, "waited for {count} requested runs, got {}", self.run_count());
             thread::sleep(Duration::from_millis(2));
         }
     }
 
-    /// The server restarts: notices are numbered from the start, and queued runs are dropped.
-    pub fn server_died(&self) {
-        let mut inner = self.inner();
-        inner.notices.clear();
-        inner.waiting.clear();
-        inner.link = None;
+    /// Discards the state that ends with the server process, as the engine does when the server restarts: numbers of
+    /// notices start at 1 again, queued runs are dropped, and the connection is abandoned. Runs on a core continue.
+    pub fn reset_for_server_restart(&self) {
+        let mut state = self.state();
+        state.notices.clear();
+        state.queued_runs.clear();
+        state.connection = None;
     }
 }
 
-impl Inner {
-    fn notice(&mut self, head: &str, tail: &str, body: &[u8]) {
+impl EngineState {
+    /// Numbers and records a notice, and sends it on the current connection. Write errors are ignored: the next connection
+    /// that attaches is sent the notice again.
+    fn send_notice(&mut self, head: &str, tail: &str, body: &[u8]) {
         let number = self.notices.len() + 1;
         let mut bytes = format!("{head} {number} {tail} {}\r\n", body.len()).into_bytes();
         bytes.extend_from_slice(body);
         bytes.extend_from_slice(b"\r\n");
-        if let Some(link) = &mut self.link {
-            let _ = link.write_all(&bytes);
+        if let Some(connection) = &mut self.connection {
+            let _ = connection.write_all(&bytes);
         }
         self.notices.push(bytes);
     }
 }
 
-fn core(shared: &Shared) {
+/// Executes queued runs, one at a time.
+fn run_core(shared: &Shared) {
     loop {
-        let mut inner = shared.lock();
+        let mut state = shared.lock();
         let run = loop {
-            if let Some(run) = inner.waiting.pop_front() {
+            if let Some(run) = state.queued_runs.pop_front() {
                 break run;
             }
-            inner = shared.changed.wait(inner).unwrap_or_else(PoisonError::into_inner);
+            state = shared.changed.wait(state).unwrap_or_else(PoisonError::into_inner);
         };
-        inner.busy += 1;
-        drop(inner);
+        state.busy_cores += 1;
+        drop(state);
         thread::sleep(run.work);
-        if !run.called {
-            let mut inner = shared.lock();
-            inner.busy -= 1;
-            inner.notice("NEED", &run.id, b"call");
-            inner.at_call.insert(run.id.clone(), Run { called: true, ..run });
+        if !run.has_called {
+            let mut state = shared.lock();
+            state.busy_cores -= 1;
+            state.send_notice("NEED", &run.id, b"call");
+            state.runs_in_call.insert(run.id.clone(), Run { has_called: true, ..run });
             continue;
         }
-        let mut inner = shared.lock();
-        while inner.is_held {
-            inner = shared.changed.wait(inner).unwrap_or_else(PoisonError::into_inner);
+        let mut state = shared.lock();
+        while state.is_held {
+            state = shared.changed.wait(state).unwrap_or_else(PoisonError::into_inner);
         }
-        inner.busy -= 1;
-        let fails = inner.fail > 0;
-        inner.fail = inner.fail.saturating_sub(1);
-        let took = run.work.as_millis().max(1);
+        state.busy_cores -= 1;
+        let fails = state.runs_to_fail > 0;
+        state.runs_to_fail = state.runs_to_fail.saturating_sub(1);
+        let duration_ms = run.work.as_millis().max(1);
         if fails {
-            inner.notice("DONE", &format!("{} fault {took}", run.id), b"");
+            state.send_notice("DONE", &format!("{} fault {duration_ms}", run.id), b"");
         } else {
-            inner.notice("DONE", &format!("{} fine {took}", run.id), &result_of(&run.body));
+            state.send_notice("DONE", &format!("{} fine {duration_ms}", run.id), &result_of(&run.body));
         }
     }
 }
 
-fn links(listener: &TcpListener, shared: &Arc<Shared>) {
+fn accept_connections(listener: &TcpListener, shared: &Arc<Shared>) {
     while let Ok((stream, _)) = listener.accept() {
         let _ = stream.set_nodelay(true);
         let shared = shared.clone();
-        thread::spawn(move || drop(serve(stream, &shared)));
+        thread::spawn(move || drop(serve_connection(stream, &shared)));
     }
 }
 
-fn serve(stream: TcpStream, shared: &Shared) -> std::io::Result<()> {
+fn serve_connection(stream: TcpStream, shared: &Shared) -> std::io::Result<()> {
     let mut writer = stream.try_clone()?;
     let mut reader = BufReader::new(stream);
     let mut line = String::new();
@@ -220,8 +236,8 @@
         if reader.read_line(&mut line)? == 0 {
             return Ok(());
         }
-        let words: Vec<&str> = line.split_whitespace().collect();
-        match words[..] {
+        let tokens: Vec<&str> = line.split_whitespace().collect();
+        match tokens[..] {
             ["ATTACH", last] => shared.attach(last.parse().unwrap_or(0), &mut writer)?,
             ["RUN", id, class, size] => shared.request_run(id, class, read_body(&mut reader, size)?),
             ["STAT", tag] => shared.write_stats(tag, &mut writer)?,
@@ -235,7 +251,7 @@
     }
 }
 
-/// Reads the body that follows a line, with its line end.
+/// Reads the body of `size` bytes and the line end that follows it.
 fn read_body(reader: &mut impl Read, size: &str) -> std::io::Result<Vec<u8>> {
     let size = size.parse::<usize>().unwrap_or(0);
     let mut body = vec![0; size + 2];
@@ -245,52 +261,54 @@
 }
 
 impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, EngineState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Makes a connection the current one, and repeats the notices after the last one that was read.
+    /// Sends `HELLO` and all notices after number `last`, and makes the connection the one that new notices are sent on.
     fn attach(&self, last: usize, writer: &mut TcpStream) -> std::io::Result<()> {
         let delay = self.lock().hello_delay;
         thread::sleep(delay);
-        let mut inner = self.lock();
+        let mut state = self.lock();
         writer.write_all(b"HELLO running 60000\r\n")?;
-        for notice in inner.notices.iter().skip(last) {
+        for notice in state.notices.iter().skip(last) {
             writer.write_all(notice)?;
         }
-        inner.link = Some(writer.try_clone()?);
-        inner.attached += 1;
+        state.connection = Some(writer.try_clone()?);
+        state.attach_count += 1;
         Ok(())
     }
 
-    /// Queues a run. A repeated request for the same run is ignored.
+    /// Queues a run, unless a run with this id was requested before.
     fn request_run(&self, id: &str, class: &str, body: Vec<u8>) {
-        let mut inner = self.lock();
-        if !inner.known_ids.insert(id.to_owned()) {
+        let mut state = self.lock();
+        if !state.requested_ids.insert(id.to_owned()) {
             return;
         }
-        *inner.run_counts.entry((class.to_owned(), body.clone())).or_default() += 1;
-        inner.started_runs.push((body.clone(), Instant::now()));
-        let called = inner.calls_every == 0 || !inner.started_runs.len().is_multiple_of(inner.calls_every);
-        let work = if called { inner.work } else { inner.work / 2 };
-        inner.waiting.push_back(Run { id: id.to_owned(), body, work, called });
+        *state.run_counts.entry((class.to_owned(), body.clone())).or_default() += 1;
+        state.started_runs.push((body.clone(), Instant::now()));
+        let has_called =
+            state.call_interval == 0 || !state.started_runs.len().is_multiple_of(state.call_interval);
+        let work = if has_called { state.work } else { state.work / 2 };
+        state.queued_runs.push_back(Run { id: id.to_owned(), body, work, has_called });
         self.changed.notify_all();
     }
 
-    /// Queues a run again after its downstream call.
+    /// Queues the second half of a run whose downstream call has ended.
     fn continue_run(&self, id: &str) {
-        let mut inner = self.lock();
-        if let Some(run) = inner.at_call.remove(id) {
-            inner.waiting.push_back(run);
+        let mut state = self.lock();
+        if let Some(run) = state.runs_in_call.remove(id) {
+            state.queued_runs.push_back(run);
             self.changed.notify_all();
         }
     }
 
-    /// Responds to a query of the gauges. The lock is held while writing, so that no notice can come in between.
+    /// Replies to a gauge query: core utilization, runnable runs, heap share and connections. Holds the lock while it writes,
+    /// so that no notice is written into the reply.
     fn write_stats(&self, tag: &str, writer: &mut TcpStream) -> std::io::Result<()> {
-        let inner = self.lock();
-        let runnable = inner.busy + inner.waiting.len();
-        let utilization = inner.busy as f64 / self.cores as f64;
+        let state = self.lock();
+        let runnable = state.busy_cores + state.queued_runs.len();
+        let utilization = state.busy_cores as f64 / self.cores as f64;
         writer.write_all(format!("STATS {tag} {utilization:.3} {runnable} 0.1 4\r\n").as_bytes())
     }
 }
--- a/crates/loomflow-test-servers/src/bin/test-servers.rs
+++ b/crates/loomflow-test-servers/src/bin/test-servers.rs
@@ -1,5 +1,6 @@
-//! Test servers to try a server among, by hand: `test-servers FOLDER` starts an engine, a control plane and a broker on
-//! loopback, writes the files that a server needs into the folder, and takes commands until its input ends.
+//! Test servers for trying out a loomflow server by hand: `test-servers DIRECTORY` starts an engine, a control plane and a
+//! broker on loopback, writes the files that a server needs to the directory, and executes commands from standard input
+//! until `quit` or the end of the input.
 
 use std::io::BufRead;
 use std::path::Path;
@@ -9,36 +10,39 @@
 use loomflow_test_servers::{AutonomousEngine, ServerFixture, site};
 
 const HELP: &str = "\
-publish ID [BODY]   one message to the queue jobs, with a reply wanted
-fill N              N messages with new ids
-queues              what stands in each queue
-replies, dead       takes and prints what is in replies or dead
-hold, go            no run of the engine ends any more, or they go on
-slow MS             each run takes so long
-fail N              the next N runs end in a fault
-cut                 breaks every connection off
-close               closes the channels that consume from jobs
-nack N              refuses the next N publishes
-block, unblock      takes no publishes, or does again
-runs                how many runs there were, and how many bodies ran twice
-quit
+publish ID [BODY]   publish a message to the queue jobs, with replies as its reply-to; BODY defaults to ID
+fill N              publish N messages with new ids in the same way
+queues              print the message and consumer counts of each queue
+replies, dead       take all messages from the queue replies or dead and print them
+hold, go            keep all runs of the engine from ending, or let them end again
+slow MS             set the duration of new runs
+fail N              make the next N runs that end report a fault
+cut                 close every broker connection without notice
+close               close the channels that consume from jobs, with reply code 541
+nack N              reject the next N publishes with basic.nack
+block, unblock      announce that publishing is blocked or unblocked
+runs                print the number of runs and the number of bodies that ran more than once
+quit                end the program
 ";
 
 fn main() {
-    let Some(folder) = std::env::args().nth(1) else {
-        eprintln!("usage: test-servers FOLDER");
+    let Some(directory) = std::env::args().nth(1) else {
+        eprintln!("usage: test-servers DIRECTORY");
         std::process::exit(2);
     };
-    let folder = Path::new(&folder);
-    std::fs::create_dir_all(folder).expect("the folder");
+    let directory = Path::new(&directory);
+    std::fs::create_dir_all(directory).expect("the directory is created");
     let mut test_servers = TestServers {
-        worker: AutonomousEngine::start(4, Duration::from_millis(10)),
+        engine: AutonomousEngine::start(4, Duration::from_millis(10)),
         broker: Broker::with_jobs(),
         fixture: ServerFixture::new(site(10_000.0)),
-        messages_filled: 0,
+        filled_messages: 0,
     };
-    test_servers.write_files(folder);
-    println!("engine, control plane and broker are up; the files are in {}", folder.display());
+    test_servers.write_files(directory);
+    println!(
+        "engine, control plane and broker are running; the server's files are in {}",
+        directory.display()
+    );
     for line in std::io::stdin().lock().lines().map_while(Result::ok) {
         let words: Vec<&str> = line.split_whitespace().collect();
         if words.first() == Some(&"quit") {
@@ -49,20 +53,21 @@
 }
 
 struct TestServers {
-    worker: AutonomousEngine,
+    engine: AutonomousEngine,
     broker: Broker,
-    /// Configuration and control plane; its server is not started.
+    /// Provides the configuration and the control plane. Its server process is not started.
     fixture: ServerFixture,
-    /// Messages that `fill` has published.
-    messages_filled: usize,
+    /// Number of messages that `fill` has published; the next message id is derived from it.
+    filled_messages: usize,
 }
 
 impl TestServers {
-    /// Writes the files that a server needs.
-    fn write_files(&mut self, folder: &Path) {
-        self.fixture.config["engine"] = self.worker.address.to_string().into();
-        let write =
-            |name: &str, text: String| std::fs::write(folder.join(name), text).expect("a file is written");
+    /// Writes the configuration, options and credentials that a server needs.
+    fn write_files(&mut self, directory: &Path) {
+        self.fixture.config["engine"] = self.engine.address.to_string().into();
+        let write = |name: &str, text: String| {
+            std::fs::write(directory.join(name), text).expect("the file is written");
+        };
         write("config.json", format!("{:#}\n", self.fixture.config));
         write("credentials.yaml", "user: guest\npassword: guest\n".into());
         write(
@@ -75,9 +80,10 @@
         );
     }
 
+    /// Executes a command line, split into words; prints the help for an unknown command.
     fn run_command(&mut self, words: &[&str]) {
-        let (worker, broker) = (&self.worker, &self.broker);
-        let number = |at: usize| words.get(at).and_then(|word| word.parse::<usize>().ok()).unwrap_or(1);
+        let (engine, broker) = (&self.engine, &self.broker);
+        let number = |index: usize| words.get(index).and_then(|word| word.parse::<usize>().ok()).unwrap_or(1);
         match words.first().copied().unwrap_or_default() {
             "" => {}
             "publish" => {
@@ -87,41 +93,42 @@
             }
             "fill" => {
                 for _ in 0..number(1) {
-                    self.messages_filled += 1;
-                    let id = format!("f{}", self.messages_filled);
+                    self.filled_messages += 1;
+                    let id = format!("f{}", self.filled_messages);
                     broker.publish(message("jobs", &id, id.as_bytes()).reply_to("replies", &id));
                 }
             }
             "queues" => println!("{}", broker.with_state(|state| state.to_string())),
-            queue @ ("replies" | "dead") => broker.take(queue).iter().for_each(print),
-            "hold" => worker.set_held(true),
-            "go" => worker.set_held(false),
-            "slow" => worker.set_run_duration(Duration::from_millis(number(1) as u64)),
-            "fail" => worker.fail_next(number(1)),
+            queue @ ("replies" | "dead") => broker.take(queue).iter().for_each(print_message),
+            "hold" => engine.set_held(true),
+            "go" => engine.set_held(false),
+            "slow" => engine.set_run_duration(Duration::from_millis(number(1) as u64)),
+            "fail" => engine.fail_next(number(1)),
             "cut" => broker.disconnect_all(),
             "close" => broker.with_state(|state| state.close_channels("jobs", 541)),
             "nack" => broker.faults(|faults| faults.nack = number(1)),
             "block" => broker.with_state(|state| state.block(true)),
             "unblock" => broker.with_state(|state| state.block(false)),
             "runs" => {
-                let twice = worker.run_counts().values().filter(|times| **times > 1).count();
-                println!("{} runs, {twice} bodies ran twice", worker.run_count());
+                let repeated = engine.run_counts().values().filter(|count| **count > 1).count();
+                println!("{} runs, {repeated} bodies ran more than once", engine.run_count());
             }
             _ => print!("{HELP}"),
         }
     }
 }
 
-fn print(message: &Message) {
-    let sent =
+/// Prints correlation id, type, headers and body of a message.
+fn print_message(message: &Message) {
+    let header =
         |name: &str| message.header_text(name).map_or(String::new(), |value| format!(" {name}={value}"));
     println!(
         "{} {}{}{}{} body={:?}",
         message.correlation(),
         message.kind(),
-        sent("x-loomflow-reason"),
-        sent("x-loomflow-ran"),
-        sent("x-loomflow-holdoff"),
+        header("x-loomflow-reason"),
+        header("x-loomflow-ran"),
+        header("x-loomflow-holdoff"),
         String::from_utf8_lossy(&message.body)
     );
 }
--- a/crates/loomflow-test-servers/src/broker/mod.rs
+++ b/crates/loomflow-test-servers/src/broker/mod.rs
@@ -1,4 +1,4 @@
-//! Test broker of AMQP 0-9-1 on loopback, with faults to inject.
+//! Test broker for AMQP 0-9-1 on loopback, with fault injection.
 
 pub mod state;
 
@@ -20,32 +20,36 @@
 use state::{ConnectionId, State};
 pub use state::{Faults, Message, Settled};
 
-/// Handle of a broker, which ends with its last handle.
+/// Handle of a broker. Clones share the broker, which ends when the last handle is dropped and its connections are closed.
 #[derive(Clone)]
 pub struct Broker {
-    /// Address of the broker.
+    /// Address that the broker listens on.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 struct Shared {
     state: Mutex<State>,
-    connections: Mutex<BTreeMap<ConnectionId, Link>>,
-    /// Whether reading is stopped.
+    connections: Mutex<BTreeMap<ConnectionId, Connection>>,
+    /// Whether the handling of received frames is suspended.
     is_stalled: AtomicBool,
-    /// Bytes to write until a connection is closed.
+    /// Number of bytes to write, on all connections, until the one that is being written is closed; [`NEVER`] for no limit.
     disconnect_after_bytes: AtomicU64,
+    /// Whether new connections are closed immediately.
     is_refusing: AtomicBool,
 }
 
-struct Link {
+/// The socket of a client and the queue of its writer.
+struct Connection {
     stream: TcpStream,
+    /// Encoded frames to write; an empty chunk closes the connection.
     out: Sender<Vec<u8>>,
 }
 
+/// Value of `disconnect_after_bytes` without a limit.
 const NEVER: u64 = u64::MAX;
 
-/// A message for a queue, through the default exchange.
+/// Creates a message for a queue, routed through the default exchange. An empty id is left out.
 pub fn message(queue: &str, id: &str, body: &[u8]) -> Message {
     let mut properties = AMQPProperties::default();
     if !id.is_empty() {
@@ -56,40 +60,40 @@
 }
 
 impl Message {
-    /// Adds a reply address.
+    /// Adds the `reply-to` and `correlation-id` properties.
     #[must_use]
     pub fn reply_to(mut self, queue: &str, correlation: &str) -> Message {
         self.properties = self.properties.with_reply_to(queue.into()).with_correlation_id(correlation.into());
         self
     }
 
-    /// Adds a text header.
+    /// Adds a header with a text value.
     #[must_use]
     pub fn header(self, name: &str, value: &str) -> Message {
-        self.with(name, AMQPValue::LongString(value.into()))
+        self.with_header_value(name, AMQPValue::LongString(value.into()))
     }
 
-    /// Adds the current time as some brokers do (ms, header `timestamp_in_ms`).
+    /// Adds the header `timestamp_in_ms` with the current Unix time in ms, as some brokers do.
     #[must_use]
     pub fn with_sent_time(self) -> Message {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         self.with_number_header("timestamp_in_ms", unix.as_millis() as i64)
     }
 
-    /// Adds a number header.
+    /// Adds a header with an integer value.
     #[must_use]
     pub fn with_number_header(self, name: &str, value: i64) -> Message {
-        self.with(name, AMQPValue::LongLongInt(value))
+        self.with_header_value(name, AMQPValue::LongLongInt(value))
     }
 
-    fn with(mut self, name: &str, value: AMQPValue) -> Message {
+    fn with_header_value(mut self, name: &str, value: AMQPValue) -> Message {
         let mut headers = self.properties.headers().clone().unwrap_or_default();
         headers.insert(name.into(), value);
         self.properties = self.properties.with_headers(headers);
         self
     }
 
-    /// A header as text, whatever its type.
+    /// Returns the value of a header as text, whatever its type.
     pub fn header_text(&self, name: &str) -> Option<String> {
         match self.properties.headers().as_ref()?.inner().get(name)? {
             AMQPValue::LongString(text) => Some(text.to_string()),
@@ -98,24 +102,24 @@
         }
     }
 
-    /// The `type` property, empty if absent.
+    /// Returns the `type` property; empty if absent.
     pub fn kind(&self) -> String {
         self.properties.kind().as_ref().map(ToString::to_string).unwrap_or_default()
     }
 
-    /// The `correlation-id` property, empty if absent.
+    /// Returns the `correlation-id` property; empty if absent.
     pub fn correlation(&self) -> String {
         self.properties.correlation_id().as_ref().map(ToString::to_string).unwrap_or_default()
     }
 }
 
 impl Broker {
-    /// A broker without queues.
+    /// Starts a broker without queues.
     pub fn start() -> Broker {
-        Broker::with(State::default())
+        Broker::with_initial_state(State::default())
     }
 
-    /// A broker with the queues `jobs`, `replies` and `dead`.
+    /// Starts a broker with the queues `jobs`, `replies` and `dead`.
     pub fn with_jobs() -> Broker {
         let broker = Broker::start();
         for queue in ["jobs", "replies", "dead"] {
@@ -124,18 +128,18 @@
         broker
     }
 
-    /// A broker with limits: heartbeat interval, frame size and channel number.
-    pub fn limited(heartbeat_s: u16, frame_max_bytes: u32, channel_max: u16) -> Broker {
+    /// Starts a broker that proposes this heartbeat interval (s), frame size limit (bytes) and highest channel number.
+    pub fn with_limits(heartbeat_s: u16, frame_max_bytes: u32, channel_max: u16) -> Broker {
         let mut state = State::default();
         state.heartbeat_s = heartbeat_s;
         state.frame_max_bytes = frame_max_bytes;
         state.channel_max = channel_max;
-        Broker::with(state)
+        Broker::with_initial_state(state)
     }
 
-    fn with(state: State) -> Broker {
+    fn with_initial_state(state: State) -> Broker {
         let listener = loopback_listener();
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("the listener has a local address");
         let shared = Arc::new(Shared {
             state: Mutex::new(state),
             connections: Mutex::default(),
@@ -152,7 +156,7 @@
         self.shared.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Accesses the state, and sends the frames that result.
+    /// Runs `action` on the state, and sends the resulting frames.
     pub fn with_state<T>(&self, action: impl FnOnce(&mut State) -> T) -> T {
         let mut state = self.state();
         let result = action(&mut state);
@@ -160,14 +164,14 @@
         result
     }
 
-    /// Declares a queue.
+    /// Declares a queue without a dead letter target.
     pub fn declare(&self, queue: &str) {
         self.with_state(|state| state.declare(queue, None));
     }
 
-    /// Publishes a message; its queue must exist.
+    /// Publishes a message, which must be routed to a queue.
     pub fn publish(&self, message: Message) {
-        assert!(self.with_state(|state| state.publish(message)), "there is such a queue");
+        assert!(self.with_state(|state| state.publish(message)), "a queue for the message must be declared");
     }
 
     /// Changes the faults that the broker injects.
@@ -180,17 +184,21 @@
         self.with_state(|state| state.take(queue))
     }
 
-    /// Waits until a queue has this many ready messages, and takes all of them.
+    /// Waits until a queue has at least `count` ready messages, and takes all of its ready messages.
     pub fn wait_for_messages(&self, queue: &str, count: usize) -> Vec<Message> {
         self.wait_until(&format!("{count} messages in {queue}"), |state| state.ready(queue) >= count);
         self.take(queue)
     }
 
-    /// Waits until a condition holds.
+    /// Waits until a condition holds; `what` describes it in the panic message.
+    ///
+    /// # Panics
+    ///
+    /// Panics after [`RESPONSE_TIMEOUT`].
     pub fn wait_until(&self, what: &str, condition: impl Fn(&State) -> bool) {
         let until = Instant::now() + RESPONSE_TIMEOUT;
         while !condition(&self.state()) {
-            assert!(Instant::now() < until, "{what}: {}", self.state());
+            assert!(Instant::now() < until, "not within {RESPONSE_TIMEOUT:?}: {what}: {}", self.state());
             thread::sleep(Duration::from_millis(2));
         }
     }
@@ -200,52 +208,53 @@
         self.wait_until(&format!("{queue} is empty"), |s| s.ready(queue) == 0 && s.unacked(queue) == 0);
     }
 
-    /// Closes all connections without notice.
+    /// Closes all connections without a `connection.close`.
     pub fn disconnect_all(&self) {
-        let links = self.shared.connections.lock().unwrap_or_else(PoisonError::into_inner);
-        links.values().for_each(|link| drop(link.stream.shutdown(Shutdown::Both)));
+        let connections = self.shared.connections.lock().unwrap_or_else(PoisonError::into_inner);
+        connections.values().for_each(|connection| drop(connection.stream.shutdown(Shutdown::Both)));
     }
 
-    /// Closes a connection after this many more bytes.
+    /// Closes a connection once this many more bytes were written on all connections together.
     pub fn disconnect_after(&self, bytes: u64) {
         self.shared.disconnect_after_bytes.store(bytes, Ordering::Release);
     }
 
-    /// Stops or resumes reading.
+    /// Suspends or resumes the handling of received frames, and with it the reading from all connections.
     pub fn set_stalled(&self, is_stalled: bool) {
         self.shared.is_stalled.store(is_stalled, Ordering::Release);
     }
 
-    /// Refuses connections, or accepts them again.
+    /// Sets whether new connections are closed immediately after they are accepted.
     pub fn refuse_connections(&self, is_refusing: bool) {
         self.shared.is_refusing.store(is_refusing, Ordering::Release);
     }
 
-    /// Sends bytes on all connections.
+    /// Sends bytes as they are on all connections.
     pub fn send_bytes(&self, bytes: &[u8]) {
-        let links = self.shared.connections.lock().unwrap_or_else(PoisonError::into_inner);
-        links.values().for_each(|link| drop(link.out.send(bytes.to_vec())));
+        let connections = self.shared.connections.lock().unwrap_or_else(PoisonError::into_inner);
+        connections.values().for_each(|connection| drop(connection.out.send(bytes.to_vec())));
     }
 }
 
 impl Shared {
     /// Passes pending frames to the writers of the connections.
     fn send(&self, state: &mut State) {
-        let links = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
-        for (id, frame) in state.take_out() {
-            let Some(link) = links.get(&id) else { continue };
-            // An empty part closes the connection after everything before it.
+        let connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
+        for (id, frame) in state.take_outgoing() {
+            let Some(connection) = connections.get(&id) else { continue };
+            // An empty chunk closes the connection after everything before it was written.
             let bytes = frame.map(|frame| encode(&frame)).unwrap_or_default();
-            let _ = link.out.send(bytes);
+            let _ = connection.out.send(bytes);
         }
     }
 }
 
 fn encode(frame: &AMQPFrame) -> Vec<u8> {
-    let done = gen_frame(frame)(WriteContext::from(Vec::new())).expect("a frame");
-    done.into_inner().0
+    let context = gen_frame(frame)(WriteContext::from(Vec::new())).expect("the frame can be encoded");
+    context.into_inner().0
 }
 
+/// Accepts connections, with a reader and a writer thread for each, until the broker has neither handles nor connections.
 fn accept(listener: &TcpListener, shared: &std::sync::Weak<Shared>) {
     let mut id: ConnectionId = 0;
     while let Ok((stream, _)) = listener.accept() {
@@ -255,11 +264,18 @@
         }
         id += 1;
         let _ = stream.set_nodelay(true);
-        let (out, parts) = channel();
-        let (reader, writer) = (stream.try_clone().expect("a clone"), stream.try_clone().expect("a clone"));
-        shared.connections.lock().unwrap_or_else(PoisonError::into_inner).insert(id, Link { stream, out });
-        let for_writer = shared.clone();
-        thread::spawn(move || write(writer, &parts, &for_writer));
+        let (out, chunks) = channel();
+        let (reader, writer) = (
+            stream.try_clone().expect("the socket is cloned"),
+            stream.try_clone().expect("the socket is cloned"),
+        );
+        shared
+            .connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .insert(id, Connection { stream, out });
+        let shared_by_writer = shared.clone();
+        thread::spawn(move || write(writer, &chunks, &shared_by_writer));
         thread::spawn(move || {
             let _ = read(reader, id, &shared);
             shared.connections.lock().unwrap_or_else(PoisonError::into_inner).remove(&id);
@@ -270,33 +286,35 @@
     }
 }
 
-fn write(mut stream: TcpStream, parts: &Receiver<Vec<u8>>, shared: &Shared) {
-    let mut over = false;
-    while !over && let Ok(mut part) = parts.recv() {
-        // Everything that is ready goes into one write, as brokers write the frames of a message. An empty part is the end.
-        over = part.is_empty();
-        while !over && let Ok(more) = parts.try_recv() {
-            over = more.is_empty();
-            part.extend(more);
+/// Writes the chunks of a connection until an empty one, a failed write or the limit of `disconnect_after_bytes`.
+fn write(mut stream: TcpStream, chunks: &Receiver<Vec<u8>>, shared: &Shared) {
+    let mut is_closing = false;
+    while !is_closing && let Ok(mut chunk) = chunks.recv() {
+        // Writes all queued chunks at once, as brokers do with the frames of a message. An empty chunk closes the connection.
+        is_closing = chunk.is_empty();
+        while !is_closing && let Ok(more) = chunks.try_recv() {
+            is_closing = more.is_empty();
+            chunk.extend(more);
         }
         let left = shared.disconnect_after_bytes.load(Ordering::Acquire);
         if left != NEVER {
-            let now = part.len().min(left as usize);
-            if stream.write_all(&part[..now]).is_err() || now < part.len() {
+            let allowed = chunk.len().min(left as usize);
+            if stream.write_all(&chunk[..allowed]).is_err() || allowed < chunk.len() {
                 shared.disconnect_after_bytes.store(NEVER, Ordering::Release);
                 break;
             }
-            shared.disconnect_after_bytes.store(left - now as u64, Ordering::Release);
-        } else if stream.write_all(&part).is_err() {
+            shared.disconnect_after_bytes.store(left - allowed as u64, Ordering::Release);
+        } else if stream.write_all(&chunk).is_err() {
             break;
         }
     }
     let _ = stream.shutdown(Shutdown::Both);
 }
 
+/// Reads and handles the frames of a connection until it ends or sends an invalid frame.
 fn read(mut stream: TcpStream, id: ConnectionId, shared: &Shared) -> std::io::Result<()> {
-    let mut greeting = [0; 8];
-    stream.read_exact(&mut greeting)?;
+    let mut protocol_header = [0; 8];
+    stream.read_exact(&mut protocol_header)?;
     let mut state = shared.state.lock().unwrap_or_else(PoisonError::into_inner);
     state.connection_opened(id);
     shared.send(&mut state);
--- a/crates/loomflow-test-servers/src/broker/state/delivery.rs
+++ b/crates/loomflow-test-servers/src/broker/state/delivery.rs
@@ -1,25 +1,26 @@
-//! Messages from their publish to their settlement, and delivery to consumers.
+//! Publishing, delivery and settlement of messages.
 
 use amq_protocol::frame::{AMQPContentHeader, AMQPFrame};
 use amq_protocol::protocol::AMQPClass;
 use amq_protocol::protocol::basic::{self, AMQPMethod as Basic};
 
 use super::reply_code::{NO_ROUTE, NOT_FOUND, PRECONDITION_FAILED};
-use super::{ConnectionId, ConsumerAddress, Message, Publishing, Settled, State, Unacked, id_of};
+use super::{ConnectionId, ConsumerAddress, Message, Publishing, Settled, State, Unacked, message_id};
 
 /// Id of the class `basic` (specification 1.8).
 const BASIC_CLASS_ID: u16 = 60;
-/// Longest part of a body in one frame: the smallest frame that a peer may demand, without its header and end.
+/// Maximum number of body bytes in a frame: the smallest frame size limit that a peer may negotiate, less the 8 bytes of the
+/// frame header and end.
 const MAX_BODY_FRAME_BYTES: usize = 4_096 - 8;
 
 impl State {
-    /// Publishes a message whose content is complete.
-    pub(super) fn published(&mut self, id: ConnectionId, number: u16) {
+    /// Publishes the message that a channel is receiving if its content is complete.
+    pub(super) fn publish_if_complete(&mut self, id: ConnectionId, number: u16) {
         let Some(channel) = self.channel_mut(id, number) else { return };
         let Some(complete) = channel.publishing.take_if(|content| content.is_complete()) else { return };
         let Publishing { method: publish, header: Some(header), body } = complete else { return };
-        let sequence_number = channel.confirms;
-        channel.confirms = sequence_number.map(|last| last + 1);
+        let sequence_number = channel.next_publish_number;
+        channel.next_publish_number = sequence_number.map(|number| number + 1);
         let message = Message {
             exchange: publish.exchange.to_string(),
             routing_key: publish.routing_key.to_string(),
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Returns a mandatory message that no queue takes.
+    /// Returns a mandatory message that was routed to no queue to its publisher.
     fn return_message(
         &mut self,
         id: ConnectionId,
@@ -60,7 +61,7 @@
         self.out.push((id, Some(AMQPFrame::Body(number, body))));
     }
 
-    /// Confirms a publish, or rejects it.
+    /// Acknowledges or rejects a publish on a channel in confirm mode.
     fn confirm(&mut self, id: ConnectionId, number: u16, delivery_tag: u64, is_rejected: bool) {
         if self.faults.unconfirmed > 0 {
             self.faults.unconfirmed -= 1;
@@ -74,7 +75,7 @@
         self.send(id, number, AMQPClass::Basic(method));
     }
 
-    /// Settles a delivery, or with `multiple` all up to it; a tag of 0 then stands for all.
+    /// Settles a delivery; with `multiple` all deliveries up to it, or all of the channel if the tag is 0.
     pub(super) fn settle(&mut self, id: ConnectionId, number: u16, tag: u64, multiple: bool, how: Settled) {
         if how == Settled::Acked && self.faults.forget_acks > 0 {
             self.faults.forget_acks -= 1;
@@ -82,7 +83,7 @@
         }
         let Some(channel) = self.channel_mut(id, number) else { return };
         let tags: Vec<u64> = if multiple {
-            channel.unacked.keys().copied().filter(|one| tag == 0 || *one <= tag).collect()
+            channel.unacked.keys().copied().filter(|unsettled| tag == 0 || *unsettled <= tag).collect()
         } else {
             vec![tag]
         };
@@ -95,7 +96,7 @@
             if let Some(consumer) = channel.consumers.get_mut(&delivery.consumer) {
                 consumer.unacked -= 1;
             }
-            self.settled.push((id_of(&delivery.message), how));
+            self.settled.push((message_id(&delivery.message), how));
             match how {
                 Settled::Acked => {}
                 Settled::Requeued => self.requeue(delivery),
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Publishes a rejected message to the dead letter exchange of its queue, if there is one.
+    /// Publishes a rejected message to the dead letter exchange of its queue; drops it if the queue has none.
     fn dead_letter(&mut self, delivery: Unacked) {
         let target = self.queues.get(&delivery.queue).and_then(|queue| queue.dead_letter.clone());
         if let Some((exchange, routing_key)) = target {
@@ -112,8 +113,8 @@
         }
     }
 
-    /// Delivers ready messages to consumers with capacity, in turn.
-    pub(super) fn pump(&mut self) {
+    /// Delivers ready messages to the consumers of their queues in turn, as far as these have capacity.
+    pub(super) fn deliver_ready(&mut self) {
         let names: Vec<String> = self.queues.keys().cloned().collect();
         for name in names {
             let mut full = 0;
@@ -149,7 +150,7 @@
         true
     }
 
-    /// Takes the next message of a queue for a consumer, if that has capacity, and gives its delivery tag with it.
+    /// Takes the next message of a queue and assigns its delivery tag; `None` if the consumer has no capacity.
     fn take_next(&mut self, name: &str, to: &ConsumerAddress) -> Option<(u64, Message)> {
         let channel = self.connections.get_mut(&to.connection)?.channels.get_mut(&to.channel)?;
         let consumer = channel.consumers.get_mut(&to.tag)?;
@@ -168,7 +169,7 @@
         Some((delivery_tag, message))
     }
 
-    /// Sends a message to a consumer: method, header and body.
+    /// Sends a message to a consumer as method, header and body frames.
     fn send_delivery(&mut self, to: &ConsumerAddress, delivery_tag: u64, message: Message) {
         let deliver = basic::Deliver {
             consumer_tag: to.tag.as_str().into(),
--- a/crates/loomflow-test-servers/src/broker/state/frames.rs
+++ b/crates/loomflow-test-servers/src/broker/state/frames.rs
@@ -11,32 +11,38 @@
 use super::{Channel, ConnectionId, Consumer, ConsumerAddress, Publishing, Settled, State};
 
 impl State {
-    /// Handles a frame of a connection.
+    /// Handles a frame that a client sent.
     pub fn handle_frame(&mut self, id: ConnectionId, frame: AMQPFrame) {
         match frame {
-            AMQPFrame::Method(0, AMQPClass::Connection(method)) => self.connection(id, method),
-            AMQPFrame::Method(number, AMQPClass::Channel(method)) => self.channel(id, number, method),
-            AMQPFrame::Method(number, class) => self.on_channel(id, number, class),
+            AMQPFrame::Method(0, AMQPClass::Connection(method)) => self.handle_connection_method(id, method),
+            AMQPFrame::Method(number, AMQPClass::Channel(method)) => {
+                self.handle_channel_method(id, number, method);
+            }
+            AMQPFrame::Method(number, class) => self.handle_method_on_channel(id, number, class),
             AMQPFrame::Header(number, header) => {
-                if let Some(content) = self.publishing(id, number) {
+                if let Some(content) = self.publishing_mut(id, number) {
                     content.header = Some(header);
-                    self.published(id, number);
+                    self.publish_if_complete(id, number);
                 } else {
-                    self.close_connection(id, UNEXPECTED_FRAME, "a header where none is due");
+                    self.close_connection(
+                        id,
+                        UNEXPECTED_FRAME,
+                        "UNEXPECTED_FRAME - content header without a publish",
+                    );
                 }
             }
             AMQPFrame::Body(number, bytes) => {
-                if let Some(content) = self.publishing(id, number) {
+                if let Some(content) = self.publishing_mut(id, number) {
                     content.body.extend(bytes);
-                    self.published(id, number);
+                    self.publish_if_complete(id, number);
                 }
             }
             _ => {}
         }
-        self.pump();
+        self.deliver_ready();
     }
 
-    fn connection(&mut self, id: ConnectionId, method: Connections) {
+    fn handle_connection_method(&mut self, id: ConnectionId, method: Connections) {
         match method {
             Connections::StartOk(ok) => {
                 let expected = format!("\0{}\0{}", self.user, self.password);
@@ -58,7 +64,7 @@
         }
     }
 
-    fn channel(&mut self, id: ConnectionId, number: u16, method: Channels) {
+    fn handle_channel_method(&mut self, id: ConnectionId, number: u16, method: Channels) {
         match method {
             Channels::Open(_) => {
                 let Some(connection) = self.connections.get_mut(&id) else { return };
@@ -66,39 +72,41 @@
                 self.send(id, number, AMQPClass::Channel(Channels::OpenOk(channel::OpenOk {})));
             }
             Channels::Close(_) => {
-                self.drop_channel(id, number);
+                self.remove_channel(id, number);
                 self.send(id, number, AMQPClass::Channel(Channels::CloseOk(channel::CloseOk {})));
             }
             _ => {}
         }
     }
 
-    /// An open channel.
+    /// Returns an open channel.
     pub(super) fn channel_mut(&mut self, id: ConnectionId, number: u16) -> Option<&mut Channel> {
         self.connections.get_mut(&id)?.channels.get_mut(&number)
     }
 
-    fn publishing(&mut self, id: ConnectionId, number: u16) -> Option<&mut Publishing> {
+    /// Returns the publish whose content a channel is receiving.
+    fn publishing_mut(&mut self, id: ConnectionId, number: u16) -> Option<&mut Publishing> {
         self.channel_mut(id, number)?.publishing.as_mut()
     }
 
-    fn on_channel(&mut self, id: ConnectionId, number: u16, class: AMQPClass) {
+    /// Handles a method of a class other than `connection` and `channel`.
+    fn handle_method_on_channel(&mut self, id: ConnectionId, number: u16, class: AMQPClass) {
         if self.channel_mut(id, number).is_none() {
-            // The channel was closed while this frame was in transit.
+            // The broker closed the channel while this frame was in transit.
             return;
         }
         match class {
-            AMQPClass::Basic(method) => self.basic(id, number, method),
+            AMQPClass::Basic(method) => self.handle_basic_method(id, number, method),
             AMQPClass::Confirm(_) => {
                 if let Some(channel) = self.channel_mut(id, number) {
-                    channel.confirms = Some(1);
+                    channel.next_publish_number = Some(1);
                 }
                 let ok = confirm::AMQPMethod::SelectOk(confirm::SelectOk {});
                 self.send(id, number, AMQPClass::Confirm(ok));
             }
-            AMQPClass::Queue(method) => self.queue(id, number, method),
+            AMQPClass::Queue(method) => self.handle_queue_method(id, number, method),
             AMQPClass::Exchange(exchange::AMQPMethod::Declare(declare)) => {
-                self.exchange(declare.exchange.as_str(), declare.kind.as_str(), &[]);
+                self.declare_exchange(declare.exchange.as_str(), declare.kind.as_str(), &[]);
                 let ok = exchange::AMQPMethod::DeclareOk(exchange::DeclareOk {});
                 self.send(id, number, AMQPClass::Exchange(ok));
             }
@@ -106,17 +114,20 @@
         }
     }
 
-    fn queue(&mut self, id: ConnectionId, number: u16, method: queue::AMQPMethod) {
+    fn handle_queue_method(&mut self, id: ConnectionId, number: u16, method: queue::AMQPMethod) {
         let ok = match method {
             queue::AMQPMethod::Declare(declare) => {
                 let text = |name: &str| match declare.arguments.inner().get(name) {
                     Some(AMQPValue::LongString(text)) => Some(text.to_string()),
                     _ => None,
                 };
-                let key = text("x-dead-letter-routing-key").unwrap_or_default();
-                let dead = text("x-dead-letter-exchange");
+                let routing_key = text("x-dead-letter-routing-key").unwrap_or_default();
+                let dead_letter_exchange = text("x-dead-letter-exchange");
                 let name = declare.queue.to_string();
-                self.declare(&name, dead.as_ref().map(|exchange| (exchange.as_str(), key.as_str())));
+                self.declare(
+                    &name,
+                    dead_letter_exchange.as_ref().map(|exchange| (exchange.as_str(), routing_key.as_str())),
+                );
                 let (message_count, consumer_count) =
                     (self.ready(&name) as u32, self.consumers(&name) as u32);
                 let queue = declare.queue;
@@ -134,7 +145,7 @@
         self.send(id, number, AMQPClass::Queue(ok));
     }
 
-    fn basic(&mut self, id: ConnectionId, number: u16, method: Basic) {
+    fn handle_basic_method(&mut self, id: ConnectionId, number: u16, method: Basic) {
         match method {
             Basic::Qos(qos) => {
                 if let Some(channel) = self.channel_mut(id, number) {
@@ -149,7 +160,9 @@
                     channel.consumers.remove(&tag);
                 }
                 let cancelled = ConsumerAddress { connection: id, channel: number, tag };
-                self.queues.values_mut().for_each(|queue| queue.consumers.retain(|one| *one != cancelled));
+                self.queues
+                    .values_mut()
+                    .for_each(|queue| queue.consumers.retain(|consumer| *consumer != cancelled));
                 let consumer_tag = cancel.consumer_tag;
                 self.send(id, number, AMQPClass::Basic(Basic::CancelOk(basic::CancelOk { consumer_tag })));
             }
--- a/crates/loomflow-test-servers/src/broker/state/mod.rs
+++ b/crates/loomflow-test-servers/src/broker/state/mod.rs
@@ -1,5 +1,5 @@
-//! State machine of the broker: exchanges, queues, channels and consumers of the AMQP 0-9-1 specification, with the usual
-//! extensions (confirms, nack, dead letters, blocked, consumer cancel). It owns no socket.
+//! State machine of the broker, without I/O: exchanges, queues, channels and consumers of the AMQP 0-9-1 specification, and
+//! the usual extensions (publisher confirms, `basic.nack`, dead lettering, `connection.blocked`, consumer cancellation).
 
 mod delivery;
 mod frames;
@@ -14,44 +14,45 @@
 use amq_protocol::protocol::connection::{self, AMQPMethod as Connections};
 use amq_protocol::types::FieldTable;
 
-/// Number of a connection.
+/// Id of a client connection, in order of acceptance.
 pub type ConnectionId = u64;
 
-/// A message.
+/// A message in a queue, or as a test publishes or takes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
-    /// Exchange that it was published to.
+    /// Exchange that the message was published to; empty for the default exchange.
     pub exchange: String,
-    /// Routing key that it was published with.
+    /// Routing key that the message was published with.
     pub routing_key: String,
-    /// Its properties.
+    /// Properties, including the headers.
     pub properties: AMQPProperties,
-    /// Its body.
+    /// Complete body.
     pub body: Vec<u8>,
-    /// Whether it was delivered before.
+    /// Whether the message was delivered before and requeued.
     pub redelivered: bool,
 }
 
 /// How a delivery was settled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Settled {
-    /// Acknowledged.
+    /// Acknowledged (`basic.ack`).
     Acked,
-    /// Rejected and requeued.
+    /// Rejected with `requeue` set.
     Requeued,
-    /// Rejected without requeueing.
+    /// Rejected without `requeue`: dead-lettered or dropped.
     Rejected,
 }
 
 #[derive(Default)]
 struct Queue {
     ready: VecDeque<Message>,
-    /// Exchange and routing key of rejected messages.
+    /// Exchange and routing key for rejected messages; `None` drops them.
     dead_letter: Option<(String, String)>,
+    /// Consumers in the order of their next turn.
     consumers: VecDeque<ConsumerAddress>,
 }
 
-/// Where a consumer is: its connection, its channel there and its tag on that.
+/// Identifies a consumer: its tag is unique on its channel.
 #[derive(Clone, Debug, PartialEq)]
 struct ConsumerAddress {
     connection: ConnectionId,
@@ -59,7 +60,7 @@
     tag: String,
 }
 
-/// A publish whose content is received: its method, then the header, then the body.
+/// A publish whose content frames (a header, then the body) are being received.
 struct Publishing {
     method: basic::Publish,
     header: Option<AMQPContentHeader>,
@@ -71,6 +72,7 @@
         Publishing { method, header: None, body: Vec::new() }
     }
 
+    /// Whether the header and the whole body have arrived.
     fn is_complete(&self) -> bool {
         self.header.as_ref().is_some_and(|header| self.body.len() as u64 >= header.body_size)
     }
@@ -84,16 +86,19 @@
 
 struct Exchange {
     kind: ExchangeKind,
+    /// Pairs of routing key and queue.
     bindings: BTreeSet<(String, String)>,
 }
 
 struct Consumer {
     queue: String,
+    /// Maximum number of unacknowledged deliveries; 0 for no limit.
     prefetch: usize,
     no_ack: bool,
     unacked: usize,
 }
 
+/// A delivery that is not settled.
 struct Unacked {
     consumer: String,
     queue: String,
@@ -102,29 +107,31 @@
 
 #[derive(Default)]
 struct Channel {
+    /// Prefetch count of consumers that are started from now on (`basic.qos`).
     prefetch: u16,
     consumers: BTreeMap<String, Consumer>,
     next_tag: u64,
+    /// Unsettled deliveries by delivery tag.
     unacked: BTreeMap<u64, Unacked>,
-    /// Sequence number of the next publish, if publishes are confirmed.
-    confirms: Option<u64>,
+    /// Sequence number of the next publish in confirm mode; `None` outside it.
+    next_publish_number: Option<u64>,
     publishing: Option<Publishing>,
 }
 
-/// What the broker knows of a client's connection.
+/// State of a client connection.
 #[derive(Default)]
 struct ClientConnection {
     channels: BTreeMap<u16, Channel>,
 }
 
-/// Faults to inject.
+/// Numbers of faults that are still to be injected.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Number of publishes to nack.
+    /// Number of publishes to reject with `basic.nack`.
     pub nack: usize,
     /// Number of messages to deliver twice.
     pub duplicate: usize,
-    /// Number of publishes to accept without a confirm.
+    /// Number of publishes to handle without sending a confirm.
     pub unconfirmed: usize,
     /// Number of acknowledgements to ignore.
     pub forget_acks: usize,
@@ -132,28 +139,28 @@
 
 /// The state of a broker, without sockets.
 pub struct State {
-    /// User name that is accepted.
+    /// User name that clients must log in with.
     pub user: String,
-    /// Password that is accepted.
+    /// Password that clients must log in with.
     pub password: String,
-    /// Heartbeat interval that is proposed, s.
+    /// Heartbeat interval that the broker proposes, s.
     pub heartbeat_s: u16,
-    /// Largest frame that is proposed, bytes.
+    /// Frame size limit that the broker proposes, bytes.
     pub frame_max_bytes: u32,
-    /// Highest channel number that is proposed.
+    /// Highest channel number that the broker proposes.
     pub channel_max: u16,
-    /// Faults to inject.
+    /// Faults that are still to be injected.
     pub faults: Faults,
-    /// Number of deliveries.
+    /// Number of deliveries so far.
     pub deliveries: u64,
-    /// Queue and settlement of every settled delivery.
+    /// Message id and settlement of every settled delivery, in order of settlement.
     pub settled: Vec<(String, Settled)>,
-    /// Largest number of unacknowledged deliveries.
+    /// Highest number of unsettled deliveries on all connections at any time.
     pub max_unacked: usize,
     exchanges: BTreeMap<String, Exchange>,
     queues: BTreeMap<String, Queue>,
     connections: BTreeMap<ConnectionId, ClientConnection>,
-    /// Frames to send, by connection; `None` closes it.
+    /// Frames to send with the connection that they go to; `None` closes the connection.
     out: Vec<(ConnectionId, Option<AMQPFrame>)>,
 }
 
@@ -177,7 +184,7 @@
     }
 }
 
-/// A summary for failed tests.
+/// Summarizes queues, connections and pending faults for messages of failed tests.
 impl std::fmt::Display for State {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         for (name, queue) in &self.queues {
@@ -188,13 +195,13 @@
     }
 }
 
-fn id_of(message: &Message) -> String {
+fn message_id(message: &Message) -> String {
     message.properties.message_id().as_ref().map(ToString::to_string).unwrap_or_default()
 }
 
 impl State {
-    /// Takes the frames to be sent; `None` closes the connection.
-    pub fn take_out(&mut self) -> Vec<(ConnectionId, Option<AMQPFrame>)> {
+    /// Takes the frames to send, each with its connection; `None` closes the connection.
+    pub fn take_outgoing(&mut self) -> Vec<(ConnectionId, Option<AMQPFrame>)> {
         std::mem::take(&mut self.out)
     }
 
@@ -202,7 +209,7 @@
         self.out.push((id, Some(AMQPFrame::Method(channel, class))));
     }
 
-    // ---- Commands of tests ----
+    // ---- Control by tests ----
 
     /// Declares a queue, optionally with the exchange and routing key of its dead letters.
     pub fn declare(&mut self, name: &str, dead_letter: Option<(&str, &str)>) {
@@ -212,8 +219,8 @@
         }
     }
 
-    /// Declares an exchange with its bindings of routing key to queue.
-    pub fn exchange(&mut self, name: &str, kind: &str, bindings: &[(&str, &str)]) {
+    /// Declares an exchange and adds bindings of routing key to queue. Any `kind` but `fanout` makes a direct exchange.
+    pub fn declare_exchange(&mut self, name: &str, kind: &str, bindings: &[(&str, &str)]) {
         let kind = if kind == "fanout" { ExchangeKind::Fanout } else { ExchangeKind::Direct };
         let exchange = self
             .exchanges
@@ -222,15 +229,16 @@
         exchange.bindings.extend(bindings.iter().map(|(key, queue)| (key.to_string(), queue.to_string())));
     }
 
-    /// Routes a message; returns false if no queue takes it.
+    /// Routes a message to queues; returns false if no queue matches. An unknown exchange is treated as the default exchange.
     pub fn publish(&mut self, message: Message) -> bool {
         let names: Vec<String> = match self.exchanges.get(&message.exchange) {
             Some(exchange) => {
-                let fits = |key: &str| exchange.kind == ExchangeKind::Fanout || key == message.routing_key;
+                let matches_binding =
+                    |key: &str| exchange.kind == ExchangeKind::Fanout || key == message.routing_key;
                 exchange
                     .bindings
                     .iter()
-                    .filter(|(key, _)| fits(key))
+                    .filter(|(key, _)| matches_binding(key))
                     .map(|(_, queue)| queue.clone())
                     .collect()
             }
@@ -243,33 +251,33 @@
                 routed = true;
             }
         }
-        self.pump();
+        self.deliver_ready();
         routed
     }
 
-    /// Number of messages of a queue that are ready for delivery.
+    /// Returns the number of messages of a queue that are ready for delivery.
     pub fn ready(&self, queue: &str) -> usize {
         self.queues.get(queue).map_or(0, |queue| queue.ready.len())
     }
 
-    /// Number of deliveries of a queue that are not settled.
+    /// Returns the number of unsettled deliveries of a queue.
     pub fn unacked(&self, queue: &str) -> usize {
         let channels = self.connections.values().flat_map(|c| c.channels.values());
-        channels.flat_map(|c| c.unacked.values()).filter(|one| one.queue == queue).count()
+        channels.flat_map(|c| c.unacked.values()).filter(|delivery| delivery.queue == queue).count()
     }
 
-    /// Number of consumers of a queue.
+    /// Returns the number of consumers of a queue.
     pub fn consumers(&self, queue: &str) -> usize {
         self.queues.get(queue).map_or(0, |queue| queue.consumers.len())
     }
 
-    /// Sum of the prefetch counts of the consumers of a queue.
-    pub fn credit(&self, queue: &str) -> usize {
+    /// Returns the sum of the prefetch counts of the consumers of a queue.
+    pub fn total_prefetch(&self, queue: &str) -> usize {
         let channels = self.connections.values().flat_map(|c| c.channels.values());
         channels.flat_map(|c| c.consumers.values()).filter(|c| c.queue == queue).map(|c| c.prefetch).sum()
     }
 
-    /// The open connections.
+    /// Returns the ids of the open connections.
     pub fn connections(&self) -> Vec<ConnectionId> {
         self.connections.keys().copied().collect()
     }
@@ -279,7 +287,7 @@
         self.queues.get_mut(queue).map(|queue| queue.ready.drain(..).collect()).unwrap_or_default()
     }
 
-    /// Closes every channel that consumes from a queue.
+    /// Closes every channel that consumes from a queue, with `code` as its reply code.
     pub fn close_channels(&mut self, queue: &str, code: u16) {
         let all: Vec<(ConnectionId, u16)> = self
             .queues
@@ -289,12 +297,12 @@
             })
             .unwrap_or_default();
         for (id, number) in all {
-            self.close_channel(id, number, code, "told to");
+            self.close_channel(id, number, code, "channel closed by the test");
         }
-        self.pump();
+        self.deliver_ready();
     }
 
-    /// Cancels every consumer of a queue, as if it were deleted.
+    /// Cancels every consumer of a queue, as a broker does when the queue is deleted.
     pub fn cancel_consumers(&mut self, queue: &str) {
         let all = self.queues.get_mut(queue).map(|q| std::mem::take(&mut q.consumers)).unwrap_or_default();
         for ConsumerAddress { connection: id, channel: number, tag } in all {
@@ -310,11 +318,11 @@
         }
     }
 
-    /// Blocks or unblocks publishing on all connections.
+    /// Announces on all connections that publishing is blocked or unblocked. The broker still accepts publishes.
     pub fn block(&mut self, is_blocked: bool) {
         for id in self.connections() {
             let method = if is_blocked {
-                Connections::Blocked(connection::Blocked { reason: "told to".into() })
+                Connections::Blocked(connection::Blocked { reason: "publishing blocked by the test".into() })
             } else {
                 Connections::Unblocked(connection::Unblocked {})
             };
@@ -322,7 +330,7 @@
         }
     }
 
-    /// Starts or stops the flow on all channels.
+    /// Sends `channel.flow` on all channels. The broker still delivers and accepts publishes.
     pub fn flow(&mut self, is_active: bool) {
         for id in self.connections() {
             let numbers: Vec<u16> = self.connections[&id].channels.keys().copied().collect();
@@ -336,16 +344,16 @@
         }
     }
 
-    /// Sends frames on all connections.
+    /// Sends the same frames on all connections.
     pub fn send_raw(&mut self, frames: &[AMQPFrame]) {
         for id in self.connections() {
             self.out.extend(frames.iter().map(|frame| (id, Some(frame.clone()))));
         }
     }
 
-    // ---- Connections ----
+    // ---- Client connections ----
 
-    /// A client has opened a connection.
+    /// Registers a connection that a client opened, and sends `connection.start`.
     pub fn connection_opened(&mut self, id: ConnectionId) {
         self.connections.insert(id, ClientConnection::default());
         self.send(
@@ -361,30 +369,33 @@
         );
     }
 
-    /// A connection was closed: its unacknowledged messages return to the head of their queues.
+    /// Removes a connection that was closed. Its unsettled messages return to the heads of their queues.
     pub fn connection_closed(&mut self, id: ConnectionId) {
         let numbers: Vec<u16> =
             self.connections.get(&id).map(|c| c.channels.keys().copied().collect()).unwrap_or_default();
         for number in numbers {
-            self.drop_channel(id, number);
+            self.remove_channel(id, number);
         }
         self.connections.remove(&id);
-        self.pump();
+        self.deliver_ready();
     }
 
-    fn close_connection(&mut self, id: ConnectionId, code: u16, why: &str) {
-        let close = connection::Close { reply_code: code, reply_text: why.into(), class_id: 0, method_id: 0 };
+    fn close_connection(&mut self, id: ConnectionId, code: u16, reply_text: &str) {
+        let close =
+            connection::Close { reply_code: code, reply_text: reply_text.into(), class_id: 0, method_id: 0 };
         self.send(id, 0, AMQPClass::Connection(Connections::Close(close)));
         self.out.push((id, None));
     }
 
-    fn close_channel(&mut self, id: ConnectionId, number: u16, code: u16, why: &str) {
-        self.drop_channel(id, number);
-        let close = channel::Close { reply_code: code, reply_text: why.into(), class_id: 0, method_id: 0 };
+    fn close_channel(&mut self, id: ConnectionId, number: u16, code: u16, reply_text: &str) {
+        self.remove_channel(id, number);
+        let close =
+            channel::Close { reply_code: code, reply_text: reply_text.into(), class_id: 0, method_id: 0 };
         self.send(id, number, AMQPClass::Channel(Channels::Close(close)));
     }
 
-    fn drop_channel(&mut self, id: ConnectionId, number: u16) {
+    /// Removes a channel and its consumers. Its unsettled messages return to the heads of their queues in their former order.
+    fn remove_channel(&mut self, id: ConnectionId, number: u16) {
         let Some(channel) = self.connections.get_mut(&id).and_then(|c| c.channels.remove(&number)) else {
             return;
         };
@@ -396,6 +407,7 @@
         }
     }
 
+    /// Returns a message to the head of its queue, marked as redelivered.
     fn requeue(&mut self, delivery: Unacked) {
         if let Some(queue) = self.queues.get_mut(&delivery.queue) {
             queue.ready.push_front(Message { redelivered: true, ..delivery.message });
--- a/crates/loomflow-test-servers/src/control.rs
+++ b/crates/loomflow-test-servers/src/control.rs
@@ -1,4 +1,4 @@
-//! Test server of the control plane: receives reports, and responds as a test sets it.
+//! Test control plane: receives reports over HTTP and sends the response that a test sets.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,9 +8,9 @@
 
 use crate::base::{RESPONSE_TIMEOUT, loopback_listener};
 
-/// A test server of the control plane.
+/// A test control plane.
 pub struct Control {
-    /// Its address.
+    /// Address that the control plane listens on.
     pub address: SocketAddr,
     reports: Receiver<String>,
     response: Arc<Mutex<&'static str>>,
@@ -21,25 +21,25 @@
         Control::at(loopback_listener())
     }
 
-    /// Starts one on a listener.
+    /// Starts a control plane that accepts connections from `listener` and responds with status 204.
     pub fn at(listener: TcpListener) -> Control {
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("the listener has a local address");
         let response = Arc::new(Mutex::new("HTTP/1.1 204 No Content\r\n\r\n"));
         let (sender, reports) = channel();
         let shared = response.clone();
         thread::spawn(move || {
             while let Ok((stream, _)) = listener.accept() {
                 let (sender, response) = (sender.clone(), shared.clone());
-                thread::spawn(move || reports_on(stream, &sender, &response));
+                thread::spawn(move || receive_reports(stream, &sender, &response));
             }
         });
         Control { address, reports, response }
     }
 
-    /// Starts one whose responses never end.
-    pub fn endless(with: &'static str) -> Control {
+    /// Starts a control plane that responds to a report with `chunk` every 20 ms until the connection is closed.
+    pub fn start_endless(chunk: &'static str) -> Control {
         let listener = loopback_listener();
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("the listener has a local address");
         let (sender, reports) = channel();
         thread::spawn(move || {
             while let Ok((mut stream, _)) = listener.accept() {
@@ -50,37 +50,38 @@
                     {
                         return;
                     }
-                    while stream.write_all(with.as_bytes()).is_ok() {
+                    while stream.write_all(chunk.as_bytes()).is_ok() {
                         thread::sleep(std::time::Duration::from_millis(20));
                     }
                 });
             }
         });
-        Control { address, reports, response: Arc::new(Mutex::new(with)) }
+        Control { address, reports, response: Arc::new(Mutex::new(chunk)) }
     }
 
-    /// Changes the response to further reports; an empty one is not sent.
+    /// Sets the complete response to further reports; with an empty one nothing is sent.
     pub fn set_response(&self, response: &'static str) {
         *self.response.lock().unwrap() = response;
     }
 
-    /// The first line and the body of the next report.
+    /// Waits for the next report; returns its request line and body.
     pub fn report(&self) -> String {
-        self.reports.recv_timeout(RESPONSE_TIMEOUT).expect("a report")
+        self.reports.recv_timeout(RESPONSE_TIMEOUT).expect("the server sends a report")
     }
 
-    /// Drops the reports that were received so far.
-    pub fn forget(&self) {
+    /// Discards the reports that were received and not yet returned.
+    pub fn discard_reports(&self) {
         while self.reports.try_recv().is_ok() {}
     }
 }
 
-fn reports_on(stream: TcpStream, sender: &Sender<String>, response: &Mutex<&'static str>) {
-    let mut writer = stream.try_clone().expect("a clone");
+/// Receives the reports of one connection, and responds to each.
+fn receive_reports(stream: TcpStream, sender: &Sender<String>, response: &Mutex<&'static str>) {
+    let mut writer = stream.try_clone().expect("the socket is cloned");
     let mut reader = BufReader::new(stream);
     loop {
-        let (mut first, mut length) = (String::new(), 0);
-        if !matches!(reader.read_line(&mut first), Ok(1..)) {
+        let (mut request_line, mut length) = (String::new(), 0);
+        if !matches!(reader.read_line(&mut request_line), Ok(1..)) {
             return;
         }
         loop {
@@ -92,16 +93,16 @@
                 break;
             }
             if let Some(value) = header.to_lowercase().strip_prefix("content-length:") {
-                length = value.trim().parse().expect("a length");
+                length = value.trim().parse().expect("content-length is a number");
             }
         }
         let mut body = vec![0; length];
         if reader.read_exact(&mut body).is_err() {
             return;
         }
-        let text = format!("{} {}", first.trim_end(), String::from_utf8_lossy(&body));
-        let with = *response.lock().unwrap();
-        if sender.send(text).is_err() || writer.write_all(with.as_bytes()).is_err() {
+        let text = format!("{} {}", request_line.trim_end(), String::from_utf8_lossy(&body));
+        let response = *response.lock().unwrap();
+        if sender.send(text).is_err() || writer.write_all(response.as_bytes()).is_err() {
             return;
         }
     }
--- a/crates/loomflow-test-servers/src/fleet/members.rs
+++ b/crates/loomflow-test-servers/src/fleet/members.rs
@@ -1,4 +1,4 @@
-//! The parts of a fleet that are made before its servers start: relays, options and fixtures.
+//! What a fleet needs before its servers start: relays, options files and server fixtures.
 
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -8,14 +8,14 @@
 use crate::relay::Relay;
 use crate::{ServerFixture, site};
 
-/// Timeout of all classes, ms: no test of a fleet is about late requests.
+/// Timeout of all classes, ms. It is long because no fleet test is about late requests.
 const TIMEOUT_MS: f64 = 20_000.0;
-/// Spreads the seed of the fleet over the seeds of its relays.
+/// Multiplier that spaces the relay seeds of fleets with consecutive seeds (2^32 divided by the golden ratio).
 const SEED_FACTOR: u64 = 0x9E37_79B9;
-/// More than there are members, so that each link has a seed of its own.
+/// Upper bound on the members of a fleet, so that each link has a different seed.
 const MAX_MEMBERS: usize = 64;
 
-/// Starts a relay on each link, by sender and receiver.
+/// Starts a relay for each direction of each link. Indexed by sender, then receiver; `None` from a member to itself.
 pub(super) fn start_relays(plan: &Plan, addresses: &[SocketAddr]) -> Vec<Vec<Option<Relay>>> {
     let relay = |from: usize, to: usize| {
         let seed = plan.seed.wrapping_mul(SEED_FACTOR).wrapping_add((from * MAX_MEMBERS + to) as u64);
@@ -25,7 +25,7 @@
     (0..plan.members).map(relays_from).collect()
 }
 
-/// The options file of a member.
+/// Returns the text of the options file of a member.
 pub(super) fn options(
     plan: &Plan,
     member_index: usize,
@@ -50,12 +50,12 @@
     text
 }
 
-/// The server of a member, which is not started yet.
+/// Creates the server fixture of a member without starting the server.
 pub(super) fn fixture(
     plan: &Plan,
     member_index: usize,
     program: &Path,
-    folder: &Path,
+    directory: &Path,
     options: &str,
 ) -> ServerFixture {
     let mut settings = site(TIMEOUT_MS);
@@ -66,7 +66,7 @@
     fixture.config["name"] = name(member_index).into();
     fixture.options(options);
     fixture.variables = vec![
-        ("LOOMFLOW_TEST_FOLDER".into(), folder.to_owned().into()),
+        ("LOOMFLOW_TEST_FOLDER".into(), directory.to_owned().into()),
         ("LOOMFLOW_TEST_PROGRAM".into(), program.to_owned().into()),
     ];
     fixture
--- a/crates/loomflow-test-servers/src/fleet/processes.rs
+++ b/crates/loomflow-test-servers/src/fleet/processes.rs
@@ -1,4 +1,4 @@
-//! Processes of the machine: stopping them, and the children that they have.
+//! Stopping processes and listing their children through `/proc`.
 
 use std::time::{Duration, Instant};
 
@@ -7,11 +7,11 @@
 
 use super::WAIT_TIMEOUT;
 
-/// Stops a process (SIGSTOP) and waits until all its threads stand still; false if it has ended.
+/// Stops a process (SIGSTOP) and waits until all its threads are stopped; returns false if the process has ended.
 pub(super) fn stop(pid: u32) -> bool {
-    match kill_process(Pid::from_raw(pid as i32).expect("an id"), Signal::STOP) {
+    match kill_process(Pid::from_raw(pid as i32).expect("a process id is positive"), Signal::STOP) {
         Err(Errno::SRCH) => return false,
-        sent => sent.expect("it is stopped"),
+        sent => sent.expect("the signal is sent"),
     }
     let until = Instant::now() + WAIT_TIMEOUT;
     loop {
@@ -22,12 +22,15 @@
         if states.iter().all(|state| matches!(state, 'T' | 'Z' | 'X')) {
             return true;
         }
-        assert!(Instant::now() < until, "{pid} does not stop: {states:?}");
+        assert!(
+            Instant::now() < until,
+            "process {pid} does not stop within {WAIT_TIMEOUT:?}, states of its threads: {states:?}"
+        );
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// The state letter of each thread of a process; none if it is gone.
+/// Returns the state letter of each thread of a process; empty if the process does not exist.
 fn thread_states(pid: u32) -> Vec<char> {
     let Ok(tasks) = std::fs::read_dir(format!("/proc/{pid}/task")) else { return Vec::new() };
     let state = |task: std::io::Result<std::fs::DirEntry>| {
@@ -37,13 +40,13 @@
     tasks.filter_map(state).collect()
 }
 
-/// The child processes of a process.
+/// Returns the ids of the child processes of a process.
 pub(super) fn children(parent: u32) -> Vec<u32> {
-    let entries = std::fs::read_dir("/proc").expect("processes");
+    let entries = std::fs::read_dir("/proc").expect("/proc is readable");
     let child = |entry: std::io::Result<std::fs::DirEntry>| {
         let pid: u32 = entry.ok()?.file_name().to_str()?.parse().ok()?;
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-        // The parent is the second field after the program name.
+        // The fields after the program name are the state and the id of the parent.
         let parent_of_pid: u32 = stat.rsplit_once(") ")?.1.split_whitespace().nth(1)?.parse().ok()?;
         (parent_of_pid == parent).then_some(pid)
     };
--- a/crates/loomflow-test-servers/src/ledger.rs
+++ b/crates/loomflow-test-servers/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Test server of the downstream service, scripted line by line.
+//! Test ledger: the downstream service of the server.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use crate::base::{QUIET_PERIOD, RESPONSE_TIMEOUT, loopback_address};
-use crate::lines::{PeerConnection, accepting};
+use crate::lines::{PeerConnection, accept_connections};
 
-/// A downstream service that refuses connections until it is opened.
+/// The address of a test ledger, which refuses connections until the ledger is opened.
 pub struct Ledger {
-    /// Its address.
+    /// Address that the server connects to.
     pub address: SocketAddr,
 }
 
@@ -20,27 +20,27 @@
         Ledger { address: loopback_address() }
     }
 
-    /// Starts to accept connections.
+    /// Starts to accept connections, whose lines the test sends and checks.
     pub fn open(&self) -> OpenLedger {
-        let listener = TcpListener::bind(self.address).expect("the ledger's address");
-        OpenLedger { links: accepting(listener, &["post"], Arc::default()) }
+        let listener = TcpListener::bind(self.address).expect("the ledger's address is free");
+        OpenLedger { connections: accept_connections(listener, &["post"], Arc::default()) }
     }
 
-    /// Replies to every call immediately, until the process ends.
+    /// Opens the ledger and replies `posted` to every call immediately, until the test process ends.
     pub fn post_all(&self) {
         self.post_all_after(Duration::ZERO);
     }
 
-    /// Replies to every call after a delay, one after the other on each connection.
+    /// Opens the ledger and replies `posted` to every call after `delay`, one call at a time on each connection.
     pub fn post_all_after(&self, delay: Duration) {
         let ledger = self.open();
         thread::spawn(move || {
-            while let Ok(link) = ledger.links.recv() {
+            while let Ok(connection) = ledger.connections.recv() {
                 thread::spawn(move || {
-                    while let Some(line) = link.wait_for_line() {
+                    while let Some(line) = connection.wait_for_line() {
                         if line.word(0) == "post" {
                             thread::sleep(delay);
-                            link.send_with_body(&format!("{} posted", line.word(1)), b"posted");
+                            connection.send_with_body(&format!("{} posted", line.word(1)), b"posted");
                         }
                     }
                 });
@@ -49,19 +49,19 @@
     }
 }
 
-/// A scripted downstream service.
+/// A test ledger that accepts connections and whose lines a test sends and checks one by one.
 pub struct OpenLedger {
-    links: Receiver<PeerConnection>,
+    connections: Receiver<PeerConnection>,
 }
 
 impl OpenLedger {
-    /// The next connection that the server opens.
+    /// Waits for the next connection that the server opens.
     pub fn link(&self) -> PeerConnection {
-        self.links.recv_timeout(RESPONSE_TIMEOUT).expect("a connection")
+        self.connections.recv_timeout(RESPONSE_TIMEOUT).expect("the server connects to the ledger")
     }
 
-    /// Checks that the server opens no connection.
+    /// Checks that the server opens no connection within [`QUIET_PERIOD`].
     pub fn expect_no_link(&self) {
-        assert!(self.links.recv_timeout(QUIET_PERIOD).is_err());
+        assert!(self.connections.recv_timeout(QUIET_PERIOD).is_err());
     }
 }
--- a/crates/loomflow-test-servers/src/lib.rs
+++ b/crates/loomflow-test-servers/src/lib.rs
@@ -1,5 +1,5 @@
-//! Test servers of everything that a server connects to, on loopback, and the server as a process between them. They have
-//! their own parsers, so that tests do not rely on the server's.
+//! Loopback test servers for every peer of a loomflow server, and fixtures that run the server process between them. They
+//! parse the protocols with code of their own, so that tests do not depend on the parsers under test.
 
 #![forbid(unsafe_code)]
 
@@ -20,7 +20,7 @@
 pub use base::{QUIET_PERIOD, RESPONSE_TIMEOUT, class, loopback_address, loopback_listener, release, site};
 pub use broker::Broker;
 pub use control::Control;
-pub use gateway::{Gateway, GatewayResponse, Silence, array, call, fields, health, next_attempt_id};
+pub use gateway::{Gateway, GatewayResponse, NoResponse, array, call, fields, health, next_attempt_id};
 pub use ledger::{Ledger, OpenLedger};
 pub use lines::{Line, PeerConnection};
 pub use scripted_engine::ScriptedEngine;
--- a/crates/loomflow-test-servers/src/lines.rs
+++ b/crates/loomflow-test-servers/src/lines.rs
@@ -1,4 +1,4 @@
-//! Connections with lines and bodies, as the engine and the downstream service use.
+//! The protocol of engine and ledger: lines, some of which are followed by a body.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -9,95 +9,101 @@
 
 use crate::base::{QUIET_PERIOD, RESPONSE_TIMEOUT};
 
-/// Ends each line and each body.
+/// Terminator of each line and each body.
 const LINE_END: &[u8] = b"\r\n";
 
-/// A line and the body that follows it, if any.
+/// A received line and the body that follows it, if any.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// The line without its end.
+    /// Text of the line without its terminator.
     pub text: String,
-    /// The body; empty if there is none.
+    /// Body without its terminator; empty if the command has none.
     pub body: Vec<u8>,
 }
 
 impl Line {
-    /// A word of the line.
-    pub fn word(&self, at: usize) -> &str {
-        self.text.split(' ').nth(at).unwrap_or_default()
+    /// Returns the word at this index, counted from 0; empty if the line has fewer.
+    pub fn word(&self, index: usize) -> &str {
+        self.text.split(' ').nth(index).unwrap_or_default()
     }
 }
 
-/// A connection that the server opened. A thread reads it, and responds to gauge and health queries if it is to.
+/// A connection that the server opened to a scripted peer. A thread reads its lines and, if enabled, replies to gauge and
+/// health queries.
 pub struct PeerConnection {
     stream: TcpStream,
     lines: Receiver<Line>,
 }
 
 impl PeerConnection {
+    /// Starts the thread that reads the connection. `commands_with_body` are the commands whose lines end in the length of a
+    /// body that follows.
     pub(crate) fn new(
         stream: TcpStream,
-        with_body: &'static [&'static str],
-        answers_queries: Arc<AtomicBool>,
+        commands_with_body: &'static [&'static str],
+        replies_to_queries: Arc<AtomicBool>,
     ) -> PeerConnection {
-        stream.set_nodelay(true).expect("no delay");
+        stream.set_nodelay(true).expect("TCP_NODELAY is set");
         let (sender, lines) = channel();
-        let reader = stream.try_clone().expect("a clone");
-        let writer = stream.try_clone().expect("a clone");
-        thread::spawn(move || read_lines(reader, writer, with_body, &answers_queries, &sender));
+        let reader = stream.try_clone().expect("the socket is cloned");
+        let writer = stream.try_clone().expect("the socket is cloned");
+        thread::spawn(move || read_lines(reader, writer, commands_with_body, &replies_to_queries, &sender));
         PeerConnection { stream, lines }
     }
 
-    /// The next line, which must arrive in time.
+    /// Returns the next line, which must arrive within [`RESPONSE_TIMEOUT`].
     pub fn line(&self) -> Line {
-        self.lines.recv_timeout(RESPONSE_TIMEOUT).expect("a line")
+        self.lines.recv_timeout(RESPONSE_TIMEOUT).expect("the server sends a line")
     }
 
-    /// The next line, without a timeout; `None` at the end of the connection.
+    /// Waits for the next line without a timeout; `None` at the end of the connection.
     pub fn wait_for_line(&self) -> Option<Line> {
         self.lines.recv().ok()
     }
 
-    /// The next line, which must start with `start`.
+    /// Returns the next line, whose first words must be `start`.
     pub fn expect(&self, start: &str) -> Line {
         let line = self.line();
-        assert!(line.text == start || line.text.starts_with(&format!("{start} ")), "{start}: {line:?}");
+        assert!(
+            line.text == start || line.text.starts_with(&format!("{start} ")),
+            "expected a line that starts with {start:?}, got {line:?}"
+        );
         line
     }
 
-    /// Checks that nothing arrives.
+    /// Checks that no line arrives within [`QUIET_PERIOD`] and that the connection stays open.
     pub fn expect_quiet(&self) {
         assert_eq!(self.lines.recv_timeout(QUIET_PERIOD), Err(RecvTimeoutError::Timeout));
     }
 
-    /// Checks that the server closes the connection.
+    /// Checks that the server closes the connection within [`RESPONSE_TIMEOUT`], without another line.
     pub fn expect_closed(&self) {
         assert_eq!(self.lines.recv_timeout(RESPONSE_TIMEOUT), Err(RecvTimeoutError::Disconnected));
     }
 
-    /// Sends a line.
+    /// Sends a line and its terminator.
     pub fn send_line(&self, text: &str) {
         self.send_bytes(format!("{text}\r\n").as_bytes());
     }
 
-    /// Sends bytes.
+    /// Sends bytes as they are.
     pub fn send_bytes(&self, bytes: &[u8]) {
-        (&self.stream).write_all(bytes).expect("the server reads");
+        (&self.stream).write_all(bytes).expect("the bytes are written to the connection");
     }
 
-    /// Sends a line, with the length of the body added, and the body.
+    /// Sends a line that consists of `head` and the length of `body`, then the body.
     pub fn send_with_body(&self, head: &str, body: &[u8]) {
         self.send_bytes(&with_body(head, body));
     }
 
-    /// Expects this `ATTACH`, and responds that the engine is running.
+    /// Expects the line `attach`, and replies that the engine is running.
     pub fn accept_attach(&self, attach: &str) {
         assert_eq!(self.line().text, attach);
         self.send_line("HELLO running 60000");
     }
 
-    /// As [`accept_attach`](Self::accept_attach), with notices that the previous connection did not read, all in one write
-    /// so that no other response can come in between.
+    /// Like [`accept_attach`](Self::accept_attach), followed by `notices` that were not read on the previous connection. All
+    /// is sent in one write, so that no automatic reply is written in between.
     pub fn accept_attach_replaying(&self, attach: &str, notices: &[(String, &[u8])]) {
         assert_eq!(self.line().text, attach);
         let mut bytes = b"HELLO running 60000\r\n".to_vec();
@@ -107,33 +113,33 @@
         self.send_bytes(&bytes);
     }
 
-    /// Sends the end of a successful run.
+    /// Sends notice `number`: run `id` has succeeded.
     pub fn send_done(&self, number: u64, id: &str, result: &[u8]) {
         self.send_with_body(&format!("DONE {number} {id} fine 5"), result);
     }
 
-    /// Sends the request for a downstream call.
+    /// Sends notice `number`: run `id` needs a downstream call with this body.
     pub fn send_need(&self, number: u64, id: &str, body: &[u8]) {
         self.send_with_body(&format!("NEED {number} {id}"), body);
     }
 
-    /// Closes the connection.
+    /// Shuts the connection down in both directions.
     pub fn disconnect(self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
 
-/// Reads lines until the connection ends or nobody takes them, and responds to gauge and health queries if it is to.
+/// Passes lines on until the connection or their receiver is closed; replies to gauge and health queries if enabled.
 fn read_lines(
     reader: TcpStream,
     mut writer: TcpStream,
-    with_body: &[&str],
-    answers_queries: &AtomicBool,
+    commands_with_body: &[&str],
+    replies_to_queries: &AtomicBool,
     lines: &Sender<Line>,
 ) {
     let mut reader = BufReader::new(reader);
-    while let Some(line) = read_line(&mut reader, with_body) {
-        let response = query_response(&line).filter(|_| answers_queries.load(Ordering::Acquire));
+    while let Some(line) = read_line(&mut reader, commands_with_body) {
+        let response = query_reply(&line).filter(|_| replies_to_queries.load(Ordering::Acquire));
         if let Some(response) = response {
             let _ = writer.write_all(response.as_bytes());
         } else if lines.send(line).is_err() {
@@ -143,14 +149,20 @@
 }
 
 /// Reads a line and its body; `None` at the end of the connection.
-fn read_line(reader: &mut impl BufRead, with_body: &[&str]) -> Option<Line> {
+fn read_line(reader: &mut impl BufRead, commands_with_body: &[&str]) -> Option<Line> {
     let mut bytes = Vec::new();
     reader.read_until(b'\n', &mut bytes).ok()?;
     let text = bytes.strip_suffix(LINE_END)?;
-    let text = String::from_utf8(text.to_vec()).expect("text");
+    let text = String::from_utf8(text.to_vec()).expect("the line is UTF-8");
     let mut line = Line { text, body: Vec::new() };
-    if with_body.contains(&line.word(0)) {
-        let size: usize = line.text.rsplit(' ').next().expect("a word").parse().expect("a length");
+    if commands_with_body.contains(&line.word(0)) {
+        let size: usize = line
+            .text
+            .rsplit(' ')
+            .next()
+            .expect("the line has a word")
+            .parse()
+            .expect("the last word is a length");
         line.body = vec![0; size + LINE_END.len()];
         reader.read_exact(&mut line.body).ok()?;
         assert!(line.body.ends_with(LINE_END), "{line:?}");
@@ -159,8 +171,8 @@
     Some(line)
 }
 
-/// The response to a query for gauges or health, if the line is one.
-fn query_response(line: &Line) -> Option<String> {
+/// Returns the automatic reply to a gauge or health query; `None` for other lines.
+fn query_reply(line: &Line) -> Option<String> {
     match line.word(0) {
         "STAT" => Some(format!("STATS {} 0 1 0.1 4\r\n", line.word(1))),
         "TEST" => Some(format!("TESTED {} fine\r\n", line.word(1))),
@@ -168,7 +180,7 @@
     }
 }
 
-/// A line that ends in the length of the body that follows it.
+/// Encodes a line that ends in the length of its body, and the body.
 fn with_body(head: &str, body: &[u8]) -> Vec<u8> {
     let mut bytes = format!("{head} {}\r\n", body.len()).into_bytes();
     bytes.extend_from_slice(body);
@@ -176,19 +188,22 @@
     bytes
 }
 
-/// Accepts connections in a thread.
-pub(crate) fn accepting(
+/// Accepts connections in a thread until their receiver is dropped.
+pub(crate) fn accept_connections(
     listener: TcpListener,
-    with_body: &'static [&'static str],
-    answers_queries: Arc<AtomicBool>,
+    commands_with_body: &'static [&'static str],
+    replies_to_queries: Arc<AtomicBool>,
 ) -> Receiver<PeerConnection> {
-    let (sender, links) = channel();
+    let (sender, connections) = channel();
     thread::spawn(move || {
         while let Ok((stream, _)) = listener.accept() {
-            if sender.send(PeerConnection::new(stream, with_body, answers_queries.clone())).is_err() {
+            if sender
+                .send(PeerConnection::new(stream, commands_with_body, replies_to_queries.clone()))
+                .is_err()
+            {
                 return;
             }
         }
     });
-    links
+    connections
 }
--- a/crates/loomflow-test-servers/src/scripted_engine.rs
+++ b/crates/loomflow-test-servers/src/scripted_engine.rs
@@ -1,4 +1,4 @@
-//! Test server of the engine, scripted line by line.
+//! Test engine whose lines a test sends and checks one by one.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,41 +6,41 @@
 use std::sync::mpsc::Receiver;
 
 use crate::base::{QUIET_PERIOD, RESPONSE_TIMEOUT, loopback_listener};
-use crate::lines::{PeerConnection, accepting};
+use crate::lines::{PeerConnection, accept_connections};
 
-/// A scripted test server of the engine.
+/// A test engine whose lines a test sends and checks one by one.
 pub struct ScriptedEngine {
-    /// Its address.
+    /// Address that the engine listens on.
     pub address: SocketAddr,
-    links: Receiver<PeerConnection>,
-    answers_queries: Arc<AtomicBool>,
+    connections: Receiver<PeerConnection>,
+    replies_to_queries: Arc<AtomicBool>,
 }
 
 impl ScriptedEngine {
-    /// Starts one on a free address.
+    /// Starts an engine on a free loopback address. It replies to gauge and health queries automatically.
     pub fn start() -> ScriptedEngine {
         let listener = loopback_listener();
-        let address = listener.local_addr().expect("an address");
-        let answers_queries = Arc::new(AtomicBool::new(true));
+        let address = listener.local_addr().expect("the listener has a local address");
+        let replies_to_queries = Arc::new(AtomicBool::new(true));
         ScriptedEngine {
             address,
-            links: accepting(listener, &["RUN", "FEED"], answers_queries.clone()),
-            answers_queries,
+            connections: accept_connections(listener, &["RUN", "FEED"], replies_to_queries.clone()),
+            replies_to_queries,
         }
     }
 
-    /// Checks that the server opens no connection.
+    /// Checks that the server opens no connection within [`QUIET_PERIOD`].
     pub fn expect_no_link(&self) {
-        assert!(self.links.recv_timeout(QUIET_PERIOD).is_err());
+        assert!(self.connections.recv_timeout(QUIET_PERIOD).is_err());
     }
 
-    /// Whether it responds to gauge and health queries by itself, or passes them to the test like other lines.
-    pub fn answers_by_itself(&self, does: bool) {
-        self.answers_queries.store(does, Ordering::Release);
+    /// Sets whether gauge and health queries are replied to automatically or passed to the test like other lines.
+    pub fn set_automatic_replies(&self, is_enabled: bool) {
+        self.replies_to_queries.store(is_enabled, Ordering::Release);
     }
 
-    /// The next connection that the server opens.
+    /// Waits for the next connection that the server opens.
     pub fn link(&self) -> PeerConnection {
-        self.links.recv_timeout(RESPONSE_TIMEOUT).expect("a link")
+        self.connections.recv_timeout(RESPONSE_TIMEOUT).expect("the server connects to the engine")
     }
 }
--- a/crates/loomflow-test-servers/src/server_fixture.rs
+++ b/crates/loomflow-test-servers/src/server_fixture.rs
@@ -1,4 +1,4 @@
-//! A server process with test servers of everything that it connects to.
+//! A server process with test servers for everything that it connects to.
 
 use std::collections::HashSet;
 use std::io::Read;
@@ -18,52 +18,56 @@
 use crate::lines::PeerConnection;
 use crate::scripted_engine::ScriptedEngine;
 
-/// Path of the server's program: the directory above that of the running test.
+/// Returns the path of the server's program, in the parent of the directory of the running test.
 pub fn program() -> std::path::PathBuf {
-    let test = std::env::current_exe().expect("a path");
-    let folder = test.ancestors().nth(2).expect("the folder of the build");
-    folder.join("loomflow")
+    let test = std::env::current_exe().expect("the path of the test is known");
+    let directory = test.ancestors().nth(2).expect("the test is in a build directory");
+    directory.join("loomflow")
 }
 
 /// A server process, its configuration and its test servers.
 pub struct ServerFixture {
-    /// Where the server listens for gateways.
+    /// Address that the server listens on for gateways.
     pub listen: SocketAddr,
-    /// Its configuration.
+    /// Configuration, written to its file at each start of the server.
     pub config: Value,
-    /// Its scripted engine.
+    /// Scripted engine; not used if the server is started with an autonomous engine.
     pub engine: ScriptedEngine,
-    /// Its downstream service.
+    /// Downstream service, which refuses connections until it is opened.
     pub ledger: Ledger,
-    /// Its control plane.
+    /// Control plane that receives the server's reports.
     pub control: Control,
+    /// Configuration file.
     file: std::path::PathBuf,
+    /// Options file, if there are options.
     options: Option<std::path::PathBuf>,
-    /// The program, `$0` in the start command.
+    /// Program of the server, `$0` in the start command.
     pub program: std::path::PathBuf,
-    /// Additional environment variables.
+    /// Additional environment variables of the server.
     pub variables: Vec<(String, std::ffi::OsString)>,
     child: Option<Child>,
-    /// Earlier processes that are draining.
+    /// Earlier processes that were asked to shut down and may still drain.
     draining: Vec<Child>,
+    /// Whether the reading end of the log is closed when the server starts.
     has_closed_log: bool,
+    /// Standard error of all processes so far.
     log: Arc<Mutex<String>>,
-    /// The readers of the log, one for each process.
+    /// Threads that read the log, one for each process.
     log_readers: Vec<JoinHandle<()>>,
 }
 
 impl ServerFixture {
-    /// Starts a server with options and an engine that runs requests by itself.
-    pub fn start_with(settings: Value, options: &str, worker: &AutonomousEngine) -> ServerFixture {
+    /// Starts a server with options and an autonomous engine, and waits until it serves.
+    pub fn start_with(settings: Value, options: &str, engine: &AutonomousEngine) -> ServerFixture {
         let mut fixture = ServerFixture::new(settings);
         fixture.options(options);
-        fixture.serve_with(worker);
+        fixture.serve_with(engine);
         fixture
     }
 
-    /// Starts the server with an engine, and waits until it serves.
-    pub fn serve_with(&mut self, worker: &AutonomousEngine) {
-        self.config["engine"] = worker.address.to_string().into();
+    /// Starts the server with an autonomous engine, and waits until it serves.
+    pub fn serve_with(&mut self, engine: &AutonomousEngine) {
+        self.config["engine"] = engine.address.to_string().into();
         self.start("exec \"$0\" serve");
         self.wait_for_service();
     }
@@ -96,7 +100,7 @@
         }
     }
 
-    /// Starts a server with a scripted engine; returns the engine's connection.
+    /// Starts a server with the scripted engine, and waits until it serves; returns the connection to the engine.
     pub fn start_serving(settings: Value) -> (ServerFixture, PeerConnection) {
         let mut fixture = ServerFixture::new(settings);
         fixture.start("exec \"$0\" serve");
@@ -106,7 +110,8 @@
         (fixture, link)
     }
 
-    /// Sets the options (YAML) for the next start. `CREDENTIALS` is replaced by a file with those of the test broker.
+    /// Sets the options (YAML) for the next start. The word `CREDENTIALS` is replaced by the path of a file with the
+    /// credentials of the test broker.
     pub fn options(&mut self, text: &str) {
         let file = self.file.with_extension("yaml");
         let credentials = file.with_extension("credentials");
@@ -116,7 +121,7 @@
         self.options = Some(file);
     }
 
-    /// Kills the server.
+    /// Kills the server (SIGKILL) if it was started, and waits for its end.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -124,19 +129,19 @@
         }
     }
 
-    /// Asks the server to shut down without waiting for its end: the next start runs beside it.
+    /// Asks the server to shut down without waiting for its end, so that the next process starts while this one drains.
     pub fn drain_in_background(&mut self) {
         self.terminate();
         self.draining.extend(self.child.take());
     }
 
-    /// Closes the reading end of the log.
+    /// Makes the next start close the reading end of the server's log, so that its writes to the log fail.
     pub fn close_log(&mut self) {
         self.has_closed_log = true;
     }
 
-    /// Replaces engine, downstream service and control plane by new ones at new addresses; returns the previous ones, which
-    /// stay open until they are dropped.
+    /// Replaces engine, downstream service and control plane by new ones at new addresses, also in the configuration file;
+    /// returns the previous ones, which stay open until they are dropped.
     pub fn move_peers(&mut self) -> (ScriptedEngine, Ledger, Control) {
         let previous = (
             std::mem::replace(&mut self.engine, ScriptedEngine::start()),
@@ -150,14 +155,14 @@
         previous
     }
 
-    /// Replaces the configuration file.
+    /// Replaces the text of the configuration file.
     pub fn write(&self, text: &str) {
         std::fs::write(&self.file, text).expect("the configuration is written");
     }
 
-    /// Replaces the configuration file by a pipe that nobody writes to.
+    /// Creates a named pipe without a writer in place of the configuration file, which must have been removed.
     pub fn make_pipe(&self) {
-        assert!(Command::new("mkfifo").arg(&self.file).status().expect("mkfifo").success());
+        assert!(Command::new("mkfifo").arg(&self.file).status().expect("mkfifo starts").success());
     }
 
     /// Deletes the configuration file.
@@ -165,12 +170,12 @@
         std::fs::remove_file(&self.file).expect("the configuration is removed");
     }
 
-    /// Starts the server by a shell command, in which `$0` is its program.
-    pub fn start(&mut self, line: &str) {
+    /// Writes the configuration file and starts the server with a shell command, in which `$0` is its program.
+    pub fn start(&mut self, command: &str) {
         self.write(&self.config.to_string());
         let mut child = Command::new("/bin/sh")
             .arg("-c")
-            .arg(line)
+            .arg(command)
             .arg(&self.program)
             .env("PROXY_CONFIG", &self.file)
             .envs(self.options.iter().map(|file| ("LOOMFLOW_OPTIONS", file)))
@@ -178,7 +183,7 @@
             .stderr(Stdio::piped())
             .spawn()
             .expect("the server starts");
-        let mut errors = child.stderr.take().expect("its log");
+        let mut errors = child.stderr.take().expect("standard error is piped");
         if self.has_closed_log {
             drop(errors);
             self.child = Some(child);
@@ -204,14 +209,15 @@
         let mut tag = 2;
         while Instant::now() < until {
             gateway.send(&call(tag, "no-such-class", &fields(&next_attempt_id()), b""));
-            // Before the engine is connected the response is BUSY, after that it is FAILED.
+            // The server responds BUSY until the engine is connected; after that the controller rejects the unknown class
+            // with FAILED.
             if gateway.response().status == "FAILED" {
                 return;
             }
             tag += 1;
             thread::sleep(Duration::from_millis(5));
         }
-        panic!("the server does not serve");
+        panic!("the server does not serve within {RESPONSE_TIMEOUT:?}: {}", self.log());
     }
 
     /// Opens a gateway connection.
@@ -219,33 +225,42 @@
         Gateway::open(self.listen)
     }
 
-    /// The server's log so far.
+    /// Returns the log of all processes so far.
     pub fn log(&self) -> String {
         self.log.lock().unwrap().clone()
     }
 
-    /// The log of a server that has ended, to its last line: what it wrote last is read only some time after its end.
+    /// Returns the complete log of a server that has ended. It waits for the log readers, because the last lines may be read
+    /// only after the end of the process.
     pub fn complete_log(&self) -> String {
         let until = Instant::now() + RESPONSE_TIMEOUT;
         while !self.log_readers.iter().all(JoinHandle::is_finished) {
-            assert!(Instant::now() < until, "the log does not end: {}", self.log());
+            assert!(
+                Instant::now() < until,
+                "the log is not closed within {RESPONSE_TIMEOUT:?}: {}",
+                self.log()
+            );
             thread::sleep(Duration::from_millis(5));
         }
         self.log()
     }
 
-    /// Waits until the log contains a text.
+    /// Waits until the log contains `text`.
     pub fn wait_for_log(&self, text: &str) {
         let until = Instant::now() + RESPONSE_TIMEOUT;
         while !self.log().contains(text) {
-            assert!(Instant::now() < until, "{text}: {}", self.log());
+            assert!(
+                Instant::now() < until,
+                "the log does not contain {text:?} within {RESPONSE_TIMEOUT:?}: {}",
+                self.log()
+            );
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Process id of the server.
+    /// Returns the process id of the server.
     pub fn pid(&self) -> u32 {
-        self.child.as_ref().expect("a server").id()
+        self.child.as_ref().expect("the server was started").id()
     }
 
     /// Asks the server to shut down (SIGTERM).
@@ -253,40 +268,43 @@
         self.signal("TERM");
     }
 
-    /// Sends a signal by name.
+    /// Sends a signal to the server; `name` is without `SIG`, as in `TERM`.
     pub fn signal(&self, name: &str) {
-        let done = Command::new("kill").args([&format!("-{name}"), &self.pid().to_string()]).status();
-        assert!(done.expect("kill").success());
+        let status = Command::new("kill").args([&format!("-{name}"), &self.pid().to_string()]).status();
+        assert!(status.expect("kill starts").success());
     }
 
-    /// Waits for the end of the server; returns its exit code.
+    /// Waits for the end of the server; returns its exit code, or `None` if a signal ended it.
     pub fn exit_code(&mut self) -> Option<i32> {
-        let child = self.child.as_mut().expect("a server");
+        let child = self.child.as_mut().expect("the server was started");
         let until = Instant::now() + RESPONSE_TIMEOUT;
         while Instant::now() < until {
-            if let Some(status) = child.try_wait().expect("its state") {
+            if let Some(status) = child.try_wait().expect("the state of the process is known") {
                 return status.code();
             }
             thread::sleep(Duration::from_millis(5));
         }
-        panic!("the server does not end");
+        panic!("the server does not end within {RESPONSE_TIMEOUT:?}");
     }
 
-    /// Whether a process was started and has not ended.
+    /// Same as [`is_running`](Self::is_running).
     pub fn has_process(&mut self) -> bool {
         self.child.is_some() && self.is_running()
     }
 
-    /// Whether the process that was started has not ended.
+    /// Whether the current server process runs; false if none was started, or if it was killed or left to drain in the
+    /// background.
     pub fn is_running(&mut self) -> bool {
-        self.child.as_mut().is_some_and(|child| child.try_wait().expect("its state").is_none())
+        self.child
+            .as_mut()
+            .is_some_and(|child| child.try_wait().expect("the state of the process is known").is_none())
     }
 
-    /// Id, name and state letter of each thread of the server.
+    /// Returns id and name, and the state letter, of each thread of the server.
     pub fn threads(&self) -> Vec<(String, char)> {
-        let tasks = std::fs::read_dir(format!("/proc/{}/task", self.pid())).expect("its threads");
-        let state = |one: std::io::Result<std::fs::DirEntry>| {
-            let stat = std::fs::read_to_string(one.ok()?.path().join("stat")).ok()?;
+        let tasks = std::fs::read_dir(format!("/proc/{}/task", self.pid())).expect("the server runs");
+        let state = |task: std::io::Result<std::fs::DirEntry>| {
+            let stat = std::fs::read_to_string(task.ok()?.path().join("stat")).ok()?;
             // The name is in brackets and may contain spaces; the state follows the last bracket.
             let (id, rest) = stat.split_once(" (")?;
             let (name, after) = rest.rsplit_once(") ")?;
@@ -295,7 +313,7 @@
         tasks.filter_map(state).collect()
     }
 
-    /// Threads that are running in every one of many samples.
+    /// Returns the threads that were never seen waiting or stopped, in up to 200 samples at intervals of 10 ms.
     pub fn spinning_threads(&self) -> Vec<String> {
         let (mut waited, mut observed) = (HashSet::new(), HashSet::new());
         for _ in 0..200 {
@@ -314,9 +332,9 @@
         observed.difference(&waited).cloned().collect()
     }
 
-    /// Number of open file descriptors of the server.
+    /// Returns the number of open file descriptors of the server.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.pid())).expect("its descriptors").count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.pid())).expect("the server runs").count()
     }
 }
 
