--- a/crates/loomflow-amqp/tests/model.rs
+++ b/crates/loomflow-amqp/tests/model.rs
@@ -129,7 +129,7 @@
             self.broker.handle_frame(connection, frame);
         }
         let mut closed = Vec::new();
-        for (to, frame) in self.broker.take_out() {
+        for (to, frame) in self.broker.take_outgoing() {
             let Some(server) = self.servers.iter_mut().find(|server| server.connection == Some(to)) else {
                 continue;
             };
--- a/crates/loomflow-server/tests/control_plane.rs
+++ b/crates/loomflow-server/tests/control_plane.rs
@@ -15,7 +15,7 @@
         ["", "HTTP/1.1 20", "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "no HTTP at all\r\n\r\n"]
     {
         fixture.control.set_response(response);
-        fixture.control.forget();
+        fixture.control.discard_reports();
         assert_eq!(fixture.control.report(), report);
         assert_eq!(fixture.control.report(), report);
     }
@@ -44,7 +44,7 @@
 fn an_endless_report_response_does_not_block_reload_or_shutdown() {
     for endless_response in ["HTTP/1.1 102 Processing\r\n\r\n", "H"] {
         let mut fixture = ServerFixture::new(site(LONG_TIMEOUT));
-        let endless = Control::endless(endless_response);
+        let endless = Control::start_endless(endless_response);
         fixture.config["control"] = endless.address.to_string().into();
         fixture.start(SERVE);
         let _engine = attach(&fixture, "ATTACH 0");
--- a/crates/loomflow-server/tests/duties.rs
+++ b/crates/loomflow-server/tests/duties.rs
@@ -39,7 +39,7 @@
 
 /// The tokens that were written to `lines`, in the order of writing.
 fn written_tokens(fleet: &Fleet) -> Vec<u64> {
-    let text = std::fs::read_to_string(fleet.folder().join("lines")).unwrap_or_default();
+    let text = std::fs::read_to_string(fleet.directory().join("lines")).unwrap_or_default();
     text.lines().filter_map(|line| line.parse().ok()).collect()
 }
 
@@ -143,7 +143,7 @@
 
 /// Takes the lock of the jobs' fence, which blocks every effect until it is released.
 fn lock_fence(fleet: &Fleet) -> File {
-    let lock = OpenOptions::new().create(true).append(true).open(fleet.folder().join("fence.lock"));
+    let lock = OpenOptions::new().create(true).append(true).open(fleet.directory().join("fence.lock"));
     let lock = lock.expect("the lock file opens");
     lock.lock().expect("the lock is taken");
     lock
@@ -243,7 +243,7 @@
 
 /// Starts a job of `by-hand` that ignores SIGTERM, and waits until it runs.
 fn start_job_ignoring_sigterm(fleet: &Fleet, owner: usize) -> Child {
-    let marker = fleet.folder().join("began");
+    let marker = fleet.directory().join("began");
     let script = format!("trap '' TERM; echo > {}; while :; do sleep 0.1; done", marker.display());
     let job = fleet.spawn(owner, &["duty", "run", "by-hand"], &["sh", "-c", &script]);
     fleet.wait_until("the job runs", |_| marker.exists());
@@ -367,7 +367,7 @@
 fn a_campaign_resumes_after_its_owner_is_killed() {
     let extra = "  warm_for_s: 1\n  duties: {lease_s: 2}\n";
     let mut fleet = Fleet::start_bootstrapped(Plan { extra, ..PLAN });
-    let file = fleet.folder().join("campaign.yaml");
+    let file = fleet.directory().join("campaign.yaml");
     std::fs::write(&file, CAMPAIGN).expect("the campaign is written");
     let file = file.to_str().expect("the path is UTF-8");
     let start_campaign = ["work", "ask", "--file", file, "--campaign", "kernel", "--batch", "1"];
--- a/crates/loomflow-server/tests/stored_data.rs
+++ b/crates/loomflow-server/tests/stored_data.rs
@@ -72,7 +72,7 @@
 
 /// Runs `echo done` behind the duty's fence; returns the exit code, standard output and standard error.
 fn fence(fleet: &Fleet, token: &str) -> (i32, String, String) {
-    let file = fleet.folder().join("fence");
+    let file = fleet.directory().join("fence");
     let file = file.to_str().expect("the path is UTF-8");
     let program = loomflow_test_servers::program();
     let args = ["fleet", "fence", file, "--duty", "writes", "--token", token, "--", "echo", "done"];
@@ -88,17 +88,17 @@
         std::env::var("PROGRAM").expect("PROGRAM is the path of the program that stores the data"),
     );
     let mut fleet = Fleet::start_with(PLAN, &program).bootstrap(PLAN);
-    fleet.wait_until("the duty writes", |fleet| highest_token(fleet.folder()) > 0);
-    let first = highest_token(fleet.folder());
+    fleet.wait_until("the duty writes", |fleet| highest_token(fleet.directory()) > 0);
+    let first = highest_token(fleet.directory());
     assert_eq!(fleet.run_command(0, &["duty", "release", "writes"]).0, 0);
-    fleet.wait_until("a second owner writes", |fleet| highest_token(fleet.folder()) > first);
+    fleet.wait_until("a second owner writes", |fleet| highest_token(fleet.directory()) > first);
     assert_eq!(fleet.run_command(0, &["work", "pause", PAUSE_REASON]).0, 0);
     assert_eq!(fleet.request_ticket(0, 2), 1);
     assert_eq!(fleet.run_command(0, &["duty", "park", "writes", "looked at"]).0, 0);
     fleet.wait_until("the duty is parked", |fleet| duty(fleet)["owner"].is_null());
     (0..3).for_each(|member| fleet.kill(member));
     for name in FILES {
-        copy(&fleet.folder().join(name), &stored_path(name));
+        copy(&fleet.directory().join(name), &stored_path(name));
     }
 }
 
@@ -110,7 +110,7 @@
 #[test]
 fn a_fleet_resumes_from_data_of_an_earlier_build() {
     let mut fleet = start_restored();
-    let before = highest_token(fleet.folder());
+    let before = highest_token(fleet.directory());
     fleet.wait_until("the fleet has a leader", |fleet| fleet.status(0)["paused"] == PAUSE_REASON);
     assert_eq!(fleet.run_command(0, &["found"]).0, 1, "`found` succeeded although the fleet exists");
     assert_eq!(fleet.stage(0, 1), "Asked");
@@ -123,13 +123,13 @@
     assert_eq!(fleet.request_ticket(0, 1), 2);
     // The duty gets an owner under a later token.
     assert_eq!(fleet.run_command(0, &["duty", "resume", "writes"]).0, 0);
-    fleet.wait_until("a later owner writes", |fleet| highest_token(fleet.folder()) > before);
+    fleet.wait_until("a later owner writes", |fleet| highest_token(fleet.directory()) > before);
 }
 
 #[test]
 fn a_stored_fence_rejects_a_stale_token() {
     let fleet = start_restored();
-    let highest = highest_token(fleet.folder());
+    let highest = highest_token(fleet.directory());
     let (code, output, errors) = fence(&fleet, STALE_TOKEN);
     let message =
         format!("loomflow: writes: token {STALE_TOKEN} is stale: the fence has admitted token {highest}\n");
