--- a/crates/loomflow-benchmark/src/callers.rs
+++ b/crates/loomflow-benchmark/src/callers.rs
@@ -63,7 +63,7 @@
     ];
     report.table("Service of a fleet that has lost a part of itself for two seconds", &head, rows);
     let module = || cases.iter().zip(&results).filter(|(case, _)| case.policy == IdlePolicy::Controller);
-    let not_back = module().flat_map(|(_, plays)| plays).filter(|play| !play.is_back()).count();
+    let not_back = module().flat_map(|(_, plays)| plays).filter(|play| !play.has_recovered()).count();
     let violations = results.iter().flatten().map(|play| play.violations.len()).sum::<usize>();
     tenants(&mut report);
     report.figure("plays", module().map(|(_, plays)| plays.len()).sum::<usize>() as f64);
--- a/crates/loomflow-overload-simulation/src/checker.rs
+++ b/crates/loomflow-overload-simulation/src/checker.rs
@@ -1,81 +1,87 @@
-//! Checks the rules for responses on the wire between callers and servers: each attempt that reached a server gets one
-//! final response before the timeout of its caller, unless the connection broke first.
+//! Checks the responses between servers and callers: each attempt that reached a server gets exactly one
+//! final response within the timeout, unless its connection is lost first.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::clock::SimulationMicros;
 use crate::cores::AttemptId;
 
-/// A violation of the rules.
+/// A violation of the rules for responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// An attempt was answered twice, or never arrived.
-    AnsweredTwice(AttemptId),
-    /// An attempt was answered after the timeout of its caller.
-    AnsweredLate(AttemptId),
-    /// An attempt was not answered before the timeout of its caller.
-    NeverAnswered(AttemptId),
+    /// A second response to an attempt, or a response to an attempt that never arrived.
+    DuplicateResponse(AttemptId),
+    /// A response to an attempt after the timeout.
+    LateResponse(AttemptId),
+    /// No response to an attempt within the timeout.
+    MissingResponse(AttemptId),
 }
 
-/// Tracks the attempts without a response.
+/// Tracks attempts until their response.
 pub struct Checker {
     timeout: SimulationMicros,
-    waiting: BTreeMap<AttemptId, SimulationMicros>,
-    due: BTreeSet<(SimulationMicros, AttemptId)>,
-    broken: BTreeSet<AttemptId>,
+    /// Deadline of each attempt without a response.
+    pending: BTreeMap<AttemptId, SimulationMicros>,
+    /// The pending attempts, ordered by deadline.
+    deadlines: BTreeSet<(SimulationMicros, AttemptId)>,
+    /// Attempts whose connection was lost before their response.
+    disconnected: BTreeSet<AttemptId>,
     violations: Vec<Violation>,
 }
 
 impl Checker {
-    /// Creates a checker for callers with this timeout.
+    /// Creates a checker; `timeout` counts from the arrival of an attempt at a server.
     pub fn new(timeout: SimulationMicros) -> Checker {
         Checker {
             timeout,
-            waiting: BTreeMap::new(),
-            due: BTreeSet::new(),
-            broken: BTreeSet::new(),
+            pending: BTreeMap::new(),
+            deadlines: BTreeSet::new(),
+            disconnected: BTreeSet::new(),
             violations: Vec::new(),
         }
     }
 
-    /// An attempt reached a server.
-    pub fn reached(&mut self, now: SimulationMicros, attempt: AttemptId) {
-        let due = now + self.timeout;
-        self.waiting.insert(attempt, due);
-        self.due.insert((due, attempt));
+    /// Records that an attempt arrived at a server.
+    pub fn attempt_arrived(&mut self, now: SimulationMicros, attempt: AttemptId) {
+        let deadline = now + self.timeout;
+        self.pending.insert(attempt, deadline);
+        self.deadlines.insert((deadline, attempt));
     }
 
-    /// A server sent a final answer.
-    pub fn answered(&mut self, now: SimulationMicros, attempt: AttemptId) {
-        // A response may cross with the end of its connection; it is the final one all the same.
-        if self.broken.remove(&attempt) {
+    /// Records that a server sent a final response.
+    pub fn response_sent(&mut self, now: SimulationMicros, attempt: AttemptId) {
+        // A response sent as its connection is lost still counts as the only one.
+        if self.disconnected.remove(&attempt) {
             return;
         }
-        match self.waiting.remove(&attempt) {
-            None => self.violations.push(Violation::AnsweredTwice(attempt)),
-            Some(due) => {
-                self.due.remove(&(due, attempt));
-                if now > due {
-                    self.violations.push(Violation::AnsweredLate(attempt));
+        match self.pending.remove(&attempt) {
+            None => self.violations.push(Violation::DuplicateResponse(attempt)),
+            Some(deadline) => {
+                self.deadlines.remove(&(deadline, attempt));
+                if now > deadline {
+                    self.violations.push(Violation::LateResponse(attempt));
                 }
             }
         }
     }
 
-    /// The connection of an attempt broke: no response is due.
-    pub fn broke(&mut self, attempt: AttemptId) {
-        if let Some(due) = self.waiting.remove(&attempt) {
-            self.due.remove(&(due, attempt));
-            self.broken.insert(attempt);
+    /// Records that the connection of an attempt was lost, so that no response is expected.
+    pub fn connection_lost(&mut self, attempt: AttemptId) {
+        if let Some(deadline) = self.pending.remove(&attempt) {
+            self.deadlines.remove(&(deadline, attempt));
+            self.disconnected.insert(attempt);
         }
     }
 
-    /// Checks for attempts that are overdue, and returns all violations.
+    /// Records attempts whose deadline is before `now` as missing a response, and returns all violations so
+    /// far.
     pub fn violations(&mut self, now: SimulationMicros) -> &[Violation] {
-        while let Some((due, attempt)) = self.due.first().copied().filter(|(due, _)| *due < now) {
-            self.due.remove(&(due, attempt));
-            self.waiting.remove(&attempt);
-            self.violations.push(Violation::NeverAnswered(attempt));
+        while let Some((deadline, attempt)) =
+            self.deadlines.first().copied().filter(|(deadline, _)| *deadline < now)
+        {
+            self.deadlines.remove(&(deadline, attempt));
+            self.pending.remove(&attempt);
+            self.violations.push(Violation::MissingResponse(attempt));
         }
         &self.violations
     }
--- a/crates/loomflow-overload-simulation/src/client.rs
+++ b/crates/loomflow-overload-simulation/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: each sends one request, retries it when it fails, and abandons it in the end.
+//! Clients: each sends one request, retries it after failures, and abandons it at its timeout.
 
 use fastrand::Rng;
 use loomflow::time::Millis;
@@ -6,18 +6,18 @@
 use crate::clock::{MILLISECOND, SimulationMicros};
 use crate::cores::AttemptId;
 
-/// Behaviour of clients.
+/// Deadlines and retries of clients.
 #[derive(Clone, Debug)]
 pub struct ClientPolicy {
-    /// A response within this time of the first attempt counts, a later one does not.
+    /// Latency objective, from the first attempt on; later responses do not count as served in time.
     pub objective: SimulationMicros,
-    /// How long a client waits over all attempts.
+    /// Time after which a client abandons its request, over all attempts.
     pub timeout: SimulationMicros,
-    /// Upper bound of the number of retries, which is drawn for each client from 1 on.
+    /// Maximum number of retries; each client draws its limit from 1 to this. 0 disables retries.
     pub max_retries: u32,
-    /// Upper bound of the backoff before a retry, which is drawn for each.
+    /// Maximum backoff before a retry; each backoff is drawn from 0 to this.
     pub max_backoff: SimulationMicros,
-    /// An attempt without a response for this long is abandoned for another one, if retries are left.
+    /// Time after which an attempt without a response is abandoned and retried, if retries are left.
     pub attempt_timeout: SimulationMicros,
 }
 
@@ -33,32 +33,32 @@
     }
 }
 
-/// A client's request over all attempts.
+/// State of a client's request over all its attempts.
 pub struct Request {
-    /// When it was sent first.
+    /// Time of the first attempt.
     pub sent_at: SimulationMicros,
-    /// Work, ms on one core.
+    /// Work of a run, ms on one core.
     pub work: Millis,
-    /// Work as callers estimate it, ms on one core.
+    /// Work as estimated by the callers, ms on one core.
     pub estimated_work: Millis,
-    /// Retries that are left.
+    /// Number of retries left.
     pub retries_left: u32,
-    /// Number of the attempt, by which timers of earlier ones are ignored.
+    /// Number of the client's current attempt or backoff; timers with an earlier number are ignored.
     pub serial: u32,
     /// The caller of the current attempt.
     pub caller: usize,
-    /// The servers tried in the current attempt.
+    /// Servers that the caller has tried in the current attempt.
     pub servers_tried: Vec<usize>,
-    /// The caller's attempt in progress.
+    /// The caller's attempt at a server that is in progress, if any.
     pub attempt: Option<AttemptId>,
-    /// Whether it was attempted before.
-    pub attempted: bool,
-    /// Whether it was answered or abandoned.
+    /// Whether the request has been sent to a server before.
+    pub was_attempted: bool,
+    /// Whether the request was served, failed for good or was abandoned.
     pub is_finished: bool,
 }
 
 impl Request {
-    /// Draws a request around the mean work; its estimate is within a fifth.
+    /// Draws a request with work of `mean` ± `spread` × `mean`, and an estimate within 20 % of the work.
     pub fn draw(
         policy: &ClientPolicy,
         now: SimulationMicros,
@@ -76,7 +76,7 @@
             caller: 0,
             servers_tried: Vec::new(),
             attempt: None,
-            attempted: false,
+            was_attempted: false,
             is_finished: false,
         }
     }
--- a/crates/loomflow-overload-simulation/src/clock.rs
+++ b/crates/loomflow-overload-simulation/src/clock.rs
@@ -1,63 +1,65 @@
-//! Simulated time and the queue of events to come.
+//! Virtual time and the event queue.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
 use loomflow::time::Millis;
 
-/// A point in time since the start of the simulation, or a duration, in microseconds. Integers, so that the order of events
-/// does not depend on rounding; `loomflow::time::Micros` is signed and counts from the start of a process.
+/// A time since the start of the simulation, or a duration, in microseconds. An integer, so that the order of
+/// events does not depend on rounding. Unlike `loomflow::time::Micros`, it is unsigned and does not count
+/// from the start of a process.
 pub type SimulationMicros = u64;
 
-/// One simulated millisecond.
+/// One millisecond of virtual time.
 pub const MILLISECOND: SimulationMicros = 1_000;
-/// One simulated second.
+/// One second of virtual time.
 pub const SECOND: SimulationMicros = 1_000_000;
 
-/// Converts to the milliseconds that the controller counts in.
+/// Converts to milliseconds, the controller's unit of time.
 pub fn to_millis(time: SimulationMicros) -> Millis {
     time as f64 / MILLISECOND as f64
 }
 
-/// Converts from milliseconds, rounded up so that nothing fires early; negative spans count as none.
+/// Converts from milliseconds, rounded up so that no timer fires early; negative durations become 0.
 pub fn from_millis(millis: Millis) -> SimulationMicros {
     (millis.max(0.0) * MILLISECOND as f64).ceil() as SimulationMicros
 }
 
-/// Events in the order of their time; those of the same moment in the order in which they were scheduled.
+/// Queue of scheduled events, ordered by time; events at the same time keep the order in which they were
+/// scheduled.
 pub struct EventQueue<E> {
-    heap: BinaryHeap<Reverse<Scheduled<E>>>,
-    scheduled: u64,
+    heap: BinaryHeap<Reverse<ScheduledEvent<E>>>,
+    last_sequence: u64,
     now: SimulationMicros,
 }
 
-struct Scheduled<E> {
+struct ScheduledEvent<E> {
     at: SimulationMicros,
     sequence: u64,
     event: E,
 }
 
-impl<E> Scheduled<E> {
+impl<E> ScheduledEvent<E> {
     fn key(&self) -> (SimulationMicros, u64) {
         (self.at, self.sequence)
     }
 }
 
-impl<E> PartialEq for Scheduled<E> {
+impl<E> PartialEq for ScheduledEvent<E> {
     fn eq(&self, other: &Self) -> bool {
         self.key() == other.key()
     }
 }
 
-impl<E> Eq for Scheduled<E> {}
+impl<E> Eq for ScheduledEvent<E> {}
 
-impl<E> PartialOrd for Scheduled<E> {
+impl<E> PartialOrd for ScheduledEvent<E> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<E> Ord for Scheduled<E> {
+impl<E> Ord for ScheduledEvent<E> {
     fn cmp(&self, other: &Self) -> Ordering {
         self.key().cmp(&other.key())
     }
@@ -65,24 +67,24 @@
 
 impl<E> Default for EventQueue<E> {
     fn default() -> Self {
-        EventQueue { heap: BinaryHeap::new(), scheduled: 0, now: 0 }
+        EventQueue { heap: BinaryHeap::new(), last_sequence: 0, now: 0 }
     }
 }
 
 impl<E> EventQueue<E> {
-    /// The time of the event taken last.
+    /// Returns the current virtual time: that of the last event taken from the queue.
     pub fn now(&self) -> SimulationMicros {
         self.now
     }
 
-    /// Schedules an event; one in the past happens now.
+    /// Schedules an event; a time in the past is replaced by the current time.
     pub fn schedule(&mut self, at: SimulationMicros, event: E) {
-        self.scheduled += 1;
-        self.heap.push(Reverse(Scheduled { at: at.max(self.now), sequence: self.scheduled, event }));
+        self.last_sequence += 1;
+        self.heap.push(Reverse(ScheduledEvent { at: at.max(self.now), sequence: self.last_sequence, event }));
     }
 
-    /// Moves the clock to the next event before `end` and gives it.
-    pub fn next_before(&mut self, end: SimulationMicros) -> Option<E> {
+    /// Removes the next event, advances the clock to it and returns it, if it is scheduled before `end`.
+    pub fn pop_before(&mut self, end: SimulationMicros) -> Option<E> {
         if self.heap.peek()?.0.at >= end {
             return None;
         }
--- a/crates/loomflow-overload-simulation/src/connections.rs
+++ b/crates/loomflow-overload-simulation/src/connections.rs
@@ -1,6 +1,6 @@
-//! Connections between callers and servers, and the bounded table of them that each server has.
+//! Connections between callers and servers, and the bounded connection table of each server.
 //!
-//! A connection carries one request at a time. Both ends notice at once when it is closed.
+//! A connection carries one request at a time. When it is closed, both ends notice immediately.
 
 use std::collections::VecDeque;
 
@@ -17,7 +17,7 @@
     pub server: usize,
     /// False once either end has closed it.
     pub is_open: bool,
-    /// Since when it has carried no request.
+    /// Time since which it has carried no request; `None` while it carries one.
     pub idle_since: Option<SimulationMicros>,
 }
 
@@ -28,28 +28,28 @@
 }
 
 impl Connections {
-    /// A new connection that carries its first request.
+    /// Opens a connection, which carries its first request.
     pub fn open(&mut self, caller: usize, server: usize) -> ConnectionId {
         self.slots.push(CallerConnection { caller, server, is_open: true, idle_since: None });
         self.slots.len() as ConnectionId - 1
     }
 
-    /// A connection by its id.
+    /// Returns a connection, open or closed.
     pub fn get(&self, id: ConnectionId) -> &CallerConnection {
         &self.slots[id as usize]
     }
 
-    /// Marks when the connection became idle, or that it carries a request again.
+    /// Sets the time since which a connection is idle; `None` if it carries a request again.
     pub fn set_idle(&mut self, id: ConnectionId, since: Option<SimulationMicros>) {
         self.slots[id as usize].idle_since = since;
     }
 
-    /// Closes a connection; returns false if it was closed before.
+    /// Closes a connection; returns false if it was already closed.
     pub fn close(&mut self, id: ConnectionId) -> bool {
         std::mem::replace(&mut self.slots[id as usize].is_open, false)
     }
 
-    /// The open connections that satisfy a predicate.
+    /// Returns the open connections that satisfy a predicate.
     pub fn filter_open(&self, predicate: impl Fn(&CallerConnection) -> bool) -> Vec<ConnectionId> {
         let all = self.slots.iter().enumerate();
         all.filter(|(_, connection)| connection.is_open && predicate(connection))
@@ -62,7 +62,8 @@
 pub struct ConnectionTable {
     capacity: usize,
     open: usize,
-    /// Connections in the order in which they became idle; those used or closed since are skipped.
+    /// Connections with the time at which they became idle, in that order. May contain connections that were
+    /// used or closed since.
     idle: VecDeque<(SimulationMicros, ConnectionId)>,
 }
 
@@ -72,7 +73,7 @@
         ConnectionTable { capacity, open: 0, idle: VecDeque::new() }
     }
 
-    /// Whether no further connection can be accepted.
+    /// Returns whether the table has no free entry.
     pub fn is_full(&self) -> bool {
         self.open >= self.capacity
     }
@@ -84,38 +85,39 @@
         has_capacity
     }
 
-    /// A connection was closed.
-    pub fn closed(&mut self) {
+    /// Frees the entry of a connection that was closed.
+    pub fn connection_closed(&mut self) {
         self.open -= 1;
     }
 
-    /// A connection became idle.
-    pub fn idle(&mut self, now: SimulationMicros, id: ConnectionId) {
+    /// Records that a connection became idle.
+    pub fn connection_idle(&mut self, now: SimulationMicros, id: ConnectionId) {
         self.idle.push_back((now, id));
     }
 
-    /// The connections that have been idle for `limit`, to be closed.
-    pub fn overdue(
+    /// Removes and returns the connections that have been idle for `limit`, for the caller to close.
+    pub fn take_expired(
         &mut self,
         now: SimulationMicros,
         limit: SimulationMicros,
         connections: &Connections,
     ) -> Vec<ConnectionId> {
-        let mut overdue = Vec::new();
+        let mut expired = Vec::new();
         while let Some((_, id)) = self.idle.front().copied().filter(|(since, _)| *since + limit <= now) {
             self.idle.pop_front();
-            overdue.push(id);
+            expired.push(id);
         }
-        overdue.retain(|id| {
+        expired.retain(|id| {
             let connection = connections.get(*id);
             connection.is_open && connection.idle_since.is_some_and(|since| since + limit <= now)
         });
-        overdue
+        expired
     }
 
-    /// The longest idle connections that have to be closed for at most a part of the table to stay in use.
-    pub fn longest_idle_over(&mut self, part: f64, connections: &Connections) -> Vec<ConnectionId> {
-        let max_open = (part * self.capacity as f64) as usize;
+    /// Removes and returns the connections idle for longest that must be closed to bring the fill down to
+    /// `max_fill`.
+    pub fn take_longest_idle(&mut self, max_fill: f64, connections: &Connections) -> Vec<ConnectionId> {
+        let max_open = (max_fill * self.capacity as f64) as usize;
         let mut excess = Vec::new();
         while self.open - excess.len() > max_open {
             let Some((since, id)) = self.idle.pop_front() else { break };
@@ -127,12 +129,12 @@
         excess
     }
 
-    /// The number of open connections.
-    pub fn open(&self) -> usize {
+    /// Returns the number of open connections.
+    pub fn open_count(&self) -> usize {
         self.open
     }
 
-    /// The part of the table that is in use, 0 to 1.
+    /// Returns the fraction of the table in use, 0 to 1.
     pub fn fill(&self) -> f64 {
         self.open as f64 / self.capacity as f64
     }
--- a/crates/loomflow-overload-simulation/src/counts.rs
+++ b/crates/loomflow-overload-simulation/src/counts.rs
@@ -1,23 +1,23 @@
-//! What a simulation counts, by second.
+//! Results of a simulation, by second.
 
 use crate::clock::{SECOND, SimulationMicros};
 
-/// Counts of one second; outcomes of requests are counted in the second in which they were first sent.
+/// Counts of one second. Requests served in time are counted in the second in which they were first sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SecondCounts {
-    /// Requests sent by clients.
+    /// Number of new requests sent by clients.
     pub sent: u64,
-    /// Requests answered within the objective.
+    /// Number of requests served within the latency objective.
     pub in_time: u64,
-    /// Attempts of clients.
+    /// Number of attempts of clients, including retries.
     pub client_attempts: u64,
-    /// Attempts of callers, including those without a connection.
+    /// Number of attempts of callers at servers, including those whose connection was rejected.
     pub attempts: u64,
-    /// Attempts whose connection was rejected.
+    /// Number of attempts whose new connection was rejected.
     pub connections_rejected: u64,
-    /// Connections opened.
+    /// Number of connections opened, each with a handshake.
     pub handshakes: u64,
-    /// Attempts rejected by a server.
+    /// Number of rejections received by callers.
     pub rejected: u64,
     /// Sums over the servers that are up, sampled once per second.
     pub sample: ServerSums,
@@ -26,50 +26,51 @@
 /// Sums over the servers that are up.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerSums {
-    /// Servers up.
+    /// Number of servers that are up.
     pub servers: u64,
-    /// Sum of their send shares.
+    /// Sum of their send shares, 0 to 1 each.
     pub share: f64,
     /// Sum of their limits on concurrent runs.
     pub limit: f64,
-    /// Sum of their unread requests.
+    /// Number of requests that wait to be read.
     pub unread: u64,
-    /// Sum of the fill of their tables, 0 to 1 each.
+    /// Sum of the fill of their connection tables, 0 to 1 each.
     pub fill: f64,
-    /// Sum of the utilization of their cores.
+    /// Sum of their core utilization, 0 to 1 each.
     pub busy: f64,
-    /// Servers whose table is full.
+    /// Number of servers whose connection table is full.
     pub full: u64,
-    /// Servers that close idle connections immediately.
+    /// Number of servers whose idle timeout is below one second (or below that of the callers, if shorter).
     pub closing: u64,
 }
 
-/// All seconds of a simulation.
+/// Counts of all seconds of a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CountsBySecond {
-    /// In order, from the start.
+    /// Counts by second since the start.
     pub seconds: Vec<SecondCounts>,
 }
 
 impl CountsBySecond {
-    /// The second of a time.
-    pub fn at(&mut self, moment: SimulationMicros) -> &mut SecondCounts {
-        let second = (moment / SECOND) as usize;
+    /// Returns the counts of the second that contains `time`.
+    pub fn at(&mut self, time: SimulationMicros) -> &mut SecondCounts {
+        let second = (time / SECOND) as usize;
         if self.seconds.len() <= second {
             self.seconds.resize(second + 1, SecondCounts::default());
         }
         &mut self.seconds[second]
     }
 
-    /// Part of the requests that were answered within the objective, over the seconds `from..to`.
+    /// Returns the fraction of the requests sent in the seconds `from..to` that were served within the
+    /// latency objective.
     pub fn service(&self, from: usize, to: usize) -> f64 {
         let sent = self.sum(from, to, |second| second.sent);
         self.sum(from, to, |second| second.in_time) / sent
     }
 
-    /// A sum over the seconds `from..to`.
-    pub fn sum(&self, from: usize, to: usize, of: impl Fn(&SecondCounts) -> u64) -> f64 {
+    /// Sums a count over the seconds `from..to`.
+    pub fn sum(&self, from: usize, to: usize, count: impl Fn(&SecondCounts) -> u64) -> f64 {
         let to = to.min(self.seconds.len());
-        self.seconds[from.min(to)..to].iter().map(of).sum::<u64>() as f64
+        self.seconds[from.min(to)..to].iter().map(count).sum::<u64>() as f64
     }
 }
--- a/crates/loomflow-overload-simulation/src/fault.rs
+++ b/crates/loomflow-overload-simulation/src/fault.rs
@@ -1,42 +1,42 @@
-//! Faults of a simulation.
+//! Faults that a simulation injects.
 
 use crate::clock::SimulationMicros;
 
-/// Kinds of faults.
+/// Kind of a fault, with the fraction of the fleet that it affects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
-    /// Some callers are down, and come back with empty pools.
+    /// Some callers are down; they restart with empty connection pools.
     CallersDown {
-        /// Fraction that is affected, 0 to 1.
+        /// Affected fraction of the callers or servers, 0 to 1.
         fraction: f64,
     },
-    /// Some servers are down, and come back in slow start.
+    /// Some servers are down; they restart in slow start.
     ServersDown {
-        /// Fraction that is affected, 0 to 1.
+        /// Affected fraction of the callers or servers, 0 to 1.
         fraction: f64,
     },
-    /// Some servers are slow.
+    /// The cores of some servers are slow.
     ServersSlow {
-        /// Fraction that is affected, 0 to 1.
+        /// Affected fraction of the callers or servers, 0 to 1.
         fraction: f64,
-        /// Remaining speed, 0 to 1.
+        /// Remaining speed of their cores, 0 to 1.
         speed: f64,
     },
 }
 
-/// A fault with its time span.
+/// A fault with its start and end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    /// Kind of the fault.
+    /// Kind of the failure, with the affected fraction.
     pub kind: FaultKind,
-    /// Start.
+    /// Time at which the fault starts.
     pub starts_at: SimulationMicros,
-    /// End.
+    /// Time at which the fault ends.
     pub ends_at: SimulationMicros,
 }
 
 impl FaultKind {
-    /// How many of `total` callers or servers are affected.
+    /// Returns how many of `total` callers or servers are affected.
     pub fn affected_count(&self, total: usize) -> usize {
         let (FaultKind::CallersDown { fraction }
         | FaultKind::ServersDown { fraction }
--- a/crates/loomflow-overload-simulation/src/fleet.rs
+++ b/crates/loomflow-overload-simulation/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The simulation: all parts connected, advanced event by event.
+//! The simulation: the event loop that connects servers, callers and clients.
 
 mod calls;
 mod faults;
@@ -16,7 +16,7 @@
 use crate::server::{Server, ServerResponse};
 use crate::setup::Setup;
 
-/// Index of a client's request.
+/// Index of a client's request in [`Fleet::requests`].
 type RequestIndex = usize;
 
 /// An event of the simulation.
@@ -24,33 +24,36 @@
 enum Event {
     /// A client sends a new request.
     NewRequest,
-    /// A client retries after its backoff.
+    /// The backoff of a client has elapsed.
     ClientRetry { request: RequestIndex, serial: u32 },
-    /// A client abandons an attempt without a response.
+    /// The timeout of a client's attempt has elapsed.
     AttemptTimeout { request: RequestIndex, serial: u32 },
-    /// A client abandons its request.
+    /// The timeout of a client's request has elapsed.
     ClientTimeout { request: RequestIndex },
     /// An attempt arrives at its server.
     AttemptArrives { attempt: AttemptId },
-    /// A caller learns that its attempt got no connection, or that the connection broke.
+    /// A caller is notified that its attempt got no connection, or that the connection was lost.
     NoConnection { attempt: AttemptId },
     /// A response arrives at its caller.
     ResponseArrives { attempt: AttemptId, response: ServerResponse, share: f64 },
-    /// A timer of a server's incarnation.
-    ServerTimer { server: usize, incarnation: u32, due: Due },
-    /// A fault begins.
+    /// A timer of one incarnation of a server has fired.
+    ServerTimer { server: usize, incarnation: u32, timer: TimerKind },
+    /// A fault starts.
     FaultStarts { fault: usize },
     /// A fault ends.
-    FaultCleared { fault: usize },
-    /// The state of the servers is sampled, once per second.
+    FaultEnds { fault: usize },
+    /// The state of the servers is sampled, every second.
     Sample,
 }
 
 /// Timers of a server.
 #[derive(Clone, Copy, Debug)]
-enum Due {
+enum TimerKind {
+    /// A job on the cores completes, unless the jobs have changed since (by version).
     Cores { version: u64 },
+    /// The next batch of the controller is due.
     Batch,
+    /// The timer that the controller has set.
     Wake,
 }
 
@@ -60,23 +63,24 @@
     caller: usize,
     server: usize,
     connection: Option<ConnectionId>,
-    /// Whether the caller waits for its end.
+    /// Whether the caller still waits for a response.
     is_open: bool,
     /// Whether it opens a new connection.
     opens_connection: bool,
-    /// Whether the request was attempted before.
+    /// Whether the request was sent to a server before.
     is_retry: bool,
 }
 
-/// A machine: its connection table, and the server while it is up.
+/// A machine with its connection table and, while it is up, its server.
 struct Machine {
     server: Option<Server>,
     table: ConnectionTable,
-    table_bound: usize,
+    table_capacity: usize,
+    /// Number of starts of the server; timers of earlier incarnations are ignored.
     incarnation: u32,
 }
 
-/// The simulation.
+/// A simulated fleet with its callers and clients.
 pub struct Fleet {
     setup: Setup,
     rng: Rng,
@@ -94,12 +98,12 @@
 pub struct SimulationResults {
     /// Counts by second.
     pub counts: CountsBySecond,
-    /// Rules that the servers violated.
+    /// Violations of the rules for responses.
     pub violations: Vec<Violation>,
 }
 
 impl Fleet {
-    /// Creates a simulation with everything up and no connection open.
+    /// Creates a simulation in which all servers and callers are up and no connection is open.
     pub fn new(setup: Setup) -> Fleet {
         let mut rng = Rng::with_seed(setup.seed);
         let callers =
@@ -116,24 +120,24 @@
             checker: Checker::new(setup.client_policy.timeout),
             setup,
         };
-        fleet.place_machines();
+        fleet.create_machines();
         fleet.schedule_faults();
         fleet.events.schedule(0, Event::NewRequest);
         fleet.events.schedule(SECOND / 2, Event::Sample);
         fleet
     }
 
-    /// Runs until every request is answered or abandoned.
-    pub fn play(mut self) -> SimulationResults {
+    /// Runs until every request has been served, has failed or was abandoned.
+    pub fn run(mut self) -> SimulationResults {
         let end = self.setup.duration + self.setup.client_policy.timeout + SECOND;
-        while let Some(event) = self.events.next_before(end) {
-            self.step(event);
+        while let Some(event) = self.events.pop_before(end) {
+            self.handle_event(event);
         }
         let violations = self.checker.violations(end).to_vec();
         SimulationResults { counts: self.counts, violations }
     }
 
-    fn step(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::NewRequest => self.send_new_request(),
             Event::ClientRetry { request, serial } => self.retry(request, serial),
@@ -144,9 +148,11 @@
             Event::ResponseArrives { attempt, response, share } => {
                 self.response_received(attempt, response, share);
             }
-            Event::ServerTimer { server, incarnation, due } => self.server_due(server, incarnation, due),
+            Event::ServerTimer { server, incarnation, timer } => {
+                self.server_timer_fired(server, incarnation, timer);
+            }
             Event::FaultStarts { fault } => self.fault_started(fault),
-            Event::FaultCleared { fault } => self.fault_ended(fault),
+            Event::FaultEnds { fault } => self.fault_ended(fault),
             Event::Sample => self.sample(),
         }
     }
@@ -155,7 +161,7 @@
         self.events.now()
     }
 
-    /// Schedules an event after the delay of the network.
+    /// Schedules an event after a random network delay.
     fn send(&mut self, event: Event) {
         let delay = self.setup.network.delay(&mut self.rng);
         self.events.schedule(self.events.now() + delay, event);
--- a/crates/loomflow-overload-simulation/src/fleet/calls.rs
+++ b/crates/loomflow-overload-simulation/src/fleet/calls.rs
@@ -1,4 +1,4 @@
-//! Requests of clients and attempts of callers.
+//! Requests of clients, and the attempts of callers at servers.
 
 use crate::client::Request;
 use crate::clock::{SECOND, SimulationMicros};
@@ -7,7 +7,7 @@
 use crate::server::ServerResponse;
 
 impl Fleet {
-    /// A client sends a new request, and the next one is scheduled (a Poisson process).
+    /// Sends a new request of a client and schedules the next one. Requests form a Poisson process.
     pub(super) fn send_new_request(&mut self) {
         let now = self.now();
         if now >= self.setup.duration {
@@ -21,8 +21,8 @@
         self.counts.at(now).sent += 1;
         self.events.schedule(now + self.setup.client_policy.timeout, Event::ClientTimeout { request: index });
         self.start_attempt(index);
-        let gap = -(1.0 - self.rng.f64()).ln() / self.setup.requests_per_second();
-        self.events.schedule(now + (gap * SECOND as f64) as SimulationMicros, Event::NewRequest);
+        let interval_s = -(1.0 - self.rng.f64()).ln() / self.setup.requests_per_second();
+        self.events.schedule(now + (interval_s * SECOND as f64) as SimulationMicros, Event::NewRequest);
     }
 
     pub(super) fn retry(&mut self, request: RequestIndex, serial: u32) {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// A client abandons its attempt for another one, if retries are left.
+    /// Abandons an attempt that timed out and starts another one, if retries are left.
     pub(super) fn attempt_timed_out(&mut self, request: RequestIndex, serial: u32) {
         if self.is_current_attempt(request, serial) && self.requests[request].retries_left > 0 {
             self.requests[request].retries_left -= 1;
@@ -47,14 +47,15 @@
         }
     }
 
-    /// An attempt got no connection, or lost it with its server: the caller tries the next server.
+    /// Handles an attempt that got no connection or lost it with its server: the caller tries the next
+    /// server.
     pub(super) fn no_connection(&mut self, attempt: AttemptId) {
         if self.end_attempt(attempt) {
             self.try_next_server(self.attempts[attempt as usize].request);
         }
     }
 
-    /// The final response of a server arrives at the caller.
+    /// Handles a final response at the caller.
     pub(super) fn response_received(&mut self, attempt: AttemptId, response: ServerResponse, share: f64) {
         let now = self.now();
         if !self.end_attempt(attempt) {
@@ -66,7 +67,7 @@
         }
         self.callers[caller].share_received(now, server, share);
         match response {
-            ServerResponse::Served => self.served(request),
+            ServerResponse::Served => self.request_served(request),
             ServerResponse::Failed => self.try_next_server(request),
             ServerResponse::Rejected { retry_after, is_final } => {
                 self.callers[caller].retry_after_received(now, server, retry_after);
@@ -80,7 +81,7 @@
         }
     }
 
-    /// The client abandons its attempt, and the connection in use is closed.
+    /// Abandons the attempt of a client in progress, if any, and closes its connection.
     fn abandon(&mut self, request: RequestIndex) {
         let Some(attempt) = self.requests[request].attempt else { return };
         self.end_attempt(attempt);
@@ -92,7 +93,7 @@
 
     fn start_attempt(&mut self, index: RequestIndex) {
         let now = self.now();
-        let Some(caller) = self.live_caller() else { return };
+        let Some(caller) = self.pick_live_caller() else { return };
         let request = &mut self.requests[index];
         request.serial += 1;
         request.caller = caller;
@@ -103,14 +104,14 @@
         self.try_next_server(index);
     }
 
-    /// Clients are spread evenly over the callers that are up.
-    fn live_caller(&mut self) -> Option<usize> {
+    /// Picks a caller for an attempt: a random one, or the next one that is up.
+    fn pick_live_caller(&mut self) -> Option<usize> {
         let first = self.rng.usize(..self.callers.len());
         let mut order = (first..self.callers.len()).chain(0..first);
         order.find(|caller| self.callers[*caller].is_up)
     }
 
-    /// The caller tries the next server, if any is left.
+    /// Sends a request to the next server, or fails the client's attempt if none is left.
     fn try_next_server(&mut self, index: RequestIndex) {
         let now = self.now();
         let request = &self.requests[index];
@@ -124,13 +125,13 @@
         let Some(server) = self.callers[caller].pick(now, &request.servers_tried, &mut self.rng) else {
             return self.attempt_failed(index);
         };
-        self.attempt(index, caller, server);
+        self.send_attempt(index, caller, server);
     }
 
-    fn attempt(&mut self, index: RequestIndex, caller: usize, server: usize) {
+    fn send_attempt(&mut self, index: RequestIndex, caller: usize, server: usize) {
         let id = self.attempts.len() as AttemptId;
         let request = &mut self.requests[index];
-        let is_retry = std::mem::replace(&mut request.attempted, true);
+        let is_retry = std::mem::replace(&mut request.was_attempted, true);
         request.servers_tried.push(server);
         request.attempt = Some(id);
         let connection = self.callers[caller].send(server);
@@ -151,7 +152,7 @@
         self.send(Event::AttemptArrives { attempt: id });
     }
 
-    fn served(&mut self, index: RequestIndex) {
+    fn request_served(&mut self, index: RequestIndex) {
         let now = self.events.now();
         let request = &mut self.requests[index];
         request.is_finished = true;
@@ -160,9 +161,9 @@
         }
     }
 
-    /// The client's attempt failed; it retries after a backoff if retries are left.
+    /// Handles the failure of a client's attempt: it is retried after a backoff, if retries are left.
     fn attempt_failed(&mut self, index: RequestIndex) {
-        let retry_after = self.rng.u64(0..=self.setup.client_policy.max_backoff);
+        let backoff = self.rng.u64(0..=self.setup.client_policy.max_backoff);
         let request = &mut self.requests[index];
         request.serial += 1;
         if request.retries_left == 0 {
@@ -171,16 +172,16 @@
         }
         request.retries_left -= 1;
         let retry_event = Event::ClientRetry { request: index, serial: request.serial };
-        self.events.schedule(self.events.now() + retry_after, retry_event);
+        self.events.schedule(self.events.now() + backoff, retry_event);
     }
 
-    /// The caller of a request is down: its client retries elsewhere.
-    pub(super) fn caller_lost(&mut self, request: RequestIndex) {
+    /// Handles the failure of a request's caller: the client's attempt fails.
+    pub(super) fn caller_failed(&mut self, request: RequestIndex) {
         self.abandon(request);
         self.attempt_failed(request);
     }
 
-    /// Ends an attempt; returns false if it had ended before.
+    /// Ends an attempt; returns false if it had already ended.
     fn end_attempt(&mut self, id: AttemptId) -> bool {
         let attempt = &mut self.attempts[id as usize];
         if !std::mem::replace(&mut attempt.is_open, false) {
--- a/crates/loomflow-overload-simulation/src/fleet/faults.rs
+++ b/crates/loomflow-overload-simulation/src/fleet/faults.rs
@@ -8,7 +8,7 @@
     pub(super) fn schedule_faults(&mut self) {
         for (index, fault) in self.setup.faults.iter().enumerate() {
             self.events.schedule(fault.starts_at, Event::FaultStarts { fault: index });
-            self.events.schedule(fault.ends_at, Event::FaultCleared { fault: index });
+            self.events.schedule(fault.ends_at, Event::FaultEnds { fault: index });
         }
     }
 
@@ -16,10 +16,10 @@
         let kind = self.setup.faults[fault].kind;
         match kind {
             FaultKind::CallersDown { .. } => {
-                (0..kind.affected_count(self.callers.len())).for_each(|caller| self.lose_caller(caller));
+                (0..kind.affected_count(self.callers.len())).for_each(|caller| self.fail_caller(caller));
             }
             FaultKind::ServersDown { .. } => {
-                (0..kind.affected_count(self.machines.len())).for_each(|server| self.lose_server(server));
+                (0..kind.affected_count(self.machines.len())).for_each(|server| self.fail_server(server));
             }
             FaultKind::ServersSlow { speed, .. } => self.set_fault_speed(kind, speed),
         }
@@ -40,34 +40,34 @@
         }
     }
 
-    /// A caller fails: its connections break, and its clients use other callers.
-    fn lose_caller(&mut self, caller: usize) {
+    /// Fails a caller: its connections are closed, and its clients retry at other callers.
+    fn fail_caller(&mut self, caller: usize) {
         self.callers[caller].is_up = false;
-        let waiting = |index: &RequestIndex| {
+        let is_waiting = |index: &RequestIndex| {
             let request = &self.requests[*index];
             !request.is_finished && request.caller == caller && request.attempt.is_some()
         };
-        let requests: Vec<RequestIndex> = (0..self.requests.len()).filter(waiting).collect();
+        let requests: Vec<RequestIndex> = (0..self.requests.len()).filter(is_waiting).collect();
         for request in requests {
-            self.caller_lost(request);
+            self.caller_failed(request);
         }
         for connection in self.connections.filter_open(|connection| connection.caller == caller) {
             self.close(connection);
         }
     }
 
-    /// A server goes down: its connections break, and callers are notified.
-    fn lose_server(&mut self, server: usize) {
+    /// Fails a server: its connections are closed, and the callers of open attempts are notified.
+    fn fail_server(&mut self, server: usize) {
         for connection in self.connections.filter_open(|connection| connection.server == server) {
             self.close(connection);
         }
-        let here = |index: &usize| {
+        let is_affected = |index: &usize| {
             let attempt = &self.attempts[*index];
             attempt.is_open && attempt.server == server && attempt.connection.is_some()
         };
-        let attempts: Vec<usize> = (0..self.attempts.len()).filter(here).collect();
+        let attempts: Vec<usize> = (0..self.attempts.len()).filter(is_affected).collect();
         for attempt in attempts {
-            self.checker.broke(attempt as AttemptId);
+            self.checker.connection_lost(attempt as AttemptId);
             self.send(Event::NoConnection { attempt: attempt as AttemptId });
         }
         self.machines[server].server = None;
--- a/crates/loomflow-overload-simulation/src/lib.rs
+++ b/crates/loomflow-overload-simulation/src/lib.rs
@@ -1,13 +1,14 @@
-//! Simulation of a fleet: servers that run the real controller, callers and clients. The same setup gives the same
-//! events.
+//! Deterministic simulation of a fleet under overload: servers that run the real controller, callers
+//! (gateways) and clients, in virtual time. The same [`setup::Setup`] produces the same events.
 //!
-//! - [`setup`]: parameters of a simulation; [`fault`]: its faults.
-//! - [`clock`], [`network`], [`cores`], [`connections`], [`server`], [`caller`], [`client`]: the parts, as state
-//!   machines.
-//! - [`fleet`]: the simulation of all parts.
-//! - [`counts`]: results by second; [`checker`]: the rules for responses, checked on the wire.
-//! - [`recovery`]: experiment on the recovery of a fleet after the loss of a part of it.
-//! - [`quota`]: experiment on the quota of a tenant whose requests are spread over the servers at random.
+//! - [`setup`]: parameters of a simulation; [`fault`]: faults that it injects.
+//! - [`clock`], [`network`], [`cores`], [`connections`], [`server`], [`caller`], [`client`]: the parts of
+//!   the model, as state machines.
+//! - [`fleet`]: the event loop that connects the parts.
+//! - [`counts`]: results by second; [`checker`]: checks that each attempt gets exactly one response in time.
+//! - [`recovery`]: experiment on the recovery of a fleet after the failure of some callers or servers.
+//! - [`quota`]: experiment on how the servers enforce the quota of a tenant whose requests are spread at
+//!   random.
 
 #![forbid(unsafe_code)]
 
--- a/crates/loomflow-overload-simulation/src/network.rs
+++ b/crates/loomflow-overload-simulation/src/network.rs
@@ -1,15 +1,15 @@
-//! The network between callers and servers: messages arrive after a random delay, and none is lost.
+//! The network between callers and servers, which delays messages at random and loses none.
 
 use fastrand::Rng;
 
 use crate::clock::SimulationMicros;
 
-/// One-way delays of messages.
+/// Range of the one-way delay of messages, drawn uniformly.
 #[derive(Clone, Debug)]
 pub struct Network {
-    /// Minimum one-way delay.
+    /// Minimum one-way delay, µs.
     pub min_delay: SimulationMicros,
-    /// Maximum one-way delay.
+    /// Maximum one-way delay, µs.
     pub max_delay: SimulationMicros,
 }
 
--- a/crates/loomflow-overload-simulation/src/quota.rs
+++ b/crates/loomflow-overload-simulation/src/quota.rs
@@ -1,8 +1,9 @@
-//! Experiment: a steady tenant whose requests are spread evenly at random over the servers. How many of them does each
-//! server's controller count as over the tenant's quota?
+//! Experiment: a tenant sends at a constant mean rate, and each request goes to a random server. Measures the
+//! fraction of its requests that the controllers count as over the tenant's quota.
 //!
-//! The controller does not report that. It shows in the order of the runs: a request within its tenant's quota has a higher
-//! priority weight than a probe without a tenant, one over the quota a lower one.
+//! The controller does not report that decision, so it is inferred from the order of the runs: a request
+//! within the quota has a higher priority weight than a probe without a tenant, a request over the quota has
+//! a lower one.
 
 use fastrand::Rng;
 use loomflow::controller::Controller;
@@ -14,36 +15,36 @@
 use crate::settings::controller_settings;
 use crate::setup::Setup;
 
-/// The place of the tenant's class and of the probe's class among the classes.
+/// Indices of the tenant's class and of the probe's class in the settings.
 const TENANT_CLASS: usize = 0;
 const PROBE_CLASS: usize = 1;
-/// The place of the tenant among the tenants, and one that names none.
+/// Index of the tenant in the settings, and the index that stands for no tenant.
 const TENANT: usize = 0;
 const NO_TENANT: usize = 1;
 /// Priority weight of a probe, between those of the tenant's requests within and over its quota.
 const PROBE_WEIGHT: f64 = 0.5;
 const OVER_QUOTA_WEIGHT: f64 = 0.1;
-/// A latency objective so long that nothing in the experiment is ever late, ms.
+/// Latency objective and timeout that no request in the experiment reaches, ms.
 const NEVER_MS: Millis = 1e9;
-/// Seconds before the count begins: saved tokens are used up by then or stay for good.
+/// Time before requests are counted, s: quota tokens saved up at the start are used up by then, or never.
 const SETTLING_TIME_S: f64 = 60.0;
 
-/// A tenant and the fleet that it sends to.
+/// A tenant with a constant mean request rate, and its fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct SteadyTenant {
-    /// Servers of the fleet.
+    /// Number of servers in the fleet.
     pub servers: usize,
-    /// Its quota over the whole fleet, requests a second.
+    /// Quota of the tenant over the whole fleet, requests per second.
     pub quota_per_s: f64,
-    /// What it sends, as a part of its quota.
+    /// Request rate of the tenant as a fraction of its quota.
     pub sent_part: f64,
-    /// Seconds over which its requests are counted.
+    /// Duration for which requests are counted, s.
     pub seconds: f64,
-    /// Seed of everything random.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// The part of its requests that the controllers count as over its quota, 0 to 1.
+/// Returns the fraction of the tenant's requests that the controllers count as over its quota, 0 to 1.
 pub fn over_quota_part(tenant: SteadyTenant) -> f64 {
     let mut rng = Rng::with_seed(tenant.seed);
     let settings = settings(&tenant);
@@ -77,24 +78,25 @@
     settings
 }
 
-/// The controller of one server with one core, and so one request that runs at a time.
+/// The controller of a server with one core, on which one request runs at a time.
 struct SingleCoreServer {
     controller: Controller,
-    requests: RequestId,
+    /// Id of the last request.
+    last_request: RequestId,
 }
 
 impl SingleCoreServer {
     fn new(settings: Settings, seed: u64) -> SingleCoreServer {
-        SingleCoreServer { controller: Controller::new(settings, seed, 0.0), requests: 0 }
+        SingleCoreServer { controller: Controller::new(settings, seed, 0.0), last_request: 0 }
     }
 
-    /// Whether a request of the tenant counts as over its quota. It is queued with a probe while another request runs, and runs
-    /// last if its weight is the lower one.
+    /// Returns whether a request of the tenant counts as over its quota. The request is queued with a probe
+    /// while another request runs, and runs after the probe if its weight is lower.
     fn classifies_over_quota(&mut self, now: Millis) -> bool {
-        self.arrives(now, PROBE_CLASS, NO_TENANT);
+        self.submit(now, PROBE_CLASS, NO_TENANT);
         let mut running = self.decide(now);
-        let tested = self.arrives(now, TENANT_CLASS, TENANT);
-        self.arrives(now, PROBE_CLASS, NO_TENANT);
+        let tested = self.submit(now, TENANT_CLASS, TENANT);
+        self.submit(now, PROBE_CLASS, NO_TENANT);
         let mut order = Vec::new();
         while let Some(id) = running {
             order.push(id);
@@ -105,10 +107,10 @@
         order.last() == Some(&tested)
     }
 
-    fn arrives(&mut self, now: Millis, class: usize, tenant: usize) -> RequestId {
-        self.requests += 1;
+    fn submit(&mut self, now: Millis, class: usize, tenant: usize) -> RequestId {
+        self.last_request += 1;
         let arrival = Arrival {
-            id: self.requests,
+            id: self.last_request,
             attributes: RequestAttributes {
                 class,
                 tenant,
@@ -124,10 +126,10 @@
             original: None,
         };
         self.controller.event(now, Event::RequestArrived(arrival), &mut Vec::new());
-        self.requests
+        self.last_request
     }
 
-    /// Ends a batch, and gives the request that is to run.
+    /// Ends a batch and returns the request that the controller runs, if any.
     fn decide(&mut self, now: Millis) -> Option<RequestId> {
         let mut actions = Vec::new();
         self.controller.decide(now, &mut actions);
--- a/crates/loomflow-overload-simulation/src/server.rs
+++ b/crates/loomflow-overload-simulation/src/server.rs
@@ -1,6 +1,6 @@
-//! A server: the controller, its cores, and the requests that wait to be read.
+//! A server: the controller, the cores, and the requests in progress.
 //!
-//! A state machine that takes arrivals and timers and returns [`Output`]s.
+//! A state machine driven by arrivals and timers; its effects are [`Output`]s.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -19,7 +19,7 @@
 const UTILIZATION_WINDOW: SimulationMicros = SECOND / 2;
 /// Idle timeout of connections under [`IdlePolicy::CloseImmediately`].
 const IMMEDIATE_IDLE_TIMEOUT: SimulationMicros = 50 * MILLISECOND;
-/// Part of the connection table that may stay in use under [`IdlePolicy::CloseWhenFull`].
+/// Maximum fill of the connection table under [`IdlePolicy::CloseWhenFull`], 0 to 1.
 const MAX_TABLE_FILL: f64 = 0.75;
 /// Memory of a request, KB; memory is never short in this model.
 const REQUEST_KB: f64 = 10.0;
@@ -27,71 +27,72 @@
 /// A request that arrives at a server.
 #[derive(Clone, Copy, Debug)]
 pub struct IncomingRequest {
-    /// The caller's attempt.
+    /// Id of the caller's attempt.
     pub attempt: AttemptId,
-    /// The caller.
+    /// Index of the caller.
     pub caller: usize,
-    /// Whether it opened a new connection.
+    /// Whether it arrives on a new connection, which needs a handshake.
     pub is_new_connection: bool,
-    /// Whether its caller or its client attempted it before.
+    /// Whether the request was sent to a server before, by its caller or after a retry of its client.
     pub is_retry: bool,
-    /// Work, ms on one core.
+    /// Work of a run, ms on one core.
     pub work: Millis,
-    /// Work as its caller estimates it, ms on one core.
+    /// Work as estimated by the caller, ms on one core.
     pub estimated_work: Millis,
 }
 
 /// Final response to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerResponse {
-    /// Served.
+    /// The request ran to its end.
     Served,
-    /// Rejected; it never ran.
+    /// The request was rejected and never ran.
     Rejected {
         /// How long the caller should back off.
         retry_after: SimulationMicros,
         /// Whether no other server should be tried.
         is_final: bool,
     },
-    /// Failed.
+    /// The controller failed the request.
     Failed,
 }
 
-/// Effects of a server.
+/// An effect of a server, carried out by the simulation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Output {
-    /// A response is sent, with the server's send share.
-    Answer {
-        /// The attempt.
+    /// Sends a final response.
+    Response {
+        /// The attempt that it responds to.
         attempt: AttemptId,
-        /// The response.
+        /// The outcome of the request.
         response: ServerResponse,
-        /// The send share, 0 to 1.
+        /// The server's send share, 0 to 1.
         share: f64,
     },
-    /// `cores_due` is to be called at this time, with this version.
+    /// Calls [`Server::cores_timer_fired`] at this time with this version.
     CoresAt(SimulationMicros, u64),
-    /// `batch_due` is to be called at this time.
+    /// Calls [`Server::batch_timer_fired`] at this time.
     BatchAt(SimulationMicros),
-    /// `wake_due` is to be called at this time.
+    /// Calls [`Server::wake_timer_fired`] at this time.
     WakeAt(SimulationMicros),
 }
 
-/// How far a request has come toward the controller.
+/// Progress of a request until it is submitted to the controller.
 #[derive(Clone, Copy, PartialEq)]
 enum IntakeStage {
     Unread,
     Reading,
-    /// Known to the controller.
-    Taken,
+    /// Read, and submitted to the controller.
+    Submitted,
 }
 
 struct RequestEntry {
     incoming: IncomingRequest,
-    reached: SimulationMicros,
+    arrived_at: SimulationMicros,
     stage: IntakeStage,
-    answered: bool,
-    began: SimulationMicros,
+    /// Whether a response was sent or is no longer expected, while the request still runs.
+    is_closed: bool,
+    run_started_at: SimulationMicros,
 }
 
 /// One incarnation of a server.
@@ -99,26 +100,30 @@
     controller: Controller,
     setup: ServerSetup,
     cores: Cores,
+    /// Incremented when the next completion changes; cores timers with an earlier version are ignored.
     cores_version: u64,
     unread: VecDeque<AttemptId>,
+    /// Number of requests being read.
     reading: usize,
     requests: BTreeMap<AttemptId, RequestEntry>,
+    /// Events for the controller's next batch.
     inbox: Vec<Event>,
     batch_at: Option<SimulationMicros>,
     last_batch: SimulationMicros,
     share: f64,
     idle_timeout: SimulationMicros,
-    started: SimulationMicros,
+    started_at: SimulationMicros,
     is_slow_start: bool,
-    /// Remaining speed under a fault, 0 to 1.
+    /// Remaining speed of the cores under a fault, 0 to 1.
     fault_speed: f64,
+    /// Current speed of the cores, from slow start, faults and the fill of the connection table.
     speed: f64,
-    /// Busy time of the cores at the last ticks.
-    busy: VecDeque<(SimulationMicros, Millis)>,
+    /// Samples of the busy time of the cores over the last [`UTILIZATION_WINDOW`].
+    busy_samples: VecDeque<(SimulationMicros, Millis)>,
 }
 
 impl Server {
-    /// Starts a server.
+    /// Starts a server at full speed; a slow start takes effect with the first wake timer.
     pub fn start(setup: &ServerSetup, settings: Settings, seed: u64, now: SimulationMicros) -> Server {
         let idle_timeout = match setup.idle_policy {
             IdlePolicy::CloseImmediately => IMMEDIATE_IDLE_TIMEOUT,
@@ -140,67 +145,79 @@
             last_batch: now,
             share: 1.0,
             idle_timeout,
-            started: now,
+            started_at: now,
             is_slow_start,
             fault_speed: 1.0,
             speed: 1.0,
-            busy: VecDeque::new(),
+            busy_samples: VecDeque::new(),
         }
     }
 
-    /// Current idle timeout of connections.
+    /// Returns the current idle timeout of connections.
     pub fn idle_timeout(&self) -> SimulationMicros {
         self.idle_timeout
     }
 
-    /// Part of its table above which the longest idle connections are closed.
+    /// Returns the fill of the connection table above which the connections idle for longest are closed.
     pub fn max_table_fill(&self) -> f64 {
         if self.setup.idle_policy == IdlePolicy::CloseWhenFull { MAX_TABLE_FILL } else { 1.0 }
     }
 
-    /// The load as the controller measures it.
+    /// Returns the load as measured by the controller.
     pub fn load(&self) -> Load {
         self.controller.load()
     }
 
-    /// Utilization of the cores over the last window; 0 before the first.
-    pub fn busy(&self) -> f64 {
-        let (Some((from, before)), Some((to, after))) = (self.busy.front(), self.busy.back()) else {
+    /// Returns the utilization of the cores over the last 500 ms, 0 to 1; 0 before two samples exist.
+    pub fn utilization(&self) -> f64 {
+        let (Some((from, before)), Some((to, after))) = (self.busy_samples.front(), self.busy_samples.back())
+        else {
             return 0.0;
         };
         if to > from { (after - before) / to_millis(to - from) } else { 0.0 }
     }
 
-    /// Number of requests that wait to be read.
-    pub fn unread(&self) -> usize {
+    /// Returns the number of requests that wait to be read.
+    pub fn unread_count(&self) -> usize {
         self.unread.len()
     }
 
-    /// Changes the remaining speed under a fault, 0 to 1.
+    /// Sets the remaining speed under a fault, 0 to 1, which takes effect with the next wake timer.
     pub fn set_fault_speed(&mut self, fault_speed: f64) {
         self.fault_speed = fault_speed;
     }
 
-    /// A request arrives.
-    pub fn reached(&mut self, now: SimulationMicros, incoming: IncomingRequest, out: &mut Vec<Output>) {
-        let requests =
-            RequestEntry { incoming, reached: now, stage: IntakeStage::Unread, answered: false, began: now };
-        self.requests.insert(incoming.attempt, requests);
+    /// Queues a request that arrives; it is read at once if fewer requests are being read than there are
+    /// cores.
+    pub fn request_arrived(
+        &mut self,
+        now: SimulationMicros,
+        incoming: IncomingRequest,
+        out: &mut Vec<Output>,
+    ) {
+        let entry = RequestEntry {
+            incoming,
+            arrived_at: now,
+            stage: IntakeStage::Unread,
+            is_closed: false,
+            run_started_at: now,
+        };
+        self.requests.insert(incoming.attempt, entry);
         self.unread.push_back(incoming.attempt);
         if self.read_next(now) {
             self.schedule_cores(out);
         }
     }
 
-    /// The caller of an attempt closed its connection.
+    /// Handles the disconnect of an attempt's caller; a request submitted to the controller is cancelled.
     pub fn caller_disconnected(&mut self, now: SimulationMicros, attempt: AttemptId, out: &mut Vec<Output>) {
         match self.requests.get(&attempt).map(|request| request.stage) {
-            // A request that is being read is read to its end: only then the disconnect is noticed.
+            // A request that is being read is read to its end: the disconnect is noticed only then.
             Some(IntakeStage::Unread | IntakeStage::Reading) => {
                 self.requests.remove(&attempt);
             }
-            Some(IntakeStage::Taken) => {
-                self.unanswerable(attempt);
+            Some(IntakeStage::Submitted) => {
+                self.close_request(attempt);
                 self.inbox.push(Event::RequestCancelled(attempt));
                 self.schedule_batch(now, out);
             }
@@ -208,14 +225,14 @@
         }
     }
 
-    /// A job on the cores may be finished.
-    pub fn cores_due(&mut self, now: SimulationMicros, version: u64, out: &mut Vec<Output>) {
+    /// Handles a cores timer: removes the completed jobs, unless `version` is outdated.
+    pub fn cores_timer_fired(&mut self, now: SimulationMicros, version: u64, out: &mut Vec<Output>) {
         if version != self.cores_version {
             return;
         }
-        while let Some(job) = self.cores.take_done(now) {
+        while let Some(job) = self.cores.take_completed(now) {
             match job {
-                Job::Read(attempt) => self.was_read(now, attempt, out),
+                Job::Read(attempt) => self.read_done(now, attempt, out),
                 Job::Run(attempt) => self.run_done(now, attempt, AttemptOutcome::Ok, out),
             }
         }
@@ -223,15 +240,15 @@
         self.schedule_cores(out);
     }
 
-    /// The next batch is due.
-    pub fn batch_due(&mut self, now: SimulationMicros, out: &mut Vec<Output>) {
+    /// Handles a batch timer: ends the batch, if it is due.
+    pub fn batch_timer_fired(&mut self, now: SimulationMicros, out: &mut Vec<Output>) {
         if self.batch_at.is_some_and(|at| at <= now) {
             self.batch(now, out);
         }
     }
 
-    /// The controller's timer has fired.
-    pub fn wake_due(
+    /// Handles the controller's timer: updates the speed of the cores, and ends a batch with current gauges.
+    pub fn wake_timer_fired(
         &mut self,
         now: SimulationMicros,
         table_fill: f64,
@@ -239,10 +256,10 @@
         out: &mut Vec<Output>,
     ) {
         self.update_speed(now, table_fill, out);
-        self.measure(now);
+        self.sample_utilization(now);
         let gauges = Gauges {
-            core_utilization: Some(self.busy()),
-            runnable: Some(self.cores.jobs() as f64),
+            core_utilization: Some(self.utilization()),
+            runnable: Some(self.cores.job_count() as f64),
             memory_utilization: None,
             connections: Some(connections as f64),
         };
@@ -250,11 +267,11 @@
         self.batch(now, out);
     }
 
-    fn was_read(&mut self, now: SimulationMicros, attempt: AttemptId, out: &mut Vec<Output>) {
+    fn read_done(&mut self, now: SimulationMicros, attempt: AttemptId, out: &mut Vec<Output>) {
         self.reading -= 1;
         let Some(request) = self.requests.get_mut(&attempt) else { return };
-        request.stage = IntakeStage::Taken;
-        let arrival = arrival(&request.incoming, to_millis(now - request.reached));
+        request.stage = IntakeStage::Submitted;
+        let arrival = arrival(&request.incoming, to_millis(now - request.arrived_at));
         self.inbox.push(Event::RequestArrived(arrival));
         self.schedule_batch(now, out);
     }
@@ -267,17 +284,17 @@
         out: &mut Vec<Output>,
     ) {
         let Some(request) = self.requests.remove(&attempt) else { return };
-        if outcome == AttemptOutcome::Ok && !request.answered {
-            out.push(Output::Answer { attempt, response: ServerResponse::Served, share: self.share });
+        if outcome == AttemptOutcome::Ok && !request.is_closed {
+            out.push(Output::Response { attempt, response: ServerResponse::Served, share: self.share });
         }
-        let took = to_millis(now - request.began);
-        self.inbox.push(Event::RunEnded { id: attempt, outcome, duration: took });
+        let duration = to_millis(now - request.run_started_at);
+        self.inbox.push(Event::RunEnded { id: attempt, outcome, duration });
         self.schedule_batch(now, out);
     }
 
-    /// Starts to read waiting requests, one per core; returns whether any was started.
+    /// Starts to read waiting requests, at most one per core at a time; returns whether any read was started.
     fn read_next(&mut self, now: SimulationMicros) -> bool {
-        let mut any = false;
+        let mut has_started = false;
         while (self.reading as f64) < self.setup.cores {
             let Some(attempt) = self.unread.pop_front() else { break };
             let Some(request) = self.requests.get_mut(&attempt) else { continue };
@@ -285,14 +302,14 @@
             let handshake = if request.incoming.is_new_connection { self.setup.handshake_work } else { 0.0 };
             self.cores.add(now, Job::Read(attempt), self.setup.read_work + handshake);
             self.reading += 1;
-            any = true;
+            has_started = true;
         }
-        any
+        has_started
     }
 
     fn schedule_cores(&mut self, out: &mut Vec<Output>) {
         self.cores_version += 1;
-        if let Some(at) = self.cores.next_done() {
+        if let Some(at) = self.cores.next_completion() {
             out.push(Output::CoresAt(at, self.cores_version));
         }
     }
@@ -305,7 +322,7 @@
         }
     }
 
-    /// Passes the events since the last batch to the controller, and carries out its actions.
+    /// Passes the events of the batch to the controller, and carries out its actions.
     fn batch(&mut self, now: SimulationMicros, out: &mut Vec<Output>) {
         self.batch_at = None;
         self.last_batch = now;
@@ -314,36 +331,36 @@
             self.controller.event(to_millis(now), event, &mut actions);
         }
         self.controller.decide(to_millis(now), &mut actions);
-        let jobs = self.cores.jobs();
+        let jobs_before = self.cores.job_count();
         let mut cores_changed = false;
         for action in actions {
             cores_changed |= self.carry_out(now, action, out);
         }
-        if cores_changed || self.cores.jobs() != jobs {
+        if cores_changed || self.cores.job_count() != jobs_before {
             self.schedule_cores(out);
         }
     }
 
-    /// Carries out an action; returns whether it changed the jobs on the cores.
+    /// Carries out an action of the controller; returns whether it changed the jobs on the cores.
     fn carry_out(&mut self, now: SimulationMicros, action: Action, out: &mut Vec<Output>) -> bool {
         match action {
             Action::Run(id) => return self.run(now, id),
-            Action::Preempt(id) => return self.stop(now, id, out),
+            Action::Preempt(id) => return self.preempt(now, id, out),
             Action::Reject { id, retry_after, is_final } => {
-                self.response(
+                self.respond(
                     id,
                     ServerResponse::Rejected { retry_after: from_millis(retry_after), is_final },
                     out,
                 );
             }
-            Action::Fail(id) => self.response(id, ServerResponse::Failed, out),
+            Action::Fail(id) => self.respond(id, ServerResponse::Failed, out),
             Action::SetSignal(share) => self.share = share,
-            Action::SetIdleTimeout(span) if self.setup.idle_policy == IdlePolicy::Controller => {
-                self.idle_timeout = from_millis(span);
+            Action::SetIdleTimeout(timeout) if self.setup.idle_policy == IdlePolicy::Controller => {
+                self.idle_timeout = from_millis(timeout);
             }
             Action::SetTimer(at) => out.push(Output::WakeAt(from_millis(at))),
-            // Baselines ignore the idle timeout of the controller. The model has no downstream calls, result cache or
-            // health checks.
+            // Baselines ignore the controller's idle timeout. The model has no downstream calls, result cache
+            // or health checks.
             _ => {}
         }
         false
@@ -351,12 +368,12 @@
 
     fn run(&mut self, now: SimulationMicros, id: AttemptId) -> bool {
         let Some(request) = self.requests.get_mut(&id) else { return false };
-        request.began = now;
+        request.run_started_at = now;
         self.cores.add(now, Job::Run(id), request.incoming.work);
         true
     }
 
-    fn stop(&mut self, now: SimulationMicros, id: AttemptId, out: &mut Vec<Output>) -> bool {
+    fn preempt(&mut self, now: SimulationMicros, id: AttemptId, out: &mut Vec<Output>) -> bool {
         let was_running = self.cores.remove(now, Job::Run(id));
         if was_running {
             self.run_done(now, id, AttemptOutcome::Cancelled, out);
@@ -364,25 +381,27 @@
         was_running
     }
 
-    /// Sends the final response.
-    fn response(&mut self, attempt: AttemptId, response: ServerResponse, out: &mut Vec<Output>) {
-        out.push(Output::Answer { attempt, response, share: self.share });
-        self.unanswerable(attempt);
+    /// Sends a final response and closes the request.
+    fn respond(&mut self, attempt: AttemptId, response: ServerResponse, out: &mut Vec<Output>) {
+        out.push(Output::Response { attempt, response, share: self.share });
+        self.close_request(attempt);
     }
 
-    /// No response is due any more. A request that still runs is tracked until its run ends.
-    fn unanswerable(&mut self, attempt: AttemptId) {
-        if self.cores.has(Job::Run(attempt)) {
-            self.requests.entry(attempt).and_modify(|request| request.answered = true);
+    /// Closes a request, after which no response is sent. A request that still runs is tracked until its run
+    /// ends.
+    fn close_request(&mut self, attempt: AttemptId) {
+        if self.cores.contains(Job::Run(attempt)) {
+            self.requests.entry(attempt).and_modify(|request| request.is_closed = true);
         } else {
             self.requests.remove(&attempt);
         }
     }
 
+    /// Updates the speed of the cores from slow start, faults and the fill of the connection table.
     fn update_speed(&mut self, now: SimulationMicros, table_fill: f64, out: &mut Vec<Output>) {
-        let over = (table_fill - self.setup.table_cost_from) / (1.0 - self.setup.table_cost_from);
-        let table = 1.0 - self.setup.table_cost * over.clamp(0.0, 1.0);
-        let speed = self.slow_start_speed(now) * self.fault_speed * table;
+        let excess_fill = (table_fill - self.setup.table_cost_from) / (1.0 - self.setup.table_cost_from);
+        let table_factor = 1.0 - self.setup.table_cost * excess_fill.clamp(0.0, 1.0);
+        let speed = self.slow_start_speed(now) * self.fault_speed * table_factor;
         if speed != self.speed {
             self.speed = speed;
             self.cores.set_speed(now, speed);
@@ -394,16 +413,16 @@
         if !self.is_slow_start {
             return 1.0;
         }
-        let warmed = (now - self.started) as f64 / self.setup.slow_start_duration.max(1) as f64;
-        self.setup.slow_start_speed + (1.0 - self.setup.slow_start_speed) * warmed.min(1.0)
+        let progress = (now - self.started_at) as f64 / self.setup.slow_start_duration.max(1) as f64;
+        self.setup.slow_start_speed + (1.0 - self.setup.slow_start_speed) * progress.min(1.0)
     }
 
     /// Samples the utilization of the cores.
-    fn measure(&mut self, now: SimulationMicros) {
-        let busy = self.cores.busy_time(now);
-        self.busy.push_back((now, busy));
-        while self.busy.len() > 2 && self.busy[1].0 + UTILIZATION_WINDOW <= now {
-            self.busy.pop_front();
+    fn sample_utilization(&mut self, now: SimulationMicros) {
+        let busy_time = self.cores.busy_time(now);
+        self.busy_samples.push_back((now, busy_time));
+        while self.busy_samples.len() > 2 && self.busy_samples[1].0 + UTILIZATION_WINDOW <= now {
+            self.busy_samples.pop_front();
         }
     }
 }
--- a/crates/loomflow-overload-simulation/src/settings.rs
+++ b/crates/loomflow-overload-simulation/src/settings.rs
@@ -1,14 +1,15 @@
-//! Settings of the controller in a simulated server.
+//! Controller settings of a simulated server.
 
 use loomflow::interface::{Class, Downstream, FeedbackSignal, Idempotency, Preemption, Settings};
 
 use crate::clock::{SimulationMicros, to_millis};
 use crate::setup::Setup;
 
-/// Shortest interval between two batches of a server.
+/// Minimum interval between two batches of a server, µs.
 pub const MIN_BATCH_INTERVAL: SimulationMicros = 5_000;
 
-/// Settings of a server, with slow start if it restarts while the others serve.
+/// Returns the controller settings of a server; `is_slow_start` is set for a restart while the other servers
+/// serve.
 pub fn controller_settings(setup: &Setup, is_slow_start: bool) -> Settings {
     Settings {
         classes: vec![class(setup)],
@@ -46,7 +47,7 @@
     }
 }
 
-/// The only class of requests: idempotent, with equal priority weights.
+/// Returns the only class of requests, which is idempotent.
 fn class(setup: &Setup) -> Class {
     Class {
         idempotency: Idempotency::Always,
--- a/crates/loomflow-overload-simulation/src/setup.rs
+++ b/crates/loomflow-overload-simulation/src/setup.rs
@@ -8,73 +8,75 @@
 use crate::fault::Fault;
 use crate::network::Network;
 
-/// Policy for idle connections.
+/// Policy of the servers for idle connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdlePolicy {
     /// The controller sets the idle timeout.
     Controller,
-    /// Baseline: they stay open until the callers close them.
+    /// Baseline: idle connections stay open until the idle timeout of the callers.
     NeverClose,
-    /// Baseline: the longest idle ones are closed when the table fills up.
+    /// Baseline: the connections idle for longest are closed while the table is more than 75 % full.
     CloseWhenFull,
-    /// Baseline: they are closed immediately.
+    /// Baseline: idle connections are closed after 50 ms.
     CloseImmediately,
 }
 
-/// The servers' machines.
+/// Parameters of the servers and their machines.
 #[derive(Clone, Debug)]
 pub struct ServerSetup {
-    /// Cores of each.
+    /// Number of cores per server.
     pub cores: f64,
-    /// Milliseconds of one core to read a request.
+    /// Work to read a request, ms on one core.
     pub read_work: Millis,
-    /// Milliseconds of one core for the handshake of a new connection.
+    /// Work for the handshake of a new connection, ms on one core.
     pub handshake_work: Millis,
-    /// The smallest and the largest connection table; each server's is drawn between them.
+    /// Minimum and maximum capacity of a connection table; each server's capacity is drawn from this range.
     pub table_size: (usize, usize),
-    /// Fill of the table from which on it costs speed.
+    /// Fill of the table above which it reduces the speed of the cores, 0 to 1.
     pub table_cost_from: f64,
-    /// Speed lost with a full table, 0 to 1; proportionally less below.
+    /// Speed lost with a full table, 0 to 1; it falls linearly to 0 at `table_cost_from`.
     pub table_cost: f64,
-    /// Speed right after a start, 0 to 1.
+    /// Speed at the beginning of a slow start, 0 to 1.
     pub slow_start_speed: f64,
-    /// Time from a start to full speed.
+    /// Duration of a slow start, until full speed.
     pub slow_start_duration: SimulationMicros,
     /// Policy for idle connections.
     pub idle_policy: IdlePolicy,
 }
 
-/// A simulation. The same setup gives the same events.
+/// Parameters of a simulation. The same setup produces the same events.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// Number of servers.
     pub servers: usize,
     /// Number of callers.
     pub callers: usize,
-    /// Machine of each server.
+    /// Parameters of each server.
     pub server: ServerSetup,
-    /// Behaviour of callers.
+    /// Policies of the callers for load balancing, retries and connection pools.
     pub caller_policy: CallerPolicy,
-    /// Behaviour of clients.
+    /// Deadlines and retries of the clients.
     pub client_policy: ClientPolicy,
-    /// Delays between callers and servers.
+    /// One-way delays between callers and servers.
     pub network: Network,
     /// Mean work of a request, ms on one core.
     pub mean_work: Millis,
-    /// Spread of the work to either side, as a part of the mean.
+    /// Maximum deviation of the work from the mean, as a fraction of the mean.
     pub work_spread: f64,
-    /// Offered load as a part of the capacity of all cores, with a new connection for every request.
+    /// Offered load as a fraction of the capacity of all cores; the load includes a handshake for every
+    /// request.
     pub load: f64,
-    /// Faults.
+    /// Faults to inject, each with its start and end.
     pub faults: Vec<Fault>,
-    /// How long clients send requests.
+    /// Time for which clients send new requests.
     pub duration: SimulationMicros,
-    /// Seed of all random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
 impl Setup {
-    /// A fleet of two-core servers behind callers that retry without a budget, at a load close to what its cores do.
+    /// Returns the setup of a fleet of two-core servers behind callers without a retry budget, at 0.87 of the
+    /// capacity of its cores.
     pub fn fleet(servers: usize, callers: usize, seed: u64) -> Setup {
         Setup {
             servers,
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Request rate of all clients, requests per second.
+    /// Returns the rate of new requests from all clients, per second.
     pub fn requests_per_second(&self) -> f64 {
         let cores = self.servers as f64 * self.server.cores;
         self.load * cores * MILLIS_PER_SECOND
