--- a/crates/loomflow-fleet-simulation/src/config.rs
+++ b/crates/loomflow-fleet-simulation/src/config.rs
@@ -1,4 +1,4 @@
-//! What a simulated fleet is made of, and how its parts are called.
+//! Configuration of a simulated fleet, and the names and addresses of its members.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,33 +10,33 @@
 use loomflow_fleet::node::duties::DutyConfig;
 use loomflow_fleet::time::IntegerMillis;
 
-/// The number of a machine, from 0 on.
+/// Index of a machine, from 0.
 pub type MachineId = usize;
 
 const PORT: u16 = 7400;
-/// Machines that share the third byte of their addresses.
+/// Machines per /24 subnet: those whose addresses share the third byte.
 const MACHINES_PER_SUBNET: usize = 250;
-/// How often the fleet is summed up, ms.
+/// Interval between two summary reports of the fleet, ms.
 const SUMMARY_PERIOD_MILLIS: IntegerMillis = 5_000;
 
-/// What a simulated fleet is made of.
+/// Size and settings of a simulated fleet.
 #[derive(Clone, Debug)]
 pub struct SimulationConfig {
-    /// Machines; the first of them vote.
+    /// Number of machines; the first [`voters`](Self::voters) of them vote.
     pub machines: usize,
-    /// Voters.
+    /// Number of voters of the consensus group.
     pub voters: usize,
-    /// Zones; machines are spread over them in turn.
+    /// Number of zones; machines are assigned to them round robin.
     pub zones: usize,
     /// The operators' rules for maintenance.
     pub rules: Rules,
-    /// How long a machine that is taken out stays out, ms.
+    /// Time from the exit of a server with a ticket to its restart, ms.
     pub maintenance_millis: IntegerMillis,
-    /// Clocks run faster or slower by at most this fraction.
+    /// Maximum drift of a machine's clock rate, as a fraction of the exact rate.
     pub max_clock_drift: f64,
-    /// Duties of the operators; none where the fleet has no duties at all.
+    /// Number of configured duties; 0 disables duties in the fleet.
     pub duties: usize,
-    /// The settings of all duties.
+    /// Lease settings of all duties.
     pub lease_settings: LeaseSettings,
 }
 
@@ -55,17 +55,17 @@
     }
 }
 
-/// The name of a machine's server.
+/// Returns the name of the server on a machine, `n0`, `n1` and so on.
 pub fn server_name(machine: MachineId) -> ServerName {
     format!("n{machine}")
 }
 
-/// The machine of a server.
+/// Returns the machine on which a server runs, or `None` if [`server_name`] did not make the name.
 pub(crate) fn machine_of(server: &str) -> Option<MachineId> {
     server.strip_prefix('n')?.parse().ok()
 }
 
-/// The name of an operators' duty.
+/// Returns the name of a configured duty, `d0`, `d1` and so on.
 pub fn duty_name(number: usize) -> DutyName {
     format!("d{number}")
 }
@@ -76,12 +76,12 @@
 }
 
 impl SimulationConfig {
-    /// The zone of a machine.
+    /// Returns the zone of a machine.
     pub(crate) fn zone(&self, machine: MachineId) -> Zone {
         format!("z{}", machine % self.zones)
     }
 
-    /// The configuration of a machine's member.
+    /// Returns the node configuration of the fleet member on a machine.
     pub(crate) fn node_config(&self, machine: MachineId, seed: u64, unix_millis: u64) -> NodeConfig {
         let duties = DutyConfig {
             lease_settings: self.lease_settings,
--- a/crates/loomflow-fleet-simulation/src/event_queue.rs
+++ b/crates/loomflow-fleet-simulation/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! What happens next, in the order of its moments; what is to happen at the same moment keeps the order in which it was added.
+//! Scheduled events, ordered by time; events at the same time keep the order in which they were added.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,16 +8,16 @@
 
 use crate::config::MachineId;
 
-/// One thing that happens.
+/// An event of the simulation.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub enum Event {
     /// A message arrives.
     Message { to: MachineId, bytes: Vec<u8> },
-    /// A machine's server starts.
+    /// A machine's process starts after maintenance.
     Start(MachineId),
-    /// An effect of a process that was stopped after it had made sure that it owns the duty.
+    /// An effect of a process that was paused after it had checked that it owns the duty.
     LateEffect { machine: MachineId, duty: DutyName, token: Token },
-    /// A machine's server is due; one that is not for its current wake-up time was superseded.
+    /// A wake-up of a machine; ignored unless it is for the machine's current wake-up time.
     Wake(MachineId),
 }
 
@@ -28,7 +28,7 @@
     event: Event,
 }
 
-/// Events that have not happened yet.
+/// Queue of scheduled events.
 #[derive(Default)]
 pub struct EventQueue {
     events: BinaryHeap<Reverse<ScheduledEvent>>,
@@ -42,7 +42,7 @@
         self.events.push(Reverse(ScheduledEvent { at, sequence: self.last_sequence, event }));
     }
 
-    /// Takes the next event, if it happens at `until` or before.
+    /// Removes the next event and returns it with its time, if it is scheduled at `until` or before.
     pub fn pop_until(&mut self, until: IntegerMillis) -> Option<(IntegerMillis, Event)> {
         self.events.peek().filter(|Reverse(next)| next.at <= until)?;
         let Reverse(next) = self.events.pop()?;
--- a/crates/loomflow-fleet-simulation/src/invariants.rs
+++ b/crates/loomflow-fleet-simulation/src/invariants.rs
@@ -1,5 +1,5 @@
-//! What must hold after every event. It relies on what processes did; of the fleet's own state it only compares what two members
-//! that must agree hold.
+//! Invariants that are checked after every event. They are based on what the processes did; the state of the
+//! fleet is only compared between members that must agree on it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -13,134 +13,135 @@
 use crate::config::{MachineId, SimulationConfig};
 use crate::machine::Machine;
 
-/// What was broken.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
     /// More machines are out than the rules allow.
-    #[error("{} are out at once, {limit} may be: {out:?}", .out.len())]
+    #[error("{} machines are out at once, the limit is {limit}: {out:?}", .out.len())]
     TooManyOut {
-        /// Those that are out, with the tickets by which.
+        /// The machines that are out, with their tickets.
         out: BTreeMap<MachineId, TicketId>,
-        /// How many may be.
+        /// Maximum number of machines that may be out.
         limit: usize,
     },
-    /// A machine left on a ticket that no voter knows to have begun.
-    #[error("n{machine} left by ticket {ticket} and nobody knows that it began")]
+    /// A machine drains for a ticket that no running voter has recorded as begun.
+    #[error("n{machine} drains for ticket {ticket}, which no voter has recorded as begun")]
     NotBegun {
-        /// The machine.
+        /// The draining machine.
         machine: MachineId,
-        /// Its ticket.
+        /// The ticket that it drains for.
         ticket: TicketId,
     },
-    /// Two leaders in one term.
-    #[error("n{first} and n{second} lead in term {term}")]
+    /// A term has two leaders.
+    #[error("n{first} and n{second} both lead in term {term}")]
     TwoLeaders {
-        /// Who led first.
+        /// The machine that led first.
         first: MachineId,
-        /// Who leads now.
+        /// The machine that leads now.
         second: MachineId,
-        /// In which term.
+        /// The term.
         term: u64,
     },
-    /// Two voters have applied the same entries and hold different states.
-    #[error("n{machine} holds another state at {index}")]
+    /// Two voters have applied the same log entries and have different states.
+    #[error("the state of n{machine} at log index {index} differs from that of another voter")]
     DifferentState {
-        /// The second of them.
+        /// The voter whose state was compared last.
         machine: MachineId,
-        /// The index of the last entry.
+        /// Index of the last applied entry.
         index: u64,
     },
-    /// Two machines act with one fencing token.
-    #[error("token {token} of {duty} is n{first}'s and n{second}'s")]
+    /// Two machines have used the same fencing token.
+    #[error("token {token} of {duty} was used by n{first} and n{second}")]
     SharedToken {
-        /// The duty.
+        /// The duty of the last effect with the token.
         duty: DutyName,
-        /// The token.
+        /// The fencing token.
         token: Token,
-        /// Who used it first.
+        /// The machine that used it first.
         first: MachineId,
-        /// Who uses it now.
+        /// The machine that used it last.
         second: MachineId,
     },
-    /// The fence admitted an effect of a former owner.
-    #[error("{duty}: token {token} was let in after {highest}")]
+    /// The fence has admitted an effect of a former owner.
+    #[error("{duty}: an effect with token {token} was accepted after one with token {highest}")]
     StaleEffect {
-        /// The duty.
+        /// The duty of the effect.
         duty: DutyName,
         /// The token of the effect.
         token: Token,
-        /// The highest token before.
+        /// The highest token accepted before it.
         highest: Token,
     },
-    /// Several machines own a duty by their own clocks.
-    #[error("{duty} has owners {owners:?} at once")]
+    /// Several machines own a duty at the same time, each by its own clock.
+    #[error("{duty} has several owners at the same time: {owners:?}")]
     SeveralOwners {
-        /// The duty.
+        /// The duty with several owners.
         duty: DutyName,
-        /// The machines.
+        /// The machines that own it.
         owners: Vec<MachineId>,
     },
 }
 
-/// A violation with its moment, and what happened before.
+/// A violated invariant with its time and the preceding log.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("at {at} ms: {violation}\n{timeline}")]
 pub struct InvariantViolation {
-    /// When, in simulated time.
+    /// Virtual time of the violation, ms.
     pub at: IntegerMillis,
-    /// What was broken.
+    /// The violated invariant.
     pub violation: Violation,
-    /// The last lines of the log.
+    /// The last lines of the simulation's log.
     pub timeline: String,
 }
 
-/// A machine left by a ticket.
+/// The start of a drain for a ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Departure {
-    /// The machine.
+    /// The draining machine.
     pub machine: MachineId,
-    /// Its ticket.
+    /// The ticket that it drains for.
     pub ticket: TicketId,
-    /// When.
+    /// Start of the drain in virtual time, ms.
     pub at: IntegerMillis,
 }
 
-/// Checks the invariants.
+/// Records what the processes do and checks the invariants.
 pub struct InvariantChecker {
     max_out: usize,
-    /// Machines that left by a ticket and are not back, with it.
+    /// Machines that drained for a ticket and do not serve again, with the ticket.
     out: BTreeMap<MachineId, TicketId>,
-    /// Tickets that an operator gave up: their machines are the operator's business.
+    /// Tickets that an operator has abandoned; their machines do not count as out.
     abandoned: BTreeSet<TicketId>,
-    /// Leader of each group and term.
+    /// First leader of each group and term.
     leaders: BTreeMap<(u64, u64), MachineId>,
-    /// Hash of the state at each index of each group's log.
+    /// Hash of the state, by group and log index.
     state_hashes: BTreeMap<(u64, u64), u64>,
-    /// The index at which each machine's state was last compared.
+    /// Log index at which the state of each machine was last compared.
     compared_index: BTreeMap<MachineId, u64>,
-    /// Departures that were not yet looked up in the log.
+    /// Departures whose tickets have not been checked yet.
     unchecked_departures: Vec<Departure>,
-    /// Every departure.
+    /// All departures, in the order of time.
     pub departures: Vec<Departure>,
-    /// Whether states are compared as well; costly in large fleets.
+    /// Whether the states of voters are compared; costly in large fleets.
     pub compares_states: bool,
-    /// Whether clocks keep to the bound on drift, so that a duty has one owner by all clocks.
+    /// Whether to check that a duty has at most one owner by the machines' clocks. This holds only while the
+    /// clocks keep to the bound on drift.
     pub expects_one_owner: bool,
-    /// What receives the owners' effects.
+    /// The fenced receiver of the owners' effects.
     pub receiver: Receiver,
 }
 
-/// Receives effects behind a fence, and judges the fence by what it admitted.
+/// Receives effects through a fence, and checks the order of those that the fence admits.
 #[derive(Default)]
 pub struct Receiver {
     fence: Fence,
-    /// The highest token that was admitted, by duty.
+    /// Highest accepted token of each duty.
     highest: BTreeMap<DutyName, Token>,
-    /// Whose each token is.
+    /// First machine to use each token.
     owners: BTreeMap<Token, MachineId>,
-    /// Effects that were admitted.
+    /// Number of effects that the fence admitted.
     pub accepted: u64,
-    /// Effects of former owners that were refused.
+    /// Number of effects that the fence rejected.
     pub rejected: u64,
     violation: Option<Violation>,
 }
@@ -168,7 +169,7 @@
 }
 
 impl InvariantChecker {
-    /// For one fleet.
+    /// Creates a checker for a fleet in which nothing has happened yet.
     pub(crate) fn new(config: &SimulationConfig) -> InvariantChecker {
         InvariantChecker {
             max_out: config.rules.max_out.of(config.machines as u32) as usize,
@@ -185,29 +186,31 @@
         }
     }
 
-    /// A machine leaves by a ticket.
-    pub(crate) fn departed(&mut self, departure: Departure) {
+    /// Records that a machine starts to drain for a ticket.
+    pub(crate) fn record_departure(&mut self, departure: Departure) {
         self.out.insert(departure.machine, departure.ticket);
         self.unchecked_departures.push(departure);
         self.departures.push(departure);
     }
 
-    /// A machine acts as the owner of a duty.
-    pub(crate) fn effect(&mut self, machine: MachineId, duty: &str, token: Token) {
+    /// Records that a machine acts as the owner of a duty.
+    pub(crate) fn record_effect(&mut self, machine: MachineId, duty: &str, token: Token) {
         self.receiver.receive(machine, duty, token);
     }
 
-    /// A machine's process has ended: its state begins anew.
-    pub(crate) fn process_ended(&mut self, machine: MachineId) {
+    /// Records that a machine's process has ended; the state of its next process is compared from its first
+    /// index on.
+    pub(crate) fn record_exit(&mut self, machine: MachineId) {
         self.compared_index.remove(&machine);
     }
 
-    /// An operator gives a ticket's machine up.
-    pub(crate) fn abandoned(&mut self, ticket: TicketId) {
+    /// Records that an operator abandons a ticket.
+    pub(crate) fn record_abandoned(&mut self, ticket: TicketId) {
         self.abandoned.insert(ticket);
     }
 
-    /// Checks the machine that has just done something, and all that are out.
+    /// Checks the machine that has just acted, new departures and effects, and the number of machines that
+    /// are out.
     pub(crate) fn check(&mut self, active: MachineId, machines: &[Machine]) -> Result<(), Violation> {
         self.check_out(machines)?;
         for departure in std::mem::take(&mut self.unchecked_departures) {
@@ -255,7 +258,7 @@
     }
 }
 
-/// Whoever leaves by a ticket does so on a begin that some voter has applied.
+/// Checks that some running voter has recorded the ticket of a departure as begun.
 fn check_begun(departure: Departure, machines: &[Machine]) -> Result<(), Violation> {
     let Departure { machine, ticket, .. } = departure;
     let has_begun = |stage: TicketStage| {
--- a/crates/loomflow-fleet-simulation/src/lib.rs
+++ b/crates/loomflow-fleet-simulation/src/lib.rs
@@ -1,14 +1,16 @@
-//! A fleet in virtual time: the same state machines as in the servers, a network that loses, delays, duplicates and cuts, and
-//! machines that die, stop, lose or fill their disks. A run follows from its seed alone.
+//! Deterministic simulation of a fleet in virtual time. It runs the same state machines as the servers on a
+//! network that loses, delays and duplicates messages and can be partitioned, and on machines whose processes
+//! are killed or paused and whose disks are lost or full. The seed determines the whole run.
 //!
-//! - [`config`]: what a fleet is made of;
-//! - [`scenario`]: what happens when, as data, by hand or drawn from a seed;
-//! - [`simulation`]: the machines and the network between them, moved on event by event;
-//! - [`machine`]: one machine, its disk and its clock;
+//! - [`config`]: size and settings of the fleet;
+//! - [`scenario`]: scripted or random sequences of faults;
+//! - [`simulation`]: the event loop that connects the machines and the network;
+//! - [`machine`]: one machine with its process, disk and clock;
 //! - `network`: loss, delay, duplication and cut links;
-//! - `event_queue`: what happens next;
-//! - [`invariants`]: what must hold after every event, judged by what the processes did and not by what the fleet reports;
-//! - [`parallel`]: many runs side by side.
+//! - `event_queue`: scheduled events in the order of their time;
+//! - [`invariants`]: checks after every event, based on what the processes did and not on what the fleet
+//!   reports;
+//! - [`parallel`]: running many simulations on several threads.
 
 #![forbid(unsafe_code)]
 
--- a/crates/loomflow-fleet-simulation/src/machine.rs
+++ b/crates/loomflow-fleet-simulation/src/machine.rs
@@ -1,4 +1,4 @@
-//! One machine: its process, its disk and its clock.
+//! A simulated machine: its process, its disk and its clock.
 
 use std::sync::{Arc, Mutex};
 
@@ -11,7 +11,7 @@
 
 use crate::config::SimulationConfig;
 
-/// Clocks differ by less than this at the start, ms.
+/// Upper bound of the random offset of a machine's clock at the start, ms.
 const MAX_CLOCK_OFFSET_MILLIS: IntegerMillis = 1_000_000;
 
 #[derive(Default)]
@@ -20,73 +20,77 @@
     is_full: bool,
 }
 
-/// A disk that outlives its process, can be lost and can be full.
+/// In-memory disk that outlives the process that uses it and can be full.
 #[derive(Clone, Default)]
 pub(crate) struct SimulatedDisk(Arc<Mutex<DiskState>>);
 
 impl SimulatedDisk {
-    /// Sets whether writes fail.
+    /// Sets whether the disk is full, so that every write fails.
     pub fn set_full(&self, is_full: bool) {
-        self.0.lock().expect("one thread").is_full = is_full;
+        self.0.lock().expect("disk lock poisoned").is_full = is_full;
     }
 }
 
 impl Storage for SimulatedDisk {
     fn read(&mut self) -> Result<PersistedState, StorageError> {
-        self.0.lock().expect("one thread").storage.read()
+        self.0.lock().expect("disk lock poisoned").storage.read()
     }
 
     fn write(&mut self, batch: &WriteBatch) -> Result<(), StorageError> {
-        let mut disk = self.0.lock().expect("one thread");
+        let mut disk = self.0.lock().expect("disk lock poisoned");
         if disk.is_full { Err(StorageError::new("no space left")) } else { disk.storage.write(batch) }
     }
 }
 
-/// How a server shuts down.
+/// The shutdown of a server that is in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Drain {
-    /// Since when.
+    /// Start of the drain in virtual time, ms.
     pub since: IntegerMillis,
-    /// The ticket by which; none where it received SIGTERM from outside.
+    /// The ticket under which the server drains; `None` after a SIGTERM without a ticket.
     pub ticket: Option<TicketId>,
 }
 
-/// What a machine has sent.
+/// Messages that a machine has sent to other members.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Messages.
+    /// Number of messages, including those that the network loses.
     pub messages: u64,
-    /// Their bytes.
+    /// Total size of the messages, bytes.
     pub bytes: u64,
 }
 
-/// A machine.
+/// A machine, whose process may be running, paused or dead.
 pub struct Machine {
-    /// The member that its process runs; none where it is dead.
+    /// The fleet member in the machine's process; `None` while the process is dead.
     pub node: Option<Node>,
     pub(crate) disk: SimulatedDisk,
-    /// How far its clock is ahead, ms.
+    /// Offset of the local clock from virtual time at the start, ms.
     clock_offset: IntegerMillis,
-    /// How fast its clock runs; 1 is exact.
+    /// Rate of the local clock; 1 is exact.
     clock_rate: f64,
-    /// Its process stands still until then.
+    /// Time until which the process is paused; in the past if it is not paused.
     pub(crate) stopped_until: IntegerMillis,
+    /// Time of the current wake-up; events for any other time are ignored.
     pub(crate) wake_at: IntegerMillis,
+    /// Last start of the process; 0 for the initial start, which has no slow start.
     pub(crate) started_at: IntegerMillis,
-    /// Its server shuts down.
+    /// The shutdown of the machine's server, while in progress.
     pub drain: Option<Drain>,
+    /// Whether the drained server has been reported to the fleet.
     pub(crate) has_drained: bool,
-    /// How long maintenance takes here; none where it is never back.
+    /// Duration of the machine's maintenance, ms; `None` if it never restarts.
     pub(crate) maintenance_millis: Option<IntegerMillis>,
+    /// Time of the next load report.
     pub(crate) next_load_at: IntegerMillis,
-    /// The share that its controller requests, where a fault sets it.
+    /// Send share fixed by [`Fault::SetShare`](crate::Fault::SetShare); otherwise it follows from the load.
     pub(crate) forced_share: Option<f32>,
-    /// What it has sent.
+    /// Messages sent by the machine since the start of the simulation.
     pub sent: Traffic,
 }
 
 impl Machine {
-    /// A machine whose process was not started, with a clock of its own.
+    /// Creates a machine with a random clock, whose process is not started yet.
     pub(crate) fn new(config: &SimulationConfig, rng: &mut SmallRng) -> Machine {
         Machine {
             node: None,
@@ -105,17 +109,18 @@
         }
     }
 
-    /// What its clock shows.
+    /// Returns the local clock's time at the virtual time `now`, ms.
     pub(crate) fn local_time(&self, now: IntegerMillis) -> IntegerMillis {
         scaled(now, self.clock_rate) + self.clock_offset
     }
 
-    /// Whether its process runs and does not shut down.
+    /// Returns whether the process runs and its server is not shutting down; a paused process counts as
+    /// serving.
     pub fn is_serving(&self) -> bool {
         self.node.is_some() && self.drain.is_none()
     }
 
-    /// Whether its process stands still.
+    /// Returns whether the process is paused.
     pub(crate) fn is_stopped(&self, now: IntegerMillis) -> bool {
         self.stopped_until > now
     }
--- a/crates/loomflow-fleet-simulation/src/network.rs
+++ b/crates/loomflow-fleet-simulation/src/network.rs
@@ -8,30 +8,31 @@
 
 use crate::config::MachineId;
 
-/// What the network does to messages.
+/// Current faults of the network.
 pub struct Network {
     /// Links that are cut, each in one direction.
     pub cut_links: BTreeSet<(MachineId, MachineId)>,
-    /// The fraction of messages that is lost.
+    /// Fraction of messages that is lost, 0 to 1.
     pub loss: f64,
-    /// The fraction of messages that is sent twice.
+    /// Fraction of messages that is duplicated, 0 to 1.
     pub duplication: f64,
     /// Maximum delay of a message, ms.
     pub max_delay_millis: IntegerMillis,
 }
 
 impl Network {
-    /// A network without faults.
+    /// Creates a network without faults, with delays of up to 5 ms.
     pub fn new() -> Network {
         Network { cut_links: BTreeSet::new(), loss: 0.0, duplication: 0.0, max_delay_millis: 5 }
     }
 
-    /// Whether the first machine can send to the second.
+    /// Returns whether the link from the first machine to the second is not cut.
     pub fn is_connected(&self, from: MachineId, to: MachineId) -> bool {
         !self.cut_links.contains(&(from, to))
     }
 
-    /// The delays of the copies of one message that arrive, ms.
+    /// Draws the delays of the copies of a message that arrive, ms: none if it is lost, two if it is
+    /// duplicated. A cut link does not change how many random numbers are drawn.
     pub fn draw_delays(&self, from: MachineId, to: MachineId, rng: &mut SmallRng) -> Vec<IntegerMillis> {
         let is_duplicated = self.duplication > 0.0 && rng.random_bool(self.duplication);
         let mut delays = Vec::new();
--- a/crates/loomflow-fleet-simulation/src/parallel.rs
+++ b/crates/loomflow-fleet-simulation/src/parallel.rs
@@ -1,10 +1,10 @@
-//! Many runs side by side.
+//! Runs independent simulations on several threads.
 
 use std::ops::Range;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// Runs something for each number, on this many threads; the results are in the order of the numbers.
+/// Calls `run` for each number on `threads` threads, and returns the results in the order of the numbers.
 pub fn run_parallel<T: Send>(threads: usize, numbers: Range<u64>, run: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let next = AtomicU64::new(numbers.start);
     let results = Mutex::new(Vec::new());
@@ -27,7 +27,7 @@
     results.into_iter().map(|(_, result)| result).collect()
 }
 
-/// The cores of this machine.
+/// Returns the number of cores available to this process, at least 1.
 pub fn core_count() -> usize {
     std::thread::available_parallelism().map_or(1, usize::from)
 }
--- a/crates/loomflow-fleet-simulation/src/scenario.rs
+++ b/crates/loomflow-fleet-simulation/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens when, as data.
+//! Scenarios: faults and operator requests with their times, scripted or random.
 
 use loomflow_fleet::maintenance::ticket::{TicketId, Urgency};
 use loomflow_fleet::time::IntegerMillis;
@@ -7,65 +7,66 @@
 
 use crate::config::MachineId;
 
-/// Kinds of faults that [`Scenario::random`] draws from.
+/// Number of equally likely cases in [`ScenarioGenerator::add_random_fault`].
 const RANDOM_FAULT_KINDS: u32 = 12;
 
-/// One thing that happens.
+/// A fault, an operator's request or a change of the conditions, to be injected into a simulation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// The process dies at once; its disk stays.
+    /// Kills the process of a machine; its disk is kept.
     Kill(MachineId),
-    /// A dead one starts again.
+    /// Starts the process of a machine, unless it runs.
     Start(MachineId),
-    /// The process stands still for this long, ms; what is sent to it waits.
+    /// Pauses the process for a duration, ms (SIGSTOP); messages to it are delivered when it resumes.
     Stop(MachineId, IntegerMillis),
-    /// Its disk is lost. Counts from its next start.
+    /// Replaces the machine's disk by an empty one, which the process uses from its next start.
     LoseDisk(MachineId),
-    /// Its disk takes nothing more, or does again.
+    /// Sets whether the machine's disk is full, so that every write fails.
     FillDisk(MachineId, bool),
-    /// Nothing gets from the first to the second.
+    /// Drops all messages from the first machine to the second; the other direction still works.
     CutLink(MachineId, MachineId),
-    /// Nothing gets between these and all others, in either direction.
+    /// Cuts all links between these machines and all others, in both directions.
     Isolate(Vec<MachineId>),
-    /// All cut links work again.
+    /// Restores all cut links.
     HealNetwork,
-    /// This fraction of all messages is lost, and this one is sent twice, 0 to 1.
+    /// Sets the fraction of messages that is lost and the fraction that is duplicated, 0 to 1 each.
     SetLoss(f64, f64),
-    /// Maximum delay of a message, ms.
+    /// Sets the maximum delay of a message, ms.
     SetMaxDelay(IntegerMillis),
-    /// Tickets for these are requested at the first machine that runs.
+    /// Requests tickets for these machines, at the first machine that serves and is not paused.
     RequestWork(Vec<MachineId>, Urgency),
-    /// An operator takes a ticket back.
+    /// Withdraws a ticket, as an operator.
     Withdraw(TicketId),
-    /// An operator gives a ticket's machine up.
+    /// Abandons a ticket, as an operator: its machine is not expected to return.
     Abandon(TicketId),
-    /// The fleet's load, in concurrent runs for each machine there is.
+    /// Sets the fleet's load, in concurrent runs per machine of the fleet, serving or not.
     SetLoad(f64),
-    /// A machine that is taken out stays out this long, ms; none where it never comes back.
+    /// Sets the duration of a machine's maintenance, ms; `None` if it never restarts.
     SetMaintenance(MachineId, Option<IntegerMillis>),
-    /// SIGTERM, without a ticket.
+    /// Sends SIGTERM to a server, which then drains without a ticket.
     Terminate(MachineId),
-    /// Its controller requests this share of its usual traffic from now on, whatever its load.
+    /// Fixes the send share of a machine's controller, 0 to 1, whatever its load.
     SetShare(MachineId, f32),
 }
 
-/// Faults with their moments, in their order.
+/// Faults ordered by time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Scenario {
-    /// The moment of each fault, ms.
+    /// Each fault with its time in virtual time, ms, in ascending order.
     pub steps: Vec<(IntegerMillis, Fault)>,
 }
 
 impl Scenario {
-    /// Puts faults in their order.
+    /// Creates a scenario, sorted by time; faults at the same time keep their order.
     pub fn new(steps: impl IntoIterator<Item = (IntegerMillis, Fault)>) -> Scenario {
         let mut steps: Vec<_> = steps.into_iter().collect();
         steps.sort_by_key(|(at, _)| *at);
         Scenario { steps }
     }
 
-    /// Tickets for all, and faults drawn from the seed between `from` and `to`; all is repaired after that. Of the voters at
-    /// most a minority is without its disk in the end.
+    /// Creates a random scenario: tickets for all machines are requested at `from`, faults follow until `to`,
+    /// and at `to` the network and the disks of the voters are repaired. At most a minority of the voters
+    /// loses its disk.
     pub fn random(
         seed: u64,
         machines: usize,
@@ -73,19 +74,19 @@
         from: IntegerMillis,
         to: IntegerMillis,
     ) -> Scenario {
-        let mut drawing = Drawing {
+        let mut generator = ScenarioGenerator {
             rng: SmallRng::seed_from_u64(seed ^ 0x5EED),
             machines,
             voters,
-            disks_to_lose: (voters - 1) / 2,
+            remaining_disk_losses: (voters - 1) / 2,
             steps: vec![(from, Fault::RequestWork((0..machines).collect(), Urgency::Routine))],
         };
         let mut at = from;
         while at < to {
-            at += drawing.rng.random_range(300..4_000);
-            drawing.draw_fault(at);
+            at += generator.rng.random_range(300..4_000);
+            generator.add_random_fault(at);
         }
-        let mut steps = drawing.steps;
+        let mut steps = generator.steps;
         let repairs = [Fault::HealNetwork, Fault::SetLoss(0.0, 0.0), Fault::SetMaxDelay(5)];
         steps.extend(repairs.into_iter().map(|fault| (to, fault)));
         steps.extend((0..voters).map(|voter| (to, Fault::FillDisk(voter, false))));
@@ -93,19 +94,19 @@
     }
 }
 
-/// A scenario that is being drawn.
-struct Drawing {
+/// Generates the faults of a random scenario.
+struct ScenarioGenerator {
     rng: SmallRng,
     machines: usize,
     voters: usize,
-    /// Voters whose disk may still be lost.
-    disks_to_lose: usize,
+    /// Number of voters whose disk may still be lost.
+    remaining_disk_losses: usize,
     steps: Vec<(IntegerMillis, Fault)>,
 }
 
-impl Drawing {
-    /// Draws one fault, with its repair where it has one of its own.
-    fn draw_fault(&mut self, at: IntegerMillis) {
+impl ScenarioGenerator {
+    /// Adds a random fault at `at`, and the restart or the repair of a killed process or a full disk.
+    fn add_random_fault(&mut self, at: IntegerMillis) {
         let machine = self.rng.random_range(0..self.machines);
         match self.rng.random_range(0..RANDOM_FAULT_KINDS) {
             0 | 1 => {
@@ -113,10 +114,10 @@
                 self.steps.extend([(at, Fault::Kill(machine)), (restart, Fault::Start(machine))]);
             }
             2 | 3 => {
-                let span = self.rng.random_range(200..9_000);
-                self.steps.push((at, Fault::Stop(machine, span)));
+                let duration_millis = self.rng.random_range(200..9_000);
+                self.steps.push((at, Fault::Stop(machine, duration_millis)));
             }
-            4 if self.disks_to_lose > 0 => self.draw_lost_disk(at),
+            4 if self.remaining_disk_losses > 0 => self.add_disk_loss(at),
             5 => {
                 let voter = self.rng.random_range(0..self.voters);
                 let freed_at = at + self.rng.random_range(500..6_000);
@@ -143,8 +144,9 @@
         }
     }
 
-    fn draw_lost_disk(&mut self, at: IntegerMillis) {
-        self.disks_to_lose -= 1;
+    /// Adds the loss of a random voter's disk, with a restart of the voter.
+    fn add_disk_loss(&mut self, at: IntegerMillis) {
+        self.remaining_disk_losses -= 1;
         let restart = at + self.rng.random_range(500..5_000);
         let voter = self.rng.random_range(0..self.voters);
         self.steps.extend([
--- a/crates/loomflow-fleet-simulation/src/simulation.rs
+++ b/crates/loomflow-fleet-simulation/src/simulation.rs
@@ -1,10 +1,10 @@
-//! The machines and the network between them, moved on event by event.
+//! The simulation: the machines, the network between them, and the event loop.
 //!
-//! - this file: starting machines, the loop of events, what members want done;
-//! - `faults`: carrying out the faults of a scenario;
-//! - `shutdown`: servers that drain and go;
-//! - `duties`: what machines do about duties;
-//! - `queries`: queries of tests and measurements.
+//! - this file: starting machines, the event loop, and the effects of the members;
+//! - `faults`: injecting the faults of a scenario;
+//! - `shutdown`: draining and exit of servers;
+//! - `duties`: effects and ownership of duties;
+//! - `queries`: the state of the fleet, for tests and benchmarks.
 
 mod duties;
 mod faults;
@@ -28,35 +28,36 @@
 use crate::network::Network;
 use crate::scenario::Scenario;
 
-/// Concurrent runs that each machine can carry.
+/// Concurrency limit of each machine, in runs.
 const CAPACITY: f32 = 8.0;
-/// The load at the start, in concurrent runs for each machine.
+/// Initial load of the fleet, in concurrent runs per machine.
 const INITIAL_LOAD: f64 = 3.0;
-/// Duration of the slow start of a server that joins a running fleet, ms.
+/// Duration of the slow start after a restart, ms.
 const SLOW_START_MILLIS: IntegerMillis = 3_000;
-/// How often a machine's load is reported to its member, ms.
+/// Interval between two load reports of a machine to its member, ms.
 const LOAD_PERIOD_MILLIS: IntegerMillis = 500;
-/// Maximum time between two wake-ups of a machine, ms; and while its server drains.
+/// Maximum time between two wake-ups of a machine, ms.
 const MAX_SLEEP_MILLIS: IntegerMillis = 500;
+/// Maximum time between two wake-ups of a machine whose server drains, ms.
 const MAX_SLEEP_WHILE_DRAINING_MILLIS: IntegerMillis = 100;
-/// Lines of the log that are shown with a violation.
+/// Maximum number of log lines in the timeline of a violation.
 const SHOWN_LOG_LINES: usize = 60;
 
-/// A request of an operator, and its response.
+/// An operator's request with its response.
 pub struct OperatorCall {
-    /// The request.
+    /// Id of the request.
     pub id: FleetRequestId,
-    /// The machines that it is about.
+    /// The machines that the request concerns; empty for a change of a ticket.
     pub machines: Vec<MachineId>,
-    /// None while there is no response.
+    /// The response, once it has arrived.
     pub response: Option<FleetResponse>,
 }
 
-/// A line of the log.
+/// An entry of the simulation's log.
 pub struct LogEntry {
-    /// The simulated time, ms.
+    /// Virtual time of the entry, ms.
     pub at: IntegerMillis,
-    /// What happened.
+    /// An injected fault, a start or exit of a machine, or a log line of a member.
     pub text: String,
 }
 
@@ -66,29 +67,29 @@
     }
 }
 
-/// A fleet in virtual time.
+/// A simulated fleet in virtual time.
 pub struct Simulation {
-    /// What the fleet is made of.
+    /// Size and settings of the fleet.
     pub config: SimulationConfig,
-    /// The simulated time, ms.
+    /// Virtual time, ms.
     pub now: IntegerMillis,
-    /// All machines, by their numbers.
+    /// All machines, indexed by [`MachineId`].
     pub machines: Vec<Machine>,
-    /// What must hold after every event.
+    /// Invariants that are checked after every event.
     pub invariants: InvariantChecker,
     rng: SmallRng,
     queue: EventQueue,
     network: Network,
-    /// Concurrent runs for each machine there is.
+    /// Load of the fleet, in concurrent runs per machine, serving or not.
     load: f64,
-    /// Requests of operators.
+    /// Requests submitted by operators, in their order.
     pub operator_calls: Vec<OperatorCall>,
-    /// What has happened.
+    /// Log of the simulation, in the order of time.
     pub log: Vec<LogEntry>,
 }
 
 impl Simulation {
-    /// All machines started, and the fleet created by the first.
+    /// Starts all machines, without slow start, and bootstraps the fleet on the first.
     pub fn new(config: SimulationConfig, seed: u64) -> Simulation {
         let mut rng = SmallRng::seed_from_u64(seed);
         let machines = (0..config.machines).map(|_| Machine::new(&config, &mut rng)).collect();
@@ -106,19 +107,19 @@
         };
         let machines = simulation.config.machines;
         (0..machines).for_each(|machine| simulation.start(machine));
-        // So that no machine has a slow start at first.
+        // No slow start at the initial start.
         simulation.machines.iter_mut().for_each(|machine| machine.started_at = 0);
-        let node = simulation.machines[0].node.as_mut().expect("it was started");
-        node.bootstrap(0).expect("a fleet is created");
+        let node = simulation.machines[0].node.as_mut().expect("machine 0 has been started");
+        node.bootstrap(0).expect("machine 0 bootstraps the fleet");
         simulation
     }
 
-    /// What a machine's own clock shows.
+    /// Returns the time of a machine's own clock, ms.
     pub fn local_time(&self, machine: MachineId) -> IntegerMillis {
         self.machines[machine].local_time(self.now)
     }
 
-    /// Starts a machine's server, unless it runs.
+    /// Starts a machine's process, unless it runs.
     pub fn start(&mut self, id: MachineId) {
         if self.machines[id].node.is_some() {
             return;
@@ -141,10 +142,10 @@
         self.log.push(LogEntry { at: self.now, text });
     }
 
-    /// Runs a scenario as far as `until`, and goes on until then.
+    /// Runs until `until`, and injects the scenario's faults up to then at their times.
     ///
     /// # Errors
-    /// An invariant was broken.
+    /// Returns the first violation of an invariant.
     pub fn run(&mut self, scenario: &Scenario, until: IntegerMillis) -> Result<(), InvariantViolation> {
         for (at, fault) in scenario.steps.iter().filter(|(at, _)| *at <= until) {
             self.run_until(*at)?;
@@ -153,10 +154,10 @@
         self.run_until(until)
     }
 
-    /// Moves on to a moment, one event after the other.
+    /// Handles all events up to and including `until`, and sets the virtual time to it.
     ///
     /// # Errors
-    /// An invariant was broken.
+    /// Returns the first violation of an invariant.
     pub fn run_until(&mut self, until: IntegerMillis) -> Result<(), InvariantViolation> {
         while let Some((at, event)) = self.queue.pop_until(until) {
             self.now = self.now.max(at);
@@ -169,7 +170,7 @@
         Ok(())
     }
 
-    /// Handles one event; returns the machine that has done something.
+    /// Handles one event; returns the machine whose member has acted on it, if any.
     fn handle_event(&mut self, event: Event, at: IntegerMillis) -> Option<MachineId> {
         match event {
             Event::Message { to, bytes } => self.deliver(to, bytes),
@@ -179,7 +180,7 @@
             }
             Event::LateEffect { machine, duty, token } => {
                 if self.machines[machine].node.is_some() {
-                    self.invariants.effect(machine, &duty, token);
+                    self.invariants.record_effect(machine, &duty, token);
                 }
                 None
             }
@@ -209,8 +210,8 @@
         Some(to)
     }
 
-    /// Does what is due on a machine, unless it is dead or has another wake-up time by now; one that is stopped does it when it
-    /// goes on.
+    /// Wakes a machine, unless its process is dead or its wake-up time has changed; a paused process wakes
+    /// when it resumes.
     fn wake(&mut self, id: MachineId, at: IntegerMillis) -> Option<MachineId> {
         let machine = &self.machines[id];
         if machine.node.is_none() || machine.wake_at != at {
@@ -245,25 +246,25 @@
         }
     }
 
-    /// A machine's load: the fleet's is spread evenly over those that serve.
+    /// Returns the load report of a machine; the fleet's load is spread evenly over the serving machines.
     fn load_report(&self, id: MachineId) -> LoadReport {
         let serving = self.serving_count().max(1);
         let machine = &self.machines[id];
-        let part = (self.load * self.machines.len() as f64 / serving as f64) as f32;
+        let concurrent_runs = (self.load * self.machines.len() as f64 / serving as f64) as f32;
         let is_starting = self.now < machine.started_at + SLOW_START_MILLIS && machine.started_at > 0;
-        let fill = part / CAPACITY;
+        let fill = concurrent_runs / CAPACITY;
         LoadReport {
             phase: if is_starting { Phase::Cold } else { Phase::Serving },
             share: machine.forced_share.unwrap_or((1.0 / fill).min(1.0)),
             hold_time_ratio: fill,
             limit: CAPACITY,
-            running: part.min(CAPACITY),
+            running: concurrent_runs.min(CAPACITY),
             cores: CAPACITY,
             healthy: !is_starting,
         }
     }
 
-    /// Carries out what a machine's member wants done.
+    /// Carries out the effects that a machine's member has emitted.
     fn carry_out_effects(&mut self, id: MachineId) {
         let Some(node) = &mut self.machines[id].node else { return };
         for effect in node.take_effects() {
@@ -272,8 +273,8 @@
                 Effect::Drain(ticket) => {
                     let drain = Drain { since: self.now, ticket: Some(ticket) };
                     self.machines[id].drain.get_or_insert(drain);
-                    self.invariants.departed(Departure { machine: id, ticket, at: self.now });
-                    self.log(format!("n{id} leaves by ticket {ticket}"));
+                    self.invariants.record_departure(Departure { machine: id, ticket, at: self.now });
+                    self.log(format!("n{id} starts to drain for ticket {ticket}"));
                 }
                 Effect::Responded(request, response) => {
                     if let Some(call) = self.operator_calls.iter_mut().find(|call| call.id == request) {
--- a/crates/loomflow-fleet-simulation/src/simulation/duties.rs
+++ b/crates/loomflow-fleet-simulation/src/simulation/duties.rs
@@ -1,4 +1,4 @@
-//! What machines do about duties, and who owns which by their own clocks.
+//! Duties: effects of their owners, and ownership by the machines' own clocks.
 
 use loomflow_fleet::duty::client_session::OwnershipChange;
 
@@ -7,7 +7,8 @@
 use crate::invariants::Violation;
 
 impl Simulation {
-    /// A machine acquired a duty, is to release it, or lost it. Its work is short: it is finished at once.
+    /// Handles a change in the ownership of a duty. A duty to be released is released immediately: its work
+    /// takes no time in this model.
     pub(super) fn ownership_changed(&mut self, id: MachineId, change: OwnershipChange) {
         if let OwnershipChange::ReleaseRequested(duty, _) = change {
             let local_time = self.local_time(id);
@@ -18,7 +19,7 @@
         }
     }
 
-    /// An owner does what its duties are for: each effect goes to the receiver with its token.
+    /// Sends an effect with the fencing token to the receiver for each duty that the machine owns.
     pub(super) fn act_as_owner(&mut self, id: MachineId) {
         if self.config.duties == 0 || self.machines[id].is_stopped(self.now) {
             return;
@@ -26,11 +27,11 @@
         let local_time = self.local_time(id);
         let Some(node) = &self.machines[id].node else { return };
         for (duty, token) in node.owned_duties(local_time) {
-            self.invariants.effect(id, &duty, token);
+            self.invariants.record_effect(id, &duty, token);
         }
     }
 
-    /// Machines whose own clock says that they own a duty, except stopped ones: they do nothing.
+    /// Returns the machines that own a duty by their own clocks, except paused ones, which cannot act.
     pub fn owners(&self, duty: &str) -> Vec<MachineId> {
         let is_owner = |id: &MachineId| {
             let machine = &self.machines[*id];
@@ -40,7 +41,7 @@
         (0..self.machines.len()).filter(is_owner).collect()
     }
 
-    /// What a machine owns, no other owns.
+    /// Checks that no other machine owns a duty of this machine.
     pub(super) fn check_one_owner(&self, id: MachineId) -> Result<(), Violation> {
         let node = self.machines[id].node.as_ref();
         let Some(node) = node.filter(|_| self.invariants.expects_one_owner) else { return Ok(()) };
--- a/crates/loomflow-fleet-simulation/src/simulation/faults.rs
+++ b/crates/loomflow-fleet-simulation/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Carries out the faults of a scenario, and the requests of operators.
+//! Injects the faults of a scenario and submits the requests of operators.
 
 use loomflow_fleet::command::{FleetCommand, FleetRequest, Issuer};
 use loomflow_fleet::maintenance::ticket::{TicketId, TicketRequest, Transition, Urgency};
@@ -10,17 +10,17 @@
 use crate::machine::{Drain, SimulatedDisk};
 use crate::scenario::Fault;
 
-/// How long maintenance is requested for, ms.
+/// Duration of maintenance in ticket requests, ms.
 const REQUESTED_MILLIS: IntegerMillis = 60_000;
 
 impl Simulation {
-    /// Carries out one fault, now.
+    /// Injects a fault at the current virtual time.
     pub fn inject(&mut self, fault: &Fault) {
         self.log(format!("{fault:?}"));
         match fault {
             Fault::Kill(machine) => self.kill(*machine),
             Fault::Start(machine) => self.start(*machine),
-            Fault::Stop(machine, span) => self.stop(*machine, *span),
+            Fault::Stop(machine, duration_millis) => self.pause(*machine, *duration_millis),
             Fault::SetShare(machine, share) => self.machines[*machine].forced_share = Some(*share),
             Fault::LoseDisk(machine) => self.machines[*machine].disk = SimulatedDisk::default(),
             Fault::FillDisk(machine, is_full) => self.machines[*machine].disk.set_full(*is_full),
@@ -33,31 +33,34 @@
                 self.network.loss = *loss;
                 self.network.duplication = *duplication;
             }
-            Fault::SetMaxDelay(max_sleep) => self.network.max_delay_millis = *max_sleep,
+            Fault::SetMaxDelay(max_delay_millis) => self.network.max_delay_millis = *max_delay_millis,
             Fault::RequestWork(machines, urgency) => self.request_work(machines, *urgency),
-            Fault::Withdraw(ticket) => self.move_ticket(*ticket, Transition::Withdraw),
+            Fault::Withdraw(ticket) => self.transition_ticket(*ticket, Transition::Withdraw),
             Fault::Abandon(ticket) => {
-                self.invariants.abandoned(*ticket);
-                self.move_ticket(*ticket, Transition::Abandon);
+                self.invariants.record_abandoned(*ticket);
+                self.transition_ticket(*ticket, Transition::Abandon);
             }
             Fault::SetLoad(load) => self.load = *load,
-            Fault::SetMaintenance(machine, span) => self.machines[*machine].maintenance_millis = *span,
+            Fault::SetMaintenance(machine, duration_millis) => {
+                self.machines[*machine].maintenance_millis = *duration_millis;
+            }
             Fault::Terminate(machine) => self.terminate(*machine),
         }
     }
 
     fn kill(&mut self, id: MachineId) {
         self.machines[id].node = None;
-        self.log(format!("n{id} is dead"));
-        self.invariants.process_ended(id);
+        self.log(format!("n{id} is killed"));
+        self.invariants.record_exit(id);
     }
 
-    /// The process stalls between its check and its effect: what it owns now is done when it goes on.
-    fn stop(&mut self, id: MachineId, span: IntegerMillis) {
+    /// Pauses a process between its check of ownership and its effect: effects for the duties that it owns
+    /// now are sent when it resumes.
+    fn pause(&mut self, id: MachineId, duration_millis: IntegerMillis) {
         let local_time = self.local_time(id);
         let node = self.machines[id].node.as_ref();
         let owned = node.map(|node| node.owned_duties(local_time)).unwrap_or_default();
-        let until = self.now + span;
+        let until = self.now + duration_millis;
         self.machines[id].stopped_until = until;
         for (duty, token) in owned {
             self.queue.push(until, Event::LateEffect { machine: id, duty, token });
@@ -86,12 +89,13 @@
         self.submit_as_operator(command, machines.to_vec());
     }
 
-    fn move_ticket(&mut self, ticket: TicketId, transition: Transition) {
+    fn transition_ticket(&mut self, ticket: TicketId, transition: Transition) {
         let command = FleetCommand::Transition { ticket, transition, grant: 0, incarnation: 0 };
         self.submit_as_operator(command, Vec::new());
     }
 
-    /// Submits an operator's command about some machines, at the first machine that runs.
+    /// Submits an operator's command at the first machine that serves and is not paused; without one, the
+    /// command is dropped. `machines` are those that it concerns.
     pub fn submit_as_operator(&mut self, command: FleetCommand, machines: Vec<MachineId>) {
         let is_usable = |id: &MachineId| {
             let machine = &self.machines[*id];
--- a/crates/loomflow-fleet-simulation/src/simulation/queries.rs
+++ b/crates/loomflow-fleet-simulation/src/simulation/queries.rs
@@ -1,4 +1,4 @@
-//! Queries of tests and measurements.
+//! Queries on the state of the fleet, for tests and benchmarks.
 
 use std::collections::BTreeSet;
 
@@ -13,19 +13,20 @@
 use crate::config::{MachineId, server_name};
 use crate::machine::Traffic;
 
-/// A ticket by the leader's state.
+/// A ticket as recorded by the leader.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TicketSummary {
-    /// The ticket.
+    /// Number of the ticket.
     pub ticket: TicketId,
-    /// Its server.
+    /// Name of the server that the ticket is for.
     pub server: ServerName,
-    /// How far it has come.
+    /// Current stage of the ticket.
     pub stage: TicketStage,
 }
 
 impl Simulation {
-    /// The machine that leads, as far as it knows itself.
+    /// Returns the machine that considers itself the leader, the one in the highest term if there are
+    /// several.
     pub fn leader(&self) -> Option<MachineId> {
         let is_leader = |id: &MachineId| self.machines[*id].node.as_ref().is_some_and(Node::is_leader);
         let term = |id: &MachineId| {
@@ -35,12 +36,13 @@
         (0..self.machines.len()).filter(is_leader).max_by_key(term)
     }
 
-    /// What the fleet has agreed on, as the leader has applied it; none without a leader.
+    /// Returns the replicated state as applied by the leader; `None` without a leader.
     pub fn leader_state(&self) -> Option<&FleetState> {
         self.machines[self.leader()?].node.as_ref()?.fleet_state()
     }
 
-    /// Why a machine waits, by its leader: a line for each check that does not hold, where it has a ticket.
+    /// Explains, by the leader's state, why the ticket of a machine waits: a headline and a line for each
+    /// failed check. Empty without a leader or a ticket.
     pub fn explain(&self, machine: MachineId) -> Vec<String> {
         let response = self.leader().and_then(|leader| {
             let node = self.machines[leader].node.as_ref()?;
@@ -49,12 +51,13 @@
         let Some(FleetResponse::Explanation(explanation)) = response else { return Vec::new() };
         let Some((ticket, stage)) = explanation.ticket else { return Vec::new() };
         let state = explanation.state.map_or("unknown", |state| state.as_str());
-        let head = format!("n{machine}, {state}: ticket {ticket} {}", stage.as_str());
+        let headline = format!("n{machine}, {state}: ticket {ticket} {}", stage.as_str());
         let failed = explanation.findings.iter().filter(|finding| !finding.is_satisfied);
-        [head].into_iter().chain(failed.map(|finding| format!("    {finding}"))).collect()
+        [headline].into_iter().chain(failed.map(|finding| format!("    {finding}"))).collect()
     }
 
-    /// All tickets by the leader's state, open and closed, in the order of their numbers.
+    /// Returns the open and closed tickets recorded by the leader, in the order of their numbers; empty
+    /// without a leader.
     pub fn tickets(&self) -> Vec<TicketSummary> {
         let Some(state) = self.leader_state() else { return Vec::new() };
         let all = state.maintenance.closed().chain(state.maintenance.open().values());
@@ -69,13 +72,13 @@
         tickets
     }
 
-    /// Whether every member that runs considers this machine down.
+    /// Returns whether every running member considers a machine down.
     pub fn is_known_down(&self, machine: MachineId) -> bool {
         let mut nodes = self.machines.iter().filter_map(|other| other.node.as_ref());
         nodes.all(|node| considers_down(node, machine))
     }
 
-    /// Pairs of members that run of which the first considers the second down.
+    /// Returns the pairs of running members in which the first considers the second down.
     pub fn considered_down(&self) -> BTreeSet<(MachineId, MachineId)> {
         let running = || {
             let all = self.machines.iter().enumerate();
@@ -83,18 +86,18 @@
         };
         let mut pairs = BTreeSet::new();
         for (observer, node) in running() {
-            let dead = running().filter(|(other, _)| considers_down(node, *other));
-            pairs.extend(dead.map(|(other, _)| (observer, other)));
+            let suspected = running().filter(|(other, _)| considers_down(node, *other));
+            pairs.extend(suspected.map(|(other, _)| (observer, other)));
         }
         pairs
     }
 
-    /// Machines that take their part of the load.
+    /// Returns the number of machines that serve, and thus share the load.
     pub fn serving_count(&self) -> usize {
         self.machines.iter().filter(|machine| machine.is_serving()).count()
     }
 
-    /// What all members have sent.
+    /// Returns the messages that all members have sent.
     pub fn traffic(&self) -> Traffic {
         let sum = |sum: Traffic, machine: &crate::machine::Machine| Traffic {
             messages: sum.messages + machine.sent.messages,
--- a/crates/loomflow-fleet-simulation/src/simulation/shutdown.rs
+++ b/crates/loomflow-fleet-simulation/src/simulation/shutdown.rs
@@ -1,4 +1,5 @@
-//! Servers that shut down: each drains, reports it, exits, and is started again when its maintenance is done.
+//! Shutdown of servers: a server drains, reports that to the fleet, exits, and is restarted after its
+//! maintenance.
 
 use loomflow_fleet::node::Effect;
 use loomflow_fleet::time::IntegerMillis;
@@ -7,15 +8,15 @@
 use crate::config::{MachineId, machine_of};
 use crate::event_queue::Event;
 
-/// How long a server drains, ms.
+/// Time that a server takes to drain, ms.
 const DRAIN_MILLIS: IntegerMillis = 700;
-/// How long a server waits for its last report to be answered, ms.
+/// Maximum time that a drained server waits for the fleet's response to its last report, ms.
 const SHUTDOWN_TIMEOUT_MILLIS: IntegerMillis = 1_500;
-/// How long the last messages take, ms.
+/// Delay of the messages that a server sends at its exit, ms.
 const LAST_MESSAGE_DELAY_MILLIS: IntegerMillis = 2;
 
 impl Simulation {
-    /// Does what is due on a server that shuts down.
+    /// Advances the shutdown of a machine's server, if one is in progress.
     pub(super) fn continue_shutdown(&mut self, id: MachineId) {
         let local_time = self.local_time(id);
         let machine = &mut self.machines[id];
@@ -25,8 +26,8 @@
             machine.has_drained = true;
             node.drained(local_time);
         }
-        let is_time_over = self.now >= drained_at + SHUTDOWN_TIMEOUT_MILLIS;
-        if !machine.has_drained || !(node.is_finished() || is_time_over) {
+        let has_timed_out = self.now >= drained_at + SHUTDOWN_TIMEOUT_MILLIS;
+        if !machine.has_drained || !(node.is_finished() || has_timed_out) {
             return;
         }
         node.leave(local_time);
@@ -34,13 +35,14 @@
         machine.node = None;
         let maintenance_millis = machine.maintenance_millis;
         self.send_last_messages(id, last_effects);
-        self.log(format!("n{id} is out"));
-        self.invariants.process_ended(id);
-        if let Some(span) = maintenance_millis.filter(|_| drain.ticket.is_some()) {
-            self.queue.push(self.now + span, Event::Start(id));
+        self.log(format!("n{id} exits"));
+        self.invariants.record_exit(id);
+        if let Some(duration_millis) = maintenance_millis.filter(|_| drain.ticket.is_some()) {
+            self.queue.push(self.now + duration_millis, Event::Start(id));
         }
     }
 
+    /// Sends the messages of a process that exits, with a fixed delay and without random loss.
     fn send_last_messages(&mut self, from: MachineId, effects: Vec<Effect>) {
         if self.network.loss >= 1.0 {
             return;
--- a/crates/loomflow-fleet-simulation/tests/common/mod.rs
+++ b/crates/loomflow-fleet-simulation/tests/common/mod.rs
@@ -1,24 +1,25 @@
-//! Playing scenarios on a simulated fleet.
+//! Helpers to run scenarios on a simulated fleet.
 
-#![allow(dead_code, reason = "each test file uses a part of them")]
+#![allow(dead_code, reason = "no test file uses all helpers")]
 
 use loomflow_fleet_simulation::{Fault, Scenario, Simulation, SimulationConfig};
 
-/// The events of a simulation, and why each machine waits.
+/// The log of a simulation, followed by the reasons why tickets wait.
 pub fn timeline(simulation: &Simulation) -> String {
     let waits = (0..simulation.machines.len()).flat_map(|machine| simulation.explain(machine));
     let lines = simulation.log.iter().map(ToString::to_string);
     lines.chain(waits).collect::<Vec<_>>().join("\n")
 }
 
-/// Lets time pass until a moment, ms. An invariant that is violated fails the test.
+/// Advances the virtual time to `until`, ms; panics if an invariant is violated.
 pub fn advance(simulation: &mut Simulation, until: u64) {
     if let Err(violation) = simulation.run_until(until) {
         panic!("{violation}");
     }
 }
 
-/// Lets time pass in steps until a condition holds; returns the moment.
+/// Advances the virtual time in steps of `step` ms until a condition holds, for at most 120 s; returns the
+/// time at which it holds.
 pub fn advance_until(
     simulation: &mut Simulation,
     step: u64,
@@ -27,14 +28,18 @@
 ) -> u64 {
     let end = simulation.now + 120_000;
     while !holds(simulation) {
-        assert!(simulation.now < end, "never: {condition}\n{}", timeline(simulation));
+        assert!(
+            simulation.now < end,
+            "condition not met within 120 s: {condition}\n{}",
+            timeline(simulation)
+        );
         let next = simulation.now + step;
         advance(simulation, next);
     }
     simulation.now
 }
 
-/// Plays faults on a fleet until a time, ms. An invariant that is violated fails the test.
+/// Runs a fleet with these faults until `until`, ms; panics if an invariant is violated.
 pub fn run(
     config: SimulationConfig,
     steps: impl IntoIterator<Item = (u64, Fault)>,
--- a/crates/loomflow-fleet-simulation/tests/hard_cases.rs
+++ b/crates/loomflow-fleet-simulation/tests/hard_cases.rs
@@ -1,5 +1,5 @@
-//! Maintenance tickets of a simulated fleet under faults, case by case, in virtual time. Each case is a script of faults and
-//! requests; the invariants are checked after every event.
+//! Scripted fault scenarios for the maintenance tickets of a simulated fleet. The invariants are checked
+//! after every event.
 
 mod common;
 
@@ -14,9 +14,9 @@
     SimulationConfig { machines, voters, ..SimulationConfig::default() }
 }
 
-/// The stages of all tickets in the order of their numbers, as the leader has them.
+/// The stages of all tickets in the leader's state, in the order of their numbers.
 fn stages(simulation: &Simulation) -> Vec<TicketStage> {
-    assert!(simulation.leader().is_some(), "nobody leads\n{}", timeline(simulation));
+    assert!(simulation.leader().is_some(), "the fleet has no leader\n{}", timeline(simulation));
     simulation.tickets().into_iter().map(|ticket| ticket.stage).collect()
 }
 
@@ -24,13 +24,13 @@
     assert_eq!(stages(simulation), expected, "{}", timeline(simulation));
 }
 
-/// The machine and the moment of each departure.
+/// The machine and the time of each departure.
 fn departures(simulation: &Simulation) -> Vec<(usize, u64)> {
     simulation.invariants.departures.iter().map(|departure| (departure.machine, departure.at)).collect()
 }
 
 #[test]
-fn servers_drain_one_after_the_other_and_the_leader_last() {
+fn servers_drain_in_turn_with_the_leader_last() {
     let simulation = run(config(5, 3), [(12_000, RequestWork((0..5).collect(), Routine))], 200_000);
     expect_stages(&simulation, &[TicketStage::Done; 5]);
     let order: Vec<usize> = departures(&simulation).into_iter().map(|(machine, _)| machine).collect();
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn zones_take_turns() {
+fn consecutive_drains_are_in_different_zones() {
     let simulation = run(
         SimulationConfig { zones: 3, ..config(9, 3) },
         [(12_000, RequestWork((3..9).collect(), Routine))],
@@ -51,8 +51,8 @@
 }
 
 #[test]
-fn a_leader_killed_between_grant_and_notification_loses_nothing() {
-    // The leader reaches only one other voter, so the grant is committed and its server is not notified.
+fn ticket_completes_if_the_leader_dies_before_notifying_the_grant() {
+    // The leader reaches only one other voter: the grant is committed, but the server is not notified.
     let cuts = (2..5).map(|to| (12_900, CutLink(0, to)));
     let steps = [
         (13_000, RequestWork(vec![3], Routine)),
@@ -64,17 +64,18 @@
     expect_stages(&simulation, &[TicketStage::Done]);
 }
 
+/// A server that receives a grant after it lapsed, while another server is out, must not drain.
 #[test]
-fn a_grant_received_after_it_lapsed_has_no_effect() {
-    // The server is paused before it can begin, and resumed when its grant has lapsed and another server is out.
-    // Two may be out: the paused server counts as one of them.
+fn lapsed_grant_has_no_effect() {
+    // The server is paused before it begins, and resumes after its grant has lapsed and while another server
+    // is out. The limit is two machines out, because the paused server counts as one.
     let rules = Rules { begin_within_millis: 4_000, max_out: Limit::Count(2), ..Rules::default() };
     let mut simulation =
         Simulation::new(SimulationConfig { rules, maintenance_millis: 20_000, ..config(5, 3) }, 7);
     simulation.run_until(12_000).unwrap();
     simulation.inject(&RequestWork(vec![4], Routine));
-    // The grant is committed, and its server has not received it.
-    advance_until(&mut simulation, 1, "it is granted", |simulation| {
+    // The grant is committed, and the server has not received it yet.
+    advance_until(&mut simulation, 1, "the ticket is granted", |simulation| {
         stages(simulation) == [TicketStage::Granted]
     });
     simulation.inject(&Stop(4, 12_000));
@@ -91,7 +92,7 @@
         "{}",
         timeline(&simulation)
     );
-    // It is resumed, and receives the grant, or had received it before it was paused.
+    // The resumed server receives the lapsed grant, unless it had received it before the pause.
     simulation.run_until(now + 16_000).unwrap();
     assert_eq!(departures(&simulation), before, "{}", timeline(&simulation));
     simulation.run_until(now + 120_000).unwrap();
@@ -103,7 +104,7 @@
     let mut simulation = Simulation::new(config(5, 3), 7);
     let cut = Scenario::new([(12_000, Isolate(vec![0, 4])), (12_100, RequestWork(vec![4], Routine))]);
     simulation.run(&cut, 20_000).unwrap();
-    // The other side gets a request, too.
+    // The majority side receives a request, too.
     simulation.inject(&Kill(0));
     simulation.inject(&RequestWork(vec![3], Routine));
     simulation.run_until(60_000).unwrap();
@@ -115,8 +116,8 @@
 }
 
 #[test]
-fn a_server_that_cannot_send_drains_only_once_it_is_received_again() {
-    // It receives all messages, and the voters receive none of its own.
+fn server_with_cut_outbound_links_drains_only_after_heal() {
+    // Server 4 receives all messages, but the voters receive none from it.
     let cuts = (0..3).map(|to| (12_000, CutLink(4, to)));
     let steps = [(16_000, RequestWork(vec![4, 3], Routine))];
     let mut simulation = Simulation::new(config(5, 3), 7);
@@ -127,8 +128,9 @@
     expect_stages(&simulation, &[TicketStage::Done, TicketStage::Done]);
 }
 
+/// No other server may drain while a draining server is paused.
 #[test]
-fn a_server_paused_while_draining_keeps_its_slot_until_it_is_back() {
+fn server_paused_while_draining_keeps_its_slot() {
     let mut simulation = Simulation::new(config(5, 3), 7);
     simulation.run_until(12_000).unwrap();
     simulation.inject(&RequestWork(vec![4, 3], Routine));
@@ -143,7 +145,7 @@
 }
 
 #[test]
-fn an_overdue_machine_frees_its_slot_once_it_is_abandoned_and_started() {
+fn abandoned_overdue_machine_frees_its_slot_on_restart() {
     let steps = [
         (11_000, SetMaintenance(4, None)),
         (12_000, RequestWork(vec![4], Routine)),
@@ -153,7 +155,7 @@
     simulation.run(&Scenario::new(steps), 100_000).unwrap();
     expect_stages(&simulation, &[TicketStage::Overdue, TicketStage::Requested]);
     simulation.inject(&Abandon(1));
-    // It counts as absent for an hour, unless it is started.
+    // An abandoned machine counts as out for an hour, unless it is restarted.
     simulation.run_until(140_000).unwrap();
     expect_stages(&simulation, &[TicketStage::Abandoned, TicketStage::Requested]);
     simulation.inject(&Start(4));
@@ -162,7 +164,7 @@
 }
 
 #[test]
-fn a_second_ticket_of_a_server_drains_its_next_incarnation() {
+fn second_ticket_drains_the_next_incarnation() {
     let steps = [(12_000, RequestWork(vec![4], Routine)), (14_500, RequestWork(vec![4], Routine))];
     let simulation = run(config(5, 3), steps, 200_000);
     expect_stages(&simulation, &[TicketStage::Done, TicketStage::Done]);
@@ -170,7 +172,7 @@
 }
 
 #[test]
-fn a_voter_with_an_empty_state_directory_rejoins_as_a_new_replica() {
+fn voter_with_empty_state_directory_rejoins_as_new_replica() {
     let steps = [
         (14_000, Kill(1)),
         (14_000, LoseDisk(1)),
@@ -181,37 +183,37 @@
     expect_stages(&simulation, &[TicketStage::Done, TicketStage::Done]);
     let leader = simulation.leader().unwrap();
     let consensus = simulation.machines[leader].node.as_ref().unwrap().consensus().unwrap();
-    assert_eq!(consensus.voters().len(), 3, "the former replica has no vote");
+    assert_eq!(consensus.voters().len(), 3, "the former replica of machine 1 must not be a voter");
 }
 
 #[test]
-fn a_voter_with_a_full_disk_does_not_lead_and_votes_again_once_it_can_write() {
-    let full = [(12_000, FillDisk(0, true)), (14_000, RequestWork(vec![4], Routine))];
+fn voter_with_full_disk_does_not_lead_and_rejoins_the_majority() {
+    let faults = [(12_000, FillDisk(0, true)), (14_000, RequestWork(vec![4], Routine))];
     let mut simulation = Simulation::new(config(5, 3), 7);
-    simulation.run(&Scenario::new(full), 60_000).unwrap();
+    simulation.run(&Scenario::new(faults), 60_000).unwrap();
     assert_ne!(simulation.leader(), Some(0), "{}", timeline(&simulation));
     expect_stages(&simulation, &[TicketStage::Done]);
     simulation.inject(&FillDisk(0, false));
     simulation.inject(&Kill(1));
     simulation.inject(&RequestWork(vec![3], Routine));
-    // The killed voter takes the only slot, but there is a majority again, with the voter that can write.
+    // The killed voter takes the only slot, but the voter with free disk space completes the majority.
     simulation.run_until(90_000).unwrap();
     assert!(simulation.leader().is_some(), "{}", timeline(&simulation));
 }
 
 #[test]
-fn all_voters_resume_after_a_simultaneous_restart() {
-    let kill = (0..3).map(|machine| (13_500, Kill(machine)));
-    let start = (0..3).map(|machine| (20_000, Start(machine)));
+fn tickets_complete_after_simultaneous_restart_of_all_voters() {
+    let kills = (0..3).map(|machine| (13_500, Kill(machine)));
+    let starts = (0..3).map(|machine| (20_000, Start(machine)));
     let simulation =
-        run(config(5, 3), kill.chain(start).chain([(12_000, RequestWork(vec![4, 3], Routine))]), 400_000);
+        run(config(5, 3), kills.chain(starts).chain([(12_000, RequestWork(vec![4, 3], Routine))]), 400_000);
     expect_stages(&simulation, &[TicketStage::Done, TicketStage::Done]);
 }
 
 #[test]
-fn no_server_drains_while_a_zone_is_lost() {
-    let lost = [2, 5].map(|machine| (16_000, Kill(machine)));
-    let back = [2, 5].map(|machine| (80_000, Start(machine)));
+fn no_drain_starts_while_a_zone_is_down() {
+    let kills = [2, 5].map(|machine| (16_000, Kill(machine)));
+    let starts = [2, 5].map(|machine| (80_000, Start(machine)));
     let config = SimulationConfig {
         zones: 3,
         rules: Rules { max_out: Limit::Count(2), ..Rules::default() },
@@ -219,20 +221,20 @@
     };
     let mut simulation = Simulation::new(config, 7);
     let requests = [(12_000, RequestWork(vec![3, 4, 6, 7], Routine))];
-    simulation.run(&Scenario::new(lost.into_iter().chain(requests)), 75_000).unwrap();
-    let late = departures(&simulation).iter().filter(|(_, at)| *at > 18_000).count();
-    assert_eq!(late, 0, "{}", timeline(&simulation));
-    simulation.run(&Scenario::new(back), 400_000).unwrap();
+    simulation.run(&Scenario::new(kills.into_iter().chain(requests)), 75_000).unwrap();
+    let departed_after_loss = departures(&simulation).iter().filter(|(_, at)| *at > 18_000).count();
+    assert_eq!(departed_after_loss, 0, "{}", timeline(&simulation));
+    simulation.run(&Scenario::new(starts), 400_000).unwrap();
     expect_stages(&simulation, &[TicketStage::Done; 4]);
 }
 
 #[test]
-fn a_grant_is_recalled_if_overload_rises() {
+fn grant_is_recalled_under_overload() {
     let mut simulation = Simulation::new(config(5, 3), 7);
     simulation.run_until(12_000).unwrap();
-    // It is paused, so that it cannot take the grant up.
+    // The server is paused, so that it cannot begin.
     simulation.inject(&RequestWork(vec![4], Routine));
-    advance_until(&mut simulation, 1, "it is granted", |simulation| {
+    advance_until(&mut simulation, 1, "the ticket is granted", |simulation| {
         stages(simulation) == [TicketStage::Granted]
     });
     simulation.inject(&Stop(4, 3_300));
@@ -251,7 +253,7 @@
 }
 
 #[test]
-fn no_server_drains_in_overload_and_all_drain_after_it() {
+fn drains_wait_until_overload_ends() {
     let steps = [(12_000, SetLoad(7.0)), (16_000, RequestWork(vec![3, 4], Routine))];
     let mut simulation = Simulation::new(config(5, 3), 7);
     simulation.run(&Scenario::new(steps), 60_000).unwrap();
@@ -262,8 +264,8 @@
 }
 
 #[test]
-fn a_ticket_is_either_withdrawn_or_carried_out() {
-    // Withdrawn at each moment around its grant and its begin, with message delays of up to half a second.
+fn racing_withdrawal_either_cancels_or_completes_the_ticket() {
+    // Withdraws at 50 ms intervals around the grant and the begin, with message delays of up to 500 ms.
     for at in (12_050..13_500).step_by(50) {
         let steps = [(11_000, SetMaxDelay(500)), (12_000, RequestWork(vec![4], Routine)), (at, Withdraw(1))];
         let simulation = run(config(5, 3), steps, 200_000);
@@ -280,17 +282,17 @@
 }
 
 #[test]
-fn tickets_are_done_after_a_member_has_flapped() {
-    let flap = (0..20).flat_map(|n| {
+fn tickets_complete_with_a_flapping_member() {
+    let flaps = (0..20).flat_map(|n| {
         let at = 12_000 + n * 3_000;
         [(at, Kill(4)), (at + 1_500, Start(4))]
     });
-    let simulation = run(config(5, 3), flap.chain([(13_000, RequestWork(vec![3, 4], Routine))]), 500_000);
+    let simulation = run(config(5, 3), flaps.chain([(13_000, RequestWork(vec![3, 4], Routine))]), 500_000);
     expect_stages(&simulation, &[TicketStage::Done, TicketStage::Done]);
 }
 
 #[test]
-fn sigterm_without_a_ticket_is_obeyed_and_counts_as_out() {
+fn sigterm_without_ticket_drains_and_counts_as_out() {
     let steps = [(12_000, Terminate(4)), (13_000, RequestWork(vec![3], Routine))];
     let mut simulation = Simulation::new(config(5, 3), 7);
     simulation.run(&Scenario::new(steps), 59_000).unwrap();
@@ -310,16 +312,16 @@
 }
 
 #[test]
-fn members_that_join_within_seconds_become_known_to_all_and_delay_tickets_briefly() {
+fn members_joining_within_seconds_reach_all_and_tickets_complete() {
     let config =
         SimulationConfig { rules: Rules { max_out: Limit::Share(0.1), ..Rules::default() }, ..config(50, 5) };
-    let late: Vec<usize> = (30..50).collect();
-    let gone = late.iter().map(|machine| (4_000, Kill(*machine)));
-    let back = late.iter().map(|machine| (30_000 + 100 * *machine as u64, Start(*machine)));
+    let joining: Vec<usize> = (30..50).collect();
+    let kills = joining.iter().map(|machine| (4_000, Kill(*machine)));
+    let starts = joining.iter().map(|machine| (30_000 + 100 * *machine as u64, Start(*machine)));
     let mut simulation = Simulation::new(config, 7);
     simulation.invariants.compares_states = false;
     simulation
-        .run(&Scenario::new(gone.chain(back).chain([(45_000, RequestWork(vec![7, 8], Routine))])), 120_000)
+        .run(&Scenario::new(kills.chain(starts).chain([(45_000, RequestWork(vec![7, 8], Routine))])), 120_000)
         .unwrap();
     expect_stages(&simulation, &[TicketStage::Done, TicketStage::Done]);
     for machine in &simulation.machines {
@@ -329,7 +331,7 @@
 }
 
 #[test]
-fn a_fleet_recovers_from_one_state_directory_with_skipped_ticket_numbers() {
+fn fleet_recovers_from_one_state_directory_and_skips_ticket_numbers() {
     let mut simulation = Simulation::new(config(5, 3), 7);
     simulation.run(&Scenario::new([(12_000, RequestWork(vec![4], Routine))]), 60_000).unwrap();
     for machine in [0, 1] {
@@ -338,13 +340,17 @@
         simulation.inject(&Start(machine));
     }
     simulation.run_until(80_000).unwrap();
-    assert_eq!(simulation.leader(), None, "a majority is lost");
+    assert_eq!(simulation.leader(), None, "there must be no leader without a majority of the voters");
     let now = simulation.now;
     let node = simulation.machines[2].node.as_mut().unwrap();
-    // The time of its own clock does not matter here.
+    // Virtual time instead of the machine's local time: the difference does not matter here.
     node.recover(now).unwrap();
     simulation.run_until(140_000).unwrap();
-    assert_eq!(stages(&simulation)[0], TicketStage::Done, "the stored ticket is recovered");
+    assert_eq!(
+        stages(&simulation)[0],
+        TicketStage::Done,
+        "the closed ticket must be recovered from the state directory"
+    );
     simulation.inject(&RequestWork(vec![4], Routine));
     simulation.run_until(260_000).unwrap();
     let last = simulation.tickets().last().cloned().unwrap();
