--- a/crates/loomflow-benchmark/src/amqp.rs
+++ b/crates/loomflow-benchmark/src/amqp.rs
@@ -1,5 +1,5 @@
-//! The AMQP front: rules under redeliveries and restarts, cost beside RESP, both fronts under overload, and memory
-//! before a long queue.
+//! The AMQP front: rules under redeliveries and restarts, CPU time compared with RESP, both fronts under overload, and
+//! memory with a long queue.
 
 use std::collections::BTreeMap;
 use std::thread;
@@ -17,10 +17,10 @@
 
 pub fn measure(quick: bool) -> Report {
     let mut report = Report::new("amqp");
-    rounds(&mut report, if quick { 60 } else { 1_000 });
-    cost(&mut report, if quick { 4 } else { 15 });
-    overload(&mut report, if quick { 8 } else { 20 });
-    backlog(&mut report, if quick { 20_000 } else { 100_000 });
+    measure_rules(&mut report, if quick { 60 } else { 1_000 });
+    measure_cost(&mut report, if quick { 4 } else { 15 });
+    measure_overload(&mut report, if quick { 8 } else { 20 });
+    measure_backlog(&mut report, if quick { 20_000 } else { 100_000 });
     report
 }
 
@@ -32,10 +32,10 @@
     )
 }
 
-/// A server with an engine that works by itself, and a broker where one is needed.
+/// Starts a server with an autonomous engine and, optionally, a broker with the class and the rank of its queue.
 fn fixture(
     settings: Value,
-    worker: &AutonomousEngine,
+    engine: &AutonomousEngine,
     broker: Option<(&Broker, &str, f64)>,
 ) -> ServerFixture {
     let mut fixture = ServerFixture::new(settings);
@@ -44,7 +44,7 @@
     if let Some((broker, class, rank)) = broker {
         fixture.options(&options(broker, class, rank));
     }
-    fixture.serve_with(worker);
+    fixture.serve_with(engine);
     fixture
 }
 
@@ -55,7 +55,7 @@
 
 // ---- Rules ----
 
-/// What is done to the server or its connections in one round.
+/// Fault that is injected in one round, in the server or its connections.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Fault {
     None,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Its name in the table.
+    /// Name of the fault in the table.
     fn as_str(self) -> &'static str {
         match self {
             Fault::None => "none",
@@ -96,18 +96,18 @@
         }
     }
 
-    /// Whether the server may not know that a reply of its was accepted.
-    fn leaves_doubt(self) -> bool {
+    /// Whether the server may not learn that the broker has accepted a reply.
+    fn may_repeat_replies(self) -> bool {
         !matches!(self, Fault::None | Fault::NackPublishes)
     }
 
     fn inject(self, peers: &mut Peers, random: &mut fastrand::Rng) {
-        let Peers { fixture, worker, broker } = peers;
+        let Peers { fixture, engine, broker } = peers;
         match self {
             Fault::None => {}
             Fault::Restart => {
                 fixture.kill();
-                worker.server_died();
+                engine.server_died();
                 fixture.start("exec \"$0\" serve");
                 fixture.wait_for_service();
             }
@@ -131,13 +131,13 @@
 
 /// A server with its broker and its engine.
 struct Peers {
-    // Dropped in this order: the server before its peers.
+    // Fields are dropped in this order: the server before its peers.
     fixture: ServerFixture,
-    worker: AutonomousEngine,
+    engine: AutonomousEngine,
     broker: Broker,
 }
 
-/// Rounds by their fault, and what came of their messages.
+/// Number of rounds by fault, and the outcomes of their messages.
 #[derive(Default)]
 struct RoundResults {
     rounds_by_fault: BTreeMap<Fault, u32>,
@@ -146,15 +146,15 @@
     dead_lettered: usize,
 }
 
-fn rounds(report: &mut Report, rounds: u32) {
-    let (broker, worker) = (Broker::with_jobs(), AutonomousEngine::start(CORES, Duration::from_millis(2)));
-    let fixture = fixture(site(20_000.0), &worker, Some((&broker, "book", 0.5)));
-    let mut peers = Peers { fixture, worker, broker };
-    let results = play_rounds(&mut peers, rounds);
-    report_rounds(report, &results, &peers.worker);
+fn measure_rules(report: &mut Report, rounds: u32) {
+    let (broker, engine) = (Broker::with_jobs(), AutonomousEngine::start(CORES, Duration::from_millis(2)));
+    let fixture = fixture(site(20_000.0), &engine, Some((&broker, "book", 0.5)));
+    let mut peers = Peers { fixture, engine, broker };
+    let results = run_rounds(&mut peers, rounds);
+    report_rounds(report, &results, &peers.engine);
 }
 
-fn play_rounds(peers: &mut Peers, rounds: u32) -> RoundResults {
+fn run_rounds(peers: &mut Peers, rounds: u32) -> RoundResults {
     let mut random = fastrand::Rng::with_seed(7);
     let mut results = RoundResults::default();
     for _ in 0..rounds {
@@ -178,7 +178,7 @@
     results
 }
 
-/// How often each message was served, and how often it failed, by its number.
+/// Numbers of `served` replies and of other replies, by the number of the message.
 fn counts_by_message(replies: &[Message]) -> (BTreeMap<String, u32>, BTreeMap<String, u32>) {
     let (mut served, mut failed) = (BTreeMap::new(), BTreeMap::new());
     for reply in replies {
@@ -188,7 +188,7 @@
     (served, failed)
 }
 
-fn report_rounds(report: &mut Report, results: &RoundResults, worker: &AutonomousEngine) {
+fn report_rounds(report: &mut Report, results: &RoundResults, engine: &AutonomousEngine) {
     let (served, failed) = counts_by_message(&results.replies);
     let has_ended = |number: &u64| {
         let id = number.to_string();
@@ -202,36 +202,38 @@
     rows.sort();
     report.table("Rounds by what happened in them", &["event", "rounds"], rows);
     report.figure("messages", results.published as f64);
-    let duplicate_runs = worker.run_counts().values().filter(|times| **times > 1).count();
+    let duplicate_runs = engine.run_counts().values().filter(|times| **times > 1).count();
     report.require_max("runs_twice", duplicate_runs as f64, 0.0);
     let without_ending = (0..results.published).filter(|number| !has_ended(number)).count();
     report.require_max("without_ending", without_ending as f64, 0.0);
-    // A process that dies between a reply and its ack causes a redelivery of which the next one has no record.
+    // If a process is killed between a reply and the ack, the message is redelivered to the next process, which has no record
+    // of it.
     let restarts = f64::from(results.rounds_by_fault.get(&Fault::Restart).copied().unwrap_or(0));
     let contrary = served.keys().filter(|id| failed.contains_key(*id)).count();
     report.require_max("contrary_replies", contrary as f64, restarts * CORES as f64);
-    // A reply whose confirm was lost may have been accepted or not: the same one is published once more.
-    let doubtful = results.rounds_by_fault.iter().filter(|(fault, _)| fault.leaves_doubt());
-    let doubtful: u32 = doubtful.map(|(_, count)| count).sum();
+    // A reply whose confirm was lost may or may not have been accepted, so the same reply is published again.
+    let repeating = results.rounds_by_fault.iter().filter(|(fault, _)| fault.may_repeat_replies());
+    let repeating: u32 = repeating.map(|(_, count)| count).sum();
     let repeated: u32 = served.values().map(|times| times - 1).sum();
-    report.require_max("same_reply_again", f64::from(repeated), f64::from(doubtful) * CORES as f64);
+    report.require_max("same_reply_again", f64::from(repeated), f64::from(repeating) * CORES as f64);
     report.figure("dead_lettered", results.dead_lettered as f64);
 }
 
 // ---- Cost ----
 
-/// Requests a second, on either front.
+/// Request rate for the comparison of CPU time, on either front.
 const REQUESTS_PER_S: f64 = 1_500.0;
 
-fn cost(report: &mut Report, seconds: u64) {
-    let span = Duration::from_secs(seconds);
-    let worker = AutonomousEngine::start(CORES, Duration::from_micros(200));
-    let by_resp = process::cpu_by_resp(&fixture(site(20_000.0), &worker, None), "book", REQUESTS_PER_S, span);
+fn measure_cost(report: &mut Report, seconds: u64) {
+    let duration = Duration::from_secs(seconds);
+    let engine = AutonomousEngine::start(CORES, Duration::from_micros(200));
+    let by_resp =
+        process::cpu_by_resp(&fixture(site(20_000.0), &engine, None), "book", REQUESTS_PER_S, duration);
     let (by_queue, count) = {
         let broker = Broker::with_jobs();
-        let fixture = fixture(site(20_000.0), &worker, Some((&broker, "book", 0.5)));
+        let fixture = fixture(site(20_000.0), &engine, Some((&broker, "book", 0.5)));
         let before = process::cpu(fixture.pid());
-        let replies = fill(&broker, REQUESTS_PER_S, span);
+        let replies = publish_and_count_served(&broker, REQUESTS_PER_S, duration);
         (((process::cpu(fixture.pid()) - before) / replies.max(1) as f64), replies)
     };
     let us = |s: f64| format!("{:.0}", s * 1e6);
@@ -256,12 +258,12 @@
     }
 }
 
-/// Publishes jobs at a rate and waits for what becomes of them; the answer is how many were served.
-fn fill(broker: &Broker, requests_per_s: f64, span: Duration) -> usize {
+/// Publishes jobs at a rate and waits until the queue is empty. Returns the number of served jobs.
+fn publish_and_count_served(broker: &Broker, requests_per_s: f64, duration: Duration) -> usize {
     let start = Instant::now();
     let (mut number, mut served) = (0_u32, 0);
     let count = |broker: &Broker| broker.take("replies").iter().filter(|r| r.kind() == "served").count();
-    while start.elapsed() < span {
+    while start.elapsed() < duration {
         publish_due(broker, &mut number, start, requests_per_s);
         served += count(broker);
         thread::sleep(Duration::from_millis(2));
@@ -273,12 +275,13 @@
 
 // ---- Overload ----
 
-/// Three times what the engine does, split evenly between the fronts.
+/// Request rate of each front: together three times the capacity of the engine.
 const OVERLOAD_REQUESTS_PER_S: f64 = 600.0;
 const WORK: Duration = Duration::from_millis(10);
-/// How long open requests are awaited at the end.
+/// Maximum wait for open requests at the end of the load.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
+/// Sample of the AMQP front in one second.
 struct Second {
     unacked: usize,
     memory_mb: f64,
@@ -286,35 +289,35 @@
     rejected: usize,
 }
 
-fn overload(report: &mut Report, seconds: u64) {
+fn measure_overload(report: &mut Report, seconds: u64) {
     let settings = overload_settings();
-    let span = Duration::from_secs(seconds);
+    let duration = Duration::from_secs(seconds);
     let plan = Plan {
         class: "pay",
         rates: vec![(0.0, OVERLOAD_REQUESTS_PER_S)],
-        duration: span,
+        duration,
         connections: 32,
         objective: Duration::from_millis(500),
         prefix: "r",
     };
-    let worker = AutonomousEngine::start(CORES, WORK);
+    let engine = AutonomousEngine::start(CORES, WORK);
     let resp_alone = {
-        let fixture = fixture(settings.clone(), &worker, None);
-        resp::play(fixture.listen, &plan, RESPONSE_TIMEOUT)
+        let fixture = fixture(settings.clone(), &engine, None);
+        resp::run(fixture.listen, &plan, RESPONSE_TIMEOUT)
     };
     let broker = Broker::with_jobs();
-    let both = fixture(settings, &worker, Some((&broker, "book", 0.1)));
-    let queue_watcher = {
+    let both = fixture(settings, &engine, Some((&broker, "book", 0.1)));
+    let queue_load = {
         let (broker, pid) = (broker.clone(), both.pid());
-        BackgroundTask::start(move |_| watch(&broker, pid, span))
+        BackgroundTask::start(move |_| publish_and_sample(&broker, pid, duration))
     };
-    let resp_beside_queue = resp::play(both.listen, &plan, RESPONSE_TIMEOUT);
-    let queue = queue_watcher.stop();
+    let resp_beside_queue = resp::run(both.listen, &plan, RESPONSE_TIMEOUT);
+    let queue = queue_load.stop();
     print_overload(report, &resp_beside_queue, &queue);
     report_overload(report, &resp_alone, &resp_beside_queue, &queue);
 }
 
-/// Jobs on the queue have a fifth of the value of a call, and may take ten times as long.
+/// Settings in which a job of the queue has a fifth of the value of a RESP call, and ten times its timeout.
 fn overload_settings() -> Value {
     let mut settings = site(1_000.0);
     settings["Classes"][2] = class("book", "keyed", 10_000.0);
@@ -352,7 +355,7 @@
     report.figure("resp_beside_queue", beside_queue);
     report.require_min("resp_kept", beside_queue / alone, 0.95);
     report.figure("queue_served", queue.iter().map(|second| second.served).sum::<usize>() as f64);
-    // Jobs of a low value for which the engine has no capacity wait at the broker, except for some.
+    // Jobs of low value for which the engine has no capacity must wait at the broker, apart from a few per core.
     let max_unacked = queue.iter().map(|second| second.unacked).max().unwrap_or(0);
     report.require_max("most_unacked", max_unacked as f64, 4.0 * CORES as f64);
     let (middle, end) = (queue.len() / 2, queue.len().saturating_sub(1));
@@ -361,12 +364,12 @@
     report.require_max("lost", f64::from(total.lost + total.wrong), 0.0);
 }
 
-/// Fills the queue at the rate of the overload and samples the broker once a second.
-fn watch(broker: &Broker, pid: u32, span: Duration) -> Vec<Second> {
+/// Publishes jobs at the rate of the overload and samples the AMQP front once per second.
+fn publish_and_sample(broker: &Broker, pid: u32, duration: Duration) -> Vec<Second> {
     let start = Instant::now();
     let (mut number, mut seconds) = (0_u32, Vec::new());
     let (mut served, mut rejected) = (0, 0);
-    while start.elapsed() < span {
+    while start.elapsed() < duration {
         publish_due(broker, &mut number, start, OVERLOAD_REQUESTS_PER_S);
         for reply in broker.take("replies") {
             match reply.kind().as_str() {
@@ -386,16 +389,16 @@
 
 // ---- A long queue ----
 
-fn backlog(report: &mut Report, count: u64) {
-    let (broker, worker) = (Broker::with_jobs(), AutonomousEngine::start(CORES, Duration::from_millis(50)));
-    let filled = broker.with_state(|state| (0..count).all(|number| state.publish(job(number))));
-    assert!(filled, "the queue is there");
+fn measure_backlog(report: &mut Report, count: u64) {
+    let (broker, engine) = (Broker::with_jobs(), AutonomousEngine::start(CORES, Duration::from_millis(50)));
+    let is_published = broker.with_state(|state| (0..count).all(|number| state.publish(job(number))));
+    assert!(is_published, "{count} jobs can be published to the queue");
     let idle = {
-        let fixture = fixture(site(20_000.0), &worker, None);
+        let fixture = fixture(site(20_000.0), &engine, None);
         thread::sleep(Duration::from_secs(1));
         process::memory(fixture.pid())
     };
-    let fixture = fixture(site(20_000.0), &worker, Some((&broker, "book", 0.5)));
+    let fixture = fixture(site(20_000.0), &engine, Some((&broker, "book", 0.5)));
     let mut peak: f64 = 0.0;
     for _ in 0..40 {
         thread::sleep(Duration::from_millis(100));
--- a/crates/loomflow-benchmark/src/callers.rs
+++ b/crates/loomflow-benchmark/src/callers.rs
@@ -1,5 +1,6 @@
-//! A fleet that loses a part of itself for two seconds, in the model of `loomflow-overload-simulation`: whether it is back at its former
-//! service within ten seconds of the part's return, over sizes, prices of a handshake, faults and seeds.
+//! Recovery of a simulated fleet (`loomflow-overload-simulation`) that loses some of its callers or servers for two
+//! seconds: whether service is back at its previous level within ten seconds of their return, for several fleet sizes,
+//! handshake prices, faults and seeds.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
@@ -13,27 +14,28 @@
 
 use crate::report::Report;
 
-/// Servers and callers.
+/// Fleet sizes: servers and callers.
 const SIZES: [(usize, usize); 3] = [(20, 60), (80, 240), (250, 800)];
-/// A request costs so many handshakes; and the load, one at which a fleet recovers
-/// that retains connections while its tables have capacity.
+/// Work of a request in handshakes, and the load: one at which a fleet recovers that keeps connections open while its
+/// connection tables have capacity.
 const HANDSHAKE_PRICES_AND_LOADS: [(f64, f64); 3] = [(60.0, 0.87), (10.0, 0.87), (3.0, 0.7)];
-/// What is lost, and how it is called in the table.
+/// Faults, with their names in the table.
 const FAULTS: [(&str, FaultKind); 2] = [
     ("a third of the callers", FaultKind::CallersDown { fraction: 1.0 / 3.0 }),
     ("a fifth of the servers", FaultKind::ServersDown { fraction: 0.2 }),
 ];
-/// The controller, and the baselines beside it.
+/// The controller's policy for idle connections, and the baselines it is compared with.
 const POLICIES: [IdlePolicy; 4] =
     [IdlePolicy::Controller, IdlePolicy::NeverClose, IdlePolicy::CloseWhenFull, IdlePolicy::CloseImmediately];
-/// Fleets of the steady tenant, its quota over the whole fleet in requests a second, and the part that it sends of it.
+/// The steady tenant: sizes of its fleet in servers, its quota over the whole fleet in requests per second, and the
+/// rates that it sends at as fractions of the quota.
 const FLEET_SIZES: [usize; 3] = [20, 100, 590];
 const QUOTA_PER_S: f64 = 4.0;
 const SENT_PARTS: [f64; 3] = [0.5, 0.9, 2.0];
-/// Plays at once.
+/// Cases that are simulated in parallel.
 const THREADS: usize = 4;
 
-/// One row of the table.
+/// Parameters of one row of the table.
 struct Case {
     size: (usize, usize),
     price: f64,
@@ -43,12 +45,12 @@
     seeds: u64,
 }
 
-/// Plays all cases; the bound counts for the controller, while the baselines are there to compare with.
+/// Simulates all cases. `not_back` is bounded for the controller's policy only; the baselines are for comparison.
 pub fn measure(quick: bool) -> Report {
     let mut report = Report::new("callers");
     let cases = cases(quick);
-    let results = play(&cases);
-    let rows = cases.iter().zip(&results).map(|(case, plays)| row(case, plays)).collect();
+    let results = simulate_all(&cases);
+    let rows = cases.iter().zip(&results).map(|(case, recoveries)| row(case, recoveries)).collect();
     let head = [
         "servers x callers, handshake, lost, idle connections",
         "before",
@@ -62,18 +64,21 @@
         "closing at the end",
     ];
     report.table("Service of a fleet that has lost a part of itself for two seconds", &head, rows);
-    let module = || cases.iter().zip(&results).filter(|(case, _)| case.policy == IdlePolicy::Controller);
-    let not_back = module().flat_map(|(_, plays)| plays).filter(|play| !play.is_back()).count();
-    let violations = results.iter().flatten().map(|play| play.violations.len()).sum::<usize>();
-    tenants(&mut report);
-    report.figure("plays", module().map(|(_, plays)| plays.len()).sum::<usize>() as f64);
+    let of_controller =
+        || cases.iter().zip(&results).filter(|(case, _)| case.policy == IdlePolicy::Controller);
+    let not_back =
+        of_controller().flat_map(|(_, recoveries)| recoveries).filter(|recovery| !recovery.is_back()).count();
+    let violations = results.iter().flatten().map(|recovery| recovery.violations.len()).sum::<usize>();
+    measure_steady_tenant(&mut report);
+    report.figure("plays", of_controller().map(|(_, recoveries)| recoveries.len()).sum::<usize>() as f64);
     report.require_max("not_back", not_back as f64, 0.0);
     report.require_max("violations", violations as f64, 0.0);
     report
 }
 
-/// How many requests of a steady tenant the modules judge to be over its quota. No bound yet: 0.05 at 0.9 is wanted.
-fn tenants(report: &mut Report) {
+/// Fraction of a steady tenant's requests that the controllers count as over its quota. No bound yet; the target is 0.05
+/// at 0.9 of the quota.
+fn measure_steady_tenant(report: &mut Report) {
     let over_quota = |servers, sent_part| {
         over_quota_part(SteadyTenant {
             servers,
@@ -108,28 +113,28 @@
     cases
 }
 
-/// The plays of every case, in the order of the cases.
-fn play(cases: &[Case]) -> Vec<Vec<Recovery>> {
+/// Results of each case by seed, in the order of the cases.
+fn simulate_all(cases: &[Case]) -> Vec<Vec<Recovery>> {
     let next = AtomicUsize::new(0);
-    let scenario_results = Mutex::new(Vec::new());
+    let results_by_case = Mutex::new(Vec::new());
     thread::scope(|scope| {
         for _ in 0..THREADS {
             scope.spawn(|| {
                 loop {
                     let index = next.fetch_add(1, Ordering::Relaxed);
                     let Some(case) = cases.get(index) else { return };
-                    let plays = (1..=case.seeds).map(|seed| play_one(case, seed)).collect::<Vec<_>>();
-                    scenario_results.lock().unwrap_or_else(PoisonError::into_inner).push((index, plays));
+                    let recoveries = (1..=case.seeds).map(|seed| simulate(case, seed)).collect::<Vec<_>>();
+                    results_by_case.lock().unwrap_or_else(PoisonError::into_inner).push((index, recoveries));
                 }
             });
         }
     });
-    let mut scenario_results = scenario_results.into_inner().unwrap_or_else(PoisonError::into_inner);
-    scenario_results.sort_by_key(|(index, _)| *index);
-    scenario_results.into_iter().map(|(_, plays)| plays).collect()
+    let mut results_by_case = results_by_case.into_inner().unwrap_or_else(PoisonError::into_inner);
+    results_by_case.sort_by_key(|(index, _)| *index);
+    results_by_case.into_iter().map(|(_, recoveries)| recoveries).collect()
 }
 
-fn play_one(case: &Case, seed: u64) -> Recovery {
+fn simulate(case: &Case, seed: u64) -> Recovery {
     let mut setup = Setup::fleet(case.size.0, case.size.1, seed);
     setup.server.handshake_work = setup.mean_work / case.price;
     setup.server.idle_policy = case.policy;
@@ -137,12 +142,15 @@
     recovery(setup, case.fault.1, Timeline::default())
 }
 
-fn row(case: &Case, plays: &[Recovery]) -> Vec<String> {
-    let mean = |of: &dyn Fn(&Recovery) -> f64| plays.iter().map(of).sum::<f64>() / plays.len() as f64;
-    let worst = plays.iter().map(|play| play.after / play.before).fold(f64::INFINITY, f64::min);
-    let slowest = plays
+fn row(case: &Case, recoveries: &[Recovery]) -> Vec<String> {
+    let mean = |value: &dyn Fn(&Recovery) -> f64| {
+        recoveries.iter().map(value).sum::<f64>() / recoveries.len() as f64
+    };
+    let worst =
+        recoveries.iter().map(|recovery| recovery.after / recovery.before).fold(f64::INFINITY, f64::min);
+    let slowest = recoveries
         .iter()
-        .map(|play| play.recovered_after_s)
+        .map(|recovery| recovery.recovered_after_s)
         .max_by_key(|took| took.unwrap_or(usize::MAX))
         .flatten();
     let (servers, callers) = case.size;
@@ -154,14 +162,14 @@
     };
     vec![
         format!("{servers} x {callers}, 1/{}, {}, {policy}", case.price, case.fault.0),
-        format!("{:.3}", mean(&|play| play.before)),
-        format!("{:.3}", mean(&|play| play.during)),
-        format!("{:.3}", mean(&|play| play.after)),
+        format!("{:.3}", mean(&|recovery| recovery.before)),
+        format!("{:.3}", mean(&|recovery| recovery.during)),
+        format!("{:.3}", mean(&|recovery| recovery.after)),
         format!("{worst:.3}"),
         slowest.map_or("never".to_owned(), |seconds| seconds.to_string()),
-        format!("{:.0}", mean(&|play| play.handshakes_before)),
-        format!("{:.0}", mean(&|play| play.handshakes_after)),
-        format!("{:.2}", mean(&|play| play.attempts_after)),
-        format!("{:.2}", mean(&|play| play.closing_at_end())),
+        format!("{:.0}", mean(&|recovery| recovery.handshakes_before)),
+        format!("{:.0}", mean(&|recovery| recovery.handshakes_after)),
+        format!("{:.2}", mean(&|recovery| recovery.attempts_after)),
+        format!("{:.2}", mean(&|recovery| recovery.closing_at_end())),
     ]
 }
--- a/crates/loomflow-benchmark/src/main.rs
+++ b/crates/loomflow-benchmark/src/main.rs
@@ -1,5 +1,5 @@
-//! `loomflow-benchmark NAME [--quick]`: plays a measurement, prints its tables and one last line of figures, and exits with
-//! 1 where a bound breaks. Bounds are counts and ratios within one run, never times.
+//! `loomflow-benchmark NAME [--quick]`: runs a measurement and prints its tables and a last line of figures. Exits with 1
+//! if a figure violates its bound. Most bounds are counts and ratios within one run; few are times.
 
 #![forbid(unsafe_code)]
 
@@ -23,50 +23,50 @@
 
 const USAGE: &str = "\
 usage: loomflow-benchmark NAME [--quick]
-  amqp             the AMQP front: rules, cost, overload, a long queue
-  callers          a modelled fleet that loses a part of itself for two seconds: is it back within ten
-  moments [PROGRAM]  the start, reports, connections that talk nonsense; of another build where one is named
-  order [PART]     machines taken out for work: rounds under load and under faults, simulation, cost
+  amqp             the AMQP front: rules under faults, cost, overload, a long queue
+  callers          a simulated fleet that loses some callers or servers for two seconds: whether it recovers within ten
+  moments [PROGRAM]  start, restarts, reports and malformed connections, of this build or of PROGRAM
+  order [PART]     maintenance of the machines of a fleet: rounds under load and under faults, simulation, cost
                    (parts: work, faults, simulated, cost)
-  owner [PART]     duties of a fleet: rounds of faults with an outside receiver, simulation
+  owner [PART]     duties of a fleet: rounds of faults with an external receiver, simulation
                    (parts: rounds, simulated)
-  overload [PROGRAM]  answers in time on both fronts beyond what the engine does; beside another build
-  scale [PART]     one server at the operators' size: its connections, its tenants, what it adds to a request
+  overload [PROGRAM]  responses in time on both fronts under overload, compared with PROGRAM if given
+  scale [PART]     one server at the operators' size: connections, tenants, time added to a request, control traffic
                    (parts: connections, tenants, requests, control)
-  against PROGRAM  this build of the server against another one, by RESP";
+  against PROGRAM  CPU and memory of this build of the server compared with PROGRAM, by RESP";
 
-/// Why a measurement cannot be started.
+/// Errors of the command line; the program exits with 2.
 #[derive(Debug, thiserror::Error)]
 pub enum MeasureError {
-    /// The command line cannot be read.
+    /// The command line cannot be parsed.
     #[error(transparent)]
     Arguments(#[from] lexopt::Error),
-    /// No measurement is named.
-    #[error("no name")]
+    /// The command line has no name of a measurement.
+    #[error("the name of a measurement is missing")]
     NoName,
-    /// No measurement has this name.
-    #[error("no measurement is called {0:?}")]
+    /// There is no measurement with this name, or it takes no operand.
+    #[error("there is no measurement {0:?}, or it takes no operand")]
     UnknownName(String),
-    /// A measurement has no part of this name.
-    #[error("{measurement} has no part {part:?}: {}", .parts.join(", "))]
+    /// The measurement has no part with this name.
+    #[error("{measurement} has no part {part:?}; its parts are {}", .parts.join(", "))]
     UnknownPart {
-        /// The measurement.
+        /// Name of the measurement.
         measurement: &'static str,
-        /// The name on the command line.
+        /// Name of the part on the command line.
         part: String,
-        /// All its parts.
+        /// Names of all parts of the measurement.
         parts: &'static [&'static str],
     },
-    /// The other program is missing.
-    #[error("against which program?")]
+    /// `against` was given no program to compare with.
+    #[error("against: the path of the other program is missing")]
     NoOtherProgram,
 }
 
-/// Which part of a measurement is played.
+/// The part of a measurement to run; all parts if `None`.
 struct Selection<'a>(Option<&'a str>);
 
 impl<'a> Selection<'a> {
-    /// All parts, or the one that is named.
+    /// Selects the named part, or all parts if none is named.
     fn new(
         measurement: &'static str,
         parts: &'static [&'static str],
@@ -85,10 +85,10 @@
     }
 }
 
-/// The command line.
+/// The parsed command line.
 struct Arguments {
     name: String,
-    /// A part of the measurement, another program, or an address, as the measurement has it.
+    /// A part of the measurement, the path of another program, or the address of a receiver, depending on the name.
     operand: Option<String>,
     is_quick: bool,
 }
@@ -107,8 +107,8 @@
     Ok(Arguments { name: name.ok_or(MeasureError::NoName)?, operand, is_quick })
 }
 
-/// Plays the measurement; none where this process is a job of one.
-fn play(arguments: Arguments) -> Result<Option<Report>, MeasureError> {
+/// Runs the measurement. `None` if this process is a job that a measurement started (`effects`).
+fn run(arguments: Arguments) -> Result<Option<Report>, MeasureError> {
     let Arguments { name, operand, is_quick: quick } = arguments;
     let report = match (name.as_str(), operand) {
         ("overload", other) => overload::measure(quick, process::program(), other.map(Into::into)),
@@ -116,7 +116,7 @@
         ("scale", part) => scale::measure(quick, &process::program(), part.as_deref())?,
         ("owner", part) => owner::measure(quick, &process::program(), part.as_deref())?,
         ("effects", Some(address)) => {
-            owner::effects::act(&address);
+            owner::effects::send_effects(&address);
             return Ok(None);
         }
         ("moments", other) => moments::measure(quick, &other.map_or_else(process::program, Into::into)),
@@ -130,7 +130,7 @@
 }
 
 fn main() -> ExitCode {
-    match parse_arguments().and_then(play) {
+    match parse_arguments().and_then(run) {
         Ok(report) => report.map_or(ExitCode::SUCCESS, Report::finish),
         Err(error) => {
             eprintln!("loomflow-benchmark: {error}\n{USAGE}");
--- a/crates/loomflow-benchmark/src/moments.rs
+++ b/crates/loomflow-benchmark/src/moments.rs
@@ -1,6 +1,6 @@
-//! Rare moments, often: how soon a process that has just been started is of use, also where thirty start at once, how often
-//! it reports, and what thousands of connections that talk nonsense cost others. Times are shown; what is bounded are
-//! counts, one of them of processes that are ready within the ten seconds that the operators allow.
+//! Rare events of one server, repeated: how soon it serves after a start, also when thirty processes restart at once, how
+//! often it reports, and whether thousands of malformed connections affect others. Times are printed without bounds;
+//! bounded are counts and the fraction of processes that are ready within the ten seconds that the operators allow.
 
 mod restarts;
 
@@ -15,26 +15,27 @@
 
 use crate::report::Report;
 
-/// Timeout of a request, ms.
+/// Timeout of a request in the server's settings, ms.
 const REQUEST_TIMEOUT_MS: f64 = 5_000.0;
-/// Clients that talk nonsense, and how long each of their connections stays open: longer than the server reads on after
-/// it has closed, so that many such waits stand beside each other.
+/// Clients that send malformed bytes, and how long each keeps a connection open: longer than the server continues to read
+/// after it has closed its side, so that many connections are in that state at once.
 const CLIENTS: usize = 4;
 const CONNECTION_LIFETIME: Duration = Duration::from_millis(400);
-/// Between two connections of one client.
-const INTERVAL: Duration = Duration::from_millis(1);
-/// A check that is not answered by then counts as unanswered.
-const ANSWER: Duration = Duration::from_secs(3);
-/// A server reports every 0.8 s, and is off the lists 3 s after its last report.
-const REPORTS_OVER: Duration = Duration::from_secs(8);
-const REPORTS: f64 = 9.0;
+/// Time between two connections of one client; health checks are sent at most a tenth as often.
+const CONNECT_INTERVAL: Duration = Duration::from_millis(1);
+/// A health check without a response within this time counts as unanswered.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Reports that the control plane must receive within this time. A server reports every 0.8 s, and is removed from the
+/// lists 3 s after its last report.
+const REPORT_WINDOW: Duration = Duration::from_secs(8);
+const MIN_REPORTS: f64 = 9.0;
 
 pub fn measure(quick: bool, program: &Path) -> Report {
     let mut report = Report::new("moments");
-    starts(&mut report, if quick { 20 } else { 100 }, program);
+    measure_starts(&mut report, if quick { 20 } else { 100 }, program);
     restarts::measure(&mut report, program);
-    reports(&mut report, program);
-    nonsense(&mut report, Duration::from_secs(if quick { 15 } else { 60 }), program);
+    measure_reports(&mut report, program);
+    measure_malformed(&mut report, Duration::from_secs(if quick { 15 } else { 60 }), program);
     report
 }
 
@@ -48,7 +49,8 @@
     since.elapsed().as_secs_f64() * 1000.0
 }
 
-fn starts(report: &mut Report, rounds: usize, program: &Path) {
+/// Measures the time from the start of a process to its first health check, and from the engine's link to the first run.
+fn measure_starts(report: &mut Report, rounds: usize, program: &Path) {
     let (mut checked, mut ran) = (Vec::new(), Vec::new());
     for _ in 0..rounds {
         let mut fixture = fixture(program);
@@ -59,54 +61,55 @@
         assert_eq!(gateway.response().status, "UP");
         checked.push(ms(start));
         let engine = fixture.engine.link();
-        // Requests in the moment in which the engine comes up.
+        // Requests are sent from the moment at which the engine is up.
         let up = Instant::now();
         engine.accept_attach("ATTACH 0");
         let mut tag = 2;
         loop {
             let id = gateway.call(tag, "pay", b"x");
             gateway.send(&health(tag + 1, false));
-            // Before the engine is known to be up a request is rejected, and its answer comes before the check's.
-            let answer = gateway.response();
-            if answer.status == "UP" {
+            // Until the server has registered the engine it rejects the request, and that response precedes the check's.
+            let response = gateway.response();
+            if response.status == "UP" {
                 assert_eq!(engine.expect("RUN").word(1), id);
                 ran.push(ms(up));
                 break;
             }
-            assert_eq!((answer.tag, answer.status.as_str()), (tag, "BUSY"));
+            assert_eq!((response.tag, response.status.as_str()), (tag, "BUSY"));
             gateway.response();
             tag += 2;
         }
     }
-    let row = |what: &str, mut all: Vec<f64>| {
-        all.sort_by(f64::total_cmp);
-        let at = |part: f64| format!("{:.1}", all[((all.len() - 1) as f64 * part) as usize]);
-        vec![what.to_owned(), at(0.5), at(0.99), at(1.0)]
+    let row = |name: &str, mut times: Vec<f64>| {
+        times.sort_by(f64::total_cmp);
+        let at = |fraction: f64| format!("{:.1}", times[((times.len() - 1) as f64 * fraction) as usize]);
+        vec![name.to_owned(), at(0.5), at(0.99), at(1.0)]
     };
     let rows = vec![row("process to first check", checked), row("engine up to first run", ran)];
     report.table(&format!("{rounds} starts, ms"), &["from ... to", "p50", "p99", "most"], rows);
     report.figure("starts", rounds as f64);
 }
 
-fn reports(report: &mut Report, program: &Path) {
+fn measure_reports(report: &mut Report, program: &Path) {
     let mut fixture = fixture(program);
     fixture.start("exec \"$0\" serve");
     fixture.control.report();
-    let until = Instant::now() + REPORTS_OVER;
+    let until = Instant::now() + REPORT_WINDOW;
     let mut count = 0;
     while Instant::now() < until {
         fixture.control.report();
         count += 1;
     }
-    report.require_min("reports_in_8_s", f64::from(count), REPORTS);
+    report.require_min("reports_in_8_s", f64::from(count), MIN_REPORTS);
 }
 
-/// Opens connections that the server will close, and leaves each open for a while.
-fn talk_nonsense(listen: SocketAddr, over: &AtomicBool, opened: &AtomicUsize) {
+/// Opens connections, sends malformed bytes on each, for which the server closes it, and keeps the client's side open for
+/// [`CONNECTION_LIFETIME`].
+fn send_malformed(listen: SocketAddr, is_over: &AtomicBool, opened: &AtomicUsize) {
     let mut open: VecDeque<(Instant, TcpStream)> = VecDeque::new();
-    while !over.load(Ordering::Relaxed) {
+    while !is_over.load(Ordering::Relaxed) {
         if let Ok(mut stream) = TcpStream::connect(listen) {
-            // Rejected or not: only other connections count here.
+            // Errors are ignored: only the effect on other connections is measured.
             let _ = stream.write_all(b"no RESP\r\n");
             opened.fetch_add(1, Ordering::Relaxed);
             open.push_back((Instant::now(), stream));
@@ -114,11 +117,11 @@
         while open.front().is_some_and(|(since, _)| since.elapsed() > CONNECTION_LIFETIME) {
             open.pop_front();
         }
-        std::thread::sleep(INTERVAL);
+        std::thread::sleep(CONNECT_INTERVAL);
     }
 }
 
-/// Health checks of one gateway beside connections that send nonsense.
+/// Health checks of one gateway, sent while other connections send malformed bytes.
 #[derive(Default)]
 struct Checks {
     sent: u64,
@@ -127,7 +130,7 @@
 }
 
 impl Checks {
-    /// Sends checks until a time, while the server runs and answers.
+    /// Sends checks until `until`; stops early if the server exits or three checks are unanswered.
     fn run(&mut self, fixture: &mut ServerFixture, until: Instant) {
         let listen = fixture.listen;
         let mut gateway = None::<Gateway>;
@@ -137,41 +140,42 @@
             gateway = check(gateway.take(), listen, self.sent);
             self.unanswered += usize::from(gateway.is_none());
             self.max_latency_ms = self.max_latency_ms.max(ms(since));
-            std::thread::sleep(10 * INTERVAL);
+            std::thread::sleep(10 * CONNECT_INTERVAL);
         }
     }
 }
 
-/// Sends one check, on a new connection where there is none. Returns the connection if the check was answered.
+/// Sends one check, on a new connection if there is none. Returns the connection if the check was answered.
 fn check(gateway: Option<Gateway>, listen: SocketAddr, tag: u64) -> Option<Gateway> {
     let mut gateway = match gateway {
         Some(gateway) => gateway,
         None => Gateway::of(TcpStream::connect(listen).ok()?),
     };
     gateway.stream.write_all(&health(tag, false)).ok()?;
-    matches!(gateway.next_response(ANSWER), Ok(Some(_))).then_some(gateway)
+    matches!(gateway.next_response(RESPONSE_TIMEOUT), Ok(Some(_))).then_some(gateway)
 }
 
-fn nonsense(report: &mut Report, span: Duration, program: &Path) {
+/// Sends health checks for `duration` while clients send malformed bytes.
+fn measure_malformed(report: &mut Report, duration: Duration, program: &Path) {
     let mut fixture = fixture(program);
     fixture.start("exec \"$0\" serve");
     let engine = fixture.engine.link();
     engine.accept_attach("ATTACH 0");
     fixture.wait_for_service();
-    let (listen, over, opened) = (fixture.listen, AtomicBool::new(false), AtomicUsize::new(0));
+    let (listen, is_over, opened) = (fixture.listen, AtomicBool::new(false), AtomicUsize::new(0));
     let mut checks = Checks::default();
     std::thread::scope(|scope| {
         for _ in 0..CLIENTS {
-            scope.spawn(|| talk_nonsense(listen, &over, &opened));
+            scope.spawn(|| send_malformed(listen, &is_over, &opened));
         }
-        checks.run(&mut fixture, Instant::now() + span);
-        over.store(true, Ordering::Relaxed);
+        checks.run(&mut fixture, Instant::now() + duration);
+        is_over.store(true, Ordering::Relaxed);
     });
     let opened = opened.into_inner();
     let max_latency = format!("{:.0}", checks.max_latency_ms);
     let row = vec![opened.to_string(), checks.sent.to_string(), checks.unanswered.to_string(), max_latency];
     report.table(
-        "connections that talk nonsense, beside one that asks for health",
+        "Health checks on one connection beside malformed connections",
         &["connections", "checks", "unanswered", "longest, ms"],
         vec![row],
     );
--- a/crates/loomflow-benchmark/src/order/cost.rs
+++ b/crates/loomflow-benchmark/src/order/cost.rs
@@ -1,4 +1,5 @@
-//! What a fleet costs a server that is in one; what it costs one that is not is measured by `against` with an earlier build.
+//! Cost of fleet membership for a server. The cost of the feature for a server that is in no fleet is measured by `against`
+//! with an earlier build.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -14,10 +15,10 @@
 
 const PLAN: Plan =
     Plan { members: 5, zones: 1, extra: "", cores: 4, work: Duration::from_millis(5), seed: 1 };
-/// Tickets for servers that are not there, so that none is granted.
+/// Number of open tickets. They are for servers that do not exist, so that none is granted.
 const MANY_TICKETS: usize = 10_000;
 
-/// From the start of a voter whose data directory has ten thousand open tickets until it knows them again, s.
+/// Time from the start of a voter with [`MANY_TICKETS`] open tickets in its data directory until it has loaded them, s.
 fn start_with_many_tickets(program: &Path) -> f64 {
     let plan = Plan { members: 3, ..PLAN };
     let mut fleet = Fleet::start_with(plan, program).bootstrap(plan);
@@ -32,40 +33,40 @@
     let command = FleetCommand::CreateTickets(requests.collect());
     let request =
         OperatorRequest::Fleet(FleetRequest::Execute { issuer: Issuer::Operator("measure".into()), command });
-    fleet.send_operator_line(0, &serde_json::to_string(&request).expect("a line"));
-    let open = |fleet: &Fleet, one: usize| fleet.local_status(one)["open"].as_u64().unwrap_or(0);
-    fleet.wait_until("all voters have them", |fleet| {
-        (0..3).all(|one| open(fleet, one) == MANY_TICKETS as u64)
+    fleet.send_operator_line(0, &serde_json::to_string(&request).expect("a request can be serialized"));
+    let open = |fleet: &Fleet, member: usize| fleet.local_status(member)["open"].as_u64().unwrap_or(0);
+    fleet.wait_until("all voters have the open tickets", |fleet| {
+        (0..3).all(|member| open(fleet, member) == MANY_TICKETS as u64)
     });
     fleet.kill(1);
-    let began = Instant::now();
+    let started_at = Instant::now();
     fleet.start_member(1);
-    while open(&fleet, 1) < MANY_TICKETS as u64 && began.elapsed() < Duration::from_secs(20) {
+    while open(&fleet, 1) < MANY_TICKETS as u64 && started_at.elapsed() < Duration::from_secs(20) {
         std::thread::sleep(Duration::from_millis(5));
     }
-    began.elapsed().as_secs_f64()
+    started_at.elapsed().as_secs_f64()
 }
 
 pub fn measure(report: &mut Report, quick: bool, program: &Path) {
-    let span = Duration::from_secs(if quick { 5 } else { 30 });
-    let worker = AutonomousEngine::start(4, Duration::from_millis(5));
-    let mut alone = ServerFixture::new(site(20_000.0));
-    program.clone_into(&mut alone.program);
-    alone.serve_with(&worker);
+    let duration = Duration::from_secs(if quick { 5 } else { 30 });
+    let engine = AutonomousEngine::start(4, Duration::from_millis(5));
+    let mut standalone = ServerFixture::new(site(20_000.0));
+    program.clone_into(&mut standalone.program);
+    standalone.serve_with(&engine);
     let fleet = Fleet::start_with(PLAN, program).bootstrap(PLAN);
     let members: Vec<u32> = fleet.members.iter().map(|member| member.fixture.pid()).collect();
-    let alone_before = process::cpu(alone.pid());
+    let alone_before = process::cpu(standalone.pid());
     let members_before: Vec<f64> = members.iter().map(|pid| process::cpu(*pid)).collect();
-    std::thread::sleep(span);
-    let seconds = span.as_secs_f64();
-    let cores_alone = (process::cpu(alone.pid()) - alone_before) / seconds;
+    std::thread::sleep(duration);
+    let seconds = duration.as_secs_f64();
+    let cores_alone = (process::cpu(standalone.pid()) - alone_before) / seconds;
     let added_cores = members
         .iter()
         .zip(&members_before)
         .map(|(pid, before)| (process::cpu(*pid) - before) / seconds - cores_alone)
         .fold(0.0, f64::max);
-    let most_memory = members.iter().map(|pid| process::memory(*pid)).fold(0.0, f64::max);
-    let added_memory_mb = most_memory - process::memory(alone.pid());
+    let max_memory_mb = members.iter().map(|pid| process::memory(*pid)).fold(0.0, f64::max);
+    let added_memory_mb = max_memory_mb - process::memory(standalone.pid());
     report.table(
         "A voter of five, idle, over a server in no fleet",
         &["memory MB", "% of a core"],
--- a/crates/loomflow-benchmark/src/order/faults.rs
+++ b/crates/loomflow-benchmark/src/order/faults.rs
@@ -1,5 +1,5 @@
-//! Rounds of faults drawn from a seed on five to seven processes, judged by their processes alone and by the tickets that
-//! are known in the end.
+//! Rounds of random faults, drawn from a seed, on fleets of five to seven processes. Violations are detected from outside:
+//! by which processes run, and by the tickets that the fleet lists at the end.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -14,19 +14,19 @@
 use crate::quantile::quantile;
 use crate::report::Report;
 
-/// Rounds that are played side by side.
+/// Rounds that run in parallel.
 const PARALLEL_ROUNDS: usize = 3;
-/// The next grant has to come within this time after the last fault, s.
+/// Maximum time from the last fault to the next grant, s.
 const MAX_SECONDS_TO_GRANT: f64 = 10.0;
 
-/// A grant that came late.
+/// A grant that took longer than [`MAX_SECONDS_TO_GRANT`].
 struct LateGrant {
     seed: u64,
-    /// From the last fault on; infinite where none came.
+    /// Time since the last fault; infinite if there was no grant.
     seconds: f64,
 }
 
-/// What all rounds show.
+/// Totals of all rounds.
 #[derive(Default)]
 struct FaultTotals {
     rounds: u64,
@@ -36,7 +36,7 @@
     departed_without_begin: u64,
     lost_tickets: u64,
     late_grants: Vec<LateGrant>,
-    /// From the last fault of a round to the next grant, s.
+    /// Time from the last fault of a round to the next grant, s.
     seconds_to_grant: Vec<f64>,
     /// Diagnostics of the rounds that failed.
     failed: Vec<String>,
@@ -58,55 +58,54 @@
         }
     }
 
-    /// The time within which this part of the grants came, s; a dash where there was none.
-    fn grant_quantile(&self, part: f64) -> String {
-        quantile(&self.seconds_to_grant, part).map_or("-".into(), |seconds| format!("{seconds:.1}"))
+    /// Time to the next grant at a quantile, s; a dash if there was no grant.
+    fn grant_quantile(&self, fraction: f64) -> String {
+        quantile(&self.seconds_to_grant, fraction).map_or("-".into(), |seconds| format!("{seconds:.1}"))
     }
 }
 
 pub fn measure(report: &mut Report, quick: bool, program: &Path) {
     let rounds = if quick { 20 } else { 200 };
-    let mut sum = FaultTotals::default();
-    for (seed, round) in
-        run_parallel(PARALLEL_ROUNDS, 1..rounds + 1, |seed| (seed, play_round(seed, program)))
+    let mut totals = FaultTotals::default();
+    for (seed, round) in run_parallel(PARALLEL_ROUNDS, 1..rounds + 1, |seed| (seed, run_round(seed, program)))
     {
-        sum.add(seed, round);
+        totals.add(seed, round);
     }
-    print(report, &sum);
-    report.figure("fault_rounds", sum.rounds as f64);
-    report.require_max("over_budget", sum.too_many_out as f64, 0.0);
-    report.require_max("left_without_begin", sum.departed_without_begin as f64, 0.0);
-    report.require_max("tickets_lost", sum.lost_tickets as f64, 0.0);
-    report.require_max("grants_late", sum.late_grants.len() as f64, 0.0);
+    print(report, &totals);
+    report.figure("fault_rounds", totals.rounds as f64);
+    report.require_max("over_budget", totals.too_many_out as f64, 0.0);
+    report.require_max("left_without_begin", totals.departed_without_begin as f64, 0.0);
+    report.require_max("tickets_lost", totals.lost_tickets as f64, 0.0);
+    report.require_max("grants_late", totals.late_grants.len() as f64, 0.0);
 }
 
-fn print(report: &Report, sum: &FaultTotals) {
+fn print(report: &Report, totals: &FaultTotals) {
     report.table(
         "Rounds of faults",
         &["rounds", "over budget", "left without a begin", "tickets lost", "next grant p50 s", "worst s"],
         vec![vec![
-            sum.rounds.to_string(),
-            sum.too_many_out.to_string(),
-            sum.departed_without_begin.to_string(),
-            sum.lost_tickets.to_string(),
-            sum.grant_quantile(0.5),
-            sum.grant_quantile(1.0),
+            totals.rounds.to_string(),
+            totals.too_many_out.to_string(),
+            totals.departed_without_begin.to_string(),
+            totals.lost_tickets.to_string(),
+            totals.grant_quantile(0.5),
+            totals.grant_quantile(1.0),
         ]],
     );
-    for diagnostics in sum.failed.iter().take(1) {
+    for diagnostics in totals.failed.iter().take(1) {
         println!("{diagnostics}");
     }
-    for LateGrant { seed, seconds } in &sum.late_grants {
+    for LateGrant { seed, seconds } in &totals.late_grants {
         println!("seed {seed}: the next grant came {seconds:.1} s after the last fault");
     }
 }
 
-/// What one round shows.
+/// Outcome of one round.
 struct RoundOutcome {
     has_too_many_out: bool,
     departed_without_begin: u64,
     lost_tickets: u64,
-    /// From the last fault to the next grant, s; none where none came.
+    /// Time from the last fault to the next grant, s; `None` if there was no grant.
     seconds_to_grant: Option<f64>,
     diagnostics: String,
 }
@@ -119,8 +118,8 @@
     }
 }
 
-/// Plays a round on a fleet of its own: a ticket for each server, faults for some seconds, then none.
-fn play_round(seed: u64, program: &Path) -> RoundOutcome {
+/// Runs a round on a fleet of its own: requests a ticket for each server, injects faults for some seconds, then ends them.
+fn run_round(seed: u64, program: &Path) -> RoundOutcome {
     let mut rng = fastrand::Rng::with_seed(seed);
     let plan = plan(seed);
     let mut fleet = Fleet::start_with(plan, program).bootstrap(plan);
@@ -133,7 +132,7 @@
     }
     watch.wait(&mut fleet, Duration::from_millis(500));
     fleet.set_fault_on_all_links(LinkFault::default());
-    // The last fault is over when all processes run.
+    // The last fault has ended once all processes run.
     watch.wait_until_all_run(&mut fleet);
     let seconds_to_grant = seconds_to_next_grant(&mut fleet, &mut watch);
     let known = stages(&fleet);
@@ -147,7 +146,7 @@
     }
 }
 
-/// The server of each ticket.
+/// Index of the server of each ticket.
 type Tickets = BTreeMap<TicketId, usize>;
 
 fn plan(seed: u64) -> Plan {
@@ -161,23 +160,23 @@
     }
 }
 
-/// Whether a ticket of a server has begun, by the history.
+/// Whether the history contains the start of maintenance for a ticket of the server.
 fn has_begun(fleet: &Fleet, tickets: &Tickets, server: usize) -> bool {
     let events = events(fleet);
     let has_begun = |ticket: &TicketId| {
         events.iter().any(|event| event["ticket"] == *ticket && event["stage"] == "Begun")
     };
-    tickets.iter().any(|(ticket, of)| *of == server && has_begun(ticket))
+    tickets.iter().any(|(ticket, ticket_server)| *ticket_server == server && has_begun(ticket))
 }
 
-/// Draws one fault and begins it.
+/// Injects a random fault.
 fn inject_fault(fleet: &mut Fleet, watch: &mut ProcessWatch, rng: &mut fastrand::Rng) {
     let members = fleet.members.len();
     let member = rng.usize(0..members);
     match rng.usize(0..6) {
         0 if fleet.is_running(member) => {
             fleet.kill(member);
-            watch.dead.insert(member, Instant::now() + Duration::from_millis(rng.u64(300..3_000)));
+            watch.killed.insert(member, Instant::now() + Duration::from_millis(rng.u64(300..3_000)));
         }
         1 if fleet.is_running(member) => {
             fleet.pause(member);
@@ -204,7 +203,7 @@
     }
 }
 
-/// How long the next grant takes, s; none where none comes.
+/// Time until the next grant, or until all tickets are done, s. `None` if neither happens within three times the timeout.
 fn seconds_to_next_grant(fleet: &mut Fleet, watch: &mut ProcessWatch) -> Option<f64> {
     let since = Instant::now();
     let before = last_grant(fleet);
@@ -218,21 +217,21 @@
     None
 }
 
-/// Looks at the processes, and starts again those that have been away for long enough.
+/// Watches the processes of a fleet, and restarts those that have been down for the intended time.
 #[derive(Default)]
 struct ProcessWatch {
-    /// Machines that ended by themselves.
+    /// Members that exited without being killed, in order.
     departed: Vec<usize>,
-    /// Those that are out for maintenance, and until when.
+    /// Members that are out for maintenance, with the time of their restart.
     out: BTreeMap<usize, Instant>,
-    /// Those that were killed, and until when they stay down.
-    dead: BTreeMap<usize, Instant>,
+    /// Members that were killed, with the time of their restart.
+    killed: BTreeMap<usize, Instant>,
     has_too_many_out: bool,
 }
 
 impl ProcessWatch {
-    fn wait(&mut self, fleet: &mut Fleet, span: Duration) {
-        let until = Instant::now() + span;
+    fn wait(&mut self, fleet: &mut Fleet, duration: Duration) {
+        let until = Instant::now() + duration;
         while Instant::now() < until {
             self.check_members(fleet);
             std::thread::sleep(Duration::from_millis(10));
@@ -241,12 +240,12 @@
 
     fn check_members(&mut self, fleet: &mut Fleet) {
         for member in 0..fleet.members.len() {
-            let away = self.out.get(&member).or_else(|| self.dead.get(&member)).copied();
-            match away {
+            let restart_at = self.out.get(&member).or_else(|| self.killed.get(&member)).copied();
+            match restart_at {
                 Some(until) if Instant::now() >= until => {
                     fleet.start_member(member);
                     self.out.remove(&member);
-                    self.dead.remove(&member);
+                    self.killed.remove(&member);
                 }
                 None if !fleet.is_running(member) => {
                     self.departed.push(member);
@@ -258,15 +257,15 @@
         }
     }
 
-    /// Waits until every member that is out or dead was started again.
+    /// Waits until every member that is out or killed has been restarted.
     fn wait_until_all_run(&mut self, fleet: &mut Fleet) {
-        while !self.out.is_empty() || !self.dead.is_empty() {
+        while !self.out.is_empty() || !self.killed.is_empty() {
             self.wait(fleet, Duration::from_millis(50));
         }
     }
 }
 
-/// The history of tickets, from the first member that answers.
+/// The history of tickets, from the first member that responds.
 fn events(fleet: &Fleet) -> Vec<Value> {
     for member in 0..fleet.members.len() {
         let (code, output, _) = fleet.run_command(member, &["work", "history", "--json"]);
@@ -277,14 +276,14 @@
     Vec::new()
 }
 
-/// The last stage of each ticket, by the history.
+/// The last stage of each ticket in the history.
 fn stages(fleet: &Fleet) -> BTreeMap<TicketId, String> {
     let events = events(fleet);
     let stage = |event: &Value| Some((event["ticket"].as_u64()?, event["stage"].as_str()?.to_owned()));
     events.iter().filter_map(stage).collect()
 }
 
-/// The number of the last grant.
+/// Number of the last grant in the history; 0 if there is none.
 fn last_grant(fleet: &Fleet) -> u64 {
     events(fleet).iter().filter_map(|event| event["grant"].as_u64()).max().unwrap_or(0)
 }
--- a/crates/loomflow-benchmark/src/order/headroom.rs
+++ b/crates/loomflow-benchmark/src/order/headroom.rs
@@ -1,4 +1,4 @@
-//! A day with a burst of load in virtual time: the headroom rule against maintenance in fixed batches, "three at once".
+//! Compares the headroom rule with maintenance in fixed batches of three, on a simulated day with a burst of load.
 
 use loomflow_fleet::maintenance::rules::{Limit, Rules};
 use loomflow_fleet::maintenance::ticket::{TicketStage, Urgency};
@@ -8,22 +8,22 @@
 use crate::report::Report;
 
 const MACHINES: usize = 10;
-/// What each machine can carry, in concurrent runs.
+/// Capacity of each machine, in concurrent runs.
 const CAPACITY: f64 = 8.0;
-/// The load of each machine outside and during a burst, in concurrent runs.
+/// Load of each machine outside and during a burst, in concurrent runs.
 const USUAL_LOAD: f64 = 5.0;
 const BURST_LOAD: f64 = 7.4;
 const DAY_SECONDS: u64 = 1_800;
 const BURST_SECONDS: u64 = 600;
-/// When maintenance of all machines is requested, s.
+/// Time at which maintenance of all machines is requested, s.
 const REQUESTED_AT_SECOND: u64 = 240;
 /// How long a machine is out for its maintenance, s.
 const MAINTENANCE_SECONDS: u64 = 30;
-/// Machines out at once at the most, by the rules and in a fixed batch.
+/// Maximum number of machines out at once by the rules, and the size of a fixed batch.
 const MAX_OUT: usize = 3;
-/// Starts of the bursts, s: before the first machines are out, while they are, and after.
+/// Starts of the bursts, s: before, while and after the first machines are out.
 const BURST_STARTS: [u64; 6] = [200, 250, 270, 290, 310, 400];
-/// Reports that show a burst have at most this age, ms: what was granted before they came was not granted in it.
+/// Maximum time until load reports show a burst, ms. A grant before that does not count as made within the burst.
 const MAX_REPORT_DELAY_MILLIS: IntegerMillis = 5_000;
 
 /// The load of each machine in a second of the day, in concurrent runs.
@@ -35,8 +35,8 @@
     (burst_start..burst_start + BURST_SECONDS).contains(&second)
 }
 
-/// Load that is not carried by those that serve is lost. Nobody can foresee a burst: what is lost for machines that were out
-/// when it began is counted apart from what is lost for grants within it.
+/// Load that exceeds the capacity of the serving machines is lost. A burst cannot be foreseen: load lost because of grants
+/// within the burst is bounded separately, by 0, while load lost because of machines that were out when it began is not.
 pub fn measure(report: &mut Report) {
     let days = run_parallel(core_count(), 0..BURST_STARTS.len() as u64, |index| {
         let burst_start = BURST_STARTS[index as usize];
@@ -54,27 +54,27 @@
     report.require_max("headroom_done_s", slowest as f64, max_seconds);
 }
 
-/// The same day, scheduled in two ways.
+/// One day, with maintenance scheduled in two ways.
 struct Days {
     by_fleet: Day,
     in_batches: Day,
 }
 
-/// What a day shows.
+/// Outcome of a day.
 #[derive(Default)]
 struct Day {
-    /// The load, in concurrent runs times seconds.
+    /// Sum of the load, in concurrent runs times seconds.
     requested: f64,
-    /// The part of it that was not carried.
+    /// Load that exceeded the capacity, in the same unit.
     lost: f64,
-    /// Of that, while a machine was out that was granted its maintenance within the burst.
+    /// The part of `lost` that was lost while a machine was out whose maintenance was granted within the burst.
     lost_by_grants_in_burst: f64,
-    /// When all maintenance was done, from the request on; none where it was not within the day.
+    /// Time from the request until all maintenance was done; `None` if it was not done within the day.
     done_after_seconds: Option<u64>,
 }
 
 impl Day {
-    /// Counts one second; returns what was lost in it.
+    /// Adds one second and returns the load that was lost in it.
     fn count_second(&mut self, requested: f64, capacity: f64) -> f64 {
         let lost = (requested - capacity).max(0.0);
         self.requested += requested;
@@ -110,7 +110,7 @@
     );
 }
 
-/// The real rules, in virtual time.
+/// Simulates a day on which the fleet schedules maintenance by its rules.
 fn day_by_the_fleet(burst_start: u64) -> Day {
     let config = SimulationConfig {
         machines: MACHINES,
@@ -149,17 +149,18 @@
     tickets.len() == MACHINES && tickets.iter().all(|ticket| ticket.stage == TicketStage::Done)
 }
 
-/// Whether a machine is out that left after this time.
+/// Whether a machine is out that departed after `since`.
 fn is_out_since(simulation: &Simulation, since: IntegerMillis) -> bool {
     let maintenance_millis = millis_of_seconds(MAINTENANCE_SECONDS);
     let mut departures = simulation.invariants.departures.iter();
     departures.any(|departure| departure.at > since && departure.at + maintenance_millis > simulation.now)
 }
 
-/// Fixed batches one after the other, whatever the load: the same cycle of drain, maintenance and slow start.
+/// Computes a day with fixed batches one after the other, regardless of the load. Each batch has the same cycle of drain,
+/// maintenance and slow start.
 fn day_in_fixed_batches(burst_start: u64) -> Day {
-    const AWAY_SECONDS: u64 = MAINTENANCE_SECONDS + 4;
-    const CYCLE_SECONDS: u64 = AWAY_SECONDS + 10;
+    const OUT_SECONDS: u64 = MAINTENANCE_SECONDS + 4;
+    const CYCLE_SECONDS: u64 = OUT_SECONDS + 10;
     let batches = MACHINES.div_ceil(MAX_OUT) as u64;
     let mut day = Day::default();
     for second in 0..DAY_SECONDS {
@@ -167,9 +168,9 @@
         let batch = since_request / CYCLE_SECONDS;
         let is_running = second >= REQUESTED_AT_SECOND && batch < batches;
         let batch_size = if is_running { MAX_OUT.min(MACHINES - MAX_OUT * batch as usize) } else { 0 };
-        let away = if since_request % CYCLE_SECONDS < AWAY_SECONDS { batch_size } else { 0 };
+        let out_count = if since_request % CYCLE_SECONDS < OUT_SECONDS { batch_size } else { 0 };
         let load = load_at(second, burst_start) * MACHINES as f64;
-        day.count_second(load, CAPACITY * (MACHINES - away) as f64);
+        day.count_second(load, CAPACITY * (MACHINES - out_count) as f64);
         if batch >= batches {
             day.done_after_seconds.get_or_insert(second - REQUESTED_AT_SECOND);
         }
--- a/crates/loomflow-benchmark/src/order/mod.rs
+++ b/crates/loomflow-benchmark/src/order/mod.rs
@@ -1,5 +1,5 @@
-//! Machines taken out for work in an order that the servers settle among themselves: with processes under load, with faults
-//! between them, in simulation, and what it costs.
+//! Maintenance of the machines of a fleet, in an order that the servers decide among themselves: with processes under load,
+//! with processes under faults, in simulation, and its cost.
 
 mod cost;
 mod faults;
@@ -14,10 +14,10 @@
 
 const PARTS: [&str; 4] = ["work", "faults", "simulated", "cost"];
 
-/// All parts, or the one that is named. Bounds are counts and ratios within one run.
+/// Runs the named part, or all parts if none is named.
 ///
 /// # Errors
-/// There is no such part.
+/// [`MeasureError::UnknownPart`] if `part` is not one of [`PARTS`].
 pub fn measure(quick: bool, program: &Path, part: Option<&str>) -> Result<Report, MeasureError> {
     let selection = Selection::new("order", &PARTS, part)?;
     let mut report = Report::new("order");
--- a/crates/loomflow-benchmark/src/order/simulated.rs
+++ b/crates/loomflow-benchmark/src/order/simulated.rs
@@ -1,4 +1,4 @@
-//! The fleet in virtual time: many seeds, large fleets, and how soon a death is known.
+//! Simulated fleets: days of faults for many seeds, cost of a member by fleet size, and detection of deaths.
 
 use std::time::Instant;
 
@@ -14,7 +14,7 @@
     measure_deaths(report, quick);
 }
 
-/// Days of faults: small fleets in full, larger ones for as long as the machine allows.
+/// Simulates days of faults. Larger fleets get fewer seeds, because their simulation takes longer.
 fn measure_days_of_faults(report: &mut Report, quick: bool) {
     let counts: [(usize, u64); 4] = if quick {
         [(6, 420), (30, 70), (300, 8), (1_000, 2)]
@@ -24,7 +24,7 @@
     let mut rows = Vec::new();
     let mut violations = 0;
     for (machines, count) in counts {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let violations_of = |seed| day_of_faults(machines, seed);
         let failed: Vec<String> =
             run_parallel(core_count(), 0..count, violations_of).into_iter().flatten().collect();
@@ -36,14 +36,14 @@
             machines.to_string(),
             count.to_string(),
             failed.len().to_string(),
-            format!("{:.0}", began.elapsed().as_secs_f64()),
+            format!("{:.0}", started_at.elapsed().as_secs_f64()),
         ]);
     }
     report.table("Days of faults in virtual time", &["members", "seeds", "violations", "took s"], rows);
     report.require_max("sim_violations", violations as f64, 0.0);
 }
 
-/// The violation of an invariant on a day of faults, if there is one.
+/// Simulates a day of faults. Returns the violation of an invariant, if any.
 fn day_of_faults(machines: usize, seed: u64) -> Option<String> {
     let voters = if machines >= 5 { 5 } else { 3 };
     let config = SimulationConfig {
@@ -53,7 +53,7 @@
         max_clock_drift: 0.001,
         ..SimulationConfig::default()
     };
-    // Some of the machines request maintenance: violations are what counts, not how long all take.
+    // At most eight machines request maintenance: the days show violations, not how long maintenance of all takes.
     let mut scenario = Scenario::random(seed, machines, voters, 12_000, 40_000);
     if let Some((_, Fault::RequestWork(who, _))) = scenario.steps.first_mut() {
         who.truncate(8);
@@ -64,19 +64,19 @@
     Some(format!("{machines} members, seed {seed}: {violation}"))
 }
 
-/// What a member of a quiet fleet costs in a second.
+/// Cost of a member of a quiet fleet, per second.
 struct MemberCost {
     messages: f64,
     bytes: f64,
-    /// Of a core, the simulation's part included; 1 is a whole one.
+    /// CPU usage in cores, including the simulation's own.
     cores: f64,
 }
 
-/// What a member costs in small and large fleets.
+/// Compares the cost of a member in small and large fleets.
 fn measure_cost_by_size(report: &mut Report, quick: bool) {
-    let span = if quick { 10_000 } else { 60_000 };
+    let duration = if quick { 10_000 } else { 60_000 };
     let sizes = [30, 300, 1_000];
-    let costs = sizes.map(|machines| cost_of_member(machines, span));
+    let costs = sizes.map(|machines| cost_of_member(machines, duration));
     let row = |(machines, cost): (&usize, &MemberCost)| {
         vec![
             machines.to_string(),
@@ -96,20 +96,20 @@
     report.require_max("core_at_300", of_300.cores, 0.01);
 }
 
-/// What a member costs in the mean of all, over a span of simulated time.
-fn cost_of_member(machines: usize, span: IntegerMillis) -> MemberCost {
-    /// Members know each other by then.
+/// Mean cost of a member over a period of simulated time, ms.
+fn cost_of_member(machines: usize, duration: IntegerMillis) -> MemberCost {
+    /// Simulated time after which all members know each other, ms.
     const FORMED_AT: IntegerMillis = 25_000;
     let config = SimulationConfig { machines, voters: 5, zones: 3, ..SimulationConfig::default() };
     let mut simulation = Simulation::new(config, 3);
     simulation.invariants.compares_states = false;
     let _ = simulation.run_until(FORMED_AT);
     let before = simulation.traffic();
-    let began = Instant::now();
-    let _ = simulation.run_until(FORMED_AT + span);
-    let cores = began.elapsed().as_secs_f64() / seconds(span) / machines as f64;
+    let started_at = Instant::now();
+    let _ = simulation.run_until(FORMED_AT + duration);
+    let cores = started_at.elapsed().as_secs_f64() / seconds(duration) / machines as f64;
     let after = simulation.traffic();
-    let per_second = |count: u64| count as f64 / machines as f64 / seconds(span);
+    let per_second = |count: u64| count as f64 / machines as f64 / seconds(duration);
     MemberCost {
         messages: per_second(after.messages - before.messages),
         bytes: per_second(after.bytes - before.bytes),
@@ -117,11 +117,11 @@
     }
 }
 
-/// How soon a death is known to all, and who is taken for dead that is not.
+/// Measures how soon all members know of a death, and counts members that are considered down although they run.
 fn measure_deaths(report: &mut Report, quick: bool) {
     let known_s: Vec<f64> = run_parallel(core_count(), 0..if quick { 30 } else { 200 }, death_known_s);
-    let known_s_at = |part: f64| quantile(&known_s, part).expect("deaths were simulated");
-    // In pieces side by side.
+    let known_s_at = |fraction: f64| quantile(&known_s, fraction).expect("deaths were simulated");
+    // One simulation per hour, in parallel.
     let hours = if quick { 4 } else { 100 };
     let false_deaths: u64 = run_parallel(core_count(), 0..hours, false_deaths_in_an_hour).into_iter().sum();
     report.table(
@@ -138,7 +138,7 @@
     report.require_max("false_deaths", false_deaths as f64, 0.0);
 }
 
-/// A fleet that has formed, on a network that loses one packet in fifty.
+/// A fleet that has formed, on a network that loses 2% of all packets.
 fn lossy_fleet(machines: usize, voters: usize, seed: u64) -> Simulation {
     let config = SimulationConfig { machines, voters, ..SimulationConfig::default() };
     let mut simulation = Simulation::new(config, seed);
@@ -148,19 +148,19 @@
     simulation
 }
 
-/// How long it takes until the death of one of 30 members is known to all, s.
+/// Time from the death of one of 30 members until all others know of it, s; 60 s at most.
 fn death_known_s(seed: u64) -> f64 {
     let mut simulation = lossy_fleet(30, 5, seed);
-    let died = simulation.now;
+    let killed_at = simulation.now;
     simulation.inject(&Fault::Kill(29));
-    while simulation.now < died + 60_000 && !simulation.is_known_down(29) {
+    while simulation.now < killed_at + 60_000 && !simulation.is_known_down(29) {
         let next = simulation.now + 50;
         let _ = simulation.run_until(next);
     }
-    seconds(simulation.now - died)
+    seconds(simulation.now - killed_at)
 }
 
-/// How often one of ten members is taken for dead in an hour with short stops.
+/// Number of times that one of ten members is considered down in an hour in which a member stops for 300 ms every 5 s.
 fn false_deaths_in_an_hour(seed: u64) -> u64 {
     let mut simulation = lossy_fleet(10, 3, seed);
     let mut rng = fastrand::Rng::with_seed(seed);
--- a/crates/loomflow-benchmark/src/order/work.rs
+++ b/crates/loomflow-benchmark/src/order/work.rs
@@ -1,5 +1,5 @@
-//! Nine processes in three zones under load, each in maintenance once; beside it a script that takes out a third at once
-//! without a ticket.
+//! Nine processes in three zones under load, each maintained once: scheduled by the fleet, compared with a script that
+//! terminates a third of them at once without tickets.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -11,9 +11,9 @@
 use crate::report::Report;
 
 const MEMBERS: usize = 9;
-/// What one request takes.
+/// Duration of one run.
 const WORK: Duration = Duration::from_millis(20);
-/// The load, of what all members together can carry.
+/// Load, as a fraction of the capacity of all members.
 const LOAD: f64 = 0.7;
 /// How long the maintenance of a machine takes.
 const MAINTENANCE: Duration = Duration::from_secs(2);
@@ -26,8 +26,8 @@
     seed: 1,
 };
 
-/// A fleet under load.
-fn start_under_load(program: &Path) -> (Fleet, fleet::Running) {
+/// Starts a fleet and puts it under load.
+fn start_under_load(program: &Path) -> (Fleet, fleet::FleetLoad) {
     let fleet = Fleet::start_with(FLEET_PLAN, program).bootstrap(FLEET_PLAN);
     let rate = LOAD * MEMBERS as f64 / WORK.as_secs_f64();
     let plan = LoadPlan {
@@ -44,23 +44,23 @@
     (fleet, load)
 }
 
-/// In time over requested, from the second second on.
+/// Fraction of requests that were served in time, without the first and the last second.
 fn in_time_ratio(results: &Results) -> f64 {
     let all = results.between(1, results.seconds.len().saturating_sub(1).max(2));
     f64::from(all.in_time) / f64::from(all.sent.max(1))
 }
 
-/// What maintenance of a third at once shows.
+/// Outcome of maintenance of a third of the members at once.
 struct ThirdsOutcome {
-    /// In time over requested.
+    /// Fraction of requests that were served in time.
     in_time: f64,
     took: Duration,
 }
 
 pub fn measure(report: &mut Report, quick: bool, program: &Path) {
-    let quiet = play_without_maintenance(program, Duration::from_secs(if quick { 8 } else { 30 }));
-    let scheduled = play_scheduled(program);
-    let thirds = play_thirds(program);
+    let quiet = run_without_maintenance(program, Duration::from_secs(if quick { 8 } else { 30 }));
+    let scheduled = run_scheduled(program);
+    let thirds = run_thirds(program);
     print(report, quiet, &scheduled, &thirds);
     let round = &scheduled.round;
     let is_complete = round.complete && round.failed_exits == 0;
@@ -89,26 +89,26 @@
     );
 }
 
-/// The same load without maintenance, for as long as the script takes: in time over requested.
-fn play_without_maintenance(program: &Path, span: Duration) -> f64 {
+/// Runs the same load without maintenance for `duration`. Returns the fraction of requests that were served in time.
+fn run_without_maintenance(program: &Path, duration: Duration) -> f64 {
     let (_fleet, load) = start_under_load(program);
-    std::thread::sleep(span);
+    std::thread::sleep(duration);
     in_time_ratio(&load.end())
 }
 
-/// What a round of maintenance shows that the fleet schedules.
+/// Outcome of a round of maintenance that the fleet schedules.
 struct ScheduledOutcome {
     round: RoundReport,
     in_time: f64,
     lost_or_wrong: u32,
-    /// From a grant to the place being available, in the mean, s.
+    /// Mean time from the grant of a ticket until its maintenance slot is free again, s.
     cycle_s: f64,
 }
 
-fn play_scheduled(program: &Path) -> ScheduledOutcome {
+fn run_scheduled(program: &Path) -> ScheduledOutcome {
     let (mut fleet, load) = start_under_load(program);
     let round = Round { work: MAINTENANCE, kill_after: None, limit: Duration::from_secs(400) };
-    let round = rounds::play(&mut fleet, &round);
+    let round = rounds::run(&mut fleet, &round);
     let results = load.end();
     let total = results.total();
     ScheduledOutcome {
@@ -119,10 +119,10 @@
     }
 }
 
-/// A third at once, by SIGTERM.
-fn play_thirds(program: &Path) -> ThirdsOutcome {
+/// Terminates (SIGTERM) a third of the members at a time and restarts them after the time of their maintenance.
+fn run_thirds(program: &Path) -> ThirdsOutcome {
     let (mut fleet, load) = start_under_load(program);
-    let began = Instant::now();
+    let started_at = Instant::now();
     for third in 0..3 {
         let out: Vec<usize> = (0..MEMBERS).filter(|member| member % 3 == third).collect();
         for member in &out {
@@ -137,11 +137,11 @@
         }
         std::thread::sleep(Duration::from_secs(1));
     }
-    let took = began.elapsed();
+    let took = started_at.elapsed();
     ThirdsOutcome { in_time: in_time_ratio(&load.end()), took }
 }
 
-/// From the grant of a ticket to its place being available, in the mean of all, s.
+/// Mean time from the grant of a ticket until its maintenance slot is free again, s.
 fn mean_cycle_seconds(fleet: &Fleet) -> f64 {
     let (_, output, _) = fleet.run_command(0, &["work", "history", "--json"]);
     let events: serde_json::Value = serde_json::from_str(&output).unwrap_or_default();
--- a/crates/loomflow-benchmark/src/overload.rs
+++ b/crates/loomflow-benchmark/src/overload.rs
@@ -1,5 +1,4 @@
-//! Answers in time under overload, on both fronts: an engine that is requested to do more than it can, all the
-//! time and in a burst.
+//! Responses in time on both fronts while the load exceeds the capacity of the engine, steadily and in a burst.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -10,60 +9,64 @@
 
 const CORES: usize = 4;
 const WORK: Duration = Duration::from_millis(10);
-const GIVE_UP: Duration = Duration::from_secs(1);
-/// Sustained loads, as multiples of what the engine does.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Sustained loads, as multiples of the engine's capacity.
 const SUSTAINED_LOADS: [f64; 4] = [1.2, 1.5, 2.0, 4.0];
-/// Load outside of the burst, as a multiple of what the engine does.
+/// Load outside of the burst, as a multiple of the engine's capacity.
 const BASE_LOAD: f64 = 0.75;
-/// The burst lies between these seconds.
+/// First second of the burst, and the one after its last.
 const BURST_SECONDS: (usize, usize) = (3, 7);
-/// Seconds until the server has reacted, and a request that was queued up to its objective is over.
+/// Seconds excluded at the start of a load: until the server has reacted and requests that were queued up to their
+/// objective have ended.
 const REACTION_SECONDS: usize = 1;
 
-/// What one run of a case shows.
+/// Figures of one run of a case.
 struct CaseFigures {
-    /// In time over what the engine does, in the worst second and in all, from when the server has noticed.
+    /// Responses in time over the engine's capacity, in the worst of the measured seconds and in their mean.
     worst: f64,
     mean: f64,
-    /// Queue time at the 99th percentile, over the objective and one run.
+    /// 99th percentile of the queue time in the worst measured second, over the objective plus the time of one run.
     queue_time_ratio: f64,
+    /// Responses after the objective in the measured seconds.
     late: u32,
-    run_late: usize,
-    /// How long after the burst the last of it was answered, s.
+    /// Runs of the whole load that started after their caller had abandoned the request.
+    late_runs: usize,
+    /// Time from the last measured second to the response of the last request sent until then, s.
     drained_after_s: f64,
-    rules: bool,
+    are_rules_kept: bool,
 }
 
-/// One load: by which front, at which rates, and over which seconds it is judged.
+/// One load: its front, its rates, and the seconds that are measured.
 struct Case {
     front: Front,
     front_name: &'static str,
     name: String,
-    /// Times what the engine does, each from a time on, s.
+    /// Rates as multiples of the engine's capacity, each from a time on, s.
     rates: Vec<(f64, f64)>,
     seconds: usize,
-    /// The first second that is judged, and the one after the last.
-    judged: (usize, usize),
+    /// First second that is measured, and the one after the last.
+    measured: (usize, usize),
 }
 
-/// A case with what this build shows, and the other one.
+/// A case with the figures of this build and, if one was given, of the other build.
 struct CaseResult {
     case: Case,
     own: CaseFigures,
     other: Option<CaseFigures>,
 }
 
-/// With `other`, that program is played as well, as far as it can be: messages of its queue have no age.
+/// Runs all cases. With `other`, each case is run with that program as well, without the sending time of queued messages,
+/// which that build may not support.
 pub fn measure(quick: bool, own: PathBuf, other: Option<PathBuf>) -> Report {
     let mut report = Report::new("overload");
-    let play_both = |case: Case| {
-        let own = play(&case, &own, true);
-        let other = other.as_ref().map(|other| play(&case, other, false));
+    let run_both = |case: Case| {
+        let own = run(&case, &own, true);
+        let other = other.as_ref().map(|other| run(&case, other, false));
         CaseResult { case, own, other }
     };
-    let all: Vec<CaseResult> = cases(if quick { 4 } else { 10 }).into_iter().map(play_both).collect();
-    print(&report, &all);
-    report_bounds(&mut report, &all);
+    let results: Vec<CaseResult> = cases(if quick { 4 } else { 10 }).into_iter().map(run_both).collect();
+    print(&report, &results);
+    report_bounds(&mut report, &results);
     report
 }
 
@@ -76,7 +79,7 @@
             name: format!("{times}"),
             rates: vec![(0.0, times)],
             seconds,
-            judged: (REACTION_SECONDS, seconds),
+            measured: (REACTION_SECONDS, seconds),
         };
         cases.extend(SUSTAINED_LOADS.map(sustained));
         cases.push(Case {
@@ -85,20 +88,20 @@
             name: "burst of 1.5".to_owned(),
             rates: vec![(0.0, BASE_LOAD), (BURST_SECONDS.0 as f64, 1.5), (BURST_SECONDS.1 as f64, BASE_LOAD)],
             seconds: 10,
-            judged: (BURST_SECONDS.0 + REACTION_SECONDS, BURST_SECONDS.1),
+            measured: (BURST_SECONDS.0 + REACTION_SECONDS, BURST_SECONDS.1),
         });
     }
     cases
 }
 
-fn play(case: &Case, program: &Path, has_sent_time: bool) -> CaseFigures {
+fn run(case: &Case, program: &Path, has_sent_time: bool) -> CaseFigures {
     let mut scenario = Scenario {
         program: program.to_owned(),
         front: case.front,
         has_sent_time,
         cores: CORES,
         work: WORK,
-        caller_timeout: GIVE_UP,
+        caller_timeout: CALLER_TIMEOUT,
         rates: case.rates.clone(),
         duration: Duration::from_secs(case.seconds as u64),
     };
@@ -106,10 +109,10 @@
     for (_, rate) in &mut scenario.rates {
         *rate *= capacity;
     }
-    figures_of(&scenario.run(), capacity, case.judged)
+    figures_of(&scenario.run(), capacity, case.measured)
 }
 
-fn print(report: &Report, all: &[CaseResult]) {
+fn print(report: &Report, results: &[CaseResult]) {
     let head = [
         "front",
         "times the engine",
@@ -121,24 +124,26 @@
         "run after give-up",
         "burst gone after s",
     ];
-    report.table("In time over what the engine does", &head, all.iter().map(row).collect());
+    report.table("In time over what the engine does", &head, results.iter().map(row).collect());
 }
 
-fn report_bounds(report: &mut Report, all: &[CaseResult]) {
-    let min_of =
-        |of: fn(&CaseFigures) -> f64| all.iter().map(|one| of(&one.own)).fold(f64::INFINITY, f64::min);
-    let max_of = |of: fn(&CaseFigures) -> f64| all.iter().map(|one| of(&one.own)).fold(0.0, f64::max);
-    report.require_min("in_time_worst_second", min_of(|one| one.worst), 0.9);
-    report.figure("in_time_mean", min_of(|one| one.mean));
-    report.require_max("held_p99", max_of(|one| one.queue_time_ratio), 1.0);
-    report.require_max("run_after_give_up", max_of(|one| one.run_late as f64), 0.0);
-    let bursts = all.iter().filter(|one| one.case.name.starts_with("burst"));
-    let drained_after_s = bursts.map(|one| one.own.drained_after_s).fold(0.0, f64::max);
+fn report_bounds(report: &mut Report, results: &[CaseResult]) {
+    let min_of = |value: fn(&CaseFigures) -> f64| {
+        results.iter().map(|result| value(&result.own)).fold(f64::INFINITY, f64::min)
+    };
+    let max_of =
+        |value: fn(&CaseFigures) -> f64| results.iter().map(|result| value(&result.own)).fold(0.0, f64::max);
+    report.require_min("in_time_worst_second", min_of(|result| result.worst), 0.9);
+    report.figure("in_time_mean", min_of(|result| result.mean));
+    report.require_max("held_p99", max_of(|result| result.queue_time_ratio), 1.0);
+    report.require_max("run_after_give_up", max_of(|result| result.late_runs as f64), 0.0);
+    let bursts = results.iter().filter(|result| result.case.name.starts_with("burst"));
+    let drained_after_s = bursts.map(|result| result.own.drained_after_s).fold(0.0, f64::max);
     report.require_max("backlog_s", drained_after_s, 1.0);
-    let are_rules_kept = all.iter().all(|one| one.own.rules);
+    let are_rules_kept = results.iter().all(|result| result.own.are_rules_kept);
     report.require_min("rules_kept", f64::from(u8::from(are_rules_kept)), 1.0);
-    let ratio = |one: &CaseResult| Some(one.own.mean / one.other.as_ref()?.mean.max(0.01));
-    if let Some(ratio) = all.iter().filter_map(ratio).reduce(f64::min) {
+    let ratio = |result: &CaseResult| Some(result.own.mean / result.other.as_ref()?.mean.max(0.01));
+    if let Some(ratio) = results.iter().filter_map(ratio).reduce(f64::min) {
         report.require_min("over_the_other", ratio, 0.97);
     }
 }
@@ -153,30 +158,30 @@
         .take(to)
         .skip(from)
         .map(|queue_time| queue_time.value_at_quantile(0.99));
-    let bound = GIVE_UP / 2 + WORK;
+    let bound = CALLER_TIMEOUT / 2 + WORK;
     CaseFigures {
         worst: (from..to).map(in_time).fold(f64::INFINITY, f64::min),
         mean: f64::from(total.in_time) / capacity / (to - from) as f64,
         queue_time_ratio: queue_time.max().unwrap_or(0) as f64 / bound.as_micros() as f64,
         late: total.late,
-        run_late: scenario_results.late_runs,
+        late_runs: scenario_results.late_runs,
         drained_after_s: results.between(0, to).last_answered_at_s - to as f64,
-        rules: scenario_results.rules.iter().all(|(_, is_kept)| *is_kept),
+        are_rules_kept: scenario_results.rules.iter().all(|(_, is_kept)| *is_kept),
     }
 }
 
 fn row(result: &CaseResult) -> Vec<String> {
     let CaseResult { case, own, other } = result;
-    let part = |value: f64| format!("{value:.2}");
+    let ratio = |value: f64| format!("{value:.2}");
     vec![
         case.front_name.to_owned(),
         case.name.clone(),
-        part(own.worst),
-        part(own.mean),
-        other.as_ref().map_or(String::new(), |other| part(other.mean)),
+        ratio(own.worst),
+        ratio(own.mean),
+        other.as_ref().map_or(String::new(), |other| ratio(other.mean)),
         own.late.to_string(),
-        part(own.queue_time_ratio),
-        own.run_late.to_string(),
-        part(own.drained_after_s),
+        ratio(own.queue_time_ratio),
+        own.late_runs.to_string(),
+        ratio(own.drained_after_s),
     ]
 }
--- a/crates/loomflow-benchmark/src/owner/judge.rs
+++ b/crates/loomflow-benchmark/src/owner/history.rs
@@ -1,4 +1,4 @@
-//! What is wrong in the receiver's history, and whether it is one of a register with fenced writes.
+//! Checks the receiver's histories: the order of owners, and linearizability as a register with fenced writes.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -8,25 +8,25 @@
 
 use super::effects::Effect;
 
-/// Effects on each side of a change of owner that are checked together.
+/// Number of effects before and after a change of owner that are checked for linearizability.
 const WINDOW_SIDE: usize = 8;
 
-/// What is wrong with the histories of duties.
+/// Violations in the histories of duties.
 #[derive(Default)]
 pub struct HistoryViolations {
-    /// Let in after one of a later owner.
+    /// Effects admitted after an effect of a later owner.
     pub by_former_owners: u64,
-    /// Owners that came back between effects of another.
+    /// Number of times that an owner's effects resumed after those of another owner.
     pub interleaved: u64,
-    /// Windows around a change of owner that no order of fenced writes explains.
+    /// Windows around a change of owner that are not linearizable as fenced writes.
     pub not_linearizable: u64,
-    /// Windows that were checked.
+    /// Windows that were checked for linearizability.
     pub windows: u64,
-    /// Effects that the fence rejected, as it should.
+    /// Effects that the fence rejected. These are not violations.
     pub rejected: u64,
 }
 
-/// A register that a write with a lower token does not change.
+/// Specification of a register that rejects a write with a token lower than its value.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct FencedRegister(Token);
 
@@ -42,7 +42,7 @@
 }
 
 impl HistoryViolations {
-    /// Adds up the counts of other histories.
+    /// Adds the counts of other histories.
     pub fn add(&mut self, other: &HistoryViolations) {
         self.by_former_owners += other.by_former_owners;
         self.interleaved += other.interleaved;
@@ -53,7 +53,7 @@
 }
 
 /// Checks the history of one duty.
-pub fn judge(effects: &[Effect], violations: &mut HistoryViolations) {
+pub fn check_history(effects: &[Effect], violations: &mut HistoryViolations) {
     check_order_of_owners(effects, violations);
     for at in 1..effects.len() {
         if effects[at].token != effects[at - 1].token {
@@ -62,7 +62,7 @@
     }
 }
 
-/// Once another owner's effect was admitted, none of a former owner may be.
+/// Checks that no effect of a former owner was admitted after one of a later owner, and counts rejected effects.
 fn check_order_of_owners(effects: &[Effect], violations: &mut HistoryViolations) {
     let mut highest = 0;
     let mut last_token = None;
@@ -81,11 +81,11 @@
     }
 }
 
-/// The effects around a change of owner, which is that of the effect at `at`, are to be those of a fenced register.
+/// Checks that the effects around a change of owner, the first of which is `effects[at]`, are linearizable as fenced writes.
 fn check_change_of_owner(effects: &[Effect], at: usize, violations: &mut HistoryViolations) {
     let start = at.saturating_sub(WINDOW_SIDE);
     let window = &effects[start..(at + WINDOW_SIDE).min(effects.len())];
-    // What was admitted before the window is the value of the register.
+    // The register's value at the start of the window is the highest token before it.
     let highest_before = effects[..start].iter().map(|effect| effect.token).max().unwrap_or(0);
     violations.windows += 1;
     violations.not_linearizable += u64::from(!is_linearizable(window, highest_before));
@@ -96,11 +96,11 @@
         Call(&'a Effect),
         Return(&'a Effect),
     }
-    // Of one moment calls come before returns.
+    // Calls precede returns with the same timestamp.
     let mut steps: Vec<(Instant, u8, Step)> = Vec::new();
     for effect in window {
-        steps.push((effect.began, 0, Step::Call(effect)));
-        steps.push((effect.ended, 1, Step::Return(effect)));
+        steps.push((effect.started_at, 0, Step::Call(effect)));
+        steps.push((effect.ended_at, 1, Step::Return(effect)));
     }
     steps.sort_by_key(|(at, kind, _)| (*at, *kind));
     let mut tester = LinearizabilityTester::new(FencedRegister(highest_before));
--- a/crates/loomflow-benchmark/src/owner/mod.rs
+++ b/crates/loomflow-benchmark/src/owner/mod.rs
@@ -1,8 +1,8 @@
-//! One owner at a time: rounds of faults on real processes with an outside receiver, the same without the receiver's
-//! comparison, and cost, spread and migrations in simulation.
+//! Exclusive ownership of duties: rounds of faults on real processes with an external receiver of their effects, with and
+//! without the receiver's fence; and cost, spread and migrations of duties in simulation.
 
 pub mod effects;
-mod judge;
+mod history;
 mod rounds;
 mod simulated;
 
@@ -13,10 +13,10 @@
 
 const PARTS: [&str; 2] = ["rounds", "simulated"];
 
-/// All parts, or the one that is named.
+/// Runs the named part, or all parts if none is named.
 ///
 /// # Errors
-/// There is no such part.
+/// [`MeasureError::UnknownPart`] if `part` is not one of [`PARTS`].
 pub fn measure(quick: bool, program: &Path, part: Option<&str>) -> Result<Report, MeasureError> {
     let selection = Selection::new("owner", &PARTS, part)?;
     let mut report = Report::new("owner");
--- a/crates/loomflow-benchmark/src/owner/simulated.rs
+++ b/crates/loomflow-benchmark/src/owner/simulated.rs
@@ -1,4 +1,4 @@
-//! What duties cost a large fleet, how they are spread, and how few migrate, in virtual time.
+//! Duties in a simulated fleet: invariants under faults, cost for a large fleet, spread over its members, and migrations.
 
 use loomflow_fleet::duty::LeaseSettings;
 use loomflow_fleet::duty::assign::Candidate;
@@ -14,7 +14,7 @@
     measure_large_fleet(report, quick);
 }
 
-/// Days of faults with duties: the invariants are checked after every event.
+/// Simulates days of faults with duties. The invariants are checked after every event.
 fn measure_days_of_faults(report: &mut Report, quick: bool) {
     let count = if quick { 200 } else { 4_000 };
     let failed: Vec<String> = run_parallel(core_count(), 0..count, |seed| {
@@ -45,17 +45,17 @@
 
 const MACHINES: usize = 300;
 const DUTIES: usize = 1_000;
-/// The machine that is killed: one that does not vote.
+/// The machine that is killed: one that is not a voter.
 const KILLED_MACHINE: usize = 100;
 
-/// What a fleet costs on a quiet day.
+/// Cost of duties for a quiet fleet.
 struct QuietDay {
-    /// Of a member, each second.
+    /// Messages and bytes that a member sends, per second.
     messages: f64,
     bytes: f64,
-    /// Of the fleet, each second.
+    /// Entries of the fleet's replicated log, per second.
     log_entries: f64,
-    /// Of duties, each hour.
+    /// Migrations of duties, per hour.
     migrations: f64,
 }
 
@@ -71,11 +71,12 @@
     }
 }
 
-/// 300 members with 1,000 duties: messages, bytes, entries; spread; migrations on a quiet day and when a member dies.
+/// Measures 300 members with 1,000 duties: messages, bytes and log entries compared with a fleet without duties, the spread
+/// of the duties, and migrations on a quiet day and after the death of a member.
 fn measure_large_fleet(report: &mut Report, quick: bool) {
-    let span = if quick { 20_000 } else { 600_000 };
+    let duration = if quick { 20_000 } else { 600_000 };
     let duty_counts = [0, DUTIES];
-    let days = run_parallel(2, 0..2, |index| quiet_day(duty_counts[index as usize], span));
+    let days = run_parallel(2, 0..2, |index| quiet_day(duty_counts[index as usize], duration));
     let mut days = days.into_iter();
     let (Some((_, without)), Some((mut simulation, with))) = (days.next(), days.next()) else { return };
     report.table(
@@ -84,26 +85,26 @@
         vec![without.row(0, "-".into()), with.row(DUTIES, format!("{:.0}", with.migrations))],
     );
     let (max_over_mean, bytes) = spread(&simulation);
-    let (migrated, owned_by_dead) = migrations_after_death(&mut simulation);
+    let (migrated, owned_by_killed) = migrations_after_death(&mut simulation);
     report.table(
         "1,000 duties on 300 members",
         &["most over mean", "moved when one died", "that were its own", "state, bytes"],
         vec![vec![
             format!("{max_over_mean:.2}"),
             migrated.to_string(),
-            owned_by_dead.to_string(),
+            owned_by_killed.to_string(),
             bytes.to_string(),
         ]],
     );
     report.require_max("spread_most_over_mean", max_over_mean, 1.25);
-    report.require_max("moves_over_least_300", migrated as f64 / owned_by_dead.max(1) as f64, 1.2);
+    report.require_max("moves_over_least_300", migrated as f64 / owned_by_killed.max(1) as f64, 1.2);
     report.require_max("moves_an_hour", with.migrations, 0.0);
     report.require_max("messages_over_none", with.messages / without.messages, 1.5);
     report.figure("log_entries_a_second", with.log_entries);
 }
 
-/// A fleet that has formed, and what it costs for so long, ms.
-fn quiet_day(duties: usize, span: IntegerMillis) -> (Simulation, QuietDay) {
+/// Simulates a quiet fleet for `duration`, ms, after it has formed. Returns the simulation and the cost.
+fn quiet_day(duties: usize, duration: IntegerMillis) -> (Simulation, QuietDay) {
     const FORMED_AT: IntegerMillis = 60_000;
     let lease_settings = LeaseSettings { lease_millis: 10_000, max_attempts: 5 };
     let config = SimulationConfig {
@@ -119,20 +120,20 @@
     simulation.invariants.expects_one_owner = false;
     let _ = simulation.run_until(FORMED_AT);
     let (traffic, index, token) = (simulation.traffic(), applied_index(&simulation), last_token(&simulation));
-    let _ = simulation.run_until(FORMED_AT + span);
+    let _ = simulation.run_until(FORMED_AT + duration);
     let traffic_after = simulation.traffic();
-    let span_seconds = seconds(span);
-    let each = |count: u64| count as f64 / MACHINES as f64 / span_seconds;
+    let duration_seconds = seconds(duration);
+    let each = |count: u64| count as f64 / MACHINES as f64 / duration_seconds;
     let day = QuietDay {
         messages: each(traffic_after.messages - traffic.messages),
         bytes: each(traffic_after.bytes - traffic.bytes),
-        log_entries: (applied_index(&simulation) - index) as f64 / span_seconds,
-        migrations: (last_token(&simulation) - token) as f64 * 3_600.0 / span_seconds,
+        log_entries: (applied_index(&simulation) - index) as f64 / duration_seconds,
+        migrations: (last_token(&simulation) - token) as f64 * 3_600.0 / duration_seconds,
     };
     (simulation, day)
 }
 
-/// The most that a member owns over the mean, and the size of the duties' state, bytes.
+/// Maximum load of duties on a member over the mean, and the size of the saved state of duties, bytes.
 fn spread(simulation: &Simulation) -> (f64, usize) {
     let candidates: Vec<Candidate> =
         (0..MACHINES).map(|n| Candidate { name: server_name(n), weight: 1.0, can_acquire: true }).collect();
@@ -140,16 +141,16 @@
     (imbalance(&state.duties, &candidates), state.duties.save().len())
 }
 
-/// Duties that changed their owner when a member was killed, and those that it owned.
+/// Number of duties that changed their owner after a member was killed, and of those that it owned.
 fn migrations_after_death(simulation: &mut Simulation) -> (usize, usize) {
     let owner = |simulation: &Simulation, duty: usize| simulation.owners(&duty_name(duty)).first().copied();
     let before: Vec<Option<usize>> = (0..DUTIES).map(|duty| owner(simulation, duty)).collect();
     simulation.inject(&Fault::Kill(KILLED_MACHINE));
     let next = simulation.now + 30_000;
     let _ = simulation.run_until(next);
-    let owned_by_dead = before.iter().filter(|owner| **owner == Some(KILLED_MACHINE)).count();
+    let owned_by_killed = before.iter().filter(|owner| **owner == Some(KILLED_MACHINE)).count();
     let migrated = (0..DUTIES).filter(|duty| owner(simulation, *duty) != before[*duty]).count();
-    (migrated, owned_by_dead)
+    (migrated, owned_by_killed)
 }
 
 fn applied_index(simulation: &Simulation) -> u64 {
--- a/crates/loomflow-benchmark/src/scale/connections.rs
+++ b/crates/loomflow-benchmark/src/scale/connections.rs
@@ -1,4 +1,4 @@
-//! What a server pays for connections that only stay open.
+//! Memory, descriptors and CPU time of a server for idle connections.
 
 use std::path::Path;
 
@@ -8,10 +8,10 @@
 
 /// Numbers of open connections at which the server is measured.
 const CONNECTION_COUNTS: [usize; 3] = [500, 2_000, CALLERS];
-/// What `loomflow-server::budget` grants the stacks and buffers of a connection, KB.
+/// Budget of `loomflow-server::budget` for the stacks and buffers of a connection, KB.
 const KB_A_CONNECTION: f64 = 24.0;
 
-/// What was measured with a number of open connections.
+/// Measurement with a number of open connections.
 struct ConnectionSample {
     connections: usize,
     memory_mb: f64,
@@ -20,7 +20,8 @@
 }
 
 pub fn measure(report: &mut Report, program: &Path) {
-    // The server closes idle connections when it runs short of descriptors, and this process needs one for each as well.
+    // Descriptors limit the counts: the server closes idle connections when it runs short of them, and this process needs
+    // one for each connection as well.
     let max_connections = proc::descriptors_allowed();
     let size = setup::Size { connections: CALLERS, tenants: 2, period_ms: 5.0 };
     let server = setup::start(program, size);
--- a/crates/loomflow-benchmark/src/scale/control.rs
+++ b/crates/loomflow-benchmark/src/scale/control.rs
@@ -1,5 +1,5 @@
-//! What control costs at the operators' size, in simulation: the servers' own state machines in virtual time, without
-//! sockets. Bytes are those of the messages; what TCP and IP add is not in them.
+//! Control traffic and CPU time of a fleet of the operators' size: the servers' state machines are simulated in virtual
+//! time, without sockets. Bytes are those of the messages, without the overhead of TCP and IP.
 
 use std::time::Duration;
 
@@ -10,24 +10,25 @@
 use crate::process;
 use crate::report::Report;
 
-/// Fleets that are simulated; the last of them is the operators' size.
+/// Sizes of the simulated fleets; the last one of [`SIZES`] is the operators' size.
 const QUICK_SIZES: [usize; 2] = [50, 150];
 const SIZES: [usize; 4] = [50, 150, 300, 590];
 const VOTERS: usize = 5;
-/// Six zones in all, two to a region: the harder reading, as each zone and region is larger.
+/// Six zones in all, two in each region. Few zones are the harder case, because each zone and region is larger.
 const ZONES: usize = 6;
 const ZONES_PER_REGION: usize = 2;
 const RACK_SIZE: usize = 20;
-/// A new fleet is quiet by then, ms.
+/// Simulated time after which a new fleet has formed and is quiet, ms.
 const FORMED_MS: u64 = 25_000;
-/// A server may spend 3 KB a second on control.
+/// Maximum control traffic that a server sends, bytes per second.
 const MAX_BYTES_PER_S: f64 = 3.0 * 1024.0;
-/// From 150 to 590 members a figure may grow by this factor more than the growth that its formula states.
+/// Maximum growth of a figure from 150 to 590 members, as a factor beyond the growth that its formula states. The bounded
+/// figures should not grow.
 const MAX_GROWTH_FACTOR: f64 = 1.2;
-/// Plays at once: the machine is shared.
+/// Simulations that run in parallel; not one for each core, because the machine is shared.
 const THREADS: usize = 4;
 
-/// What happens to the fleet while its traffic is watched.
+/// What happens to the fleet while its traffic is measured.
 #[derive(Clone, Copy, PartialEq)]
 enum Event {
     Quiet,
@@ -49,12 +50,12 @@
     (Event::AllRestarted, "all restarted at once"),
 ];
 
-/// Bytes and messages that one kind of member sends a second.
+/// Messages and bytes per second that a member of one role sends, in the mean.
 #[derive(Clone, Copy, Default)]
 struct Sent {
     messages_per_s: f64,
     bytes_per_s: f64,
-    /// Of any member of the kind in any one second.
+    /// Maximum of any member with the role in any second.
     max_bytes_per_s: f64,
 }
 
@@ -69,20 +70,22 @@
     let sizes: &[usize] = if quick { &QUICK_SIZES } else { &SIZES };
     let cases: Vec<(usize, Event, &str)> =
         sizes.iter().flat_map(|size| EVENTS.map(|(event, name)| (*size, event, name))).collect();
-    // First, so that no memory that was freed meanwhile is used again.
+    // Measured first: a later fleet would reuse memory that earlier simulations have freed, which would not be counted.
     let memory_kb = memory_kb_a_member(sizes[sizes.len() - 1]);
-    let plays = run_parallel(THREADS, 0..cases.len() as u64, |at| {
-        let (size, event, _) = cases[at as usize];
-        play(size, event)
+    let traffic = run_parallel(THREADS, 0..cases.len() as u64, |index| {
+        let (size, event, _) = cases[index as usize];
+        simulate(size, event)
     });
-    print(report, &cases, &plays);
-    let known: Vec<f64> =
+    print(report, &cases, &traffic);
+    let known_after_s: Vec<f64> =
         run_parallel(THREADS, 0..sizes.len() as u64, |at| death_known_s(sizes[at as usize]));
-    let rows = sizes.iter().zip(&known).map(|(size, known)| vec![size.to_string(), format!("{known:.1}")]);
+    let rows =
+        sizes.iter().zip(&known_after_s).map(|(size, known)| vec![size.to_string(), format!("{known:.1}")]);
     report.table("A death in simulation", &["members", "known to all after s"], rows.collect());
     let quiet = |size: usize| {
-        let at = cases.iter().position(|(of, event, _)| *of == size && *event == Event::Quiet);
-        &plays[at.expect("it was played")]
+        let index =
+            cases.iter().position(|(case_size, event, _)| *case_size == size && *event == Event::Quiet);
+        &traffic[index.expect("quiet fleets of every size are simulated")]
     };
     let (middle, largest) = (quiet(150), quiet(sizes[sizes.len() - 1]));
     report.require_max("control_bytes_a_second", largest.server.bytes_per_s, MAX_BYTES_PER_S);
@@ -100,7 +103,7 @@
     report.figure("leader_bytes_a_second", largest.leader.bytes_per_s.round());
 }
 
-fn print(report: &Report, cases: &[(usize, Event, &str)], plays: &[ControlTraffic]) {
+fn print(report: &Report, cases: &[(usize, Event, &str)], traffic: &[ControlTraffic]) {
     let sent = |sent: Sent| {
         [
             format!("{:.1}", sent.messages_per_s),
@@ -108,10 +111,10 @@
             format!("{:.0}", sent.max_bytes_per_s),
         ]
     };
-    let row = |((size, _, name), play): (&(usize, Event, &str), &ControlTraffic)| {
+    let row = |((size, _, name), traffic): (&(usize, Event, &str), &ControlTraffic)| {
         let mut row = vec![(*name).to_owned(), size.to_string()];
-        row.extend([play.server, play.voter, play.leader].into_iter().flat_map(sent));
-        row.push(format!("{:.3}", play.cpu_percent));
+        row.extend([traffic.server, traffic.voter, traffic.leader].into_iter().flat_map(sent));
+        row.push(format!("{:.3}", traffic.cpu_percent));
         row
     };
     report.table(
@@ -130,18 +133,18 @@
             "most",
             "mean % of a core",
         ],
-        cases.iter().zip(plays).map(row).collect(),
+        cases.iter().zip(traffic).map(row).collect(),
     );
 }
 
-fn play(machines: usize, event: Event) -> ControlTraffic {
+fn simulate(machines: usize, event: Event) -> ControlTraffic {
     let mut simulation = formed(machines);
     if event == Event::RegionBack {
         cut_region(&mut simulation);
-        go(&mut simulation, 60_000);
+        run_for(&mut simulation, 60_000);
         simulation.inject(&Fault::HealNetwork);
     }
-    begin(&mut simulation, event);
+    inject_event(&mut simulation, event);
     let seconds = 30;
     let mut monitor = TrafficMonitor::new(&simulation);
     let cpu = proc::own_thread_cpu_ns();
@@ -149,58 +152,59 @@
         if event == Event::Restarts && second % 2 == 0 {
             restart(&mut simulation, VOTERS + second % (machines - VOTERS));
         }
-        go(&mut simulation, 1_000);
+        run_for(&mut simulation, 1_000);
         monitor.second(&simulation);
     }
     let cpu = Duration::from_nanos(proc::own_thread_cpu_ns() - cpu).as_secs_f64();
     let cpu_percent = cpu / seconds as f64 / machines as f64 * 100.0;
-    let [server, voter, leader] = monitor.kinds.map(MemberTotals::sent);
+    let [server, voter, leader] = monitor.roles.map(MemberTotals::sent);
     ControlTraffic { server, voter, leader, cpu_percent }
 }
 
-/// A quiet fleet.
+/// A fleet that has formed and is quiet.
 fn formed(machines: usize) -> Simulation {
     let mut simulation = Simulation::new(
         SimulationConfig { machines, voters: VOTERS, zones: ZONES, ..SimulationConfig::default() },
         3,
     );
     simulation.invariants.compares_states = false;
-    go(&mut simulation, FORMED_MS);
+    run_for(&mut simulation, FORMED_MS);
     simulation
 }
 
-fn go(simulation: &mut Simulation, span_ms: u64) {
-    let until = simulation.now + span_ms;
-    simulation.run_until(until).expect("no rule of the fleet is broken");
+fn run_for(simulation: &mut Simulation, duration_ms: u64) {
+    let until = simulation.now + duration_ms;
+    simulation.run_until(until).expect("no invariant of the fleet is violated");
 }
 
-fn begin(simulation: &mut Simulation, event: Event) {
+/// Injects the event. [`Event::Restarts`] is injected during the measurement, [`Event::RegionBack`] before it.
+fn inject_event(simulation: &mut Simulation, event: Event) {
     let machines = simulation.machines.len();
     match event {
         Event::Quiet | Event::Restarts | Event::RegionBack => {}
         Event::RackLost => {
-            (machines - RACK_SIZE..machines).for_each(|one| simulation.inject(&Fault::Kill(one)));
+            (machines - RACK_SIZE..machines).for_each(|machine| simulation.inject(&Fault::Kill(machine)));
         }
         Event::ZoneLost => {
             let zone = leader(simulation) % ZONES;
-            let lost = (0..machines).filter(|one| one % ZONES == zone);
-            lost.for_each(|one| simulation.inject(&Fault::Kill(one)));
+            let lost = (0..machines).filter(|machine| machine % ZONES == zone);
+            lost.for_each(|machine| simulation.inject(&Fault::Kill(machine)));
         }
         Event::RegionCut => cut_region(simulation),
-        Event::AllRestarted => (0..machines).for_each(|one| restart(simulation, one)),
+        Event::AllRestarted => (0..machines).for_each(|machine| restart(simulation, machine)),
     }
 }
 
-fn restart(simulation: &mut Simulation, one: usize) {
-    simulation.inject(&Fault::Kill(one));
-    simulation.inject(&Fault::Start(one));
+fn restart(simulation: &mut Simulation, machine: usize) {
+    simulation.inject(&Fault::Kill(machine));
+    simulation.inject(&Fault::Start(machine));
 }
 
-/// Cuts off the region in which the leader stands.
+/// Isolates the region of the leader.
 fn cut_region(simulation: &mut Simulation) {
-    let region = |one: usize| one % ZONES / ZONES_PER_REGION;
+    let region = |machine: usize| machine % ZONES / ZONES_PER_REGION;
     let cut = region(leader(simulation));
-    let side = (0..simulation.machines.len()).filter(|one| region(*one) == cut).collect();
+    let side = (0..simulation.machines.len()).filter(|machine| region(*machine) == cut).collect();
     simulation.inject(&Fault::Isolate(side));
 }
 
@@ -208,7 +212,7 @@
     simulation.leader().unwrap_or(0)
 }
 
-/// What members of one kind have sent so far.
+/// Totals that all members of one role have sent so far.
 #[derive(Clone, Copy, Default)]
 struct MemberTotals {
     member_seconds: u64,
@@ -228,35 +232,35 @@
     }
 }
 
-/// Watches what each member sends, second by second.
+/// Counts the traffic of each member, second by second.
 struct TrafficMonitor {
     before: Vec<Traffic>,
-    /// Servers, voters that follow, the leader.
-    kinds: [MemberTotals; 3],
+    /// Totals of members without a vote, of followers among the voters, and of the leader.
+    roles: [MemberTotals; 3],
 }
 
 impl TrafficMonitor {
     fn new(simulation: &Simulation) -> TrafficMonitor {
-        TrafficMonitor { before: sent_by_all(simulation), kinds: [MemberTotals::default(); 3] }
+        TrafficMonitor { before: sent_by_all(simulation), roles: [MemberTotals::default(); 3] }
     }
 
-    /// Counts the second that has just passed. A machine that is dead sends nothing and does not count.
+    /// Adds the second that has just passed. A machine that does not run sends nothing and is not counted.
     fn second(&mut self, simulation: &Simulation) {
         let (now, leader) = (sent_by_all(simulation), simulation.leader());
-        let here = |one: &usize| simulation.machines[*one].node.is_some();
-        for one in (0..simulation.machines.len()).filter(here) {
-            let kind = match one {
-                one if Some(one) == leader => 2,
-                one if one < VOTERS => 1,
+        let is_running = |machine: &usize| simulation.machines[*machine].node.is_some();
+        for machine in (0..simulation.machines.len()).filter(is_running) {
+            let role = match machine {
+                machine if Some(machine) == leader => 2,
+                machine if machine < VOTERS => 1,
                 _ => 0,
             };
-            let messages = now[one].messages - self.before[one].messages;
-            let bytes = now[one].bytes - self.before[one].bytes;
-            let kind = &mut self.kinds[kind];
-            kind.member_seconds += 1;
-            kind.messages += messages;
-            kind.bytes += bytes;
-            kind.max_bytes = kind.max_bytes.max(bytes);
+            let messages = now[machine].messages - self.before[machine].messages;
+            let bytes = now[machine].bytes - self.before[machine].bytes;
+            let totals = &mut self.roles[role];
+            totals.member_seconds += 1;
+            totals.messages += messages;
+            totals.bytes += bytes;
+            totals.max_bytes = totals.max_bytes.max(bytes);
         }
         self.before = now;
     }
@@ -266,21 +270,21 @@
     simulation.machines.iter().map(|machine| machine.sent).collect()
 }
 
-/// How long it takes until every member knows that one has died, s.
+/// Time from the death of a member until every other member considers it down, s.
 fn death_known_s(machines: usize) -> f64 {
     let mut simulation = formed(machines);
     let (last, died) = (machines - 1, simulation.now);
     simulation.inject(&Fault::Kill(last));
     while !simulation.is_known_down(last) && simulation.now < died + 120_000 {
-        go(&mut simulation, 100);
+        run_for(&mut simulation, 100);
     }
     (simulation.now - died) as f64 / 1000.0
 }
 
-/// Memory that this process takes for each member of a simulated fleet, KB: state machines and simulation together.
+/// Memory of this process for each member of a simulated fleet, KB: its state machine and its part of the simulation.
 fn memory_kb_a_member(machines: usize) -> f64 {
-    let own = std::process::id();
-    let before = process::memory(own);
-    let _world = formed(machines);
-    (process::memory(own) - before) * 1024.0 / machines as f64
+    let pid = std::process::id();
+    let before = process::memory(pid);
+    let _simulation = formed(machines);
+    (process::memory(pid) - before) * 1024.0 / machines as f64
 }
--- a/crates/loomflow-benchmark/src/scale/mod.rs
+++ b/crates/loomflow-benchmark/src/scale/mod.rs
@@ -1,5 +1,5 @@
-//! One real server at the size that operators expect: its connections, its tenants, and what it adds to a request; and
-//! what control costs in a simulated fleet of that size. `docs/CAPACITY.md` has the figures against their budgets.
+//! One real server at the size that operators expect: cost of its connections and tenants, and time added to a request;
+//! and control traffic of a simulated fleet of that size. `docs/CAPACITY.md` compares the figures with their budgets.
 
 mod connections;
 mod control;
@@ -15,19 +15,19 @@
 use crate::report::Report;
 use crate::{MeasureError, Selection};
 
-/// Callers that each keep a connection, tenants, and requests a second to one server at the peak.
+/// Size of one server at the peak: callers, each with one open connection, tenants, and requests per second.
 const CALLERS: usize = 7_700;
 const TENANTS: usize = 35_000;
 const REQUESTS_PER_S: f64 = 238.0;
-/// Load of a server after one of six zones is lost, over the load before.
+/// Load of a server after one of six zones has failed, over the load before.
 const ZONE_LOST: f64 = 1.2;
 
 const PARTS: [&str; 4] = ["connections", "tenants", "requests", "control"];
 
-/// Plays all parts, or the one that is named.
+/// Runs the named part, or all parts if none is named.
 ///
 /// # Errors
-/// There is no such part.
+/// [`MeasureError::UnknownPart`] if `part` is not one of [`PARTS`].
 pub fn measure(quick: bool, program: &Path, part: Option<&str>) -> Result<Report, MeasureError> {
     let selection = Selection::new("scale", &PARTS, part)?;
     let mut report = Report::new("scale");
--- a/crates/loomflow-benchmark/src/scale/requests.rs
+++ b/crates/loomflow-benchmark/src/scale/requests.rs
@@ -1,4 +1,5 @@
-//! What a server adds to a request and spends on it, beside the same load straight to the test engine.
+//! Time that a server adds to a request and CPU time that it spends on it, compared with the same load sent directly to
+//! the test engine.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -10,19 +11,19 @@
 use super::{CALLERS, REQUESTS_PER_S, TENANTS, ZONE_LOST, proc, setup};
 use crate::report::Report;
 
-/// Time added to 99 of 100 requests, ms.
+/// Maximum time that a server may add at the 99th percentile, ms.
 const ADDED_P99_MS: f64 = 1.1;
-/// With the engine alone slower than this the machine is busy with something else, and what a server adds is not to be
-/// had: a run, and as much as the server may add, ms.
+/// If the 99th percentile of the engine alone exceeds this, ms, the machine is too busy to measure the time that a server
+/// adds. It is the time of one run plus the time that the server may add.
 const UNDISTURBED_P99_MS: f64 = 2.0 + ADDED_P99_MS;
-/// Threads that make requests: more than are ever open at once.
+/// Threads that make requests: more than there are open requests at any time.
 const THREADS: usize = 32;
 const CALLER_TIMEOUT: Duration = Duration::from_secs(10);
 const CLASS: &str = "read";
-/// Time between batches that the platform's settings state, ms.
+/// Time between batches (`settings.Period`) in the settings of the platform, ms.
 const PLATFORM_PERIOD_MS: f64 = 5.0;
 
-/// One server under one load.
+/// Size of a server, and the load that it receives.
 struct Case {
     name: &'static str,
     size: setup::Size,
@@ -38,9 +39,9 @@
 }
 
 impl Row {
-    /// Time that the server adds within which this part of the requests is answered, ms.
-    fn added_ms(&self, part: f64) -> f64 {
-        self.served.quantile_ms(part) - self.direct.quantile_ms(part)
+    /// Difference between the latencies with and without the server at a quantile, ms.
+    fn added_ms(&self, fraction: f64) -> f64 {
+        self.served.quantile_ms(fraction) - self.direct.quantile_ms(fraction)
     }
 }
 
@@ -62,8 +63,9 @@
 
 pub fn measure(report: &mut Report, quick: bool, program: &Path) {
     let turns = if quick { 2 } else { 6 };
-    let span = Duration::from_secs(if quick { 5 } else { 15 });
-    let rows: Vec<Row> = cases().into_iter().map(|case| play(program, case, turns, span)).collect();
+    let duration = Duration::from_secs(if quick { 5 } else { 15 });
+    let rows: Vec<Row> =
+        cases().into_iter().map(|case| measure_case(program, case, turns, duration)).collect();
     print(report, &rows);
     let [small, tenants, connections, target, zone_lost, platform] = &rows[..] else { return };
     report.figure("small_cpu_us", small.cpu_us.round());
@@ -114,8 +116,8 @@
     );
 }
 
-/// Plays server and engine in turns, so that what disturbs one disturbs the other.
-fn play(program: &Path, case: Case, turns: usize, span: Duration) -> Row {
+/// Measures server and engine in turns, so that disturbances of the machine affect both.
+fn measure_case(program: &Path, case: Case, turns: usize, duration: Duration) -> Row {
     let server = setup::start(program, case.size);
     let pid = server.fixture.pid();
     let connections = case.size.connections.min(proc::descriptors_allowed());
@@ -126,9 +128,9 @@
     let (mut served, mut direct, mut cpu_ns) = (Latencies::default(), Latencies::default(), 0);
     for _ in 0..turns {
         let before = proc::cpu_ns(pid);
-        served.merge(through_server(&mut shares, &case, span));
+        served.merge(through_server(&mut shares, &case, duration));
         cpu_ns += proc::cpu_ns(pid) - before;
-        direct.merge(load::play(vec![(); THREADS], case.requests_per_s, span, |(), number| {
+        direct.merge(load::run(vec![(); THREADS], case.requests_per_s, duration, |(), number| {
             direct_client.call(CLASS, body(number).as_bytes(), CALLER_TIMEOUT)
         }));
     }
@@ -137,7 +139,7 @@
     Row { case, served, direct, cpu_us, idle_core_percent }
 }
 
-/// The connections of each thread.
+/// Distributes the connections over the threads.
 fn share_out(connections: Vec<Gateway>) -> Vec<Vec<Gateway>> {
     let mut shares: Vec<Vec<Gateway>> = (0..THREADS).map(|_| Vec::new()).collect();
     for (at, connection) in connections.into_iter().enumerate() {
@@ -147,20 +149,25 @@
     shares
 }
 
-/// The figures mean nothing if the server has closed connections meanwhile.
+/// Panics if the server has closed connections during the measurement, which would invalidate the figures.
 fn assert_connected(fixture: &ServerFixture, connections: usize) {
-    assert!(fixture.descriptors() >= connections, "the server has closed connections: {}", fixture.log());
+    assert!(
+        fixture.descriptors() >= connections,
+        "the server has closed some of {connections} connections: {}",
+        fixture.log()
+    );
 }
 
-fn through_server(shares: &mut [Vec<Gateway>], case: &Case, span: Duration) -> Latencies {
+fn through_server(shares: &mut [Vec<Gateway>], case: &Case, duration: Duration) -> Latencies {
     let tenants = case.size.tenants;
-    load::play(shares.iter_mut().collect(), case.requests_per_s, span, |share, number| {
+    load::run(shares.iter_mut().collect(), case.requests_per_s, duration, |share, number| {
         let at = number % share.len();
         make_request(&mut share[at], number, tenants)
     })
 }
 
-/// Makes one request for a tenant drawn by its number, and gives how long it took if it was served.
+/// Makes one request for a tenant that is chosen at random, seeded by the request's number. Returns the latency if the
+/// request was served.
 fn make_request(gateway: &mut Gateway, number: usize, tenants: usize) -> Option<Duration> {
     let tenant = setup::tenant_name(fastrand::Rng::with_seed(number as u64).usize(0..tenants));
     let fields = fields(&next_attempt_id()).replace("owner=acme", &format!("owner={tenant}"));
@@ -168,8 +175,8 @@
     let bytes = call(tag, CLASS, &fields, body(number).as_bytes());
     let sent_at = Instant::now();
     gateway.send(&bytes);
-    let answer = gateway.next_response(CALLER_TIMEOUT).ok()??;
-    (answer.status == "OK" && answer.tag == tag).then(|| sent_at.elapsed())
+    let response = gateway.next_response(CALLER_TIMEOUT).ok()??;
+    (response.status == "OK" && response.tag == tag).then(|| sent_at.elapsed())
 }
 
 fn body(number: usize) -> String {
--- a/crates/loomflow-benchmark/src/scale/tenants.rs
+++ b/crates/loomflow-benchmark/src/scale/tenants.rs
@@ -1,4 +1,4 @@
-//! What a server pays for its tenants: reading them, keeping them, and taking up a new version while it serves.
+//! Cost of tenants in one server: memory while they are read and in service, and a reload of the configuration under way.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
@@ -13,16 +13,17 @@
 use crate::process;
 use crate::report::Report;
 
-const STEPS: [usize; 3] = [1_000, 10_000, TENANTS];
-/// Half of a server's 32 MB are granted to answers, results, keys and requests (`loomflow-server::budget`), and 4 are for
-/// the program itself: this is what reading may take on top of that, MB.
+/// Numbers of tenants at which the server is measured.
+const TENANT_COUNTS: [usize; 3] = [1_000, 10_000, TENANTS];
+/// Memory that reading the configuration may take at its peak, MB: what remains of a server's 32 MB after half for
+/// responses, results, keys and requests (`loomflow-server::budget`) and 4 MB for the program itself.
 const READING_MB: f64 = 12.0;
-/// Maximum stall of the request path while a new version is taken up, ms.
+/// Maximum stall of the request path while a new configuration is applied, ms.
 const STALL_MS: f64 = 5.0;
-/// Between two checks by which a stall is detected.
-const PROBE_EVERY: Duration = Duration::from_micros(100);
-/// The server may log five lines a second, and one of them is waited for.
-const BETWEEN_RELOADS: Duration = Duration::from_millis(600);
+/// Time between two health checks, whose response times show stalls.
+const PROBE_INTERVAL: Duration = Duration::from_micros(100);
+/// Minimum time between two reloads: the server logs at most five lines per second, and each reload waits for one.
+const RELOAD_INTERVAL: Duration = Duration::from_millis(600);
 const RELOADED: &str = "the configuration was reloaded";
 
 struct Row {
@@ -33,18 +34,19 @@
     reload_peak_mb: f64,
     check: Duration,
     compare: Duration,
-    /// Maximum response time in each quiet span and in each reload, ms.
+    /// Maximum response time of each period without a reload and of each reload, ms, ascending.
     quiet_ms: Vec<f64>,
     reload_ms: Vec<f64>,
-    /// Time on a core that the request path's thread spends on each reload, ms: the stall of a machine with nothing else
-    /// to do.
+    /// CPU time that the thread of the request path spends on each reload, ms, ascending: the stall on an otherwise idle
+    /// machine.
     owner_cpu_ms: Vec<f64>,
 }
 
 pub fn measure(report: &mut Report, quick: bool, program: &Path) {
     let rounds = if quick { 5 } else { 25 };
-    let base = play(program, 2, 1);
-    let rows: Vec<Row> = STEPS.into_iter().map(|tenants| play(program, tenants, rounds)).collect();
+    let base = measure_tenants(program, 2, 1);
+    let rows: Vec<Row> =
+        TENANT_COUNTS.into_iter().map(|tenants| measure_tenants(program, tenants, rounds)).collect();
     print(report, &base, &rows);
     let [.., last] = &rows[..] else { return };
     let bytes = (last.serving_mb - base.serving_mb) * 1024.0 * 1024.0 / last.tenants as f64;
@@ -90,16 +92,16 @@
     );
 }
 
-fn play(program: &Path, tenants: usize, rounds: usize) -> Row {
+fn measure_tenants(program: &Path, tenants: usize, rounds: usize) -> Row {
     let size = setup::Size { connections: 500, tenants, period_ms: 0.0 };
     let server = setup::start(program, size);
     let pid = server.fixture.pid();
     let versions = versions(&server.fixture);
-    let (check, compare) = check_times(program, &versions);
+    let (check, compare) = check_config_times(program, &versions);
     let (serving_mb, peak_mb) = (process::memory(pid), proc::peak_mb(pid));
     let (mut quiet_ms, mut reload_ms) = (Vec::new(), Vec::new());
     for round in 0..rounds {
-        quiet_ms.push(max_response_ms(&server.fixture, || std::thread::sleep(BETWEEN_RELOADS)));
+        quiet_ms.push(max_response_ms(&server.fixture, || std::thread::sleep(RELOAD_INTERVAL)));
         let version = &versions[(round + 1) % 2];
         reload_ms.push(max_response_ms(&server.fixture, || reload(&server.fixture, version)));
     }
@@ -124,88 +126,95 @@
     }
 }
 
-/// The configuration of the server, and one with a tenant more at the beginning and another quota of the last.
+/// The configuration of the server, and one with an additional tenant at the beginning and another quota of the last
+/// tenant.
 fn versions(fixture: &ServerFixture) -> [String; 2] {
     let first = fixture.config.to_string();
     let mut config = fixture.config.clone();
-    let tenants = config["settings"]["Orgs"].as_array_mut().expect("tenants");
-    tenants.last_mut().expect("a tenant")["QuotaPerS"] = 5.0.into();
+    let tenants = config["settings"]["Orgs"].as_array_mut().expect("`Orgs` is an array");
+    tenants.last_mut().expect("`Orgs` is not empty")["QuotaPerS"] = 5.0.into();
     tenants.insert(0, serde_json::json!({"Name": "newcomer", "QuotaPerS": 1.0}));
     [first, config.to_string()]
 }
 
-/// Has the server read a version, and waits until it has taken it up.
+/// Makes the server reload its configuration from `version`, and waits until it logs that it has.
 fn reload(fixture: &ServerFixture, version: &str) {
-    let read = || fixture.log().matches(RELOADED).count();
-    let before = read();
+    let reload_count = || fixture.log().matches(RELOADED).count();
+    let before = reload_count();
     fixture.write(version);
     fixture.signal("HUP");
     let until = Instant::now() + Duration::from_secs(60);
-    while read() == before {
-        assert!(Instant::now() < until, "the configuration is not read again: {}", fixture.log());
+    while reload_count() == before {
+        assert!(Instant::now() < until, "the configuration was not reloaded within 60 s: {}", fixture.log());
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// What a reload costs the thread that the request path goes through, ms on a core: the server's main thread. What it
-/// spends in as long a time without one is taken off.
+/// CPU time that a reload takes on the server's main thread, which is the thread of the request path, ms. The CPU time of
+/// as long a period without a reload is subtracted.
 fn reload_cpu_ms(fixture: &ServerFixture, version: &str) -> f64 {
     let spent = |work: &dyn Fn()| {
         let before = proc::main_thread_cpu_ns(fixture.pid());
-        let began = Instant::now();
+        let started_at = Instant::now();
         work();
-        std::thread::sleep(BETWEEN_RELOADS.saturating_sub(began.elapsed()));
+        std::thread::sleep(RELOAD_INTERVAL.saturating_sub(started_at.elapsed()));
         (proc::main_thread_cpu_ns(fixture.pid()) - before) as f64 / 1e6
     };
     let idle = spent(&|| ());
     spent(&|| reload(fixture, version)) - idle
 }
 
-/// The maximum response time of a check while something is done, ms. Some check is under way nearly all the time.
+/// Maximum response time of health checks during `work`, ms. Checks are sent in close succession, so that a stall delays
+/// one of them.
 fn max_response_ms(fixture: &ServerFixture, work: impl FnOnce()) -> f64 {
-    let over = Arc::new(AtomicBool::new(false));
-    let (mut gateway, is_over) = (fixture.gateway(), over.clone());
+    let is_over = Arc::new(AtomicBool::new(false));
+    let (mut gateway, probe_is_over) = (fixture.gateway(), is_over.clone());
     let probe = BackgroundTask::start(move |_| {
         let mut max_latency = Duration::ZERO;
-        while !is_over.load(Ordering::Relaxed) {
-            max_latency = max_latency.max(answer_time(&mut gateway));
-            std::thread::sleep(PROBE_EVERY);
+        while !probe_is_over.load(Ordering::Relaxed) {
+            max_latency = max_latency.max(response_time(&mut gateway));
+            std::thread::sleep(PROBE_INTERVAL);
         }
         max_latency
     });
     work();
-    over.store(true, Ordering::Relaxed);
+    is_over.store(true, Ordering::Relaxed);
     probe.stop().as_secs_f64() * 1000.0
 }
 
-fn answer_time(gateway: &mut Gateway) -> Duration {
+fn response_time(gateway: &mut Gateway) -> Duration {
     let sent_at = Instant::now();
     gateway.send(&health(1, false));
     assert_eq!(gateway.response().status, "UP");
     sent_at.elapsed()
 }
 
-/// How long `check-config` takes for the second version, alone and against the first: the best of three.
-fn check_times(program: &Path, versions: &[String; 2]) -> (Duration, Duration) {
-    let folder = std::env::temp_dir();
-    let file = |name: &str| folder.join(format!("loomflow-scale-{}-{name}.json", std::process::id()));
+/// Times of `check-config` for the second version, without and with `--against` the first one: the shortest of three
+/// each.
+fn check_config_times(program: &Path, versions: &[String; 2]) -> (Duration, Duration) {
+    let directory = std::env::temp_dir();
+    let file = |name: &str| directory.join(format!("loomflow-scale-{}-{name}.json", std::process::id()));
     let (previous, new) = (file("old"), file("new"));
-    std::fs::write(&previous, &versions[0]).expect("a file is written");
-    std::fs::write(&new, &versions[1]).expect("a file is written");
-    let best = |against: Option<&PathBuf>| {
-        let once = |_| check_time(program, &new, against);
-        (0..3).map(once).min().expect("a time")
+    std::fs::write(&previous, &versions[0]).expect("the configuration file is written");
+    std::fs::write(&new, &versions[1]).expect("the configuration file is written");
+    let shortest = |against: Option<&PathBuf>| {
+        let once = |_| check_config_time(program, &new, against);
+        (0..3).map(once).min().expect("three times")
     };
-    let times = (best(None), best(Some(&previous)));
+    let times = (shortest(None), shortest(Some(&previous)));
     let _ = (std::fs::remove_file(&previous), std::fs::remove_file(&new));
     times
 }
 
-fn check_time(program: &Path, file: &Path, against: Option<&PathBuf>) -> Duration {
-    let began = Instant::now();
+fn check_config_time(program: &Path, file: &Path, against: Option<&PathBuf>) -> Duration {
+    let started_at = Instant::now();
     let mut command = Command::new(program);
     command.arg("check-config").arg("--config").arg(file).stdout(Stdio::null());
     command.args(against.iter().flat_map(|previous| [Path::new("--against"), previous.as_path()]));
-    assert!(command.status().expect("it starts").success(), "the configuration is good");
-    began.elapsed()
+    assert!(
+        command.status().expect("the program starts").success(),
+        "check-config rejects {}",
+        file.display()
+    );
+    started_at.elapsed()
 }
--- a/crates/loomflow-load/src/fleet.rs
+++ b/crates/loomflow-load/src/fleet.rs
@@ -1,5 +1,6 @@
-//! Load for a fleet: gateways that know all its servers, pass by one that says it leaves or is gone, and ask another one
-//! where a request was turned away or its connection broke. Requests are of a class without effect, so that this is right.
+//! Load for a fleet: gateways that distribute requests over all its servers, except those that have announced that they
+//! drain or that cannot be reached. Requests that were rejected or whose connection was closed are retried at another
+//! server, which is safe because their class has no effects.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::Write;
@@ -13,29 +14,31 @@
 
 use crate::{MAX_OPEN_REQUESTS, Plan, RequestOutcome, Results};
 
-/// Maximum number of servers to which a request is sent.
+/// Maximum number of attempts of a request that is rejected; four times as many while no server can take it.
 const MAX_ATTEMPTS: u32 = 6;
-/// A server that could not be reached is tried again after this.
-const RECONNECT_AFTER: Duration = Duration::from_millis(100);
+/// Timeout for opening a connection, and the interval at which unconnected servers are tried again.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(100);
 /// Longest sleep before retries are checked for, s.
 const MAX_SLEEP_S: f64 = 0.002;
 
+/// A request without a final response yet.
 struct OpenRequest {
     sent_at: Instant,
     body: Vec<u8>,
     attempts: u32,
 }
 
-/// One server as the gateways see it.
+/// Connection to one server, with the requests that are open there.
 #[derive(Default)]
 struct Server {
     stream: Option<TcpStream>,
-    /// Names the connection, so that one that ended does not affect the next.
+    /// Number of the current connection, so that the end of an earlier one does not affect it.
     generation: u64,
-    /// By connection and tag.
+    /// Open requests by generation and tag.
     open: BTreeMap<(u64, u64), OpenRequest>,
 }
 
+/// State that the threads of the load share.
 struct Shared {
     servers: Vec<Mutex<Server>>,
     addresses: Vec<SocketAddr>,
@@ -49,16 +52,23 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Load that runs until it is stopped.
-pub struct Running {
+/// Load in progress. It runs until [`FleetLoad::end`], or for the duration of its plan.
+pub struct FleetLoad {
     shared: Arc<Shared>,
     threads: Vec<thread::JoinHandle<()>>,
     response_timeout: Duration,
 }
 
-/// Starts a plan against servers; it runs for at most its duration.
-pub fn start(servers: Vec<SocketAddr>, plan: Plan, response_timeout: Duration) -> Running {
-    assert!(servers.iter().all(|server| server.ip().is_loopback()), "load goes to loopback only");
+/// Starts to send the requests of a plan to `servers`. The number of connections in the plan is ignored: there is one for
+/// each server.
+///
+/// # Panics
+/// An address is not a loopback address.
+pub fn start(servers: Vec<SocketAddr>, plan: Plan, response_timeout: Duration) -> FleetLoad {
+    assert!(
+        servers.iter().all(|server| server.ip().is_loopback()),
+        "load is sent to loopback addresses only, not to {servers:?}"
+    );
     let shared = Arc::new(Shared {
         servers: servers.iter().map(|_| Mutex::default()).collect(),
         addresses: servers,
@@ -72,16 +82,17 @@
         thread::spawn(move || keep_connected(&connects)),
         thread::spawn(move || send_requests(&sender, &plan)),
     ];
-    Running { shared, threads, response_timeout }
+    FleetLoad { shared, threads, response_timeout }
 }
 
-impl Running {
-    /// What came so far.
+impl FleetLoad {
+    /// Reads the results so far.
     pub fn results<T>(&self, read: impl FnOnce(&Results) -> T) -> T {
         read(&lock(&self.shared.results))
     }
 
-    /// Asks nothing more, waits for what is open, and gives what came of all.
+    /// Stops sending, waits at most the response timeout for open requests, and returns all results. Requests that are still
+    /// open are lost.
     pub fn end(self) -> Results {
         let until = Instant::now() + self.response_timeout;
         self.shared.is_over.store(true, Ordering::Release);
@@ -101,39 +112,40 @@
         for request in lock(&self.shared.retries).drain(..) {
             results.record_outcome(request.sent_at, RequestOutcome::Lost, now);
         }
-        let done = std::mem::replace(&mut *results, Results::new(now, Duration::ZERO));
+        let final_results = std::mem::replace(&mut *results, Results::new(now, Duration::ZERO));
         drop(results);
         drop(self.threads);
-        done
+        final_results
     }
 }
 
-/// Maintains a connection to every server that can be reached.
+/// Keeps a connection open to every server that can be reached.
 fn keep_connected(shared: &Arc<Shared>) {
     while !shared.is_over.load(Ordering::Acquire) {
         for (number, address) in shared.addresses.iter().enumerate() {
             if lock(&shared.servers[number]).stream.is_some() {
                 continue;
             }
-            let Ok(stream) = TcpStream::connect_timeout(address, RECONNECT_AFTER) else { continue };
+            let Ok(stream) = TcpStream::connect_timeout(address, RECONNECT_INTERVAL) else { continue };
             let _ = stream.set_nodelay(true);
             let Ok(reader) = stream.try_clone() else { continue };
             let mut server = lock(&shared.servers[number]);
             server.generation += 1;
             server.stream = Some(stream);
             let (shared, generation) = (shared.clone(), server.generation);
-            thread::spawn(move || read_answers(&shared, number, generation, Gateway::of(reader)));
+            thread::spawn(move || read_responses(&shared, number, generation, Gateway::of(reader)));
         }
-        thread::sleep(RECONNECT_AFTER);
+        thread::sleep(RECONNECT_INTERVAL);
     }
 }
 
+/// Sends the requests of a plan when they are due. Retries have priority.
 fn send_requests(shared: &Arc<Shared>, plan: &Plan) {
     let start = Instant::now();
     let (mut schedule, mut turn) = (plan.schedule(), 0);
     while start.elapsed() < plan.duration && !shared.is_over.load(Ordering::Acquire) {
-        let waiting = lock(&shared.retries).pop_front();
-        if let Some(request) = waiting {
+        let retry = lock(&shared.retries).pop_front();
+        if let Some(request) = retry {
             send(shared, plan, request, &mut turn);
             continue;
         }
@@ -147,10 +159,10 @@
         lock(&shared.results).record_sent(request.body.clone(), request.sent_at);
         send(shared, plan, request, &mut turn);
     }
-    // What is rejected at the end is still sent to other servers.
+    // Requests that are rejected after the end of the plan are still retried at other servers.
     while !shared.is_over.load(Ordering::Acquire) || !lock(&shared.retries).is_empty() {
-        let waiting = lock(&shared.retries).pop_front();
-        match waiting {
+        let retry = lock(&shared.retries).pop_front();
+        match retry {
             Some(request) => send(shared, plan, request, &mut turn),
             None => thread::sleep(Duration::from_millis(5)),
         }
@@ -177,7 +189,7 @@
         }
         *stream = None;
     }
-    // Nobody is there: once more after the others.
+    // No server is connected with capacity: the request is retried after the others.
     if request.attempts < MAX_ATTEMPTS * 4 {
         thread::sleep(Duration::from_millis(5));
         lock(&shared.retries).push_back(request);
@@ -186,10 +198,11 @@
     }
 }
 
-fn read_answers(shared: &Shared, number: usize, generation: u64, mut gateway: Gateway) {
+/// Handles the responses of one connection until it ends, then retries its open requests.
+fn read_responses(shared: &Shared, number: usize, generation: u64, mut gateway: Gateway) {
     loop {
         match gateway.next_response(Duration::from_millis(500)) {
-            Ok(Some(answer)) => handle_answer(shared, number, generation, &answer),
+            Ok(Some(response)) => handle_response(shared, number, generation, &response),
             Err(_) if !shared.is_over.load(Ordering::Acquire) => {}
             _ => break,
         }
@@ -197,19 +210,19 @@
     retry_open(shared, number, generation);
 }
 
-fn handle_answer(shared: &Shared, number: usize, generation: u64, answer: &GatewayResponse) {
-    if answer.status == "BYE" {
-        // What is open there is still answered; nothing new goes there.
+fn handle_response(shared: &Shared, number: usize, generation: u64, response: &GatewayResponse) {
+    if response.status == "BYE" {
+        // The server still responds to open requests, but receives no new ones.
         let mut server = lock(&shared.servers[number]);
         if server.generation == generation {
             server.stream = None;
         }
         return;
     }
-    let Some(request) = lock(&shared.servers[number]).open.remove(&(generation, answer.tag)) else {
+    let Some(request) = lock(&shared.servers[number]).open.remove(&(generation, response.tag)) else {
         return;
     };
-    let outcome = RequestOutcome::of_response(answer, &request.body);
+    let outcome = RequestOutcome::from_response(response, &request.body);
     if outcome == RequestOutcome::Rejected && request.attempts < MAX_ATTEMPTS {
         lock(&shared.retries).push_back(request);
         return;
@@ -217,7 +230,7 @@
     lock(&shared.results).record_outcome(request.sent_at, outcome, Instant::now());
 }
 
-/// A connection has ended: what was open on it is sent to other servers.
+/// Retries the requests that were open on a connection that has ended.
 fn retry_open(shared: &Shared, number: usize, generation: u64) {
     let mut server = lock(&shared.servers[number]);
     if server.generation == generation {
--- a/crates/loomflow-load/src/lib.rs
+++ b/crates/loomflow-load/src/lib.rs
@@ -1,5 +1,5 @@
-//! Load generator for a server between test servers: open-loop requests at given rates, through gateways or a queue, with
-//! their outcomes by second. Bounded in number and time, and restricted to loopback.
+//! Load generator for a server among test servers: open-loop requests at given rates, through gateways or a queue, with
+//! their outcomes per second. The number of open requests and the duration are bounded; gateways connect to loopback only.
 
 #![forbid(unsafe_code)]
 
@@ -17,5 +17,5 @@
 pub use results::{Counts, RequestOutcome, Results};
 pub use scenario::{Front, Scenario, ScenarioResults};
 
-/// Maximum number of open requests on one gateway connection.
+/// Maximum number of open requests on one gateway connection; further ones use another connection.
 const MAX_OPEN_REQUESTS: usize = 32;
--- a/crates/loomflow-load/src/queue.rs
+++ b/crates/loomflow-load/src/queue.rs
@@ -1,4 +1,4 @@
-//! Load through a queue of the test broker.
+//! Load that is published to a queue of the test broker.
 
 use std::collections::BTreeSet;
 use std::thread;
@@ -12,12 +12,13 @@
 
 /// How long the queue may take to drain at the end; messages that remain count as lost.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(60);
-/// Interval at which replies are collected.
+/// Interval at which replies are collected, and at which the queue is checked at the end.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// How long the last replies may be in transit once the queue is empty.
 const LAST_REPLIES_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Options of a server that consumes what [`play`] publishes, with or without their sending time.
+/// Options of a server that consumes the messages of [`run`]. With `has_sent_time`, it takes their age from the
+/// timestamp.
 pub fn options(broker: &Broker, class: &str, has_sent_time: bool) -> String {
     let sent = if has_sent_time { ", sent_from: timestamp_in_ms" } else { "" };
     format!(
@@ -27,8 +28,8 @@
     )
 }
 
-/// Publishes the messages of a plan to the queue `jobs`, and waits for the queue to drain.
-pub fn play(broker: &Broker, plan: &Plan) -> Results {
+/// Publishes the messages of a plan to the queue `jobs` and waits for the queue to drain, for at most 60 s.
+pub fn run(broker: &Broker, plan: &Plan) -> Results {
     let start = Instant::now();
     let replies = collect_replies(broker.clone());
     let mut results = Results::new(start, plan.objective);
@@ -43,22 +44,22 @@
     results
 }
 
-/// Collects replies, each with the time at which it came, until the task is stopped.
+/// Collects replies, each with the time at which it was taken from the broker, until the task is stopped.
 fn collect_replies(broker: Broker) -> BackgroundTask<Vec<(Message, Instant)>> {
     BackgroundTask::start(move |stop| {
-        let mut all = Vec::new();
+        let mut replies = Vec::new();
         loop {
             let is_last = stop.recv_timeout(POLL_INTERVAL).is_ok();
             let now = Instant::now();
-            all.extend(broker.take("replies").into_iter().map(|reply| (reply, now)));
+            replies.extend(broker.take("replies").into_iter().map(|reply| (reply, now)));
             if is_last {
-                return all;
+                return replies;
             }
         }
     })
 }
 
-/// Publishes each message of a plan when it is due.
+/// Publishes each message of a plan when it is due, and records the credit of the server's consumer as the signal.
 fn publish_all(broker: &Broker, plan: &Plan, results: &mut Results) {
     let start = results.start;
     let mut schedule = plan.schedule();
@@ -77,22 +78,22 @@
 }
 
 fn record_replies(results: &mut Results, replies: &[(Message, Instant)]) {
-    let mut answered = BTreeSet::new();
+    let mut replied = BTreeSet::new();
     for (reply, at) in replies {
         let body = reply.correlation().into_bytes();
-        let Some(sent_at) = results.time_of(&body) else { continue };
+        let Some(sent_at) = results.sent_time(&body) else { continue };
         let outcome = match (reply.kind().as_str(), reply.header_text("x-loomflow-ran").as_deref()) {
-            // Not final: the message is delivered again.
+            // Not a final reply: the message is delivered again.
             ("refused", _) => continue,
             ("served", _) if reply.body != result_of(&body) => RequestOutcome::Wrong,
             ("served", _) => RequestOutcome::Served,
             (_, Some("no")) => RequestOutcome::Rejected,
             _ => RequestOutcome::Failed,
         };
-        let outcome = if answered.insert(body) { outcome } else { RequestOutcome::Wrong };
+        let outcome = if replied.insert(body) { outcome } else { RequestOutcome::Wrong };
         results.record_outcome(sent_at, outcome, *at);
     }
-    let lost = results.unanswered(&answered);
+    let lost = results.unanswered(&replied);
     for sent_at in lost {
         results.record_outcome(sent_at, RequestOutcome::Lost, Instant::now());
     }
--- a/crates/loomflow-load/src/resp.rs
+++ b/crates/loomflow-load/src/resp.rs
@@ -1,4 +1,4 @@
-//! Load through gateway connections.
+//! Load that is sent through gateway connections.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::Write;
@@ -14,23 +14,29 @@
 /// Longest sleep before the duration of the plan is checked again, s.
 const MAX_SLEEP_S: f64 = 0.005;
 
+/// A request without a response yet.
 struct OpenRequest {
     sent_at: Instant,
     body: Vec<u8>,
 }
 
+/// Open requests of a connection by tag.
 type OpenRequests = Arc<Mutex<BTreeMap<u64, OpenRequest>>>;
 
-/// A gateway's connection, with the requests that are open on it.
+/// A connection of a gateway and the requests that are open on it.
 struct GatewayConnection {
     gateway: TcpStream,
     open: OpenRequests,
     tag: u64,
 }
 
-/// Sends the requests of a plan, and waits for open ones for up to `response_timeout` at the end.
-pub fn play(listen: SocketAddr, plan: &Plan, response_timeout: Duration) -> Results {
-    assert!(listen.ip().is_loopback(), "load goes to loopback only");
+/// Sends the requests of a plan to the server at `listen`, then waits at most `response_timeout` for open requests. Requests
+/// that are still open are lost.
+///
+/// # Panics
+/// `listen` is not a loopback address.
+pub fn run(listen: SocketAddr, plan: &Plan, response_timeout: Duration) -> Results {
+    assert!(listen.ip().is_loopback(), "load is sent to loopback addresses only, not to {listen}");
     let start = Instant::now();
     let until = start + plan.duration + response_timeout;
     let results = Arc::new(Mutex::new(Results::new(start, plan.objective)));
@@ -39,12 +45,12 @@
     for _ in 0..plan.connections {
         let gateway = Gateway::open(listen);
         let (open, for_reader) = (OpenRequests::default(), results.clone());
-        let writer = gateway.stream.try_clone().expect("a clone");
+        let writer = gateway.stream.try_clone().expect("the stream can be cloned");
         connections.push_back(GatewayConnection { gateway: writer, open: open.clone(), tag: 0 });
         readers.push(thread::spawn(move || read_responses(gateway, until, &open, &for_reader)));
     }
     send_all(&mut connections, plan, start, &results);
-    let has_open = |connection: &GatewayConnection| !connection.open.lock().expect("open").is_empty();
+    let has_open = |connection: &GatewayConnection| !connection.open.lock().expect("not poisoned").is_empty();
     while Instant::now() < until && connections.iter().any(has_open) {
         thread::sleep(Duration::from_millis(5));
     }
@@ -52,12 +58,12 @@
         let _ = connection.gateway.shutdown(std::net::Shutdown::Both);
     }
     for reader in readers {
-        reader.join().expect("a reader");
+        reader.join().expect("the reader does not panic");
     }
-    Arc::try_unwrap(results).expect("readers have ended").into_inner().expect("results")
+    Arc::try_unwrap(results).expect("all readers have ended").into_inner().expect("not poisoned")
 }
 
-/// Records responses until the connection ends; what is open then is lost.
+/// Records responses until the connection is closed or `until` has passed. Requests that are open then are lost.
 fn read_responses(mut gateway: Gateway, until: Instant, open: &OpenRequests, results: &Mutex<Results>) {
     while let Ok(Some(response)) = gateway.next_response(until.saturating_duration_since(Instant::now())) {
         record_response(&response, open, results);
@@ -65,8 +71,8 @@
             break;
         }
     }
-    let lost = std::mem::take(&mut *open.lock().expect("open"));
-    let mut results = results.lock().expect("results");
+    let lost = std::mem::take(&mut *open.lock().expect("not poisoned"));
+    let mut results = results.lock().expect("not poisoned");
     for request in lost.into_values() {
         results.record_outcome(request.sent_at, RequestOutcome::Lost, Instant::now());
     }
@@ -91,20 +97,20 @@
     }
 }
 
-/// Sends a request on the next connection with capacity.
+/// Sends a request on the next connection that has capacity, in round-robin order.
 fn send(connections: &mut VecDeque<GatewayConnection>, class: &str, body: Vec<u8>, results: &Mutex<Results>) {
     let sent_at = Instant::now();
-    results.lock().expect("results").record_sent(body.clone(), sent_at);
+    results.lock().expect("not poisoned").record_sent(body.clone(), sent_at);
     for _ in 0..connections.len() {
         connections.rotate_left(1);
         let connection = &mut connections[0];
-        let mut open = connection.open.lock().expect("open");
+        let mut open = connection.open.lock().expect("not poisoned");
         if open.len() >= MAX_OPEN_REQUESTS {
             continue;
         }
         connection.tag += 1;
         let id = next_attempt_id();
-        // Only classes with keys use it.
+        // Only classes with idempotency keys read `opkey`.
         let fields = format!("{},opkey={id}", fields(&id));
         let bytes = call(connection.tag, class, &fields, &body);
         open.insert(connection.tag, OpenRequest { sent_at, body });
@@ -112,16 +118,17 @@
         let _ = connection.gateway.write_all(&bytes);
         return;
     }
-    // No connection has capacity: the gateway abandons the request.
-    results.lock().expect("results").record_outcome(sent_at, RequestOutcome::Lost, sent_at);
+    // No connection has capacity: the request is lost.
+    results.lock().expect("not poisoned").record_outcome(sent_at, RequestOutcome::Lost, sent_at);
 }
 
+/// Records the outcome and the send share of a response. A response to no open request is wrong.
 fn record_response(response: &GatewayResponse, open: &OpenRequests, results: &Mutex<Results>) {
-    let request = open.lock().expect("open").remove(&response.tag);
-    let (mut results, now) = (results.lock().expect("results"), Instant::now());
+    let request = open.lock().expect("not poisoned").remove(&response.tag);
+    let (mut results, now) = (results.lock().expect("not poisoned"), Instant::now());
     let Some(request) = request else { return results.record_outcome(now, RequestOutcome::Wrong, now) };
     if let Some(share) = response.fields.split(',').find_map(|field| field.strip_prefix("signal=")) {
         results.second(request.sent_at).record_signal(share.parse().unwrap_or(0.0));
     }
-    results.record_outcome(request.sent_at, RequestOutcome::of_response(response, &request.body), now);
+    results.record_outcome(request.sent_at, RequestOutcome::from_response(response, &request.body), now);
 }
--- a/crates/loomflow-load/src/results.rs
+++ b/crates/loomflow-load/src/results.rs
@@ -1,4 +1,4 @@
-//! Outcomes of the requests of a load, counted by the second in which they were sent.
+//! Outcomes of the requests of a load, counted by the second in which the requests were sent.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -7,27 +7,27 @@
 use loomflow_test_servers::GatewayResponse;
 use loomflow_test_servers::autonomous_engine::result_of;
 
-/// Longer queue times are recorded as this one, µs.
+/// Maximum queue time that is recorded, µs; longer ones are recorded as this one.
 const MAX_QUEUE_TIME_MICROS: u64 = 3_600_000_000;
 
-/// How a request ended, as its caller saw it.
+/// Outcome of a request as its caller observes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// Served, in time or late.
     Served,
     /// Rejected for good; it never ran.
     Rejected,
-    /// Failed.
+    /// Ended with an error other than a rejection.
     Failed,
-    /// Never answered.
+    /// Without a final response until the end of the load.
     Lost,
-    /// Answered with a wrong result, or more than once.
+    /// Served with a wrong result, or with more than one response.
     Wrong,
 }
 
 impl RequestOutcome {
-    /// The outcome of a request with this body, by its final response.
-    pub(crate) fn of_response(response: &GatewayResponse, body: &[u8]) -> RequestOutcome {
+    /// Outcome of a request with this body and this final response.
+    pub(crate) fn from_response(response: &GatewayResponse, body: &[u8]) -> RequestOutcome {
         match response.status.as_str() {
             "OK" if response.body != result_of(body) => RequestOutcome::Wrong,
             "OK" => RequestOutcome::Served,
@@ -37,31 +37,31 @@
     }
 }
 
-/// Counts of requests.
+/// Numbers of requests by outcome, for one second or for a whole load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
-    /// Requests sent.
+    /// Requests that were sent; each is also counted by its outcome.
     pub sent: u32,
     /// Served within the objective.
     pub in_time: u32,
     /// Served after the objective.
     pub late: u32,
-    /// Rejected.
+    /// Rejected for good, without having run.
     pub rejected: u32,
-    /// Failed.
+    /// Ended with an error other than a rejection.
     pub failed: u32,
-    /// Never answered.
+    /// Without a final response until the end of the load.
     pub lost: u32,
-    /// Answered with a wrong result or more than once.
+    /// Served with a wrong result, or with more than one response.
     pub wrong: u32,
-    /// When the last of them was answered, s since the start.
+    /// Time of the last recorded outcome, s since the start of the load.
     pub last_answered_at_s: f64,
     signal_sum: f64,
     signal_count: u32,
 }
 
 impl Counts {
-    /// Mean of the send shares or credits that callers received, if any.
+    /// Mean of the send shares or credits that callers received; `None` if there were none.
     pub fn mean_signal(&self) -> Option<f64> {
         (self.signal_count > 0).then(|| self.signal_sum / f64::from(self.signal_count))
     }
@@ -86,14 +86,14 @@
     }
 }
 
-/// Outcomes of all requests.
+/// Outcomes of all requests of a load.
 #[derive(Clone, Debug)]
 pub struct Results {
-    /// When the load began.
+    /// Start of the load; seconds are counted from it.
     pub start: Instant,
     /// Counts by the second in which requests were sent.
     pub seconds: Vec<Counts>,
-    /// When the request with each body was sent.
+    /// Time at which the request with each body was sent.
     sent_at: BTreeMap<Vec<u8>, Instant>,
     objective: Duration,
 }
@@ -118,7 +118,7 @@
         })
     }
 
-    /// The counts of the second of `at`.
+    /// The counts of the second that contains `at`; seconds up to it are added as needed.
     pub fn second(&mut self, at: Instant) -> &mut Counts {
         let at = at.saturating_duration_since(self.start).as_secs() as usize;
         if self.seconds.len() <= at {
@@ -149,24 +149,27 @@
         counts.last_answered_at_s = counts.last_answered_at_s.max(answered_at);
     }
 
-    /// When the request with this body was sent.
-    pub fn time_of(&self, body: &[u8]) -> Option<Instant> {
+    /// Time at which the request with this body was sent; `None` if there is none.
+    pub fn sent_time(&self, body: &[u8]) -> Option<Instant> {
         self.sent_at.get(body).copied()
     }
 
-    /// When the requests were sent that are not among `answered`.
+    /// Times at which the requests were sent whose bodies are not in `answered`.
     pub fn unanswered(&self, answered: &BTreeSet<Vec<u8>>) -> Vec<Instant> {
         self.sent_at.iter().filter(|(body, _)| !answered.contains(*body)).map(|(_, at)| *at).collect()
     }
 
-    /// Time between sending and the start of the run, by the second of sending, µs.
+    /// Histograms of the time from sending a request to the start of its run, µs, by the second of sending. `runs`: the body
+    /// and the start of each run.
     pub fn queue_times(&self, runs: &[(Vec<u8>, Instant)]) -> Vec<Histogram<u64>> {
         let mut histograms: Vec<Histogram<u64>> = Vec::new();
         for (body, started_at) in runs {
-            let Some(sent_at) = self.time_of(body) else { continue };
+            let Some(sent_at) = self.sent_time(body) else { continue };
             let second = (sent_at - self.start).as_secs() as usize;
             while histograms.len() <= second {
-                histograms.push(Histogram::new_with_bounds(1, MAX_QUEUE_TIME_MICROS, 3).expect("bounds"));
+                histograms.push(
+                    Histogram::new_with_bounds(1, MAX_QUEUE_TIME_MICROS, 3).expect("the bounds are valid"),
+                );
             }
             let queue_time = started_at.saturating_duration_since(sent_at);
             histograms[second].saturating_record(queue_time.as_micros() as u64);
--- a/crates/loomflow-load/src/rounds.rs
+++ b/crates/loomflow-load/src/rounds.rs
@@ -1,70 +1,73 @@
-//! Each machine of a fleet taken out once under load: the fleet itself decides on the order; here the machines' part is
-//! played (whoever has ended is started again after its work), and it is counted from outside how many were out at once.
+//! Round of maintenance: every machine of a fleet is maintained once under load. The fleet decides on the order. This module
+//! restarts each machine that has exited after the time of its maintenance, and counts from outside how many were out at
+//! once.
 
 use std::time::{Duration, Instant};
 
 use loomflow_test_servers::fleet::Fleet;
 
-/// One round.
+/// Configuration of a round.
 pub struct Round {
-    /// How long a machine's maintenance takes.
+    /// Time from the exit of a machine to its restart.
     pub work: Duration,
-    /// After so long one that runs and is not on its way out is killed, and started again a while later.
+    /// Time after which one machine that has returned from maintenance is killed; it is restarted two seconds later. `None`:
+    /// none is killed.
     pub kill_after: Option<Duration>,
-    /// The round is abandoned after this.
+    /// The round is abandoned after this time.
     pub limit: Duration,
 }
 
-/// What was observed of a round from outside.
+/// Observations of a round from outside the fleet.
 pub struct RoundReport {
-    /// Machines that were out of service at once because they ended by themselves, at the most.
+    /// Maximum number of machines that were out for maintenance at once.
     pub max_out: usize,
-    /// Machines that ended by themselves, in their order.
+    /// Machines that exited without being killed, in order.
     pub departures: Vec<usize>,
-    /// Exit codes other than 0.
+    /// Number of these exits with a code other than 0.
     pub failed_exits: usize,
-    /// How long the round took.
+    /// Duration of the round.
     pub took: Duration,
-    /// Every machine was out once and no ticket is open.
+    /// Whether every machine was out once, no ticket is open, and a machine was killed if that was required.
     pub complete: bool,
-    /// What happened, since the start of the round.
+    /// Events with their time since the start of the round.
     pub timeline: Vec<(Duration, String)>,
 }
 
-/// A killed machine is started again after this.
+/// Time from the kill of a machine to its restart.
 const RESTART_AFTER: Duration = Duration::from_secs(2);
-/// How often the open tickets are polled.
+/// Interval at which the open tickets are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// How often the machines are looked at.
+/// Interval at which the processes of the machines are checked.
 const LOOP_INTERVAL: Duration = Duration::from_millis(10);
-/// Maintenance is requested for so much longer than it takes, s.
+/// Time by which the requested duration of maintenance exceeds the actual one, s.
 const REQUESTED_MARGIN_SECONDS: u64 = 30;
 
-/// Why a machine does not run, and until when.
+/// Reason why a machine does not run, with the time of its restart.
 #[derive(Clone, Copy)]
-enum Absence {
+enum Downtime {
     Maintenance(Instant),
     Killed(Instant),
 }
 
-impl Absence {
-    fn until(self) -> Instant {
+impl Downtime {
+    fn restart_at(self) -> Instant {
         match self {
-            Absence::Maintenance(until) | Absence::Killed(until) => until,
+            Downtime::Maintenance(restart_at) | Downtime::Killed(restart_at) => restart_at,
         }
     }
 }
 
-/// A round that is under way.
+/// State of a round in progress.
 struct RunningRound<'a> {
     fleet: &'a mut Fleet,
     round: &'a Round,
     start: Instant,
     report: RoundReport,
-    absences: Vec<Option<Absence>>,
+    downtimes: Vec<Option<Downtime>>,
+    /// A machine has been killed, or none is to be killed.
     has_killed: bool,
     polled_at: Instant,
-    /// All have gone and no ticket is open.
+    /// Every machine was out once and no ticket is open.
     has_ended: bool,
 }
 
@@ -72,8 +75,9 @@
     format!("n{}", member + 1)
 }
 
-/// Plays the round: requests tickets for all machines, and sees it through.
-pub fn play(fleet: &mut Fleet, round: &Round) -> RoundReport {
+/// Runs a round: requests tickets for all machines and restarts those that exit, until no ticket is open or the limit is
+/// reached.
+pub fn run(fleet: &mut Fleet, round: &Round) -> RoundReport {
     let report = RoundReport {
         max_out: 0,
         departures: Vec::new(),
@@ -83,11 +87,11 @@
         timeline: Vec::new(),
     };
     let start = Instant::now();
-    let absences = vec![None; fleet.members.len()];
+    let downtimes = vec![None; fleet.members.len()];
     let has_killed = round.kill_after.is_none();
     let (polled_at, has_ended) = (start, false);
     let mut running =
-        RunningRound { fleet, round, start, report, absences, has_killed, polled_at, has_ended };
+        RunningRound { fleet, round, start, report, downtimes, has_killed, polled_at, has_ended };
     if running.request_all() {
         running.polled_at = Instant::now();
         while running.start.elapsed() < round.limit && !running.has_ended {
@@ -104,19 +108,19 @@
         self.report.timeline.push((self.start.elapsed(), text));
     }
 
-    /// Requests a ticket for each machine; false where that is refused.
+    /// Requests a ticket for each machine. Returns whether the request was accepted.
     fn request_all(&mut self) -> bool {
         let duration = format!("{}s", self.round.work.as_secs() + REQUESTED_MARGIN_SECONDS);
-        let words = ["work", "ask", "--all", "--reason", "round", "--for", &duration];
-        let (code, output, errors) = self.fleet.run_command(0, &words);
-        self.note(format!("asked for all: {}{}", output.trim(), errors.trim()));
+        let arguments = ["work", "ask", "--all", "--reason", "round", "--for", &duration];
+        let (code, output, errors) = self.fleet.run_command(0, &arguments);
+        self.note(format!("maintenance of all servers requested: {}{}", output.trim(), errors.trim()));
         code == 0
     }
 
     fn step(&mut self) {
-        for member in 0..self.absences.len() {
-            match self.absences[member] {
-                Some(absence) if Instant::now() >= absence.until() => self.restart(member),
+        for member in 0..self.downtimes.len() {
+            match self.downtimes[member] {
+                Some(downtime) if Instant::now() >= downtime.restart_at() => self.restart(member),
                 None if !self.fleet.is_running(member) => self.departed(member),
                 _ => {}
             }
@@ -124,55 +128,60 @@
         if !self.has_killed && self.round.kill_after.is_some_and(|after| self.start.elapsed() >= after) {
             self.kill_one();
         }
-        let is_anybody_absent = self.absences.iter().any(Option::is_some);
-        let have_all_departed = self.report.departures.len() >= self.absences.len();
-        if have_all_departed && !is_anybody_absent && self.polled_at.elapsed() >= POLL_INTERVAL {
+        let is_any_down = self.downtimes.iter().any(Option::is_some);
+        let have_all_departed = self.report.departures.len() >= self.downtimes.len();
+        if have_all_departed && !is_any_down && self.polled_at.elapsed() >= POLL_INTERVAL {
             self.poll_tickets();
         }
     }
 
     fn restart(&mut self, member: usize) {
-        self.note(format!("{} is back", name(member)));
+        self.note(format!("{} is restarted", name(member)));
         self.fleet.start_member(member);
-        self.absences[member] = None;
+        self.downtimes[member] = None;
     }
 
-    /// A machine has ended by itself.
+    /// Records that a machine has exited without being killed.
     fn departed(&mut self, member: usize) {
         let code = self.fleet.members[member].fixture.exit_code();
         self.report.failed_exits += usize::from(code != Some(0));
         self.report.departures.push(member);
-        self.absences[member] = Some(Absence::Maintenance(Instant::now() + self.round.work));
-        let out = self.absences.iter().filter(|absence| matches!(absence, Some(Absence::Maintenance(_))));
+        self.downtimes[member] = Some(Downtime::Maintenance(Instant::now() + self.round.work));
+        let out = self.downtimes.iter().filter(|downtime| matches!(downtime, Some(Downtime::Maintenance(_))));
         let out = out.count();
         self.report.max_out = self.report.max_out.max(out);
         self.note(format!("{} has drained and is out, {out} at once", name(member)));
     }
 
-    /// Kills a machine that is not the fleet's next: one that has been out already and is back.
+    /// Kills a machine that has already returned from maintenance, so that the fleet does not wait for its departure. Does
+    /// nothing if there is none yet.
     fn kill_one(&mut self) {
         let is_back =
-            |member: &usize| self.report.departures.contains(member) && self.absences[*member].is_none();
-        let Some(member) = (0..self.absences.len()).find(is_back) else { return };
+            |member: &usize| self.report.departures.contains(member) && self.downtimes[*member].is_none();
+        let Some(member) = (0..self.downtimes.len()).find(is_back) else { return };
         self.has_killed = true;
         self.note(format!("{} is killed", name(member)));
         self.fleet.kill(member);
-        self.absences[member] = Some(Absence::Killed(Instant::now() + RESTART_AFTER));
+        self.downtimes[member] = Some(Downtime::Killed(Instant::now() + RESTART_AFTER));
     }
 
-    /// The round ends when no ticket is open; it is complete if every machine was out once.
+    /// Ends the round if no ticket is open.
     fn poll_tickets(&mut self) {
         self.polled_at = Instant::now();
         let (code, open, _) = self.fleet.run_command(0, &["work", "list", "--json"]);
         if code == 0 && open.trim() == "[]" {
             self.has_ended = true;
-            self.report.complete = self.has_killed && self.report.departures.len() == self.absences.len();
+            self.report.complete = self.has_killed && self.report.departures.len() == self.downtimes.len();
         }
     }
 
     fn finish(&mut self) {
         self.report.took = self.start.elapsed();
-        let end = if self.report.complete { "all have been out and are back" } else { "not all came back" };
+        let end = if self.report.complete {
+            "all servers were out once and are back"
+        } else {
+            "the round is not complete"
+        };
         self.note(end.into());
     }
 }
--- a/crates/loomflow-server/src/try_command.rs
+++ b/crates/loomflow-server/src/try_command.rs
@@ -79,7 +79,7 @@
         kill_after: Some(Duration::from_secs(10)),
         limit: Duration::from_secs(300),
     };
-    let results = rounds::play(&mut fleet, &round);
+    let results = rounds::run(&mut fleet, &round);
     let totals = load.end().total();
     for (at, event) in &results.timeline {
         println!("{:>7.1} s  {event}", at.as_secs_f64());
