--- a/crates/loomflow-benchmark/src/owner/effects.rs
+++ b/crates/loomflow-benchmark/src/owner/effects.rs
@@ -64,7 +64,7 @@
 impl Receiver {
     pub fn start(compares_tokens: bool) -> Receiver {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port can be bound");
-        let address = listener.local_addr().expect("a loopback port can be bound");
+        let address = listener.local_addr().expect("the listener has an address");
         let receiver = Receiver { address, compares_tokens, state: Arc::default() };
         let own = receiver.clone();
         thread::spawn(move || {
--- a/crates/loomflow-benchmark/src/scale/control.rs
+++ b/crates/loomflow-benchmark/src/scale/control.rs
@@ -14,7 +14,8 @@
 const QUICK_SIZES: [usize; 2] = [50, 150];
 const SIZES: [usize; 4] = [50, 150, 300, 590];
 const VOTERS: usize = 5;
-/// Six zones in all, two in each region. Few zones are the harder case, because each zone and region is larger.
+/// The operators' size is read as six zones in all, two in each region. This is the harder reading, because each zone and
+/// region is larger.
 const ZONES: usize = 6;
 const ZONES_PER_REGION: usize = 2;
 const RACK_SIZE: usize = 20;
@@ -55,14 +56,16 @@
 struct Sent {
     messages_per_s: f64,
     bytes_per_s: f64,
-    /// Maximum of any member with the role in any second.
+    /// Maximum of any member with this role in any second.
     max_bytes_per_s: f64,
 }
 
+/// Traffic of each role during an event, and the mean CPU usage of a member.
 struct ControlTraffic {
     server: Sent,
     voter: Sent,
     leader: Sent,
+    /// Percent of a core, including the simulation's own part.
     cpu_percent: f64,
 }
 
