--- a/crates/loomflow-amqp/src/consumer/flow_control.rs
+++ b/crates/loomflow-amqp/src/consumer/flow_control.rs
@@ -21,7 +21,7 @@
         self.share = share;
     }
 
-    /// Sets the Unix time at time 0, ms, to which the timestamps of senders are compared.
+    /// Sets the Unix time (ms) at time 0 of the consumer. The timestamps of senders are converted with it.
     pub fn set_epoch(&mut self, epoch: Millis) {
         self.clock_epoch = epoch;
     }
--- a/crates/loomflow-amqp/src/consumer/mod.rs
+++ b/crates/loomflow-amqp/src/consumer/mod.rs
@@ -108,7 +108,7 @@
 /// Counters of messages since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Delivered messages.
+    /// Messages that the broker delivered, including redelivered ones.
     pub delivered: u64,
     /// Delivered messages that the broker marked as redelivered.
     pub redelivered: u64,
@@ -144,7 +144,7 @@
     pending_publishes: BTreeMap<PublishId, PublishPurpose>,
     last_delivery: DeliveryId,
     last_publish: PublishId,
-    /// Unix time at time 0, ms.
+    /// Unix time (ms) at time 0 of the consumer.
     clock_epoch: Millis,
     /// Whether the owner handles submitted messages.
     is_accepting: bool,
@@ -446,7 +446,7 @@
         self.drain_deadline.is_some_and(|deadline| now >= deadline || is_closed())
     }
 
-    // ---- Reports ----
+    // ---- Statistics ----
 
     /// Number of delivered messages that are not settled.
     pub fn unsettled(&self) -> usize {
@@ -458,7 +458,7 @@
         self.queues.iter().map(|queue| queue.window.target(1.0))
     }
 
-    /// Moving average of the time that messages of each queue spend at the broker.
+    /// Moving average, for each queue, of the time from sending a message to its delivery, ms.
     pub fn broker_times(&self) -> impl Iterator<Item = Millis> + '_ {
         self.queues.iter().map(|queue| queue.window.broker_time())
     }
--- a/crates/loomflow-amqp/src/consumer_pool.rs
+++ b/crates/loomflow-amqp/src/consumer_pool.rs
@@ -27,8 +27,8 @@
 const MIN_BACKOFF_MS: Millis = 250.0;
 /// Maximum backoff before a consumer is restarted, ms.
 const MAX_BACKOFF_MS: Millis = 30_000.0;
-/// Multiple of the prefetch count that a consumer may have unsettled. More shows that the broker ignores prefetch
-/// counts.
+/// Maximum number of unsettled messages of a consumer, as a multiple of its prefetch count. More shows that the broker
+/// ignores prefetch counts.
 const MAX_OVERDELIVERY: usize = 2;
 
 /// Command to send on the channel of a consumer.
--- a/crates/loomflow-amqp/src/idempotency.rs
+++ b/crates/loomflow-amqp/src/idempotency.rs
@@ -47,7 +47,7 @@
     /// The last delivery to this server, of the original or of this copy, ended without a run.
     NotStarted(Option<CopyId>),
     /// The message was not started here and was republished, to its queue or as a dead letter. Until the broker
-    /// confirms it, a second message may or may not exist.
+    /// confirms the copy `to`, a second message may or may not exist.
     Republished {
         from: Option<CopyId>,
         to: CopyId,
@@ -114,7 +114,7 @@
     /// Position of the reply in the eviction order; set while a reply is retained.
     reply_sequence: Option<ResultSequence>,
     expires_at: Millis,
-    /// Deliveries that wait for the first delivery to end.
+    /// Other deliveries of the key, which wait for the first one to end.
     waiters: Vec<DeliveryId>,
     /// Digests of the callers whose reply was confirmed, newest last.
     replied_callers: VecDeque<u64>,
@@ -140,8 +140,9 @@
 /// Maximum number of callers per key whose confirmed reply is recorded.
 const MAX_REPLIED_CALLERS: usize = 4;
 
-/// Records of the keys of recent messages. Above the capacity, the oldest finished records are reduced to a hash of
-/// their key. If only unfinished ones are left, no more messages may be consumed ([`IdempotencyRecords::is_full`]).
+/// Records of the keys of recent messages. Above the capacity, the oldest records of messages that ended are dropped; of
+/// a key that has run, a hash is retained. If only unfinished records are left, no more messages may be consumed
+/// ([`IdempotencyRecords::is_full`]).
 pub struct IdempotencyRecords {
     store: Box<dyn IdempotencyStore + Send>,
     retention: Millis,
@@ -238,8 +239,8 @@
             Lookup::Undecided { may_have_run_elsewhere } => may_have_run_elsewhere,
         };
         if message.has_effect && may_have_run_elsewhere {
-            // Further duplicates get the same reply, unless there is a record because a republished copy may still
-            // arrive.
+            // Recorded as unknown, so that further duplicates get the same reply. An existing record is kept, because a
+            // republished copy may still arrive.
             if !self.records.contains_key(key) {
                 self.start_record(key, message.body_digest);
                 self.finish(key, KeyState::Finished(RunResult::Unknown), now);
@@ -305,14 +306,15 @@
         self.records.insert(key.clone(), record);
     }
 
-    /// Records that a message that was not started is being republished.
+    /// Records that a message that was not started is being republished. `from` is its copy id, `None` for an original;
+    /// `to` is the id of the new copy.
     pub fn republishing(&mut self, key: &IdempotencyKey, from: Option<CopyId>, to: CopyId) {
         self.update_republished(key, |state| {
             *state = KeyState::Republished { from, to, is_confirmed: false };
         });
     }
 
-    /// Records whether the broker accepted the copy. Must not be called if that is unknown.
+    /// Records whether the broker accepted a republished copy. Must not be called if that is unknown.
     pub fn republished(&mut self, key: &IdempotencyKey, copy: CopyId, is_confirmed: bool) {
         self.update_republished(key, |state| {
             if let KeyState::Republished { from, to, .. } = *state
@@ -343,8 +345,8 @@
         }
     }
 
-    /// Records that the message of a key, as this copy, ended here without a run. Returns the deliveries that waited
-    /// for it.
+    /// Records that a delivery of the message ended here without a run; `copy` is its copy id, `None` for the original.
+    /// Returns the deliveries that waited for its end.
     pub fn not_started(
         &mut self,
         key: &IdempotencyKey,
--- a/crates/loomflow-amqp/src/idempotency/tests.rs
+++ b/crates/loomflow-amqp/src/idempotency/tests.rs
@@ -151,7 +151,7 @@
         }
         records
     };
-    // The original is redelivered: its copy replaces it, or may exist.
+    // The original is redelivered: a confirmed copy replaces it, and an unconfirmed copy may exist and have run.
     assert_eq!(
         republished(true).decide(2, Some(&key("a")), as_copy(None, true), 1.0),
         DuplicateDecision::Superseded
@@ -160,14 +160,14 @@
         republished(false).decide(2, Some(&key("a")), as_copy(None, true), 1.0),
         DuplicateDecision::MayHaveRun
     );
-    // The copy runs, unless it may have run in another process.
+    // The copy runs, unless it is redelivered and so may have run in another process.
     for is_confirmed in [true, false] {
         let decide = |redelivered| {
             republished(is_confirmed).decide(2, Some(&key("a")), as_copy(Some(77), redelivered), 1.0)
         };
         assert_eq!((decide(false), decide(true)), (DuplicateDecision::Run, DuplicateDecision::MayHaveRun));
     }
-    // A new message of the sender with the same key is neither and runs.
+    // A new message of the sender with the same key is neither the original nor the copy, and runs.
     assert_eq!(
         republished(true).decide(2, Some(&key("a")), as_copy(None, false), 1.0),
         DuplicateDecision::Run
--- a/crates/loomflow-amqp/src/settlement.rs
+++ b/crates/loomflow-amqp/src/settlement.rs
@@ -19,7 +19,7 @@
 /// Minimum delay before a rejected message is requeued, ms. It doubles with each retry up to [`MAX_RETRY_AFTER_MS`], so
 /// that a message does not circulate in a hot loop and sustained overload does not use up its retries.
 const MIN_RETRY_AFTER_MS: Millis = 100.0;
-/// Maximum of the minimum delay before a rejected message is requeued, ms.
+/// Value up to which [`MIN_RETRY_AFTER_MS`] doubles with each retry, ms.
 const MAX_RETRY_AFTER_MS: Millis = 30_000.0;
 /// Maximum number of attempts to publish a reply, so that the full queue of one caller does not block all others. After
 /// that the message is dead-lettered if a destination is configured. A reply that cannot be routed is not repeated,
--- a/crates/loomflow-amqp/src/settlement/tests.rs
+++ b/crates/loomflow-amqp/src/settlement/tests.rs
@@ -135,7 +135,7 @@
         run_to_settlement(MessageOutcome::Rejected { retry_after, is_final }, context)[1]
             == SettlementAction::Republish(Republish::DeadLetter(FailureReason::OUT_OF_TIME))
     };
-    // The deadline is within the delay or the minimum backoff, or the rejection is final.
+    // Dead-lettered if the time left ends within the delay or the minimum backoff, or if the rejection is final.
     assert!(
         is_dead_lettered(300.0, false, Some(300.0), 0) && !is_dead_lettered(300.0, false, Some(301.0), 0)
     );
--- a/crates/loomflow-amqp/src/window.rs
+++ b/crates/loomflow-amqp/src/window.rs
@@ -40,7 +40,7 @@
 pub struct Observation {
     /// Outcome of the message.
     pub outcome: ObservedOutcome,
-    /// Time that the message spent at the broker; `None` if its sending time is unknown.
+    /// Time from sending to delivery; `None` if the sending time is unknown.
     pub broker_time: Option<Millis>,
     /// Time from delivery to the start of the run; `None` if no run was started.
     pub queue_time: Option<Millis>,
@@ -63,7 +63,7 @@
     queue_time: Millis,
     /// Moving average of the time from the start of the run to the response.
     run_time: Millis,
-    /// Moving average of the time at the broker.
+    /// Moving average of the time from sending to delivery; unknown sending times count as 0.
     broker_time: Millis,
     next_decrease_at: Millis,
 }
@@ -124,7 +124,7 @@
         self.broker_time += (message.broker_time.unwrap_or(0.0) - self.broker_time) * SMOOTHING;
     }
 
-    /// Moving average of the time that messages spend at the broker; unknown sending times count as 0.
+    /// Moving average of the time from sending to delivery, ms; unknown sending times count as 0.
     pub fn broker_time(&self) -> Millis {
         self.broker_time
     }
--- a/crates/loomflow-amqp/tests/common/settings.rs
+++ b/crates/loomflow-amqp/tests/common/settings.rs
@@ -12,7 +12,7 @@
         heartbeat_s: 0,
         max_body_bytes: 1_000,
         retention: 1e9,
-        // Small, so that keys are reduced to their hashes.
+        // Few records, so that tests exceed them and older keys are reduced to hashes.
         capacity: Capacity { records: 8, reply_bytes: 10, retired_keys: 10_000 },
         max_in_flight: 20,
         max_unconfirmed: 8,
--- a/crates/loomflow-amqp/tests/model.rs
+++ b/crates/loomflow-amqp/tests/model.rs
@@ -254,7 +254,7 @@
             let served = replies.iter().any(|reply| reply.correlation() == id && reply.kind() == "served");
             assert!(served || dead.contains(&id), "{id} was neither served nor dead-lettered");
         }
-        // A message can be settled twice only if it was redelivered in between.
+        // A failed message is published as a dead letter and then acknowledged; `basic.reject` would lose the reason.
         let rejected =
             self.broker.settled.iter().filter(|(_, settled)| *settled == Settled::Rejected).count();
         assert_eq!(rejected, 0, "failed messages are dead-lettered with a reason and acknowledged");
@@ -400,7 +400,7 @@
     simulation.drain(0);
     simulation.finish_run(0, true);
     let deadline = simulation.now + DRAIN_TIMEOUT_MS;
-    // No frame reaches the broker.
+    // The test passes no frames to the broker, so it never confirms the reply.
     let consumer = &mut simulation.servers[0].consumer;
     assert!(consumer.tick(deadline - 1.0).is_ok());
     assert!(!consumer.is_drained(deadline - 1.0) && consumer.is_drained(deadline));
--- a/crates/loomflow-amqp/tests/overload.rs
+++ b/crates/loomflow-amqp/tests/overload.rs
@@ -1,6 +1,6 @@
-//! Overload of a consumer and the controller, with a simulated engine and the state machine of the test broker, without
-//! sockets. Messages state when they were sent, so the controller orders and rejects them like calls, and none runs
-//! after its caller's timeout.
+//! Tests of a consumer and the controller under overload, with a simulated engine and the state machine of the test
+//! broker, without sockets. Messages state when they were sent, so the controller orders and rejects them like the
+//! requests of gateways, and no message is run after the timeout of its caller.
 
 mod common;
 use std::collections::{BTreeMap, VecDeque};
@@ -245,7 +245,7 @@
             while next_send_at <= simulation.now {
                 simulation.publish();
                 let rate = if (2_000.0..6_000.0).contains(&next_send_at) { burst_load } else { base_load } * MESSAGES_PER_SECOND;
-                // Jitter 0 means regular intervals.
+                // With a jitter of 0, messages are sent at regular intervals.
                 next_send_at += 1_000.0 / rate * (1.0 + jitter * (random.f64() * 2.0 - 1.0));
             }
             simulation.step();
--- a/crates/loomflow-benchmark/src/scale/engine_client.rs
+++ b/crates/loomflow-benchmark/src/scale/engine_client.rs
@@ -21,7 +21,7 @@
 impl EngineClient {
     pub fn connect(address: SocketAddr) -> EngineClient {
         let mut writer = TcpStream::connect(address).expect("the engine listens");
-        writer.set_nodelay(true).expect("TCP_NODELAY can be set");
+        writer.set_nodelay(true).expect("Nagle's algorithm can be disabled");
         writer.write_all(b"ATTACH 0\r\n").expect("the engine reads");
         let (reader, open_runs) =
             (writer.try_clone().expect("the stream can be cloned"), OpenRuns::default());
--- a/crates/loomflow-server/tests/amqp.rs
+++ b/crates/loomflow-server/tests/amqp.rs
@@ -119,7 +119,7 @@
     expect_all_served_once(&broker, &worker, 6);
 }
 
-/// Both while the first message with a key is open and after it has been served.
+/// A key stays bound to its tenant and body while the first message with it is open and after that message was served.
 #[test]
 fn keys_are_per_tenant_and_reject_another_body() {
     let (broker, worker) = start_peers(4);
@@ -442,7 +442,7 @@
     let replies = broker.take("replies");
     assert_eq!(replies.len(), worker.run_count() - 40, "replies and runs");
     assert!(replies.iter().all(|reply| reply.kind() == "served"));
-    // The other messages are back in their queue and not marked as redelivered.
+    // The messages that were not run are back in their queue and not marked as redelivered.
     let requeued = broker.take("jobs");
     assert_eq!(requeued.len() + worker.run_count(), 70);
     assert!(requeued.iter().all(|message| !message.redelivered));
@@ -562,7 +562,8 @@
     let broker = Broker::with_jobs();
     let on = serve(&options(&[&broker], ""), &AutonomousEngine::start(1, RUN_DURATION));
     broker.wait_until("the server consumes", |state| state.consumers("jobs") > 0);
-    // The gateways used for the start are closed after a while; then the broker's connection is the only difference.
+    // Connections with which the start was awaited are closed after a while; then the one to the broker is the only
+    // difference.
     let deadline = std::time::Instant::now() + RESPONSE_TIMEOUT;
     while sockets(&on) != sockets(&off) + 1 {
         assert!(
--- a/crates/loomflow-server/tests/command_line.rs
+++ b/crates/loomflow-server/tests/command_line.rs
@@ -97,7 +97,7 @@
     let listener = std::net::TcpListener::bind(fixture.listen).expect("the address is free");
     fixture.start(SERVE);
     assert_eq!(fixture.exit_code(), Some(1));
-    // One line when it starts to wait and one when it gives up; both name the address.
+    // The server logs one line when it starts to wait and one when it gives up; both name the address.
     let log = fixture.complete_log();
     let lines: Vec<&str> = log.lines().collect();
     let (waits, gives_up) = ("the address is in use: waiting for it", "listen: cannot bind");
--- a/crates/loomflow-server/tests/descriptors.rs
+++ b/crates/loomflow-server/tests/descriptors.rs
@@ -157,8 +157,8 @@
     connections
 }
 
-/// In the second case the process limit of 44 is below the configured 64. When the kernel refuses descriptors, the
-/// connections to the peers must not be the ones that fail.
+/// The second process limit, 44, is below the 64 of the configuration, so the kernel refuses descriptors that the server
+/// expects to get. The connections to the peers must not be the ones that fail.
 #[test]
 fn peer_connections_reopen_with_all_descriptors_in_use() {
     for limit in [SOCKETS, 44] {
@@ -191,7 +191,8 @@
     fixture.kill();
     fixture.start(&format!("ulimit -n {SOCKETS}; {SERVE}"));
     let engine = fixture.engine.link();
-    // Until the engine is connected requests are rejected; `wait_for_service` retries.
+    // The idle clients take the descriptors before the engine is attached. Until then requests are rejected, which
+    // `wait_for_service` below retries.
     wait_until_full(&fixture, SOCKETS / 2);
     engine.accept_attach("ATTACH 0");
     fixture.wait_for_service();
--- a/crates/loomflow-server/tests/duties.rs
+++ b/crates/loomflow-server/tests/duties.rs
@@ -125,7 +125,8 @@
     let former = wait_for_owner(&fleet, 0, "writes");
     let observer = other_member(former);
     let processes = pause_with_effect(&mut fleet, former, effect);
-    // Closing the file would not release the lock: a process that another test is just starting may have a copy of it.
+    // Closing the file would not release the lock: a process that another test is just starting may have a copy of the
+    // descriptor.
     lock.unlock().expect("the lock is released");
     let second = wait_for_later_token(&fleet, first);
     assert_ne!(wait_for_owner(&fleet, observer, "writes"), former);
@@ -265,7 +266,7 @@
     expect_success(&fleet, observer, &["duty", "release", "by-hand"]);
     expect_lost_duty(job);
     wait_for_new_owner(&fleet, observer, "by-hand", owner);
-    // A killed server does not renew its lease: the job is killed before the lease expires.
+    // A killed server no longer renews the lease of its duty, and the job is killed before that lease expires.
     let owner = wait_for_informed_owner(&fleet, observer, "by-hand");
     let job = start_job_ignoring_sigterm(&fleet, owner);
     fleet.kill(owner);
@@ -341,7 +342,7 @@
     "tickets:\n  - {server: n4, reason: k, lasts: 1m}\n  - {server: n3, reason: k, lasts: 1m}\n";
 
 /// Kills the owner of the campaign and restarts it once another member owns the campaign. Does nothing if the owner is
-/// `member_out`, the server that is out for its ticket.
+/// `member_out`, the server that is out of service for its ticket.
 fn replace_campaign_owner(fleet: &mut Fleet, member_out: usize) {
     let owner = wait_for_owner(fleet, 0, "campaign");
     if owner != member_out {
--- a/crates/loomflow-server/tests/event_ordering.rs
+++ b/crates/loomflow-server/tests/event_ordering.rs
@@ -9,8 +9,8 @@
 use common::*;
 use loomflow_test_servers::*;
 
-/// Ends the runs that the server sends to a moved engine, until `count` have ended. The run `calling` must not be started
-/// again; it ends when the reply to its call is fed.
+/// Ends the runs that the server sends to an engine at a new address, until `count` have ended. The run `calling` must
+/// not be started again; it ends when the reply to its call is fed.
 fn end_runs(engine: &PeerConnection, calling: &str, count: usize) {
     let (mut ended, mut number) = (BTreeSet::new(), 1);
     while ended.len() < count {
--- a/crates/loomflow-server/tests/fleet.rs
+++ b/crates/loomflow-server/tests/fleet.rs
@@ -64,7 +64,7 @@
     fleet.kill(leader);
     set_faults_from_voters(&mut fleet, NON_VOTER, NO_FAULT);
     let observer = (leader + 1) % 3;
-    // The killed leader counts as the one server that may be out: nothing is granted until it is back.
+    // The killed leader counts as the one server that may be out of service: nothing is granted until it is back.
     wait_for_new_leader(&fleet, observer, leader);
     fleet.start_member(leader);
     drain_and_restart(&mut fleet, NON_VOTER, observer, ticket);
@@ -96,7 +96,7 @@
 fn a_server_paused_past_its_grant_keeps_serving() {
     let mut fleet = Fleet::start_bootstrapped(TWO_OUT);
     let ticket = grant_behind_fault(&mut fleet, STALLED);
-    // All its threads are paused before the grant reaches its sockets; otherwise it could accept the grant.
+    // All threads of the server are paused before the grant reaches its sockets; otherwise it could accept the grant.
     let paused = fleet.pause_process_tree(NON_VOTER);
     set_faults_from_voters(&mut fleet, NON_VOTER, NO_FAULT);
     withdraw_lapsed(&fleet, ticket);
--- a/crates/loomflow-server/tests/gateways.rs
+++ b/crates/loomflow-server/tests/gateways.rs
@@ -165,7 +165,7 @@
         assert_eq!(tags(&responses), [1, 2]);
         assert!(responses.iter().all(|response| response.status == "FAILED"), "{responses:?}");
         gateway.expect_closed();
-        // The results of their runs are ignored.
+        // The gateway is disconnected, so the results of both runs are ignored.
         engine.send_done(2 * number - 1, &ids[0], b"no");
         engine.send_done(2 * number, &ids[1], b"no");
     }
@@ -403,7 +403,7 @@
     for (tag, number) in (2..5).zip(1..) {
         serve_request(&mut gateway, &engine, tag, "pay", number);
     }
-    // Idle again, the connection is closed without a second BYE.
+    // When it is idle again, the connection is closed without a second BYE.
     gateway.expect_closed();
 }
 
--- a/crates/loomflow-server/tests/published_client.rs
+++ b/crates/loomflow-server/tests/published_client.rs
@@ -173,7 +173,7 @@
     channel.confirm_select(ConfirmSelectOptions::default()).await.unwrap();
     for number in 0..50 {
         let name = format!("m{number}");
-        // One in ten has a class that the server does not have.
+        // One message in ten has a class that the server does not have.
         let class = if number % 10 == 9 { "none" } else { "book" };
         publish(&channel, "", "jobs", name.as_bytes(), message_properties(&name, class)).await;
     }
--- a/crates/loomflow-server/tests/reload.rs
+++ b/crates/loomflow-server/tests/reload.rs
@@ -48,7 +48,7 @@
     let id = start_run(&mut gateway, &engine, 1, "read");
     fixture.signal("HUP");
     let moved = attach(&fixture, "ATTACH 0");
-    // The command is sent again; an engine that already has the run does not start it twice.
+    // The `RUN` command is sent again; an engine that already has the run does not start it twice.
     assert_eq!(expect_run(&moved), id);
     finish_run(&mut gateway, &moved, 1, &id);
 }
@@ -187,7 +187,7 @@
         reload(&fixture, &file, key);
     }
     foreign_engine.expect_no_link();
-    // After that the server still accepts its own file, and an open request keeps its class.
+    // After these rejected files the server still accepts its own, and an open request keeps its class.
     let mut gateway = fixture.gateway();
     let id = start_run(&mut gateway, &engine, 1, "pay");
     let _former_peers = reload_with_new_peers(&mut fixture);
--- a/crates/loomflow-server/tests/repeats.rs
+++ b/crates/loomflow-server/tests/repeats.rs
@@ -23,7 +23,7 @@
     assert_eq!(first.response().body, b"booked");
     call_keyed(&mut other, 2, "acme", b"two");
     expect_status(&mut other, 2, "FAILED");
-    // A repeat with the first body gets its result.
+    // A repeat with the body of the first request gets the result of that request.
     call_keyed(&mut other, 3, "acme", b"one");
     assert_eq!(other.response().body, b"booked");
     engine.expect_quiet();
--- a/crates/loomflow-server/tests/shutdown.rs
+++ b/crates/loomflow-server/tests/shutdown.rs
@@ -76,7 +76,7 @@
         gateway.call(tag, ["read", "pay", "book"][tag as usize - 1], b"x");
     }
     engine.expect("RUN");
-    // The runs get no result, and the engine's connection is closed.
+    // The engine disconnects, so the runs get no result.
     engine.disconnect();
     let start = Instant::now();
     shut_down(&fixture, &mut gateway);
--- a/crates/loomflow-server/tests/stored_data.rs
+++ b/crates/loomflow-server/tests/stored_data.rs
@@ -117,7 +117,7 @@
     let row = duty(&fleet);
     assert_eq!(row["token"].as_u64(), Some(before), "{row}");
     assert_eq!(row["parked"], "looked at", "{row}");
-    // The stored ticket is granted, and the next one has the next number.
+    // The stored ticket, number 1, is granted, and the next ticket gets number 2.
     assert_eq!(fleet.run_command(0, &["work", "resume"]).0, 0);
     assert_eq!(fleet.wait_for_exit(2), Some(0));
     assert_eq!(fleet.request_ticket(0, 1), 2);
--- a/crates/loomflow-test-servers/src/broker/mod.rs
+++ b/crates/loomflow-test-servers/src/broker/mod.rs
@@ -33,7 +33,8 @@
     connections: Mutex<BTreeMap<ConnectionId, Connection>>,
     /// Whether the handling of received frames is suspended.
     is_stalled: AtomicBool,
-    /// Number of bytes to write, on all connections, until the one that is being written is closed; [`NEVER`] for no limit.
+    /// Number of bytes still to be written, on all connections together, before the connection that is being written at
+    /// that point is closed; [`NEVER`] for no limit.
     disconnect_after_bytes: AtomicU64,
     /// Whether new connections are closed immediately.
     is_refusing: AtomicBool,
--- a/crates/loomflow-test-servers/src/broker/state/delivery.rs
+++ b/crates/loomflow-test-servers/src/broker/state/delivery.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Returns a mandatory message that was routed to no queue to its publisher.
+    /// Returns a mandatory message to its publisher, because it was routed to no queue.
     fn return_message(
         &mut self,
         id: ConnectionId,
--- a/crates/loomflow-test-servers/src/broker/state/frames.rs
+++ b/crates/loomflow-test-servers/src/broker/state/frames.rs
@@ -92,7 +92,7 @@
     /// Handles a method of a class other than `connection` and `channel`.
     fn handle_method_on_channel(&mut self, id: ConnectionId, number: u16, class: AMQPClass) {
         if self.channel_mut(id, number).is_none() {
-            // The broker closed the channel while this frame was in transit.
+            // The broker closed the channel while this frame was in transit, so the frame is ignored.
             return;
         }
         match class {
--- a/crates/loomflow-test-servers/src/control.rs
+++ b/crates/loomflow-test-servers/src/control.rs
@@ -8,7 +8,7 @@
 
 use crate::base::{RESPONSE_TIMEOUT, loopback_listener};
 
-/// A test control plane.
+/// A test control plane that keeps the received reports until the test takes them.
 pub struct Control {
     /// Address that the control plane listens on.
     pub address: SocketAddr,
--- a/crates/loomflow-test-servers/src/fleet.rs
+++ b/crates/loomflow-test-servers/src/fleet.rs
@@ -155,7 +155,7 @@
         fleet
     }
 
-    /// Starts a server whose process does not run.
+    /// Starts a server that is not running.
     pub fn start_member(&mut self, member_index: usize) {
         self.record(format!("{} starts", name(member_index)));
         let member = &mut self.members[member_index];
@@ -188,7 +188,12 @@
     pub fn pause_process_tree(&mut self, member_index: usize) -> Vec<u32> {
         self.record(format!("{} and its descendant processes are paused", name(member_index)));
         let server = self.members[member_index].fixture.pid();
-        assert!(stop(server), "{} has ended\n{}", name(member_index), self.diagnostics());
+        assert!(
+            stop(server),
+            "{} has ended and cannot be paused\n{}",
+            name(member_index),
+            self.diagnostics()
+        );
         let mut all = vec![server];
         let mut next = 0;
         while let Some(parent) = all.get(next).copied() {
@@ -409,7 +414,7 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         self.members.iter_mut().for_each(|member| member.fixture.kill());
-        // After a failed test, processes that are still paused would never end.
+        // Processes that a failed test left paused would never end by themselves.
         for pid in self.paused.iter().filter_map(|pid| Pid::from_raw(*pid as i32)) {
             let _ = kill_process(pid, Signal::KILL);
         }
--- a/crates/loomflow-test-servers/src/gateway.rs
+++ b/crates/loomflow-test-servers/src/gateway.rs
@@ -74,7 +74,7 @@
         loop {
             match TcpStream::connect(to) {
                 Ok(stream) => {
-                    stream.set_nodelay(true).expect("TCP_NODELAY is set");
+                    stream.set_nodelay(true).expect("Nagle's algorithm can be disabled");
                     return Gateway { stream, unread: Vec::new() };
                 }
                 Err(e) => {
--- a/crates/loomflow-test-servers/src/lines.rs
+++ b/crates/loomflow-test-servers/src/lines.rs
@@ -43,7 +43,7 @@
         commands_with_body: &'static [&'static str],
         replies_to_queries: Arc<AtomicBool>,
     ) -> PeerConnection {
-        stream.set_nodelay(true).expect("TCP_NODELAY is set");
+        stream.set_nodelay(true).expect("Nagle's algorithm can be disabled");
         let (sender, lines) = channel();
         let reader = stream.try_clone().expect("the socket is cloned");
         let writer = stream.try_clone().expect("the socket is cloned");
@@ -165,7 +165,7 @@
             .expect("the last word is a length");
         line.body = vec![0; size + LINE_END.len()];
         reader.read_exact(&mut line.body).ok()?;
-        assert!(line.body.ends_with(LINE_END), "{line:?}");
+        assert!(line.body.ends_with(LINE_END), "the body does not end with CRLF: {line:?}");
         line.body.truncate(size);
     }
     Some(line)
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -21,7 +21,7 @@
 /// Suffixes by which a quoted text counts as a file.
 const FILE_SUFFIXES: [&str; 6] = [".rs", ".md", ".toml", ".yaml", ".lock", ".txt"];
 /// Names that pages may use although no source defines them: the page, the reason, the names.
-const EXTERNAL_NAMES: [(&str, &str, &str); 7] = [
+const EXTERNAL_NAMES: [(&str, &str, &str); 8] = [
     ("DEVELOPERS.md", "names of the projects that serve as models", "load_shed Overloaded PeakEwma quinn"),
     (
         "docs/design/wire.md",
@@ -36,6 +36,7 @@
         "memberlist chitchat openraft fjall heed",
     ),
     ("docs/design/fleet.md", "a program that the build does without", "protoc"),
+    ("docs/design/crossings.md", "an option of the operating system", "TCP_NODELAY"),
     ("docs/platform.md", "a call of the operating system", "epoll_wait"),
     ("docs/operators/duties.md", "duties of an operator's example", "filing harm"),
 ];
