--- a/crates/loomflow-adapter/src/host.rs
+++ b/crates/loomflow-adapter/src/host.rs
@@ -29,7 +29,7 @@
     gauges: Vec<String>,
     /// Actions since the last reply; empty between batches.
     actions: Vec<Action>,
-    /// Whether the instance was started or received an event in this batch.
+    /// Whether the instance was started or received an event in the current batch, and has not made its decisions yet.
     needs_decision: bool,
 }
 
@@ -183,7 +183,7 @@
     }
 }
 
-/// The end of a downstream call or a run.
+/// The end of a downstream call or a run, as the simulator reports it.
 struct AttemptEnd {
     id: RequestId,
     outcome: AttemptOutcome,
--- a/crates/loomflow-adapter/tests/message_errors.rs
+++ b/crates/loomflow-adapter/tests/message_errors.rs
@@ -45,7 +45,8 @@
         "Rules": {"FallMultiple": 5.0}}})
 }
 
-/// Each message by name, with its keys in the order in which they are checked. `NEWS` is unknown to the adapter.
+/// Each message: its name, its keys in the order in which they are checked, and a valid example. `NEWS` is unknown to
+/// the adapter.
 fn messages() -> Vec<(&'static str, Vec<&'static str>, Value)> {
     let arrival = json!({
         "msg": "WORK_ITEM", "ServerId": 3, "Ref": 10, "Service": 0, "Account": 0, "Remaining": 600.0,
--- a/crates/loomflow-adapter/tests/transcript.rs
+++ b/crates/loomflow-adapter/tests/transcript.rs
@@ -24,9 +24,9 @@
 const OK: u64 = 10;
 /// Wire code of a run that was cancelled.
 const CANCELLED: u64 = 70;
-/// Codes that the end of a call is drawn from; repetitions weight them.
+/// Outcome codes from which the end of a call is drawn at random; a repeated code is more likely.
 const CALL_DISPOSITIONS: [u64; 10] = [OK, OK, OK, OK, 20, 30, 40, 50, 60, 80];
-/// Codes that the end of a run is drawn from; repetitions weight them.
+/// Outcome codes from which the end of a run is drawn at random; a repeated code is more likely.
 const RUN_DISPOSITIONS: [u64; 8] = [OK, OK, OK, OK, OK, OK, 20, 80];
 
 fn fixture(name: &str) -> PathBuf {
@@ -172,7 +172,7 @@
     classes: BTreeMap<u64, u64>,
     /// Requests whose idempotency keys the instance retains.
     retained: Vec<u64>,
-    /// Future events with their times, ms.
+    /// Events that are still to be sent, with their times, ms.
     scheduled: Vec<(u64, Value)>,
     is_shutting_down: bool,
 }
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Appends the events that are due, except those of ended runs, and sometimes a withdrawal.
+    /// Appends the events that are due, except those of ended runs, and sometimes the withdrawal of a request.
     fn add_due_events(&mut self, id: u64, now: u64, items: &mut Vec<Value>) {
         let instance = self.instances.get_mut(&id).expect("the instance exists");
         let (due, later) =
--- a/crates/loomflow-settings/src/compare.rs
+++ b/crates/loomflow-settings/src/compare.rs
@@ -130,7 +130,7 @@
     }
 }
 
-/// Indices of the members with the same name in the current and the new list; one of them may be absent.
+/// Indices of the list members with this name in the current and the new list; one of the lists may have none.
 struct MemberPair<'a> {
     name: &'a str,
     current: Option<usize>,
--- a/crates/loomflow-settings/src/config.rs
+++ b/crates/loomflow-settings/src/config.rs
@@ -42,7 +42,7 @@
     pub cores: f64,
     /// Settings of the site: classes, tenants and the controller's parameters.
     pub site: Site,
-    /// All keys of the file, including unknown ones, for the comparison of a reload.
+    /// All keys of the file, including unknown ones, for comparison with a reloaded file.
     document: Document,
 }
 
@@ -103,7 +103,7 @@
         })
     }
 
-    /// Returns all keys of the file, including unknown ones.
+    /// Returns all keys of the file, including unknown ones, for comparison with a reloaded file.
     pub(crate) fn document(&self) -> &Document {
         &self.document
     }
--- a/crates/loomflow-settings/src/document.rs
+++ b/crates/loomflow-settings/src/document.rs
@@ -26,7 +26,7 @@
     pub tenants: Tenants,
 }
 
-/// The value of `settings`, with the tenants separated from the other keys.
+/// The `settings` object, with the tenants separated from the other keys.
 struct SettingsObject {
     tree: Value,
     tenants: Tenants,
--- a/crates/loomflow-settings/src/guard.rs
+++ b/crates/loomflow-settings/src/guard.rs
@@ -12,7 +12,7 @@
 /// When a changed value takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakesEffect {
-    /// With the reload.
+    /// At once, with the reload.
     Immediately,
     /// At the next start of the server.
     AtNextStart,
@@ -119,10 +119,10 @@
 
 // ---- Rules ----
 
-/// A class of the current configuration and the class of the same name in the new one.
+/// A class that is in both configurations, matched by name.
 struct ClassPair<'a> {
     name: &'a str,
-    /// Index in the current configuration.
+    /// Index of the class in the current configuration.
     index: usize,
     current: &'a Class,
     new: Option<&'a Class>,
--- a/crates/loomflow-settings/src/lookup.rs
+++ b/crates/loomflow-settings/src/lookup.rs
@@ -36,7 +36,7 @@
     list: &'a L,
     /// Index at which the next scan starts.
     expected: Cell<usize>,
-    /// Comparisons left for scans; at 0, `index` is used.
+    /// Number of comparisons that scans may still make; at 0, the hash `index` is used instead.
     comparisons_left: Cell<usize>,
     index: OnceCell<HashMap<&'a str, usize>>,
 }
--- a/crates/loomflow-settings/src/site.rs
+++ b/crates/loomflow-settings/src/site.rs
@@ -28,7 +28,7 @@
     pub classes: Vec<String>,
     /// Names of the tenants, in the order of the controller's indices; empty if requests have no tenant.
     pub tenants: Vec<String>,
-    /// Names of the gauges, in the order in which the engine reports them.
+    /// Names of the gauges (measured load values), in the order in which the engine reports them.
     pub gauges: Vec<String>,
     /// Whether health checks that are not served from the cache do real work.
     pub deep_checks: bool,
--- a/crates/loomflow-settings/src/value_fallback.rs
+++ b/crates/loomflow-settings/src/value_fallback.rs
@@ -10,7 +10,7 @@
 /// A type that is built from a JSON object or array, with a [`Value`] as the fallback for other JSON types. An
 /// implementation overrides the method for the JSON type that it expects.
 pub(crate) trait DeserializeOrValue<'de>: Sized {
-    /// Wraps a value of a type that was not expected.
+    /// Wraps a value that is neither an object nor an array, or the one of these that was not expected.
     fn from_unexpected(value: Value) -> Self;
 
     /// Deserializes an object; the default implementation treats it as an unexpected type.
--- a/crates/loomflow-settings/tests/file_errors.rs
+++ b/crates/loomflow-settings/tests/file_errors.rs
@@ -107,11 +107,10 @@
         (Value::Object(keys), Some(value)) => drop(keys.insert(name.to_owned(), value.clone())),
         (Value::Object(keys), None) => drop(keys.remove(name)),
         (Value::Array(members), Some(value)) => {
-            members[name.parse::<usize>().expect("the last part of a pointer into an array is an index")] =
-                value.clone();
+            members[name.parse::<usize>().expect("the pointer ends in an index")] = value.clone();
         }
         (Value::Array(members), None) => {
-            drop(members.remove(name.parse().expect("the last part of a pointer into an array is an index")))
+            drop(members.remove(name.parse().expect("the pointer ends in an index")));
         }
         (other, _) => panic!("{pointer}: the parent {other} is neither an object nor an array"),
     }
--- a/src/controller/idle_timeout.rs
+++ b/src/controller/idle_timeout.rs
@@ -33,7 +33,8 @@
 const IDLE_TIMEOUT_DECREASE_FACTOR: f64 = 0.6;
 /// The connection table may be full if at least this fraction of the most connections so far is open.
 const FULL_TABLE_FRACTION: f64 = 0.9;
-/// The table is not full if this fraction of the callers is connected: the others may never connect.
+/// The table counts as not full if at least this fraction of the callers is connected: the others may never
+/// connect, so a full table need not be what keeps them away.
 const MAX_CONNECTED_CALLERS_FRACTION: f64 = 0.25;
 
 /// Sets how long connections may be idle.
--- a/src/controller/request.rs
+++ b/src/controller/request.rs
@@ -78,7 +78,7 @@
         self.stall_time_at_start = stall_time;
     }
 
-    /// Takes the run off the cores until it has its call.
+    /// Takes the run off the cores until its call has ended or is skipped.
     fn await_call(&mut self, now: Millis) {
         self.stage = RequestStage::AwaitingCall;
         self.off_cores_since = now;
@@ -153,8 +153,8 @@
         Some(request)
     }
 
-    /// Takes a run off the cores until it has its call. Returns `None`, without a change, if the request is
-    /// not on the cores or no response is due.
+    /// Takes a run off the cores until its call has ended or is skipped. Returns `None`, without a change, if
+    /// the request is not on the cores or no response is due.
     pub(super) fn await_call(&mut self, id: RequestId, now: Millis) -> Option<&Request> {
         let request = self.by_id.get_mut(&id)?;
         if request.stage != RequestStage::Running || request.is_resolved {
--- a/src/controller/send_share.rs
+++ b/src/controller/send_share.rs
@@ -100,7 +100,7 @@
         self.value < OVERLOAD_SHARE
     }
 
-    /// Records how long an arrival was unread.
+    /// Records how long an arriving request was unread after it had reached the machine, ms.
     pub(super) fn record_read_delay(&mut self, read_delay: Millis) {
         self.read_delays.add(read_delay);
         self.read_delay = read_delay;
--- a/src/controller/stall_detector.rs
+++ b/src/controller/stall_detector.rs
@@ -39,8 +39,8 @@
         now - self.progress_at < duration
     }
 
-    /// How often a run that usually takes `usual_run` would have completed since the last progress, on a core
-    /// of its own.
+    /// How many runs of the usual duration `usual_run` would have completed one after the other on a core of
+    /// their own since the last progress.
     pub(super) fn overdue_completions(&self, usual_run: Millis, on_cores_since: Millis, now: Millis) -> f64 {
         let elapsed = now - self.progress_at.max(on_cores_since);
         elapsed / usual_run
--- a/src/estimate.rs
+++ b/src/estimate.rs
@@ -57,7 +57,7 @@
 }
 
 impl RunTimes {
-    /// Adds a finished run of estimated `work`; `weight` is that of [`SmoothedMean::add`].
+    /// Adds a finished run of estimated `work`; `weight` as in [`SmoothedMean::add`].
     pub fn add(&mut self, work: Millis, on_cores: Millis, off_cores: Millis, weight: f64) {
         self.on_cores.add(on_cores, weight);
         self.work.add(work, weight);
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -132,7 +132,8 @@
     pub handshake_price: f64,
     /// Whether requests state how long their caller will wait.
     pub has_caller_deadlines: bool,
-    /// Whether a caller that gives up cancels its request; otherwise only a lost connection shows it.
+    /// Whether a caller that gives up cancels its request; otherwise only a lost connection shows that it has
+    /// given up.
     pub has_cancellations: bool,
     /// Whether the server joined a running fleet with cold caches.
     pub is_slow_start: bool,
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -75,7 +75,7 @@
 /// One attempt of a request, at one server.
 struct Attempt {
     caller: usize,
-    /// Servers tried for the request, including this one.
+    /// Number of servers tried for the request, including this one.
     servers_tried: usize,
     /// Remaining work, ms on one core of a warm server.
     work_left: f64,
@@ -108,7 +108,7 @@
     responses_without_share: usize,
 }
 
-/// The last feedback that a caller received from one server.
+/// The feedback that a caller last received from one server.
 #[derive(Clone, Copy, Default)]
 struct Feedback {
     /// The send share, and the time at which it was received, ms.
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -67,7 +67,7 @@
         let code = text.lines().filter(|line| !line.trim_start().starts_with("//"));
         let path = file.with_extension("");
         let modules: Vec<&str> = path.iter().filter_map(|part| part.to_str()).collect();
-        // Code names packages with underscores.
+        // In code, the names of packages have underscores in place of hyphens.
         let crates = modules.iter().map(|module| module.replace('-', "_"));
         code.flat_map(identifiers_in)
             .chain(modules.iter().copied())
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -119,8 +119,8 @@
     }
     driver.batch(arrivals(11..=14, UNSAFE));
     driver.arrive(20, SAFE);
-    // Four runs wait for a disk, so the cores are idle and the limit is full. The run needs 300 ms of its
-    // objective of 2,000 ms.
+    // Four runs wait for a disk, so the cores are idle and the limit is full. A run of request 20 would take
+    // 300 ms, of an objective of 2,000 ms.
     assert!(is_rejected(&driver.advance(1760.0), 20));
 }
 
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -110,7 +110,7 @@
     assert_eq!(running, 10, "running: four cores and six increases");
     driver.gauges = FULL;
     driver.advance(300.0);
-    // Runs that end late on full cores lower the limit from 10 to 8, once within a period.
+    // Runs that end late while the cores are busy lower the limit from 10 to 8, once within a period.
     assert_eq!(started_runs(&driver.finish_next(2100.0)).len(), 0);
     assert_eq!(started_runs(&driver.finish_next(2100.0)).len(), 0);
     assert_eq!(
@@ -205,8 +205,8 @@
     assert!(started_runs(&actions).is_empty(), "a request that waits for a permit keeps its run slot");
 }
 
-/// With one call for each core both tiers were idle; without a bound, calls that return at once would
-/// overload the cores.
+/// Failure: with one call for each core, both tiers were idle. Without a bound, calls that return at once
+/// would overload the cores.
 #[test]
 fn calls_to_a_tier_are_bounded_by_the_survivable_concurrency() {
     let calls_in_flight = |is_slow_start: bool| {
@@ -378,8 +378,8 @@
 }
 
 /// The part of a tenant's requests that one server of a fleet treats as over the tenant's quota, for Poisson
-/// arrivals at `load` times the quota. A request over quota runs after one of half its weight that arrives
-/// with it.
+/// arrivals at `load` times the quota. A request counts as over the quota if a request of half its weight,
+/// which arrives with it, runs first.
 fn over_quota_part(servers: f64, quota_per_s: f64, load: f64) -> f64 {
     const REQUESTS: u32 = 30_000;
     let mut settings = settings();
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -13,7 +13,7 @@
 use loomflow::interface::*;
 use proptest::prelude::*;
 
-/// A run on a core: its end, its id, and when the controller started it.
+/// A run on a core: when it ends, its id, and when the controller started it; times in ms.
 type OnCore = (f64, RequestId, f64);
 
 /// Time step of the engine and the callers, ms.
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -40,13 +40,13 @@
     now: f64,
     started_at: f64,
     open: BTreeMap<RequestId, OpenRequest>,
-    /// Arrival times of the keyed requests that ran.
+    /// Arrival times of the keyed requests that ran, by id.
     runs: BTreeMap<RequestId, f64>,
     retained_keys: BTreeMap<RequestId, f64>,
     lingering: Vec<f64>,
     concurrency: Vec<(f64, f64)>,
     calls_in_flight: Vec<(f64, f64)>,
-    /// When a shutdown was requested, and when the process is killed.
+    /// When a shutdown was requested and when the process is killed, ms; none before the request.
     shutdown: Option<(f64, f64)>,
     is_killed: bool,
     timers: Vec<f64>,
@@ -267,7 +267,8 @@
     Some(sum / window)
 }
 
-/// A change to the controller's actions before they take effect: none, or a fault to be detected.
+/// A deliberate fault, which changes the controller's actions before they take effect, so that a test shows
+/// whether the checker detects it. A correct controller has one that changes nothing.
 type Fault = fn(&mut Vec<Action>, &Checker);
 
 struct Simulation {
@@ -277,7 +278,8 @@
     fault: Fault,
 }
 
-/// One step: the kind of event, a random choice of its request or values, and the time since the last step.
+/// One step of a case: the kind of event, a number that selects its request or its values, and the time since
+/// the previous step.
 type EventStep = (u8, u16, u16);
 
 const CALL_OUTCOMES: [AttemptOutcome; 5] = [
