--- a/crates/loomflow-adapter/tests/transcript.rs
+++ b/crates/loomflow-adapter/tests/transcript.rs
@@ -24,9 +24,9 @@
 const OK: u64 = 10;
 /// Wire code of a run that was cancelled.
 const CANCELLED: u64 = 70;
-/// Codes that the end of a call is drawn from; repetitions weight them.
+/// Outcome codes from which the end of a call is drawn at random; a repeated code is more likely.
 const CALL_DISPOSITIONS: [u64; 10] = [OK, OK, OK, OK, 20, 30, 40, 50, 60, 80];
-/// Codes that the end of a run is drawn from; repetitions weight them.
+/// Outcome codes from which the end of a run is drawn at random; a repeated code is more likely.
 const RUN_DISPOSITIONS: [u64; 8] = [OK, OK, OK, OK, OK, OK, 20, 80];
 
 fn fixture(name: &str) -> PathBuf {
@@ -111,10 +111,10 @@
         "SET_TIMER",
     ];
     for event in events {
-        assert!(input.contains(&format!("\"msg\":\"{event}\"")), "{event}");
+        assert!(input.contains(&format!("\"msg\":\"{event}\"")), "the recorded input lacks {event}");
     }
     for action in actions {
-        assert!(output.contains(&format!("\"msg\":\"{action}\"")), "{action}");
+        assert!(output.contains(&format!("\"msg\":\"{action}\"")), "the recorded output lacks {action}");
     }
 }
 
@@ -168,11 +168,11 @@
 struct Instance {
     /// Current runs by request.
     runs: BTreeMap<u64, Run>,
-    /// Classes of all requests sent to the instance.
+    /// Class of each request sent to the instance, by the number of the request.
     classes: BTreeMap<u64, u64>,
     /// Requests whose idempotency keys the instance retains.
     retained: Vec<u64>,
-    /// Future events with their times, ms.
+    /// Events that are still to be sent, with their times, ms.
     scheduled: Vec<(u64, Value)>,
     is_shutting_down: bool,
 }
@@ -217,12 +217,12 @@
             items.push(json!({"msg": "TEARDOWN", "ServerId": 3}));
         }
         if now == 7_000 {
-            self.instances.get_mut(&2).expect("instance 2").is_shutting_down = true;
+            self.instances.get_mut(&2).expect("instance 2 is running").is_shutting_down = true;
             items.push(json!({"msg": "TERMINATE_SOON", "ServerId": 2, "Remaining": 1800.0}));
         }
     }
 
-    /// Appends the events that are due, except those of ended runs, and sometimes a withdrawal.
+    /// Appends the events that are due, except those of ended runs, and sometimes the withdrawal of a request.
     fn add_due_events(&mut self, id: u64, now: u64, items: &mut Vec<Value>) {
         let instance = self.instances.get_mut(&id).expect("the instance exists");
         let (due, later) =
@@ -351,7 +351,7 @@
         if run.calls_left > 0 && run.class != 2 {
             run.calls_left -= 1;
             self.schedule(id, now + work, "BLOCKED", request, None);
-            // Ends the run even if the call does not.
+            // The run ends at this time even if its call has not ended.
             self.schedule(id, now + 900, "FINISHED", request, Some((disposition, 900)));
         } else {
             let duration = now + work - run.started_at;
--- a/crates/loomflow-settings/src/compare.rs
+++ b/crates/loomflow-settings/src/compare.rs
@@ -8,7 +8,7 @@
 use crate::lookup::{Lookup, NamedList};
 use crate::tenants::{TenantList, Tenants};
 
-/// Stands for the value of an absent key or member.
+/// Stands for the value of a key or a list member that one of the files lacks.
 static NULL: Value = Value::Null;
 
 /// A key whose values differ.
@@ -130,7 +130,7 @@
     }
 }
 
-/// Indices of the members with the same name in the current and the new list; one of them may be absent.
+/// Indices of the list members with this name in the current and the new list; one of the lists may have none.
 struct MemberPair<'a> {
     name: &'a str,
     current: Option<usize>,
--- a/crates/loomflow-settings/src/config.rs
+++ b/crates/loomflow-settings/src/config.rs
@@ -14,7 +14,7 @@
 
 /// Size limit of a configuration file, MiB.
 const MAX_MIB: u64 = 4;
-/// The same limit, bytes.
+/// The size limit in bytes.
 const MAX_BYTES: u64 = MAX_MIB * 1024 * 1024;
 
 /// A validated configuration file. Unknown keys are ignored.
@@ -42,7 +42,7 @@
     pub cores: f64,
     /// Settings of the site: classes, tenants and the controller's parameters.
     pub site: Site,
-    /// All keys of the file, including unknown ones, for the comparison of a reload.
+    /// All keys of the file, including unknown ones, for comparison with a reloaded file.
     document: Document,
 }
 
@@ -103,7 +103,7 @@
         })
     }
 
-    /// Returns all keys of the file, including unknown ones.
+    /// Returns all keys of the file, including unknown ones, for comparison with a reloaded file.
     pub(crate) fn document(&self) -> &Document {
         &self.document
     }
--- a/crates/loomflow-settings/src/value_fallback.rs
+++ b/crates/loomflow-settings/src/value_fallback.rs
@@ -10,15 +10,15 @@
 /// A type that is built from a JSON object or array, with a [`Value`] as the fallback for other JSON types. An
 /// implementation overrides the method for the JSON type that it expects.
 pub(crate) trait DeserializeOrValue<'de>: Sized {
-    /// Wraps a value of a type that was not expected.
+    /// Wraps a value that is neither an object nor an array, or the one of these that was not expected.
     fn from_unexpected(value: Value) -> Self;
 
-    /// Deserializes an object; by default, it is not expected.
+    /// Deserializes an object; the default implementation treats it as an unexpected type.
     fn from_object<A: MapAccess<'de>>(map: A) -> Result<Self, A::Error> {
         Value::deserialize(MapAccessDeserializer::new(map)).map(Self::from_unexpected)
     }
 
-    /// Deserializes an array; by default, it is not expected.
+    /// Deserializes an array; the default implementation treats it as an unexpected type.
     fn from_array<A: SeqAccess<'de>>(sequence: A) -> Result<Self, A::Error> {
         Value::deserialize(SeqAccessDeserializer::new(sequence)).map(Self::from_unexpected)
     }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -13,7 +13,7 @@
 use loomflow::interface::*;
 use proptest::prelude::*;
 
-/// A run on a core: its end, its id, and when the controller started it.
+/// A run on a core: when it ends, its id, and when the controller started it; times in ms.
 type OnCore = (f64, RequestId, f64);
 
 /// Time step of the engine and the callers, ms.
@@ -25,7 +25,7 @@
     if (3.0..7.0).contains(&second) { burst } else { 0.75 }
 }
 
-/// The seconds since the start whose arrivals count, all during the burst.
+/// The period whose arrivals are counted, in seconds since the start; all of it is within the burst.
 const COUNTED: std::ops::Range<f64> = 4.0..7.0;
 
 /// Results of the requests that arrived in the counted seconds.
