--- a/crates/loomflow-server/src/budget.rs
+++ b/crates/loomflow-server/src/budget.rs
@@ -41,7 +41,7 @@
     pub max_idempotency_entries: usize,
     /// Requests in the request table.
     pub max_requests: usize,
-    /// One of the [`MEMORY_PARTS`], in bytes.
+    /// Size of one of the [`MEMORY_PARTS`] equal parts of the memory, in bytes.
     memory_part_bytes: usize,
 }
 
@@ -52,7 +52,7 @@
     pub max_in_flight: usize,
     /// Messages whose idempotency record is retained.
     pub max_records: usize,
-    /// Bytes of the replies in these records.
+    /// Bytes of the replies in the retained idempotency records.
     pub max_reply_bytes: usize,
     /// Messages of which only a hash of the key is retained.
     pub max_retired_keys: usize,
--- a/crates/loomflow-server/src/connection/handle.rs
+++ b/crates/loomflow-server/src/connection/handle.rs
@@ -27,7 +27,8 @@
     max_open_requests: Option<usize>,
     /// Set once nothing more is read. The connection is closed once no request is open and everything is written.
     close_reason: Option<CloseReason>,
-    /// The driver has been woken for queued bytes and has not flushed since; saves a wake for each further enqueue.
+    /// Whether the driver has been woken for queued bytes and has not flushed since; saves a wake for each
+    /// further enqueue.
     is_wake_pending: bool,
     /// Wakes the driver from its wait for input; set only while [`super::drive`] runs. The reads of a lingering close have
     /// a timeout, and `may` keeps such waits in a list that only the worker thread may change: waking one from another
@@ -43,9 +44,9 @@
     buffer: Vec<u8>,
     /// Offset in `buffer` of the first byte that is not written yet.
     position: usize,
-    /// Total since the connection was opened.
+    /// Total number of bytes queued since the connection was opened.
     bytes_queued: u64,
-    /// Total since the connection was opened.
+    /// Total number of bytes written to the socket since the connection was opened.
     bytes_written: u64,
 }
 
@@ -75,7 +76,8 @@
 }
 
 impl HandleState {
-    /// Keeps the first reason, but any other reason replaces an idle timeout, because only an idle close can be cancelled.
+    /// Requests a close. The first reason is kept, but any other reason replaces an idle timeout, because
+    /// only an idle close can be cancelled.
     fn close(&mut self, reason: CloseReason) {
         if matches!(self.close_reason, None | Some(CloseReason::IdleTimeout)) {
             self.close_reason = Some(reason);
--- a/crates/loomflow-server/src/connection/lingering_close.rs
+++ b/crates/loomflow-server/src/connection/lingering_close.rs
@@ -12,7 +12,8 @@
 
 /// How long to wait for the peer to close its side.
 pub const LINGERING_CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest single wait, and the most that one wait is charged: while the machine was paused, the peer could not close.
+/// Longest single wait, and the most that one wait takes from the total: if it lasted longer because the
+/// machine was paused, the peer could not close in the rest of that time.
 const MAX_WAIT: Duration = Duration::from_millis(50);
 /// Bytes read and discarded in each [`READ_INTERVAL`], which limits the cost of a peer that keeps sending.
 const READ_BYTES: usize = 4096;
@@ -46,12 +47,12 @@
 struct WaitBudget(Duration);
 
 impl WaitBudget {
-    /// Timeout of the next wait; `None` once the budget is used up.
+    /// Timeout of the next wait; `None` once no time remains.
     fn next_wait(&self) -> Option<Duration> {
         (!self.0.is_zero()).then(|| self.0.min(MAX_WAIT))
     }
 
-    /// Charges a wait that took `elapsed`, at most [`MAX_WAIT`].
+    /// Subtracts `elapsed`, the duration of a wait, from the remaining time, but at most [`MAX_WAIT`].
     fn consume(&mut self, elapsed: Duration) {
         self.0 = self.0.saturating_sub(elapsed.min(MAX_WAIT));
     }
--- a/crates/loomflow-server/src/connection/runtime/tests.rs
+++ b/crates/loomflow-server/src/connection/runtime/tests.rs
@@ -52,7 +52,8 @@
     assert_eq!(before, after);
 }
 
-/// The same for a wait with a timeout that does not go through [`sleep`].
+/// Guards against that use after free for a wait with a timeout that does not go through [`sleep`] and is
+/// followed by [`return_to_worker`].
 #[test]
 fn return_to_worker_leaves_the_timer_thread() {
     let [before, after] = threads_before_and_after(|| {
--- a/crates/loomflow-server/src/connection/violations.rs
+++ b/crates/loomflow-server/src/connection/violations.rs
@@ -10,7 +10,7 @@
 /// only.
 const DECAY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Counter of recent violations.
+/// Counter of the violations of the protocol on one connection; decreases by one per [`DECAY_INTERVAL`].
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Violations {
     count: u32,
--- a/crates/loomflow-server/src/control_plane.rs
+++ b/crates/loomflow-server/src/control_plane.rs
@@ -29,17 +29,17 @@
 /// Why a report failed; the text is logged.
 #[derive(Debug, thiserror::Error)]
 enum ReportError {
-    #[error("{0}")]
+    #[error("no connection to the control plane: {0}")]
     Connect(CloseReason),
-    #[error("{0}")]
+    #[error("the response of the control plane is malformed: {0}")]
     Malformed(&'static str),
     #[error("the control plane responded with status {0}")]
     Status(u16),
-    #[error("the response exceeds the receive buffer")]
+    #[error("the response of the control plane exceeds the receive buffer")]
     ResponseTooLong,
-    #[error("no complete response within {} ms", REPORT_TIMEOUT.as_millis())]
+    #[error("the control plane sent no complete response within {} ms", REPORT_TIMEOUT.as_millis())]
     Timeout,
-    #[error("the connection was closed before the response was complete")]
+    #[error("the control plane closed the connection before its response was complete")]
     Closed,
     #[error(transparent)]
     Io(#[from] io::Error),
@@ -48,8 +48,8 @@
 /// Changes the address that reports are sent to; `None` pauses them.
 pub type AddressSender = Sender<Option<SocketAddr>>;
 
-/// Starts a coroutine that reports for `name` until the sender is dropped. The first report, and the first after a
-/// change of address, is sent without delay.
+/// Starts a coroutine that reports the readiness of the server `name` until the returned sender is dropped.
+/// The first report, and the first after a change of address, is sent without delay.
 pub fn start(address: Option<SocketAddr>, name: String, ready: Arc<AtomicBool>) -> AddressSender {
     let (addresses, address_updates) = channel();
     let reporter = Reporter { address, name, ready, connection: None, has_failed: false };
@@ -85,7 +85,7 @@
     name: String,
     ready: Arc<AtomicBool>,
     connection: Option<ControlPlaneConnection>,
-    /// Whether the last report failed; a failure after it is not logged.
+    /// Whether the last report failed; if the next one fails, too, that is not logged.
     has_failed: bool,
 }
 
--- a/crates/loomflow-server/src/engine.rs
+++ b/crates/loomflow-server/src/engine.rs
@@ -20,13 +20,14 @@
 pub use pending_command::{Delivery, PendingCommand, SentCommand};
 pub use resend::{RequestState, Resend};
 
-/// Smallest and largest delay between attempts to open a link; the first attempt has no delay.
+/// Smallest delay between attempts to open a link; the first attempt has no delay.
 const MIN_BACKOFF_MS: Millis = 10.0;
+/// Largest delay between attempts to open a link.
 const MAX_BACKOFF_MS: Millis = 500.0;
 /// A link that was attached for this long was stable: its loss is followed by an attempt without delay.
 const STABLE_AFTER_MS: Millis = 1000.0;
-/// How long the engine may take to reply to the query that marks the end of its replay. The replay counts as ended
-/// then.
+/// How long the engine may take to reply to the query that marks the end of its replay. After this time the
+/// replay counts as ended.
 const REPLAY_TIMEOUT_MS: Millis = 300.0;
 /// Maximum age of the gauges; older ones are not used.
 const GAUGES_MAX_AGE_MS: Millis = 500.0;
@@ -82,7 +83,8 @@
     state: LinkState,
     /// Delay before the next link is opened. It grows while links are not stable.
     backoff: ReconnectBackoff,
-    /// A loss has been logged and no link has been attached since: further losses are not logged.
+    /// Whether a loss has been logged and no link has been attached since; further losses are not logged
+    /// then.
     is_loss_logged: bool,
     /// Sequence number of the last notice that was handled.
     last_notice: u64,
@@ -150,7 +152,7 @@
         // Not logged, because an address that refuses connections does so at every attempt.
         let is_refused = reason == CloseReason::ConnectionRefused;
         if !is_refused && !std::mem::replace(&mut self.is_loss_logged, true) {
-            log!(part = "engine", ending = %reason, "the link was closed");
+            log!(part = "engine", ending = %reason, "the link to the engine was closed");
         }
         let bytes_written = self.handle.bytes_written();
         self.backoff.disconnected(now);
--- a/crates/loomflow-server/src/engine/resend.rs
+++ b/crates/loomflow-server/src/engine/resend.rs
@@ -23,13 +23,13 @@
 /// State of the request that a command belongs to.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestState {
-    /// The response to the request has been sent.
+    /// Whether the response to the request has been sent.
     pub has_response: bool,
     /// Whether the request may run more than once.
     pub idempotency: Idempotency,
-    /// The reply to its latest downstream call has been sent a second time.
+    /// Whether the reply to the run's latest downstream call has been sent a second time.
     pub has_resent_reply: bool,
-    /// The engine has confirmed that it repeated all notices from before the new link.
+    /// Whether the engine has confirmed that it repeated all notices from before the new link.
     pub is_replay_complete: bool,
 }
 
--- a/crates/loomflow-server/src/fleet/driver.rs
+++ b/crates/loomflow-server/src/fleet/driver.rs
@@ -31,7 +31,7 @@
 
 /// The thread's shutdown, begun when the server has drained.
 pub(super) struct Shutdown {
-    /// Signals the owner, which waits for it.
+    /// Signals the owner, which waits until the drain is reported to the fleet.
     done: SyncSender<()>,
     /// When to stop even if not everything is reported, boot clock, ms.
     deadline: IntegerMillis,
@@ -46,7 +46,7 @@
     pub(super) node: Node,
     pub(super) mailbox: Arc<Mailbox>,
     pub(super) jobs: Jobs,
-    /// How long the shutdown may take.
+    /// Maximum time from the report that the server has drained to the end of the thread.
     pub(super) shutdown_timeout: Duration,
     /// `None` until the server has drained.
     pub(super) shutdown: Option<Shutdown>,
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Returns whom to signal, once everything is reported or the deadline has passed.
+    /// Returns the sender that signals the owner, once everything is reported or the deadline has passed;
+    /// `None` before.
     fn finished_shutdown(&self, now: IntegerMillis) -> Option<SyncSender<()>> {
         let shutdown = self.shutdown.as_ref()?;
         (self.node.is_finished() || now >= shutdown.deadline).then(|| shutdown.done.clone())
@@ -127,7 +128,11 @@
         let mut handle_message = |bytes: &[u8]| node.handle_message(bytes, now);
         let ended = self.links.ready(token, is_readable, now, self.poll.registry(), &mut handle_message);
         if let Some(why) = ended {
-            log!(part = "fleet", why, "a link was closed because of an invalid message");
+            log!(
+                part = "fleet",
+                why,
+                "a connection from another member was closed because of an invalid message"
+            );
         }
     }
 
--- a/crates/loomflow-server/src/fleet/jobs.rs
+++ b/crates/loomflow-server/src/fleet/jobs.rs
@@ -28,11 +28,11 @@
 /// Why the process of a run cannot be started; the fleet stores the message as the reason of the failed run.
 #[derive(Debug, thiserror::Error)]
 enum StartError {
-    #[error("the job has no program")]
+    #[error("this server has no program for the job of the duty")]
     NoProgram,
-    #[error(transparent)]
+    #[error("the path of this program cannot be determined: {0}")]
     CurrentExe(io::Error),
-    #[error("{program}: {source}")]
+    #[error("the process that runs {program} cannot be started: {source}")]
     Spawn { program: String, source: io::Error },
 }
 
@@ -47,7 +47,7 @@
 struct PendingWrite {
     duty: DutyName,
     token: Token,
-    /// Whether it records the beginning of a run, which starts once the write is committed.
+    /// Whether the write records the beginning of a run, which starts once the write is committed.
     is_begin: bool,
 }
 
@@ -106,7 +106,8 @@
     }
 
     fn acquire(&mut self, owned: OwnedDuty) {
-        // A process of a former token may still be running: it detects by itself that its token is superseded.
+        // A process started under a former token may still be running. It detects by itself that its token is
+        // superseded.
         let job = OwnedJob { runs: JobRuns::new(&owned), child: None };
         let former = self.owned.insert(owned.duty, job).and_then(|former| former.child);
         if let Some(child) = former {
@@ -243,7 +244,8 @@
             .map_err(|source| StartError::Spawn { program: job.run[0].clone(), source })
     }
 
-    /// Sends SIGTERM to every process, at shutdown. A process that does not end then still ends before its lease expires.
+    /// Sends SIGTERM to every process, at shutdown. A process that does not end on this signal still ends
+    /// before its lease expires.
     pub fn terminate_all(&mut self) {
         for child in self.owned.values().filter_map(|job| job.child.as_ref()) {
             send_signal(child, Signal::TERM);
--- a/crates/loomflow-server/src/fleet/mod.rs
+++ b/crates/loomflow-server/src/fleet/mod.rs
@@ -55,12 +55,13 @@
 struct OwnerMessages {
     load_report: Option<LoadReport>,
     is_draining: bool,
-    /// Set when the owner has drained; the sender signals that this is reported.
+    /// Set once the owner has drained. The thread signals on the sender that it has reported this to the
+    /// fleet.
     drained: Option<SyncSender<()>>,
 }
 
-/// Shared with the thread, which holds the only strong reference: once the thread has ended, the owner's reports are
-/// discarded and it waits for nothing.
+/// Shared with the thread, which holds the only strong reference: once the thread has ended, the owner's
+/// reports are discarded and the owner does not wait for the thread.
 type Inbox = Mutex<OwnerMessages>;
 
 /// Why the fleet's driver cannot be started.
@@ -70,10 +71,10 @@
     #[error("{context}: {source}")]
     System { context: &'static str, source: io::Error },
     /// The address for other members cannot be bound.
-    #[error("fleet.listen {address}: {source}")]
+    #[error("fleet.listen: cannot bind {address}: {source}")]
     Listen { address: SocketAddr, source: io::Error },
     /// The operators' socket cannot be created.
-    #[error("fleet.state: {}: {source}", .path.display())]
+    #[error("fleet.state: the operators' socket {} cannot be created: {source}", .path.display())]
     OperatorSocket { path: PathBuf, source: io::Error },
 }
 
@@ -103,8 +104,9 @@
     /// # Errors
     /// The poller, the listener, the operators' socket, the signal handler or the thread cannot be created.
     pub fn start(config: &Config, options: &Options, mailbox: Arc<Mailbox>) -> Result<Fleet, StartError> {
-        let poll = Poll::new().map_err(StartError::system("fleet: poller"))?;
-        let waker = Waker::new(poll.registry(), WAKE).map_err(StartError::system("fleet: waker"))?;
+        let poll = Poll::new().map_err(StartError::system("fleet: cannot create the poller"))?;
+        let waker = Waker::new(poll.registry(), WAKE)
+            .map_err(StartError::system("fleet: cannot create the waker"))?;
         let links = Links::listen(options.listen, poll.registry())
             .map_err(|source| StartError::Listen { address: options.listen, source })?;
         let path = options.socket();
@@ -112,7 +114,7 @@
             .map_err(|source| StartError::OperatorSocket { path: path.clone(), source })?;
         // With SIGXFSZ handled, a write beyond the file size limit fails like one to a full disk, instead of killing the process.
         signal_hook::flag::register(signal_hook::consts::SIGXFSZ, Arc::default())
-            .map_err(StartError::system("fleet: handler of SIGXFSZ"))?;
+            .map_err(StartError::system("fleet: cannot install the handler of SIGXFSZ"))?;
         let inbox = Arc::new(Inbox::default());
         let handle_inbox = Arc::downgrade(&inbox);
         let node_config = node_config::node_config(config, options);
@@ -125,7 +127,7 @@
             Driver { poll, links, operators, inbox, node, mailbox, jobs, shutdown_timeout, shutdown }.run();
         };
         let thread = std::thread::Builder::new().name("fleet".into()).stack_size(STACK_BYTES);
-        thread.spawn(run).map_err(StartError::system("fleet: thread"))?;
+        thread.spawn(run).map_err(StartError::system("fleet: cannot start the thread"))?;
         Ok(Fleet { inbox: handle_inbox, waker: Arc::new(waker), shutdown_timeout })
     }
 
--- a/crates/loomflow-server/src/fleet/operator_socket.rs
+++ b/crates/loomflow-server/src/fleet/operator_socket.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
     /// Longer than [`MAX_LINE_BYTES`].
-    #[error("the line is longer than {MAX_LINE_BYTES} bytes")]
+    #[error("the line of the request is longer than {MAX_LINE_BYTES} bytes")]
     TooLong,
     /// Not the JSON of an [`OperatorRequest`].
     #[error("the line is not a valid request: {0}")]
--- a/crates/loomflow-server/src/fleet/storage.rs
+++ b/crates/loomflow-server/src/fleet/storage.rs
@@ -21,7 +21,7 @@
 
 /// An error of the database, with the path of its file.
 #[derive(Debug, thiserror::Error)]
-#[error("{}: {source}", .file.display())]
+#[error("database file {}: {source}", .file.display())]
 struct FileError {
     file: PathBuf,
     source: redb::Error,
--- a/crates/loomflow-server/src/fleet/tests.rs
+++ b/crates/loomflow-server/src/fleet/tests.rs
@@ -7,7 +7,7 @@
     let mut meter = Meter::new(0.0);
     assert_eq!(meter.record(0.0, 4.0), None);
     assert_eq!(meter.record(100.0, 0.0), None);
-    // Four runs for 100 ms, none until 490 ms, two for 10 ms, then none.
+    // Four concurrent runs for 100 ms, none until 490 ms, two for 10 ms, then none.
     assert_eq!(meter.record(490.0, 2.0), None);
     assert_eq!(meter.record(500.0, 0.0), Some((400.0 + 20.0) / 500.0));
     assert_eq!(meter.record(1000.0, 0.0), Some(0.0));
--- a/crates/loomflow-server/src/front/amqp/mod.rs
+++ b/crates/loomflow-server/src/front/amqp/mod.rs
@@ -101,7 +101,7 @@
         now: ClockReading,
         requests: &mut Vec<FrontRequest>,
     ) {
-        // Updated on every event, because the wall clock may be adjusted.
+        // The epoch is updated on every event, because the wall clock may be adjusted.
         self.consumer.set_epoch(now.unix - now.ms);
         let now = now.ms;
         if link != self.link {
@@ -129,7 +129,12 @@
     /// Handles a link that was lost or violated the protocol: it may still write its queue for [`FINAL_WRITE_TIMEOUT_MS`],
     /// and another link is opened after a backoff.
     fn link_lost(&mut self, reason: CloseReason, now: Millis) {
-        log!(part = "amqp", broker = %self.consumer.broker(), ending = %reason, "the link was closed");
+        log!(
+            part = "amqp",
+            broker = %self.consumer.broker(),
+            ending = %reason,
+            "the link to the broker was closed"
+        );
         self.flush_output(now);
         self.handle.close(reason);
         let previous = self.previous_link.replace((self.handle.clone(), now + FINAL_WRITE_TIMEOUT_MS));
--- a/crates/loomflow-server/src/front/resp/connections.rs
+++ b/crates/loomflow-server/src/front/resp/connections.rs
@@ -217,10 +217,7 @@
             .collect();
         for id in self.limits.slow_readers(unwritten) {
             let Some(connection) = self.connections.get(&id) else { continue };
-            let max_bytes = self.limits.max_unwritten_bytes;
-            log!(
-                "a gateway reads too slowly: connection aborted, all unwritten responses exceed {max_bytes} bytes"
-            );
+            log!("a gateway reads too slowly: connection aborted, all unwritten responses exceed the limit");
             connection.handle.abort();
         }
     }
--- a/crates/loomflow-server/src/front/resp/connections/connection.rs
+++ b/crates/loomflow-server/src/front/resp/connections/connection.rs
@@ -60,7 +60,8 @@
 
     /// Closes a connection that was idle for too long.
     pub(super) fn close_idle(&mut self, now: Millis) {
-        // With `IdleTimeout`, the driver would cancel the close because of the partial message.
+        // The driver cancels a close with the reason `IdleTimeout` if there is unread input, such as a
+        // partial message. So a connection with a partial message is closed with another reason.
         let has_partial_message = self.handle.partial_message().is_some();
         let reason = if has_partial_message { CloseReason::Aborted } else { CloseReason::IdleTimeout };
         self.close(reason, now);
@@ -109,8 +110,9 @@
         false
     }
 
-    /// Whether the connection is being closed and has no open request. In that case it is aborted if the peer does not read,
-    /// whichever side requested the close.
+    /// If the connection is being closed and has no open request, aborts it once the peer has stopped
+    /// reading, whichever side requested the close. Returns whether the connection is in this state, aborted
+    /// or not.
     fn check_closing(&mut self, now: Millis) -> bool {
         let Some(close) = self.closing.as_mut().filter(|_| self.open_tags.is_empty()) else { return false };
         if close.is_stalled(self.handle.bytes_written(), self.idle_since, now) {
--- a/crates/loomflow-server/src/front/resp/connections/shutdown.rs
+++ b/crates/loomflow-server/src/front/resp/connections/shutdown.rs
@@ -14,9 +14,10 @@
 pub(super) struct ConnectionDeadlines {
     /// How long a peer has to close its connection after a `BYE`.
     pub(super) bye_timeout: Millis,
-    /// From then on, partial messages do not keep a connection open; leaves its peer the time to read the responses.
+    /// When partial messages no longer keep a connection open. Early enough before `deadline` that its peer
+    /// can still read the responses.
     pub(super) partial_message_deadline: Millis,
-    /// By then all connections have to be closed.
+    /// When all connections have to be closed.
     pub(super) deadline: Millis,
     /// When the process will be killed.
     kill_deadline: Millis,
--- a/crates/loomflow-server/src/front/resp/connections/timeouts.rs
+++ b/crates/loomflow-server/src/front/resp/connections/timeouts.rs
@@ -6,8 +6,8 @@
 pub(super) const FIRST_MESSAGE_TIMEOUT_MS: Millis = 1_500.0;
 /// How long a gateway has to close its connection after a `BYE`.
 pub(super) const BYE_TIMEOUT_MS: Millis = 500.0;
-/// [`BYE_TIMEOUT_MS`] near the connection limit. It exceeds the 50 ms within which a gateway resends a request that crossed
-/// the close.
+/// Replaces [`BYE_TIMEOUT_MS`] near the connection limit. It exceeds the 50 ms within which a gateway resends
+/// a request that crossed the close.
 pub(super) const BYE_TIMEOUT_NEAR_CAPACITY_MS: Millis = 80.0;
 
 /// Timeouts of all connections, as of one check.
--- a/crates/loomflow-server/src/front/resp/listener.rs
+++ b/crates/loomflow-server/src/front/resp/listener.rs
@@ -131,7 +131,8 @@
 ) {
     let mut failures = FailureLog::default();
     loop {
-        // Applies after the stop as well: queued connections are accepted as soon as others have been closed.
+        // The limit applies after the stop as well: queued connections are accepted as soon as others have
+        // been closed.
         if !has_capacity() {
             connection::sleep(RETRY_INTERVAL);
             continue;
@@ -196,7 +197,8 @@
     let _ = stream.set_nodelay(true);
     let stream: TcpStream = adopt(stream);
     let handle = Arc::new(ConnectionHandle::new(Some(MAX_OPEN_REQUESTS)));
-    // Sent here and not in the coroutine, so that the owner receives it before `FrontEvent::ListenerClosed`.
+    // `Connected` is sent here and not in the coroutine, so that the owner receives it before
+    // `FrontEvent::ListenerClosed`.
     mailbox.send_gateway_event(id, GatewayEvent::Connected(handle.clone()));
     may::go!(move || {
         let deliver = |request| mailbox.send_gateway_event(id, GatewayEvent::RequestReceived(request));
--- a/crates/loomflow-server/src/front/resp/listener/tests.rs
+++ b/crates/loomflow-server/src/front/resp/listener/tests.rs
@@ -11,7 +11,7 @@
         polls += 1;
         next(polls)
     };
-    // After a stop, which wakes the loop once, a further wait would never end.
+    // The stop wakes the loop only once. Any further wait would never end, so this one panics instead.
     let wait = || {
         waits += 1;
         assert!(waits < 3, "wait {waits}: the loop waits although nothing would wake it");
--- a/crates/loomflow-server/src/idempotency.rs
+++ b/crates/loomflow-server/src/idempotency.rs
@@ -12,7 +12,7 @@
 pub use loomflow_idempotency::IdempotencyKey;
 use loomflow_idempotency::{BodyHasher, ResultBudget, ResultSequence};
 
-/// Digest of the body of an idempotent request, whose duplicates may have any body.
+/// Stored in place of a body digest for an idempotent request, whose duplicates may have any body.
 const NO_DIGEST: u64 = 0;
 
 /// A received request with an idempotency key.
--- a/crates/loomflow-server/src/ledger.rs
+++ b/crates/loomflow-server/src/ledger.rs
@@ -189,7 +189,7 @@
     ) -> Vec<FinishedCall> {
         self.connections.remove(&link);
         if matches!(reason, CloseReason::ProtocolViolation(_)) {
-            log!(part = "ledger", ending = %reason, "a connection was closed");
+            log!(part = "ledger", ending = %reason, "a connection to the ledger was closed");
         }
         self.finish_where(now, |call| (call.link == link).then(|| reason.outcome(call.end <= bytes_written)))
     }
--- a/crates/loomflow-server/src/ledger/connection.rs
+++ b/crates/loomflow-server/src/ledger/connection.rs
@@ -22,9 +22,9 @@
     /// When the last call was sent or the last reply received.
     pub(super) last_used_at: Millis,
     pub(super) calls_in_flight: usize,
-    /// The requests of all calls that it has carried.
+    /// The requests of all calls that the connection has carried.
     carried_calls: Vec<RequestId>,
-    /// Set once it is retired: when it is aborted if calls are still in flight on it.
+    /// When the connection is aborted if calls are still in flight on it; set once it is retired.
     abort_at: Option<Millis>,
 }
 
@@ -59,16 +59,17 @@
         }
     }
 
-    /// Whether it may carry a call of this request. Two calls of a request never share a connection: a late copy of
-    /// the reply to the first could be taken for the reply to the second.
+    /// Whether the connection may carry a call of this request. Two calls of a request never share a
+    /// connection: a late copy of the reply to the first could be taken for the reply to the second.
     fn may_carry(&self, id: RequestId) -> bool {
         self.abort_at.is_none()
             && self.carried_calls.len() < MAX_CALLS_PER_CONNECTION
             && !self.carried_calls.contains(&id)
     }
 
-    /// Whether it is idle and may carry this call. Only calls without an effect reuse an idle connection: if the
-    /// ledger had dropped the connection, there would be no proof that the call was not executed.
+    /// Whether the connection is idle and may carry a call of this request. Only calls without an effect
+    /// reuse an idle connection: if the ledger had dropped the connection, there would be no proof that the
+    /// call was not executed.
     pub(super) fn is_reusable(&self, id: RequestId, has_effect: bool, now: Millis) -> bool {
         !has_effect
             && self.calls_in_flight == 0
@@ -76,7 +77,7 @@
             && self.may_carry(id)
     }
 
-    /// Whether calls are in flight on it and a call of this request may share it.
+    /// Whether calls are in flight on the connection and a call of this request may share it.
     pub(super) fn is_shareable(&self, id: RequestId) -> bool {
         self.calls_in_flight > 0 && self.may_carry(id)
     }
--- a/crates/loomflow-server/src/owner/health_checks.rs
+++ b/crates/loomflow-server/src/owner/health_checks.rs
@@ -30,12 +30,12 @@
 }
 
 impl HealthChecks {
-    /// A healthy server; `ready` follows its health.
+    /// Creates the state of a healthy server; from then on `ready` is set whenever the health changes.
     pub(super) fn new(ready: Arc<AtomicBool>) -> HealthChecks {
         HealthChecks { is_healthy: true, is_cached: false, ready, pending: BTreeMap::new() }
     }
 
-    /// The health that health checks and load reports state.
+    /// Whether the server is healthy, as stated in responses to health checks and in load reports.
     pub(super) fn is_healthy(&self) -> bool {
         self.is_healthy
     }
--- a/crates/loomflow-server/src/owner/interleavings.rs
+++ b/crates/loomflow-server/src/owner/interleavings.rs
@@ -180,7 +180,8 @@
     fn write_commands(&mut self, max_bytes: usize) {
         let (_, handle) = self.engine_link();
         self.engine.input.extend(handle.take_written(max_bytes));
-        // A fence and the resent reply behind it are sent in one small write.
+        // The server sends a fence and the resent reply behind it in one small write, which the operating
+        // system takes as a whole.
         if self.ends_with_fence() {
             self.engine.input.extend(handle.take_written(usize::MAX));
         }
--- a/crates/loomflow-server/src/owner/interleavings/engine_model.rs
+++ b/crates/loomflow-server/src/owner/interleavings/engine_model.rs
@@ -102,7 +102,7 @@
 
     fn take_reply(&mut self, id: AttemptId, body: &[u8]) {
         let Some(run) = self.runs.get_mut(&id).filter(|run| run.is_awaiting_reply) else {
-            // The run has continued or ended.
+            // The run does not wait for a reply: it has continued or ended.
             let command = "FEED".into();
             return self.output.push_back(Notice::CommandRejected { command, id: Some(id) });
         };
--- a/crates/loomflow-server/src/owner/mod.rs
+++ b/crates/loomflow-server/src/owner/mod.rs
@@ -78,7 +78,7 @@
     config: Config,
     site: Site,
     clock: Clock,
-    /// Read once at the start of a batch, so that all its events have the same time.
+    /// The time at the start of the current batch: all events of a batch have the same time.
     now: ClockReading,
     controller: ControllerHost,
     requests: RequestTable,
--- a/crates/loomflow-server/src/owner/requests.rs
+++ b/crates/loomflow-server/src/owner/requests.rs
@@ -35,7 +35,8 @@
         self.front_requests = requests;
     }
 
-    /// Rejects an invalid request, for lack of capacity if there is none, as any other request would be then.
+    /// Rejects an invalid request. Without capacity for another request, that is the reason, as it is for
+    /// valid ones.
     fn reject_invalid(&mut self, response_handle: ResponseHandle, reason: InvalidRequest) {
         let rejection = self.check_capacity().err().unwrap_or(AdmissionRejection::Invalid(reason));
         self.reject(response_handle, rejection);
@@ -131,8 +132,9 @@
         self.respond(id, Response::Failed(failure));
     }
 
-    /// Ends the work for an answered request. One that is not running is removed. For a running one the call is cancelled, and
-    /// the entry stays until the engine reports the end of the run, or is removed at once if the engine never will.
+    /// Ends the work for an answered request. A request that is not running is removed. If it is running, its
+    /// call is cancelled, and its entry stays until the engine reports the end of the run, or is removed at
+    /// once if the engine never will.
     pub(super) fn end_answered(&mut self, id: RequestId) {
         let Some(entry) = self.requests.get_mut(id) else { return };
         entry.body = Vec::new();
--- a/crates/loomflow-server/src/owner/timers.rs
+++ b/crates/loomflow-server/src/owner/timers.rs
@@ -6,13 +6,13 @@
 
 use crate::time::millis;
 
-/// How long before a timer fires the gauges are polled that it passes to the controller.
+/// The gauges that a timer passes to the controller are polled this long before the timer fires.
 const GAUGE_POLL_LEAD_MS: Millis = 8.0;
 
 /// The timers that have not fired, and the next poll of the gauges.
 pub(super) struct Timers {
     deadlines: BTreeSet<Micros>,
-    /// Infinite if no poll is scheduled.
+    /// When the gauges are polled next; infinite if no poll is scheduled.
     gauge_poll_at: Millis,
 }
 
--- a/crates/loomflow-server/src/owner/timers/tests.rs
+++ b/crates/loomflow-server/src/owner/timers/tests.rs
@@ -10,7 +10,7 @@
     assert!(timers.take_due_gauge_poll(100.0 - GAUGE_POLL_LEAD_MS));
     assert!(!timers.take_due_gauge_poll(100.0), "the poll was taken already");
     assert_eq!(timers.next_deadline(), 100.0);
-    // A timer that is due sooner than the lead polls immediately.
+    // For a timer that is due within [`GAUGE_POLL_LEAD_MS`], the poll is due immediately.
     timers.set(101.0, 98.0);
     assert!(timers.take_due_gauge_poll(98.0));
 }
--- a/crates/loomflow-server/src/request_table.rs
+++ b/crates/loomflow-server/src/request_table.rs
@@ -49,7 +49,8 @@
     pub progress: Progress,
     /// The last command sent to the engine for the request, until a notice confirms that it arrived.
     pub pending_command: Option<PendingCommand>,
-    /// Tag of the fence ahead of the resent reply to its call; `None` if that reply was not resent.
+    /// Tag of the fence (see `EngineLink::send_fence`) ahead of the resent reply to the run's last call;
+    /// `None` if that reply was not resent.
     pub resent_reply_fence: Option<u64>,
     /// Body of the run's last call.
     pub call_body: Vec<u8>,
@@ -162,7 +163,8 @@
         Some(entry)
     }
 
-    /// Requests that were answered [`RUN_END_TIMEOUT_MS`] ago or earlier, and the end of whose run was not reported since.
+    /// Returns the requests that were answered at least [`RUN_END_TIMEOUT_MS`] ago and still have an entry,
+    /// because the end of their run was not reported.
     pub fn unreported_runs(&self, now: Millis) -> Vec<RequestId> {
         let is_overdue =
             |entry: &RequestEntry| entry.is_answered && now - entry.answered_at >= RUN_END_TIMEOUT_MS;
--- a/crates/loomflow-server/src/request_table/tests.rs
+++ b/crates/loomflow-server/src/request_table/tests.rs
@@ -20,6 +20,6 @@
     assert_eq!(table.unanswered_count(), 1);
     assert!(table.unreported_runs(9.0 + RUN_END_TIMEOUT_MS).is_empty());
     assert_eq!(table.unreported_runs(10.0 + RUN_END_TIMEOUT_MS), [1]);
-    // Request 2 is unanswered, and the controller ends it.
+    // Request 2 is not returned: it is unanswered, and the controller ends it.
     assert_eq!(table.unreported_runs(1e9), [1]);
 }
--- a/crates/loomflow-server/src/signals.rs
+++ b/crates/loomflow-server/src/signals.rs
@@ -22,7 +22,7 @@
 
 /// A signal handler could not be installed, or the signal thread could not be started.
 #[derive(Debug, thiserror::Error)]
-#[error("signals: {0}")]
+#[error("the handling of SIGTERM and SIGHUP cannot be set up: {0}")]
 pub struct SignalError(#[from] io::Error);
 
 /// The installed handlers, and the signals that have not been forwarded to the owner.
