--- a/crates/loomflow-protocol/src/engine.rs
+++ b/crates/loomflow-protocol/src/engine.rs
@@ -13,13 +13,14 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// It completed and returned a result.
+    /// The run completed and returned a result.
     Succeeded,
-    /// It completed with an error.
+    /// The run completed with an error.
     Failed,
-    /// It was stopped before completion: preempted, or ended at a downstream call because its request was finished.
+    /// The run was stopped before completion: preempted, or ended at a downstream call because its request was
+    /// finished.
     Stopped,
-    /// It was never started, because its request was finished.
+    /// The run was never started, because its request was finished.
     NotStarted,
 }
 
--- a/crates/loomflow-protocol/tests/codecs.rs
+++ b/crates/loomflow-protocol/tests/codecs.rs
@@ -245,7 +245,7 @@
     let expected = format!(
         "ATTACH 3\r\nRUN {id} text 2\r\n\r\n\r\nFEED {id} 0\r\n\r\nSKIP {id}\r\nHALT {id}\r\nSTAT 1\r\nTEST 2\r\n"
     );
-    assert_eq!(String::from_utf8(out).expect("text"), expected);
+    assert_eq!(String::from_utf8(out).expect("the written message is UTF-8"), expected);
 }
 
 #[test]
@@ -305,8 +305,8 @@
 fn report_has_its_content_length() {
     let mut out = Vec::new();
     write_report(&mut out, "n3", true);
-    let text = String::from_utf8(out).expect("text");
-    let (head, body) = text.split_once("\r\n\r\n").expect("a head");
+    let text = String::from_utf8(out).expect("the written message is UTF-8");
+    let (head, body) = text.split_once("\r\n\r\n").expect("an empty line ends the head");
     assert!(head.starts_with("PUT /v2/endpoints/n3 HTTP/1.1\r\n"));
     assert!(head.contains(&format!("Content-Length: {}", body.len())));
     assert_eq!(body, "{\"condition\":\"Ready\"}");
--- a/crates/loomflow-protocol/tests/wire_bytes.rs
+++ b/crates/loomflow-protocol/tests/wire_bytes.rs
@@ -12,7 +12,7 @@
 fn written(write: impl FnOnce(&mut Vec<u8>)) -> String {
     let mut out = Vec::new();
     write(&mut out);
-    String::from_utf8(out).expect("text")
+    String::from_utf8(out).expect("the written message is UTF-8")
 }
 
 #[test]
--- a/crates/loomflow-server/src/connection/driver/tests.rs
+++ b/crates/loomflow-server/src/connection/driver/tests.rs
@@ -36,7 +36,7 @@
     let socket =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("creates a socket");
     socket.bind(&std::net::SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("binds a loopback port");
-    socket.listen(0).expect("listens");
+    socket.listen(0).expect("the socket listens");
     let address = socket.local_addr().expect("socket has an address").as_socket().expect("an IP address");
     // Fills the accept queue; the kernel then drops further connects without a reply.
     let short = Duration::from_millis(100);
--- a/crates/loomflow-server/src/connection/handle.rs
+++ b/crates/loomflow-server/src/connection/handle.rs
@@ -25,7 +25,8 @@
     open_requests: usize,
     /// Reading pauses at this number of open requests; `None` on connections whose messages need no response.
     max_open_requests: Option<usize>,
-    /// Set once nothing more is read. The connection is closed once no request is open and everything is written.
+    /// Why the connection is to be closed; nothing more is read once it is set. The connection is closed once no
+    /// request is open and everything is written.
     close_reason: Option<CloseReason>,
     /// Whether the driver has been woken for queued bytes and has not flushed since; saves a wake for each
     /// further enqueue.
--- a/crates/loomflow-server/src/connection/partial_message/tests.rs
+++ b/crates/loomflow-server/src/connection/partial_message/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn a_partial_message_stalls_after_either_timeout() {
     let start = Instant::now();
-    let first = PartialMessage::updated(None, 1, start).expect("a partial message");
+    let first = PartialMessage::updated(None, 1, start).expect("undecoded bytes are a partial message");
     assert!(!first.is_stalled(start + STALL_TIMEOUT.saturating_sub(Duration::from_millis(1))));
     assert!(first.is_stalled(start + STALL_TIMEOUT));
     // An unchanged length is no progress; one more byte is, until the timeout of the whole message.
@@ -12,7 +12,8 @@
     let mut now = start;
     for length in 2.. {
         now += STALL_TIMEOUT.saturating_sub(Duration::from_millis(1));
-        slow = PartialMessage::updated(Some(slow), length, now).expect("a partial message");
+        slow =
+            PartialMessage::updated(Some(slow), length, now).expect("undecoded bytes are a partial message");
         if slow.is_stalled(now) {
             break;
         }
--- a/crates/loomflow-server/src/engine/pending_command.rs
+++ b/crates/loomflow-server/src/engine/pending_command.rs
@@ -48,7 +48,7 @@
 /// Whether a command has arrived at the engine, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// It was not written to a link, or not completely, and cannot have arrived.
+    /// The command was not written to a link, or not completely, and cannot have arrived.
     NotSent,
     /// Queued on a link that has not been lost.
     InFlight {
@@ -57,9 +57,10 @@
         /// Position of the end of the command among all bytes that were queued on the link.
         end: u64,
     },
-    /// Its link was lost within [`UNCERTAIN_WINDOW_MS`] after it was sent: it may have arrived or not.
+    /// The link was lost within [`UNCERTAIN_WINDOW_MS`] after the command was sent: it may have arrived or not.
     Uncertain,
-    /// Its link was lost later than that, by the clock of this server: it is assumed to have arrived.
+    /// The link was lost more than [`UNCERTAIN_WINDOW_MS`] after the command was sent, by the clock of this server:
+    /// it is assumed to have arrived.
     Delivered,
 }
 
--- a/crates/loomflow-server/src/fleet/tests.rs
+++ b/crates/loomflow-server/src/fleet/tests.rs
@@ -15,8 +15,8 @@
 
 /// The owner's handle and the thread's inbox, with the poller that keeps the waker usable. No thread runs.
 fn handle_and_inbox() -> (Fleet, Arc<Inbox>, Poll) {
-    let poll = Poll::new().expect("poller");
-    let waker = Arc::new(Waker::new(poll.registry(), WAKE).expect("waker"));
+    let poll = Poll::new().expect("the poller is created");
+    let waker = Arc::new(Waker::new(poll.registry(), WAKE).expect("the waker is created"));
     let inbox = Arc::new(Inbox::default());
     let shutdown_timeout = Duration::from_secs(3_600);
     (Fleet { inbox: Arc::downgrade(&inbox), waker, shutdown_timeout }, inbox, poll)
--- a/crates/loomflow-server/src/front/resp/connections.rs
+++ b/crates/loomflow-server/src/front/resp/connections.rs
@@ -45,7 +45,7 @@
     signal: Option<f64>,
     /// How long a connection may be idle; `None` for no limit.
     idle_timeout: Option<Millis>,
-    /// Set once a graceful shutdown has begun.
+    /// Deadlines of the graceful shutdown; `None` until it has begun.
     shutdown: Option<ConnectionDeadlines>,
 }
 
--- a/crates/loomflow-server/src/front/resp/connections/closing.rs
+++ b/crates/loomflow-server/src/front/resp/connections/closing.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CloseProgress {
     started_at: Millis,
-    /// Total bytes written, as of the last check.
+    /// Total bytes written to the socket, as of the last check.
     bytes_written: u64,
     /// When a check last found that more bytes had been written.
     stalled_since: Millis,
--- a/crates/loomflow-server/src/front/resp/connections/connection.rs
+++ b/crates/loomflow-server/src/front/resp/connections/connection.rs
@@ -24,9 +24,9 @@
     bye_sent_at: Option<Millis>,
     /// Whether a complete message was ever received.
     pub(super) has_received_message: bool,
-    /// Set once nothing more is read.
+    /// Present once nothing more is read from the peer.
     pub(super) input_closed: Option<InputClosed>,
-    /// Set once a close was requested; reset if the driver cancels an idle close.
+    /// Progress of a requested close; `None` before the request, and again if the driver cancels an idle close.
     closing: Option<CloseProgress>,
 }
 
--- a/crates/loomflow-server/src/idempotency/tests/generated.rs
+++ b/crates/loomflow-server/src/idempotency/tests/generated.rs
@@ -111,8 +111,9 @@
                 self.start(id, request, arrived_at + WINDOW_MS);
             }
             Registration::Duplicate(original_id) => {
-                let original =
-                    candidates.find(|original| original.id == original_id).expect("an original with its key");
+                let original = candidates
+                    .find(|original| original.id == original_id)
+                    .expect("the model has the original that the cache returned");
                 prop_assert_eq!(original.request.body, request.body);
                 join(&mut self.cache, id, original)?;
             }
--- a/crates/loomflow-server/src/owner/shutdown/tests.rs
+++ b/crates/loomflow-server/src/owner/shutdown/tests.rs
@@ -4,7 +4,7 @@
 fn intake_stops_once_when_grace_period_ends() {
     let mut shutdown = GracefulShutdown::new(3_000.0);
     assert!(!shutdown.is_requested() && shutdown.stop_intake(1e9).is_none());
-    let deadlines = shutdown.request(400.0, 100.0).expect("the first request");
+    let deadlines = shutdown.request(400.0, 100.0).expect("the first shutdown request sets deadlines");
     assert_eq!(deadlines, ShutdownDeadlines { complete_by: 2_800.0, kill_deadline: 3_100.0 });
     assert_eq!(shutdown.next_deadline(), 500.0);
     assert_eq!(shutdown.request(400.0, 200.0), None, "a second shutdown request has no effect");
@@ -17,7 +17,7 @@
 #[test]
 fn short_stop_timeout_limits_grace_period_and_margin() {
     let mut shutdown = GracefulShutdown::new(400.0);
-    let deadlines = shutdown.request(1_000.0, 0.0).expect("the first request");
+    let deadlines = shutdown.request(1_000.0, 0.0).expect("the first shutdown request sets deadlines");
     assert_eq!(deadlines.complete_by, 300.0);
     assert_eq!(shutdown.next_deadline(), 200.0);
 }
