--- a/crates/loomflow-server/src/fleet/tests.rs
+++ b/crates/loomflow-server/src/fleet/tests.rs
@@ -7,7 +7,7 @@
     let mut meter = Meter::new(0.0);
     assert_eq!(meter.record(0.0, 4.0), None);
     assert_eq!(meter.record(100.0, 0.0), None);
-    // Four runs for 100 ms, none until 490 ms, two for 10 ms, then none.
+    // Four concurrent runs for 100 ms, none until 490 ms, two for 10 ms, then none.
     assert_eq!(meter.record(490.0, 2.0), None);
     assert_eq!(meter.record(500.0, 0.0), Some((400.0 + 20.0) / 500.0));
     assert_eq!(meter.record(1000.0, 0.0), Some(0.0));
@@ -15,8 +15,8 @@
 
 /// The owner's handle and the thread's inbox, with the poller that keeps the waker usable. No thread runs.
 fn handle_and_inbox() -> (Fleet, Arc<Inbox>, Poll) {
-    let poll = Poll::new().expect("poller");
-    let waker = Arc::new(Waker::new(poll.registry(), WAKE).expect("waker"));
+    let poll = Poll::new().expect("the poller is created");
+    let waker = Arc::new(Waker::new(poll.registry(), WAKE).expect("the waker is created"));
     let inbox = Arc::new(Inbox::default());
     let shutdown_timeout = Duration::from_secs(3_600);
     (Fleet { inbox: Arc::downgrade(&inbox), waker, shutdown_timeout }, inbox, poll)
--- a/crates/loomflow-server/src/front/resp/connections.rs
+++ b/crates/loomflow-server/src/front/resp/connections.rs
@@ -45,7 +45,7 @@
     signal: Option<f64>,
     /// How long a connection may be idle; `None` for no limit.
     idle_timeout: Option<Millis>,
-    /// Set once a graceful shutdown has begun.
+    /// Deadlines of the graceful shutdown; `None` until it has begun.
     shutdown: Option<ConnectionDeadlines>,
 }
 
@@ -217,10 +217,7 @@
             .collect();
         for id in self.limits.slow_readers(unwritten) {
             let Some(connection) = self.connections.get(&id) else { continue };
-            let max_bytes = self.limits.max_unwritten_bytes;
-            log!(
-                "a gateway reads too slowly: connection aborted, all unwritten responses exceed {max_bytes} bytes"
-            );
+            log!("a gateway reads too slowly: connection aborted, all unwritten responses exceed the limit");
             connection.handle.abort();
         }
     }
