--- a/crates/loomflow-benchmark/src/against.rs
+++ b/crates/loomflow-benchmark/src/against.rs
@@ -12,7 +12,7 @@
 /// Request rate of the load.
 const REQUESTS_PER_S: f64 = 1_500.0;
 
-/// Usage of one build, one value for each turn.
+/// CPU time and memory of one build, one value for each turn.
 #[derive(Default)]
 struct Usage {
     /// CPU time of a request, s.
@@ -20,7 +20,8 @@
     memory_mb: Vec<f64>,
 }
 
-/// Compares this build with another one. The CPU time of a request and the memory of the process may be a tenth higher.
+/// Compares this build with another one. The CPU time of a request and the memory of the process may each be at most a
+/// tenth higher than with the other build.
 pub fn measure(quick: bool, own: PathBuf, other: &str) -> Report {
     let mut report = Report::new("against");
     let programs = [own, PathBuf::from(other)];
--- a/crates/loomflow-benchmark/src/amqp.rs
+++ b/crates/loomflow-benchmark/src/amqp.rs
@@ -1,5 +1,5 @@
-//! The AMQP front: rules under redeliveries and restarts, CPU time compared with RESP, both fronts under overload, and
-//! memory with a long queue.
+//! Measures the AMQP front: whether its rules hold under redeliveries and restarts, its CPU time compared with RESP,
+//! both fronts under overload, and memory with a long queue.
 
 use std::collections::BTreeMap;
 use std::thread;
@@ -53,7 +53,7 @@
     message("jobs", &id, id.as_bytes()).reply_to("replies", &id)
 }
 
-// ---- Rules ----
+// ---- Rules under redeliveries and restarts ----
 
 /// Fault that is injected in one round, in the server or its connections.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Whether the server may not learn that the broker has accepted a reply.
+    /// Whether the server may fail to learn that the broker has accepted a reply, and then publishes the reply again.
     fn may_repeat_replies(self) -> bool {
         !matches!(self, Fault::None | Fault::NackPublishes)
     }
@@ -219,7 +219,7 @@
     report.figure("dead_lettered", results.dead_lettered as f64);
 }
 
-// ---- Cost ----
+// ---- CPU time compared with RESP ----
 
 /// Request rate for the comparison of CPU time, on either front.
 const REQUESTS_PER_S: f64 = 1_500.0;
@@ -273,7 +273,7 @@
     served + count(broker)
 }
 
-// ---- Overload ----
+// ---- Both fronts under overload ----
 
 /// Request rate of each front: together three times the capacity of the engine.
 const OVERLOAD_REQUESTS_PER_S: f64 = 600.0;
@@ -387,7 +387,7 @@
     seconds
 }
 
-// ---- A long queue ----
+// ---- Memory with a long queue ----
 
 fn measure_backlog(report: &mut Report, count: u64) {
     let (broker, engine) = (Broker::with_jobs(), AutonomousEngine::start(CORES, Duration::from_millis(50)));
--- a/crates/loomflow-benchmark/src/callers.rs
+++ b/crates/loomflow-benchmark/src/callers.rs
@@ -14,10 +14,10 @@
 
 use crate::report::Report;
 
-/// Fleet sizes: servers and callers.
+/// Fleet sizes: numbers of servers and of callers.
 const SIZES: [(usize, usize); 3] = [(20, 60), (80, 240), (250, 800)];
-/// Work of a request in handshakes, and the load: one at which a fleet recovers that keeps connections open while its
-/// connection tables have capacity.
+/// Pairs of the work of a request, as a multiple of the work of a handshake, and the load, as a fraction of the
+/// capacity. At this load a fleet recovers if it keeps connections open and its connection tables have capacity.
 const HANDSHAKE_PRICES_AND_LOADS: [(f64, f64); 3] = [(60.0, 0.87), (10.0, 0.87), (3.0, 0.7)];
 /// Faults, with their names in the table.
 const FAULTS: [(&str, FaultKind); 2] = [
@@ -27,12 +27,13 @@
 /// The controller's policy for idle connections, and the baselines it is compared with.
 const POLICIES: [IdlePolicy; 4] =
     [IdlePolicy::Controller, IdlePolicy::NeverClose, IdlePolicy::CloseWhenFull, IdlePolicy::CloseImmediately];
-/// The steady tenant: sizes of its fleet in servers, its quota over the whole fleet in requests per second, and the
-/// rates that it sends at as fractions of the quota.
+/// Sizes of the fleet of the steady tenant, servers.
 const FLEET_SIZES: [usize; 3] = [20, 100, 590];
+/// Quota of the steady tenant over the whole fleet, requests per second.
 const QUOTA_PER_S: f64 = 4.0;
+/// Request rates of the steady tenant, as fractions of its quota.
 const SENT_PARTS: [f64; 3] = [0.5, 0.9, 2.0];
-/// Cases that are simulated in parallel.
+/// Number of cases that are simulated in parallel.
 const THREADS: usize = 4;
 
 /// Parameters of one row of the table.
--- a/crates/loomflow-benchmark/src/main.rs
+++ b/crates/loomflow-benchmark/src/main.rs
@@ -1,5 +1,5 @@
-//! `loomflow-benchmark NAME [--quick]`: runs a measurement and prints its tables and a last line of figures. Exits with 1
-//! if a figure violates its bound. Most bounds are counts and ratios within one run; few are times.
+//! `loomflow-benchmark NAME [--quick]`: runs a measurement and prints its tables and a last line of figures. Exits with
+//! 1 if a figure violates its bound. Most bounds are counts and ratios within one run; some are times.
 
 #![forbid(unsafe_code)]
 
@@ -44,11 +44,11 @@
     /// The command line has no name of a measurement.
     #[error("the name of a measurement is missing")]
     NoName,
-    /// There is no measurement with this name, or it takes no operand.
-    #[error("there is no measurement {0:?}, or it takes no operand")]
+    /// There is no measurement with this name, or the measurement takes no operand.
+    #[error("{0:?} is not the name of a measurement, or that measurement takes no operand")]
     UnknownName(String),
     /// The measurement has no part with this name.
-    #[error("{measurement} has no part {part:?}; its parts are {}", .parts.join(", "))]
+    #[error("the measurement {measurement} has no part {part:?}; its parts are {}", .parts.join(", "))]
     UnknownPart {
         /// Name of the measurement.
         measurement: &'static str,
--- a/crates/loomflow-benchmark/src/moments.rs
+++ b/crates/loomflow-benchmark/src/moments.rs
@@ -1,6 +1,7 @@
-//! Rare events of one server, repeated: how soon it serves after a start, also when thirty processes restart at once, how
-//! often it reports, and whether thousands of malformed connections affect others. Times are printed without bounds;
-//! bounded are counts and the fraction of processes that are ready within the ten seconds that the operators allow.
+//! Rare events of one server, repeated: how soon it serves after a start, also when thirty processes restart at once,
+//! how often it reports, and whether thousands of connections with malformed bytes affect other connections. Times are
+//! printed without bounds. Bounds apply to counts and to the fraction of processes that are ready within the ten
+//! seconds that the operators allow.
 
 mod restarts;
 
@@ -17,17 +18,19 @@
 
 /// Timeout of a request in the server's settings, ms.
 const REQUEST_TIMEOUT_MS: f64 = 5_000.0;
-/// Clients that send malformed bytes, and how long each keeps a connection open: longer than the server continues to read
-/// after it has closed its side, so that many connections are in that state at once.
+/// Number of clients that send malformed bytes.
 const CLIENTS: usize = 4;
+/// How long each client keeps a connection open: longer than the server continues to read after it has closed its side,
+/// so that many connections are in that state at once.
 const CONNECTION_LIFETIME: Duration = Duration::from_millis(400);
 /// Time between two connections of one client; health checks are sent at most a tenth as often.
 const CONNECT_INTERVAL: Duration = Duration::from_millis(1);
 /// A health check without a response within this time counts as unanswered.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Reports that the control plane must receive within this time. A server reports every 0.8 s, and is removed from the
-/// lists 3 s after its last report.
+/// Time for which reports to the control plane are counted.
 const REPORT_WINDOW: Duration = Duration::from_secs(8);
+/// Number of reports that the control plane must receive within [`REPORT_WINDOW`]. A server reports every 0.8 s, and is
+/// removed from the lists 3 s after its last report.
 const MIN_REPORTS: f64 = 9.0;
 
 pub fn measure(quick: bool, program: &Path) -> Report {
@@ -68,7 +71,8 @@
         loop {
             let id = gateway.call(tag, "pay", b"x");
             gateway.send(&health(tag + 1, false));
-            // Until the server has registered the engine it rejects the request, and that response precedes the check's.
+            // Until the server has registered the engine, it rejects the request, and the rejection arrives before the
+            // response to the health check.
             let response = gateway.response();
             if response.status == "UP" {
                 assert_eq!(engine.expect("RUN").word(1), id);
@@ -103,8 +107,8 @@
     report.require_min("reports_in_8_s", f64::from(count), MIN_REPORTS);
 }
 
-/// Opens connections, sends malformed bytes on each, for which the server closes it, and keeps the client's side open for
-/// [`CONNECTION_LIFETIME`].
+/// Opens connections and sends malformed bytes on each, so that the server closes the connection. The client's side is
+/// kept open for [`CONNECTION_LIFETIME`].
 fn send_malformed(listen: SocketAddr, is_over: &AtomicBool, opened: &AtomicUsize) {
     let mut open: VecDeque<(Instant, TcpStream)> = VecDeque::new();
     while !is_over.load(Ordering::Relaxed) {
--- a/crates/loomflow-benchmark/src/moments/restarts.rs
+++ b/crates/loomflow-benchmark/src/moments/restarts.rs
@@ -18,11 +18,13 @@
 
 /// Processes that restart at the same time.
 const PROCESSES: usize = 30;
-/// Time within which a process should be ready, and the fraction of processes that must be.
+/// Time within which a process should be ready.
 const READY_WITHIN: Duration = Duration::from_secs(10);
+/// Fraction of the processes that must be ready within [`READY_WITHIN`].
 const MIN_READY_FRACTION: f64 = 0.9;
-/// Delays of slow peers: of the engine's `HELLO`, and of each reply of the ledger.
+/// Delay of the `HELLO` of a slow engine.
 const SLOW_HELLO: Duration = Duration::from_secs(2);
+/// Delay of each reply of a slow ledger.
 const SLOW_REPLY: Duration = Duration::from_millis(300);
 /// Interval between two requests of a gateway that waits to be served.
 const RETRY_INTERVAL: Duration = Duration::from_millis(5);
--- a/crates/loomflow-benchmark/src/order/faults.rs
+++ b/crates/loomflow-benchmark/src/order/faults.rs
@@ -30,7 +30,7 @@
 #[derive(Default)]
 struct FaultTotals {
     rounds: u64,
-    /// Rounds in which more servers were out than the rules allow.
+    /// Rounds in which more servers were out of service at once than the rules allow.
     too_many_out: u64,
     /// Servers that shut down by themselves while no ticket of theirs had begun.
     departed_without_begin: u64,
@@ -203,7 +203,8 @@
     }
 }
 
-/// Time until the next grant, or until all tickets are done, s. `None` if neither happens within three times the timeout.
+/// Time until the next grant, or until all tickets are done, s. `None` if neither happens within three times
+/// `WAIT_TIMEOUT`.
 fn seconds_to_next_grant(fleet: &mut Fleet, watch: &mut ProcessWatch) -> Option<f64> {
     let since = Instant::now();
     let before = last_grant(fleet);
--- a/crates/loomflow-benchmark/src/order/headroom.rs
+++ b/crates/loomflow-benchmark/src/order/headroom.rs
@@ -1,4 +1,5 @@
-//! Compares the headroom rule with maintenance in fixed batches of three, on a simulated day with a burst of load.
+//! Compares maintenance by the headroom rule, which limits the utilization of the remaining machines, with maintenance
+//! in fixed batches of three, on a simulated day with a burst of load.
 
 use loomflow_fleet::maintenance::rules::{Limit, Rules};
 use loomflow_fleet::maintenance::ticket::{TicketStage, Urgency};
@@ -10,8 +11,9 @@
 const MACHINES: usize = 10;
 /// Capacity of each machine, in concurrent runs.
 const CAPACITY: f64 = 8.0;
-/// Load of each machine outside and during a burst, in concurrent runs.
+/// Load of each machine outside of a burst, in concurrent runs.
 const USUAL_LOAD: f64 = 5.0;
+/// Load of each machine during a burst, in concurrent runs.
 const BURST_LOAD: f64 = 7.4;
 const DAY_SECONDS: u64 = 1_800;
 const BURST_SECONDS: u64 = 600;
@@ -35,8 +37,9 @@
     (burst_start..burst_start + BURST_SECONDS).contains(&second)
 }
 
-/// Load that exceeds the capacity of the serving machines is lost. A burst cannot be foreseen: load lost because of grants
-/// within the burst is bounded separately, by 0, while load lost because of machines that were out when it began is not.
+/// Measures the load that is lost: the part that exceeds the capacity of the serving machines. A burst cannot be
+/// foreseen: load lost because of grants within the burst is bounded separately, by 0, while load lost because of
+/// machines that were out when it began is not.
 pub fn measure(report: &mut Report) {
     let days = run_parallel(core_count(), 0..BURST_STARTS.len() as u64, |index| {
         let burst_start = BURST_STARTS[index as usize];
@@ -54,7 +57,7 @@
     report.require_max("headroom_done_s", slowest as f64, max_seconds);
 }
 
-/// One day, with maintenance scheduled in two ways.
+/// Outcomes of one day with maintenance scheduled by the fleet, and in fixed batches.
 struct Days {
     by_fleet: Day,
     in_batches: Day,
@@ -67,7 +70,7 @@
     requested: f64,
     /// Load that exceeded the capacity, in the same unit.
     lost: f64,
-    /// The part of `lost` that was lost while a machine was out whose maintenance was granted within the burst.
+    /// The part of `lost` that was lost while a machine was out for maintenance that had been granted within the burst.
     lost_by_grants_in_burst: f64,
     /// Time from the request until all maintenance was done; `None` if it was not done within the day.
     done_after_seconds: Option<u64>,
@@ -149,7 +152,7 @@
     tickets.len() == MACHINES && tickets.iter().all(|ticket| ticket.stage == TicketStage::Done)
 }
 
-/// Whether a machine is out that departed after `since`.
+/// Whether a machine that departed after `since` is still out for maintenance.
 fn is_out_since(simulation: &Simulation, since: IntegerMillis) -> bool {
     let maintenance_millis = millis_of_seconds(MAINTENANCE_SECONDS);
     let mut departures = simulation.invariants.departures.iter();
--- a/crates/loomflow-benchmark/src/order/mod.rs
+++ b/crates/loomflow-benchmark/src/order/mod.rs
@@ -1,5 +1,6 @@
-//! Maintenance of the machines of a fleet, in an order that the servers decide among themselves: with processes under load,
-//! with processes under faults, in simulation, and its cost.
+//! Measures the maintenance of the machines of a fleet, in an order that the servers decide among themselves: real
+//! processes under load (`work`) and under random faults (`faults`), simulated fleets (`simulated`), and the cost of
+//! fleet membership for a server (`cost`).
 
 mod cost;
 mod faults;
--- a/crates/loomflow-benchmark/src/overload.rs
+++ b/crates/loomflow-benchmark/src/overload.rs
@@ -16,22 +16,24 @@
 const BASE_LOAD: f64 = 0.75;
 /// First second of the burst, and the one after its last.
 const BURST_SECONDS: (usize, usize) = (3, 7);
-/// Seconds excluded at the start of a load: until the server has reacted and requests that were queued up to their
-/// objective have ended.
+/// Seconds at the start of a load that are not measured: in them the server has not reacted yet, or requests that were
+/// queued up to their objective have not ended.
 const REACTION_SECONDS: usize = 1;
 
 /// Figures of one run of a case.
 struct CaseFigures {
-    /// Responses in time over the engine's capacity, in the worst of the measured seconds and in their mean.
+    /// Responses in time of the worst measured second, divided by the engine's capacity.
     worst: f64,
+    /// Mean responses in time of the measured seconds, divided by the engine's capacity.
     mean: f64,
-    /// 99th percentile of the queue time in the worst measured second, over the objective plus the time of one run.
+    /// 99th percentile of the queue time in the worst measured second, divided by the objective plus the time of one
+    /// run.
     queue_time_ratio: f64,
     /// Responses after the objective in the measured seconds.
     late: u32,
     /// Runs of the whole load that started after their caller had abandoned the request.
     late_runs: usize,
-    /// Time from the last measured second to the response of the last request sent until then, s.
+    /// Time from the last measured second until the last request that was sent up to then has its response, s.
     drained_after_s: f64,
     are_rules_kept: bool,
 }
@@ -41,7 +43,7 @@
     front: Front,
     front_name: &'static str,
     name: String,
-    /// Rates as multiples of the engine's capacity, each from a time on, s.
+    /// Pairs of a time, s since the start, and the rate from then on, as a multiple of the engine's capacity.
     rates: Vec<(f64, f64)>,
     seconds: usize,
     /// First second that is measured, and the one after the last.
--- a/crates/loomflow-benchmark/src/owner/effects.rs
+++ b/crates/loomflow-benchmark/src/owner/effects.rs
@@ -14,7 +14,7 @@
 const EFFECT_PERIOD: Duration = Duration::from_millis(20);
 
 /// Runs a job (`loomflow-benchmark effects ADDRESS`): sends effects of the duty in its environment until the receiver
-/// closes the connection. A rejected effect does not end it; the server that started the job does.
+/// closes the connection. A rejected effect does not end the job; the server that started it does.
 pub fn send_effects(address: &str) {
     let variable = |name: &str| std::env::var(name).unwrap_or_default();
     let (duty, token) = (variable("LOOMFLOW_DUTY"), variable("LOOMFLOW_TOKEN"));
@@ -43,7 +43,7 @@
     pub token: Token,
     /// Whether the effect took place.
     pub admitted: bool,
-    /// Number of the connection, in the order of their opening.
+    /// Number of the connection, in the order in which connections were opened.
     pub connection: u64,
 }
 
--- a/crates/loomflow-benchmark/src/owner/rounds.rs
+++ b/crates/loomflow-benchmark/src/owner/rounds.rs
@@ -48,7 +48,7 @@
 }
 
 impl RoundTotals {
-    /// Duties that changed their owner over those that the killed servers owned.
+    /// Ratio of the duties that changed their owner to those that the killed servers owned.
     fn migration_ratio(&self) -> f64 {
         self.migrated as f64 / self.owned_by_killed.max(1) as f64
     }
@@ -204,7 +204,8 @@
 impl RoundFault {
     fn random(rng: &mut fastrand::Rng, compares_tokens: bool) -> RoundFault {
         let member = rng.usize(0..MEMBERS);
-        // Without the fence only effects of former owners are looked for, which a paused owner sends when it resumes.
+        // Without the fence, only effects of former owners are looked for. A paused owner sends them when it resumes,
+        // so every fault is a pause.
         let kind = if compares_tokens {
             FaultKind::ALL[rng.usize(0..FaultKind::ALL.len())]
         } else {
--- a/crates/loomflow-benchmark/src/owner/simulated.rs
+++ b/crates/loomflow-benchmark/src/owner/simulated.rs
@@ -50,8 +50,9 @@
 
 /// Cost of duties for a quiet fleet.
 struct QuietDay {
-    /// Messages and bytes that a member sends, per second.
+    /// Messages that a member sends, per second.
     messages: f64,
+    /// Bytes that a member sends, per second.
     bytes: f64,
     /// Entries of the fleet's replicated log, per second.
     log_entries: f64,
@@ -133,7 +134,7 @@
     (simulation, day)
 }
 
-/// Maximum load of duties on a member over the mean, and the size of the saved state of duties, bytes.
+/// Ratio of the maximum load of duties on a member to the mean, and the size of the saved state of all duties, bytes.
 fn spread(simulation: &Simulation) -> (f64, usize) {
     let candidates: Vec<Candidate> =
         (0..MACHINES).map(|n| Candidate { name: server_name(n), weight: 1.0, can_acquire: true }).collect();
@@ -141,7 +142,8 @@
     (imbalance(&state.duties, &candidates), state.duties.save().len())
 }
 
-/// Number of duties that changed their owner after a member was killed, and of those that it owned.
+/// Number of duties that changed their owner after a member was killed, and number of duties that the killed member
+/// owned.
 fn migrations_after_death(simulation: &mut Simulation) -> (usize, usize) {
     let owner = |simulation: &Simulation, duty: usize| simulation.owners(&duty_name(duty)).first().copied();
     let before: Vec<Option<usize>> = (0..DUTIES).map(|duty| owner(simulation, duty)).collect();
--- a/crates/loomflow-benchmark/src/scale/control.rs
+++ b/crates/loomflow-benchmark/src/scale/control.rs
@@ -1,5 +1,6 @@
-//! Control traffic and CPU time of a fleet of the operators' size: the servers' state machines are simulated in virtual
-//! time, without sockets. Bytes are those of the messages, without the overhead of TCP and IP.
+//! Measures the control traffic and CPU time of a fleet of the size that the operators expect: the servers' state
+//! machines are simulated in virtual time, without sockets. Bytes are those of the messages, without the overhead of
+//! TCP and IP.
 
 use std::time::Duration;
 
@@ -10,12 +11,13 @@
 use crate::process;
 use crate::report::Report;
 
-/// Sizes of the simulated fleets; the last one of [`SIZES`] is the operators' size.
+/// Sizes of the simulated fleets with `--quick`, members.
 const QUICK_SIZES: [usize; 2] = [50, 150];
+/// Sizes of the simulated fleets, members; the last one is the size that the operators expect.
 const SIZES: [usize; 4] = [50, 150, 300, 590];
 const VOTERS: usize = 5;
-/// The operators' size is read as six zones in all, two in each region. This is the harder reading, because each zone and
-/// region is larger.
+/// The fleet that the operators expect is taken to have six zones in all, two in each region. This is the harder
+/// interpretation of their figures, because each zone and region is larger.
 const ZONES: usize = 6;
 const ZONES_PER_REGION: usize = 2;
 const RACK_SIZE: usize = 20;
@@ -51,12 +53,12 @@
     (Event::AllRestarted, "all restarted at once"),
 ];
 
-/// Messages and bytes per second that a member of one role sends, in the mean.
+/// Mean control traffic that a member with one role sends, in messages and bytes per second.
 #[derive(Clone, Copy, Default)]
 struct Sent {
     messages_per_s: f64,
     bytes_per_s: f64,
-    /// Maximum of any member with this role in any second.
+    /// Maximum number of bytes that any member with this role sends in any second.
     max_bytes_per_s: f64,
 }
 
@@ -65,7 +67,7 @@
     server: Sent,
     voter: Sent,
     leader: Sent,
-    /// Percent of a core, including the simulation's own part.
+    /// CPU usage of a member, percent of a core, including the simulation's own part.
     cpu_percent: f64,
 }
 
@@ -73,7 +75,8 @@
     let sizes: &[usize] = if quick { &QUICK_SIZES } else { &SIZES };
     let cases: Vec<(usize, Event, &str)> =
         sizes.iter().flat_map(|size| EVENTS.map(|(event, name)| (*size, event, name))).collect();
-    // Measured first: a later fleet would reuse memory that earlier simulations have freed, which would not be counted.
+    // The memory is measured first: a later fleet would reuse memory that earlier simulations have freed, which would
+    // not be counted.
     let memory_kb = memory_kb_a_member(sizes[sizes.len() - 1]);
     let traffic = run_parallel(THREADS, 0..cases.len() as u64, |index| {
         let (size, event, _) = cases[index as usize];
@@ -215,7 +218,8 @@
     simulation.leader().unwrap_or(0)
 }
 
-/// Totals that all members of one role have sent so far.
+/// Control traffic that all members with one role have sent so far. `max_bytes` is the maximum of one member in one
+/// second.
 #[derive(Clone, Copy, Default)]
 struct MemberTotals {
     member_seconds: u64,
@@ -247,7 +251,8 @@
         TrafficMonitor { before: sent_by_all(simulation), roles: [MemberTotals::default(); 3] }
     }
 
-    /// Adds the second that has just passed. A machine that does not run sends nothing and is not counted.
+    /// Adds the traffic of the second that has just passed. A machine that does not run sends nothing and is not
+    /// counted.
     fn second(&mut self, simulation: &Simulation) {
         let (now, leader) = (sent_by_all(simulation), simulation.leader());
         let is_running = |machine: &usize| simulation.machines[*machine].node.is_some();
--- a/crates/loomflow-benchmark/src/scale/mod.rs
+++ b/crates/loomflow-benchmark/src/scale/mod.rs
@@ -1,5 +1,6 @@
-//! One real server at the size that operators expect: cost of its connections and tenants, and time added to a request;
-//! and control traffic of a simulated fleet of that size. `docs/CAPACITY.md` compares the figures with their budgets.
+//! Measures one real server of the size that the operators expect (cost of its connections and tenants, and time added
+//! to a request) and the control traffic of a simulated fleet of that size. `docs/CAPACITY.md` compares the figures
+//! with their budgets.
 
 mod connections;
 mod control;
@@ -15,11 +16,13 @@
 use crate::report::Report;
 use crate::{MeasureError, Selection};
 
-/// Size of one server at the peak: callers, each with one open connection, tenants, and requests per second.
+/// Number of callers of one server at the peak, each with one open connection.
 const CALLERS: usize = 7_700;
+/// Number of tenants of one server at the peak.
 const TENANTS: usize = 35_000;
+/// Request rate of one server at the peak.
 const REQUESTS_PER_S: f64 = 238.0;
-/// Load of a server after one of six zones has failed, over the load before.
+/// Load of a server after one of six zones has failed, divided by its load before.
 const ZONE_LOST: f64 = 1.2;
 
 const PARTS: [&str; 4] = ["connections", "tenants", "requests", "control"];
--- a/crates/loomflow-benchmark/src/scale/requests.rs
+++ b/crates/loomflow-benchmark/src/scale/requests.rs
@@ -76,7 +76,7 @@
     report.require_max("engine_p99_ms", engine_p99_ms[0].max(engine_p99_ms[1]), UNDISTURBED_P99_MS);
     report.require_max("added_p99_ms", target.added_ms(0.99), ADDED_P99_MS);
     report.require_max("zone_lost_added_p99_ms", zone_lost.added_ms(0.99), ADDED_P99_MS);
-    // The setting itself is longer than the bound: see docs/CAPACITY.md.
+    // Not bounded, because the batch period of the platform alone is longer than the bound: see docs/CAPACITY.md.
     report.figure("platform_period_added_p99_ms", platform.added_ms(0.99));
     let unserved = rows.iter().map(|row| row.served.unserved + row.direct.unserved).sum::<usize>();
     report.require_max("unserved", unserved as f64, 0.0);
--- a/crates/loomflow-benchmark/src/scale/setup.rs
+++ b/crates/loomflow-benchmark/src/scale/setup.rs
@@ -10,8 +10,9 @@
 const HARD_LIMIT_MS: f64 = 20_000.0;
 /// Idle timeout of connections, ms: longer than a measurement takes.
 const IDLE_MS: f64 = 3_600_000.0;
-/// Cores of the test engine, and the duration of one run.
+/// Number of cores of the test engine.
 const ENGINE_CORES: usize = 4;
+/// Duration of one run of the test engine.
 const RUN: Duration = Duration::from_millis(2);
 
 /// Size for which a server is configured.
@@ -56,8 +57,9 @@
     if at == 0 { "acme".into() } else { format!("tenant-{at:05}") }
 }
 
-/// Value of `limits.sockets` with which a server keeps `connections` idle connections open. Of the sockets that remain
-/// after an eighth for the ledger and 24 for the server itself, it closes idle connections beyond three quarters.
+/// Value of `limits.sockets` with which a server keeps `connections` idle connections open. An eighth of the sockets is
+/// for the ledger, and 24 are for the server itself. The server closes idle connections that exceed three quarters of
+/// the rest.
 pub fn sockets_for(connections: usize) -> usize {
     let spare = 64;
     let gateways = (connections + spare) * 4 / 3;
--- a/crates/loomflow-benchmark/src/scale/tenants.rs
+++ b/crates/loomflow-benchmark/src/scale/tenants.rs
@@ -1,4 +1,5 @@
-//! Cost of tenants in one server: memory while they are read and in service, and a reload of the configuration under way.
+//! Cost of tenants in one server: memory while they are read and while the server is in service, and stalls during a
+//! reload of the configuration.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
@@ -34,8 +35,9 @@
     reload_peak_mb: f64,
     check: Duration,
     compare: Duration,
-    /// Maximum response time of each period without a reload and of each reload, ms, ascending.
+    /// Maximum response time of health checks in each period without a reload, ms, ascending.
     quiet_ms: Vec<f64>,
+    /// Maximum response time of health checks during each reload, ms, ascending.
     reload_ms: Vec<f64>,
     /// CPU time that the thread of the request path spends on each reload, ms, ascending: the stall on an otherwise idle
     /// machine.
--- a/crates/loomflow-fleet-simulation/src/config.rs
+++ b/crates/loomflow-fleet-simulation/src/config.rs
@@ -14,7 +14,7 @@
 pub type MachineId = usize;
 
 const PORT: u16 = 7400;
-/// Machines per /24 subnet: those whose addresses share the third byte.
+/// Number of machines per /24 subnet; the addresses of these machines share the third byte.
 const MACHINES_PER_SUBNET: usize = 250;
 /// Interval between two summary reports of the fleet, ms.
 const SUMMARY_PERIOD_MILLIS: IntegerMillis = 5_000;
@@ -60,7 +60,8 @@
     format!("n{machine}")
 }
 
-/// Returns the machine on which a server runs, or `None` if [`server_name`] did not make the name.
+/// Returns the machine on which a server runs, or `None` if the name is not one that [`server_name`]
+/// returns.
 pub(crate) fn machine_of(server: &str) -> Option<MachineId> {
     server.strip_prefix('n')?.parse().ok()
 }
--- a/crates/loomflow-fleet-simulation/src/event_queue.rs
+++ b/crates/loomflow-fleet-simulation/src/event_queue.rs
@@ -15,7 +15,7 @@
     Message { to: MachineId, bytes: Vec<u8> },
     /// A machine's process starts after maintenance.
     Start(MachineId),
-    /// An effect of a process that was paused after it had checked that it owns the duty.
+    /// An effect arrives late: its process was paused after the check that it owns the duty.
     LateEffect { machine: MachineId, duty: DutyName, token: Token },
     /// A wake-up of a machine; ignored unless it is for the machine's current wake-up time.
     Wake(MachineId),
--- a/crates/loomflow-fleet-simulation/src/invariants.rs
+++ b/crates/loomflow-fleet-simulation/src/invariants.rs
@@ -16,20 +16,20 @@
 /// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// More machines are out than the rules allow.
-    #[error("{} machines are out at once, the limit is {limit}: {out:?}", .out.len())]
+    /// More machines are out of service for maintenance than the rules allow.
+    #[error("{} machines are out of service at once, the limit is {limit} (machine: ticket): {out:?}", .out.len())]
     TooManyOut {
-        /// The machines that are out, with their tickets.
+        /// The machines that are out of service, with their tickets.
         out: BTreeMap<MachineId, TicketId>,
-        /// Maximum number of machines that may be out.
+        /// Maximum number of machines that may be out of service at once.
         limit: usize,
     },
     /// A machine drains for a ticket that no running voter has recorded as begun.
-    #[error("n{machine} drains for ticket {ticket}, which no voter has recorded as begun")]
+    #[error("n{machine} drains for ticket {ticket}, which no running voter has recorded as begun")]
     NotBegun {
         /// The draining machine.
         machine: MachineId,
-        /// The ticket that it drains for.
+        /// The ticket for which the machine drains.
         ticket: TicketId,
     },
     /// A term has two leaders.
@@ -39,7 +39,7 @@
         first: MachineId,
         /// The machine that leads now.
         second: MachineId,
-        /// The term.
+        /// The term with two leaders.
         term: u64,
     },
     /// Two voters have applied the same log entries and have different states.
@@ -51,33 +51,33 @@
         index: u64,
     },
     /// Two machines have used the same fencing token.
-    #[error("token {token} of {duty} was used by n{first} and n{second}")]
+    #[error("fencing token {token} of duty {duty} was used by both n{first} and n{second}")]
     SharedToken {
         /// The duty of the last effect with the token.
         duty: DutyName,
         /// The fencing token.
         token: Token,
-        /// The machine that used it first.
+        /// The machine that used the token first.
         first: MachineId,
-        /// The machine that used it last.
+        /// The machine that used the token last.
         second: MachineId,
     },
     /// The fence has admitted an effect of a former owner.
-    #[error("{duty}: an effect with token {token} was accepted after one with token {highest}")]
+    #[error("duty {duty}: an effect with fencing token {token} was accepted after one with token {highest}")]
     StaleEffect {
         /// The duty of the effect.
         duty: DutyName,
         /// The token of the effect.
         token: Token,
-        /// The highest token accepted before it.
+        /// The highest token of the duty that was accepted before the effect.
         highest: Token,
     },
     /// Several machines own a duty at the same time, each by its own clock.
-    #[error("{duty} has several owners at the same time: {owners:?}")]
+    #[error("duty {duty} has several owners at the same time: machines {owners:?}")]
     SeveralOwners {
         /// The duty with several owners.
         duty: DutyName,
-        /// The machines that own it.
+        /// The machines that own the duty.
         owners: Vec<MachineId>,
     },
 }
@@ -99,7 +99,7 @@
 pub struct Departure {
     /// The draining machine.
     pub machine: MachineId,
-    /// The ticket that it drains for.
+    /// The ticket for which the machine drains.
     pub ticket: TicketId,
     /// Start of the drain in virtual time, ms.
     pub at: IntegerMillis,
@@ -108,17 +108,19 @@
 /// Records what the processes do and checks the invariants.
 pub struct InvariantChecker {
     max_out: usize,
-    /// Machines that drained for a ticket and do not serve again, with the ticket.
+    /// Machines that are out of service, with their tickets: from the start of the drain until the
+    /// machine serves again.
     out: BTreeMap<MachineId, TicketId>,
     /// Tickets that an operator has abandoned; their machines do not count as out.
     abandoned: BTreeSet<TicketId>,
-    /// First leader of each group and term.
+    /// Machine that led first in each term, by consensus group and term.
     leaders: BTreeMap<(u64, u64), MachineId>,
-    /// Hash of the state, by group and log index.
+    /// Hash of the replicated state, by consensus group and index of the last applied log entry.
     state_hashes: BTreeMap<(u64, u64), u64>,
     /// Log index at which the state of each machine was last compared.
     compared_index: BTreeMap<MachineId, u64>,
-    /// Departures whose tickets have not been checked yet.
+    /// Departures for which it has not been checked yet whether a voter has recorded the ticket as
+    /// begun.
     unchecked_departures: Vec<Departure>,
     /// All departures, in the order of time.
     pub departures: Vec<Departure>,
@@ -198,8 +200,8 @@
         self.receiver.receive(machine, duty, token);
     }
 
-    /// Records that a machine's process has ended; the state of its next process is compared from its first
-    /// index on.
+    /// Records that a machine's process has ended. The state of its next process is compared from the
+    /// first log index that it applies, even if that index was compared before.
     pub(crate) fn record_exit(&mut self, machine: MachineId) {
         self.compared_index.remove(&machine);
     }
@@ -209,8 +211,8 @@
         self.abandoned.insert(ticket);
     }
 
-    /// Checks the machine that has just acted, new departures and effects, and the number of machines that
-    /// are out.
+    /// Checks the machine that has just acted, new departures and effects, and the number of machines
+    /// that are out of service.
     pub(crate) fn check(&mut self, active: MachineId, machines: &[Machine]) -> Result<(), Violation> {
         self.check_out(machines)?;
         for departure in std::mem::take(&mut self.unchecked_departures) {
--- a/crates/loomflow-fleet-simulation/src/machine.rs
+++ b/crates/loomflow-fleet-simulation/src/machine.rs
@@ -69,15 +69,16 @@
     clock_offset: IntegerMillis,
     /// Rate of the local clock; 1 is exact.
     clock_rate: f64,
-    /// Time until which the process is paused; in the past if it is not paused.
+    /// Virtual time until which the process is paused, ms; in the past if the process is not paused.
     pub(crate) stopped_until: IntegerMillis,
     /// Time of the current wake-up; events for any other time are ignored.
     pub(crate) wake_at: IntegerMillis,
-    /// Last start of the process; 0 for the initial start, which has no slow start.
+    /// Virtual time of the last start of the process, ms; 0 for the initial start, which has no slow
+    /// start.
     pub(crate) started_at: IntegerMillis,
     /// The shutdown of the machine's server, while in progress.
     pub drain: Option<Drain>,
-    /// Whether the drained server has been reported to the fleet.
+    /// Whether the fleet member was told that its server has drained.
     pub(crate) has_drained: bool,
     /// Duration of the machine's maintenance, ms; `None` if it never restarts.
     pub(crate) maintenance_millis: Option<IntegerMillis>,
--- a/crates/loomflow-fleet-simulation/src/scenario.rs
+++ b/crates/loomflow-fleet-simulation/src/scenario.rs
@@ -105,7 +105,8 @@
 }
 
 impl ScenarioGenerator {
-    /// Adds a random fault at `at`, and the restart or the repair of a killed process or a full disk.
+    /// Adds a random fault at `at` and, for a killed process or a full disk, its later restart or
+    /// repair.
     fn add_random_fault(&mut self, at: IntegerMillis) {
         let machine = self.rng.random_range(0..self.machines);
         match self.rng.random_range(0..RANDOM_FAULT_KINDS) {
--- a/crates/loomflow-fleet-simulation/src/simulation.rs
+++ b/crates/loomflow-fleet-simulation/src/simulation.rs
@@ -82,7 +82,7 @@
     network: Network,
     /// Load of the fleet, in concurrent runs per machine, serving or not.
     load: f64,
-    /// Requests submitted by operators, in their order.
+    /// Requests submitted by operators, in the order of submission.
     pub operator_calls: Vec<OperatorCall>,
     /// Log of the simulation, in the order of time.
     pub log: Vec<LogEntry>,
--- a/crates/loomflow-fleet-simulation/src/simulation/queries.rs
+++ b/crates/loomflow-fleet-simulation/src/simulation/queries.rs
@@ -97,7 +97,7 @@
         self.machines.iter().filter(|machine| machine.is_serving()).count()
     }
 
-    /// Returns the messages that all members have sent.
+    /// Returns the number and the total size of the messages that all members have sent.
     pub fn traffic(&self) -> Traffic {
         let sum = |sum: Traffic, machine: &crate::machine::Machine| Traffic {
             messages: sum.messages + machine.sent.messages,
--- a/crates/loomflow-fleet-simulation/tests/duties.rs
+++ b/crates/loomflow-fleet-simulation/tests/duties.rs
@@ -64,7 +64,8 @@
     expect_owners(&simulation);
 }
 
-/// An owner is paused between its check of ownership and its effect, which arrives after two later owners.
+/// An owner is paused between its check of ownership and its effect. The effect arrives after the duty
+/// has had two later owners.
 #[test]
 fn late_effect_of_paused_owner_is_rejected() {
     let mut simulation = run(config(5, 5, 1), [], 30_000);
@@ -187,8 +188,8 @@
 fn fence_keeps_effect_order_under_excessive_clock_drift() {
     let config = SimulationConfig { max_clock_drift: 0.4, ..config(6, 3, 8) };
     let mut simulation = Simulation::new(config, 7);
-    // Two members may both consider themselves the owner; effects are still accepted in the order of their
-    // tokens.
+    // Two members may both consider themselves the owner of a duty; effects are still accepted in the
+    // order of their tokens.
     simulation.invariants.expects_one_owner = false;
     let faults = (0..24).map(|n| {
         (30_000 + n * 5_000, if n % 2 == 0 { Isolate(vec![n as usize / 2 % 6]) } else { HealNetwork })
@@ -221,7 +222,7 @@
     simulation.invariants.compares_states = false;
     advance(&mut simulation, 40_000);
     let before = expect_owners(&simulation);
-    // None of these is a voter.
+    // None of the killed members is a voter.
     let killed: Vec<usize> = (10..20).collect();
     for member in &killed {
         simulation.inject(&Kill(*member));
@@ -244,7 +245,8 @@
 fn duty_that_kills_its_owners_is_parked() {
     let mut simulation = run(config(7, 3, 3), [], 30_000);
     let mut last_killed = None;
-    // The loss of the first owner does not count, because it has owned the duty for long.
+    // The death of the first owner does not count towards parking the duty, because that owner has held
+    // it for long.
     for _ in 0..6 {
         advance_until(&mut simulation, 10, "d1 has an owner", |simulation| {
             !simulation.owners("d1").is_empty()
--- a/crates/loomflow-fleet-simulation/tests/hard_cases.rs
+++ b/crates/loomflow-fleet-simulation/tests/hard_cases.rs
@@ -34,7 +34,7 @@
     let simulation = run(config(5, 3), [(12_000, RequestWork((0..5).collect(), Routine))], 200_000);
     expect_stages(&simulation, &[TicketStage::Done; 5]);
     let order: Vec<usize> = departures(&simulation).into_iter().map(|(machine, _)| machine).collect();
-    // The first machine bootstrapped the fleet and led it.
+    // Machine 0 bootstrapped the fleet and led it, so it must drain last.
     assert_eq!((order.len(), order.last()), (5, Some(&0)), "{}", timeline(&simulation));
 }
 
@@ -67,8 +67,9 @@
 /// A server that receives a grant after it lapsed, while another server is out, must not drain.
 #[test]
 fn lapsed_grant_has_no_effect() {
-    // The server is paused before it begins, and resumes after its grant has lapsed and while another server
-    // is out. The limit is two machines out, because the paused server counts as one.
+    // Server 4 is paused before it begins its maintenance, and resumes after its grant has lapsed and
+    // while another server is out of service. The rules allow two machines out of service, because the
+    // paused server counts as one.
     let rules = Rules { accept_timeout_millis: 4_000, max_out: Limit::Count(2), ..Rules::default() };
     let mut simulation =
         Simulation::new(SimulationConfig { rules, maintenance_millis: 20_000, ..config(5, 3) }, 7);
@@ -104,7 +105,7 @@
     let mut simulation = Simulation::new(config(5, 3), 7);
     let cut = Scenario::new([(12_000, Isolate(vec![0, 4])), (12_100, RequestWork(vec![4], Routine))]);
     simulation.run(&cut, 20_000).unwrap();
-    // The majority side receives a request, too.
+    // Requests go to the first machine that serves: without machine 0, to one on the majority side.
     simulation.inject(&Kill(0));
     simulation.inject(&RequestWork(vec![3], Routine));
     simulation.run_until(60_000).unwrap();
@@ -196,7 +197,8 @@
     simulation.inject(&FillDisk(0, false));
     simulation.inject(&Kill(1));
     simulation.inject(&RequestWork(vec![3], Routine));
-    // The killed voter takes the only slot, but the voter with free disk space completes the majority.
+    // The killed voter takes the only maintenance slot, but the voter whose disk has free space again
+    // completes the majority.
     simulation.run_until(90_000).unwrap();
     assert!(simulation.leader().is_some(), "{}", timeline(&simulation));
 }
@@ -232,7 +234,7 @@
 fn grant_is_recalled_under_overload() {
     let mut simulation = Simulation::new(config(5, 3), 7);
     simulation.run_until(12_000).unwrap();
-    // The server is paused, so that it cannot begin.
+    // The server is paused as soon as its ticket is granted, so that it cannot begin its maintenance.
     simulation.inject(&RequestWork(vec![4], Routine));
     advance_until(&mut simulation, 1, "the ticket is granted", |simulation| {
         stages(simulation) == [TicketStage::Granted]
--- a/crates/loomflow-load/src/fleet.rs
+++ b/crates/loomflow-load/src/fleet.rs
@@ -14,7 +14,8 @@
 
 use crate::{MAX_OPEN_REQUESTS, Plan, RequestOutcome, Results};
 
-/// Maximum number of attempts of a request that is rejected; four times as many while no server can take it.
+/// Maximum number of attempts at a request that servers reject. If no server is connected with capacity, up to four
+/// times as many attempts are made.
 const MAX_ATTEMPTS: u32 = 6;
 /// Timeout for opening a connection, and the interval at which unconnected servers are tried again.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(100);
@@ -32,9 +33,10 @@
 #[derive(Default)]
 struct Server {
     stream: Option<TcpStream>,
-    /// Number of the current connection, so that the end of an earlier one does not affect it.
+    /// Number of the current connection to the server, so that the end of an earlier connection does not affect the
+    /// current one.
     generation: u64,
-    /// Open requests by generation and tag.
+    /// Open requests, by the generation of their connection and by tag.
     open: BTreeMap<(u64, u64), OpenRequest>,
 }
 
--- a/crates/loomflow-load/src/plan.rs
+++ b/crates/loomflow-load/src/plan.rs
@@ -11,11 +11,12 @@
 pub struct Plan {
     /// Class of all requests.
     pub class: &'static str,
-    /// Rates, requests per second, each from a time on, s.
+    /// Pairs of a time, s since the start, and the rate from then on, requests per second; ascending by time.
     pub rates: Vec<(f64, f64)>,
     /// Duration of the load, without the wait for open requests at its end.
     pub duration: Duration,
-    /// Gateway connections that the requests are spread over; unused for a queue.
+    /// Number of gateway connections over which the requests are spread; ignored if the requests are published to a
+    /// queue or sent to a fleet.
     pub connections: usize,
     /// A response that takes longer than this is late.
     pub objective: Duration,
--- a/crates/loomflow-load/src/queue.rs
+++ b/crates/loomflow-load/src/queue.rs
@@ -17,8 +17,8 @@
 /// How long the last replies may be in transit once the queue is empty.
 const LAST_REPLIES_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Options of a server that consumes the messages of [`run`]. With `has_sent_time`, it takes their age from the
-/// timestamp.
+/// Options of a server that consumes the messages that [`run`] publishes. With `has_sent_time`, the server computes the
+/// age of a message from its timestamp.
 pub fn options(broker: &Broker, class: &str, has_sent_time: bool) -> String {
     let sent = if has_sent_time { ", sent_from: timestamp_in_ms" } else { "" };
     format!(
@@ -83,7 +83,7 @@
         let body = reply.correlation().into_bytes();
         let Some(sent_at) = results.sent_time(&body) else { continue };
         let outcome = match (reply.kind().as_str(), reply.header_text("x-loomflow-ran").as_deref()) {
-            // Not a final reply: the message is delivered again.
+            // `refused` is not a final reply: the message is delivered again.
             ("refused", _) => continue,
             ("served", _) if reply.body != result_of(&body) => RequestOutcome::Wrong,
             ("served", _) => RequestOutcome::Served,
--- a/crates/loomflow-load/src/resp.rs
+++ b/crates/loomflow-load/src/resp.rs
@@ -110,7 +110,7 @@
         }
         connection.tag += 1;
         let id = next_attempt_id();
-        // Only classes with idempotency keys read `opkey`.
+        // `opkey` is the idempotency key; servers read it only for classes with idempotency keys.
         let fields = format!("{},opkey={id}", fields(&id));
         let bytes = call(connection.tag, class, &fields, &body);
         open.insert(connection.tag, OpenRequest { sent_at, body });
@@ -122,7 +122,8 @@
     results.lock().expect("not poisoned").record_outcome(sent_at, RequestOutcome::Lost, sent_at);
 }
 
-/// Records the outcome and the send share of a response. A response to no open request is wrong.
+/// Records the outcome and the send share of a response. A response whose tag belongs to no open request counts as
+/// wrong.
 fn record_response(response: &GatewayResponse, open: &OpenRequests, results: &Mutex<Results>) {
     let request = open.lock().expect("not poisoned").remove(&response.tag);
     let (mut results, now) = (results.lock().expect("not poisoned"), Instant::now());
--- a/crates/loomflow-load/src/results.rs
+++ b/crates/loomflow-load/src/results.rs
@@ -154,7 +154,7 @@
         self.sent_at.get(body).copied()
     }
 
-    /// Times at which the requests were sent whose bodies are not in `answered`.
+    /// Sending times of the requests whose bodies are not in `answered`.
     pub fn unanswered(&self, answered: &BTreeSet<Vec<u8>>) -> Vec<Instant> {
         self.sent_at.iter().filter(|(body, _)| !answered.contains(*body)).map(|(_, at)| *at).collect()
     }
--- a/crates/loomflow-load/src/rounds.rs
+++ b/crates/loomflow-load/src/rounds.rs
@@ -1,6 +1,6 @@
-//! Round of maintenance: every machine of a fleet is maintained once under load. The fleet decides on the order. This module
-//! restarts each machine that has exited after the time of its maintenance, and counts from outside how many were out at
-//! once.
+//! Runs a round of maintenance: every machine of a fleet is maintained once under load, in an order that the fleet
+//! decides on. This module restarts each machine that has exited, once the time of its maintenance is over, and counts
+//! from outside how many machines were out of service at once.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
 
 /// Configuration of a round.
 pub struct Round {
-    /// Time from the exit of a machine to its restart.
+    /// Duration of the maintenance of a machine, from its exit to its restart.
     pub work: Duration,
     /// Time after which one machine that has returned from maintenance is killed; it is restarted two seconds later. `None`:
     /// none is killed.
@@ -23,7 +23,7 @@
     pub max_out: usize,
     /// Machines that exited without being killed, in order.
     pub departures: Vec<usize>,
-    /// Number of these exits with a code other than 0.
+    /// Number of machines in `departures` that exited with a code other than 0.
     pub failed_exits: usize,
     /// Duration of the round.
     pub took: Duration,
@@ -64,10 +64,10 @@
     start: Instant,
     report: RoundReport,
     downtimes: Vec<Option<Downtime>>,
-    /// A machine has been killed, or none is to be killed.
+    /// Whether a machine has been killed, or none is to be killed.
     has_killed: bool,
     polled_at: Instant,
-    /// Every machine was out once and no ticket is open.
+    /// Whether every machine was out for maintenance once and no ticket is open.
     has_ended: bool,
 }
 
--- a/crates/loomflow-load/src/scenario.rs
+++ b/crates/loomflow-load/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Runs a server with a test engine under a load, through either front.
+//! Runs a server with a test engine under a load that is sent by RESP or AMQP.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -11,7 +11,7 @@
 /// Maximum wait for open RESP requests at the end of the load.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Front through which the requests are sent.
+/// Protocol front of the server, through which the requests are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Front {
     /// Gateway connections (the RESP protocol).
@@ -33,9 +33,9 @@
     pub cores: usize,
     /// Duration of one run.
     pub work: Duration,
-    /// Callers abandon a request after this; a response within half of it is in time.
+    /// Time after which callers abandon a request; a response within half of this time is in time.
     pub caller_timeout: Duration,
-    /// Rates, requests per second, each from a time on, s.
+    /// Pairs of a time, s since the start, and the rate from then on, requests per second; ascending by time.
     pub rates: Vec<(f64, f64)>,
     /// Duration of the load.
     pub duration: Duration,
@@ -50,7 +50,7 @@
     pub results: Results,
     /// Time from sending a request to the start of its run, µs, by the second of sending.
     pub queue_times: Vec<Histogram<u64>>,
-    /// Runs that started after their caller had abandoned the request.
+    /// Number of runs that started after the caller had abandoned the request.
     pub late_runs: usize,
     /// Rules of the service that are checked in every scenario.
     pub rules: [Rule; 4],
--- a/crates/loomflow-overload-simulation/src/caller.rs
+++ b/crates/loomflow-overload-simulation/src/caller.rs
@@ -9,9 +9,10 @@
 /// Load balancing among the servers that a caller does not avoid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadBalancing {
-    /// The next server of its list.
+    /// The next server of the caller's list.
     RoundRobin,
-    /// The server with the fewest outstanding requests of this caller; among equals the next one of its list.
+    /// The server with the fewest outstanding requests of this caller; among equals, the next one of the
+    /// caller's list.
     FewestOutstanding,
 }
 
@@ -20,7 +21,7 @@
 pub struct CallerPolicy {
     /// Fraction of the callers that use [`LoadBalancing::FewestOutstanding`]; the others use round robin.
     pub fewest_outstanding_fraction: f64,
-    /// Maximum number of servers for one attempt of a client.
+    /// Maximum number of servers that a caller tries for one attempt of a client.
     pub max_servers_tried: usize,
     /// Fraction of the callers that try another server even after a final rejection.
     pub ignores_final_fraction: f64,
--- a/crates/loomflow-overload-simulation/src/counts.rs
+++ b/crates/loomflow-overload-simulation/src/counts.rs
@@ -28,15 +28,15 @@
 pub struct ServerSums {
     /// Number of servers that are up.
     pub servers: u64,
-    /// Sum of their send shares, 0 to 1 each.
+    /// Sum of the servers' send shares, 0 to 1 each.
     pub share: f64,
-    /// Sum of their limits on concurrent runs.
+    /// Sum of the servers' concurrency limits, in runs.
     pub limit: f64,
-    /// Number of requests that wait to be read.
+    /// Number of requests that wait to be read at any of the servers.
     pub unread: u64,
-    /// Sum of the fill of their connection tables, 0 to 1 each.
+    /// Sum of the fill of the servers' connection tables, 0 to 1 each.
     pub fill: f64,
-    /// Sum of their core utilization, 0 to 1 each.
+    /// Sum of the servers' core utilization, 0 to 1 each.
     pub busy: f64,
     /// Number of servers whose connection table is full.
     pub full: u64,
--- a/crates/loomflow-overload-simulation/src/fault.rs
+++ b/crates/loomflow-overload-simulation/src/fault.rs
@@ -7,19 +7,19 @@
 pub enum FaultKind {
     /// Some callers are down; they restart with empty connection pools.
     CallersDown {
-        /// Affected fraction of the callers or servers, 0 to 1.
+        /// Affected fraction of the callers, 0 to 1.
         fraction: f64,
     },
     /// Some servers are down; they restart in slow start.
     ServersDown {
-        /// Affected fraction of the callers or servers, 0 to 1.
+        /// Affected fraction of the servers, 0 to 1.
         fraction: f64,
     },
     /// The cores of some servers are slow.
     ServersSlow {
-        /// Affected fraction of the callers or servers, 0 to 1.
+        /// Affected fraction of the servers, 0 to 1.
         fraction: f64,
-        /// Remaining speed of their cores, 0 to 1.
+        /// Remaining speed of the cores of these servers, 0 to 1.
         speed: f64,
     },
 }
@@ -27,7 +27,7 @@
 /// A fault with its start and end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    /// Kind of the failure, with the affected fraction.
+    /// Kind of the fault, with the affected fraction.
     pub kind: FaultKind,
     /// Time at which the fault starts.
     pub starts_at: SimulationMicros,
--- a/crates/loomflow-overload-simulation/src/fleet.rs
+++ b/crates/loomflow-overload-simulation/src/fleet.rs
@@ -49,7 +49,8 @@
 /// Timers of a server.
 #[derive(Clone, Copy, Debug)]
 enum TimerKind {
-    /// A job on the cores completes, unless the jobs have changed since (by version).
+    /// A job on the cores completes; ignored if the jobs have changed since the timer was set, which
+    /// `version` shows.
     Cores { version: u64 },
     /// The next batch of the controller is due.
     Batch,
@@ -65,7 +66,7 @@
     connection: Option<ConnectionId>,
     /// Whether the caller still waits for a response.
     is_open: bool,
-    /// Whether it opens a new connection.
+    /// Whether the attempt opens a new connection.
     opens_connection: bool,
     /// Whether the request was sent to a server before.
     is_retry: bool,
--- a/crates/loomflow-overload-simulation/src/fleet/calls.rs
+++ b/crates/loomflow-overload-simulation/src/fleet/calls.rs
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Handles an attempt that got no connection or lost it with its server: the caller tries the next
-    /// server.
+    /// Handles an attempt that got no connection, or whose connection was lost when the server failed:
+    /// the caller tries the next server.
     pub(super) fn no_connection(&mut self, attempt: AttemptId) {
         if self.end_attempt(attempt) {
             self.try_next_server(self.attempts[attempt as usize].request);
@@ -104,7 +104,8 @@
         self.try_next_server(index);
     }
 
-    /// Picks a caller for an attempt: a random one, or the next one that is up.
+    /// Picks a random caller for an attempt or, if that one is down, the next one that is up. `None` if
+    /// all callers are down.
     fn pick_live_caller(&mut self) -> Option<usize> {
         let first = self.rng.usize(..self.callers.len());
         let mut order = (first..self.callers.len()).chain(0..first);
--- a/crates/loomflow-overload-simulation/src/quota.rs
+++ b/crates/loomflow-overload-simulation/src/quota.rs
@@ -15,11 +15,13 @@
 use crate::settings::controller_settings;
 use crate::setup::Setup;
 
-/// Indices of the tenant's class and of the probe's class in the settings.
+/// Index of the tenant's class in the settings.
 const TENANT_CLASS: usize = 0;
+/// Index of the probe's class in the settings.
 const PROBE_CLASS: usize = 1;
-/// Index of the tenant in the settings, and the index that stands for no tenant.
+/// Index of the tenant in the settings.
 const TENANT: usize = 0;
+/// Index that stands for no tenant.
 const NO_TENANT: usize = 1;
 /// Priority weight of a probe, between those of the tenant's requests within and over its quota.
 const PROBE_WEIGHT: f64 = 0.5;
@@ -81,7 +83,7 @@
 /// The controller of a server with one core, on which one request runs at a time.
 struct SingleCoreServer {
     controller: Controller,
-    /// Id of the last request.
+    /// Id of the last submitted request; 0 before the first.
     last_request: RequestId,
 }
 
@@ -90,8 +92,9 @@
         SingleCoreServer { controller: Controller::new(settings, seed, 0.0), last_request: 0 }
     }
 
-    /// Returns whether a request of the tenant counts as over its quota. The request is queued with a probe
-    /// while another request runs, and runs after the probe if its weight is lower.
+    /// Submits a request of the tenant and returns whether the controller counts it as over the quota.
+    /// While a first probe runs, the request and a second probe are queued together. A request over the
+    /// quota has a lower weight than the probe, and therefore runs after it.
     fn classifies_over_quota(&mut self, now: Millis) -> bool {
         self.submit(now, PROBE_CLASS, NO_TENANT);
         let mut running = self.decide(now);
--- a/crates/loomflow-overload-simulation/src/recovery.rs
+++ b/crates/loomflow-overload-simulation/src/recovery.rs
@@ -19,13 +19,14 @@
 /// Times of the experiment, in whole seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeline {
-    /// Start of the measurement before the failure, which ends one latency objective before the failure.
+    /// Start of the measurement before the failure. The measurement ends one latency objective before
+    /// the failure.
     pub settled_s: usize,
-    /// The callers or servers fail.
+    /// Time at which the callers or servers fail.
     pub lost_s: usize,
-    /// The failed callers or servers return.
+    /// Time at which the failed callers or servers return.
     pub returned_s: usize,
-    /// Clients stop sending new requests.
+    /// Time at which clients stop sending new requests.
     pub end_s: usize,
 }
 
@@ -35,7 +36,7 @@
     }
 }
 
-/// Results of the experiment.
+/// Service and traffic of a fleet before, during and after the failure of callers or servers.
 #[derive(Clone, Debug)]
 pub struct Recovery {
     /// Service before the failure, 0 to 1.
--- a/crates/loomflow-overload-simulation/src/server.rs
+++ b/crates/loomflow-overload-simulation/src/server.rs
@@ -31,9 +31,9 @@
     pub attempt: AttemptId,
     /// Index of the caller.
     pub caller: usize,
-    /// Whether it arrives on a new connection, which needs a handshake.
+    /// Whether the request arrives on a new connection, which needs a handshake.
     pub is_new_connection: bool,
-    /// Whether the request was sent to a server before, by its caller or after a retry of its client.
+    /// Whether the request was sent to a server before, in this attempt of the client or an earlier one.
     pub is_retry: bool,
     /// Work of a run, ms on one core.
     pub work: Millis,
@@ -62,7 +62,7 @@
 pub enum Output {
     /// Sends a final response.
     Response {
-        /// The attempt that it responds to.
+        /// The attempt that the response is for.
         attempt: AttemptId,
         /// The outcome of the request.
         response: ServerResponse,
--- a/crates/loomflow-overload-simulation/src/setup.rs
+++ b/crates/loomflow-overload-simulation/src/setup.rs
@@ -32,9 +32,10 @@
     pub handshake_work: Millis,
     /// Minimum and maximum capacity of a connection table; each server's capacity is drawn from this range.
     pub table_size: (usize, usize),
-    /// Fill of the table above which it reduces the speed of the cores, 0 to 1.
+    /// Fill of the connection table above which the table reduces the speed of the cores, 0 to 1.
     pub table_cost_from: f64,
-    /// Speed lost with a full table, 0 to 1; it falls linearly to 0 at `table_cost_from`.
+    /// Fraction of the speed that is lost with a full table, 0 to 1; the loss falls linearly to 0 at
+    /// `table_cost_from`.
     pub table_cost: f64,
     /// Speed at the beginning of a slow start, 0 to 1.
     pub slow_start_speed: f64,
@@ -75,8 +76,8 @@
 }
 
 impl Setup {
-    /// Returns the setup of a fleet of two-core servers behind callers without a retry budget, at 0.87 of the
-    /// capacity of its cores.
+    /// Returns the setup of a fleet of two-core servers behind callers without a retry budget, under a
+    /// load of 0.87 of the capacity of its cores.
     pub fn fleet(servers: usize, callers: usize, seed: u64) -> Setup {
         Setup {
             servers,
