--- a/crates/loomflow-benchmark/src/scale/tenants.rs
+++ b/crates/loomflow-benchmark/src/scale/tenants.rs
@@ -201,7 +201,7 @@
     std::fs::write(&new, &versions[1]).expect("the configuration file is written");
     let shortest = |against: Option<&PathBuf>| {
         let once = |_| check_config_time(program, &new, against);
-        (0..3).map(once).min().expect("three times")
+        (0..3).map(once).min().expect("the command was run three times")
     };
     let times = (shortest(None), shortest(Some(&previous)));
     let _ = (std::fs::remove_file(&previous), std::fs::remove_file(&new));
--- a/crates/loomflow-fleet-simulation/tests/duties.rs
+++ b/crates/loomflow-fleet-simulation/tests/duties.rs
@@ -42,7 +42,7 @@
     let mut simulation = run(config(5, 3, 20), [], 30_000);
     let before = expect_owners(&simulation);
     let distinct: BTreeSet<usize> = before.iter().copied().collect();
-    assert!(distinct.len() >= 4, "{before:?}");
+    assert!(distinct.len() >= 4, "fewer than 4 members own the duties: {before:?}");
     let token = simulation.leader_state().unwrap().duties.last_token();
     advance(&mut simulation, 30_000 + 600_000);
     assert_eq!(expect_owners(&simulation), before);
@@ -208,7 +208,7 @@
     simulation.inject(&SetShare(former, 0.2));
     advance(&mut simulation, 160_000);
     let after = expect_owners(&simulation);
-    assert!(!after.contains(&former), "{after:?}");
+    assert!(!after.contains(&former), "the overloaded member {former} owns a duty; owners: {after:?}");
     simulation.inject(&SetShare((former + 1) % 4, 0.2));
     simulation.inject(&Kill((former + 2) % 4));
     advance(&mut simulation, 300_000);
@@ -261,7 +261,7 @@
     assert!(simulation.owners("d1").is_empty());
     let state = simulation.leader_state().unwrap();
     let parked = state.duties.duties()["d1"].parked.clone().unwrap();
-    assert!(parked.contains("was lost while it owned it"), "{parked}");
+    assert!(parked.contains("was lost while it owned it"), "reason for parking: {parked}");
     owner(&simulation, 0);
     owner(&simulation, 2);
 }
--- a/crates/loomflow-fleet-simulation/tests/hard_cases.rs
+++ b/crates/loomflow-fleet-simulation/tests/hard_cases.rs
@@ -47,7 +47,7 @@
     );
     expect_stages(&simulation, &[TicketStage::Done; 6]);
     let zones: Vec<usize> = departures(&simulation).into_iter().map(|(machine, _)| machine % 3).collect();
-    assert!(zones.windows(2).all(|pair| pair[0] != pair[1]), "{zones:?}");
+    assert!(zones.windows(2).all(|pair| pair[0] != pair[1]), "zones of the drains in order: {zones:?}");
 }
 
 #[test]
--- a/crates/loomflow-overload-simulation/tests/parts.rs
+++ b/crates/loomflow-overload-simulation/tests/parts.rs
@@ -103,8 +103,8 @@
         counts.sum(12, 24, |second| second.handshakes) / counts.sum(12, 24, |second| second.attempts)
     };
     let (kept, closed) = (run(IdlePolicy::NeverClose), run(IdlePolicy::CloseImmediately));
-    assert!(kept < 0.1, "{kept}");
-    assert!(closed > 0.9, "{closed}");
+    assert!(kept < 0.1, "handshakes per attempt while idle connections are kept: {kept}");
+    assert!(closed > 0.9, "handshakes per attempt while idle connections are closed: {closed}");
 }
 
 #[test]
@@ -150,5 +150,5 @@
         |sent_part| SteadyTenant { servers: 1, quota_per_s: 4.0, sent_part, seconds: 200.0, seed: 1 };
     assert_eq!(over_quota_part(tenant(0.3)), 0.0);
     let beyond = over_quota_part(tenant(2.0));
-    assert!((0.45..0.55).contains(&beyond), "{beyond}");
+    assert!((0.45..0.55).contains(&beyond), "fraction over the quota: {beyond}");
 }
--- a/crates/loomflow-overload-simulation/tests/recovery.rs
+++ b/crates/loomflow-overload-simulation/tests/recovery.rs
@@ -20,7 +20,7 @@
     println!("{figures}");
     assert_eq!(result.violations, []);
     assert!(result.before > 0.8, "service before the failure must exceed 0.8: {figures}");
-    assert!(result.has_recovered(), "{figures}");
+    assert!(result.has_recovered(), "the fleet has not recovered: {figures}");
 }
 
 const THIRD_OF_THE_CALLERS: FaultKind = FaultKind::CallersDown { fraction: 1.0 / 3.0 };
