--- a/crates/loomflow-benchmark/src/scale/tenants.rs
+++ b/crates/loomflow-benchmark/src/scale/tenants.rs
@@ -1,4 +1,5 @@
-//! Cost of tenants in one server: memory while they are read and in service, and a reload of the configuration under way.
+//! Cost of tenants in one server: memory while they are read and while the server is in service, and stalls during a
+//! reload of the configuration.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
@@ -34,8 +35,9 @@
     reload_peak_mb: f64,
     check: Duration,
     compare: Duration,
-    /// Maximum response time of each period without a reload and of each reload, ms, ascending.
+    /// Maximum response time of health checks in each period without a reload, ms, ascending.
     quiet_ms: Vec<f64>,
+    /// Maximum response time of health checks during each reload, ms, ascending.
     reload_ms: Vec<f64>,
     /// CPU time that the thread of the request path spends on each reload, ms, ascending: the stall on an otherwise idle
     /// machine.
@@ -199,7 +201,7 @@
     std::fs::write(&new, &versions[1]).expect("the configuration file is written");
     let shortest = |against: Option<&PathBuf>| {
         let once = |_| check_config_time(program, &new, against);
-        (0..3).map(once).min().expect("three times")
+        (0..3).map(once).min().expect("the command was run three times")
     };
     let times = (shortest(None), shortest(Some(&previous)));
     let _ = (std::fs::remove_file(&previous), std::fs::remove_file(&new));
--- a/crates/loomflow-fleet-simulation/tests/duties.rs
+++ b/crates/loomflow-fleet-simulation/tests/duties.rs
@@ -42,7 +42,7 @@
     let mut simulation = run(config(5, 3, 20), [], 30_000);
     let before = expect_owners(&simulation);
     let distinct: BTreeSet<usize> = before.iter().copied().collect();
-    assert!(distinct.len() >= 4, "{before:?}");
+    assert!(distinct.len() >= 4, "fewer than 4 members own the duties: {before:?}");
     let token = simulation.leader_state().unwrap().duties.last_token();
     advance(&mut simulation, 30_000 + 600_000);
     assert_eq!(expect_owners(&simulation), before);
@@ -64,7 +64,8 @@
     expect_owners(&simulation);
 }
 
-/// An owner is paused between its check of ownership and its effect, which arrives after two later owners.
+/// An owner is paused between its check of ownership and its effect. The effect arrives after the duty
+/// has had two later owners.
 #[test]
 fn late_effect_of_paused_owner_is_rejected() {
     let mut simulation = run(config(5, 5, 1), [], 30_000);
@@ -187,8 +188,8 @@
 fn fence_keeps_effect_order_under_excessive_clock_drift() {
     let config = SimulationConfig { max_clock_drift: 0.4, ..config(6, 3, 8) };
     let mut simulation = Simulation::new(config, 7);
-    // Two members may both consider themselves the owner; effects are still accepted in the order of their
-    // tokens.
+    // Two members may both consider themselves the owner of a duty; effects are still accepted in the
+    // order of their tokens.
     simulation.invariants.expects_one_owner = false;
     let faults = (0..24).map(|n| {
         (30_000 + n * 5_000, if n % 2 == 0 { Isolate(vec![n as usize / 2 % 6]) } else { HealNetwork })
@@ -207,7 +208,7 @@
     simulation.inject(&SetShare(former, 0.2));
     advance(&mut simulation, 160_000);
     let after = expect_owners(&simulation);
-    assert!(!after.contains(&former), "{after:?}");
+    assert!(!after.contains(&former), "the overloaded member {former} owns a duty; owners: {after:?}");
     simulation.inject(&SetShare((former + 1) % 4, 0.2));
     simulation.inject(&Kill((former + 2) % 4));
     advance(&mut simulation, 300_000);
@@ -221,7 +222,7 @@
     simulation.invariants.compares_states = false;
     advance(&mut simulation, 40_000);
     let before = expect_owners(&simulation);
-    // None of these is a voter.
+    // None of the killed members is a voter.
     let killed: Vec<usize> = (10..20).collect();
     for member in &killed {
         simulation.inject(&Kill(*member));
@@ -244,7 +245,8 @@
 fn duty_that_kills_its_owners_is_parked() {
     let mut simulation = run(config(7, 3, 3), [], 30_000);
     let mut last_killed = None;
-    // The loss of the first owner does not count, because it has owned the duty for long.
+    // The death of the first owner does not count towards parking the duty, because that owner has held
+    // it for long.
     for _ in 0..6 {
         advance_until(&mut simulation, 10, "d1 has an owner", |simulation| {
             !simulation.owners("d1").is_empty()
@@ -259,7 +261,7 @@
     assert!(simulation.owners("d1").is_empty());
     let state = simulation.leader_state().unwrap();
     let parked = state.duties.duties()["d1"].parked.clone().unwrap();
-    assert!(parked.contains("was lost while it owned it"), "{parked}");
+    assert!(parked.contains("was lost while it owned it"), "reason for parking: {parked}");
     owner(&simulation, 0);
     owner(&simulation, 2);
 }
