--- a/crates/loomflow-fleet-commands/src/error.rs
+++ b/crates/loomflow-fleet-commands/src/error.rs
@@ -61,7 +61,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     /// The server cannot be reached, or a file cannot be read or written.
-    #[error("{}: {source}", .path.display())]
+    #[error("{}: cannot be reached, read or written: {source}", .path.display())]
     Io {
         /// The path of the socket or file.
         path: PathBuf,
@@ -69,7 +69,7 @@
         source: io::Error,
     },
     /// The server's response, or a fence file, is not JSON of the expected form.
-    #[error("{}: {source}", .path.display())]
+    #[error("{}: not JSON of the expected form: {source}", .path.display())]
     Json {
         /// The path of the socket or file.
         path: PathBuf,
@@ -92,13 +92,13 @@
     #[error(transparent)]
     DutyRejected(#[from] DutyRejection),
     /// The response does not belong to the request.
-    #[error("{0}")]
+    #[error("unexpected response from the server: {0}")]
     UnexpectedResponse(String),
     /// No member of the fleet has this name.
     #[error("{0}: no member of the fleet has this name")]
     UnknownServer(String),
     /// `--zone` or `--all` selects no member.
-    #[error("no member of the fleet is selected")]
+    #[error("--zone or --all selects no member of the fleet")]
     NoServers,
     /// No duty has this name.
     #[error("duty {0:?} does not exist")]
@@ -113,7 +113,7 @@
     #[error("fence FILE --duty NAME --token N -- COMMAND: COMMAND is missing")]
     MissingCommand,
     /// A program cannot be started.
-    #[error("{program}: {source}")]
+    #[error("{program}: the program cannot be started: {source}")]
     Program {
         /// The program, as given on the command line.
         program: String,
@@ -121,7 +121,7 @@
         source: io::Error,
     },
     /// A duty's process was terminated because it ran longer than `--longest`.
-    #[error("{duty}: terminated because it ran longer than --longest; {status}")]
+    #[error("duty {duty}: its process was terminated because it ran longer than --longest; {status}")]
     TimedOut {
         /// The name of the duty.
         duty: String,
@@ -129,15 +129,15 @@
         status: ExitStatus,
     },
     /// A duty's process exited with a failure.
-    #[error("{duty}: {status}")]
+    #[error("duty {duty}: its process failed: {status}")]
     ProcessFailed {
         /// The name of the duty.
         duty: String,
         /// The exit status of the process.
         status: ExitStatus,
     },
-    /// The fence file has no room for the duty, or cannot be written.
-    #[error("{duty}: {source}")]
+    /// The fence file cannot record the duty's token: it has no room for the duty, or cannot be written.
+    #[error("duty {duty}: the token cannot be recorded in the fence file: {source}")]
     Fence {
         /// The name of the duty.
         duty: String,
@@ -151,11 +151,7 @@
     pub fn unexpected(response: &impl Debug) -> CommandError {
         let text = format!("{response:?}");
         let is_short = text.len() < MAX_PRINTED_BYTES;
-        CommandError::UnexpectedResponse(if is_short {
-            text
-        } else {
-            "the response does not belong to the request".into()
-        })
+        CommandError::UnexpectedResponse(if is_short { text } else { "too long to be printed".into() })
     }
 
     /// Returns a function for `map_err` that adds the path of a socket or file to an I/O error.
--- a/crates/loomflow-fleet-commands/src/job_process.rs
+++ b/crates/loomflow-fleet-commands/src/job_process.rs
@@ -32,7 +32,7 @@
 pub struct RunOptions {
     /// The duty whose owner runs the command.
     pub duty: DutyName,
-    /// If set, run only while this is the owner's token.
+    /// If set, the command runs only while this is the owner's fencing token.
     pub token: Option<Token>,
     /// How long to wait for ownership before giving up.
     pub ownership_timeout: Duration,
@@ -45,7 +45,7 @@
 /// A confirmation that the server owns a duty.
 struct ConfirmedOwnership {
     confirmation: OwnershipConfirmation,
-    /// Earliest possible end of the lease, boot clock, ms.
+    /// Earliest possible end of the lease, ms on the boot-time clock.
     valid_until: IntegerMillis,
 }
 
--- a/crates/loomflow-fleet-commands/src/tickets.rs
+++ b/crates/loomflow-fleet-commands/src/tickets.rs
@@ -12,7 +12,7 @@
 
 use crate::error::CommandError;
 
-/// Default of `--for`: how long a server is planned to be out.
+/// Default of `--for`: how long a server is planned to be out of service.
 const DEFAULT_DURATION: Duration = Duration::from_secs(20 * 60);
 
 /// The options of `work ask`.
@@ -28,9 +28,9 @@
     pub file: Option<PathBuf>,
     pub reason: String,
     pub urgency: Urgency,
-    /// How long each server is planned to be out.
+    /// How long each server is planned to be out of service.
     pub duration: Option<Duration>,
-    /// When a ticket may be granted, counted from the request: from, and before.
+    /// Start and end of the time in which a ticket may be granted, counted from the request.
     pub window: Option<(Duration, Duration)>,
     /// If set, starts a campaign of this name instead of requesting all tickets at once.
     pub campaign: Option<String>,
--- a/crates/loomflow-fleet/src/command.rs
+++ b/crates/loomflow-fleet/src/command.rs
@@ -17,23 +17,24 @@
 /// The issuer of a command, which determines the commands it may issue.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Issuer {
-    /// The leader of the log.
+    /// The voter that currently leads the fleet.
     Leader,
-    /// A server, in one of its starts.
+    /// A server, in one of its incarnations.
     Server {
         /// The server's name.
         name: ServerName,
-        /// The start of the server that issued the command.
+        /// The incarnation of the server that issued the command.
         incarnation: Incarnation,
     },
     /// An operator, identified by the account name.
     Operator(String),
 }
 
-/// One entry of the log.
+/// One entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Id of the request: an entry with the id of an applied one has no effect.
+    /// Id of the request that caused the entry. If an entry with this id was applied before, this one has no
+    /// effect.
     pub id: FleetRequestId,
     /// The fleet's time at the proposal, as counted by the leader.
     pub at: FleetMillis,
@@ -59,16 +60,16 @@
         transition: Transition,
         /// The grant that the transition refers to.
         grant: GrantNumber,
-        /// The start of the server that the transition refers to.
+        /// The incarnation of the server that the transition refers to.
         incarnation: Incarnation,
     },
     /// Permits a ticket's server to shut down for maintenance.
     Grant {
         /// The ticket to grant.
         ticket: TicketId,
-        /// The start of the server that receives the grant.
+        /// The incarnation of the server that receives the grant.
         incarnation: Incarnation,
-        /// The members as the leader saw them.
+        /// The members as the leader saw them when it decided on the grant.
         #[serde(rename = "census")]
         availability: FleetAvailability,
     },
--- a/crates/loomflow-fleet/src/consensus/error.rs
+++ b/crates/loomflow-fleet/src/consensus/error.rs
@@ -4,7 +4,7 @@
 
 /// A snapshot of the state machine cannot be decoded.
 #[derive(Debug, thiserror::Error)]
-#[error("the {part} cannot be read: {source}")]
+#[error("the part {part:?} of a snapshot cannot be decoded: {source}")]
 pub struct SnapshotError {
     /// The part of the state that cannot be decoded.
     pub part: &'static str,
@@ -19,7 +19,9 @@
     #[error("this voter does not lead")]
     NotLeader,
     /// The leader is transferring its leadership, or too many bytes are uncommitted.
-    #[error("the proposal was dropped")]
+    #[error(
+        "the leader dropped the proposal: it is transferring its leadership or has too many uncommitted bytes"
+    )]
     Dropped,
 }
 
@@ -48,7 +50,7 @@
     #[error(transparent)]
     SnapshotState(#[from] SnapshotError),
     /// The snapshot and entries of the data directory do not form a valid log.
-    #[error("invalid log: {0}")]
+    #[error("the snapshot and entries in the data directory do not form a valid log: {0}")]
     Log(raft::Error),
     /// The Raft library rejects an operation.
     #[error(transparent)]
--- a/crates/loomflow-fleet/src/consensus/mod.rs
+++ b/crates/loomflow-fleet/src/consensus/mod.rs
@@ -101,7 +101,8 @@
     applied_index: u64,
     /// Names of the replicas in the Raft configuration.
     replicas: BTreeMap<u64, ServerName>,
-    /// Names of senders that may not be in the configuration yet: replies to them need a name.
+    /// Names of senders that may not be in the Raft configuration yet, which are needed to address replies to
+    /// them.
     unconfirmed_replicas: BTreeMap<u64, ServerName>,
     next_tick_at: IntegerMillis,
     next_snapshot_check_at: IntegerMillis,
@@ -126,8 +127,8 @@
             name,
             seed,
             storage,
-            // Keeps incarnations rising when the directory is lost. Otherwise the stored one bounds it from
-            // below, so that setting the clock back has no effect.
+            // The wall clock keeps incarnations rising when the directory is lost. Otherwise the stored
+            // incarnation is a lower bound, so that setting the clock back has no effect.
             metadata: ReplicaMetadata { incarnation: unix_millis, ..ReplicaMetadata::default() },
             raft_node: None,
             error: None,
@@ -149,7 +150,8 @@
         consensus
     }
 
-    /// Reads the data directory, stores this start's incarnation in it, and starts Raft from its contents.
+    /// Reads the data directory, stores the incarnation of this process in it, and starts Raft from its
+    /// contents.
     fn open_storage(&mut self) -> Result<(), ConsensusError> {
         let persisted = self.storage.read()?;
         let stored = persisted.metadata.replica;
@@ -167,7 +169,7 @@
         Ok(())
     }
 
-    /// The incarnation of this start, as stored in the data directory.
+    /// The incarnation of this process, as stored in the data directory.
     pub fn incarnation(&self) -> Incarnation {
         self.metadata.incarnation
     }
--- a/crates/loomflow-fleet/src/consensus/ready.rs
+++ b/crates/loomflow-fleet/src/consensus/ready.rs
@@ -102,9 +102,9 @@
         Ok(())
     }
 
-    /// Applies a configuration change and stores a snapshot: a replica that joins rejects one whose
-    /// configuration does not contain it. `context` holds the id and the name of the replica that the change
-    /// concerns.
+    /// Applies a configuration change and stores a snapshot, because a replica that joins rejects a snapshot
+    /// whose configuration does not contain it. `context` holds the id and the name of the replica that the
+    /// change concerns.
     fn apply_configuration_change(
         &mut self,
         change: &ConfChangeV2,
@@ -131,7 +131,7 @@
     /// Passes the names of the voters to the state machine.
     pub(super) fn update_machine_voters(&mut self) {
         let mut voters = self.voters();
-        // The library returns them in no defined order, and the state must be equal on all voters.
+        // The library returns the names in no defined order, and the state must be equal on all voters.
         voters.sort();
         if !voters.is_empty() {
             self.machine.set_voters(voters);
--- a/crates/loomflow-fleet/src/consensus/storage.rs
+++ b/crates/loomflow-fleet/src/consensus/storage.rs
@@ -22,7 +22,7 @@
 /// Identity of a data directory, kept apart from the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaMetadata {
-    /// The incarnation of the last start with this data directory.
+    /// The incarnation of the last process that used this data directory.
     pub incarnation: Incarnation,
     /// The replica that this directory holds.
     pub replica: Replica,
@@ -49,7 +49,8 @@
     pub hard_state: Option<Vec<u8>>,
     /// Replaces the snapshot, given with its index, and removes the entries up to that index.
     pub snapshot: Option<(u64, Vec<u8>)>,
-    /// Replaces all entries from the first of these indices to the end of the log.
+    /// Log entries to write, each with its index. They replace all entries from the first of these indices to
+    /// the end of the log.
     pub entries: Vec<(u64, Vec<u8>)>,
     /// Removes all entries before the rest of the batch is applied: the log restarts after a snapshot.
     pub clears_log: bool,
--- a/crates/loomflow-fleet/src/duty/assign.rs
+++ b/crates/loomflow-fleet/src/duty/assign.rs
@@ -11,7 +11,7 @@
 use super::{DutyCommand, DutyName};
 use crate::member::{MemberView, ServerName};
 
-/// A server that requests a smaller share acquires no further duties.
+/// Minimum share of its usual traffic, 0 to 1, that a server must request to acquire further duties.
 const MIN_SHARE_TO_ACQUIRE: f32 = 0.9;
 /// Minimum weight of a server, for one that requests a share of 0.
 const MIN_WEIGHT: f32 = 0.01;
--- a/crates/loomflow-fleet/src/duty/client_session.rs
+++ b/crates/loomflow-fleet/src/duty/client_session.rs
@@ -81,7 +81,7 @@
         now >= self.next_renewal_at
     }
 
-    /// Records that a renewal is sent. Returns the previous one if it is still without a response.
+    /// Records that a renewal is sent. Returns the id of the previous renewal if that has no response yet.
     pub fn renewal_sent(&mut self, id: FleetRequestId, now: IntegerMillis) -> Option<FleetRequestId> {
         let period = self.lease_settings.lease_millis / RENEWALS_PER_LEASE;
         self.next_renewal_at = now + period.max(MIN_RENEWAL_GAP_MILLIS);
@@ -115,8 +115,8 @@
         self.merge_duties(ownership.duties);
     }
 
-    /// Handles a notification without a renewal: it changes the duties of the current session and does not extend it. One
-    /// of a later session advances the next renewal, which confirms that session.
+    /// Handles a notification without a renewal: it changes the duties of the current session and does not extend it. A
+    /// notification of a later session makes the next renewal due earlier; that renewal confirms the session.
     pub fn notified(&mut self, ownership: Ownership, now: IntegerMillis) {
         self.expire(now);
         if ownership.session == self.session && now < self.valid_until {
--- a/crates/loomflow-fleet/src/duty/load.rs
+++ b/crates/loomflow-fleet/src/duty/load.rs
@@ -15,7 +15,8 @@
 /// The load of each candidate and its bound, both in weights of duties.
 pub(super) struct Loads<'a> {
     candidates: &'a [Candidate],
-    /// Set if all candidates are in overload: an overloaded owner is better than none.
+    /// Whether servers in overload may acquire duties too. Set if all candidates are in overload: an
+    /// overloaded owner is better than none.
     can_all_acquire: bool,
     owned: BTreeMap<&'a str, f64>,
     /// Bound of a server of weight 1. The bound of any server is at least the weight of the heaviest duty.
@@ -92,7 +93,8 @@
     -candidate.weight / u.ln()
 }
 
-/// The highest load of a server over the mean load, both relative to the weights of the servers; for measurements.
+/// The highest load of a server divided by the mean load, both relative to the weights of the servers; for
+/// measurements.
 pub fn imbalance(duties: &Duties, candidates: &[Candidate]) -> f64 {
     let loads = Loads::new(duties, candidates);
     let total: f64 = loads.owned.values().sum();
--- a/crates/loomflow-fleet/src/duty/mod.rs
+++ b/crates/loomflow-fleet/src/duty/mod.rs
@@ -62,7 +62,7 @@
 pub struct ServerInstance {
     /// The server's name.
     pub name: ServerName,
-    /// Identifies the start of the server.
+    /// The server's incarnation.
     pub incarnation: Incarnation,
 }
 
@@ -104,7 +104,8 @@
     pub name: DutyName,
     /// Load of the duty relative to others, by which owners are balanced; 1 by default.
     pub weight: u32,
-    /// Times of its runs; `None` for a duty that its owner performs continuously or that runs on demand.
+    /// Due times of the duty's runs; `None` for a duty that its owner performs continuously or that runs on
+    /// demand.
     pub schedule: Option<schedule::Schedule>,
 }
 
@@ -218,7 +219,7 @@
     /// Whether an operator requested a run that has not begun.
     #[serde(rename = "wanted")]
     pub is_run_requested: bool,
-    /// Times of its runs; `None` for a duty without a schedule.
+    /// Due times of the duty's runs; `None` for a duty without a schedule.
     pub schedule: Option<schedule::Schedule>,
 }
 
@@ -266,7 +267,7 @@
     pub duty: DutyName,
     /// The server that owns the duty, if one does. Its incarnation is 0 if it has no session.
     pub owner: Option<ServerInstance>,
-    /// The highest token ever assigned for it.
+    /// The highest token ever assigned for the duty.
     pub token: Token,
     /// When the current lease began, or when the last one ended.
     pub since: FleetMillis,
--- a/crates/loomflow-fleet/src/maintenance/campaign.rs
+++ b/crates/loomflow-fleet/src/maintenance/campaign.rs
@@ -41,13 +41,13 @@
     requests: Vec<TicketRequest>,
     /// Number of tickets of one batch.
     pub batch_size: u32,
-    /// Index of the first request that has no ticket yet.
+    /// Index of the campaign's first request that has no ticket yet.
     pub next_index: u32,
     /// Tickets of the last batch; empty before the first one and after a resume.
     last_tickets: Vec<TicketId>,
-    /// Mean send share of the last batch's servers before it was requested.
+    /// Mean send share of the last batch's servers before the batch was requested.
     share_before: f32,
-    /// Whether it is running, halted or done.
+    /// Whether the campaign is running, halted or done.
     pub status: CampaignStatus,
 }
 
@@ -69,7 +69,8 @@
     Resume(String),
     /// By an operator: deletes the campaign of this name. Its tickets remain.
     Drop(String),
-    /// By the owner of the duty: requests the next batch, or marks the campaign done if no request is left.
+    /// By the owner of the campaign duty: requests the next batch, or marks the campaign done if no request
+    /// is left.
     Next {
         /// Name of the campaign.
         name: String,
@@ -82,7 +83,7 @@
         /// The owner's fencing token.
         token: Token,
     },
-    /// By the owner of the duty: halts the campaign.
+    /// By the owner of the campaign duty: halts the campaign.
     Halt {
         /// Name of the campaign.
         name: String,
@@ -114,7 +115,7 @@
     /// The operator who started the campaign.
     #[serde(rename = "by")]
     pub requested_by: String,
-    /// Whether it is running, halted or done.
+    /// Whether the campaign is running, halted or done.
     #[serde(rename = "stand")]
     pub status: CampaignStatus,
     /// Index of the first request that has no ticket yet.
@@ -126,7 +127,7 @@
     /// Servers of the last batch with the stages of their tickets; `None` if a ticket is no longer retained.
     #[serde(rename = "last")]
     pub last_batch: Vec<(ServerName, Option<TicketStage>)>,
-    /// Mean send share of the last batch's servers before it was requested.
+    /// Mean send share of the last batch's servers before the batch was requested.
     #[serde(rename = "base")]
     pub share_before: f32,
     /// Mean send share of the last batch's servers now; `None` without a batch or a recent load report of each server.
--- a/crates/loomflow-fleet/src/maintenance/headroom.rs
+++ b/crates/loomflow-fleet/src/maintenance/headroom.rs
@@ -37,9 +37,9 @@
 struct Bucket {
     start: IntegerMillis,
     sample_count: f64,
-    /// Sum over the bucket's samples, in concurrent runs.
+    /// Load of each zone, summed over the bucket's samples, in concurrent runs.
     load_by_zone: BTreeMap<Zone, f64>,
-    /// Sum over the bucket's samples, in concurrent runs.
+    /// Load of the fleet, summed over the bucket's samples, in concurrent runs.
     fleet_load: f64,
 }
 
--- a/crates/loomflow-fleet/src/maintenance/mod.rs
+++ b/crates/loomflow-fleet/src/maintenance/mod.rs
@@ -2,7 +2,7 @@
 //! voter applies the same log entries and reaches the same state.
 //!
 //! - [`ticket`]: the stages of a ticket and the table of legal transitions.
-//! - [`rules`]: the operators' limits on how many servers may be out at once.
+//! - [`rules`]: the operators' limits on how many servers may be out of service at once.
 //! - [`state`]: the state machine: applies entries, enforces the limits, and acts on deadlines that have passed.
 //! - [`headroom`]: whether the remaining servers can carry the fleet's load, estimated from load reports.
 //! - [`scheduling`]: which server is granted next, and why each of the others waits. Runs on the leader alone; its
--- a/crates/loomflow-fleet/src/maintenance/rules.rs
+++ b/crates/loomflow-fleet/src/maintenance/rules.rs
@@ -1,5 +1,5 @@
-//! The operators' rules: how many servers may be out for maintenance, and when a returned server counts as ready. Replicated
-//! through the log, so that all servers apply the same rules.
+//! The operators' rules: how many servers may be out of service for maintenance, and when a returned server counts as
+//! ready. Replicated through the log, so that all servers apply the same rules.
 
 use serde::{Deserialize, Serialize};
 
@@ -27,10 +27,10 @@
 /// The operators' rules for maintenance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
-    /// Maximum number of servers out at once in the whole fleet.
+    /// Maximum number of servers out of service at once in the whole fleet.
     #[serde(rename = "out")]
     pub max_out: Limit,
-    /// Maximum number of servers out at once in one zone; `None` sets no limit per zone.
+    /// Maximum number of servers out of service at once in one zone; `None` sets no limit per zone.
     #[serde(rename = "zone_out")]
     pub max_out_per_zone: Option<Limit>,
     /// Time within which a server has to accept a grant before it lapses, ms.
--- a/crates/loomflow-fleet/src/maintenance/scheduling.rs
+++ b/crates/loomflow-fleet/src/maintenance/scheduling.rs
@@ -34,7 +34,8 @@
     /// Membership state of the server; `None` if no member has that name.
     #[serde(rename = "standing")]
     pub state: Option<MemberState>,
-    /// The ticket that has a slot, or else the oldest open one, with its stage; `None` if the server has no open ticket.
+    /// The ticket under which the server has a slot, or else its oldest open ticket, with the stage; `None`
+    /// if the server has no open ticket.
     pub ticket: Option<(TicketId, TicketStage)>,
     /// Results of all checks; empty unless the ticket waits for its grant.
     pub findings: Vec<Finding>,
@@ -48,7 +49,7 @@
     pub maintenance: &'a MaintenanceState,
     /// State and load report of every member, by name.
     pub members: &'a BTreeMap<ServerName, MemberView>,
-    /// Load of the last minutes.
+    /// The fleet's load over the last minutes.
     pub headroom: &'a Headroom,
     /// Current fleet time, ms.
     pub now: FleetMillis,
@@ -95,7 +96,7 @@
                     return Some(Decision::Grant { ticket: ticket.id, incarnation });
                 }
                 Some(Check::Leader) => return Some(Decision::TransferLeadership),
-                // These conditions do not depend on the ticket.
+                // These conditions do not depend on the ticket: no other ticket meets them either.
                 Some(Check::Pause | Check::LoadReports) => return None,
                 Some(Check::Budget | Check::Voters | Check::Headroom)
                     if self.waiting_millis(ticket) >= NO_OVERTAKING_AFTER_MILLIS =>
--- a/crates/loomflow-fleet/src/maintenance/scheduling/checks.rs
+++ b/crates/loomflow-fleet/src/maintenance/scheduling/checks.rs
@@ -11,7 +11,8 @@
 use crate::maintenance::ticket::{Rejection, Ticket};
 use crate::member::MemberState;
 
-/// A condition for a grant. Conditions are checked in this order.
+/// A condition for a grant: each variant is met if its description is true. Conditions are checked in this
+/// order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Check {
     /// Grants are not paused by an operator.
@@ -23,13 +24,13 @@
     /// All members that are alive have a recent load report.
     #[serde(rename = "Evidence")]
     LoadReports,
-    /// The limits on servers out at once, for the fleet and for the zone, allow one more.
+    /// The limits on servers out of service at once, for the fleet and for the zone, allow one more.
     Budget,
     /// Enough healthy voters remain, see [`voters_needed`].
     Voters,
     /// The remaining servers can carry the fleet's load.
     Headroom,
-    /// The server is not the leader.
+    /// The ticket's server is not the leader, which would have to transfer its leadership first.
     Leader,
     /// No other ticket is ahead in the queue.
     #[serde(rename = "Turn")]
@@ -138,9 +139,12 @@
     fn check_server(&self, server: &str) -> Finding {
         use MemberState::{Down, Left, Suspect};
         let obstacle = match (self.members.get(server), self.maintenance.tickets_with_slot().get(server)) {
-            (_, Some(other)) => Some(format!("the server already has a slot under ticket {other}")),
+            (_, Some(other)) => {
+                Some(format!("the server already has a maintenance slot under ticket {other}"))
+            }
             (None, _) => Some("no server of that name has joined the fleet".into()),
-            // These cannot receive a grant. A suspect server may be reachable again shortly.
+            // Servers in these states cannot receive a grant. A suspect server may be reachable again
+            // shortly.
             (Some(member), _) if matches!(member.state, Down | Left | Suspect) => {
                 Some(format!("the server is {}", member.state.as_str()))
             }
--- a/crates/loomflow-fleet/src/maintenance/state/limits.rs
+++ b/crates/loomflow-fleet/src/maintenance/state/limits.rs
@@ -1,6 +1,6 @@
-//! Limits on how many servers may be out at once: the operators' limits for the fleet and for each zone, and the number of
-//! voters that have to remain healthy. The leader checks them before it grants, and the state machine again when it applies
-//! the grant.
+//! Limits on how many servers may be out of service at once: the operators' limits for the fleet and for each zone, and the
+//! number of voters that have to remain healthy. The leader checks them before it grants, and the state machine again when
+//! it applies the grant.
 
 use std::collections::BTreeMap;
 
--- a/crates/loomflow-fleet/src/maintenance/ticket.rs
+++ b/crates/loomflow-fleet/src/maintenance/ticket.rs
@@ -1,8 +1,8 @@
 //! Maintenance tickets: each permits one server to go out of service once. [`TABLE`] lists the legal transitions of each
 //! stage and who may make them; all others are rejected with a reason.
 //!
-//! A **slot** is a unit of the limit on servers that may be out at the same time. A ticket has a slot from its grant until
-//! it is done, withdrawn or abandoned, or until the grant lapses or is revoked ([`TicketStage::has_slot`]).
+//! A **slot** is a unit of the limit on servers that may be out of service at the same time. A ticket has a slot from its
+//! grant until it is done, withdrawn or abandoned, or until the grant lapses or is revoked ([`TicketStage::has_slot`]).
 
 use serde::{Deserialize, Serialize};
 
@@ -228,19 +228,19 @@
         current: GrantNumber,
     },
     /// The command names another incarnation of the server than the ticket expects.
-    #[error("the command is about another incarnation of the server")]
+    #[error("the command names another incarnation (process) of the server than the ticket expects")]
     OtherIncarnation,
     /// The issuer may not issue this command.
     #[error("the issuer of the command is not permitted to issue it")]
     #[serde(rename = "NotYours")]
     NotPermitted,
-    /// The limit on servers that are out at once is reached.
-    #[error("{out} servers are out{}, the limit is {limit}", zone_suffix(.zone.as_deref()))]
+    /// The limit on servers that are out of service at once is reached.
+    #[error("{out} servers are out of service{}, the limit is {limit}", zone_suffix(.zone.as_deref()))]
     #[serde(rename = "NoPlace")]
     NoSlot {
-        /// Number of servers that are out, without the candidate.
+        /// Number of servers that are out of service, without the candidate.
         out: u32,
-        /// Maximum number of servers out at once.
+        /// Maximum number of servers out of service at once.
         #[serde(rename = "most")]
         limit: u32,
         /// The zone whose limit is reached; `None` for the limit of the whole fleet.
@@ -263,11 +263,11 @@
     #[serde(rename = "Window")]
     WindowNotOpen,
     /// The server already has a slot under another ticket.
-    #[error("the server already has a slot under ticket {0}")]
+    #[error("the server already has a maintenance slot under ticket {0}")]
     #[serde(rename = "HoldsPlace")]
     HasSlot(TicketId),
     /// The maximum number of open tickets or campaigns would be exceeded; with the number that is open now.
-    #[error("too many: {0} are open already")]
+    #[error("too many open tickets or campaigns: {0} are open already")]
     TooMany(u32),
     /// The command is invalid; with the reason. The text is part of the replicated state, because responses are remembered
     /// there, so it must be the same in all versions.
@@ -338,7 +338,7 @@
         rule(Ready, Transition::Abandon, Operator, Abandoned),
         rule(Overdue, Transition::Return, Leader, Returned),
         rule(Ready, Transition::Return, Leader, Returned),
-        // Late and repeated reports are accepted without effect, also the last rule of the table.
+        // Late and repeated reports are accepted without effect: by the next two rules and by the last one.
         rule(Overdue, Transition::Depart, ServerOrLeader, Overdue),
         rule(Overdue, Transition::Drain, Server, Overdue),
         rule(Overdue, Transition::Abandon, Operator, Abandoned),
@@ -364,7 +364,8 @@
     use TicketStage::{
         Abandoned, Accepted, Done, Draining, Granted, Lapsed, Ready, Requested, Returned, Withdrawn,
     };
-    // In an earlier stage than this the transition is too early. Not always the first stage in which the table allows it.
+    // In a stage before `earliest` the transition is too early. `earliest` is not always the first stage in
+    // which the table allows the transition.
     let earliest = match transition {
         Transition::Grant | Transition::Withdraw | Transition::Expire => Requested,
         Transition::Accept | Transition::Revoke | Transition::Lapse => Granted,
@@ -383,7 +384,7 @@
 /// A request to take one server out of service for maintenance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TicketRequest {
-    /// Name of the server to take out.
+    /// Name of the server to take out of service.
     pub server: ServerName,
     /// Zone of the server.
     pub zone: Zone,
@@ -426,7 +427,7 @@
     }
 }
 
-/// A ticket: the request to take a server out, and its progress.
+/// A ticket: the request to take a server out of service, and its progress.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ticket {
     /// Number of the ticket.
@@ -449,9 +450,9 @@
     pub since: FleetMillis,
     /// Number of the last grant; 0 before the first one.
     pub grant: GrantNumber,
-    /// The incarnation of the server that was granted, and that leaves; 0 before the first grant.
+    /// The incarnation of the server that received the last grant, and that leaves; 0 before the first grant.
     pub incarnation: Incarnation,
-    /// The incarnation that returned last; 0 before one has.
+    /// The incarnation of the server that returned last; 0 before one has returned.
     #[serde(rename = "returned")]
     pub returned_incarnation: Incarnation,
     /// Number of grants that lapsed because the server did not accept them in time.
@@ -462,13 +463,13 @@
 }
 
 impl Ticket {
-    /// Time until the window opens, ms; 0 when it is open or over, or if the ticket has none.
+    /// Time until the window opens, ms; 0 when it is open or over, or if the ticket has no window.
     pub fn opens_in(&self, now: FleetMillis) -> FleetMillis {
         let opens_at = self.request.window.map_or(0, |(from, _)| self.requested_at + from);
         opens_at.saturating_sub(now)
     }
 
-    /// Fleet time at which the window closes, ms; `None` if the ticket has none.
+    /// Fleet time at which the window closes, ms; `None` if the ticket has no window.
     pub fn closes_at(&self) -> Option<FleetMillis> {
         self.request.window.map(|(_, before)| self.requested_at + before)
     }
--- a/crates/loomflow-fleet/src/member.rs
+++ b/crates/loomflow-fleet/src/member.rs
@@ -18,8 +18,8 @@
 /// many members.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// Identifies one start of a server. Rises with every start, to distinguish a restarted server from its
-/// previous process.
+/// Identifies one process of a server. Rises with every start of the server, to distinguish a restarted
+/// server from its previous process.
 pub type Incarnation = u64;
 
 /// Unique id of a request; a retry carries the same id.
@@ -37,9 +37,9 @@
     pub zone: Zone,
     /// The address at which the server listens for other members.
     pub address: SocketAddr,
-    /// The start of the server that this identity belongs to.
+    /// The incarnation of the server that this identity belongs to.
     pub incarnation: Incarnation,
-    /// How often this start was declared down and rejoined.
+    /// How often this incarnation was declared down and rejoined.
     pub renewals: u16,
     /// Hash of the name, not sent. The membership library compares addresses with every member for each
     /// update that it receives, and hashes are cheaper to compare than names. The probability of a collision
@@ -66,7 +66,7 @@
 }
 
 impl MemberIdentity {
-    /// Creates the identity of a start without renewals.
+    /// Creates the identity of an incarnation that was never declared down: `renewals` is 0.
     pub fn new(
         name: ServerName,
         zone: Zone,
@@ -172,10 +172,10 @@
 pub struct MemberView {
     /// The member's zone.
     pub zone: Zone,
-    /// State by the membership and the member's load report; tickets are not considered, so it is never
+    /// The member's state by the membership and its load report. Tickets are not considered, so it is never
     /// `Out`.
     pub state: MemberState,
-    /// The last known start of the member.
+    /// The last known incarnation of the member.
     pub incarnation: Incarnation,
     /// The last load report; `None` if it is older than [`REPORT_MAX_AGE_MILLIS`].
     pub load_report: Option<LoadReport>,
--- a/crates/loomflow-fleet/src/membership.rs
+++ b/crates/loomflow-fleet/src/membership.rs
@@ -32,11 +32,11 @@
 /// Another member, as known to this one.
 #[derive(Clone, Debug)]
 pub struct KnownMember {
-    /// The member's identity, of its last known start.
+    /// The member's identity, with its last known incarnation.
     pub identity: MemberIdentity,
     /// State in the membership protocol: alive, suspect or down.
     pub swim_state: SwimState,
-    /// The last load report; `None` until one arrives from this start of the member.
+    /// The last load report; `None` until one arrives from this incarnation of the member.
     pub load_report: Option<ReceivedReport>,
     /// The member's replica of the log, if it is a voter.
     pub replica: Option<Replica>,
@@ -129,8 +129,8 @@
         self.process_events(now);
     }
 
-    /// Stores a member's load report. It is ignored if it is invalid, the member is unknown, or the report
-    /// comes from another start than the one known.
+    /// Stores a member's load report. The report is ignored if it is invalid, the member is unknown, or the
+    /// report comes from another incarnation than the one known.
     pub fn handle_load_report(
         &mut self,
         from: &MemberIdentity,
@@ -151,8 +151,8 @@
     pub fn tick(&mut self, now: IntegerMillis) {
         while self.timers.peek().is_some_and(|Reverse(due)| due.at <= now) {
             let Some(Reverse(due)) = self.timers.pop() else { break };
-            // After a suspension, probe timers may belong to a past round: the library reports an error and
-            // starts the next.
+            // After a suspension of the machine, probe timers may belong to a past round: the library then
+            // reports an error and starts the next round.
             let _ = self.foca.handle_timer(due.timer, &mut self.runtime);
             self.process_events(now);
         }
@@ -178,15 +178,15 @@
         next_timer.map_or(self.next_rejoin_at, |at| at.min(self.next_rejoin_at))
     }
 
-    /// Announces that this member leaves the fleet. It must not be used after that, except for sending the
-    /// packets.
+    /// Announces that this member leaves the fleet. Afterwards the membership must only be used to take the
+    /// packets to send.
     pub fn leave(&mut self, now: IntegerMillis) {
         let _ = self.foca.leave_cluster(&mut self.runtime);
         self.process_events(now);
     }
 
-    /// Takes the packets to send, each with its receiver. The identity of a seed has only a valid name and
-    /// address.
+    /// Takes the packets to send, each with its receiver. If the receiver is a seed, only the name and
+    /// address of its identity are valid.
     pub fn take_packets(&mut self) -> Vec<(MemberIdentity, Vec<u8>)> {
         std::mem::take(&mut self.outgoing)
     }
@@ -227,8 +227,9 @@
         }
     }
 
-    /// Reads the states of all members, declares suspects down whose timer was lost (see [`suspicion`]), and
-    /// forgets members that have been down for [`failure_detection::FORGET_AFTER_MILLIS`].
+    /// Reads the states of all members, declares suspects down if the timer of their suspicion was lost (see
+    /// [`suspicion`]), and forgets members that have been down for
+    /// [`failure_detection::FORGET_AFTER_MILLIS`].
     fn refresh(&mut self, now: IntegerMillis) {
         let declared_down = self.suspicions.update(self.foca.iter_membership_state(), now);
         let _ = self.foca.apply_many(declared_down.into_iter(), true, &mut self.runtime);
@@ -264,7 +265,7 @@
                 member.identity = identity.clone();
             }
         }
-        // A new start: reports of the previous one no longer apply.
+        // A new incarnation: reports of the previous one no longer apply.
         Some(member) if member.identity.incarnation < identity.incarnation => *member = new_member(),
         Some(_) => {}
         None if has_capacity => {
--- a/crates/loomflow-fleet/src/membership/failure_detection.rs
+++ b/crates/loomflow-fleet/src/membership/failure_detection.rs
@@ -27,7 +27,7 @@
 pub const FORGET_AFTER_MILLIS: IntegerMillis = 60 * 60 * 1000;
 /// Interval at which updates are sent in addition to those in probes, ms.
 const GOSSIP_PERIOD_MILLIS: u64 = 200;
-/// Number of members that receive updates in each of these intervals.
+/// Number of members that receive updates in each [`GOSSIP_PERIOD_MILLIS`].
 const GOSSIP_MEMBERS: usize = 3;
 /// Interval at which a member announces itself to others, ms.
 const ANNOUNCE_PERIOD_MILLIS: u64 = 30_000;
@@ -35,15 +35,16 @@
 const ANNOUNCE_MEMBERS: usize = 1;
 /// Interval at which a member announces itself to members that it considers down, ms.
 const ANNOUNCE_TO_DOWN_PERIOD_MILLIS: u64 = 3_000;
-/// Number of such members that receive each announcement.
+/// Number of members considered down that receive each of these announcements.
 const ANNOUNCE_TO_DOWN_MEMBERS: usize = 2;
 /// Maximum size of a packet, bytes: it fits into one Ethernet frame.
 const MAX_PACKET_BYTES: usize = 1_400;
-/// Interval at which a voter reads the states of all members, ms: its delay in noticing a suspicion while
-/// packets arrive.
+/// Interval at which a voter reads the states of all members, ms. While packets arrive, a voter notices a
+/// suspicion within this time.
 const VOTER_REFRESH_PERIOD_MILLIS: IntegerMillis = 500;
-/// The same interval for the other members, ms. It is longer because they make no decisions by these states,
-/// and reading them is the main cost of membership in a large fleet.
+/// Interval at which a member that is not a voter reads the states of all members, ms. It is longer than that
+/// of a voter because other members make no decisions by these states, and reading them is the main cost of
+/// membership in a large fleet.
 const NON_VOTER_REFRESH_PERIOD_MILLIS: IntegerMillis = 5_000;
 
 /// The configuration of the membership library.
@@ -72,8 +73,8 @@
     }
 }
 
-/// Interval at which the states of all members are read from the library, ms: it does not notify of
-/// suspicions.
+/// Interval at which a member, a voter or not, reads the states of all members from `foca`, ms. The states
+/// are read periodically because `foca` does not notify of suspicions.
 pub(super) fn refresh_period(is_voter: bool) -> IntegerMillis {
     if is_voter { VOTER_REFRESH_PERIOD_MILLIS } else { NON_VOTER_REFRESH_PERIOD_MILLIS }
 }
--- a/crates/loomflow-fleet/src/membership/suspicion.rs
+++ b/crates/loomflow-fleet/src/membership/suspicion.rs
@@ -14,7 +14,7 @@
 use crate::member::{MemberIdentity, ServerName};
 use crate::time::IntegerMillis;
 
-/// Duration after which a suspicion must have lost its timer, ms: twice the timer's duration.
+/// A suspicion that has lasted this long must have lost its timer, ms: twice the timer's duration.
 const SUSPICION_LIMIT_MILLIS: IntegerMillis = 2 * SUSPECT_TO_DOWN_MILLIS;
 
 struct Suspicion {
--- a/crates/loomflow-fleet/src/node/duties.rs
+++ b/crates/loomflow-fleet/src/node/duties.rs
@@ -44,11 +44,11 @@
     }
 }
 
-/// The periodic query to the leader that a built-in duty is based on.
+/// The state of the periodic query to the leader that a built-in duty makes.
 #[derive(Default)]
 struct PeriodicQuery {
     next_at: IntegerMillis,
-    /// The query without a response, and the fencing token under which it was sent.
+    /// The query that awaits a response, with the fencing token under which it was sent.
     pending: Option<(FleetRequestId, Token)>,
 }
 
@@ -59,7 +59,7 @@
         self.pending = Some((id, token));
     }
 
-    /// Completes the pending query if it has this id, and returns its token.
+    /// Completes the pending query if it has this id, and returns the token under which it was sent.
     fn complete(&mut self, id: FleetRequestId) -> Option<Token> {
         self.pending.take_if(|(pending, _)| *pending == id).map(|(_, token)| token)
     }
@@ -109,7 +109,7 @@
         self.session.next_wake().min(summary_at).min(campaign_at)
     }
 
-    /// Whether the session has ended and the report of that has a response or timed out.
+    /// Whether the session has ended, and the report of its end has a response or timed out.
     pub fn is_session_ended(&self) -> bool {
         self.session_end == SessionEnd::Ended
     }
@@ -145,7 +145,8 @@
         self.duties.session.valid_until()
     }
 
-    /// Releases a duty that the server has finished, or has written a checkpoint of for the next owner.
+    /// Releases a duty that the server has finished, or for which it has written a checkpoint for the next
+    /// owner.
     pub fn release(&mut self, duty: &str, now: IntegerMillis) {
         if let Some(token) = self.duties.session.release(duty) {
             let command = DutyCommand::Release { duty: duty.to_owned(), token, successor: None };
--- a/crates/loomflow-fleet/src/node/duty_leadership.rs
+++ b/crates/loomflow-fleet/src/node/duty_leadership.rs
@@ -98,8 +98,8 @@
         true
     }
 
-    /// The response to a server's renewal: the duties that it owns, or the remaining time of a session of
-    /// another start.
+    /// The response to a server's renewal: the duties that it owns, or the remaining time of the session of
+    /// another incarnation of the server.
     fn renewal_response(&self, instance: &ServerInstance) -> Option<DutyResponse> {
         let duties = &self.fleet_state()?.duties;
         let session = duties.sessions().get(&instance.name);
@@ -118,8 +118,8 @@
         };
         let specs = config.all_specs();
         if !state.duties.has_declared(config.lease_settings, &specs) {
-            // A duty that is no longer declared remains while it is owned: that is no reason to declare
-            // again.
+            // A duty that is no longer configured remains in the state while it is owned, so the state differs
+            // from the settings until then: that alone is no reason to declare the duties again.
             let is_undeclared = |(name, duty): (&DutyName, &Duty)| {
                 duty.lease.is_some() && specs.iter().all(|spec| spec.name != *name)
             };
--- a/crates/loomflow-fleet/src/node/leadership.rs
+++ b/crates/loomflow-fleet/src/node/leadership.rs
@@ -19,8 +19,8 @@
 const ROUND_PERIOD_MILLIS: IntegerMillis = 250;
 /// Time after which a proposal that is not committed counts as lost, ms.
 const PROPOSAL_TIMEOUT_MILLIS: IntegerMillis = 5_000;
-/// Interval at which the fleet's time is committed while there is a deadline, ms: a new leader continues from
-/// the committed time.
+/// Interval at which the fleet's time is committed while a deadline is pending, ms: a new leader continues
+/// from the last committed time.
 const CLOCK_PERIOD_MILLIS: IntegerMillis = 5_000;
 
 /// The state of a member that leads; the default otherwise.
@@ -79,7 +79,8 @@
         }
     }
 
-    /// The time of the leader's next round, which is earlier if a deadline is.
+    /// The time of the leader's next round: after the usual period, or at the next deadline if that is
+    /// earlier.
     pub(super) fn next_round(&self) -> IntegerMillis {
         let leadership = &self.leadership;
         let Some((started_at, time_at_start)) =
--- a/crates/loomflow-fleet/src/node/mod.rs
+++ b/crates/loomflow-fleet/src/node/mod.rs
@@ -69,7 +69,7 @@
     pub duties: Option<duties::DutyConfig>,
     /// Seed of the random generator; the same seed and the same inputs give the same outputs.
     pub seed: u64,
-    /// Wall-clock time of the start, ms since the Unix epoch.
+    /// Wall-clock time at which the process started, ms since the Unix epoch.
     pub unix_millis: u64,
 }
 
@@ -85,7 +85,8 @@
         /// The message with its length prefix.
         bytes: Vec<u8>,
     },
-    /// Shuts the server down as on SIGTERM: the start of its maintenance is committed.
+    /// Shuts the server down as on SIGTERM, because the start of its maintenance under this ticket is
+    /// committed.
     Drain(TicketId),
     /// Returns the response to a request that was submitted to this node.
     Responded(FleetRequestId, FleetResponse),
--- a/crates/loomflow-fleet/src/node/own_ticket.rs
+++ b/crates/loomflow-fleet/src/node/own_ticket.rs
@@ -23,7 +23,7 @@
     now.saturating_sub(sent_at) <= MAX_NOTIFICATION_AGE_MILLIS
 }
 
-/// Stores and returns the incarnation of this start, for a server that is not a voter.
+/// Stores and returns the incarnation of this process, for a server that is not a voter.
 ///
 /// # Errors
 /// The storage cannot be read or written.
@@ -41,14 +41,14 @@
 /// The progress of this server's own ticket.
 #[derive(Default)]
 pub(super) struct OwnTicket {
-    /// The report that maintenance starts, while it has no response: its request and its grant. It stays set
-    /// after a rejection, so that the same grant is not reported again.
+    /// The report that maintenance starts, while it has no response: the id of its request, and its grant. It
+    /// stays set after a rejection, so that the same grant is not reported again.
     pending_start: Option<(FleetRequestId, GrantNumber)>,
     /// The ticket and grant for which the server drains.
     draining_ticket: Option<(TicketId, GrantNumber)>,
     /// The report that the server has drained, while it has no response.
     pending_departure: Option<FleetRequestId>,
-    /// Whether that report has a response or timed out, or none was needed.
+    /// Whether the report that the server has drained has a response or timed out, or none was needed.
     pub is_departure_reported: bool,
     /// Whether the server has responded to every accepted request.
     pub has_drained: bool,
@@ -80,7 +80,8 @@
                 let id = self.report_transition(ticket.id, ticket.grant, Transition::Accept, now);
                 self.own_ticket.pending_start = Some((id, ticket.grant));
             }
-            // Committed, but the response was lost, or the server was declared down before it received it.
+            // The start of maintenance is committed, but its response was lost, or the server was declared
+            // down before it received the response.
             TicketStage::Accepted | TicketStage::Draining | TicketStage::Offline | TicketStage::Overdue => {
                 self.drain_for_ticket(ticket.id, ticket.grant, now);
             }
--- a/crates/loomflow-fleet/src/status.rs
+++ b/crates/loomflow-fleet/src/status.rs
@@ -58,7 +58,7 @@
     pub owner: ServerName,
     /// The owner's fencing token.
     pub token: Token,
-    /// Time since it was received, ms.
+    /// Time since the summary was received, ms.
     #[serde(rename = "age")]
     pub age_millis: IntegerMillis,
     /// The received summary.
@@ -74,7 +74,7 @@
     pub zone: Zone,
     /// The address at which the server listens for other members.
     pub address: String,
-    /// The last known start of the server.
+    /// The last known incarnation of the server.
     pub incarnation: Incarnation,
     /// The server's state, `Out` if it is down during maintenance.
     #[serde(rename = "standing")]
--- a/crates/loomflow-fleet/src/wire.rs
+++ b/crates/loomflow-fleet/src/wire.rs
@@ -101,13 +101,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// The message is longer than [`MAX_MESSAGE_BYTES`]; with its length in bytes.
-    #[error("a message of {0} bytes exceeds the limit of {MAX_MESSAGE_BYTES} bytes")]
+    #[error("a received message of {0} bytes exceeds the limit of {MAX_MESSAGE_BYTES} bytes")]
     TooLong(usize),
     /// The bytes are not a valid message.
-    #[error("a message cannot be decoded")]
+    #[error("received bytes cannot be decoded as a message between fleet members")]
     Unreadable,
     /// The message belongs to a fleet of another name.
-    #[error("a message belongs to another fleet")]
+    #[error("a received message carries the name of another fleet")]
     Foreign,
 }
 
--- a/crates/loomflow-fleet/tests/ownership_model.rs
+++ b/crates/loomflow-fleet/tests/ownership_model.rs
@@ -14,7 +14,7 @@
 
 const SERVERS: usize = 2;
 const LEASE: u64 = 100;
-/// Time advances by half a lease, at most [`MAX_TIME_STEPS`] times.
+/// Step by which time advances, ms: half a lease. Time advances at most [`MAX_TIME_STEPS`] times.
 const TIME_STEP: u64 = 50;
 const MAX_TIME_STEPS: u64 = 3;
 /// Maximum renewals of each server's session after the one that opened it.
--- a/crates/loomflow-fleet/tests/ticket_model.rs
+++ b/crates/loomflow-fleet/tests/ticket_model.rs
@@ -236,7 +236,7 @@
                 _ => {}
             }
             if ticket.stage.has_slot() && ticket.stage != TicketStage::Granted {
-                // Departure may be observed of a server that is alive.
+                // The leader may observe a departure although the server is alive.
                 let observable =
                     [Transition::Depart, Transition::Return, Transition::Ready, Transition::Finish];
                 actions.extend(observable.map(|transition| Action::Observe(id, transition)));
