--- a/crates/loomflow-fleet/src/duty/client_session.rs
+++ b/crates/loomflow-fleet/src/duty/client_session.rs
@@ -115,8 +115,9 @@
         self.merge_duties(ownership.duties);
     }
 
-    /// Handles a notification without a renewal: it changes the duties of the current session and does not extend it. A
-    /// notification of a later session makes the next renewal due earlier; that renewal confirms the session.
+    /// Handles a notification without a renewal: it changes the duties of the current session and does not
+    /// extend it. A notification of a later session makes the next renewal due earlier; that renewal confirms
+    /// the session.
     pub fn notified(&mut self, ownership: Ownership, now: IntegerMillis) {
         self.expire(now);
         if ownership.session == self.session && now < self.valid_until {
--- a/crates/loomflow-fleet/src/duty/mod.rs
+++ b/crates/loomflow-fleet/src/duty/mod.rs
@@ -15,8 +15,9 @@
 //! token; it lasts as long as its owner's session. [`Ownership`] is what a server receives: its session, and an
 //! [`OwnedDuty`] for each of its leases.
 //!
-//! While clocks drift within [`MAX_CLOCK_DRIFT`] the leases of two owners do not overlap, which only avoids useless work.
-//! The fleet's effects are protected by the fencing token and the receiver's fence.
+//! While clocks drift within [`MAX_CLOCK_DRIFT`] the leases of two owners of a duty do not overlap. This only
+//! avoids useless work: what keeps the effects of a former owner out is the fencing token and the receiver's
+//! fence.
 //!
 //! Many fields and variants have another name in JSON, which operators' tools read: `#[serde(rename)]` keeps that name. The
 //! log and snapshots are postcard, which holds no names.
--- a/crates/loomflow-fleet/src/duty/supervisor.rs
+++ b/crates/loomflow-fleet/src/duty/supervisor.rs
@@ -1,5 +1,6 @@
-//! Decides when the process of an owner has to end: before its lease can expire, first by SIGTERM and then by SIGKILL. A
-//! process that survives both, for example one that left its process group, is rejected by the fences of its receivers.
+//! Decides when the process of an owner has to end: before its lease can expire, first by SIGTERM and then by
+//! SIGKILL. The effects of a process that survives both, for example one that left its process group, are
+//! rejected by the fences of their receivers.
 
 use super::LeaseSettings;
 use crate::time::{IntegerMillis, scaled};
--- a/crates/loomflow-fleet/src/fleet_state/tests.rs
+++ b/crates/loomflow-fleet/src/fleet_state/tests.rs
@@ -7,7 +7,8 @@
     let previous_start = ServerInstance { incarnation: 1, ..own.clone() };
     let other_server = ServerInstance { name: "b".into(), incarnation: 2 };
     let (duty, update) = ("d".to_owned(), OwnerUpdate::Done(1));
-    // For each command: whether the leader, the server "a" in its second start, and an operator may issue it.
+    // For each command: whether the leader, the server "a" in its second incarnation, and an operator may
+    // issue it.
     let cases = [
         (DutyCommand::Declare(LeaseSettings::default(), Vec::new()), [true, false, false]),
         (DutyCommand::KeepAlive(vec![own.clone()]), [true, false, false]),
--- a/crates/loomflow-fleet/src/lib.rs
+++ b/crates/loomflow-fleet/src/lib.rs
@@ -10,7 +10,7 @@
 //! - [`membership`]: the members and their liveness (SWIM, by `foca`).
 //! - [`consensus`]: a log replicated among several voters (Raft, by `raft`).
 //! - [`maintenance`]: the state machine that schedules maintenance: tickets, their order, and the limits on
-//!   servers that are out.
+//!   servers that are out of service.
 //! - [`duty`]: work that one server does for the whole fleet: sessions, leases, fencing, assignment.
 //! - [`command`]: commands, log entries, and requests to the leader with their responses.
 //! - [`status`]: the fleet as one member sees it.
--- a/crates/loomflow-fleet/src/maintenance/rules.rs
+++ b/crates/loomflow-fleet/src/maintenance/rules.rs
@@ -1,5 +1,5 @@
-//! The operators' rules: how many servers may be out of service for maintenance, and when a returned server counts as
-//! ready. Replicated through the log, so that all servers apply the same rules.
+//! The operators' rules: how many servers may be out of service for maintenance, and when a returned server
+//! counts as ready. Replicated through the log, so that all servers apply the same rules.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/loomflow-fleet/src/maintenance/state.rs
+++ b/crates/loomflow-fleet/src/maintenance/state.rs
@@ -2,7 +2,7 @@
 //! the leader's view may be outdated by the time its decision is committed.
 //!
 //! This file holds the state, its accessors and its snapshot; `apply` holds the changes to it, and `limits` the limits on
-//! servers that are out.
+//! servers that are out of service.
 
 mod apply;
 mod limits;
--- a/crates/loomflow-fleet/src/maintenance/state/limits.rs
+++ b/crates/loomflow-fleet/src/maintenance/state/limits.rs
@@ -1,6 +1,6 @@
-//! Limits on how many servers may be out of service at once: the operators' limits for the fleet and for each zone, and the
-//! number of voters that have to remain healthy. The leader checks them before it grants, and the state machine again when
-//! it applies the grant.
+//! Limits on how many servers may be out of service at once: the operators' limits for the fleet and for each
+//! zone, and the number of voters that have to remain healthy. The leader checks them before it grants, and
+//! the state machine again when it applies the grant.
 
 use std::collections::BTreeMap;
 
@@ -11,8 +11,9 @@
 use crate::member::Zone;
 
 impl MaintenanceState {
-    /// Checks whether one more server may be out, by the limits for fleet and zone and by the voters. Counts servers rather
-    /// than tickets, so that a server that is down and has a ticket counts once.
+    /// Checks whether one more server may be out of service, by the limits for fleet and zone and by the
+    /// voters. Counts servers rather than tickets, so that a server that is down and has a ticket counts
+    /// once.
     ///
     /// # Errors
     /// [`Rejection::NoSlot`] or [`Rejection::Voters`], with the figures of the limit that would be exceeded.
--- a/crates/loomflow-fleet/src/maintenance/ticket.rs
+++ b/crates/loomflow-fleet/src/maintenance/ticket.rs
@@ -1,8 +1,9 @@
 //! Maintenance tickets: each permits one server to go out of service once. [`TABLE`] lists the legal transitions of each
 //! stage and who may make them; all others are rejected with a reason.
 //!
-//! A **slot** is a unit of the limit on servers that may be out of service at the same time. A ticket has a slot from its
-//! grant until it is done, withdrawn or abandoned, or until the grant lapses or is revoked ([`TicketStage::has_slot`]).
+//! A **slot** is a unit of the limit on servers that may be out of service at the same time. A ticket has a
+//! slot from its grant until it is done, withdrawn or abandoned, or until the grant lapses or is revoked
+//! ([`TicketStage::has_slot`]).
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/loomflow-fleet/src/membership/suspicion.rs
+++ b/crates/loomflow-fleet/src/membership/suspicion.rs
@@ -1,10 +1,10 @@
 //! Ends suspicions whose timer was lost, by declaring the suspect down.
 //!
-//! The member that suspects another one sets a timer, and declares the suspect down when it expires without a
-//! refutation. The timer is lost if that member shuts down, or is itself declared down: the library drops all
-//! timers when a member renews its identity. A suspect that did not receive the suspicion would then remain
-//! suspect forever, so every member also measures how long each suspicion lasts. A suspect that is wrongly
-//! declared down renews its identity and rejoins after one packet.
+//! The member that suspects another one sets a timer, and declares the suspect down when the timer expires
+//! without a refutation. The timer is lost if that member shuts down, or is itself declared down: the library
+//! drops all timers when a member renews its identity. A suspect that did not receive the suspicion would
+//! then remain suspect forever, so every member also measures how long each suspicion lasts. A suspect that
+//! is wrongly declared down renews its identity and rejoins after one packet.
 
 use std::collections::BTreeMap;
 
--- a/crates/loomflow-fleet/src/node/own_ticket.rs
+++ b/crates/loomflow-fleet/src/node/own_ticket.rs
@@ -1,5 +1,5 @@
-//! A server's handling of its own ticket. It drains only when the start of its maintenance is known to be
-//! committed, by a response or notification that is recent by its own clock. After a long pause of the
+//! A server's handling of its own ticket. The server drains only when the start of its maintenance is known
+//! to be committed, by a response or notification that is recent by its own clock. After a long pause of the
 //! process it ignores older ones, and reports the start again.
 
 use rand::RngExt;
